--- a/src/main/java/dapplestair/admin/AdminDesk.java
+++ b/src/main/java/dapplestair/admin/AdminHandler.java
@@ -19,8 +19,8 @@
  * Answers operators. Whatever is told holds as of a read barrier passed for this question; what
  * only a leader knows is asked of the leader, and never told from an older memory.
  */
-public final class AdminDesk {
-  private static final Logger LOG = LoggerFactory.getLogger(AdminDesk.class);
+public final class AdminHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(AdminHandler.class);
   private static final String TOPIC = "admin";
   private static final String TEXT = "text/plain; version=0.0.4; charset=utf-8";
 
@@ -48,8 +48,11 @@
   private int open;
 
   /** {@code users} answers what users ask; {@code metrics} gives them as text. */
-  public AdminDesk(
-      Duties duties, Access access, Consumer<Exchange> users, Supplier<byte[]> metrics) {
+  public AdminHandler(
+      ControllerComponents duties,
+      Access access,
+      Consumer<Exchange> users,
+      Supplier<byte[]> metrics) {
     this.clock = duties.clock();
     this.timers = duties.timers();
     this.access = access;
@@ -74,8 +77,8 @@
             new WhyView(duties, jobs, moment, planS),
             new ClusterViews(duties, machines, moment),
             new EventViews(timers, duties.events(), pages),
-            new DrainDesk(clock, duties.settings(), duties.workers(), duties.drains(), moment),
-            new ReplaceDesk(duties, moment));
+            new DrainHandler(clock, duties.settings(), duties.workers(), duties.drains(), moment),
+            new ReplacementHandler(duties, moment));
     peers.questions().answer(TOPIC, this::asked);
   }
 
--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -22,7 +22,7 @@
 import dapplestair.settings.Settings;
 import dapplestair.state.StateClient;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import dapplestair.zones.Zones;
 import java.time.Instant;
 import java.util.Locale;
@@ -34,7 +34,7 @@
   private final Clock clock;
   private final Settings settings;
   private final Ledger ledger;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Disruption disruption;
   private final Planning planning;
   private final Zones zones;
@@ -49,7 +49,7 @@
   private final Cancellations cancellations;
   private final Relay relay;
 
-  ClusterViews(Duties duties, MachineViews machines, Moment moment) {
+  ClusterViews(ControllerComponents duties, MachineViews machines, Moment moment) {
     this.clock = duties.clock();
     this.settings = duties.settings();
     this.ledger = duties.ledger();
@@ -92,7 +92,7 @@
       calendars.statuses().forEach(s -> show(s, list.addObject()));
     }
     ArrayNode list = object.putArray("peers");
-    for (Peers.View p : peers.views()) {
+    for (Peers.PeerView p : peers.views()) {
       ObjectNode n = list.addObject().put("member", p.member()).put("alive", p.alive());
       n.put("linked", p.linked());
       if (p.status() != null) {
--- a/src/main/java/dapplestair/admin/Duties.java
+++ b/src/main/java/dapplestair/admin/ControllerComponents.java
@@ -23,18 +23,18 @@
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
 import dapplestair.state.Wishes;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import dapplestair.zones.Zones;
 
 /** The duties of a controller that its operators may look into. */
-public record Duties(
+public record ControllerComponents(
     Settings settings,
     Operator operator,
     Clock clock,
     Timers timers,
     Leadership leadership,
     Ledger ledger,
-    WorkerDesk workers,
+    WorkerManager workers,
     Fleet fleet,
     MachineTypes types,
     Placer placer,
--- a/src/main/java/dapplestair/admin/DrainDesk.java
+++ b/src/main/java/dapplestair/admin/DrainHandler.java
@@ -8,21 +8,21 @@
 import dapplestair.settings.Settings;
 import dapplestair.state.Keys;
 import dapplestair.state.Wishes;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.function.Consumer;
 
 /** Orders to empty machines and zones, and to take them back. */
-final class DrainDesk {
+final class DrainHandler {
   private static final int LONGEST_WHY = 200;
   private static final long PATIENCE_MS = 2000;
 
   private final Clock clock;
   private final Settings settings;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Drains drains;
   private final Moment moment;
 
-  DrainDesk(Clock clock, Settings settings, WorkerDesk desk, Drains drains, Moment moment) {
+  DrainHandler(Clock clock, Settings settings, WorkerManager desk, Drains drains, Moment moment) {
     this.clock = clock;
     this.settings = settings;
     this.desk = desk;
--- a/src/main/java/dapplestair/admin/MachineViews.java
+++ b/src/main/java/dapplestair/admin/MachineViews.java
@@ -11,7 +11,7 @@
 import dapplestair.ledger.Attempt;
 import dapplestair.ports.Clock;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.io.IOException;
 import java.util.Comparator;
 import java.util.TreeSet;
@@ -20,14 +20,14 @@
 /** Machines as operators see them; only a leader knows them. */
 final class MachineViews {
   private final Clock clock;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Drains drains;
   private final JobViews jobs;
   private final Moment moment;
   private final Pages pages;
 
   MachineViews(
-      Clock clock, WorkerDesk desk, Drains drains, JobViews jobs, Moment moment, Pages pages) {
+      Clock clock, WorkerManager desk, Drains drains, JobViews jobs, Moment moment, Pages pages) {
     this.clock = clock;
     this.desk = desk;
     this.drains = drains;
--- a/src/main/java/dapplestair/admin/ReplaceDesk.java
+++ b/src/main/java/dapplestair/admin/ReplacementHandler.java
@@ -21,7 +21,7 @@
 import java.util.regex.Pattern;
 
 /** Orders to replace machines: given, paused, taken up again, aborted, looked at. */
-final class ReplaceDesk {
+final class ReplacementHandler {
   private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,39}");
   private static final int LONGEST_WHY = 200;
   private static final int MOST_ORDERS = 32;
@@ -37,7 +37,7 @@
   private final Wishes wishes;
   private final Moment moment;
 
-  ReplaceDesk(Duties duties, Moment moment) {
+  ReplacementHandler(ControllerComponents duties, Moment moment) {
     this.clock = duties.clock();
     this.timers = duties.timers();
     this.settings = duties.settings();
--- a/src/main/java/dapplestair/admin/Routes.java
+++ b/src/main/java/dapplestair/admin/Routes.java
@@ -19,8 +19,8 @@
   private final WhyView why;
   private final ClusterViews cluster;
   private final EventViews events;
-  private final DrainDesk drains;
-  private final ReplaceDesk replacements;
+  private final DrainHandler drains;
+  private final ReplacementHandler replacements;
 
   Routes(
       JobViews jobs,
@@ -28,8 +28,8 @@
       WhyView why,
       ClusterViews cluster,
       EventViews events,
-      DrainDesk drains,
-      ReplaceDesk replacements) {
+      DrainHandler drains,
+      ReplacementHandler replacements) {
     this.jobs = jobs;
     this.machines = machines;
     this.why = why;
--- a/src/main/java/dapplestair/admin/Tokens.java
+++ b/src/main/java/dapplestair/admin/Tokens.java
@@ -1,7 +1,7 @@
 package dapplestair.admin;
 
 import com.google.common.hash.Hashing;
-import dapplestair.ports.Background;
+import dapplestair.ports.BackgroundExecutor;
 import dapplestair.ports.Exchange;
 import dapplestair.ports.Timers;
 import java.io.IOException;
@@ -48,14 +48,15 @@
   }
 
   /** Reads a file, and again whenever it has changed. */
-  public static Tokens watch(Path file, Timers timers, Background background) throws IOException {
+  public static Tokens watch(Path file, Timers timers, BackgroundExecutor background)
+      throws IOException {
     Tokens tokens = new Tokens(file);
     tokens.read = tokens.load();
     tokens.look(timers, background);
     return tokens;
   }
 
-  private void look(Timers timers, Background background) {
+  private void look(Timers timers, BackgroundExecutor background) {
     timers.after(
         LOOK_EVERY_MS,
         () -> {
@@ -64,7 +65,7 @@
         });
   }
 
-  private void adopt(Read fresh, Timers timers, Background background) {
+  private void adopt(Read fresh, Timers timers, BackgroundExecutor background) {
     if (fresh != null) {
       read = fresh;
       LOG.info("{}: {} tokens", file, fresh.entries().size());
--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -27,7 +27,7 @@
   private final Moment moment;
   private final double planIntervalS;
 
-  WhyView(Duties duties, JobViews jobs, Moment moment, double planIntervalS) {
+  WhyView(ControllerComponents duties, JobViews jobs, Moment moment, double planIntervalS) {
     this.settings = duties.settings();
     this.ledger = duties.ledger();
     this.placer = duties.placer();
--- a/src/main/java/dapplestair/blame/Blame.java
+++ b/src/main/java/dapplestair/blame/Blame.java
@@ -7,7 +7,7 @@
 import dapplestair.ports.Cancellable;
 import dapplestair.ports.Clock;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -40,7 +40,7 @@
   private final Clock clock;
   private final TermTimers timers;
   private final Ledger ledger;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Listener listener;
   private final long reportMs;
   private final FailureRecords records;
@@ -54,7 +54,7 @@
       TermTimers timers,
       long reportMs,
       Ledger ledger,
-      WorkerDesk desk,
+      WorkerManager desk,
       Listener listener) {
     this.clock = clock;
     this.timers = timers;
--- a/src/main/java/dapplestair/blame/FailureRecords.java
+++ b/src/main/java/dapplestair/blame/FailureRecords.java
@@ -6,7 +6,7 @@
 import dapplestair.ports.Clock;
 import dapplestair.workers.Host;
 import dapplestair.workers.Probation;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 import java.util.HashMap;
 import java.util.Map;
@@ -24,11 +24,11 @@
   private final Clock clock;
   private final long reportMs;
   private final Ledger ledger;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Map<String, JobCase> jobs = new HashMap<>();
   private final Map<String, MachineCase> machines = new HashMap<>();
 
-  FailureRecords(Clock clock, long reportMs, Ledger ledger, WorkerDesk desk) {
+  FailureRecords(Clock clock, long reportMs, Ledger ledger, WorkerManager desk) {
     this.clock = clock;
     this.reportMs = reportMs;
     this.ledger = ledger;
--- a/src/main/java/dapplestair/cli/ControllerCommand.java
+++ b/src/main/java/dapplestair/cli/ControllerCommand.java
@@ -18,7 +18,7 @@
   public Integer call() throws Exception {
     try {
       Settings settings = files.settings();
-      Running.start(settings, files.operator(settings));
+      ControllerServer.start(settings, files.operator(settings));
     } catch (SettingsException e) {
       return SettingsOptions.refuse(e);
     }
--- a/src/main/java/dapplestair/cli/Running.java
+++ b/src/main/java/dapplestair/cli/ControllerServer.java
@@ -2,13 +2,13 @@
 
 import dapplestair.admin.Access;
 import dapplestair.admin.Tokens;
+import dapplestair.netty.ControllerEventLoop;
 import dapplestair.netty.HttpPool;
 import dapplestair.netty.HttpServer;
-import dapplestair.netty.Loop;
 import dapplestair.netty.PeerLinks;
 import dapplestair.netty.TlsFiles;
 import dapplestair.node.Controller;
-import dapplestair.node.Outside;
+import dapplestair.node.ControllerEnvironment;
 import dapplestair.settings.Operator;
 import dapplestair.settings.Settings;
 import dapplestair.settings.SettingsException;
@@ -18,7 +18,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** A controller on Netty, with its listeners. */
-final class Running {
+final class ControllerServer {
   /** A property, so that the run line of a deployment says it and no file has to be read for it. */
   private static final String LAUNCH_BATCHES = "dapplestair.launchSheets";
 
@@ -26,15 +26,15 @@
   private static final int ADMIN_IDLE_S = 60;
   private static final long ANSWERS_WITHIN_MS = 5000;
 
-  private final Loop loop;
+  private final ControllerEventLoop loop;
   private final Controller controller;
   private final HttpServer users;
   private final HttpServer admin;
   private final int userPort;
   private final int adminPort;
 
-  private Running(
-      Loop loop,
+  private ControllerServer(
+      ControllerEventLoop loop,
       Controller controller,
       HttpServer users,
       int userPort,
@@ -49,17 +49,17 @@
   }
 
   /** Builds a controller, binds its listeners and starts it. */
-  static Running start(Settings settings, Operator operator)
+  static ControllerServer start(Settings settings, Operator operator)
       throws InterruptedException, SettingsException {
-    Loop loop = new Loop();
+    ControllerEventLoop loop = new ControllerEventLoop();
     HttpPool http =
         new HttpPool(
             loop,
             MOST_CALLS_PER_ENDPOINT,
             settings.workers().reportMs() / 4,
             settings.resources().maxConnections() / 2);
-    Outside outside =
-        new Outside(
+    ControllerEnvironment outside =
+        new ControllerEnvironment(
             loop,
             loop,
             loop,
@@ -77,10 +77,11 @@
     HttpServer admin = on == null ? null : admin(on, loop, controller);
     int adminPort = admin == null ? -1 : admin.start(on.listen());
     loop.executor().execute(controller::start);
-    return new Running(loop, controller, users, userPort, admin, adminPort);
+    return new ControllerServer(loop, controller, users, userPort, admin, adminPort);
   }
 
-  private static Access access(Operator.Admin on, Loop loop) throws SettingsException {
+  private static Access access(Operator.Admin on, ControllerEventLoop loop)
+      throws SettingsException {
     try {
       if (on.tokens() != null) {
         return Tokens.watch(on.tokens(), loop, loop);
@@ -91,8 +92,8 @@
     }
   }
 
-  private static HttpServer admin(Operator.Admin on, Loop loop, Controller controller)
-      throws SettingsException {
+  private static HttpServer admin(
+      Operator.Admin on, ControllerEventLoop loop, Controller controller) throws SettingsException {
     try {
       TlsFiles tls = on.tls() == null ? null : TlsFiles.watch(on.tls(), loop, loop);
       HttpServer.Options options =
@@ -103,7 +104,7 @@
     }
   }
 
-  Loop loop() {
+  ControllerEventLoop loop() {
     return loop;
   }
 
--- a/src/main/java/dapplestair/cli/DaemonCommand.java
+++ b/src/main/java/dapplestair/cli/DaemonCommand.java
@@ -79,8 +79,9 @@
     } else if (Address.parse(outside) == null) {
       throw new SettingsException("--outside = " + outside + ": must be host:port");
     }
-    Running running = Running.start(settings.controller(users, endpoint), operator);
-    Ending.onSignal(running::stop);
+    ControllerServer running =
+        ControllerServer.start(settings.controller(users, endpoint), operator);
+    ShutdownHook.onSignal(running::stop);
     String userEndpoint = users.host() + ":" + running.userPort();
     Registration.repeat(running.loop(), endpoint, userEndpoint);
     while (!running.await(READY_WITHIN_MS)) {
--- a/src/main/java/dapplestair/cli/EmulateCommand.java
+++ b/src/main/java/dapplestair/cli/EmulateCommand.java
@@ -34,7 +34,7 @@
       Address at = address("--listen", listen, settings.outside());
       Emulation emulation = new Emulation(settings);
       int port = emulation.start(at);
-      Ending.onSignal(emulation::close);
+      ShutdownHook.onSignal(emulation::close);
       System.out.println("ready outside=" + at.host() + ":" + port);
     } catch (SettingsException e) {
       return SettingsOptions.refuse(e);
--- a/src/main/java/dapplestair/cli/RehearseCommand.java
+++ b/src/main/java/dapplestair/cli/RehearseCommand.java
@@ -3,8 +3,8 @@
 import dapplestair.daemon.DaemonSettings;
 import dapplestair.daemon.Emulation;
 import dapplestair.json.Json;
+import dapplestair.netty.ControllerEventLoop;
 import dapplestair.netty.HttpPool;
-import dapplestair.netty.Loop;
 import dapplestair.ports.HttpReply;
 import dapplestair.settings.Operator;
 import dapplestair.settings.Settings.Address;
@@ -78,7 +78,7 @@
   private static final int CALL_MS = 2000;
   private static final int MOST_S = 40;
 
-  private final Loop loop = new Loop();
+  private final ControllerEventLoop loop = new ControllerEventLoop();
   private final HttpPool http = new HttpPool(loop, 4, 1000);
   private final long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MOST_S);
 
@@ -97,13 +97,14 @@
     int[] ports = freePorts(4);
     Emulation outside = new Emulation(DaemonSettings.defaults());
     int at = outside.start(new Address("127.0.0.1", 0));
-    Running[] both = new Running[2];
+    ControllerServer[] both = new ControllerServer[2];
     for (int i = 0; i < 2; i++) {
       int other = 1 - i;
       String text =
           SETTINGS.formatted(
               i, ports[2 * i], ports[2 * i + 1], other, ports[2 * other + 1], at, at);
-      both[i] = Running.start(SettingsLoader.parse("rehearsal", text), Operator.defaults());
+      both[i] =
+          ControllerServer.start(SettingsLoader.parse("rehearsal", text), Operator.defaults());
       outside.register("rehearsal-" + i, "127.0.0.1:" + ports[2 * i]);
     }
     String first = "127.0.0.1:" + ports[0];
--- a/src/main/java/dapplestair/cli/Service.java
+++ b/src/main/java/dapplestair/cli/Service.java
@@ -22,7 +22,7 @@
       System.exit(2);
     }
     try {
-      Running.start(SettingsLoader.load(Path.of(args[0])), Operator.defaults());
+      ControllerServer.start(SettingsLoader.load(Path.of(args[0])), Operator.defaults());
     } catch (SettingsException e) {
       System.exit(SettingsOptions.refuse(e));
     } catch (Exception e) {
--- a/src/main/java/dapplestair/cli/Ending.java
+++ b/src/main/java/dapplestair/cli/ShutdownHook.java
@@ -4,19 +4,19 @@
 import org.slf4j.LoggerFactory;
 
 /** An orderly end on SIGTERM or SIGINT, with exit code 0. */
-final class Ending {
-  private static final Logger LOG = LoggerFactory.getLogger(Ending.class);
+final class ShutdownHook {
+  private static final Logger LOG = LoggerFactory.getLogger(ShutdownHook.class);
 
-  private Ending() {}
+  private ShutdownHook() {}
 
   /** What ends, in order. */
   @FunctionalInterface
-  interface Steps {
+  interface ShutdownSteps {
     void run() throws InterruptedException;
   }
 
   /** Runs the steps when the process is told to end, then ends it with 0. */
-  static void onSignal(Steps steps) {
+  static void onSignal(ShutdownSteps steps) {
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
--- a/src/main/java/dapplestair/cloud/CloudClient.java
+++ b/src/main/java/dapplestair/cloud/CloudClient.java
@@ -29,7 +29,7 @@
   private static final int UNAVAILABLE = 503;
 
   /** In the order in which their requests are sent. */
-  private enum Queue {
+  private enum RequestPriority {
     ENFORCEMENT,
     RETURNS,
     RENTALS,
@@ -42,14 +42,15 @@
     }
   }
 
-  private record Queued(
+  private record QueuedRequest(
       String method,
       String path,
       byte[] body,
       long timeoutMs,
       BooleanSupplier wanted,
       Consumer<HttpReply> done) {
-    Queued(String method, String path, byte[] body, long timeoutMs, Consumer<HttpReply> done) {
+    QueuedRequest(
+        String method, String path, byte[] body, long timeoutMs, Consumer<HttpReply> done) {
       this(method, path, body, timeoutMs, () -> true, done);
     }
   }
@@ -59,7 +60,8 @@
   private final String endpoint;
   private final TokenBucket bucket;
   private final long timeoutMs;
-  private final Map<Queue, ArrayDeque<Queued>> queues = new EnumMap<>(Queue.class);
+  private final Map<RequestPriority, ArrayDeque<QueuedRequest>> queues =
+      new EnumMap<>(RequestPriority.class);
   private boolean waiting;
 
   /** A client of the cloud that the settings name. */
@@ -69,32 +71,32 @@
     this.endpoint = settings.cloudEndpoint();
     this.bucket = new TokenBucket(clock, settings.cloud().rps() * RATE_RATIO, 1);
     this.timeoutMs = settings.workers().reportMs();
-    for (Queue queue : Queue.values()) {
+    for (RequestPriority queue : RequestPriority.values()) {
       queues.put(queue, new ArrayDeque<>());
     }
   }
 
   /** Asks which machine types there are. */
   public void types(Consumer<HttpReply> done) {
-    add(Queue.QUESTIONS, get("/machine_types", done));
+    add(RequestPriority.QUESTIONS, get("/machine_types", done));
   }
 
   /** Asks for the next page of machines, after this name or from the beginning. */
   public void list(String from, Consumer<HttpReply> done) {
-    add(Queue.QUESTIONS, get(listing(from, MOST_LISTED), done));
+    add(RequestPriority.QUESTIONS, get(listing(from, MOST_LISTED), done));
   }
 
   /** Asks for a few machines that come after this name, whoever leads. */
   public void lookUp(String from, int most, Consumer<HttpReply> done) {
-    add(Queue.ADDRESSES, get(listing(from, most), done));
+    add(RequestPriority.ADDRESSES, get(listing(from, most), done));
   }
 
   private static String listing(String from, int limit) {
     return "/rentals?" + (from == null ? "" : "from=" + from + "&") + "limit=" + limit;
   }
 
-  private Queued get(String path, Consumer<HttpReply> done) {
-    return new Queued("GET", path, null, timeoutMs, done);
+  private QueuedRequest get(String path, Consumer<HttpReply> done) {
+    return new QueuedRequest("GET", path, null, timeoutMs, done);
   }
 
   /**
@@ -116,25 +118,26 @@
             .put("basin", zone)
             .put("loaners", spot)
             .put("howMany", count);
-    Queued request = new Queued("POST", "/rentals", Json.bytes(body), 2 * timeoutMs, wanted, done);
-    add(Queue.RENTALS, request);
+    QueuedRequest request =
+        new QueuedRequest("POST", "/rentals", Json.bytes(body), 2 * timeoutMs, wanted, done);
+    add(RequestPriority.RENTALS, request);
   }
 
   /** Returns machines, for a leader. */
   public void release(Collection<String> hosts, Consumer<HttpReply> done) {
-    add(Queue.RETURNS, releaseRequest(hosts, done));
+    add(RequestPriority.RETURNS, releaseRequest(hosts, done));
   }
 
   /** Returns machines that hold cancelled tasks, whoever leads. */
   public void enforceRelease(Collection<String> hosts, Consumer<HttpReply> done) {
-    add(Queue.ENFORCEMENT, releaseRequest(hosts, done));
+    add(RequestPriority.ENFORCEMENT, releaseRequest(hosts, done));
   }
 
-  private Queued releaseRequest(Collection<String> hosts, Consumer<HttpReply> done) {
+  private QueuedRequest releaseRequest(Collection<String> hosts, Consumer<HttpReply> done) {
     ObjectNode body = Json.object();
     ArrayNode names = body.putArray("hosts");
     hosts.forEach(names::add);
-    return new Queued("POST", "/rentals/release", Json.bytes(body), timeoutMs, done);
+    return new QueuedRequest("POST", "/rentals/release", Json.bytes(body), timeoutMs, done);
   }
 
   /** True when the cloud says that it has none left, as against being in trouble. */
@@ -144,7 +147,7 @@
     return reply.status() == UNAVAILABLE && error != null && error.contains("capacity");
   }
 
-  private void add(Queue queue, Queued request) {
+  private void add(RequestPriority queue, QueuedRequest request) {
     if (queues.get(queue).size() >= MOST_QUEUED) {
       timers.after(0, () -> request.done.accept(HttpReply.of(HttpReply.NOT_SENT)));
       return;
@@ -154,7 +157,7 @@
   }
 
   private void pump() {
-    for (ArrayDeque<Queued> queue : queues.values()) {
+    for (ArrayDeque<QueuedRequest> queue : queues.values()) {
       while (!queue.isEmpty()) {
         if (!queue.peek().wanted.getAsBoolean()) {
           queue.poll().done.accept(null);
@@ -181,7 +184,7 @@
         });
   }
 
-  private void send(Queued request) {
+  private void send(QueuedRequest request) {
     http.call(
         endpoint,
         request.method,
--- a/src/main/java/dapplestair/daemon/Emulation.java
+++ b/src/main/java/dapplestair/daemon/Emulation.java
@@ -11,9 +11,9 @@
 import dapplestair.emulator.RequestHandler;
 import dapplestair.emulator.TaskObserver;
 import dapplestair.json.Json;
+import dapplestair.netty.ControllerEventLoop;
 import dapplestair.netty.HttpPool;
 import dapplestair.netty.HttpServer;
-import dapplestair.netty.Loop;
 import dapplestair.ports.Exchange;
 import dapplestair.settings.Settings.Address;
 import dapplestair.state.Keys;
@@ -33,7 +33,7 @@
   private static final int MOST_CONNECTIONS = 4000;
   private static final int CALLS_A_PLACE = 64;
 
-  private final Loop loop = new Loop();
+  private final ControllerEventLoop loop = new ControllerEventLoop();
   private final Map<String, String> controllers = new LinkedHashMap<>();
   private final HttpServer server;
   private final EmulatedState state;
--- a/src/main/java/dapplestair/daemon/Loopback.java
+++ b/src/main/java/dapplestair/daemon/Loopback.java
@@ -2,9 +2,9 @@
 
 import dapplestair.emulator.RequestHandler;
 import dapplestair.emulator.Surroundings;
+import dapplestair.netty.ControllerEventLoop;
 import dapplestair.netty.HttpPool;
 import dapplestair.netty.HttpServer;
-import dapplestair.netty.Loop;
 import dapplestair.ports.Cancellable;
 import dapplestair.ports.HttpReply;
 import dapplestair.settings.Settings.Address;
@@ -23,12 +23,12 @@
   // A machine without power is silent. Past any lease nobody calls it any more.
   private static final long SILENT_MS = 60_000;
 
-  private final Loop loop;
+  private final ControllerEventLoop loop;
   private final HttpPool http;
   private final UniformRandomProvider random;
   private final Map<String, HttpServer> open = new HashMap<>();
 
-  Loopback(Loop loop, HttpPool http, UniformRandomProvider random) {
+  Loopback(ControllerEventLoop loop, HttpPool http, UniformRandomProvider random) {
     this.loop = loop;
     this.http = http;
     this.random = random;
--- a/src/main/java/dapplestair/daemon/Registration.java
+++ b/src/main/java/dapplestair/daemon/Registration.java
@@ -1,8 +1,8 @@
 package dapplestair.daemon;
 
 import dapplestair.json.Json;
+import dapplestair.netty.ControllerEventLoop;
 import dapplestair.netty.HttpPool;
-import dapplestair.netty.Loop;
 
 /** Tells the emulated workers where the controller is, again and again: they may start anew. */
 public final class Registration {
@@ -11,12 +11,13 @@
   private Registration() {}
 
   /** Begins; goes on while the loop does. */
-  public static void repeat(Loop loop, String outside, String endpoint) {
+  public static void repeat(ControllerEventLoop loop, String outside, String endpoint) {
     loop.executor()
         .execute(() -> tell(loop, new HttpPool(loop, 1, EVERY_MS / 2), outside, endpoint));
   }
 
-  private static void tell(Loop loop, HttpPool http, String outside, String endpoint) {
+  private static void tell(
+      ControllerEventLoop loop, HttpPool http, String outside, String endpoint) {
     byte[] body = Json.bytes(Json.object().put("endpoint", endpoint));
     http.call(
         outside,
--- a/src/main/java/dapplestair/disruption/Disruption.java
+++ b/src/main/java/dapplestair/disruption/Disruption.java
@@ -9,7 +9,7 @@
 import dapplestair.settings.Budgets;
 import dapplestair.settings.Budgets.Budget;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -27,7 +27,7 @@
   private final Clock clock;
   private final Budgets budgets;
   private final Ledger ledger;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final LostWork lost;
 
   // Of this look: how each team and job stands.
@@ -47,7 +47,8 @@
   }
 
   /** Guards what {@code ledger} runs. */
-  public Disruption(Clock clock, Budgets budgets, Ledger ledger, WorkerDesk desk, LostWork lost) {
+  public Disruption(
+      Clock clock, Budgets budgets, Ledger ledger, WorkerManager desk, LostWork lost) {
     this.clock = clock;
     this.budgets = budgets;
     this.ledger = ledger;
--- a/src/main/java/dapplestair/drain/Drains.java
+++ b/src/main/java/dapplestair/drain/Drains.java
@@ -14,7 +14,7 @@
 import dapplestair.state.Txn;
 import dapplestair.state.Wishes;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -37,7 +37,7 @@
   private final Replica replica;
   private final Wishes wishes;
   private final Leadership leadership;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Emptying emptying;
   private final Events events;
   private final Map<String, Drain> machines = new TreeMap<>();
@@ -59,7 +59,7 @@
       Replica replica,
       Wishes wishes,
       Leadership leadership,
-      WorkerDesk desk,
+      WorkerManager desk,
       Emptying emptying,
       Events events) {
     this.clock = clock;
--- a/src/main/java/dapplestair/drain/Emptying.java
+++ b/src/main/java/dapplestair/drain/Emptying.java
@@ -10,7 +10,7 @@
 import dapplestair.work.Report;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -39,7 +39,7 @@
   private static final String NO_PLACE = "no other machine has room for %s under its rules";
 
   private final Clock clock;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Fleet fleet;
   private final Disruption disruption;
   private final Set<Host> under = new LinkedHashSet<>();
@@ -50,7 +50,7 @@
   private final Set<Host> placeless = new LinkedHashSet<>();
 
   /** Works on what the leader knows. */
-  public Emptying(Clock clock, WorkerDesk desk, Fleet fleet, Disruption disruption) {
+  public Emptying(Clock clock, WorkerManager desk, Fleet fleet, Disruption disruption) {
     this.clock = clock;
     this.desk = desk;
     this.fleet = fleet;
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -19,7 +19,7 @@
 import dapplestair.state.Txn;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.DoubleSupplier;
@@ -35,7 +35,7 @@
   private final StateClient state;
   private final Leadership leadership;
   private final MachineTypes types;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final CloudClient cloud;
   private final Market market;
   private final Rentals rentals;
@@ -59,7 +59,7 @@
       StateClient state,
       Leadership leadership,
       MachineTypes types,
-      WorkerDesk desk,
+      WorkerManager desk,
       Disruption disruption,
       Events events) {
     this.clock = clock;
--- a/src/main/java/dapplestair/fleet/FleetCapacity.java
+++ b/src/main/java/dapplestair/fleet/FleetCapacity.java
@@ -3,7 +3,7 @@
 import dapplestair.ports.Clock;
 import dapplestair.silence.SilenceTimeouts;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -15,11 +15,11 @@
   private static final long CHARGED_MS = 60_000;
 
   private final Clock clock;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Rentals rentals;
   private final SilenceTimeouts timeouts;
 
-  FleetCapacity(Clock clock, WorkerDesk desk, Rentals rentals, SilenceTimeouts timeouts) {
+  FleetCapacity(Clock clock, WorkerManager desk, Rentals rentals, SilenceTimeouts timeouts) {
     this.clock = clock;
     this.desk = desk;
     this.rentals = rentals;
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -10,7 +10,7 @@
 import dapplestair.silence.SilenceTimeouts;
 import dapplestair.state.StateClient;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -32,7 +32,7 @@
   private final Settings settings;
   private final StateClient state;
   private final MachineTypes types;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Releases releases;
   private final Market market;
   private final SilenceTimeouts timeouts;
@@ -55,7 +55,7 @@
       Settings settings,
       StateClient state,
       MachineTypes types,
-      WorkerDesk desk,
+      WorkerManager desk,
       Releases releases,
       Market market,
       SilenceTimeouts timeouts,
--- a/src/main/java/dapplestair/fleet/MachineList.java
+++ b/src/main/java/dapplestair/fleet/MachineList.java
@@ -7,7 +7,7 @@
 import dapplestair.ports.Clock;
 import dapplestair.settings.Settings;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -26,7 +26,7 @@
   private final Clock clock;
   private final Settings settings;
   private final MachineTypes types;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final CloudClient cloud;
   private final Listener listener;
   private long listedAt = Long.MIN_VALUE / 2;
@@ -37,7 +37,7 @@
       Clock clock,
       Settings settings,
       MachineTypes types,
-      WorkerDesk desk,
+      WorkerManager desk,
       CloudClient cloud,
       Listener listener) {
     this.clock = clock;
--- a/src/main/java/dapplestair/fleet/Releases.java
+++ b/src/main/java/dapplestair/fleet/Releases.java
@@ -3,7 +3,7 @@
 import dapplestair.cloud.CloudClient;
 import dapplestair.events.Events;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -16,7 +16,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(Releases.class);
   private static final int MOST_PER_RELEASE = 100;
 
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final CloudClient cloud;
   private final Events events;
   // Replicas wait for the release of their former machine, so those go first.
@@ -25,7 +25,7 @@
   private boolean leading;
   private boolean asking;
 
-  Releases(WorkerDesk desk, CloudClient cloud, Events events) {
+  Releases(WorkerManager desk, CloudClient cloud, Events events) {
     this.desk = desk;
     this.cloud = cloud;
     this.events = events;
--- a/src/main/java/dapplestair/fleet/Rentals.java
+++ b/src/main/java/dapplestair/fleet/Rentals.java
@@ -15,7 +15,7 @@
 import dapplestair.state.StateClient.Priority;
 import dapplestair.state.Txn;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -38,7 +38,7 @@
   private final StateClient state;
   private final Leadership leadership;
   private final MachineTypes types;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final CloudClient cloud;
   private final Events events;
   private final Predicate<CapacityPool> open;
@@ -58,7 +58,7 @@
       StateClient state,
       Leadership leadership,
       MachineTypes types,
-      WorkerDesk desk,
+      WorkerManager desk,
       CloudClient cloud,
       Events events,
       Predicate<CapacityPool> open,
--- a/src/main/java/dapplestair/lane/Choice.java
+++ b/src/main/java/dapplestair/lane/Choice.java
@@ -7,7 +7,7 @@
 import dapplestair.settings.Lane;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -29,11 +29,11 @@
   }
 
   private final Ledger ledger;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Disruption disruption;
   private Predicate<Attempt> sheltered = a -> false;
 
-  Choice(Ledger ledger, WorkerDesk desk, Disruption disruption) {
+  Choice(Ledger ledger, WorkerManager desk, Disruption disruption) {
     this.ledger = ledger;
     this.desk = desk;
     this.disruption = disruption;
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -17,7 +17,7 @@
 import dapplestair.state.StateClient.Priority;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -44,7 +44,7 @@
   private final Settings settings;
   private final Map<String, Lane> lanes = new LinkedHashMap<>();
   private final Ledger ledger;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Disruption disruption;
   private final Choice choice;
   private final ClaimWriter writer;
@@ -70,7 +70,7 @@
       Replica replica,
       Leadership leadership,
       Ledger ledger,
-      WorkerDesk desk,
+      WorkerManager desk,
       Disruption disruption) {
     this.clock = clock;
     this.timers = timers;
--- a/src/main/java/dapplestair/netty/Loop.java
+++ b/src/main/java/dapplestair/netty/ControllerEventLoop.java
@@ -1,6 +1,6 @@
 package dapplestair.netty;
 
-import dapplestair.ports.Background;
+import dapplestair.ports.BackgroundExecutor;
 import dapplestair.ports.Cancellable;
 import dapplestair.ports.Clock;
 import dapplestair.ports.Timers;
@@ -18,8 +18,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The one thread that owns all state, with its clock, its timers and a helper for long work. */
-public final class Loop implements Clock, Timers, Background, AutoCloseable {
-  private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+public final class ControllerEventLoop implements Clock, Timers, BackgroundExecutor, AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(ControllerEventLoop.class);
 
   private final NioEventLoopGroup group =
       new NioEventLoopGroup(1, new DefaultThreadFactory("loop", true));
--- a/src/main/java/dapplestair/netty/Pending.java
+++ b/src/main/java/dapplestair/netty/HttpExchange.java
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /** A request that waits for its answer. */
-final class Pending implements Exchange {
-  private static final Logger LOG = LoggerFactory.getLogger(Pending.class);
+final class HttpExchange implements Exchange {
+  private static final Logger LOG = LoggerFactory.getLogger(HttpExchange.class);
   private static final String JSON = "application/json";
 
   private final ChannelHandlerContext ctx;
@@ -28,13 +28,16 @@
   private final HttpHeaders headers;
   private final byte[] body;
   private final boolean keep;
-  private final Predicate<Pending> ended;
+  private final Predicate<HttpExchange> ended;
   private boolean answered;
   private boolean abandoned;
 
   /** {@code ended} is told once, and says whether the connection is to be closed. */
-  Pending(
-      ChannelHandlerContext ctx, FullHttpRequest request, boolean keep, Predicate<Pending> ended) {
+  HttpExchange(
+      ChannelHandlerContext ctx,
+      FullHttpRequest request,
+      boolean keep,
+      Predicate<HttpExchange> ended) {
     this.ctx = ctx;
     this.method = request.method().name();
     String uri = request.uri();
@@ -69,7 +72,7 @@
 
   @Override
   public String subject() {
-    return TlsGreeting.subject(ctx.channel());
+    return TlsHandshakeHandler.subject(ctx.channel());
   }
 
   @Override
--- a/src/main/java/dapplestair/netty/HttpPool.java
+++ b/src/main/java/dapplestair/netty/HttpPool.java
@@ -39,7 +39,7 @@
 
   private static final long SWEEP_MS = 5_000;
 
-  private final Loop loop;
+  private final ControllerEventLoop loop;
   private final int mostPerEndpoint;
   private final long connectMs;
   private final int comfortable;
@@ -47,7 +47,7 @@
   private final Map<String, Endpoint> endpoints = new HashMap<>();
 
   /** At most {@code mostPerEndpoint} connections to one place. */
-  public HttpPool(Loop loop, int mostPerEndpoint, long connectMs) {
+  public HttpPool(ControllerEventLoop loop, int mostPerEndpoint, long connectMs) {
     this(loop, mostPerEndpoint, connectMs, Integer.MAX_VALUE);
   }
 
@@ -56,7 +56,7 @@
    *
    * @param comfortable with more connections than these, idle ones are closed sooner
    */
-  public HttpPool(Loop loop, int mostPerEndpoint, long connectMs, int comfortable) {
+  public HttpPool(ControllerEventLoop loop, int mostPerEndpoint, long connectMs, int comfortable) {
     this.loop = loop;
     this.comfortable = comfortable;
     this.mostPerEndpoint = mostPerEndpoint;
@@ -192,7 +192,7 @@
       if (timer != null) {
         timer.cancel();
       }
-      Loop.guarded(() -> d.accept(reply)).run();
+      ControllerEventLoop.guarded(() -> d.accept(reply)).run();
     }
   }
 
--- a/src/main/java/dapplestair/netty/HttpServer.java
+++ b/src/main/java/dapplestair/netty/HttpServer.java
@@ -47,7 +47,7 @@
     }
   }
 
-  private final Loop loop;
+  private final ControllerEventLoop loop;
   private final Consumer<Exchange> handler;
   private final Options options;
   private int connections;
@@ -56,7 +56,7 @@
   private Channel channel;
 
   /** Serves on this loop. */
-  public HttpServer(Loop loop, Options options, Consumer<Exchange> handler) {
+  public HttpServer(ControllerEventLoop loop, Options options, Consumer<Exchange> handler) {
     this.loop = loop;
     this.options = options;
     this.handler = handler;
@@ -134,7 +134,7 @@
       ch.closeFuture().addListener(f -> connections--);
       ch.pipeline().addLast(new ReadTimeoutHandler(options.idleS(), TimeUnit.SECONDS));
       if (options.tls() != null) {
-        ch.pipeline().addLast(new TlsGreeting(options.tls().get(), ch));
+        ch.pipeline().addLast(new TlsHandshakeHandler(options.tls().get(), ch));
       }
       ch.pipeline()
           .addLast(new HttpServerCodec())
@@ -167,14 +167,14 @@
   }
 
   private static void refuse(ChannelHandlerContext ctx, int status, String why, int retryAfterS) {
-    ctx.writeAndFlush(Pending.refusal(status, why, retryAfterS))
+    ctx.writeAndFlush(HttpExchange.refusal(status, why, retryAfterS))
         .addListener(ChannelFutureListener.CLOSE);
   }
 
   private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final boolean tooMany;
     // One request at a time on a connection, so this is all that can be open on it.
-    private Pending open;
+    private HttpExchange open;
 
     Requests(boolean tooMany) {
       this.tooMany = tooMany;
@@ -190,12 +190,12 @@
         refuse(ctx, 503, "this process is ending", 1);
       } else {
         unanswered++;
-        open = new Pending(ctx, request, HttpUtil.isKeepAlive(request), this::answered);
+        open = new HttpExchange(ctx, request, HttpUtil.isKeepAlive(request), this::answered);
         handler.accept(open);
       }
     }
 
-    private boolean answered(Pending of) {
+    private boolean answered(HttpExchange of) {
       HttpServer.this.answered(1);
       if (open == of) {
         open = null;
--- a/src/main/java/dapplestair/netty/PeerLinks.java
+++ b/src/main/java/dapplestair/netty/PeerLinks.java
@@ -36,7 +36,7 @@
   private static final long RECONNECT_MS = 150;
   private static final int MOST_UNSENT = 1 << 20;
 
-  private final Loop loop;
+  private final ControllerEventLoop loop;
   private final Settings settings;
   private final PeerCodec codec = new PeerCodec();
   private final Map<String, Channel> outgoing = new HashMap<>();
@@ -44,7 +44,7 @@
   private Listener listener;
 
   /** Links to the peers of the settings. */
-  public PeerLinks(Loop loop, Settings settings) {
+  public PeerLinks(ControllerEventLoop loop, Settings settings) {
     this.loop = loop;
     this.settings = settings;
     settings.peers().forEach(p -> peers.put(p.member(), p));
--- a/src/main/java/dapplestair/netty/TlsFiles.java
+++ b/src/main/java/dapplestair/netty/TlsFiles.java
@@ -1,6 +1,6 @@
 package dapplestair.netty;
 
-import dapplestair.ports.Background;
+import dapplestair.ports.BackgroundExecutor;
 import dapplestair.ports.Timers;
 import dapplestair.settings.Operator;
 import io.netty.handler.ssl.ClientAuth;
@@ -38,7 +38,7 @@
   }
 
   /** Reads the files now, and again whenever one has changed. */
-  public static TlsFiles watch(Operator.Tls files, Timers timers, Background background)
+  public static TlsFiles watch(Operator.Tls files, Timers timers, BackgroundExecutor background)
       throws IOException {
     TlsFiles tlsFiles = new TlsFiles(files);
     tlsFiles.loaded = tlsFiles.load();
@@ -51,7 +51,7 @@
     return loaded.context();
   }
 
-  private void look(Timers timers, Background background) {
+  private void look(Timers timers, BackgroundExecutor background) {
     timers.after(
         LOOK_EVERY_MS,
         () ->
--- a/src/main/java/dapplestair/netty/TlsGreeting.java
+++ b/src/main/java/dapplestair/netty/TlsHandshakeHandler.java
@@ -15,14 +15,14 @@
 import org.slf4j.LoggerFactory;
 
 /** Begins TLS on a connection, and says in one line why it failed, at a bounded rate. */
-final class TlsGreeting extends ChannelInboundHandlerAdapter {
-  private static final Logger LOG = LoggerFactory.getLogger(TlsGreeting.class);
+final class TlsHandshakeHandler extends ChannelInboundHandlerAdapter {
+  private static final Logger LOG = LoggerFactory.getLogger(TlsHandshakeHandler.class);
   private static final RateLimiter LINES = RateLimiter.create(1);
   private static final long HANDSHAKE_MS = 5000;
 
   private final SslContext context;
 
-  TlsGreeting(SslContext context, Channel ch) {
+  TlsHandshakeHandler(SslContext context, Channel ch) {
     this.context = context;
   }
 
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dapplestair.admin.Access;
-import dapplestair.admin.AdminDesk;
-import dapplestair.admin.Duties;
+import dapplestair.admin.AdminHandler;
+import dapplestair.admin.ControllerComponents;
 import dapplestair.cancellations.Cancellation;
 import dapplestair.cancellations.Cancellations;
 import dapplestair.leadership.Leadership;
@@ -23,43 +23,44 @@
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
   private static final int SUMMARY_EVERY_REPORTS = 20;
 
-  private final Outside outside;
+  private final ControllerEnvironment outside;
   private final Settings settings;
-  private final CoreDuties core;
-  private final SchedulingDuties scheduling;
-  private final OperationDuties operations;
-  private final AdminDesk admin;
-  private final RoleChanges roleChanges;
-  private final Records records;
+  private final CoreComponents core;
+  private final SchedulingComponents scheduling;
+  private final OperationsComponents operations;
+  private final AdminHandler admin;
+  private final RoleChangeNotifier roleChanges;
+  private final RecordDispatcher records;
   private final HttpRouter router;
   private final LoopMonitor loopMonitor;
-  private final SelfReport self;
+  private final StatusReporter self;
 
   /** Wires the duties, without an operators' interface; nothing runs before {@link #start}. */
-  public Controller(Settings settings, Operator operator, Outside outside) {
+  public Controller(Settings settings, Operator operator, ControllerEnvironment outside) {
     this(settings, operator, outside, null);
   }
 
   /** Wires the duties; operators are served by {@link #operators} if {@code access} is given. */
-  public Controller(Settings settings, Operator operator, Outside outside, Access access) {
+  public Controller(
+      Settings settings, Operator operator, ControllerEnvironment outside, Access access) {
     this.outside = outside;
     this.settings = settings;
     core =
-        new CoreDuties(
+        new CoreComponents(
             settings,
             operator,
             outside,
             access != null,
-            new CoreDuties.Listeners(
+            new CoreComponents.Listeners(
                 this::ownStatus,
                 this::peerStatus,
                 new RoleEvents(),
                 new CancellationEvents(),
                 this::hostChanged,
                 new ReplicaEvents()));
-    scheduling = new SchedulingDuties(settings, operator, outside, core);
+    scheduling = new SchedulingComponents(settings, operator, outside, core);
     core.hooks.wire(core, scheduling);
-    self = new SelfReport(core);
+    self = new StatusReporter(core);
     long reportMs = settings.workers().reportMs();
     loopMonitor =
         new LoopMonitor(
@@ -76,15 +77,15 @@
             core.peers,
             core.state::unreachableMs,
             reportMs / 4);
-    operations = new OperationDuties(settings, outside, core, scheduling);
+    operations = new OperationsComponents(settings, outside, core, scheduling);
     admin = access == null ? null : admin(operator, access);
-    roleChanges = new RoleChanges(settings.member(), core, scheduling, operations, admin);
-    records = new Records(core, scheduling, operations, admin);
+    roleChanges = new RoleChangeNotifier(settings.member(), core, scheduling, operations, admin);
+    records = new RecordDispatcher(core, scheduling, operations, admin);
   }
 
-  private AdminDesk admin(Operator operator, Access access) {
-    Duties duties =
-        new Duties(
+  private AdminHandler admin(Operator operator, Access access) {
+    ControllerComponents duties =
+        new ControllerComponents(
             settings,
             operator,
             outside.clock(),
@@ -112,7 +113,7 @@
             core.log);
     Exposition exposition = ControllerMetrics.of(duties);
     core.metrics.tell(exposition);
-    return new AdminDesk(duties, access, this::handle, exposition::text);
+    return new AdminHandler(duties, access, this::handle, exposition::text);
   }
 
   /** Answers a request of an operator; only with access given. */
--- a/src/main/java/dapplestair/node/Outside.java
+++ b/src/main/java/dapplestair/node/ControllerEnvironment.java
@@ -1,6 +1,6 @@
 package dapplestair.node;
 
-import dapplestair.ports.Background;
+import dapplestair.ports.BackgroundExecutor;
 import dapplestair.ports.Clock;
 import dapplestair.ports.HttpCaller;
 import dapplestair.ports.PeerNetwork;
@@ -13,10 +13,10 @@
  * @param launchBatches whether launches of many services are recorded by one put; every controller
  *     of the deployment must be able to read those (docs/silence.md)
  */
-public record Outside(
+public record ControllerEnvironment(
     Clock clock,
     Timers timers,
-    Background background,
+    BackgroundExecutor background,
     HttpCaller http,
     PeerNetwork peers,
     UniformRandomProvider random,
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -1,7 +1,7 @@
 package dapplestair.node;
 
 import com.google.common.collect.Maps;
-import dapplestair.admin.Duties;
+import dapplestair.admin.ControllerComponents;
 import dapplestair.disruption.BudgetStatus;
 import dapplestair.ledger.Served;
 import dapplestair.metrics.Exposition;
@@ -20,7 +20,7 @@
 
   private ControllerMetrics() {}
 
-  static Exposition of(Duties duties) {
+  static Exposition of(ControllerComponents duties) {
     Exposition exposition = new Exposition(VERSION);
     addCluster(exposition, duties);
     addState(exposition, duties);
@@ -32,7 +32,7 @@
   }
 
   /** Who leads, and what there is in the cluster. */
-  private static void addCluster(Exposition exposition, Duties duties) {
+  private static void addCluster(Exposition exposition, ControllerComponents duties) {
     exposition
         .gauge(
             "leading",
@@ -90,7 +90,7 @@
   }
 
   /** The state service, and what waits for it. */
-  private static void addState(Exposition exposition, Duties duties) {
+  private static void addState(Exposition exposition, ControllerComponents duties) {
     exposition
         .gauge("state_reachable", "1 while the state service answers.", () -> reachable(duties))
         .gauge(
@@ -100,7 +100,7 @@
   }
 
   /** What teams use, and what they were promised. */
-  private static void addTeams(Exposition exposition, Duties duties) {
+  private static void addTeams(Exposition exposition, ControllerComponents duties) {
     exposition
         .gauges("team_cpus_used", "CPUs that a team's attempts use.", "team", () -> used(duties))
         .gauges(
@@ -127,7 +127,7 @@
   }
 
   /** How classes of jobs are served. */
-  private static void addClasses(Exposition exposition, Duties duties) {
+  private static void addClasses(Exposition exposition, ControllerComponents duties) {
     exposition
         .gauges(
             "class_jobs_started_share",
@@ -155,7 +155,7 @@
   }
 
   /** What is stopped by choice. */
-  private static void addStops(Exposition exposition, Duties duties) {
+  private static void addStops(Exposition exposition, ControllerComponents duties) {
     exposition
         .gauges(
             "team_replicas_out",
@@ -181,7 +181,7 @@
   }
 
   /** The plan applied. */
-  private static void addPlan(Exposition exposition, Duties duties) {
+  private static void addPlan(Exposition exposition, ControllerComponents duties) {
     exposition
         .gauge(
             "plan_makespan_seconds",
@@ -197,15 +197,15 @@
             () -> plan(duties, Planning.Applied::risk));
   }
 
-  private static double drained(Duties duties) {
+  private static double drained(ControllerComponents duties) {
     return duties.workers().hosts().stream().filter(h -> h.drained()).count();
   }
 
-  private static double reachable(Duties duties) {
+  private static double reachable(ControllerComponents duties) {
     return duties.state().reachable() ? 1 : 0;
   }
 
-  private static Map<String, Integer> queued(Duties duties) {
+  private static Map<String, Integer> queued(ControllerComponents duties) {
     Map<String, Integer> out = new TreeMap<>();
     for (StateClient.Priority priority : StateClient.Priority.values()) {
       out.put(priority.name().toLowerCase(Locale.ROOT), duties.state().queued(priority));
@@ -213,17 +213,19 @@
     return out;
   }
 
-  private static Map<String, Double> used(Duties duties) {
+  private static Map<String, Double> used(ControllerComponents duties) {
     return teams(duties, t -> duties.ledger().teamCpus(t.name()));
   }
 
-  private static Map<String, Double> teams(Duties duties, Function<Settings.Team, Double> figure) {
+  private static Map<String, Double> teams(
+      ControllerComponents duties, Function<Settings.Team, Double> figure) {
     Map<String, Double> out = new TreeMap<>();
     duties.settings().teams().values().forEach(t -> out.put(t.name(), figure.apply(t)));
     return out;
   }
 
-  private static double plan(Duties duties, ToDoubleFunction<Planning.Applied> figure) {
+  private static double plan(
+      ControllerComponents duties, ToDoubleFunction<Planning.Applied> figure) {
     Planning.Applied applied = duties.planning().applied();
     return applied == null ? Double.NaN : figure.applyAsDouble(applied);
   }
--- a/src/main/java/dapplestair/node/CoreDuties.java
+++ b/src/main/java/dapplestair/node/CoreComponents.java
@@ -21,15 +21,15 @@
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
 import dapplestair.submissions.RequestRelay;
-import dapplestair.submissions.SubmissionDesk;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.submissions.SubmissionHandler;
+import dapplestair.workers.WorkerManager;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
 /**
  * What every controller runs, whoever leads: the state service, its peers, the ledger, the workers.
  */
-final class CoreDuties implements AutoCloseable {
+final class CoreComponents implements AutoCloseable {
   final StateClient state;
   final MachineTypes types = new MachineTypes();
   final Metrics metrics = new Metrics();
@@ -43,7 +43,7 @@
   final Cancellations cancellations;
   final AcceptedJobs accepted;
   final Relay relay;
-  final WorkerDesk workers;
+  final WorkerManager workers;
 
   /** Null where operators are not served. */
   final EventLog log;
@@ -51,7 +51,7 @@
   final Events events;
   final Replica replica;
   final RequestRelay requestRelay;
-  final SubmissionDesk submissions;
+  final SubmissionHandler submissions;
 
   /**
    * Who hears of what the core duties find out.
@@ -64,13 +64,13 @@
       Consumer<PeerStatus> peerStatus,
       Leadership.Listener leadership,
       Cancellations.Listener cancellations,
-      WorkerDesk.Listener workers,
+      WorkerManager.Listener workers,
       Replica.Listener replica) {}
 
-  CoreDuties(
+  CoreComponents(
       Settings settings,
       Operator operator,
-      Outside outside,
+      ControllerEnvironment outside,
       boolean logsEvents,
       Listeners listeners) {
     Clock clock = outside.clock();
@@ -104,7 +104,7 @@
         new Relay(
             clock, timers, outside.http(), settings, operator.relayAbove(), leadership, peers);
     workers =
-        new WorkerDesk(
+        new WorkerManager(
             clock,
             timers,
             relay,
@@ -122,7 +122,7 @@
     replica = new Replica(state, timers, outside.random(), leadership::leading, listeners.replica);
     requestRelay = new RequestRelay(peers, settings.workers().reportMs() / 4);
     submissions =
-        new SubmissionDesk(
+        new SubmissionHandler(
             clock, settings, state, replica, ledger, types, cancellations, requestRelay, metrics);
   }
 
--- a/src/main/java/dapplestair/node/HttpRouter.java
+++ b/src/main/java/dapplestair/node/HttpRouter.java
@@ -3,8 +3,8 @@
 import dapplestair.json.Json;
 import dapplestair.peers.Peers;
 import dapplestair.ports.Exchange;
-import dapplestair.submissions.SubmissionDesk;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.submissions.SubmissionHandler;
+import dapplestair.workers.WorkerManager;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 
@@ -12,8 +12,8 @@
 final class HttpRouter {
   private static final String SUBMISSIONS = "/submissions";
 
-  private final WorkerDesk workers;
-  private final SubmissionDesk submissions;
+  private final WorkerManager workers;
+  private final SubmissionHandler submissions;
   private final BooleanSupplier able;
   private final Peers peers;
   private final LongSupplier unreachableMs;
@@ -24,8 +24,8 @@
    * long the state service has not answered; from {@code doubtfulMs} on it is no passing trouble.
    */
   HttpRouter(
-      WorkerDesk workers,
-      SubmissionDesk submissions,
+      WorkerManager workers,
+      SubmissionHandler submissions,
       BooleanSupplier able,
       Peers peers,
       LongSupplier unreachableMs,
--- a/src/main/java/dapplestair/node/LedgerHooks.java
+++ b/src/main/java/dapplestair/node/LedgerHooks.java
@@ -14,19 +14,19 @@
 import dapplestair.planning.DemandView;
 import dapplestair.ports.Clock;
 import dapplestair.state.Txn;
-import dapplestair.submissions.SubmissionDesk;
+import dapplestair.submissions.SubmissionHandler;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 
 /** What the ledger tells and asks, brought to the duties whose it is. */
 final class LedgerHooks implements Hooks {
   private final Clock clock;
   private final Metrics metrics;
   private final Estimates estimates;
-  private WorkerDesk workers;
+  private WorkerManager workers;
   private DemandView demand;
   private Placer placer;
-  private SubmissionDesk submissions;
+  private SubmissionHandler submissions;
   private Events events;
   private Blame blame;
   private Calendars calendars;
@@ -38,7 +38,7 @@
   }
 
   /** The ledger is made before those that hear of it. */
-  void wire(CoreDuties core, SchedulingDuties scheduling) {
+  void wire(CoreComponents core, SchedulingComponents scheduling) {
     workers = core.workers;
     submissions = core.submissions;
     events = core.events;
--- a/src/main/java/dapplestair/node/OperationDuties.java
+++ b/src/main/java/dapplestair/node/OperationsComponents.java
@@ -11,14 +11,17 @@
 import dapplestair.zones.Zones;
 
 /** What operators ask of machines and zones, carried out by the leader. */
-final class OperationDuties implements AutoCloseable {
+final class OperationsComponents implements AutoCloseable {
   final Wishes wishes;
   final Drains drains;
   final Replacements replacements;
   final Zones zones;
 
-  OperationDuties(
-      Settings settings, Outside outside, CoreDuties core, SchedulingDuties scheduling) {
+  OperationsComponents(
+      Settings settings,
+      ControllerEnvironment outside,
+      CoreComponents core,
+      SchedulingComponents scheduling) {
     Clock clock = outside.clock();
     TermTimers timers = core.termTimers;
     wishes = new Wishes(clock, core.state, core.replica);
--- a/src/main/java/dapplestair/node/Records.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dapplestair.accepted.AcceptedJobs;
-import dapplestair.admin.AdminDesk;
+import dapplestair.admin.AdminHandler;
 import dapplestair.calendar.Calendars;
 import dapplestair.cancellations.Cancellations;
 import dapplestair.disruption.LostWork;
@@ -19,7 +19,7 @@
 import dapplestair.zones.Zones;
 
 /** Hands each record of the replica to the duty whose it is. */
-final class Records implements Replica.Listener {
+final class RecordDispatcher implements Replica.Listener {
   private final Leadership leadership;
   private final Ledger ledger;
   private final Fleet fleet;
@@ -33,11 +33,14 @@
   private final Cancellations cancellations;
   private final AcceptedJobs accepted;
   private final Placer placer;
-  private final AdminDesk admin;
+  private final AdminHandler admin;
 
   /** {@code admin} is null where operators are not served. */
-  Records(
-      CoreDuties core, SchedulingDuties scheduling, OperationDuties operations, AdminDesk admin) {
+  RecordDispatcher(
+      CoreComponents core,
+      SchedulingComponents scheduling,
+      OperationsComponents operations,
+      AdminHandler admin) {
     this.leadership = core.leadership;
     this.ledger = core.ledger;
     this.cancellations = core.cancellations;
--- a/src/main/java/dapplestair/node/RoleChanges.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -1,24 +1,24 @@
 package dapplestair.node;
 
-import dapplestair.admin.AdminDesk;
+import dapplestair.admin.AdminHandler;
 import dapplestair.events.Events;
 import dapplestair.leadership.Leadership;
 
 /** Tells all duties, in order, that this controller begins or ceases to lead. */
-final class RoleChanges implements Leadership.Listener {
+final class RoleChangeNotifier implements Leadership.Listener {
   private final String member;
-  private final CoreDuties core;
-  private final SchedulingDuties scheduling;
-  private final OperationDuties operations;
-  private final AdminDesk admin;
+  private final CoreComponents core;
+  private final SchedulingComponents scheduling;
+  private final OperationsComponents operations;
+  private final AdminHandler admin;
 
   /** {@code admin} is null where operators are not served. */
-  RoleChanges(
+  RoleChangeNotifier(
       String member,
-      CoreDuties core,
-      SchedulingDuties scheduling,
-      OperationDuties operations,
-      AdminDesk admin) {
+      CoreComponents core,
+      SchedulingComponents scheduling,
+      OperationsComponents operations,
+      AdminHandler admin) {
     this.member = member;
     this.core = core;
     this.scheduling = scheduling;
--- a/src/main/java/dapplestair/node/SchedulingDuties.java
+++ b/src/main/java/dapplestair/node/SchedulingComponents.java
@@ -17,7 +17,7 @@
 import dapplestair.weights.Weights;
 
 /** Which machines are rented and what runs on them: only a leader's work. */
-final class SchedulingDuties implements AutoCloseable {
+final class SchedulingComponents implements AutoCloseable {
   final LostWork lostWork;
   final Disruption disruption;
   final Fleet fleet;
@@ -30,7 +30,8 @@
   final Planning planning;
   final Blame blame;
 
-  SchedulingDuties(Settings settings, Operator operator, Outside outside, CoreDuties core) {
+  SchedulingComponents(
+      Settings settings, Operator operator, ControllerEnvironment outside, CoreComponents core) {
     Clock clock = outside.clock();
     TermTimers timers = core.termTimers;
     lostWork =
--- a/src/main/java/dapplestair/node/SelfReport.java
+++ b/src/main/java/dapplestair/node/StatusReporter.java
@@ -8,22 +8,22 @@
 import dapplestair.relay.Relay;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
-import dapplestair.submissions.SubmissionDesk;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.submissions.SubmissionHandler;
+import dapplestair.workers.WorkerManager;
 
 /** What a controller says of itself: to its peers, at `/up`, and in the summary line. */
-final class SelfReport {
+final class StatusReporter {
   private final Leadership leadership;
   private final Ledger ledger;
-  private final WorkerDesk workers;
-  private final SubmissionDesk submissions;
+  private final WorkerManager workers;
+  private final SubmissionHandler submissions;
   private final Cancellations cancellations;
   private final Relay relay;
   private final StateClient state;
   private final Replica replica;
   private final MachineTypes types;
 
-  SelfReport(CoreDuties core) {
+  StatusReporter(CoreComponents core) {
     this.leadership = core.leadership;
     this.ledger = core.ledger;
     this.workers = core.workers;
--- a/src/main/java/dapplestair/peers/Questions.java
+++ b/src/main/java/dapplestair/peers/PeerRequests.java
@@ -10,23 +10,23 @@
 import java.util.function.Consumer;
 
 /** Questions between controllers, each answered or timed out. */
-public final class Questions {
+public final class PeerRequests {
   // Room for what a frame holds besides the body.
   private static final int LARGEST_BODY = PeerCodec.LARGEST_FRAME - 1024;
   private static final int MOST_OPEN = 128;
 
-  private record Open(String member, Consumer<byte[]> done, Cancellable timer) {}
+  private record PendingRequest(String member, Consumer<byte[]> done, Cancellable timer) {}
 
   private final Timers timers;
   private final PeerNetwork network;
-  private final Map<Long, Open> open = new HashMap<>();
+  private final Map<Long, PendingRequest> open = new HashMap<>();
   private final Map<String, BiConsumer<byte[], Consumer<byte[]>>> topics =
       new Object2ObjectOpenHashMap<>();
   private final Map<String, BiConsumer<String, byte[]>> listeners = new HashMap<>();
   private long lastNumber;
   private long refused;
 
-  Questions(Timers timers, PeerNetwork network) {
+  PeerRequests(Timers timers, PeerNetwork network) {
     this.timers = timers;
     this.network = network;
   }
@@ -59,7 +59,7 @@
     }
     long number = ++lastNumber;
     Cancellable timer = timers.after(timeoutMs, () -> end(number, null));
-    open.put(number, new Open(member, done, timer));
+    open.put(number, new PendingRequest(member, done, timer));
     network.send(member, new PeerAsk(number, topic, body));
   }
 
@@ -71,7 +71,7 @@
   }
 
   private void end(long number, byte[] answer) {
-    Open o = open.remove(number);
+    PendingRequest o = open.remove(number);
     if (o != null) {
       o.timer().cancel();
       o.done().accept(answer);
@@ -103,7 +103,7 @@
   }
 
   void answered(String member, PeerAnswer answer) {
-    Open o = open.get(answer.number());
+    PendingRequest o = open.get(answer.number());
     // Late answers, and those of another than was asked, are nobody's.
     if (o != null && o.member().equals(member)) {
       end(answer.number(), answer.body());
--- a/src/main/java/dapplestair/peers/Peers.java
+++ b/src/main/java/dapplestair/peers/Peers.java
@@ -14,7 +14,7 @@
 
 /** Which peers live and what they last said. */
 public final class Peers implements PeerNetwork.Listener, AutoCloseable {
-  private static final class Peer {
+  private static final class PeerState {
     boolean up;
     boolean gone;
     long heardAt = Long.MIN_VALUE / 2;
@@ -27,8 +27,8 @@
   private final Supplier<PeerStatus> own;
   private final Consumer<PeerStatus> heard;
   private final long everyMs;
-  private final Map<String, Peer> peers = new HashMap<>();
-  private final Questions questions;
+  private final Map<String, PeerState> peers = new HashMap<>();
+  private final PeerRequests questions;
   private Cancellable timer = () -> {};
 
   /** {@code own} is what to say; {@code heard} is told of what others say. */
@@ -45,12 +45,12 @@
     this.own = own;
     this.heard = heard;
     this.everyMs = settings.workers().reportMs() / 8;
-    this.questions = new Questions(timers, network);
-    settings.peers().forEach(p -> peers.put(p.member(), new Peer()));
+    this.questions = new PeerRequests(timers, network);
+    settings.peers().forEach(p -> peers.put(p.member(), new PeerState()));
   }
 
   /** Questions to and from peers. */
-  public Questions questions() {
+  public PeerRequests questions() {
     return questions;
   }
 
@@ -91,7 +91,7 @@
 
   @Override
   public void message(String member, Object message) {
-    Peer peer = peers.get(member);
+    PeerState peer = peers.get(member);
     if (peer != null && message instanceof PeerStatus status) {
       peer.heardAt = clock.now();
       // Whoever speaks has not ended, though its port may refuse us.
@@ -107,7 +107,7 @@
 
   @Override
   public void up(String member) {
-    Peer peer = peers.get(member);
+    PeerState peer = peers.get(member);
     if (peer != null) {
       peer.up = true;
       peer.gone = false;
@@ -116,7 +116,7 @@
 
   @Override
   public void down(String member) {
-    Peer peer = peers.get(member);
+    PeerState peer = peers.get(member);
     if (peer != null) {
       peer.up = false;
     }
@@ -129,7 +129,7 @@
 
   @Override
   public void refused(String member) {
-    Peer peer = peers.get(member);
+    PeerState peer = peers.get(member);
     // A link that broke and a port that refuses: the process has ended. Were it only filtered away,
     // taking over from it would still be harmless, so there is no need to wait for its silence.
     if (peer != null && !peer.up) {
@@ -139,13 +139,13 @@
 
   /** True when this peer spoke within the last few turns. */
   public boolean alive(String member) {
-    Peer peer = peers.get(member);
+    PeerState peer = peers.get(member);
     return peer != null && !peer.gone && clock.now() - peer.heardAt < 4 * everyMs;
   }
 
   /** True when this peer's process has very probably ended: its link broke, its port refuses. */
   public boolean seemsEnded(String member) {
-    Peer peer = peers.get(member);
+    PeerState peer = peers.get(member);
     return peer != null && peer.gone && !peer.up;
   }
 
@@ -188,13 +188,13 @@
   }
 
   /** A peer as this controller sees it; {@code status} is what it last said, or null. */
-  public record View(String member, boolean alive, boolean linked, PeerStatus status) {}
+  public record PeerView(String member, boolean alive, boolean linked, PeerStatus status) {}
 
   /** All peers, by name. */
-  public List<View> views() {
+  public List<PeerView> views() {
     return peers.entrySet().stream()
         .sorted(Map.Entry.comparingByKey())
-        .map(e -> new View(e.getKey(), alive(e.getKey()), e.getValue().up, e.getValue().status))
+        .map(e -> new PeerView(e.getKey(), alive(e.getKey()), e.getValue().up, e.getValue().status))
         .toList();
   }
 
--- a/src/main/java/dapplestair/placement/DecisionRecorder.java
+++ b/src/main/java/dapplestair/placement/DecisionRecorder.java
@@ -7,7 +7,7 @@
 import dapplestair.ports.Clock;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -25,7 +25,7 @@
 final class DecisionRecorder {
   private final Clock clock;
   private final Ledger ledger;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Estimates estimates;
   private final Calendars calendars;
   private final Map<String, List<Consumer<Explanation>>> asked = new LinkedHashMap<>();
@@ -33,7 +33,7 @@
   private final Object2IntOpenHashMap<String> gangRoom = new Object2IntOpenHashMap<>();
 
   DecisionRecorder(
-      Clock clock, Ledger ledger, WorkerDesk desk, Estimates estimates, Calendars calendars) {
+      Clock clock, Ledger ledger, WorkerManager desk, Estimates estimates, Calendars calendars) {
     this.calendars = calendars;
     this.clock = clock;
     this.ledger = ledger;
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -10,7 +10,7 @@
 import dapplestair.work.Rank;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -34,7 +34,7 @@
   private final Clock clock;
   private final Settings settings;
   private final Ledger ledger;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Disruption disruption;
   private final Bound bound;
   private final PlacementFilter filter;
@@ -50,7 +50,7 @@
       Clock clock,
       Settings settings,
       Ledger ledger,
-      WorkerDesk desk,
+      WorkerManager desk,
       Disruption disruption,
       Bound bound,
       PlacementFilter filter) {
--- a/src/main/java/dapplestair/placement/PlacementFilter.java
+++ b/src/main/java/dapplestair/placement/PlacementFilter.java
@@ -6,7 +6,7 @@
 import dapplestair.ports.Clock;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -21,7 +21,7 @@
 
   private final Clock clock;
   private final Ledger ledger;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Estimates estimates;
   private final SteadyRoom steady;
   private final Reservations reservations;
@@ -33,7 +33,7 @@
       Clock clock,
       long reportMs,
       Ledger ledger,
-      WorkerDesk desk,
+      WorkerManager desk,
       Estimates estimates,
       SteadyRoom steady,
       Reservations reservations,
--- a/src/main/java/dapplestair/placement/Placer.java
+++ b/src/main/java/dapplestair/placement/Placer.java
@@ -11,7 +11,7 @@
 import dapplestair.settings.Settings;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -25,7 +25,7 @@
   private final Timers timers;
   private final Settings settings;
   private final Ledger ledger;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Estimates estimates;
   private final Ranking ranking;
   private final long pauseMs;
@@ -48,7 +48,7 @@
       Timers timers,
       Settings settings,
       Ledger ledger,
-      WorkerDesk desk,
+      WorkerManager desk,
       Estimates estimates,
       Disruption disruption,
       Lanes lanes,
--- a/src/main/java/dapplestair/placement/Reservations.java
+++ b/src/main/java/dapplestair/placement/Reservations.java
@@ -4,7 +4,7 @@
 import dapplestair.ledger.Ledger;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -25,11 +25,11 @@
   private static final double SHARE = 0.25;
 
   private final Ledger ledger;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Map<String, List<Host>> byJob = new LinkedHashMap<>();
   private final Map<Host, String> kept = new LinkedHashMap<>();
 
-  Reservations(Ledger ledger, WorkerDesk desk) {
+  Reservations(Ledger ledger, WorkerManager desk) {
     this.ledger = ledger;
     this.desk = desk;
   }
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -15,7 +15,7 @@
 import dapplestair.settings.Settings;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -28,7 +28,7 @@
 
   private final Clock clock;
   private final Ledger ledger;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Fleet fleet;
   private final MachineTypes types;
   private final Estimates estimates;
@@ -41,7 +41,7 @@
       Clock clock,
       Settings settings,
       Ledger ledger,
-      WorkerDesk desk,
+      WorkerManager desk,
       Fleet fleet,
       MachineTypes types,
       Estimates estimates) {
--- a/src/main/java/dapplestair/planning/Planning.java
+++ b/src/main/java/dapplestair/planning/Planning.java
@@ -8,7 +8,7 @@
 import dapplestair.leadership.Leadership;
 import dapplestair.leadership.TermTimers;
 import dapplestair.machines.MachineTypes;
-import dapplestair.ports.Background;
+import dapplestair.ports.BackgroundExecutor;
 import dapplestair.ports.Cancellable;
 import dapplestair.ports.Clock;
 import dapplestair.settings.Operator;
@@ -42,7 +42,7 @@
 
   private final Clock clock;
   private final TermTimers timers;
-  private final Background background;
+  private final BackgroundExecutor background;
   private final UniformRandomProvider random;
   private final Operator operator;
   private final Leadership leadership;
@@ -67,7 +67,7 @@
   public Planning(
       Clock clock,
       TermTimers timers,
-      Background background,
+      BackgroundExecutor background,
       UniformRandomProvider random,
       Operator operator,
       Leadership leadership,
--- a/src/main/java/dapplestair/planning/ZoneDemand.java
+++ b/src/main/java/dapplestair/planning/ZoneDemand.java
@@ -9,7 +9,7 @@
 import dapplestair.ports.Clock;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -81,13 +81,13 @@
 
   private final Clock clock;
   private final Ledger ledger;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Fleet fleet;
   private final MachineTypes types;
   private final Map<String, Long> lackingSince = new HashMap<>();
   private final Set<String> waitedFor = new HashSet<>();
 
-  ZoneDemand(Clock clock, Ledger ledger, WorkerDesk desk, Fleet fleet, MachineTypes types) {
+  ZoneDemand(Clock clock, Ledger ledger, WorkerManager desk, Fleet fleet, MachineTypes types) {
     this.clock = clock;
     this.ledger = ledger;
     this.desk = desk;
--- a/src/main/java/dapplestair/relay/HeldReports.java
+++ b/src/main/java/dapplestair/relay/HeldReports.java
@@ -18,17 +18,17 @@
    * @param deadline until when it may be relayed, steady time
    * @param otherwise answers it without a leader
    */
-  record Held(Exchange exchange, long deadline, Runnable otherwise) {}
+  record HeldReport(Exchange exchange, long deadline, Runnable otherwise) {}
 
   private final Clock clock;
-  private final ArrayDeque<Held> held = new ArrayDeque<>();
+  private final ArrayDeque<HeldReport> held = new ArrayDeque<>();
 
   HeldReports(Clock clock) {
     this.clock = clock;
   }
 
   /** Holds a report; false when there is no room or no time left. */
-  boolean hold(Held report) {
+  boolean hold(HeldReport report) {
     if (held.size() >= MOST_HELD || clock.now() >= report.deadline()) {
       return false;
     }
@@ -37,18 +37,18 @@
   }
 
   /** Takes all out, to be relayed now. */
-  List<Held> takeAll() {
-    List<Held> all = new ArrayList<>(held);
+  List<HeldReport> takeAll() {
+    List<HeldReport> all = new ArrayList<>(held);
     held.clear();
     return all;
   }
 
   /** Takes out those whose time is over. */
-  List<Held> takeExpired() {
-    List<Held> expired = new ArrayList<>();
-    Iterator<Held> each = held.iterator();
+  List<HeldReport> takeExpired() {
+    List<HeldReport> expired = new ArrayList<>();
+    Iterator<HeldReport> each = held.iterator();
     while (each.hasNext()) {
-      Held report = each.next();
+      HeldReport report = each.next();
       if (clock.now() >= report.deadline()) {
         each.remove();
         expired.add(report);
--- a/src/main/java/dapplestair/relay/Relay.java
+++ b/src/main/java/dapplestair/relay/Relay.java
@@ -9,9 +9,9 @@
 import dapplestair.ports.HttpCaller;
 import dapplestair.ports.HttpReply;
 import dapplestair.ports.Timers;
-import dapplestair.relay.HeldReports.Held;
-import dapplestair.relay.RelayCodec.Kind;
-import dapplestair.relay.RelayCodec.Request;
+import dapplestair.relay.HeldReports.HeldReport;
+import dapplestair.relay.RelayFrameCodec.Request;
+import dapplestair.relay.RelayFrameCodec.RequestKind;
 import dapplestair.settings.Settings;
 import dapplestair.work.Latest;
 import dapplestair.work.Report;
@@ -132,7 +132,7 @@
             mode.on() ? "spread" : "direct");
       }
       if (mode.worthTelling()) {
-        aliveSince.keySet().forEach(m -> links.tell(m, Kind.MODE, mode.encode()));
+        aliveSince.keySet().forEach(m -> links.tell(m, RequestKind.MODE, mode.encode()));
       }
     }
     retryHeld();
@@ -195,19 +195,19 @@
       exchange.reply(421, Json.bytes(Json.object().put("steward", to)), 0);
       return true;
     }
-    pass(new Held(exchange, clock.now() + ANSWER_WITHIN_MS, otherwise));
+    pass(new HeldReport(exchange, clock.now() + ANSWER_WITHIN_MS, otherwise));
     return true;
   }
 
   /** Passes it on, or holds it until there is a leader: one that ends sends no worker away. */
-  private void pass(Held report) {
+  private void pass(HeldReport report) {
     String leader = leadership.leader();
     long left = report.deadline() - clock.now();
     if (leader != null && !leader.equals(settings.member()) && peers.alive(leader) && left > 0) {
       relayed++;
       links.call(
           leader,
-          Kind.REPORT,
+          RequestKind.REPORT,
           "",
           report.exchange().body(),
           Math.min(left, ANSWER_WITHIN_MS / ATTEMPTS),
@@ -217,7 +217,7 @@
     }
   }
 
-  private void answered(Held report, HttpReply reply) {
+  private void answered(HeldReport report, HttpReply reply) {
     if (reply.status() > 0) {
       report.exchange().reply(reply.status(), reply.body(), 0);
     } else if (!held.hold(report)) {
@@ -248,7 +248,7 @@
       deliver(endpoint, body, timeoutMs, done);
     } else {
       // The relay's own call ends first, so that its word on the outcome still counts.
-      links.call(relay, Kind.COMMAND, endpoint, body, timeoutMs + tickMs, done);
+      links.call(relay, RequestKind.COMMAND, endpoint, body, timeoutMs + tickMs, done);
     }
   }
 
--- a/src/main/java/dapplestair/relay/RelayCodec.java
+++ b/src/main/java/dapplestair/relay/RelayFrameCodec.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /** Frames of relayed requests and replies between controllers: bounded, and of one form. */
-final class RelayCodec {
+final class RelayFrameCodec {
   /** Raised whenever the form changes; frames of other forms are refused. */
   static final byte FORM = 1;
 
@@ -18,10 +18,10 @@
   /** Largest frame, bytes; a single report may have 64 KiB. */
   static final int LARGEST = 448 * 1024;
 
-  private RelayCodec() {}
+  private RelayFrameCodec() {}
 
   /** What is relayed. */
-  enum Kind {
+  enum RequestKind {
     /** A worker's report, to the leader. */
     REPORT,
     /** Commands to a worker, from the leader. */
@@ -37,7 +37,7 @@
    * @param endpoint the worker's address, empty unless it is a command
    * @param timeoutMs how long the reply is waited for
    */
-  record Request(long id, Kind kind, String endpoint, long timeoutMs, byte[] body) {}
+  record Request(long id, RequestKind kind, String endpoint, long timeoutMs, byte[] body) {}
 
   /** The reply to a request, with the status codes of {@link HttpReply}. */
   record Reply(long id, int status, byte[] body) {}
@@ -111,7 +111,7 @@
 
   private static Request request(Input in) {
     long id = in.readLong();
-    Kind kind = Kind.values()[in.readByte()];
+    RequestKind kind = RequestKind.values()[in.readByte()];
     String endpoint = in.readString();
     long timeoutMs = in.readVarLong(true);
     if (endpoint == null || timeoutMs < 0) {
--- a/src/main/java/dapplestair/relay/RelayLinks.java
+++ b/src/main/java/dapplestair/relay/RelayLinks.java
@@ -4,10 +4,10 @@
 import dapplestair.ports.Cancellable;
 import dapplestair.ports.HttpReply;
 import dapplestair.ports.Timers;
-import dapplestair.relay.RelayCodec.Frame;
-import dapplestair.relay.RelayCodec.Kind;
-import dapplestair.relay.RelayCodec.Reply;
-import dapplestair.relay.RelayCodec.Request;
+import dapplestair.relay.RelayFrameCodec.Frame;
+import dapplestair.relay.RelayFrameCodec.Reply;
+import dapplestair.relay.RelayFrameCodec.Request;
+import dapplestair.relay.RelayFrameCodec.RequestKind;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -26,15 +26,17 @@
   /** Requests without a reply that one controller may have with another. */
   private static final int MOST_OPEN = 4096;
 
-  private static final int LARGEST_BATCH = RelayCodec.LARGEST / 2;
+  private static final int LARGEST_BATCH = RelayFrameCodec.LARGEST / 2;
 
   /** Serves the requests of other controllers. */
   interface Handler {
-    /** Serves one request; {@code done} may be called later, and never for {@link Kind#MODE}. */
+    /**
+     * Serves one request; {@code done} may be called later, and never for {@link RequestKind#MODE}.
+     */
     void handle(String member, Request request, Consumer<HttpReply> done);
   }
 
-  private record Open(String member, Consumer<HttpReply> done, Cancellable timer) {}
+  private record PendingRelay(String member, Consumer<HttpReply> done, Cancellable timer) {}
 
   /** What waits to be sent to one controller. */
   private static final class Outbox {
@@ -51,7 +53,7 @@
   private final long gatherMs;
   private final Handler handler;
   private final Map<String, Outbox> outboxes = new HashMap<>();
-  private final Map<Long, Open> open = new HashMap<>();
+  private final Map<Long, PendingRelay> open = new HashMap<>();
   private long lastId;
 
   /**
@@ -75,7 +77,7 @@
   /** Sends a request; exactly one reply. */
   void call(
       String member,
-      Kind kind,
+      RequestKind kind,
       String endpoint,
       byte[] body,
       long timeoutMs,
@@ -88,13 +90,13 @@
     outbox.open++;
     long id = ++lastId;
     Cancellable timer = timers.after(timeoutMs, () -> end(id, HttpReply.of(HttpReply.UNKNOWN)));
-    open.put(id, new Open(member, done, timer));
+    open.put(id, new PendingRelay(member, done, timer));
     outbox.requests.add(new Request(id, kind, endpoint, timeoutMs, body));
     flushSoon(member, outbox);
   }
 
   /** Tells another controller something that has no reply. */
-  void tell(String member, Kind kind, byte[] body) {
+  void tell(String member, RequestKind kind, byte[] body) {
     Outbox outbox = outbox(member);
     if (outbox.requests.size() < MOST_OPEN) {
       outbox.requests.add(new Request(0, kind, "", 0, body));
@@ -131,7 +133,7 @@
         replies.add(outbox.replies.peek());
         bytes += outbox.replies.poll().body().length;
       }
-      byte[] frame = RelayCodec.encode(new Frame(process, outbox.process, requests, replies));
+      byte[] frame = RelayFrameCodec.encode(new Frame(process, outbox.process, requests, replies));
       if (frame != null) {
         peers.tell(member, TOPIC, frame);
       }
@@ -139,11 +141,11 @@
   }
 
   private static boolean room(int items, int bytes) {
-    return items < RelayCodec.MOST_ITEMS && bytes < LARGEST_BATCH;
+    return items < RelayFrameCodec.MOST_ITEMS && bytes < LARGEST_BATCH;
   }
 
   private void received(String member, byte[] bytes) {
-    Frame frame = RelayCodec.decode(bytes);
+    Frame frame = RelayFrameCodec.decode(bytes);
     if (frame == null) {
       peers.questions().refused();
       return;
@@ -172,14 +174,14 @@
   }
 
   private void answered(String member, Reply reply) {
-    Open waiting = open.get(reply.id());
+    PendingRelay waiting = open.get(reply.id());
     if (waiting != null && waiting.member().equals(member)) {
       end(reply.id(), new HttpReply(reply.status(), reply.body()));
     }
   }
 
   private void end(long id, HttpReply reply) {
-    Open waiting = open.remove(id);
+    PendingRelay waiting = open.remove(id);
     if (waiting != null) {
       waiting.timer().cancel();
       outbox(waiting.member()).open--;
--- a/src/main/java/dapplestair/replacement/Machines.java
+++ b/src/main/java/dapplestair/replacement/Machines.java
@@ -4,7 +4,7 @@
 import dapplestair.fleet.Slot;
 import dapplestair.ports.Clock;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -18,10 +18,10 @@
 /** Which machines an order is about. Old from new is told by the record of a machine's rental. */
 final class Machines {
   private final Clock clock;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Disruption disruption;
 
-  Machines(Clock clock, WorkerDesk desk, Disruption disruption) {
+  Machines(Clock clock, WorkerManager desk, Disruption disruption) {
     this.clock = clock;
     this.desk = desk;
     this.disruption = disruption;
--- a/src/main/java/dapplestair/replacement/Replacements.java
+++ b/src/main/java/dapplestair/replacement/Replacements.java
@@ -17,7 +17,7 @@
 import dapplestair.state.Keys;
 import dapplestair.state.StateClient;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -59,7 +59,7 @@
       StateClient state,
       Leadership leadership,
       MachineTypes types,
-      WorkerDesk desk,
+      WorkerManager desk,
       Drains drains,
       Disruption disruption,
       Room room,
--- a/src/main/java/dapplestair/replacement/Room.java
+++ b/src/main/java/dapplestair/replacement/Room.java
@@ -6,7 +6,7 @@
 import dapplestair.machines.MachineTypes;
 import dapplestair.planning.Planning;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.Map;
 import java.util.function.ToIntFunction;
 
@@ -15,13 +15,13 @@
  * are up. The counts themselves stay the plan's.
  */
 public final class Room {
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Fleet fleet;
   private final MachineTypes types;
   private final Planning planning;
 
   /** Beside what {@code planning} holds. */
-  public Room(WorkerDesk desk, Fleet fleet, MachineTypes types, Planning planning) {
+  public Room(WorkerManager desk, Fleet fleet, MachineTypes types, Planning planning) {
     this.desk = desk;
     this.fleet = fleet;
     this.types = types;
--- a/src/main/java/dapplestair/replacement/StepHealthCheck.java
+++ b/src/main/java/dapplestair/replacement/StepHealthCheck.java
@@ -3,7 +3,7 @@
 import dapplestair.disruption.BudgetStatus;
 import dapplestair.disruption.Disruption;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.util.List;
 import java.util.Map;
 
@@ -12,11 +12,11 @@
   // Of so few completions a machine's speed says little.
   private static final int ENOUGH = 2;
 
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final Disruption disruption;
   private final Machines machines;
 
-  StepHealthCheck(WorkerDesk desk, Disruption disruption, Machines machines) {
+  StepHealthCheck(WorkerManager desk, Disruption disruption, Machines machines) {
     this.desk = desk;
     this.disruption = disruption;
     this.machines = machines;
--- a/src/main/java/dapplestair/submissions/FirstAttempts.java
+++ b/src/main/java/dapplestair/submissions/FirstSubmissionTimes.java
@@ -8,7 +8,7 @@
  * When users first tried to submit jobs that were turned away. Their waits are measured from then,
  * so a job that could not be accepted for a while is older than its record.
  */
-final class FirstAttempts {
+final class FirstSubmissionTimes {
   private static final int MOST_KEPT = 10_000;
 
   // Users repeat a submission for 60 seconds; a try after a longer pause begins anew.
@@ -17,7 +17,7 @@
   private final Clock clock;
   private final Map<String, Long> turnedAway = new Latest<>(MOST_KEPT);
 
-  FirstAttempts(Clock clock) {
+  FirstSubmissionTimes(Clock clock) {
     this.clock = clock;
   }
 
--- a/src/main/java/dapplestair/submissions/RequestRelay.java
+++ b/src/main/java/dapplestair/submissions/RequestRelay.java
@@ -37,14 +37,14 @@
    * Passes a request on; {@code done} gets the peer's answer, or null when none came. False, with
    * nothing done, when there is nobody to ask.
    */
-  boolean pass(Exchange exchange, Consumer<RelayCodec.Answer> done) {
+  boolean pass(Exchange exchange, Consumer<UserRequestCodec.Response> done) {
     List<String> served = peers.served();
     if (served.isEmpty() || open >= MOST_OPEN || exchange instanceof RelayedExchange) {
       return false;
     }
     byte[] request =
-        RelayCodec.encode(
-            new RelayCodec.Request(exchange.method(), exchange.path(), exchange.body()));
+        UserRequestCodec.encode(
+            new UserRequestCodec.Request(exchange.method(), exchange.path(), exchange.body()));
     if (request == null) {
       return false;
     }
@@ -64,8 +64,8 @@
     return true;
   }
 
-  private RelayCodec.Answer read(byte[] reply) {
-    RelayCodec.Answer answer = RelayCodec.answer(reply);
+  private UserRequestCodec.Response read(byte[] reply) {
+    UserRequestCodec.Response answer = UserRequestCodec.answer(reply);
     if (answer == null) {
       peers.questions().refused();
     }
@@ -73,7 +73,7 @@
   }
 
   private void asked(byte[] body, Consumer<byte[]> reply, Consumer<Exchange> handler) {
-    RelayCodec.Request request = RelayCodec.request(body);
+    UserRequestCodec.Request request = UserRequestCodec.request(body);
     if (request == null) {
       peers.questions().refused();
       return;
@@ -82,7 +82,7 @@
   }
 
   /** A request that a peer passed on. */
-  private record RelayedExchange(RelayCodec.Request request, Consumer<byte[]> to)
+  private record RelayedExchange(UserRequestCodec.Request request, Consumer<byte[]> to)
       implements Exchange {
     @Override
     public String method() {
@@ -101,7 +101,8 @@
 
     @Override
     public void reply(int status, byte[] body, int retryAfterS) {
-      byte[] answer = RelayCodec.encode(new RelayCodec.Answer(status, retryAfterS, body));
+      byte[] answer =
+          UserRequestCodec.encode(new UserRequestCodec.Response(status, retryAfterS, body));
       if (answer != null) {
         to.accept(answer);
       }
--- a/src/main/java/dapplestair/submissions/SubmissionDesk.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -27,8 +27,8 @@
  * Answers users. Nothing is confirmed before it is known to be in the state service, and nothing is
  * told from memory alone unless it can never change.
  */
-public final class SubmissionDesk {
-  private static final Logger LOG = LoggerFactory.getLogger(SubmissionDesk.class);
+public final class SubmissionHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
   private static final int MOST_PENDING = 400;
   private static final int LEAST_PENDING_LOW = 2;
 
@@ -43,13 +43,13 @@
   private final Metrics metrics;
   private final long patienceMs;
   private final RetryAdvice retryAdvice;
-  private final Unanswered unanswered;
-  private final FirstAttempts firstAttempts;
+  private final UnansweredRequests unanswered;
+  private final FirstSubmissionTimes firstAttempts;
   private final JobFinder finder;
   private int pending;
 
   /** Serves users of this controller. */
-  public SubmissionDesk(
+  public SubmissionHandler(
       Clock clock,
       Settings settings,
       StateClient state,
@@ -71,8 +71,8 @@
     this.patienceMs = settings.workers().reportMs();
     this.finder = new JobFinder(state, replica, ledger);
     this.retryAdvice = new RetryAdvice(clock);
-    this.firstAttempts = new FirstAttempts(clock);
-    this.unanswered = new Unanswered(clock, settings.workers().leaseMs());
+    this.firstAttempts = new FirstSubmissionTimes(clock);
+    this.unanswered = new UnansweredRequests(clock, settings.workers().leaseMs());
   }
 
   /** A job is over for good; {@code done} or cancelled. */
@@ -96,7 +96,7 @@
         && relay.pass(exchange, answer -> relayed(exchange, ref, answer));
   }
 
-  private void relayed(Exchange exchange, String ref, RelayCodec.Answer answer) {
+  private void relayed(Exchange exchange, String ref, UserRequestCodec.Response answer) {
     if (answer == null) {
       unanswered.inVain(ref);
       busy(exchange);
--- a/src/main/java/dapplestair/submissions/Unanswered.java
+++ b/src/main/java/dapplestair/submissions/UnansweredRequests.java
@@ -7,7 +7,7 @@
  * Jobs about which this controller was asked in vain, and for how long. Users ask again every few
  * seconds, and may ask another controller: one that is asked here no more is forgotten here.
  */
-final class Unanswered {
+final class UnansweredRequests {
   private static final int MOST_KEPT = 10_000;
 
   private record Asked(long since, long last) {}
@@ -16,7 +16,7 @@
   private final RecentMap<String, Asked> jobs;
 
   /** One that was not asked again for {@code keptMs} does not count any more. */
-  Unanswered(Clock clock, long keptMs) {
+  UnansweredRequests(Clock clock, long keptMs) {
     this.clock = clock;
     this.jobs = new RecentMap<>(clock, keptMs, MOST_KEPT, Asked::last);
   }
--- a/src/main/java/dapplestair/submissions/RelayCodec.java
+++ b/src/main/java/dapplestair/submissions/UserRequestCodec.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /** The form of users' requests and their answers between controllers: bounded and versioned. */
-final class RelayCodec {
+final class UserRequestCodec {
   /** Raised whenever the form changes; other forms are not understood. */
   static final byte FORM = 1;
 
@@ -16,13 +16,13 @@
   private static final int LONGEST_RETRY_AFTER_S = 30;
   private static final Set<String> METHODS = Set.of("GET", "POST");
 
-  private RelayCodec() {}
+  private UserRequestCodec() {}
 
   /** A user's request as it came. */
   record Request(String method, String path, byte[] body) {}
 
   /** What to tell the user. */
-  record Answer(int status, int retryAfterS, byte[] body) {}
+  record Response(int status, int retryAfterS, byte[] body) {}
 
   /** Writes a request, or gives null when it is too large. */
   static byte[] encode(Request request) {
@@ -38,7 +38,7 @@
   }
 
   /** Writes an answer, or gives null when it is too large. */
-  static byte[] encode(Answer answer) {
+  static byte[] encode(Response answer) {
     if (answer.body().length > LARGEST_BODY) {
       return null;
     }
@@ -76,13 +76,13 @@
   }
 
   /** Reads an answer, or gives null when it is garbled, too large or of another form. */
-  static Answer answer(byte[] bytes) {
+  static Response answer(byte[] bytes) {
     if (!ours(bytes)) {
       return null;
     }
     try {
       Input in = new Input(bytes, 1, bytes.length - 1);
-      Answer answer = new Answer(in.readVarInt(true), in.readVarInt(true), readBody(in));
+      Response answer = new Response(in.readVarInt(true), in.readVarInt(true), readBody(in));
       boolean valid =
           in.end()
               && answer.status() >= 200
--- a/src/main/java/dapplestair/weights/Weights.java
+++ b/src/main/java/dapplestair/weights/Weights.java
@@ -15,7 +15,7 @@
 import dapplestair.state.StateClient.Priority;
 import dapplestair.state.Txn;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
@@ -43,7 +43,7 @@
   private final StateClient state;
   private final GuardedWriter writer;
   private final Leadership leadership;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
 
   // By key, what the records say, and for which image.
   private final Map<String, Holders> records = new HashMap<>();
@@ -59,7 +59,7 @@
       Settings settings,
       StateClient state,
       Leadership leadership,
-      WorkerDesk desk) {
+      WorkerManager desk) {
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
--- a/src/main/java/dapplestair/workers/CommandSender.java
+++ b/src/main/java/dapplestair/workers/CommandSender.java
@@ -41,7 +41,7 @@
   private final Relay relay;
   private final Leadership leadership;
   private final Cancellations cancellations;
-  private final Roster roster;
+  private final HostRegistry roster;
   private final Listener listener;
   private final long reportMs;
   private final long callMs;
@@ -55,7 +55,7 @@
       Settings settings,
       Leadership leadership,
       Cancellations cancellations,
-      Roster roster,
+      HostRegistry roster,
       Listener listener) {
     this.clock = clock;
     this.timers = timers;
--- a/src/main/java/dapplestair/workers/Roster.java
+++ b/src/main/java/dapplestair/workers/HostRegistry.java
@@ -8,17 +8,17 @@
 import java.util.Map;
 
 /** The machines that are not proved to be gone, and for a while the names of those that are. */
-final class Roster {
+final class HostRegistry {
   private static final int MOST_GONE_REMEMBERED = 4000;
 
   private final Clock clock;
   private final Map<String, Host> hosts = new LinkedHashMap<>();
-  private final Map<String, Gone> gone = new LinkedHashMap<>();
+  private final Map<String, GoneHost> gone = new LinkedHashMap<>();
 
   /** When it was proved to be gone, and its newest report that was heard. */
-  private record Gone(long at, long session, long tick) {}
+  private record GoneHost(long at, long session, long tick) {}
 
-  Roster(Clock clock) {
+  HostRegistry(Clock clock) {
     this.clock = clock;
   }
 
@@ -47,7 +47,7 @@
       // The oldest: a copy of a report comes late, but not by thousands of machines.
       gone.remove(gone.keySet().iterator().next());
     }
-    gone.put(host.id(), new Gone(clock.now(), host.session, host.tick));
+    gone.put(host.id(), new GoneHost(clock.now(), host.session, host.tick));
   }
 
   /**
@@ -55,10 +55,10 @@
    * cut has held it back, and is over. A copy of a report that was heard is not newer.
    */
   boolean sentSince(Report report) {
-    Gone last = gone.get(report.host());
+    GoneHost last = gone.get(report.host());
     boolean newer = report.after(last.session(), last.tick());
     if (newer) {
-      gone.replace(report.host(), new Gone(last.at(), report.session(), report.tick()));
+      gone.replace(report.host(), new GoneHost(last.at(), report.session(), report.tick()));
     }
     // Without one that was heard nobody can tell.
     return newer && last.tick() >= 0;
--- a/src/main/java/dapplestair/workers/LivenessTracker.java
+++ b/src/main/java/dapplestair/workers/LivenessTracker.java
@@ -23,7 +23,7 @@
   private static final double DRIFT = 1.01;
 
   private final Clock clock;
-  private final Roster roster;
+  private final HostRegistry roster;
   private final long reportMs;
   private final long leaseMs;
   private final ZoneWatch zones;
@@ -40,7 +40,7 @@
   private long turnDue;
   private long judgeAgainAt;
 
-  LivenessTracker(Clock clock, Settings settings, Roster roster) {
+  LivenessTracker(Clock clock, Settings settings, HostRegistry roster) {
     this.clock = clock;
     this.roster = roster;
     this.reportMs = settings.workers().reportMs();
--- a/src/main/java/dapplestair/workers/ReportApplier.java
+++ b/src/main/java/dapplestair/workers/ReportApplier.java
@@ -23,7 +23,7 @@
   private final Ledger ledger;
   private final LivenessTracker liveness;
   private final CommandSender commandSender;
-  private final WorkerDesk.Listener listener;
+  private final WorkerManager.Listener listener;
   private final BooleanSupplier leading;
   private long unaccounted;
 
@@ -35,7 +35,7 @@
       Ledger ledger,
       LivenessTracker liveness,
       CommandSender commandSender,
-      WorkerDesk.Listener listener,
+      WorkerManager.Listener listener,
       BooleanSupplier leading) {
     this.clock = clock;
     this.leadership = leadership;
--- a/src/main/java/dapplestair/workers/ReportHandler.java
+++ b/src/main/java/dapplestair/workers/ReportHandler.java
@@ -32,7 +32,7 @@
   private final Peers peers;
   private final StateClient state;
   private final Cancellations cancellations;
-  private final Roster roster;
+  private final HostRegistry roster;
   private final LivenessTracker liveness;
   private final RecentRedirects redirects;
   private final LeaseRenewal renewal;
@@ -52,7 +52,7 @@
       Peers peers,
       StateClient state,
       Cancellations cancellations,
-      Roster roster,
+      HostRegistry roster,
       LivenessTracker liveness,
       LeaseRenewal renewal,
       ReportApplier applier,
--- a/src/main/java/dapplestair/workers/WorkerDesk.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -24,7 +24,7 @@
  * All machines with their workers: which there are, how long each has been silent, and, at the
  * leader, the orders to them. Reports are answered by {@link ReportHandler}.
  */
-public final class WorkerDesk implements AutoCloseable {
+public final class WorkerManager implements AutoCloseable {
   /** Told of what happens to machines. */
   public interface Listener {
     /** A machine's room, notice or reachability changed. */
@@ -40,7 +40,7 @@
   private final Ledger ledger;
   private final Listener listener;
   private final long reportMs;
-  private final Roster roster;
+  private final HostRegistry roster;
   private final LivenessTracker liveness;
   private final CommandSender commandSender;
   private final ReportApplier applier;
@@ -54,7 +54,7 @@
    * A desk without machines; {@code notOverWhenRead} tells of a job that is not in the ledger that
    * it was not over when the records were last read.
    */
-  public WorkerDesk(
+  public WorkerManager(
       Clock clock,
       Timers timers,
       Relay relay,
@@ -74,7 +74,7 @@
     this.ledger = ledger;
     this.listener = listener;
     this.reportMs = settings.workers().reportMs();
-    this.roster = new Roster(clock);
+    this.roster = new HostRegistry(clock);
     this.liveness = new LivenessTracker(clock, settings, roster);
     this.commandSender =
         new CommandSender(
--- a/src/main/java/dapplestair/zones/Zones.java
+++ b/src/main/java/dapplestair/zones/Zones.java
@@ -15,7 +15,7 @@
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
 import dapplestair.workers.Host;
-import dapplestair.workers.WorkerDesk;
+import dapplestair.workers.WorkerManager;
 import dapplestair.zones.ZoneLife.State;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -51,7 +51,7 @@
   private final GuardedWriter writer;
   private final Replica replica;
   private final Leadership leadership;
-  private final WorkerDesk desk;
+  private final WorkerManager desk;
   private final SilenceTimeouts timeouts;
   private final ZoneProbes probes;
   private final Events events;
@@ -72,7 +72,7 @@
       StateClient state,
       Replica replica,
       Leadership leadership,
-      WorkerDesk desk,
+      WorkerManager desk,
       Predicate<String> rentOne,
       Events events) {
     this.clock = clock;
--- a/src/test/java/dapplestair/keys/TrustTest.java
+++ b/src/test/java/dapplestair/keys/TrustTest.java
@@ -5,8 +5,8 @@
 
 import dapplestair.admin.Tokens;
 import dapplestair.json.Json;
+import dapplestair.netty.ControllerEventLoop;
 import dapplestair.netty.HttpServer;
-import dapplestair.netty.Loop;
 import dapplestair.netty.TlsFiles;
 import dapplestair.ports.Exchange;
 import dapplestair.session.Processes;
@@ -30,7 +30,7 @@
   private static final List<String> HERE = List.of("localhost", "127.0.0.1");
 
   @TempDir private Path folder;
-  private final Loop loop = new Loop();
+  private final ControllerEventLoop loop = new ControllerEventLoop();
   private Authority ca;
   private Tokens tokens;
   private Processes processes;
--- a/src/test/java/dapplestair/netty/HttpLoopbackTest.java
+++ b/src/test/java/dapplestair/netty/HttpLoopbackTest.java
@@ -18,7 +18,7 @@
 
 /** The real codec, both ways, over loopback. */
 class HttpLoopbackTest {
-  private final Loop loop = new Loop();
+  private final ControllerEventLoop loop = new ControllerEventLoop();
   private HttpServer server;
   private HttpPool pool;
   private int port;
--- a/src/test/java/dapplestair/session/RestartTest.java
+++ b/src/test/java/dapplestair/session/RestartTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dapplestair.json.Json;
+import dapplestair.netty.ControllerEventLoop;
 import dapplestair.netty.HttpServer;
-import dapplestair.netty.Loop;
 import dapplestair.ports.Exchange;
 import dapplestair.settings.Settings.Address;
 import java.io.IOException;
@@ -30,7 +30,7 @@
   private static final byte[] GOOD = Json.bytes(Json.object().put("leader", "now").put("term", 2));
 
   @TempDir private Path folder;
-  private final Loop loop = new Loop();
+  private final ControllerEventLoop loop = new ControllerEventLoop();
   private final List<AutoCloseable> open = new ArrayList<>();
   private Processes processes;
 
--- a/src/test/java/dapplestair/submissions/RelayCodecTest.java
+++ b/src/test/java/dapplestair/submissions/UserRequestCodecTest.java
@@ -8,21 +8,22 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class RelayCodecTest {
+class UserRequestCodecTest {
   private static final byte[] BODY = {1, 2, 3};
 
   private static byte[] request(String method, byte[] body) {
-    return RelayCodec.encode(new RelayCodec.Request(method, "/submissions/wk-1", body));
+    return UserRequestCodec.encode(new UserRequestCodec.Request(method, "/submissions/wk-1", body));
   }
 
   @Test
   void messagesComeBackAsTheyWere() {
-    RelayCodec.Request request = RelayCodec.request(request("GET", BODY));
+    UserRequestCodec.Request request = UserRequestCodec.request(request("GET", BODY));
     assertEquals("GET", request.method());
     assertEquals("/submissions/wk-1", request.path());
     assertArrayEquals(BODY, request.body());
-    RelayCodec.Answer answer =
-        RelayCodec.answer(RelayCodec.encode(new RelayCodec.Answer(503, 2, BODY)));
+    UserRequestCodec.Response answer =
+        UserRequestCodec.answer(
+            UserRequestCodec.encode(new UserRequestCodec.Response(503, 2, BODY)));
     assertEquals(503, answer.status());
     assertEquals(2, answer.retryAfterS());
     assertArrayEquals(BODY, answer.body());
@@ -39,16 +40,19 @@
         bad[random.nextInt(bad.length)] = (byte) random.nextInt(256);
       }
       bad = Arrays.copyOf(bad, random.nextInt(bad.length + 1));
-      RelayCodec.request(bad);
-      RelayCodec.answer(bad);
+      UserRequestCodec.request(bad);
+      UserRequestCodec.answer(bad);
     }
-    assertNull(RelayCodec.request(Arrays.copyOf(good, good.length - 1)), "cut short");
-    assertNull(RelayCodec.request(Arrays.copyOf(good, good.length + 1)), "something after it");
-    assertNull(RelayCodec.request(request("DELETE", BODY)), "no user's method");
+    assertNull(UserRequestCodec.request(Arrays.copyOf(good, good.length - 1)), "cut short");
+    assertNull(
+        UserRequestCodec.request(Arrays.copyOf(good, good.length + 1)), "something after it");
+    assertNull(UserRequestCodec.request(request("DELETE", BODY)), "no user's method");
     assertNull(request("POST", new byte[64 * 1024 + 1]), "too large");
     assertNull(
-        RelayCodec.answer(RelayCodec.encode(new RelayCodec.Answer(200, 31, BODY))), "too long");
-    good[0] = RelayCodec.FORM + 1;
-    assertNull(RelayCodec.request(good), "another form");
+        UserRequestCodec.answer(
+            UserRequestCodec.encode(new UserRequestCodec.Response(200, 31, BODY))),
+        "too long");
+    good[0] = UserRequestCodec.FORM + 1;
+    assertNull(UserRequestCodec.request(good), "another form");
   }
 }
--- a/src/test/java/dapplestair/workers/CancellationCosts.java
+++ b/src/test/java/dapplestair/workers/CancellationCosts.java
@@ -183,7 +183,7 @@
               settings,
               leadership,
               cancellations,
-              new Roster(time),
+              new HostRegistry(time),
               null);
       renewal = new LeaseRenewal(time, commandSender, ledger, cancellations, job -> false);
     }
--- a/src/test/java/dapplestair/world/World.java
+++ b/src/test/java/dapplestair/world/World.java
@@ -9,10 +9,10 @@
 import dapplestair.emulator.Shape;
 import dapplestair.emulator.Surroundings;
 import dapplestair.node.Controller;
-import dapplestair.node.Outside;
+import dapplestair.node.ControllerEnvironment;
 import dapplestair.peers.PeerAnswer;
 import dapplestair.peers.PeerAsk;
-import dapplestair.ports.Background;
+import dapplestair.ports.BackgroundExecutor;
 import dapplestair.ports.Cancellable;
 import dapplestair.ports.Clock;
 import dapplestair.ports.Exchange;
@@ -475,7 +475,7 @@
   }
 
   /** One process: everything it set in motion ends with it, except what has left it. */
-  private final class Life implements Clock, Timers, Background, PeerNetwork {
+  private final class Life implements Clock, Timers, BackgroundExecutor, PeerNetwork {
     final Node node;
     final Controller controller;
     final double drift = 1 + sim.random.nextDouble() * 0.0005;
@@ -486,8 +486,8 @@
 
     Life(Node node) {
       this.node = node;
-      Outside outside =
-          new Outside(
+      ControllerEnvironment outside =
+          new ControllerEnvironment(
               this,
               this,
               this,
