--- a/src/main/java/dapplestair/admin/AdminHandler.java
+++ b/src/main/java/dapplestair/admin/AdminHandler.java
@@ -34,7 +34,7 @@
 
   private final Clock clock;
   private final Timers timers;
-  private final Access access;
+  private final Authenticator access;
   private final Leadership leadership;
   private final Ledger ledger;
   private final Peers peers;
@@ -50,7 +50,7 @@
   /** {@code users} answers what users ask; {@code metrics} gives them as text. */
   public AdminHandler(
       ControllerComponents duties,
-      Access access,
+      Authenticator access,
       Consumer<Exchange> users,
       Supplier<byte[]> metrics) {
     this.clock = duties.clock();
@@ -64,8 +64,8 @@
     this.users = users;
     this.metrics = metrics;
     this.failures = new TokenBucket(clock, 0.2, 25);
-    Moment moment = new Moment(duties.settings(), leadership, replica);
-    Pages pages = new Pages(timers, moment);
+    AsOfStamp moment = new AsOfStamp(duties.settings(), leadership, replica);
+    PagedListing pages = new PagedListing(timers, moment);
     this.jobs = new JobViews(clock, ledger, state, moment, pages);
     MachineViews machines =
         new MachineViews(clock, duties.workers(), duties.drains(), jobs, moment, pages);
@@ -99,14 +99,14 @@
 
   /** An operator asks. */
   public void handle(Exchange exchange) {
-    Access.Known known = access.who(exchange);
+    Authenticator.Identity known = access.who(exchange);
     if (known == null) {
       // Bounded, so that guessing does not fill the log.
       if (failures.take(1)) {
         LOG.warn(
             "{} {} refused: no valid token or certificate", exchange.method(), exchange.path());
       }
-      reply(exchange, Answer.error(401, "a valid token or client certificate is needed"));
+      reply(exchange, AdminResponse.error(401, "a valid token or client certificate is needed"));
       return;
     }
     Role role = known.operates() ? Role.OPERATE : Role.VIEW;
@@ -119,7 +119,7 @@
       Caller caller = new Caller(known.name(), role);
       ask(
           exchange,
-          Question.read(
+          AdminRequest.read(
               exchange.method(), exchange.path(), exchange.query(), exchange.body(), caller));
     }
   }
@@ -128,25 +128,27 @@
     if (exchange.method().equals("GET") || role.covers(Role.OPERATE)) {
       users.accept(exchange);
     } else {
-      reply(exchange, Answer.error(403, "this needs the role operate"));
+      reply(exchange, AdminResponse.error(403, "this needs the role operate"));
     }
   }
 
-  private void ask(Exchange exchange, Question question) {
+  private void ask(Exchange exchange, AdminRequest question) {
     Routes.Route route = routes.find(question);
     if (route == null) {
-      reply(exchange, Answer.error(404, "no such path"));
+      reply(exchange, AdminResponse.error(404, "no such path"));
     } else if (!question.method().equals(route.role() == Role.VIEW ? "GET" : "POST")) {
-      reply(exchange, Answer.error(405, "use " + (route.role() == Role.VIEW ? "GET" : "POST")));
+      reply(
+          exchange,
+          AdminResponse.error(405, "use " + (route.role() == Role.VIEW ? "GET" : "POST")));
     } else if (!question.body().isObject()) {
-      reply(exchange, Answer.error(400, "the body is not a JSON object"));
+      reply(exchange, AdminResponse.error(400, "the body is not a JSON object"));
     } else if (!question.caller().role().covers(route.role())) {
-      reply(exchange, Answer.error(403, "this needs the role " + route.role().shown()));
+      reply(exchange, AdminResponse.error(403, "this needs the role " + route.role().shown()));
     } else if (open >= MOST_OPEN) {
-      reply(exchange, Answer.later("too many questions at once"));
+      reply(exchange, AdminResponse.later("too many questions at once"));
     } else {
       open++;
-      Consumer<Answer> done =
+      Consumer<AdminResponse> done =
           a -> {
             open--;
             reply(exchange, a);
@@ -159,13 +161,14 @@
     }
   }
 
-  private static void reply(Exchange exchange, Answer answer) {
+  private static void reply(Exchange exchange, AdminResponse answer) {
     exchange.reply(answer.status(), answer.body(), answer.retryAfterS());
   }
 
   // ---- the leader's memory ----
 
-  private void lead(Question question, Routes.Route route, long deadline, Consumer<Answer> done) {
+  private void lead(
+      AdminRequest question, Routes.Route route, long deadline, Consumer<AdminResponse> done) {
     if (able()) {
       serve(question, route, this::able, done);
       return;
@@ -185,9 +188,10 @@
             Json.bytes(question.toJson()),
             timeouts,
             frame -> {
-              Answer answer = frame == null ? null : Answer.parse(frame);
+              AdminResponse answer = frame == null ? null : AdminResponse.parse(frame);
               if (answer == null) {
-                done.accept(Answer.later("the leader, " + leader + ", did not answer in time"));
+                done.accept(
+                    AdminResponse.later("the leader, " + leader + ", did not answer in time"));
               } else if (answer.status() == NOT_LEADING) {
                 again(question, route, deadline, done, leader + " does not lead yet");
               } else {
@@ -201,9 +205,13 @@
   }
 
   private void again(
-      Question question, Routes.Route route, long deadline, Consumer<Answer> done, String why) {
+      AdminRequest question,
+      Routes.Route route,
+      long deadline,
+      Consumer<AdminResponse> done,
+      String why) {
     if (clock.now() >= deadline) {
-      done.accept(Answer.later("no leader can be asked: " + why));
+      done.accept(AdminResponse.later("no leader can be asked: " + why));
     } else {
       timers.after(LOOK_AGAIN_MS, () -> lead(question, route, deadline, done));
     }
@@ -211,12 +219,12 @@
 
   /** A peer asks this controller as the leader. */
   private void asked(byte[] body, Consumer<byte[]> answer) {
-    Question question = Question.parse(Json.parse(body));
+    AdminRequest question = AdminRequest.parse(Json.parse(body));
     Routes.Route route = question == null ? null : routes.find(question);
     if (route == null) {
-      answer.accept(Answer.error(404, "no such path").frame());
+      answer.accept(AdminResponse.error(404, "no such path").frame());
     } else if (!able()) {
-      answer.accept(new Answer(NOT_LEADING, new byte[0], 0).frame());
+      answer.accept(new AdminResponse(NOT_LEADING, new byte[0], 0).frame());
     } else {
       serve(question, route, this::able, a -> answer.accept(a.frame()));
     }
@@ -226,20 +234,20 @@
 
   /** Passes a barrier, then answers if {@code still} holds. */
   private void serve(
-      Question question,
+      AdminRequest question,
       Routes.Route route,
       java.util.function.BooleanSupplier still,
-      Consumer<Answer> done) {
+      Consumer<AdminResponse> done) {
     if (!replica.ready() || !state.reachable()) {
-      done.accept(Answer.later(unready()));
+      done.accept(AdminResponse.later(unready()));
       return;
     }
     replica.barrier(
         passed -> {
           if (!passed) {
-            done.accept(Answer.later(unready()));
+            done.accept(AdminResponse.later(unready()));
           } else if (!still.getAsBoolean()) {
-            done.accept(Answer.later("the leader has just changed"));
+            done.accept(AdminResponse.later("the leader has just changed"));
           } else {
             answer(question, route, done);
           }
@@ -252,14 +260,15 @@
         : "the state service does not answer";
   }
 
-  private static void answer(Question question, Routes.Route route, Consumer<Answer> done) {
+  private static void answer(
+      AdminRequest question, Routes.Route route, Consumer<AdminResponse> done) {
     try {
       route.handler().answer(question, done);
-    } catch (Question.BadRequest e) {
-      done.accept(Answer.error(400, e.getMessage()));
+    } catch (AdminRequest.BadRequestException e) {
+      done.accept(AdminResponse.error(400, e.getMessage()));
     } catch (RuntimeException e) {
       LOG.error("{} {} failed", question.method(), question.path(), e);
-      done.accept(Answer.error(500, "this went wrong; the log says more"));
+      done.accept(AdminResponse.error(500, "this went wrong; the log says more"));
     }
   }
 }
--- a/src/main/java/dapplestair/admin/Question.java
+++ b/src/main/java/dapplestair/admin/AdminRequest.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 
 /** One request, as it also travels to the leader. */
-record Question(
+record AdminRequest(
     String method, String path, Map<String, String> params, JsonNode body, Caller caller) {
 
-  static Question read(String method, String path, String query, byte[] body, Caller caller) {
+  static AdminRequest read(String method, String path, String query, byte[] body, Caller caller) {
     Map<String, String> params = new HashMap<>();
     // Given more than once, the first one counts.
     new QueryStringDecoder(query, false).parameters().forEach((k, v) -> params.put(k, v.get(0)));
-    return new Question(
+    return new AdminRequest(
         method, path, params, body.length == 0 ? Json.object() : Json.parse(body), caller);
   }
 
@@ -25,7 +25,7 @@
   }
 
   /** A whole number from the query, kept between bounds. */
-  long number(String name, long otherwise, long low, long high) throws BadRequest {
+  long number(String name, long otherwise, long low, long high) throws BadRequestException {
     String v = param(name);
     if (v == null) {
       return otherwise;
@@ -33,15 +33,15 @@
     try {
       return Math.max(low, Math.min(high, Long.parseLong(v)));
     } catch (NumberFormatException e) {
-      throw new BadRequest(name + ": must be a whole number");
+      throw new BadRequestException(name + ": must be a whole number");
     }
   }
 
   /** What is wrong with a question; the message names the field. */
-  static final class BadRequest extends Exception {
+  static final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    BadRequest(String message) {
+    BadRequestException(String message) {
       super(message, null, false, false);
     }
   }
@@ -54,7 +54,7 @@
     return object.put("who", caller.name()).put("role", caller.role().shown());
   }
 
-  static Question parse(JsonNode node) {
+  static AdminRequest parse(JsonNode node) {
     Map<String, String> params = new HashMap<>();
     node.path("params")
         .fields()
@@ -62,7 +62,7 @@
     Role role = Role.of(node.path("role").asText());
     return role == null
         ? null
-        : new Question(
+        : new AdminRequest(
             node.path("method").asText(),
             node.path("path").asText(),
             params,
--- a/src/main/java/dapplestair/admin/Answer.java
+++ b/src/main/java/dapplestair/admin/AdminResponse.java
@@ -4,18 +4,18 @@
 import dapplestair.json.Json;
 
 /** What is told; {@code retryAfterS} 0 for no advice. */
-record Answer(int status, byte[] body, int retryAfterS) {
-  static Answer of(JsonNode body) {
-    return new Answer(200, Json.bytes(body), 0);
+record AdminResponse(int status, byte[] body, int retryAfterS) {
+  static AdminResponse of(JsonNode body) {
+    return new AdminResponse(200, Json.bytes(body), 0);
   }
 
-  static Answer error(int status, String why) {
-    return new Answer(status, Json.bytes(Json.object().put("error", why)), 0);
+  static AdminResponse error(int status, String why) {
+    return new AdminResponse(status, Json.bytes(Json.object().put("error", why)), 0);
   }
 
   /** Not now: ask again soon. */
-  static Answer later(String why) {
-    return new Answer(503, Json.bytes(Json.object().put("error", why)), 1);
+  static AdminResponse later(String why) {
+    return new AdminResponse(503, Json.bytes(Json.object().put("error", why)), 1);
   }
 
   /** The form between controllers: a line of numbers, then the body as it is. */
@@ -27,7 +27,7 @@
     return out;
   }
 
-  static Answer parse(byte[] frame) {
+  static AdminResponse parse(byte[] frame) {
     int end = 0;
     while (end < frame.length && frame[end] != '\n') {
       end++;
@@ -35,7 +35,7 @@
     String[] head =
         new String(frame, 0, end, java.nio.charset.StandardCharsets.US_ASCII).split(" ");
     try {
-      return new Answer(
+      return new AdminResponse(
           Integer.parseInt(head[0]),
           java.util.Arrays.copyOfRange(frame, Math.min(frame.length, end + 1), frame.length),
           Integer.parseInt(head[1]));
--- a/src/main/java/dapplestair/admin/Moment.java
+++ b/src/main/java/dapplestair/admin/AsOfStamp.java
@@ -9,12 +9,12 @@
 import java.io.IOException;
 
 /** As of when an answer holds: nobody may take one for newer than it is. */
-final class Moment {
+final class AsOfStamp {
   private final Settings settings;
   private final Leadership leadership;
   private final Replica replica;
 
-  Moment(Settings settings, Leadership leadership, Replica replica) {
+  AsOfStamp(Settings settings, Leadership leadership, Replica replica) {
     this.settings = settings;
     this.leadership = leadership;
     this.replica = replica;
--- a/src/main/java/dapplestair/admin/Access.java
+++ b/src/main/java/dapplestair/admin/Authenticator.java
@@ -4,19 +4,19 @@
 
 /** Who somebody is, and what they may do. */
 @FunctionalInterface
-public interface Access {
+public interface Authenticator {
   /** Whoever asks, by what they show; null when that is nobody. */
-  Known who(Exchange exchange);
+  Identity who(Exchange exchange);
 
   /**
    * Somebody known.
    *
    * @param operates true if they may change things, too
    */
-  record Known(String name, boolean operates) {}
+  record Identity(String name, boolean operates) {}
 
   /** Everybody on this machine may do everything: only for an address on loopback. */
-  static Access open() {
-    return x -> new Known("local", true);
+  static Authenticator open() {
+    return x -> new Identity("local", true);
   }
 }
--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -45,11 +45,11 @@
   private final Peers peers;
   private final StateClient state;
   private final MachineViews machines;
-  private final Moment moment;
+  private final AsOfStamp moment;
   private final Cancellations cancellations;
   private final Relay relay;
 
-  ClusterViews(ControllerComponents duties, MachineViews machines, Moment moment) {
+  ClusterViews(ControllerComponents duties, MachineViews machines, AsOfStamp moment) {
     this.clock = duties.clock();
     this.settings = duties.settings();
     this.ledger = duties.ledger();
--- a/src/main/java/dapplestair/admin/Tokens.java
+++ b/src/main/java/dapplestair/admin/CredentialStore.java
@@ -25,32 +25,32 @@
  *
  * <p>A line of the file: a name, {@code view} or {@code operate}, and the token's SHA-256 in hex.
  */
-public final class Tokens implements Access {
-  private static final Logger LOG = LoggerFactory.getLogger(Tokens.class);
+public final class CredentialStore implements Authenticator {
+  private static final Logger LOG = LoggerFactory.getLogger(CredentialStore.class);
   private static final String BEARER = "Bearer ";
   private static final long LOOK_EVERY_MS = 1000;
   private static final long LARGEST_FILE = 1 << 20;
 
   private record Entry(String name, Role role, byte[] hash) {}
 
-  private record Read(FileTime at, List<Entry> entries) {}
+  private record TokenFile(FileTime at, List<Entry> entries) {}
 
   private final Path file;
-  private Read read = new Read(null, List.of());
+  private TokenFile read = new TokenFile(null, List.of());
 
-  private Tokens(Path file) {
+  private CredentialStore(Path file) {
     this.file = file;
   }
 
   /** Only certificates are known. */
-  public static Tokens none() {
-    return new Tokens(null);
+  public static CredentialStore none() {
+    return new CredentialStore(null);
   }
 
   /** Reads a file, and again whenever it has changed. */
-  public static Tokens watch(Path file, Timers timers, BackgroundExecutor background)
+  public static CredentialStore watch(Path file, Timers timers, BackgroundExecutor background)
       throws IOException {
-    Tokens tokens = new Tokens(file);
+    CredentialStore tokens = new CredentialStore(file);
     tokens.read = tokens.load();
     tokens.look(timers, background);
     return tokens;
@@ -65,7 +65,7 @@
         });
   }
 
-  private void adopt(Read fresh, Timers timers, BackgroundExecutor background) {
+  private void adopt(TokenFile fresh, Timers timers, BackgroundExecutor background) {
     if (fresh != null) {
       read = fresh;
       LOG.info("{}: {} tokens", file, fresh.entries().size());
@@ -74,7 +74,7 @@
   }
 
   /** The file anew if it has changed; an unreadable one leaves all as it was. */
-  private Read changed(FileTime known) {
+  private TokenFile changed(FileTime known) {
     try {
       return Files.getLastModifiedTime(file).equals(known) ? null : load();
     } catch (IOException e) {
@@ -82,7 +82,7 @@
     }
   }
 
-  private Read load() throws IOException {
+  private TokenFile load() throws IOException {
     FileTime at = Files.getLastModifiedTime(file);
     if (Files.size(file) > LARGEST_FILE) {
       throw new IOException("over " + LARGEST_FILE + " bytes");
@@ -101,7 +101,7 @@
         }
       }
     }
-    return new Read(at, List.copyOf(entries));
+    return new TokenFile(at, List.copyOf(entries));
   }
 
   private static Entry entry(String line) {
@@ -123,7 +123,7 @@
   }
 
   @Override
-  public Known who(Exchange exchange) {
+  public Identity who(Exchange exchange) {
     String header = exchange.header("authorization");
     if (header != null && header.startsWith(BEARER)) {
       return byToken(header.substring(BEARER.length()).strip());
@@ -132,18 +132,18 @@
   }
 
   /** Looks at all entries, each in the same time, so that no answer tells how close a guess was. */
-  private Known byToken(String token) {
+  private Identity byToken(String token) {
     byte[] hash = HexFormat.of().parseHex(hash(token));
-    Known found = null;
+    Identity found = null;
     for (Entry entry : read.entries()) {
       if (MessageDigest.isEqual(entry.hash(), hash)) {
-        found = new Known(entry.name(), entry.role() == Role.OPERATE);
+        found = new Identity(entry.name(), entry.role() == Role.OPERATE);
       }
     }
     return found;
   }
 
-  private static Known bySubject(String subject) {
+  private static Identity bySubject(String subject) {
     if (subject == null) {
       return null;
     }
@@ -160,6 +160,6 @@
     } catch (InvalidNameException e) {
       return null;
     }
-    return name == null || role == null ? null : new Known(name, role == Role.OPERATE);
+    return name == null || role == null ? null : new Identity(name, role == Role.OPERATE);
   }
 }
--- a/src/main/java/dapplestair/admin/DrainHandler.java
+++ b/src/main/java/dapplestair/admin/DrainHandler.java
@@ -20,9 +20,10 @@
   private final Settings settings;
   private final WorkerManager desk;
   private final Drains drains;
-  private final Moment moment;
+  private final AsOfStamp moment;
 
-  DrainHandler(Clock clock, Settings settings, WorkerManager desk, Drains drains, Moment moment) {
+  DrainHandler(
+      Clock clock, Settings settings, WorkerManager desk, Drains drains, AsOfStamp moment) {
     this.clock = clock;
     this.settings = settings;
     this.desk = desk;
@@ -30,11 +31,11 @@
     this.moment = moment;
   }
 
-  void machine(Question question, String id, boolean on, Consumer<Answer> done)
-      throws Question.BadRequest {
+  void machine(AdminRequest question, String id, boolean on, Consumer<AdminResponse> done)
+      throws AdminRequest.BadRequestException {
     // A drain may outlive its machine for a moment; it can be ended all the same.
     if (desk.known(id) == null && !drains.machines().containsKey(id)) {
-      done.accept(Answer.error(404, "no machine " + id));
+      done.accept(AdminResponse.error(404, "no machine " + id));
       return;
     }
     order(
@@ -46,10 +47,10 @@
         done);
   }
 
-  void zone(Question question, String zone, boolean on, Consumer<Answer> done)
-      throws Question.BadRequest {
+  void zone(AdminRequest question, String zone, boolean on, Consumer<AdminResponse> done)
+      throws AdminRequest.BadRequestException {
     if (!settings.zones().contains(zone)) {
-      done.accept(Answer.error(404, "no zone " + zone));
+      done.accept(AdminResponse.error(404, "no zone " + zone));
       return;
     }
     order(
@@ -61,14 +62,15 @@
         done);
   }
 
-  private Drain drain(Question question) throws Question.BadRequest {
+  private Drain drain(AdminRequest question) throws AdminRequest.BadRequestException {
     String why = Json.text(question.body(), "why");
     if (why != null && why.length() > LONGEST_WHY) {
-      throw new Question.BadRequest("why: must have at most " + LONGEST_WHY + " characters");
+      throw new AdminRequest.BadRequestException(
+          "why: must have at most " + LONGEST_WHY + " characters");
     }
     double deadline = Json.decimal(question.body(), "deadline_s", 0);
     if (deadline < 0 || deadline > 1e7) {
-      throw new Question.BadRequest("deadline_s: must be a number from 0 to 1e7");
+      throw new AdminRequest.BadRequestException("deadline_s: must be a number from 0 to 1e7");
     }
     return new Drain(
         question.caller().name(),
@@ -79,7 +81,12 @@
   }
 
   private void order(
-      String what, String name, String key, Drain before, Drain drain, Consumer<Answer> done) {
+      String what,
+      String name,
+      String key,
+      Drain before,
+      Drain drain,
+      Consumer<AdminResponse> done) {
     drains.order(
         key,
         drain,
@@ -87,18 +94,21 @@
         result -> done.accept(answer(what, name, before, drain, result)));
   }
 
-  private Answer answer(String what, String name, Drain before, Drain drain, Wishes.Result result) {
+  private AdminResponse answer(
+      String what, String name, Drain before, Drain drain, Wishes.Result result) {
     return switch (result) {
       case DONE -> {
         ObjectNode object = moment.object().put(what, name).put("drained", drain != null);
         object.put("changed", (before == null) != (drain == null));
-        yield Answer.of(object);
+        yield AdminResponse.of(object);
       }
       case CHANGED ->
-          Answer.error(409, what + " " + name + " was changed by somebody else just now");
-      case REFUSED -> Answer.later("the state service takes no changes now: nothing was changed");
+          AdminResponse.error(409, what + " " + name + " was changed by somebody else just now");
+      case REFUSED ->
+          AdminResponse.later("the state service takes no changes now: nothing was changed");
       case UNKNOWN ->
-          Answer.later("the state service did not answer: whether it is recorded is not known");
+          AdminResponse.later(
+              "the state service did not answer: whether it is recorded is not known");
     };
   }
 }
--- a/src/main/java/dapplestair/admin/EventViews.java
+++ b/src/main/java/dapplestair/admin/EventViews.java
@@ -15,9 +15,9 @@
 final class EventViews {
   private final Timers timers;
   private final EventLog log;
-  private final Pages pages;
+  private final PagedListing pages;
 
-  EventViews(Timers timers, EventLog log, Pages pages) {
+  EventViews(Timers timers, EventLog log, PagedListing pages) {
     this.timers = timers;
     this.log = log;
     this.pages = pages;
@@ -27,7 +27,7 @@
    * Answers with events behind number {@code after}. When there are none, waits for up to {@code
    * waitMs} for the next one that the filter lets through.
    */
-  void list(Filter filter, long after, int limit, long waitMs, Consumer<Answer> done) {
+  void list(Filter filter, long after, int limit, long waitMs, Consumer<AdminResponse> done) {
     Poll poll = new Poll(filter, limit, done, after);
     poll.look();
     if (!poll.over) {
@@ -38,13 +38,13 @@
   private final class Poll {
     private final Filter filter;
     private final int limit;
-    private final Consumer<Answer> done;
+    private final Consumer<AdminResponse> done;
     private long after;
     private boolean over;
     private Cancellable timer = () -> {};
     private final Runnable wake = this::woken;
 
-    Poll(Filter filter, int limit, Consumer<Answer> done, long after) {
+    Poll(Filter filter, int limit, Consumer<AdminResponse> done, long after) {
       this.filter = filter;
       this.limit = limit;
       this.done = done;
--- a/src/main/java/dapplestair/admin/JobViews.java
+++ b/src/main/java/dapplestair/admin/JobViews.java
@@ -27,13 +27,13 @@
   private final Clock clock;
   private final Ledger ledger;
   private final StateClient state;
-  private final Moment moment;
-  private final Pages pages;
+  private final AsOfStamp moment;
+  private final PagedListing pages;
 
   // Jobs that are not over, in the order in which they are listed.
   private final TreeSet<String> live = new TreeSet<>();
 
-  JobViews(Clock clock, Ledger ledger, StateClient state, Moment moment, Pages pages) {
+  JobViews(Clock clock, Ledger ledger, StateClient state, AsOfStamp moment, PagedListing pages) {
     this.clock = clock;
     this.ledger = ledger;
     this.state = state;
@@ -55,11 +55,11 @@
 
   // ---- listing ----
 
-  void list(Filter filter, String after, int limit, Consumer<Answer> done) {
+  void list(Filter filter, String after, int limit, Consumer<AdminResponse> done) {
     pages.read(live, this::row, filter, after, limit, done);
   }
 
-  private Pages.Written row(String ref) {
+  private PagedListing.WritableRow row(String ref) {
     Job job = ledger.job(ref);
     if (job == null || job.over()) {
       return null;
@@ -84,21 +84,21 @@
   }
 
   /** Jobs that are over are not replicated: the state service is asked for a page of them. */
-  void listOver(Filter filter, String after, int limit, Consumer<Answer> done) {
+  void listOver(Filter filter, String after, int limit, Consumer<AdminResponse> done) {
     state.list(
         Keys.OVER,
         after == null ? null : Keys.over(after),
         limit,
         page -> {
           if (!page.path("rows").isArray()) {
-            done.accept(Answer.later("the state service did not answer"));
+            done.accept(AdminResponse.later("the state service did not answer"));
             return;
           }
           List<byte[]> rows = new ArrayList<>();
           String last = null;
           for (JsonNode node : page.get("rows")) {
             last = node.path("k").asText().substring(Keys.OVER.length());
-            Pages.Written written = overRow(node.path("value"));
+            PagedListing.WritableRow written = overRow(node.path("value"));
             if (written != null && filter.test(written)) {
               rows.add(Json.written(written::write));
             }
@@ -107,7 +107,7 @@
         });
   }
 
-  private Pages.Written overRow(JsonNode record) {
+  private PagedListing.WritableRow overRow(JsonNode record) {
     Submission submission = submission(record);
     if (submission == null) {
       return null;
@@ -128,7 +128,7 @@
   /** One row of a listing. */
   private record JobRow(
       Submission job, String status, int done, int running, int waiting, double ageS)
-      implements Pages.Written {
+      implements PagedListing.WritableRow {
     @Override
     public Object value(String field) {
       return switch (field) {
@@ -176,10 +176,10 @@
   // ---- one job ----
 
   /** One job with its attempts from step {@code from} on; only a leader knows them. */
-  void show(String ref, int from, Consumer<Answer> done) {
+  void show(String ref, int from, Consumer<AdminResponse> done) {
     Job job = ledger.job(ref);
     if (job != null && !job.over()) {
-      done.accept(Answer.of(shown(job, from)));
+      done.accept(AdminResponse.of(shown(job, from)));
       return;
     }
     over(
@@ -189,24 +189,26 @@
           ObjectNode object = moment.object().put("status", Json.text(record, "status"));
           object.put("accepted", Json.number(record, "at", 0));
           object.set("job", record.path("job"));
-          return Answer.of(object);
+          return AdminResponse.of(object);
         });
   }
 
   /** Reads how a job ended; 404 when it was never accepted. */
   void over(
-      String ref, Consumer<Answer> done, java.util.function.Function<JsonNode, Answer> found) {
+      String ref,
+      Consumer<AdminResponse> done,
+      java.util.function.Function<JsonNode, AdminResponse> found) {
     // All of it may be done though that is not on record yet, or only a moment after it was read.
     boolean ending = ledger.job(ref) != null;
     state.get(
         Keys.over(ref),
         read -> {
           if (!read.known()) {
-            done.accept(Answer.later("the state service did not answer"));
+            done.accept(AdminResponse.later("the state service did not answer"));
           } else if (!read.exists() && ending) {
-            done.accept(Answer.later("the job is just ending"));
+            done.accept(AdminResponse.later("the job is just ending"));
           } else if (!read.exists()) {
-            done.accept(Answer.error(404, "no job " + ref));
+            done.accept(AdminResponse.error(404, "no job " + ref));
           } else {
             done.accept(found.apply(read.value()));
           }
--- a/src/main/java/dapplestair/admin/MachineViews.java
+++ b/src/main/java/dapplestair/admin/MachineViews.java
@@ -23,11 +23,16 @@
   private final WorkerManager desk;
   private final Drains drains;
   private final JobViews jobs;
-  private final Moment moment;
-  private final Pages pages;
+  private final AsOfStamp moment;
+  private final PagedListing pages;
 
   MachineViews(
-      Clock clock, WorkerManager desk, Drains drains, JobViews jobs, Moment moment, Pages pages) {
+      Clock clock,
+      WorkerManager desk,
+      Drains drains,
+      JobViews jobs,
+      AsOfStamp moment,
+      PagedListing pages) {
     this.clock = clock;
     this.desk = desk;
     this.drains = drains;
@@ -36,13 +41,13 @@
     this.pages = pages;
   }
 
-  void list(Filter filter, String after, int limit, Consumer<Answer> done) {
+  void list(Filter filter, String after, int limit, Consumer<AdminResponse> done) {
     TreeSet<String> names = new TreeSet<>();
     desk.hosts().forEach(h -> names.add(h.id()));
     pages.read(names, this::row, filter, after, limit, done);
   }
 
-  private Pages.Written row(String id) {
+  private PagedListing.WritableRow row(String id) {
     Host host = desk.known(id);
     return host == null ? null : new MachineRow(host, state(host), clock.now());
   }
@@ -74,7 +79,7 @@
   }
 
   /** One row of a listing. */
-  private record MachineRow(Host host, String state, long now) implements Pages.Written {
+  private record MachineRow(Host host, String state, long now) implements PagedListing.WritableRow {
     @Override
     public Object value(String field) {
       return switch (field) {
@@ -129,10 +134,10 @@
     }
   }
 
-  void show(String id, Consumer<Answer> done) {
+  void show(String id, Consumer<AdminResponse> done) {
     Host host = desk.known(id);
     if (host == null) {
-      done.accept(Answer.error(404, "no machine " + id));
+      done.accept(AdminResponse.error(404, "no machine " + id));
       return;
     }
     ObjectNode object =
@@ -162,7 +167,7 @@
     host.attempts().stream()
         .sorted(Comparator.comparing(Attempt::key))
         .forEach(a -> tasks.add(jobs.attempt(a)));
-    done.accept(Answer.of(object));
+    done.accept(AdminResponse.of(object));
   }
 
   /** An order to empty something; {@code left} may be null. */
--- a/src/main/java/dapplestair/admin/Pages.java
+++ b/src/main/java/dapplestair/admin/PagedListing.java
@@ -16,7 +16,7 @@
  * Reads rows in the order of their names, a bounded number in one turn of the loop, so that whoever
  * lists everything delays nobody.
  */
-final class Pages {
+final class PagedListing {
   /** Rows looked at in one turn. */
   static final int ROWS_A_TURN = 250;
 
@@ -24,14 +24,14 @@
   static final int MOST_ROWS = 500;
 
   /** A row that can also be written. */
-  interface Written extends Row {
+  interface WritableRow extends Row {
     void write(JsonGenerator out) throws IOException;
   }
 
   private final Timers timers;
-  private final Moment moment;
+  private final AsOfStamp moment;
 
-  Pages(Timers timers, Moment moment) {
+  PagedListing(Timers timers, AsOfStamp moment) {
     this.timers = timers;
     this.moment = moment;
   }
@@ -42,22 +42,22 @@
    */
   void read(
       NavigableSet<String> names,
-      Function<String, Written> row,
+      Function<String, WritableRow> row,
       Filter filter,
       String after,
       int limit,
-      Consumer<Answer> done) {
+      Consumer<AdminResponse> done) {
     turn(names, row, filter, after, limit, new ArrayList<>(), done);
   }
 
   private void turn(
       NavigableSet<String> names,
-      Function<String, Written> row,
+      Function<String, WritableRow> row,
       Filter filter,
       String after,
       int limit,
       List<byte[]> rows,
-      Consumer<Answer> done) {
+      Consumer<AdminResponse> done) {
     String last = after;
     int looked = 0;
     for (String name : after == null ? names : names.tailSet(after, false)) {
@@ -71,7 +71,7 @@
         return;
       }
       last = name;
-      Written written = row.apply(name);
+      WritableRow written = row.apply(name);
       if (written != null && filter.test(written)) {
         rows.add(Json.written(written::write));
       }
@@ -80,7 +80,7 @@
   }
 
   /** One answer; {@code next} is the cursor of the page behind, or null at the end. */
-  Answer page(List<byte[]> rows, String next) {
+  AdminResponse page(List<byte[]> rows, String next) {
     byte[] body =
         Json.written(
             out -> {
@@ -94,6 +94,6 @@
               out.writeStringField("next", next);
               out.writeEndObject();
             });
-    return new Answer(200, body, 0);
+    return new AdminResponse(200, body, 0);
   }
 }
--- a/src/main/java/dapplestair/admin/ReplacementHandler.java
+++ b/src/main/java/dapplestair/admin/ReplacementHandler.java
@@ -35,9 +35,9 @@
   private final MachineTypes types;
   private final Replacements replacements;
   private final Wishes wishes;
-  private final Moment moment;
+  private final AsOfStamp moment;
 
-  ReplacementHandler(ControllerComponents duties, Moment moment) {
+  ReplacementHandler(ControllerComponents duties, AsOfStamp moment) {
     this.clock = duties.clock();
     this.timers = duties.timers();
     this.settings = duties.settings();
@@ -56,13 +56,13 @@
     return object;
   }
 
-  void show(String name, Consumer<Answer> done) {
+  void show(String name, Consumer<AdminResponse> done) {
     View view = replacements.view(name);
-    done.accept(view == null ? missing(name) : Answer.of(moment.object().setAll(row(view))));
+    done.accept(view == null ? missing(name) : AdminResponse.of(moment.object().setAll(row(view))));
   }
 
-  private static Answer missing(String name) {
-    return Answer.error(404, "no replacement " + name);
+  private static AdminResponse missing(String name) {
+    return AdminResponse.error(404, "no replacement " + name);
   }
 
   private static ObjectNode row(View view) {
@@ -113,9 +113,10 @@
 
   // ---- orders ----
 
-  void start(Question question, String name, Consumer<Answer> done) throws Question.BadRequest {
+  void start(AdminRequest question, String name, Consumer<AdminResponse> done)
+      throws AdminRequest.BadRequestException {
     if (!NAME.matcher(name).matches()) {
-      throw new Question.BadRequest(
+      throw new AdminRequest.BadRequestException(
           "name = \"" + name + "\": must be up to 40 small letters, digits and hyphens");
     }
     Order order = order(question);
@@ -123,33 +124,37 @@
     if (before != null && order.sameAs(before.order())) {
       done.accept(told(name, before.phase(), false));
     } else if (before != null && !before.phase().equals("done")) {
-      done.accept(Answer.error(409, "replacement " + name + " is another order, and not done"));
+      done.accept(
+          AdminResponse.error(409, "replacement " + name + " is another order, and not done"));
     } else if (order.total() == 0) {
-      throw new Question.BadRequest("select = " + select(question.body()) + ": matches no machine");
+      throw new AdminRequest.BadRequestException(
+          "select = " + select(question.body()) + ": matches no machine");
     } else if (before == null && replacements.views().size() >= MOST_ORDERS) {
-      done.accept(Answer.error(409, "there are " + MOST_ORDERS + " replacements: abort some"));
+      done.accept(
+          AdminResponse.error(409, "there are " + MOST_ORDERS + " replacements: abort some"));
     } else {
       record(name, () -> Replacements.begun(order), "choose", done);
     }
   }
 
-  void pause(Question question, String name, Consumer<Answer> done) throws Question.BadRequest {
+  void pause(AdminRequest question, String name, Consumer<AdminResponse> done)
+      throws AdminRequest.BadRequestException {
     String why = why(question.body());
     String words = "by " + question.caller().name() + (why.isEmpty() ? "" : ": " + why);
     change(name, () -> replacements.told(name, words), "paused", done);
   }
 
-  void resume(String name, Consumer<Answer> done) {
+  void resume(String name, Consumer<AdminResponse> done) {
     change(name, () -> replacements.told(name, null), "resumed", done);
   }
 
   /** What is still old goes back into use. */
-  void abort(String name, Consumer<Answer> done) {
+  void abort(String name, Consumer<AdminResponse> done) {
     change(name, () -> null, "aborted", done);
   }
 
   private void change(
-      String name, Supplier<ObjectNode> value, String state, Consumer<Answer> done) {
+      String name, Supplier<ObjectNode> value, String state, Consumer<AdminResponse> done) {
     if (replacements.view(name) == null) {
       done.accept(missing(name));
     } else {
@@ -158,13 +163,17 @@
   }
 
   private void record(
-      String name, Supplier<ObjectNode> value, String state, Consumer<Answer> done) {
+      String name, Supplier<ObjectNode> value, String state, Consumer<AdminResponse> done) {
     record(name, value, state, clock.now() + PATIENCE_MS, done);
   }
 
   /** The leader writes to the same record as it goes on: then the wish is put to it once more. */
   private void record(
-      String name, Supplier<ObjectNode> value, String state, long deadline, Consumer<Answer> done) {
+      String name,
+      Supplier<ObjectNode> value,
+      String state,
+      long deadline,
+      Consumer<AdminResponse> done) {
     wishes.record(
         Keys.REPLACE + name,
         value.get(),
@@ -178,23 +187,26 @@
         });
   }
 
-  private Answer answer(String name, String state, Wishes.Result result) {
+  private AdminResponse answer(String name, String state, Wishes.Result result) {
     return switch (result) {
       case DONE -> told(name, state, true);
-      case CHANGED -> Answer.error(409, "replacement " + name + " was changed just now");
-      case REFUSED -> Answer.later("the state service takes no changes now: nothing was changed");
+      case CHANGED -> AdminResponse.error(409, "replacement " + name + " was changed just now");
+      case REFUSED ->
+          AdminResponse.later("the state service takes no changes now: nothing was changed");
       case UNKNOWN ->
-          Answer.later("the state service did not answer: whether it is recorded is not known");
+          AdminResponse.later(
+              "the state service did not answer: whether it is recorded is not known");
     };
   }
 
-  private Answer told(String name, String state, boolean changed) {
-    return Answer.of(moment.object().put("name", name).put("state", state).put("changed", changed));
+  private AdminResponse told(String name, String state, boolean changed) {
+    return AdminResponse.of(
+        moment.object().put("name", name).put("state", state).put("changed", changed));
   }
 
   // ---- what is asked for ----
 
-  private Order order(Question question) throws Question.BadRequest {
+  private Order order(AdminRequest question) throws AdminRequest.BadRequestException {
     JsonNode node = question.body();
     long now = clock.wall();
     Selection selection = selection(node, now);
@@ -203,7 +215,7 @@
     double usual = ratio > 0 ? Math.max(1, Math.min(MOST_NAMES, Math.ceil(ratio * total))) : 1;
     int step = (int) number(node, "step", usual, 1, MOST_NAMES);
     if (node.has("step_ratio") && (ratio == 0 || node.has("step"))) {
-      throw new Question.BadRequest(
+      throw new AdminRequest.BadRequestException(
           "step_ratio = " + node.get("step_ratio") + ": must be above 0, and stand without step");
     }
     return new Order(
@@ -230,49 +242,52 @@
     return object;
   }
 
-  private Selection selection(JsonNode node, long now) throws Question.BadRequest {
+  private Selection selection(JsonNode node, long now) throws AdminRequest.BadRequestException {
     String zone = Json.text(node, "zone");
     if (zone != null && !settings.zones().contains(zone)) {
-      throw new Question.BadRequest("zone = \"" + zone + "\": no such zone");
+      throw new AdminRequest.BadRequestException("zone = \"" + zone + "\": no such zone");
     }
     String type = Json.text(node, "type");
     if (type != null && types.get(type) == null) {
-      throw new Question.BadRequest("type = \"" + type + "\": no such type");
+      throw new AdminRequest.BadRequestException("type = \"" + type + "\": no such type");
     }
     if (node.has("spot") && !node.get("spot").isBoolean()) {
-      throw new Question.BadRequest("spot = " + node.get("spot") + ": must be true or false");
+      throw new AdminRequest.BadRequestException(
+          "spot = " + node.get("spot") + ": must be true or false");
     }
     Set<String> names = new TreeSet<>();
     node.path("machines").forEach(n -> names.add(n.asText()));
     if (names.size() > MOST_NAMES) {
-      throw new Question.BadRequest("machines: must be at most " + MOST_NAMES);
+      throw new AdminRequest.BadRequestException("machines: must be at most " + MOST_NAMES);
     }
     double olderS = number(node, "older_s", 0, 0, 1e9);
     if (zone == null && type == null && !node.has("spot") && names.isEmpty() && olderS == 0) {
-      throw new Question.BadRequest("select = {}: name a zone, a type, a kind, an age or machines");
+      throw new AdminRequest.BadRequestException(
+          "select = {}: name a zone, a type, a kind, an age or machines");
     }
     long before = olderS > 0 ? now - Math.round(1000 * olderS) : 0;
     return new Selection(
         zone, type, node.has("spot") ? node.get("spot").asBoolean() : null, before, names);
   }
 
-  private static String why(JsonNode node) throws Question.BadRequest {
+  private static String why(JsonNode node) throws AdminRequest.BadRequestException {
     String why = Json.text(node, "why");
     if (why != null && why.length() > LONGEST_WHY) {
-      throw new Question.BadRequest("why: must have at most " + LONGEST_WHY + " characters");
+      throw new AdminRequest.BadRequestException(
+          "why: must have at most " + LONGEST_WHY + " characters");
     }
     return why == null ? "" : why;
   }
 
   private static double number(
       JsonNode node, String field, double otherwise, double low, double high)
-      throws Question.BadRequest {
+      throws AdminRequest.BadRequestException {
     if (!node.has(field)) {
       return otherwise;
     }
     JsonNode v = node.get(field);
     if (!v.isNumber() || !(v.asDouble() >= low && v.asDouble() <= high)) {
-      throw new Question.BadRequest(
+      throw new AdminRequest.BadRequestException(
           "%s = %s: must be a number from %s to %s".formatted(field, v, show(low), show(high)));
     }
     return v.asDouble();
--- a/src/main/java/dapplestair/admin/Routes.java
+++ b/src/main/java/dapplestair/admin/Routes.java
@@ -42,7 +42,8 @@
   /** Something that answers a question. */
   @FunctionalInterface
   interface Handler {
-    void answer(Question question, Consumer<Answer> done) throws Question.BadRequest;
+    void answer(AdminRequest question, Consumer<AdminResponse> done)
+        throws AdminRequest.BadRequestException;
   }
 
   /**
@@ -55,7 +56,7 @@
   record Route(Role role, boolean byLeader, long waitMs, Handler handler) {}
 
   /** Where a question goes, or null when there is no such path. */
-  Route find(Question question) {
+  Route find(AdminRequest question) {
     if (!question.path().startsWith(V1)) {
       return null;
     }
@@ -72,16 +73,17 @@
     return new Route(Role.VIEW, byLeader, 0, handler);
   }
 
-  private Route all(Question question, String what) {
+  private Route all(AdminRequest question, String what) {
     return switch (what) {
       case "jobs" -> view(false, this::listJobs);
       case "machines" -> view(true, this::listMachines);
-      case "teams" -> view(true, (x, done) -> done.accept(Answer.of(cluster.teams())));
-      case "plan" -> view(true, (x, done) -> done.accept(Answer.of(cluster.plan())));
-      case "zones" -> view(true, (x, done) -> done.accept(Answer.of(cluster.zones())));
-      case "status" -> view(true, (x, done) -> done.accept(Answer.of(cluster.status())));
-      case "replacements" -> view(true, (x, done) -> done.accept(Answer.of(replacements.list())));
-      case "drains" -> view(true, (x, done) -> done.accept(Answer.of(machines.drains())));
+      case "teams" -> view(true, (x, done) -> done.accept(AdminResponse.of(cluster.teams())));
+      case "plan" -> view(true, (x, done) -> done.accept(AdminResponse.of(cluster.plan())));
+      case "zones" -> view(true, (x, done) -> done.accept(AdminResponse.of(cluster.zones())));
+      case "status" -> view(true, (x, done) -> done.accept(AdminResponse.of(cluster.status())));
+      case "replacements" ->
+          view(true, (x, done) -> done.accept(AdminResponse.of(replacements.list())));
+      case "drains" -> view(true, (x, done) -> done.accept(AdminResponse.of(machines.drains())));
       case "events" -> new Route(Role.VIEW, true, waitMs(question), this::listEvents);
       default -> null;
     };
@@ -96,7 +98,7 @@
                 if (Submission.validRef(name)) {
                   jobs.show(name, (int) x.number("from", 0, 0, Integer.MAX_VALUE), done);
                 } else {
-                  done.accept(Answer.error(404, "no job " + name));
+                  done.accept(AdminResponse.error(404, "no job " + name));
                 }
               });
       case "machines" -> view(true, (x, done) -> machines.show(name, done));
@@ -113,7 +115,7 @@
             if (Submission.validRef(name)) {
               why.why(name, done);
             } else {
-              done.accept(Answer.error(404, "no job " + name));
+              done.accept(AdminResponse.error(404, "no job " + name));
             }
           });
     }
@@ -146,28 +148,31 @@
     return new Route(Role.OPERATE, true, 0, handler);
   }
 
-  private static long waitMs(Question question) {
+  private static long waitMs(AdminRequest question) {
     try {
       return question.number("waitMs", 0, 0, LONGEST_POLL_MS);
-    } catch (Question.BadRequest e) {
+    } catch (AdminRequest.BadRequestException e) {
       return 0;
     }
   }
 
-  private static Filter filter(Question question, Schema schema) throws Question.BadRequest {
+  private static Filter filter(AdminRequest question, Schema schema)
+      throws AdminRequest.BadRequestException {
     String where = question.param("where");
     try {
       return Filter.read(where, schema);
     } catch (FilterException e) {
-      throw new Question.BadRequest("where: " + e.getMessage() + " (character " + e.at() + ")");
+      throw new AdminRequest.BadRequestException(
+          "where: " + e.getMessage() + " (character " + e.at() + ")");
     }
   }
 
-  private static int limit(Question question) throws Question.BadRequest {
-    return (int) question.number("limit", USUAL_ROWS, 1, Pages.MOST_ROWS);
+  private static int limit(AdminRequest question) throws AdminRequest.BadRequestException {
+    return (int) question.number("limit", USUAL_ROWS, 1, PagedListing.MOST_ROWS);
   }
 
-  private void listJobs(Question question, Consumer<Answer> done) throws Question.BadRequest {
+  private void listJobs(AdminRequest question, Consumer<AdminResponse> done)
+      throws AdminRequest.BadRequestException {
     Filter filter = filter(question, Schema.JOBS);
     if ("over".equals(question.param("scope"))) {
       jobs.listOver(filter, question.param("after"), limit(question), done);
@@ -176,12 +181,14 @@
     }
   }
 
-  private void listMachines(Question question, Consumer<Answer> done) throws Question.BadRequest {
+  private void listMachines(AdminRequest question, Consumer<AdminResponse> done)
+      throws AdminRequest.BadRequestException {
     machines.list(
         filter(question, Schema.MACHINES), question.param("after"), limit(question), done);
   }
 
-  private void listEvents(Question question, Consumer<Answer> done) throws Question.BadRequest {
+  private void listEvents(AdminRequest question, Consumer<AdminResponse> done)
+      throws AdminRequest.BadRequestException {
     long after = question.number("after", 0, 0, Long.MAX_VALUE);
     events.list(filter(question, Schema.EVENTS), after, limit(question), waitMs(question), done);
   }
--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -24,10 +24,10 @@
   private final Disruption disruption;
   private final Blame blame;
   private final JobViews jobs;
-  private final Moment moment;
+  private final AsOfStamp moment;
   private final double planIntervalS;
 
-  WhyView(ControllerComponents duties, JobViews jobs, Moment moment, double planIntervalS) {
+  WhyView(ControllerComponents duties, JobViews jobs, AsOfStamp moment, double planIntervalS) {
     this.settings = duties.settings();
     this.ledger = duties.ledger();
     this.placer = duties.placer();
@@ -39,10 +39,10 @@
     this.planIntervalS = planIntervalS;
   }
 
-  void why(String ref, Consumer<Answer> done) {
+  void why(String ref, Consumer<AdminResponse> done) {
     Job job = ledger.job(ref);
     if (job == null || job.over()) {
-      jobs.over(ref, done, r -> Answer.of(nothing(ref, r.path("status").asText())));
+      jobs.over(ref, done, r -> AdminResponse.of(nothing(ref, r.path("status").asText())));
       return;
     }
     placer.explain(
@@ -50,11 +50,11 @@
         e -> {
           Job now = ledger.job(ref);
           if (e == null) {
-            done.accept(Answer.later("this controller leads no more"));
+            done.accept(AdminResponse.later("this controller leads no more"));
           } else if (now == null || now.over()) {
-            done.accept(Answer.later("the job has just ended"));
+            done.accept(AdminResponse.later("the job has just ended"));
           } else {
-            done.accept(Answer.of(explained(now, e)));
+            done.accept(AdminResponse.of(explained(now, e)));
           }
         });
   }
--- a/src/main/java/dapplestair/cli/ControllerServer.java
+++ b/src/main/java/dapplestair/cli/ControllerServer.java
@@ -1,7 +1,7 @@
 package dapplestair.cli;
 
-import dapplestair.admin.Access;
-import dapplestair.admin.Tokens;
+import dapplestair.admin.Authenticator;
+import dapplestair.admin.CredentialStore;
 import dapplestair.netty.ControllerEventLoop;
 import dapplestair.netty.HttpPool;
 import dapplestair.netty.HttpServer;
@@ -80,13 +80,13 @@
     return new ControllerServer(loop, controller, users, userPort, admin, adminPort);
   }
 
-  private static Access access(Operator.Admin on, ControllerEventLoop loop)
+  private static Authenticator access(Operator.Admin on, ControllerEventLoop loop)
       throws SettingsException {
     try {
       if (on.tokens() != null) {
-        return Tokens.watch(on.tokens(), loop, loop);
+        return CredentialStore.watch(on.tokens(), loop, loop);
       }
-      return on.tls() == null ? Access.open() : Tokens.none();
+      return on.tls() == null ? Authenticator.open() : CredentialStore.none();
     } catch (IOException e) {
       throw new SettingsException(on.tokens() + ": cannot be read: " + e.getMessage());
     }
--- a/src/main/java/dapplestair/cli/Main.java
+++ b/src/main/java/dapplestair/cli/Main.java
@@ -76,11 +76,11 @@
       case "job" -> new JobCommand();
       case "machine" -> new MachineCommand();
       case "replace" -> new ReplaceCommand();
-      case "zone" -> new ClusterCommands.Zone();
-      case "team" -> new ClusterCommands.Team();
-      case "plan" -> new ClusterCommands.Plan();
-      case "event" -> new ClusterCommands.Event();
-      case "status" -> new ClusterCommands.Status();
+      case "zone" -> new ClusterCommands.ZoneCommand();
+      case "team" -> new ClusterCommands.TeamCommand();
+      case "plan" -> new ClusterCommands.PlanCommand();
+      case "event" -> new ClusterCommands.EventCommand();
+      case "status" -> new ClusterCommands.StatusCommand();
       case "context" -> new ContextCommand();
       case "keys" -> new KeysCommand();
       case "rehearse" -> new RehearseCommand();
--- a/src/main/java/dapplestair/client/Api.java
+++ b/src/main/java/dapplestair/client/ApiClient.java
@@ -29,7 +29,7 @@
  * Asks the endpoints in turn until one answers for good, within one time for all of it. An answer
  * that comes later is dropped, and none is kept from before.
  */
-final class Api {
+final class ApiClient {
   private static final long ROUND_MS = 250;
   private static final long LONGEST_PAUSE_MS = 2000;
 
@@ -37,7 +37,7 @@
   private final long timeoutMs;
   private final HttpClient http;
 
-  Api(Contexts.Context context, long timeoutMs) throws Failure {
+  ApiClient(Contexts.Context context, long timeoutMs) throws CommandException {
     this.context = context;
     this.timeoutMs = timeoutMs;
     HttpClient.Builder builder =
@@ -50,17 +50,17 @@
   }
 
   /** For plain HTTP alone: the JDK's client would else read all authorities of this machine. */
-  private static SSLContext noTls() throws Failure {
+  private static SSLContext noTls() throws CommandException {
     try {
       SSLContext none = SSLContext.getInstance("TLS");
       none.init(null, new TrustManager[0], null);
       return none;
     } catch (GeneralSecurityException e) {
-      throw new Failure(1, e.getMessage());
+      throw new CommandException(1, e.getMessage());
     }
   }
 
-  private static SSLContext tls(Contexts.Context context) throws Failure {
+  private static SSLContext tls(Contexts.Context context) throws CommandException {
     try {
       SslContextBuilder sslContextBuilder =
           SslContextBuilder.forClient().sslProvider(SslProvider.JDK);
@@ -72,26 +72,28 @@
       }
       return ((JdkSslContext) sslContextBuilder.build()).context();
     } catch (SSLException | IllegalArgumentException e) {
-      throw new Failure(Failure.WRONG_USAGE, "the key files cannot be used: " + e.getMessage());
+      throw new CommandException(
+          CommandException.WRONG_USAGE, "the key files cannot be used: " + e.getMessage());
     }
   }
 
   /** An answer for good: 2xx. Anything else is a failure. */
-  JsonNode get(String path) throws Failure {
+  JsonNode get(String path) throws CommandException {
     return call("GET", path, null, 0);
   }
 
   /** A request that may be repeated without harm. */
-  JsonNode post(String path, JsonNode body) throws Failure {
+  JsonNode post(String path, JsonNode body) throws CommandException {
     return call("POST", path, body, 0);
   }
 
   /** A question whose answer may keep silent for so long before it comes. */
-  JsonNode poll(String path, long waitMs) throws Failure {
+  JsonNode poll(String path, long waitMs) throws CommandException {
     return call("GET", path, null, waitMs);
   }
 
-  private JsonNode call(String method, String path, JsonNode body, long waitMs) throws Failure {
+  private JsonNode call(String method, String path, JsonNode body, long waitMs)
+      throws CommandException {
     long began = System.nanoTime();
     Map<String, String> said = new LinkedHashMap<>();
     boolean refusedByTls = true;
@@ -134,13 +136,14 @@
 
   private HttpResponse<byte[]> send(
       String endpoint, String method, String path, JsonNode body, long leftMs)
-      throws IOException, Failure {
+      throws IOException, CommandException {
     HttpRequest.Builder builder;
     try {
       builder =
           HttpRequest.newBuilder(URI.create(endpoint + path)).timeout(Duration.ofMillis(leftMs));
     } catch (IllegalArgumentException e) {
-      throw new Failure(Failure.WRONG_USAGE, endpoint + ": not a URL: " + e.getMessage());
+      throw new CommandException(
+          CommandException.WRONG_USAGE, endpoint + ": not a URL: " + e.getMessage());
     }
     if (context.token() != null) {
       builder.header("Authorization", "Bearer " + context.token());
@@ -177,14 +180,14 @@
     return body;
   }
 
-  private static Failure refused(String endpoint, HttpResponse<byte[]> r) {
+  private static CommandException refused(String endpoint, HttpResponse<byte[]> r) {
     int code =
         switch (r.statusCode()) {
-          case 400 -> Failure.WRONG_USAGE;
-          case 404 -> Failure.NO_SUCH_THING;
-          default -> Failure.REFUSED;
+          case 400 -> CommandException.WRONG_USAGE;
+          case 404 -> CommandException.NO_SUCH_THING;
+          default -> CommandException.REFUSED;
         };
-    return new Failure(code, error(r) + " (" + r.statusCode() + " from " + endpoint + ")");
+    return new CommandException(code, error(r) + " (" + r.statusCode() + " from " + endpoint + ")");
   }
 
   private static String error(HttpResponse<byte[]> r) {
@@ -201,7 +204,7 @@
     }
   }
 
-  private static Failure unreachable(Map<String, String> said, long began, boolean byTls) {
+  private static CommandException unreachable(Map<String, String> said, long began, boolean byTls) {
     StringBuilder out = new StringBuilder();
     double s = elapsedMs(began) / 1000.0;
     out.append(
@@ -212,7 +215,8 @@
                 "the service cannot be reached or is restarting (tried for %.1f s)",
                 s));
     said.forEach((endpoint, what) -> out.append("\n  ").append(endpoint).append(": ").append(what));
-    return new Failure(byTls ? Failure.REFUSED : Failure.UNREACHABLE, out.toString());
+    return new CommandException(
+        byTls ? CommandException.REFUSED : CommandException.UNREACHABLE, out.toString());
   }
 
   private static String words(IOException e) {
@@ -248,12 +252,12 @@
     return m.lines().findFirst().orElse("");
   }
 
-  private static void sleep(long ms) throws Failure {
+  private static void sleep(long ms) throws CommandException {
     try {
       Thread.sleep(Math.max(1, ms));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new Failure(1, "interrupted");
+      throw new CommandException(1, "interrupted");
     }
   }
 }
--- a/src/main/java/dapplestair/client/ClientCommand.java
+++ b/src/main/java/dapplestair/client/ClientCommand.java
@@ -15,17 +15,17 @@
 abstract class ClientCommand implements Callable<Integer> {
   private static final int PAGE = 500;
 
-  @Mixin Common common;
+  @Mixin CommonOptions common;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
-  abstract int run(Api api, Output out) throws Failure;
+  abstract int run(ApiClient api, Output out) throws CommandException;
 
   @Override
   public final Integer call() {
     try {
       return run(common.api(), common.output());
-    } catch (Failure f) {
+    } catch (CommandException f) {
       spec.commandLine().getErr().println("dapplestair: " + f.getMessage());
       spec.commandLine().getErr().flush();
       return f.code();
@@ -37,7 +37,8 @@
   }
 
   /** Reads page after page; {@code query} is added to each, {@code limit} 0 for all. */
-  static JsonNode pages(Api api, String path, String query, int limit) throws Failure {
+  static JsonNode pages(ApiClient api, String path, String query, int limit)
+      throws CommandException {
     List<JsonNode> rows = new ArrayList<>();
     String after = "";
     while (true) {
--- a/src/main/java/dapplestair/client/ClusterCommands.java
+++ b/src/main/java/dapplestair/client/ClusterCommands.java
@@ -18,7 +18,7 @@
       mixinStandardHelpOptions = true,
       description = "Look at teams.",
       subcommands = ListTeams.class)
-  public static final class Team {}
+  public static final class TeamCommand {}
 
   @Command(
       name = "list",
@@ -27,7 +27,7 @@
               + " replicas out, and how many may be.")
   static final class ListTeams extends ClientCommand {
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       out.rows(
           api.get("/v1/teams"),
           "team",
@@ -49,14 +49,14 @@
       mixinStandardHelpOptions = true,
       description = "Look at zones.",
       subcommands = ListZones.class)
-  public static final class Zone {}
+  public static final class ZoneCommand {}
 
   @Command(
       name = "list",
       description = "List zones: steady, cut, lost or returning, and what is there.")
   static final class ListZones extends ClientCommand {
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       out.rows(
           api.get("/v1/zones"),
           "zone",
@@ -79,12 +79,12 @@
       mixinStandardHelpOptions = true,
       description = "Look at the plan.",
       subcommands = ShowPlan.class)
-  public static final class Plan {}
+  public static final class PlanCommand {}
 
   @Command(name = "show", description = "Show the plan applied last, with its three costs.")
   static final class ShowPlan extends ClientCommand {
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       out.one(api.get("/v1/plan"));
       return 0;
     }
@@ -94,9 +94,9 @@
   @Command(
       name = "status",
       description = "Say who leads, which controllers live, and what waits for the state service.")
-  public static final class Status extends ClientCommand {
+  public static final class StatusCommand extends ClientCommand {
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       out.one(api.get("/v1/status"));
       return 0;
     }
@@ -108,7 +108,7 @@
       mixinStandardHelpOptions = true,
       description = "Look at what happened.",
       subcommands = ListEvents.class)
-  public static final class Event {}
+  public static final class EventCommand {}
 
   @Command(
       name = "list",
@@ -117,7 +117,7 @@
   static final class ListEvents extends ClientCommand {
     private static final long WAIT_MS = 10_000;
 
-    @Mixin private Where where;
+    @Mixin private FilterOption where;
 
     @Option(
         names = "--limit",
@@ -130,7 +130,7 @@
     private boolean follow;
 
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       String path = "/v1/events?limit=500" + where.query(Schema.EVENTS);
       List<JsonNode> rows = new ArrayList<>();
       JsonNode page = api.get(path);
--- a/src/main/java/dapplestair/client/Failure.java
+++ b/src/main/java/dapplestair/client/CommandException.java
@@ -1,7 +1,7 @@
 package dapplestair.client;
 
 /** Why a command ends without having done what it was asked, with its exit code. */
-final class Failure extends Exception {
+final class CommandException extends Exception {
   private static final long serialVersionUID = 1L;
 
   static final int WRONG_USAGE = 2;
@@ -11,7 +11,7 @@
 
   private final int code;
 
-  Failure(int code, String message) {
+  CommandException(int code, String message) {
     super(message, null, false, false);
     this.code = code;
   }
--- a/src/main/java/dapplestair/client/Common.java
+++ b/src/main/java/dapplestair/client/CommonOptions.java
@@ -9,12 +9,12 @@
 import picocli.CommandLine.Option;
 
 /** What all commands of the client understand. */
-final class Common {
+final class CommonOptions {
   private static final String USUAL = "http://127.0.0.1:8081";
   private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s|m)?");
 
   /** Forms of output. */
-  enum Form {
+  enum OutputFormat {
     table,
     json,
     csv
@@ -41,7 +41,7 @@
       paramLabel = "FORM",
       defaultValue = "table",
       description = "${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE})")
-  private Form form;
+  private OutputFormat form;
 
   @Option(names = "--no-color", description = "plain tables")
   private boolean noColor;
@@ -64,25 +64,26 @@
   }
 
   boolean terminal() {
-    return System.console() != null && form == Form.table;
+    return System.console() != null && form == OutputFormat.table;
   }
 
-  long timeoutMs() throws Failure {
+  long timeoutMs() throws CommandException {
     Matcher matcher = DURATION.matcher(timeout);
     if (!matcher.matches()) {
-      throw new Failure(Failure.WRONG_USAGE, "--timeout: " + timeout + " is no time such as 5s");
+      throw new CommandException(
+          CommandException.WRONG_USAGE, "--timeout: " + timeout + " is no time such as 5s");
     }
     double n = Double.parseDouble(matcher.group(1));
     String unit = matcher.group(2) == null ? "s" : matcher.group(2);
     return Math.max(1, Math.round(n * (unit.equals("ms") ? 1 : unit.equals("s") ? 1000 : 60_000)));
   }
 
-  Api api() throws Failure {
-    return new Api(resolved(System.getenv()), timeoutMs());
+  ApiClient api() throws CommandException {
+    return new ApiClient(resolved(System.getenv()), timeoutMs());
   }
 
   /** From --endpoint, then --context, the environment, the current context, this machine. */
-  private Contexts.Context resolved(Map<String, String> env) throws Failure {
+  private Contexts.Context resolved(Map<String, String> env) throws CommandException {
     Contexts.Context named = context == null ? null : Contexts.load(env).context(context);
     String token = env.get("DAPPLESTAIR_TOKEN");
     if (named == null && endpoints.isEmpty()) {
--- a/src/main/java/dapplestair/client/ContextCommand.java
+++ b/src/main/java/dapplestair/client/ContextCommand.java
@@ -11,13 +11,13 @@
     name = "context",
     mixinStandardHelpOptions = true,
     description = "Look at the contexts of client.toml, and choose the one in use.",
-    subcommands = {ContextCommand.ListContexts.class, ContextCommand.Use.class})
+    subcommands = {ContextCommand.ListContexts.class, ContextCommand.UseContext.class})
 public final class ContextCommand {
   /** A command that only reads or writes the file. */
-  abstract static class Local implements Callable<Integer> {
+  abstract static class LocalCommand implements Callable<Integer> {
     @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
-    abstract void run(Contexts contexts) throws Failure;
+    abstract void run(Contexts contexts) throws CommandException;
 
     @Override
     public Integer call() {
@@ -25,7 +25,7 @@
         run(Contexts.load(System.getenv()));
         spec.commandLine().getOut().flush();
         return 0;
-      } catch (Failure failure) {
+      } catch (CommandException failure) {
         spec.commandLine().getErr().println("dapplestair: " + failure.getMessage());
         return failure.code();
       }
@@ -36,9 +36,9 @@
       name = "list",
       mixinStandardHelpOptions = true,
       description = "List contexts; * is in use.")
-  static final class ListContexts extends Local {
+  static final class ListContexts extends LocalCommand {
     @Override
-    void run(Contexts contexts) throws Failure {
+    void run(Contexts contexts) throws CommandException {
       for (Map.Entry<String, Contexts.Context> entry : contexts.all().entrySet()) {
         String mark = entry.getKey().equals(contexts.current()) ? "* " : "  ";
         String endpoints = String.join(" ", entry.getValue().endpoints());
@@ -51,12 +51,12 @@
       name = "use",
       mixinStandardHelpOptions = true,
       description = "Use a context from now on.")
-  static final class Use extends Local {
+  static final class UseContext extends LocalCommand {
     @Parameters(paramLabel = "NAME")
     private String name;
 
     @Override
-    void run(Contexts contexts) throws Failure {
+    void run(Contexts contexts) throws CommandException {
       contexts.use(name);
     }
   }
--- a/src/main/java/dapplestair/client/Contexts.java
+++ b/src/main/java/dapplestair/client/Contexts.java
@@ -29,7 +29,7 @@
     this.root = root;
   }
 
-  static Contexts load(Map<String, String> env) throws Failure {
+  static Contexts load(Map<String, String> env) throws CommandException {
     String home = env.getOrDefault("HOME", System.getProperty("user.home"));
     String config = env.getOrDefault("XDG_CONFIG_HOME", home + "/.config");
     Path file = Path.of(config, "dapplestair", "client.toml");
@@ -39,9 +39,10 @@
     try {
       return new Contexts(file, TOML.readTree(Files.readString(file)));
     } catch (JsonProcessingException e) {
-      throw new Failure(Failure.WRONG_USAGE, file + ": not TOML: " + e.getOriginalMessage());
+      throw new CommandException(
+          CommandException.WRONG_USAGE, file + ": not TOML: " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new Failure(Failure.WRONG_USAGE, file + ": cannot be read");
+      throw new CommandException(CommandException.WRONG_USAGE, file + ": cannot be read");
     }
   }
 
@@ -49,7 +50,7 @@
     return Json.text(root, "current");
   }
 
-  Map<String, Context> all() throws Failure {
+  Map<String, Context> all() throws CommandException {
     Map<String, Context> out = new TreeMap<>();
     for (var it = root.path("contexts").fieldNames(); it.hasNext(); ) {
       String name = it.next();
@@ -59,16 +60,18 @@
   }
 
   /** A context by name, which must exist. */
-  Context context(String name) throws Failure {
+  Context context(String name) throws CommandException {
     JsonNode node = root.path("contexts").path(name);
     if (!node.isObject()) {
-      throw new Failure(Failure.WRONG_USAGE, "no context " + name + " in " + file);
+      throw new CommandException(
+          CommandException.WRONG_USAGE, "no context " + name + " in " + file);
     }
     List<String> endpoints = new ArrayList<>();
     node.path("endpoints").forEach(e -> endpoints.add(e.asText()));
     if (endpoints.isEmpty()) {
-      throw new Failure(
-          Failure.WRONG_USAGE, file + ": contexts." + name + ".endpoints: must be a list of URLs");
+      throw new CommandException(
+          CommandException.WRONG_USAGE,
+          file + ": contexts." + name + ".endpoints: must be a list of URLs");
     }
     return new Context(
         endpoints,
@@ -84,7 +87,7 @@
   }
 
   /** Makes a context the one used when none is named. */
-  void use(String name) throws Failure {
+  void use(String name) throws CommandException {
     context(name);
     ObjectNode changed = ((ObjectNode) root.deepCopy()).put("current", name);
     try {
@@ -92,7 +95,7 @@
       Files.writeString(fresh, TOML.writeValueAsString(changed));
       Files.move(fresh, file, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
     } catch (IOException e) {
-      throw new Failure(1, file + ": cannot be written");
+      throw new CommandException(1, file + ": cannot be written");
     }
   }
 }
--- a/src/main/java/dapplestair/client/JobCommand.java
+++ b/src/main/java/dapplestair/client/JobCommand.java
@@ -26,7 +26,7 @@
     subcommands = {
       JobCommand.Submit.class,
       JobCommand.ListJobs.class,
-      JobCommand.Show.class,
+      JobCommand.ShowJob.class,
       JobCommand.Why.class,
       WatchCommand.class,
       JobCommand.Cancel.class
@@ -47,7 +47,7 @@
     private String file;
 
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       ObjectNode body = read();
       String ref = body.path("ref").asText();
       try {
@@ -56,11 +56,11 @@
           out.say(ref);
         }
         return 0;
-      } catch (Failure failure) {
-        if (failure.code() != Failure.UNREACHABLE) {
+      } catch (CommandException failure) {
+        if (failure.code() != CommandException.UNREACHABLE) {
           throw failure;
         }
-        throw new Failure(
+        throw new CommandException(
             failure.code(),
             failure.getMessage()
                 + "\nwhether "
@@ -69,19 +69,19 @@
       }
     }
 
-    private ObjectNode read() throws Failure {
+    private ObjectNode read() throws CommandException {
       byte[] bytes;
       try {
         bytes = file.equals("-") ? System.in.readAllBytes() : Files.readAllBytes(Path.of(file));
       } catch (IOException e) {
-        throw new Failure(Failure.WRONG_USAGE, file + ": cannot be read");
+        throw new CommandException(CommandException.WRONG_USAGE, file + ": cannot be read");
       }
       if (bytes.length > MOST_BYTES) {
-        throw new Failure(
-            Failure.WRONG_USAGE, file + ": over 64 KiB, more than a submission may have");
+        throw new CommandException(
+            CommandException.WRONG_USAGE, file + ": over 64 KiB, more than a submission may have");
       }
       if (!(Json.parse(bytes) instanceof ObjectNode body)) {
-        throw new Failure(Failure.WRONG_USAGE, file + ": not a JSON object");
+        throw new CommandException(CommandException.WRONG_USAGE, file + ": not a JSON object");
       }
       if (!body.hasNonNull("ref")) {
         // Fifteen digits, so that two that are made at the same moment differ.
@@ -93,7 +93,7 @@
         Submission submission = Submission.parse(body);
         warnUnknown(body, submission);
       } catch (Submission.Malformed e) {
-        throw new Failure(Failure.WRONG_USAGE, file + ": " + e.getMessage());
+        throw new CommandException(CommandException.WRONG_USAGE, file + ": " + e.getMessage());
       }
       return body;
     }
@@ -125,7 +125,7 @@
         "  dapplestair job list --over --limit 20 -o csv"
       })
   static final class ListJobs extends ClientCommand {
-    @Mixin private Where where;
+    @Mixin private FilterOption where;
 
     @Option(
         names = "--limit",
@@ -138,7 +138,7 @@
     private boolean over;
 
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       String query = (over ? "&scope=over" : "") + where.query(Schema.JOBS);
       JsonNode answer = pages(api, "/v1/jobs", query, Math.max(0, limit));
       out.rows(
@@ -159,7 +159,7 @@
   }
 
   @Command(name = "show", description = "Show a job with its tasks, attempts and machines.")
-  static final class Show extends ClientCommand {
+  static final class ShowJob extends ClientCommand {
     @Parameters(paramLabel = "REF")
     private String ref;
 
@@ -167,7 +167,7 @@
     private int from;
 
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       out.one(api.get("/v1/jobs/" + encoded(ref) + "?from=" + Math.max(0, from)));
       return 0;
     }
@@ -179,7 +179,7 @@
     private String ref;
 
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       out.one(api.get("/v1/jobs/" + encoded(ref) + "/why"));
       return 0;
     }
@@ -191,7 +191,7 @@
     private List<String> refs;
 
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       for (String ref : refs) {
         JsonNode answer = api.post("/submissions/" + encoded(ref) + "/withdraw", Json.object());
         out.say(ref + " " + answer.path("status").asText());
--- a/src/main/java/dapplestair/client/MachineCommand.java
+++ b/src/main/java/dapplestair/client/MachineCommand.java
@@ -17,10 +17,10 @@
     description = "Look at machines, empty them and take them back.",
     subcommands = {
       MachineCommand.ListMachines.class,
-      MachineCommand.Show.class,
-      MachineCommand.Drain.class,
-      MachineCommand.Undrain.class,
-      MachineCommand.Drains.class
+      MachineCommand.ShowMachine.class,
+      MachineCommand.DrainMachines.class,
+      MachineCommand.UndrainMachines.class,
+      MachineCommand.ListDrains.class
     })
 public final class MachineCommand {
   @Command(
@@ -28,7 +28,7 @@
       description = "List machines.",
       footer = {"", "Example:  dapplestair machine list --where 'zone = a and state != up'"})
   static final class ListMachines extends ClientCommand {
-    @Mixin private Where where;
+    @Mixin private FilterOption where;
 
     @Option(
         names = "--limit",
@@ -38,7 +38,7 @@
     private int limit;
 
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       out.rows(
           pages(api, "/v1/machines", where.query(Schema.MACHINES), Math.max(0, limit)),
           "id",
@@ -56,28 +56,29 @@
   }
 
   @Command(name = "show", description = "Show a machine with what runs on it.")
-  static final class Show extends ClientCommand {
+  static final class ShowMachine extends ClientCommand {
     @Parameters(paramLabel = "ID")
     private String id;
 
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       out.one(api.get("/v1/machines/" + encoded(id)));
       return 0;
     }
   }
 
   /** Machines by name, or whole zones. */
-  abstract static class Order extends ClientCommand {
+  abstract static class MachineSelectionCommand extends ClientCommand {
     @Parameters(paramLabel = "ID", arity = "0..*")
     private List<String> ids = List.of();
 
     @Option(names = "--zone", paramLabel = "ZONE", description = "a whole zone")
     private List<String> zones = List.of();
 
-    void all(Api api, Output out, String verb, ObjectNode body) throws Failure {
+    void all(ApiClient api, Output out, String verb, ObjectNode body) throws CommandException {
       if (ids.isEmpty() && zones.isEmpty()) {
-        throw new Failure(Failure.WRONG_USAGE, "name a machine, or a zone with --zone");
+        throw new CommandException(
+            CommandException.WRONG_USAGE, "name a machine, or a zone with --zone");
       }
       for (String id : ids) {
         say(out, id, api.post("/v1/machines/" + encoded(id) + "/" + verb, body));
@@ -107,7 +108,7 @@
         "  dapplestair machine drain n-000012 --why 'disk errors' --return",
         "  dapplestair machine drain --zone a --deadline 600"
       })
-  static final class Drain extends Order {
+  static final class DrainMachines extends MachineSelectionCommand {
     @Option(names = "--why", paramLabel = "TEXT", description = "shown to whoever looks at it")
     private String why = "";
 
@@ -121,7 +122,7 @@
     private double deadlineS;
 
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       ObjectNode body = Json.object().put("why", why).put("return", giveBack);
       if (deadlineS > 0) {
         body.put("deadline_s", deadlineS);
@@ -132,18 +133,18 @@
   }
 
   @Command(name = "undrain", description = "Take drained machines or zones back into use.")
-  static final class Undrain extends Order {
+  static final class UndrainMachines extends MachineSelectionCommand {
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       all(api, out, "undrain", Json.object());
       return 0;
     }
   }
 
   @Command(name = "drains", description = "List what is drained, by whom, and what is left there.")
-  static final class Drains extends ClientCommand {
+  static final class ListDrains extends ClientCommand {
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       out.rows(
           api.get("/v1/drains"),
           "zone",
--- a/src/main/java/dapplestair/client/Output.java
+++ b/src/main/java/dapplestair/client/Output.java
@@ -25,11 +25,11 @@
   private static final int NARROWEST = 6;
 
   private final PrintWriter out;
-  private final Common.Form form;
+  private final CommonOptions.OutputFormat form;
   private final boolean color;
   private final int width;
 
-  Output(PrintWriter out, Common.Form form, boolean color, int width) {
+  Output(PrintWriter out, CommonOptions.OutputFormat form, boolean color, int width) {
     this.out = out;
     this.form = form;
     this.color = color;
@@ -53,9 +53,9 @@
 
   /** One thing: its plain fields, then its lists as tables. */
   void one(JsonNode answer) {
-    if (form == Common.Form.json) {
+    if (form == CommonOptions.OutputFormat.json) {
       line(answer);
-    } else if (form == Common.Form.csv) {
+    } else if (form == CommonOptions.OutputFormat.csv) {
       csv(List.of(answer), names(answer).toArray(String[]::new));
     } else {
       fields("", answer);
--- a/src/main/java/dapplestair/client/ReplaceCommand.java
+++ b/src/main/java/dapplestair/client/ReplaceCommand.java
@@ -15,8 +15,8 @@
     description = "Replace machines by new ones, a step at a time, within the teams' budgets.",
     subcommands = {
       ReplaceCommand.Start.class,
-      ReplaceCommand.ListAll.class,
-      ReplaceCommand.Show.class,
+      ReplaceCommand.ListReplacements.class,
+      ReplaceCommand.ShowReplacement.class,
       ReplaceCommand.Pause.class,
       ReplaceCommand.Resume.class,
       ReplaceCommand.Abort.class
@@ -25,11 +25,11 @@
   private static final String PATH = "/v1/replacements";
 
   /** An order by name. */
-  abstract static class Named extends ClientCommand {
+  abstract static class NamedOrderCommand extends ClientCommand {
     @Parameters(paramLabel = "NAME")
     String name;
 
-    void tell(Api api, Output out, String verb, ObjectNode body) throws Failure {
+    void tell(ApiClient api, Output out, String verb, ObjectNode body) throws CommandException {
       JsonNode answer = api.post(PATH + "/" + encoded(name) + "/" + verb, body);
       String already = answer.path("changed").asBoolean() ? "" : ", as before";
       out.say("replacement " + name + ": " + answer.path("state").asText() + already);
@@ -48,7 +48,7 @@
         "  dapplestair replace start tonight --older 86400 --step-ratio 0.05 --beyond 3",
         "  dapplestair replace start zone-a --zone a --steady --step 2 --deadline 900"
       })
-  static final class Start extends Named {
+  static final class Start extends NamedOrderCommand {
     @Option(names = "--zone", paramLabel = "ZONE", description = "only machines of this zone")
     private String zone;
 
@@ -99,9 +99,10 @@
     private String why;
 
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       if (spot && steady) {
-        throw new Failure(Failure.WRONG_USAGE, "--spot and --steady leave no machine");
+        throw new CommandException(
+            CommandException.WRONG_USAGE, "--spot and --steady leave no machine");
       }
       ObjectNode body = Json.object();
       body.put("zone", zone).put("type", type).put("why", why);
@@ -121,9 +122,9 @@
   }
 
   @Command(name = "list", description = "List replacements, and how far they are.")
-  static final class ListAll extends ClientCommand {
+  static final class ListReplacements extends ClientCommand {
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       out.rows(
           api.get(PATH),
           "name",
@@ -140,39 +141,39 @@
   }
 
   @Command(name = "show", description = "Show one replacement.")
-  static final class Show extends Named {
+  static final class ShowReplacement extends NamedOrderCommand {
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       out.one(api.get(PATH + "/" + encoded(name)));
       return 0;
     }
   }
 
   @Command(name = "pause", description = "Stop after what is under way; machines go back into use.")
-  static final class Pause extends Named {
+  static final class Pause extends NamedOrderCommand {
     @Option(names = "--why", paramLabel = "TEXT", description = "shown to whoever looks at it")
     private String why = "";
 
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       tell(api, out, "pause", Json.object().put("why", why));
       return 0;
     }
   }
 
   @Command(name = "resume", description = "Go on with a replacement that pauses.")
-  static final class Resume extends Named {
+  static final class Resume extends NamedOrderCommand {
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       tell(api, out, "resume", Json.object());
       return 0;
     }
   }
 
   @Command(name = "abort", description = "End a replacement; what is still old stays in use.")
-  static final class Abort extends Named {
+  static final class Abort extends NamedOrderCommand {
     @Override
-    int run(Api api, Output out) throws Failure {
+    int run(ApiClient api, Output out) throws CommandException {
       tell(api, out, "abort", Json.object());
       return 0;
     }
--- a/src/main/java/dapplestair/client/WatchCommand.java
+++ b/src/main/java/dapplestair/client/WatchCommand.java
@@ -23,7 +23,7 @@
   private List<String> refs;
 
   @Override
-  int run(Api api, Output out) throws Failure {
+  int run(ApiClient api, Output out) throws CommandException {
     Map<String, String> last = new LinkedHashMap<>();
     Map<String, Long> tasks = new LinkedHashMap<>();
     boolean aborted = false;
@@ -44,7 +44,7 @@
         allOver &= over(line);
       }
       if (allOver) {
-        return aborted ? Failure.REFUSED : 0;
+        return aborted ? CommandException.REFUSED : 0;
       }
       pause();
     }
@@ -54,7 +54,8 @@
     return line != null && (line.endsWith(" done") || line.endsWith(" aborted"));
   }
 
-  private String line(Api api, String ref, JsonNode node, Map<String, Long> tasks) throws Failure {
+  private String line(ApiClient api, String ref, JsonNode node, Map<String, Long> tasks)
+      throws CommandException {
     String status = node.path("status").asText();
     if (!node.has("done")) {
       return ref + " " + status;
@@ -83,12 +84,12 @@
     }
   }
 
-  private static void pause() throws Failure {
+  private static void pause() throws CommandException {
     try {
       Thread.sleep(EVERY_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new Failure(1, "interrupted");
+      throw new CommandException(1, "interrupted");
     }
   }
 }
--- a/src/main/java/dapplestair/filter/Filter.java
+++ b/src/main/java/dapplestair/filter/Filter.java
@@ -34,13 +34,13 @@
     bound(text);
     FilterLexer lexer = new FilterLexer(CharStreams.fromString(text));
     FilterParser parser = new FilterParser(new CommonTokenStream(lexer));
-    Mistakes mistakes = new Mistakes(text);
+    SyntaxErrorListener mistakes = new SyntaxErrorListener(text);
     lexer.removeErrorListeners();
     lexer.addErrorListener(mistakes);
     parser.removeErrorListeners();
     parser.addErrorListener(mistakes);
     try {
-      return new Compiler(schema).visit(parser.filter());
+      return new FilterCompiler(schema).visit(parser.filter());
     } catch (ParseCancellationException e) {
       if (e.getCause() instanceof FilterException filterException) {
         throw filterException;
@@ -65,10 +65,10 @@
   }
 
   /** Ends the reading at the first mistake. */
-  final class Mistakes extends BaseErrorListener {
+  final class SyntaxErrorListener extends BaseErrorListener {
     private final String text;
 
-    Mistakes(String text) {
+    SyntaxErrorListener(String text) {
       this.text = text;
     }
 
--- a/src/main/java/dapplestair/filter/Compiler.java
+++ b/src/main/java/dapplestair/filter/FilterCompiler.java
@@ -8,10 +8,10 @@
 import org.antlr.v4.runtime.misc.ParseCancellationException;
 
 /** Turns a parsed filter into a condition, checking fields and types. */
-final class Compiler extends FilterBaseVisitor<Filter> {
+final class FilterCompiler extends FilterBaseVisitor<Filter> {
   private final Schema schema;
 
-  Compiler(Schema schema) {
+  FilterCompiler(Schema schema) {
     this.schema = schema;
   }
 
--- a/src/main/java/dapplestair/json/Json.java
+++ b/src/main/java/dapplestair/json/Json.java
@@ -50,13 +50,13 @@
 
   /** Writes one value to a generator; for long answers, of which no tree is built. */
   @FunctionalInterface
-  public interface Written {
+  public interface JsonWriter {
     /** Writes. */
     void to(JsonGenerator out) throws IOException;
   }
 
   /** Bytes of what is written. */
-  public static byte[] written(Written value) {
+  public static byte[] written(JsonWriter value) {
     ByteArrayBuilder bytes = new ByteArrayBuilder();
     try (JsonGenerator out = MAPPER.createGenerator(bytes)) {
       value.to(out);
--- a/src/main/java/dapplestair/keys/KeysCommand.java
+++ b/src/main/java/dapplestair/keys/KeysCommand.java
@@ -1,7 +1,7 @@
 package dapplestair.keys;
 
+import dapplestair.admin.CredentialStore;
 import dapplestair.admin.Role;
-import dapplestair.admin.Tokens;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -27,7 +27,7 @@
     subcommands = {KeysCommand.Init.class, KeysCommand.Client.class, KeysCommand.Token.class})
 public final class KeysCommand {
   /** What all of them share: a folder, and failures in one line. */
-  abstract static class Making implements Callable<Integer> {
+  abstract static class KeyGenerationCommand implements Callable<Integer> {
     @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
     @Option(
@@ -79,7 +79,7 @@
   }
 
   /** What is made for somebody with a role. */
-  abstract static class ForRole extends Making {
+  abstract static class RoleCommand extends KeyGenerationCommand {
     @Option(
         names = "--role",
         paramLabel = "ROLE",
@@ -106,7 +106,7 @@
         "",
         "Example:  dapplestair keys init keys --name 10.0.0.1 --name sched.example.org"
       })
-  static final class Init extends Making {
+  static final class Init extends KeyGenerationCommand {
     @Parameters(paramLabel = "FOLDER")
     private Path folder;
 
@@ -136,7 +136,7 @@
       name = "client",
       mixinStandardHelpOptions = true,
       description = "Make a client certificate in a folder made by `keys init`.")
-  static final class Client extends ForRole {
+  static final class Client extends RoleCommand {
     @Parameters(index = "0", paramLabel = "FOLDER")
     private Path folder;
 
@@ -158,7 +158,7 @@
       name = "token",
       mixinStandardHelpOptions = true,
       description = "Add a token to a file of tokens; it is printed once.")
-  static final class Token extends ForRole {
+  static final class Token extends RoleCommand {
     private static final int BYTES = 24;
 
     @Parameters(index = "0", paramLabel = "FILE")
@@ -177,12 +177,12 @@
     }
 
     /** Prints a new token, and gives the line that a file holds of it. */
-    static String line(String name, String role, Making by) {
+    static String line(String name, String role, KeyGenerationCommand by) {
       byte[] secret = new byte[BYTES];
       new SecureRandom().nextBytes(secret);
       String token = HexFormat.of().formatHex(secret);
       by.say("token of " + name + " (" + role + "): " + token);
-      return name + " " + role + " " + Tokens.hash(token) + "\n";
+      return name + " " + role + " " + CredentialStore.hash(token) + "\n";
     }
   }
 }
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -1,8 +1,8 @@
 package dapplestair.node;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dapplestair.admin.Access;
 import dapplestair.admin.AdminHandler;
+import dapplestair.admin.Authenticator;
 import dapplestair.admin.ControllerComponents;
 import dapplestair.cancellations.Cancellation;
 import dapplestair.cancellations.Cancellations;
@@ -42,7 +42,7 @@
 
   /** Wires the duties; operators are served by {@link #operators} if {@code access} is given. */
   public Controller(
-      Settings settings, Operator operator, ControllerEnvironment outside, Access access) {
+      Settings settings, Operator operator, ControllerEnvironment outside, Authenticator access) {
     this.outside = outside;
     this.settings = settings;
     core =
@@ -83,7 +83,7 @@
     records = new RecordDispatcher(core, scheduling, operations, admin);
   }
 
-  private AdminHandler admin(Operator operator, Access access) {
+  private AdminHandler admin(Operator operator, Authenticator access) {
     ControllerComponents duties =
         new ControllerComponents(
             settings,
--- a/src/test/java/dapplestair/keys/TrustTest.java
+++ b/src/test/java/dapplestair/keys/TlsTrustTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dapplestair.admin.Tokens;
+import dapplestair.admin.CredentialStore;
 import dapplestair.json.Json;
 import dapplestair.netty.ControllerEventLoop;
 import dapplestair.netty.HttpServer;
@@ -25,14 +25,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Who trusts whom over TLS, with the client as a process of its own. */
-class TrustTest {
+class TlsTrustTest {
   private static final Duration DAY = Duration.ofDays(1);
   private static final List<String> HERE = List.of("localhost", "127.0.0.1");
 
   @TempDir private Path folder;
   private final ControllerEventLoop loop = new ControllerEventLoop();
   private Authority ca;
-  private Tokens tokens;
+  private CredentialStore tokens;
   private Processes processes;
 
   @BeforeEach
@@ -40,8 +40,9 @@
     ca = Authority.create("us", Instant.now(), DAY);
     write("ca", ca.own());
     write("anna", ca.client("anna", "operate", Instant.now(), DAY));
-    Files.writeString(folder.resolve("tokens"), "# none\nvera view " + Tokens.hash("t0") + "\n");
-    tokens = Tokens.watch(folder.resolve("tokens"), loop, loop);
+    Files.writeString(
+        folder.resolve("tokens"), "# none\nvera view " + CredentialStore.hash("t0") + "\n");
+    tokens = CredentialStore.watch(folder.resolve("tokens"), loop, loop);
     processes = new Processes(folder);
   }
 
@@ -141,7 +142,7 @@
   @Test
   void filesAreReadAgain() throws Exception {
     Path file = folder.resolve("tokens");
-    Files.writeString(file, "otto operate " + Tokens.hash("t2") + "\nnonsense\n");
+    Files.writeString(file, "otto operate " + CredentialStore.hash("t2") + "\nnonsense\n");
     Files.setLastModifiedTime(
         file, java.nio.file.attribute.FileTime.from(Instant.now().plusSeconds(60)));
     for (int i = 0; i < 600 && who("t2") == null; i++) {
--- a/src/test/java/dapplestair/session/PressureTest.java
+++ b/src/test/java/dapplestair/session/PressureTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dapplestair.admin.Tokens;
+import dapplestair.admin.CredentialStore;
 import dapplestair.json.Json;
 import java.io.InputStream;
 import java.net.Socket;
@@ -64,7 +64,11 @@
   void tokensRolesFiguresAndLines() throws Exception {
     Files.writeString(
         folder.resolve("tokens"),
-        "vera view " + Tokens.hash("v") + "\notto operate " + Tokens.hash("o") + "\n");
+        "vera view "
+            + CredentialStore.hash("v")
+            + "\notto operate "
+            + CredentialStore.hash("o")
+            + "\n");
     Path operator = folder.resolve("operator.textproto");
     Files.writeString(operator, "admin { listen: \"127.0.0.1:0\" tokens: \"tokens\" }\n");
     try (Processes p = new Processes(folder)) {
--- a/src/test/java/dapplestair/world/World.java
+++ b/src/test/java/dapplestair/world/World.java
@@ -1,6 +1,6 @@
 package dapplestair.world;
 
-import dapplestair.admin.Access;
+import dapplestair.admin.Authenticator;
 import dapplestair.emulator.Directory;
 import dapplestair.emulator.EmulatedCloud;
 import dapplestair.emulator.EmulatedState;
@@ -503,7 +503,8 @@
               this,
               RandomSource.XO_RO_SHI_RO_128_PP.create(sim.random.nextLong()),
               seed % 3 != 0);
-      controller = new Controller(node.settings, told(), outside, operators ? Access.open() : null);
+      controller =
+          new Controller(node.settings, told(), outside, operators ? Authenticator.open() : null);
     }
 
     private Operator told() {
