--- a/src/main/java/dapplestair/accepted/AcceptedJobs.java
+++ b/src/main/java/dapplestair/accepted/AcceptedJobs.java
@@ -3,7 +3,7 @@
 import dapplestair.peers.Peers;
 import dapplestair.ports.Timers;
 import dapplestair.settings.Settings;
-import dapplestair.work.Latest;
+import dapplestair.work.BoundedMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -29,10 +29,10 @@
   private final long retryMs;
 
   /** The records read last and their revisions, for followers that have not read them. */
-  private final Map<String, Long> newest = new Latest<>(AcceptedJobsCodec.MOST_JOBS);
+  private final Map<String, Long> newest = new BoundedMap<>(AcceptedJobsCodec.MOST_JOBS);
 
   /** Jobs of which the leader spoke, with the revision of each record. */
-  private final Map<String, Long> unread = new Latest<>(MOST_UNREAD);
+  private final Map<String, Long> unread = new BoundedMap<>(MOST_UNREAD);
 
   /** What each follower has not acknowledged. */
   private final Map<String, Map<String, Long>> untold = new LinkedHashMap<>();
@@ -54,7 +54,7 @@
     this.retryMs = settings.workers().reportMs() / ATTEMPTS_PER_REPORT;
     settings
         .peers()
-        .forEach(p -> untold.put(p.member(), new Latest<>(AcceptedJobsCodec.MOST_JOBS)));
+        .forEach(p -> untold.put(p.member(), new BoundedMap<>(AcceptedJobsCodec.MOST_JOBS)));
   }
 
   /** Begins to hear the leader. */
--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -13,8 +13,8 @@
 import dapplestair.leadership.Leadership;
 import dapplestair.ledger.Attempt;
 import dapplestair.ledger.Job;
+import dapplestair.ledger.JobStatistics;
 import dapplestair.ledger.Ledger;
-import dapplestair.ledger.Served;
 import dapplestair.peers.Peers;
 import dapplestair.planning.Planning;
 import dapplestair.ports.Clock;
@@ -155,7 +155,7 @@
     }
     // Who borrows does not say from whom: what is lent is parted by what each leaves unused.
     double lentShare = unused <= 0 ? 0 : Math.min(1, borrowed / unused);
-    Map<String, Served.Count> served = ledger.served().byTeam();
+    Map<String, JobStatistics.JobCounts> served = ledger.served().byTeam();
     Map<String, BudgetStatus> statuses = disruption.statuses();
     ObjectNode object = moment.object();
     ArrayNode rows = object.putArray("rows");
@@ -172,7 +172,8 @@
           .put("gpus_guarantee", team.gpus())
           .put("gpus_limit", team.gpusMax())
           .put("gpus_use", ledger.teamGpus(team.name()));
-      Served.Count count = served.getOrDefault(team.name(), Served.Count.NONE);
+      JobStatistics.JobCounts count =
+          served.getOrDefault(team.name(), JobStatistics.JobCounts.NONE);
       row.putObject("served")
           .put("accepted", count.accepted())
           .put("started", count.started())
--- a/src/main/java/dapplestair/admin/ControllerComponents.java
+++ b/src/main/java/dapplestair/admin/ControllerComponents.java
@@ -20,9 +20,9 @@
 import dapplestair.replacement.Replacements;
 import dapplestair.settings.Operator;
 import dapplestair.settings.Settings;
+import dapplestair.state.ConditionalWriter;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
-import dapplestair.state.Wishes;
 import dapplestair.workers.WorkerManager;
 import dapplestair.zones.Zones;
 
@@ -49,7 +49,7 @@
     Lanes lanes,
     Calendars calendars,
     Blame blame,
-    Wishes wishes,
+    ConditionalWriter wishes,
     Cancellations cancellations,
     Relay relay,
     EventLog events) {}
--- a/src/main/java/dapplestair/admin/DrainHandler.java
+++ b/src/main/java/dapplestair/admin/DrainHandler.java
@@ -6,8 +6,8 @@
 import dapplestair.json.Json;
 import dapplestair.ports.Clock;
 import dapplestair.settings.Settings;
-import dapplestair.state.Keys;
-import dapplestair.state.Wishes;
+import dapplestair.state.ConditionalWriter;
+import dapplestair.state.StateKeys;
 import dapplestair.workers.WorkerManager;
 import java.util.function.Consumer;
 
@@ -41,7 +41,7 @@
     order(
         "machine",
         id,
-        Keys.DRAIN + id,
+        StateKeys.DRAIN + id,
         drains.machines().get(id),
         on ? drain(question) : null,
         done);
@@ -56,7 +56,7 @@
     order(
         "zone",
         zone,
-        Keys.DRAIN_ZONE + zone,
+        StateKeys.DRAIN_ZONE + zone,
         drains.zones().get(zone),
         on ? drain(question) : null,
         done);
@@ -95,7 +95,7 @@
   }
 
   private AdminResponse answer(
-      String what, String name, Drain before, Drain drain, Wishes.Result result) {
+      String what, String name, Drain before, Drain drain, ConditionalWriter.Result result) {
     return switch (result) {
       case DONE -> {
         ObjectNode object = moment.object().put(what, name).put("drained", drain != null);
--- a/src/main/java/dapplestair/admin/JobViews.java
+++ b/src/main/java/dapplestair/admin/JobViews.java
@@ -10,8 +10,8 @@
 import dapplestair.ledger.Job;
 import dapplestair.ledger.Ledger;
 import dapplestair.ports.Clock;
-import dapplestair.state.Keys;
 import dapplestair.state.StateClient;
+import dapplestair.state.StateKeys;
 import dapplestair.work.Submission;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -86,8 +86,8 @@
   /** Jobs that are over are not replicated: the state service is asked for a page of them. */
   void listOver(Filter filter, String after, int limit, Consumer<AdminResponse> done) {
     state.list(
-        Keys.OVER,
-        after == null ? null : Keys.over(after),
+        StateKeys.OVER,
+        after == null ? null : StateKeys.over(after),
         limit,
         page -> {
           if (!page.path("rows").isArray()) {
@@ -97,7 +97,7 @@
           List<byte[]> rows = new ArrayList<>();
           String last = null;
           for (JsonNode node : page.get("rows")) {
-            last = node.path("k").asText().substring(Keys.OVER.length());
+            last = node.path("k").asText().substring(StateKeys.OVER.length());
             PagedListing.WritableRow written = overRow(node.path("value"));
             if (written != null && filter.test(written)) {
               rows.add(Json.written(written::write));
@@ -120,7 +120,7 @@
   private static Submission submission(JsonNode record) {
     try {
       return Submission.parse(record.path("job"));
-    } catch (Submission.Malformed e) {
+    } catch (Submission.InvalidSubmissionException e) {
       return null;
     }
   }
@@ -201,7 +201,7 @@
     // All of it may be done though that is not on record yet, or only a moment after it was read.
     boolean ending = ledger.job(ref) != null;
     state.get(
-        Keys.over(ref),
+        StateKeys.over(ref),
         read -> {
           if (!read.known()) {
             done.accept(AdminResponse.later("the state service did not answer"));
--- a/src/main/java/dapplestair/admin/ReplacementHandler.java
+++ b/src/main/java/dapplestair/admin/ReplacementHandler.java
@@ -12,8 +12,8 @@
 import dapplestair.replacement.Replacements.View;
 import dapplestair.replacement.Selection;
 import dapplestair.settings.Settings;
-import dapplestair.state.Keys;
-import dapplestair.state.Wishes;
+import dapplestair.state.ConditionalWriter;
+import dapplestair.state.StateKeys;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Consumer;
@@ -34,7 +34,7 @@
   private final Settings settings;
   private final MachineTypes types;
   private final Replacements replacements;
-  private final Wishes wishes;
+  private final ConditionalWriter wishes;
   private final AsOfStamp moment;
 
   ReplacementHandler(ControllerComponents duties, AsOfStamp moment) {
@@ -175,11 +175,11 @@
       long deadline,
       Consumer<AdminResponse> done) {
     wishes.record(
-        Keys.REPLACE + name,
+        StateKeys.REPLACE + name,
         value.get(),
         deadline,
         result -> {
-          if (result == Wishes.Result.CHANGED && clock.now() < deadline) {
+          if (result == ConditionalWriter.Result.CHANGED && clock.now() < deadline) {
             timers.after(AGAIN_MS, () -> record(name, value, state, deadline, done));
           } else {
             done.accept(answer(name, state, result));
@@ -187,7 +187,7 @@
         });
   }
 
-  private AdminResponse answer(String name, String state, Wishes.Result result) {
+  private AdminResponse answer(String name, String state, ConditionalWriter.Result result) {
     return switch (result) {
       case DONE -> told(name, state, true);
       case CHANGED -> AdminResponse.error(409, "replacement " + name + " was changed just now");
--- a/src/main/java/dapplestair/calendar/Calendars.java
+++ b/src/main/java/dapplestair/calendar/Calendars.java
@@ -1,7 +1,7 @@
 package dapplestair.calendar;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dapplestair.calendar.Cycle.By;
+import dapplestair.calendar.Cycle.ReleaseCause;
 import dapplestair.events.Events;
 import dapplestair.json.Json;
 import dapplestair.leadership.GuardedWriter;
@@ -13,12 +13,12 @@
 import dapplestair.ports.Clock;
 import dapplestair.settings.RunCalendar;
 import dapplestair.settings.Settings;
-import dapplestair.state.Keys;
-import dapplestair.state.Outcome;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
 import dapplestair.state.Txn;
+import dapplestair.state.TxnOutcome;
 import dapplestair.work.Submission;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -99,7 +99,7 @@
 
   /** A calendar's key, or one of its marks, has this value, or is gone. */
   public void recorded(String key, JsonNode value) {
-    String[] parts = key.substring(Keys.CALENDAR.length()).split("/", 3);
+    String[] parts = key.substring(StateKeys.CALENDAR.length()).split("/", 3);
     if (parts.length == 3) {
       Map<Long, Set<String>> of = marks.computeIfAbsent(parts[0], n -> new TreeMap<>());
       Set<String> refs = of.computeIfAbsent(Long.parseLong(parts[1]), c -> new TreeSet<>());
@@ -150,7 +150,7 @@
     long wall = clock.wall();
     long current = calendar.cycle(wall);
     Cycle last = cycle(calendar.name());
-    By by = current > last.start() ? due(calendar, current, wall) : null;
+    ReleaseCause by = current > last.start() ? due(calendar, current, wall) : null;
     if (by != null) {
       release(calendar, last.released(current, by, wall, delivered(calendar, current)));
       return;
@@ -158,28 +158,29 @@
     long before = last.start() == 0 ? current : calendar.next(last.start());
     if (before < current) {
       // Nobody led, or nobody could write, until it was over; its runs are long on their way.
-      release(calendar, last.released(before, By.MISSED, wall, delivered(calendar, before)));
+      release(
+          calendar, last.released(before, ReleaseCause.MISSED, wall, delivered(calendar, before)));
       return;
     }
     compact(calendar, last);
   }
 
-  private By due(RunCalendar calendar, long start, long wall) {
+  private ReleaseCause due(RunCalendar calendar, long start, long wall) {
     int delivered = delivered(calendar, start);
     if (delivered >= calendar.complete()) {
-      return By.COMPLETE;
+      return ReleaseCause.COMPLETE;
     }
     if (calendar.quorum() > 0
         && delivered >= calendar.quorum()
         && wall - start >= calendar.quorumAfterMs()) {
-      return By.QUORUM;
+      return ReleaseCause.QUORUM;
     }
-    return wall - start >= calendar.cutOffMs() ? By.CUT_OFF : null;
+    return wall - start >= calendar.cutOffMs() ? ReleaseCause.CUT_OFF : null;
   }
 
   private void release(RunCalendar calendar, Cycle next) {
     writing.add(calendar.name());
-    String key = Keys.CALENDAR + calendar.name();
+    String key = StateKeys.CALENDAR + calendar.name();
     writer.put(
         key,
         replica.stamp(key),
@@ -189,7 +190,7 @@
           if (leadership.deposedBy(outcome)) {
             return;
           }
-          if (outcome instanceof Outcome.Applied) {
+          if (outcome instanceof TxnOutcome.Applied) {
             cycles.put(calendar.name(), next);
             told(calendar, next);
             changed.run();
@@ -321,7 +322,7 @@
   }
 
   private static String mark(String name, long start, String ref) {
-    return Keys.CALENDAR + name + "/" + start + "/" + ref;
+    return StateKeys.CALENDAR + name + "/" + start + "/" + ref;
   }
 
   private int delivered(RunCalendar calendar, long start) {
--- a/src/main/java/dapplestair/calendar/Cycle.java
+++ b/src/main/java/dapplestair/calendar/Cycle.java
@@ -17,11 +17,11 @@
  * @param delivered how many deliveries were there then
  * @param past releases before it, the newest first
  */
-record Cycle(long start, By by, long at, int delivered, List<Past> past) {
+record Cycle(long start, ReleaseCause by, long at, int delivered, List<PastCycle> past) {
   private static final int MOST_PAST = 16;
 
   /** What released a cycle. */
-  enum By {
+  enum ReleaseCause {
     /** All deliveries were there. */
     COMPLETE,
     /** Enough of them, after a while. */
@@ -37,15 +37,15 @@
   }
 
   /** How long after its start a cycle was released, and by what. */
-  record Past(long start, By by, long lagMs) {}
+  record PastCycle(long start, ReleaseCause by, long lagMs) {}
 
-  static final Cycle NONE = new Cycle(0, By.MISSED, 0, 0, List.of());
+  static final Cycle NONE = new Cycle(0, ReleaseCause.MISSED, 0, 0, List.of());
 
   /** The next release. */
-  Cycle released(long newStart, By newBy, long newAt, int newDelivered) {
-    List<Past> list = new ArrayList<>();
+  Cycle released(long newStart, ReleaseCause newBy, long newAt, int newDelivered) {
+    List<PastCycle> list = new ArrayList<>();
     if (start > 0) {
-      list.add(new Past(start, by, at - start));
+      list.add(new PastCycle(start, by, at - start));
       list.addAll(past.subList(0, Math.min(past.size(), MOST_PAST - 1)));
     }
     return new Cycle(newStart, newBy, newAt, newDelivered, list);
@@ -57,7 +57,7 @@
       return otherwise;
     }
     double sum = at - start;
-    for (Past p : past) {
+    for (PastCycle p : past) {
       sum += p.lagMs();
     }
     return sum / (1 + past.size());
@@ -81,12 +81,12 @@
   }
 
   static Cycle parse(JsonNode in) {
-    List<Past> past = new ArrayList<>();
+    List<PastCycle> past = new ArrayList<>();
     in.path("past")
         .forEach(
             p ->
                 past.add(
-                    new Past(
+                    new PastCycle(
                         p.path("cycle").asLong(), by(p.path("by")), p.path("lag_ms").asLong())));
     return new Cycle(
         in.path("cycle").asLong(),
@@ -96,13 +96,13 @@
         past);
   }
 
-  private static By by(JsonNode word) {
-    for (By by : By.values()) {
+  private static ReleaseCause by(JsonNode word) {
+    for (ReleaseCause by : ReleaseCause.values()) {
       if (by.shown().equals(word.asText())) {
         return by;
       }
     }
     // A later version's: released all the same.
-    return By.CUT_OFF;
+    return ReleaseCause.CUT_OFF;
   }
 }
--- a/src/main/java/dapplestair/cancellations/CancellationCodec.java
+++ b/src/main/java/dapplestair/cancellations/CancellationCodec.java
@@ -3,7 +3,7 @@
 import com.esotericsoftware.kryo.KryoException;
 import com.esotericsoftware.kryo.io.Input;
 import com.esotericsoftware.kryo.io.Output;
-import dapplestair.work.Names;
+import dapplestair.work.FrontCodedNames;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -97,7 +97,7 @@
     out.writeString(entry.ref());
     out.writeVarLong(Math.max(0, entry.ageMs()), true);
     out.writeVarInt(entry.places().size(), true);
-    Names names = new Names();
+    FrontCodedNames names = new FrontCodedNames();
     List<Cancellation.TaskLocation> sorted = new ArrayList<>(entry.places());
     sorted.sort(Comparator.comparing(Cancellation.TaskLocation::host));
     for (Cancellation.TaskLocation location : sorted) {
@@ -146,7 +146,7 @@
       throw new IllegalArgumentException("no entry of a log");
     }
     List<Cancellation.TaskLocation> places = new ArrayList<>();
-    Names names = new Names();
+    FrontCodedNames names = new FrontCodedNames();
     for (int i = 0; i < count; i++) {
       String host = names.read(in);
       places.add(
--- a/src/main/java/dapplestair/cancellations/Enforcer.java
+++ b/src/main/java/dapplestair/cancellations/Enforcer.java
@@ -10,9 +10,9 @@
 import dapplestair.ports.HttpReply;
 import dapplestair.ports.Timers;
 import dapplestair.settings.Settings;
-import dapplestair.work.Latest;
-import dapplestair.work.Order;
+import dapplestair.work.BoundedMap;
 import dapplestair.work.Report;
+import dapplestair.work.WorkerCommand;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -51,7 +51,7 @@
   private final OpenCancellations open;
   private final long launchMs;
   private final long callMs;
-  private final Map<String, String> addresses = new Latest<>(MOST_ADDRESSES);
+  private final Map<String, String> addresses = new BoundedMap<>(MOST_ADDRESSES);
   private final Set<String> calling = new HashSet<>();
 
   // What is proved to be absent, by job; forgotten with the job.
@@ -148,11 +148,11 @@
       calling.remove(report.host());
       return;
     }
-    List<Order.Halt> halts =
+    List<WorkerCommand.Halt> halts =
         tasks.stream()
-            .map(t -> new Order.Halt(t.place().key(t.ref()), t.place().number(), 0))
+            .map(t -> new WorkerCommand.Halt(t.place().key(t.ref()), t.place().number(), 0))
             .toList();
-    ObjectNode body = Order.call(token, report.session(), halts);
+    ObjectNode body = WorkerCommand.call(token, report.session(), halts);
     long sentAt = clock.now();
     http.call(
         endpoint,
--- a/src/main/java/dapplestair/cancellations/ForgottenMachines.java
+++ b/src/main/java/dapplestair/cancellations/ForgottenMachines.java
@@ -7,7 +7,7 @@
 import dapplestair.ports.Clock;
 import dapplestair.ports.Timers;
 import dapplestair.settings.Settings;
-import dapplestair.work.Latest;
+import dapplestair.work.BoundedMap;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -74,7 +74,7 @@
   private final Settings settings;
   private final Peers peers;
   private final BooleanSupplier recordless;
-  private final Map<String, Long> heardAt = new Latest<>(MOST_HEARD);
+  private final Map<String, Long> heardAt = new BoundedMap<>(MOST_HEARD);
   private long startedAt;
   private boolean busy;
 
--- a/src/main/java/dapplestair/client/JobCommand.java
+++ b/src/main/java/dapplestair/client/JobCommand.java
@@ -92,7 +92,7 @@
       try {
         Submission submission = Submission.parse(body);
         warnUnknown(body, submission);
-      } catch (Submission.Malformed e) {
+      } catch (Submission.InvalidSubmissionException e) {
         throw new CommandException(CommandException.WRONG_USAGE, file + ": " + e.getMessage());
       }
       return body;
--- a/src/main/java/dapplestair/daemon/Emulation.java
+++ b/src/main/java/dapplestair/daemon/Emulation.java
@@ -16,7 +16,7 @@
 import dapplestair.netty.HttpServer;
 import dapplestair.ports.Exchange;
 import dapplestair.settings.Settings.Address;
-import dapplestair.state.Keys;
+import dapplestair.state.StateKeys;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -76,9 +76,9 @@
 
   /** What users uploaded is what they submitted: it is read where the controllers record it. */
   private JsonNode job(String ref) {
-    JsonNode record = state.value(Keys.job(ref));
+    JsonNode record = state.value(StateKeys.job(ref));
     if (record == null) {
-      record = state.value(Keys.over(ref));
+      record = state.value(StateKeys.over(ref));
     }
     return record == null ? null : record.path("job");
   }
--- a/src/main/java/dapplestair/disruption/Disruption.java
+++ b/src/main/java/dapplestair/disruption/Disruption.java
@@ -3,8 +3,8 @@
 import dapplestair.ledger.Attempt;
 import dapplestair.ledger.Job;
 import dapplestair.ledger.Ledger;
-import dapplestair.ledger.Out;
 import dapplestair.ledger.StopReason;
+import dapplestair.ledger.UnavailableTasks;
 import dapplestair.ports.Clock;
 import dapplestair.settings.Budgets;
 import dapplestair.settings.Budgets.Budget;
@@ -104,7 +104,7 @@
   }
 
   private void count(Job job) {
-    Out out = ledger.out(job, this::reached);
+    UnavailableTasks out = ledger.out(job, this::reached);
     Sum sum = sum(job.spec().team());
     if (job.spec().service()) {
       sum.wanted += job.spec().steps();
--- a/src/main/java/dapplestair/disruption/LostWork.java
+++ b/src/main/java/dapplestair/disruption/LostWork.java
@@ -8,11 +8,11 @@
 import dapplestair.ports.Clock;
 import dapplestair.settings.Budgets;
 import dapplestair.settings.Settings;
-import dapplestair.state.Keys;
-import dapplestair.state.Outcome;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
+import dapplestair.state.TxnOutcome;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
@@ -66,7 +66,7 @@
 
   /** The record of a team has this value, or is gone. */
   public void recorded(String key, JsonNode value) {
-    Account account = account(key.substring(Keys.DISRUPTION.length()));
+    Account account = account(key.substring(StateKeys.DISRUPTION.length()));
     account.reserved.clear();
     if (value != null) {
       value
@@ -184,7 +184,7 @@
     }
     account.writing = true;
     long slice = account.slice;
-    String key = Keys.DISRUPTION + team;
+    String key = StateKeys.DISRUPTION + team;
     ObjectNode value = Json.object();
     ObjectNode slices = value.putObject("reserved");
     account
@@ -200,7 +200,7 @@
         outcome -> {
           // Without an answer the replica tells what is on record; until then nothing is granted.
           account.writing = false;
-          if (outcome instanceof Outcome.Applied) {
+          if (outcome instanceof TxnOutcome.Applied) {
             recorded(key, value);
           } else {
             leadership.deposedBy(outcome);
--- a/src/main/java/dapplestair/drain/Drains.java
+++ b/src/main/java/dapplestair/drain/Drains.java
@@ -7,12 +7,12 @@
 import dapplestair.ports.Cancellable;
 import dapplestair.ports.Clock;
 import dapplestair.settings.Settings;
-import dapplestair.state.Keys;
+import dapplestair.state.ConditionalWriter;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
 import dapplestair.state.Txn;
-import dapplestair.state.Wishes;
 import dapplestair.workers.Host;
 import dapplestair.workers.WorkerManager;
 import java.util.HashSet;
@@ -35,7 +35,7 @@
   private final Settings settings;
   private final StateClient state;
   private final Replica replica;
-  private final Wishes wishes;
+  private final ConditionalWriter wishes;
   private final Leadership leadership;
   private final WorkerManager desk;
   private final Emptying emptying;
@@ -57,7 +57,7 @@
       Settings settings,
       StateClient state,
       Replica replica,
-      Wishes wishes,
+      ConditionalWriter wishes,
       Leadership leadership,
       WorkerManager desk,
       Emptying emptying,
@@ -84,8 +84,8 @@
 
   /** A drain's key has this value, or is gone. */
   public void recorded(String key, JsonNode value) {
-    boolean zone = key.startsWith(Keys.DRAIN_ZONE);
-    String name = key.substring((zone ? Keys.DRAIN_ZONE : Keys.DRAIN).length());
+    boolean zone = key.startsWith(StateKeys.DRAIN_ZONE);
+    String name = key.substring((zone ? StateKeys.DRAIN_ZONE : StateKeys.DRAIN).length());
     Map<String, Drain> of = zone ? zones : machines;
     if (value == null) {
       of.remove(name);
@@ -154,8 +154,12 @@
 
   // ---- orders ----
 
-  /** Records an order for a key of {@link Keys#DRAIN} or {@link Keys#DRAIN_ZONE}; null ends it. */
-  public void order(String key, Drain drain, long deadline, Consumer<Wishes.Result> done) {
+  /**
+   * Records an order for a key of {@link StateKeys#DRAIN} or {@link StateKeys#DRAIN_ZONE}; null
+   * ends it.
+   */
+  public void order(
+      String key, Drain drain, long deadline, Consumer<ConditionalWriter.Result> done) {
     wishes.record(key, drain == null ? null : drain.toJson(), deadline, done);
   }
 
@@ -215,7 +219,7 @@
       boolean never =
           desk.known(id) == null && clock.now() - leadingSince > settings.workers().leaseMs();
       if ((desk.isGone(id) || never) && forgetting.add(id)) {
-        forget(Keys.DRAIN + id, id);
+        forget(StateKeys.DRAIN + id, id);
       }
     }
   }
--- a/src/main/java/dapplestair/emulator/EmulatedState.java
+++ b/src/main/java/dapplestair/emulator/EmulatedState.java
@@ -18,7 +18,7 @@
 
 /** The state service by its protocol: transactions, holds, changes, outages, limits. */
 public final class EmulatedState implements RequestHandler {
-  private record Row(JsonNode value, long stamp, long hold) {}
+  private record StoredValue(JsonNode value, long stamp, long hold) {}
 
   private record Change(String key, JsonNode value, long stamp) {}
 
@@ -28,7 +28,7 @@
 
   private final Surroundings world;
   private final Shape shape;
-  private final TreeMap<String, Row> rows = new TreeMap<>();
+  private final TreeMap<String, StoredValue> rows = new TreeMap<>();
   private final List<Change> changes = new ArrayList<>();
   private final Map<Long, Long> holdEnds = new HashMap<>();
   private final Map<Long, Long> holdTtl = new HashMap<>();
@@ -56,7 +56,7 @@
 
   /** The value under a key now, or null. */
   public JsonNode value(String key) {
-    Row row = rows.get(key);
+    StoredValue row = rows.get(key);
     return row == null ? null : row.value;
   }
 
@@ -183,7 +183,7 @@
       reply.accept(commit(in));
     } else if (path.startsWith("/kv/")) {
       String key = path.substring(4);
-      Row row = rows.get(key);
+      StoredValue row = rows.get(key);
       reply.accept(
           row == null ? json(404, Json.object().put("epoch", epoch)) : json(200, row(key, row)));
     } else if (path.startsWith("/kv?")) {
@@ -238,7 +238,7 @@
     }
     ArrayNode failed = Json.array();
     for (JsonNode node : in.path("when")) {
-      Row row = rows.get(node.path("k").asText());
+      StoredValue row = rows.get(node.path("k").asText());
       if ((row == null ? 0 : row.stamp) != node.path("stamp").asLong()) {
         failed.add(node.path("k").asText());
       }
@@ -272,7 +272,7 @@
     for (JsonNode w : writes) {
       if (w.has("put")) {
         String k = w.path("put").asText();
-        rows.put(k, new Row(w.get("value"), epoch, w.path("hold").asLong(0)));
+        rows.put(k, new StoredValue(w.get("value"), epoch, w.path("hold").asLong(0)));
         changes.add(new Change(k, w.get("value"), epoch));
       } else {
         remove(w.path("remove").asText());
@@ -286,7 +286,7 @@
     ObjectNode object = Json.object();
     ArrayNode out = object.putArray("rows");
     boolean more = false;
-    for (Map.Entry<String, Row> entry :
+    for (Map.Entry<String, StoredValue> entry :
         rows.tailMap(from == null ? prefix : from, from == null).entrySet()) {
       if (!entry.getKey().startsWith(prefix)) {
         break;
@@ -345,7 +345,7 @@
     return json(200, object);
   }
 
-  private static ObjectNode row(String key, Row row) {
+  private static ObjectNode row(String key, StoredValue row) {
     ObjectNode object = Json.object().put("k", key).put("stamp", row.stamp);
     object.set("value", row.value);
     return object;
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -13,9 +13,9 @@
 import dapplestair.ports.Clock;
 import dapplestair.settings.Settings;
 import dapplestair.silence.SilenceTimeouts;
-import dapplestair.state.Keys;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
 import dapplestair.state.Txn;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
@@ -214,7 +214,10 @@
 
   private void recordTypes() {
     Txn txn =
-        leadership.guard(new Txn()).when(Keys.TYPES, typesStamp).put(Keys.TYPES, types.toJson());
+        leadership
+            .guard(new Txn())
+            .when(StateKeys.TYPES, typesStamp)
+            .put(StateKeys.TYPES, types.toJson());
     long term = leadership.term();
     state.commit(
         txn,
--- a/src/main/java/dapplestair/fleet/Rentals.java
+++ b/src/main/java/dapplestair/fleet/Rentals.java
@@ -9,11 +9,11 @@
 import dapplestair.machines.MachineTypes;
 import dapplestair.ports.Clock;
 import dapplestair.settings.Settings;
-import dapplestair.state.Keys;
-import dapplestair.state.Outcome;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
 import dapplestair.state.Txn;
+import dapplestair.state.TxnOutcome;
 import dapplestair.workers.Host;
 import dapplestair.workers.WorkerManager;
 import java.util.Collection;
@@ -171,7 +171,7 @@
   private void write(Rental rental, boolean thenAsk) {
     rental.writing = true;
     rental.writtenAt = clock.now();
-    String key = Keys.rental(rental.name);
+    String key = StateKeys.rental(rental.name);
     Txn txn = leadership.guard(new Txn()).when(key, rental.stamp).put(key, rental.toJson());
     long term = leadership.term();
     state.commit(
@@ -184,7 +184,7 @@
             return;
           }
           guarded(outcome);
-          if (outcome instanceof Outcome.Applied applied) {
+          if (outcome instanceof TxnOutcome.Applied applied) {
             rental.stamp = applied.stamp();
             if (thenAsk) {
               ask(rental);
@@ -192,7 +192,7 @@
           } else if (thenAsk) {
             // Nothing was asked of the cloud: the plan will ask again under another name.
             rentals.remove(rental.name);
-            if (outcome instanceof Outcome.Unknown) {
+            if (outcome instanceof TxnOutcome.Unknown) {
               rental.refused = true;
               rentals.put(rental.name, rental);
               readBack(rental);
@@ -207,7 +207,7 @@
     return leading && leadership.term() == term;
   }
 
-  private void guarded(Outcome outcome) {
+  private void guarded(TxnOutcome outcome) {
     if (leading) {
       leadership.deposedBy(outcome);
     }
@@ -217,7 +217,7 @@
     rental.writing = true;
     long term = leadership.term();
     state.get(
-        Keys.rental(rental.name),
+        StateKeys.rental(rental.name),
         read -> {
           if (!leads(term)) {
             return;
@@ -352,7 +352,7 @@
 
   private void remove(Rental rental) {
     rental.writing = true;
-    String key = Keys.rental(rental.name);
+    String key = StateKeys.rental(rental.name);
     long removed = rental.stamp;
     Txn txn = leadership.guard(new Txn()).when(key, removed).remove(key);
     long term = leadership.term();
@@ -366,11 +366,11 @@
           }
           rental.writing = false;
           guarded(outcome);
-          if (outcome instanceof Outcome.Applied) {
+          if (outcome instanceof TxnOutcome.Applied) {
             if (rental.stamp == removed) {
               rentals.remove(rental.name);
             }
-          } else if (!(outcome instanceof Outcome.Refused)) {
+          } else if (!(outcome instanceof TxnOutcome.Refused)) {
             readBack(rental);
           }
         });
--- a/src/main/java/dapplestair/lane/ClaimWriter.java
+++ b/src/main/java/dapplestair/lane/ClaimWriter.java
@@ -8,12 +8,12 @@
 import dapplestair.leadership.Leadership;
 import dapplestair.leadership.TermTimers;
 import dapplestair.settings.Settings;
-import dapplestair.state.Keys;
-import dapplestair.state.Outcome;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
 import dapplestair.state.Txn;
+import dapplestair.state.TxnOutcome;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -91,7 +91,7 @@
   }
 
   private Txn transaction(String lane, List<OpenClaim> claims) {
-    String key = Keys.LANE + lane;
+    String key = StateKeys.LANE + lane;
     long stamp = stamps.computeIfAbsent(lane, l -> replica.stamp(key));
     Txn txn = writer.transaction().when(key, stamp);
     return claims.isEmpty() ? txn.remove(key) : txn.put(key, toJson(claims));
@@ -104,11 +104,11 @@
     return record;
   }
 
-  private void written(String lane, List<OpenClaim> claims, Outcome outcome) {
+  private void written(String lane, List<OpenClaim> claims, TxnOutcome outcome) {
     if (leadership.deposedBy(outcome)) {
       return;
     }
-    if (outcome instanceof Outcome.Applied applied) {
+    if (outcome instanceof TxnOutcome.Applied applied) {
       onRecord(lane, claims, claims.isEmpty() ? 0 : applied.stamp());
     } else {
       readBack(lane, claims);
@@ -133,7 +133,7 @@
   private void readBack(String lane, List<OpenClaim> claims) {
     int readIn = generation;
     state.get(
-        Keys.LANE + lane,
+        StateKeys.LANE + lane,
         read -> {
           if (readIn != generation) {
             return;
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -11,10 +11,10 @@
 import dapplestair.ports.Clock;
 import dapplestair.settings.Lane;
 import dapplestair.settings.Settings;
-import dapplestair.state.Keys;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
 import dapplestair.workers.WorkerManager;
@@ -93,7 +93,7 @@
 
   /** A lane's key has this value, or is gone. */
   public void recorded(String key, JsonNode value) {
-    String name = key.substring(Keys.LANE.length());
+    String name = key.substring(StateKeys.LANE.length());
     if (value == null) {
       records.remove(name);
     } else {
--- a/src/main/java/dapplestair/leadership/GuardedWriter.java
+++ b/src/main/java/dapplestair/leadership/GuardedWriter.java
@@ -1,10 +1,10 @@
 package dapplestair.leadership;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dapplestair.state.Outcome;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
 import dapplestair.state.Txn;
+import dapplestair.state.TxnOutcome;
 import java.util.function.Consumer;
 
 /**
@@ -36,12 +36,12 @@
 
   /** Puts a record, on condition that it still has this stamp. */
   public void put(
-      String key, long stamp, JsonNode value, Priority priority, Consumer<Outcome> done) {
+      String key, long stamp, JsonNode value, Priority priority, Consumer<TxnOutcome> done) {
     commit(transaction().when(key, stamp).put(key, value), priority, done);
   }
 
   /** Commits a transaction that was made by {@link #transaction}. */
-  public void commit(Txn txn, Priority priority, Consumer<Outcome> done) {
+  public void commit(Txn txn, Priority priority, Consumer<TxnOutcome> done) {
     int writtenIn = generation;
     state.commit(
         txn,
--- a/src/main/java/dapplestair/leadership/Leadership.java
+++ b/src/main/java/dapplestair/leadership/Leadership.java
@@ -7,11 +7,11 @@
 import dapplestair.ports.Clock;
 import dapplestair.ports.Timers;
 import dapplestair.settings.Settings;
-import dapplestair.state.Keys;
-import dapplestair.state.Outcome;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
+import dapplestair.state.StateKeys;
 import dapplestair.state.Txn;
+import dapplestair.state.TxnOutcome;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.UUID;
@@ -134,7 +134,7 @@
 
   /** Adds the condition that makes a write of a former leader fail. */
   public Txn guard(Txn txn) {
-    return txn.when(Keys.LEADER, leaderStamp);
+    return txn.when(StateKeys.LEADER, leaderStamp);
   }
 
   /** Told by the replica. */
@@ -191,8 +191,9 @@
    * True when a write was refused since the leader's key was not as expected: somebody else leads,
    * and this controller steps down if it still believed to lead itself.
    */
-  public boolean deposedBy(Outcome outcome) {
-    if (outcome instanceof Outcome.Conflict conflict && conflict.failed().contains(Keys.LEADER)) {
+  public boolean deposedBy(TxnOutcome outcome) {
+    if (outcome instanceof TxnOutcome.Conflict conflict
+        && conflict.failed().contains(StateKeys.LEADER)) {
       guardFailed();
       return true;
     }
@@ -249,7 +250,7 @@
   }
 
   private boolean vacant() {
-    if (replica.stamp(Keys.LEADER) == 0) {
+    if (replica.stamp(StateKeys.LEADER) == 0) {
       return true;
     }
     if (settings.member().equals(leaderSeen) && !incarnation.equals(leaderIncarnation)) {
@@ -328,19 +329,19 @@
             .put("term", next);
     Txn txn =
         new Txn()
-            .when(Keys.LEADER, replica.stamp(Keys.LEADER))
-            .when(Keys.TERM, replica.stamp(Keys.TERM))
-            .put(Keys.LEADER, leaderValue, withHold)
-            .put(Keys.TERM, Json.object().put("term", next));
+            .when(StateKeys.LEADER, replica.stamp(StateKeys.LEADER))
+            .when(StateKeys.TERM, replica.stamp(StateKeys.TERM))
+            .put(StateKeys.LEADER, leaderValue, withHold)
+            .put(StateKeys.TERM, Json.object().put("term", next));
     state.commit(
         txn,
         StateClient.Priority.ELECTION,
         ttlMs / 3,
         outcome -> {
-          if (outcome instanceof Outcome.Applied applied) {
+          if (outcome instanceof TxnOutcome.Applied applied) {
             won(next, applied.stamp());
-          } else if (outcome instanceof Outcome.Unknown) {
-            state.get(Keys.LEADER, read -> settle(next, read));
+          } else if (outcome instanceof TxnOutcome.Unknown) {
+            state.get(StateKeys.LEADER, read -> settle(next, read));
           } else {
             // Somebody else was quicker, or the replica is behind: the next tick sees.
             busy = false;
@@ -348,7 +349,7 @@
         });
   }
 
-  private void settle(long next, StateClient.Read read) {
+  private void settle(long next, StateClient.ReadResult read) {
     boolean ours =
         read.exists()
             && incarnation.equals(Json.text(read.value(), "incarnation"))
@@ -368,7 +369,7 @@
     replica.barrier(
         passed -> {
           busy = false;
-          if (!passed || replica.stamp(Keys.LEADER) != stamp || termSeen > wonTerm) {
+          if (!passed || replica.stamp(StateKeys.LEADER) != stamp || termSeen > wonTerm) {
             LOG.info("term {} won but lost again before it began", wonTerm);
             return;
           }
--- a/src/main/java/dapplestair/ledger/Evidence.java
+++ b/src/main/java/dapplestair/ledger/AttemptReconciler.java
@@ -10,18 +10,19 @@
 import org.slf4j.LoggerFactory;
 
 /** What reports of workers prove about attempts: that they run, have ended or are absent. */
-final class Evidence {
-  private static final Logger LOG = LoggerFactory.getLogger(Evidence.class);
+final class AttemptReconciler {
+  private static final Logger LOG = LoggerFactory.getLogger(AttemptReconciler.class);
 
   private static final int MOST_HELD_STEPS = 64;
 
   private final LedgerContext context;
   private final Attempts attempts;
   private final ChunkWriter writer;
-  private final Endings endings;
+  private final JobFinalizer endings;
   private final RefusedStarts refusedStarts;
 
-  Evidence(LedgerContext context, Attempts attempts, ChunkWriter writer, Endings endings) {
+  AttemptReconciler(
+      LedgerContext context, Attempts attempts, ChunkWriter writer, JobFinalizer endings) {
     this.context = context;
     this.attempts = attempts;
     this.writer = writer;
--- a/src/main/java/dapplestair/ledger/Attempts.java
+++ b/src/main/java/dapplestair/ledger/Attempts.java
@@ -11,11 +11,11 @@
   private static final double START_COUNTS_S = 30;
 
   private final LedgerContext context;
-  private final TeamUse use;
+  private final TeamUsage use;
   private final ChunkWriter writer;
   private Consumer<Job> emptied = j -> {};
 
-  Attempts(LedgerContext context, TeamUse use, ChunkWriter writer) {
+  Attempts(LedgerContext context, TeamUsage use, ChunkWriter writer) {
     this.context = context;
     this.use = use;
     this.writer = writer;
--- a/src/main/java/dapplestair/ledger/ChunkWriter.java
+++ b/src/main/java/dapplestair/ledger/ChunkWriter.java
@@ -1,9 +1,9 @@
 package dapplestair.ledger;
 
-import dapplestair.state.Keys;
-import dapplestair.state.Outcome;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
 import dapplestair.state.Txn;
+import dapplestair.state.TxnOutcome;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -196,17 +196,17 @@
     }
     // The job's own stamp: nothing starts for a job that was cancelled meanwhile.
     String ref = job.spec().ref();
-    String key = Keys.run(ref, chunk.index);
+    String key = StateKeys.run(ref, chunk.index);
     return context
         .leadership
         .guard(new Txn())
         .when(key, chunk.stamp)
-        .when(Keys.job(ref), job.stamp)
+        .when(StateKeys.job(ref), job.stamp)
         .put(key, chunk.toJson(job.probesFailed));
   }
 
-  private void written(Job job, Chunk chunk, Outcome outcome, Flush flush) {
-    if (outcome instanceof Outcome.Applied applied) {
+  private void written(Job job, Chunk chunk, TxnOutcome outcome, Flush flush) {
+    if (outcome instanceof TxnOutcome.Applied applied) {
       chunk.stamp = applied.stamp();
       chunk.recordedNumber = flush.number;
       launchBatches.released(chunk);
@@ -224,11 +224,11 @@
     chunk.dirty = true;
     chunk.ends = true;
     chunk.urgent |= !flush.planned.isEmpty();
-    if (outcome instanceof Outcome.Conflict conflict) {
+    if (outcome instanceof TxnOutcome.Conflict conflict) {
       if (context.leadership.deposedBy(outcome)) {
         return;
       }
-      if (conflict.failed().contains(Keys.job(job.spec().ref()))) {
+      if (conflict.failed().contains(StateKeys.job(job.spec().ref()))) {
         // Cancelled: the replica will say so; what was not sent never will be.
         for (Attempt a : flush.planned) {
           if (chunk.live.get(a.step) == a && !a.sent()) {
@@ -238,12 +238,12 @@
         return;
       }
     }
-    if (outcome instanceof Outcome.Conflict || outcome instanceof Outcome.Unknown) {
-      if (outcome instanceof Outcome.Conflict conflict) {
+    if (outcome instanceof TxnOutcome.Conflict || outcome instanceof TxnOutcome.Unknown) {
+      if (outcome instanceof TxnOutcome.Conflict conflict) {
         // A leader is the only one who writes it, and none of its own copies is open any more.
         LOG.warn(
             "{} is not as this leader left it at {}: {}",
-            Keys.run(job.spec().ref(), chunk.index),
+            StateKeys.run(job.spec().ref(), chunk.index),
             chunk.stamp,
             conflict.failed());
       }
@@ -255,7 +255,7 @@
 
   private void launch(Chunk chunk, Attempt attempt, long revision) {
     if (chunk.live.get(attempt.step) == attempt && attempt.phase == Attempt.Phase.PLANNED) {
-      context.launch(attempt, Keys.run(attempt.spec().ref(), chunk.index), revision);
+      context.launch(attempt, StateKeys.run(attempt.spec().ref(), chunk.index), revision);
     }
   }
 
@@ -277,7 +277,7 @@
     long term = context.term();
     chunk.inFlight = true;
     context.state.get(
-        Keys.run(job.spec().ref(), chunk.index),
+        StateKeys.run(job.spec().ref(), chunk.index),
         read -> {
           if (!context.still(term)) {
             return;
--- a/src/main/java/dapplestair/ledger/Endings.java
+++ b/src/main/java/dapplestair/ledger/JobFinalizer.java
@@ -1,28 +1,28 @@
 package dapplestair.ledger;
 
-import dapplestair.state.Keys;
-import dapplestair.state.Outcome;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
 import dapplestair.state.Txn;
+import dapplestair.state.TxnOutcome;
 import dapplestair.work.Rank;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
 /** How jobs end, and the removal of what was recorded of them. */
-final class Endings implements ChunkWriter.Listener {
+final class JobFinalizer implements ChunkWriter.Listener {
   private final LedgerContext context;
   private final ChunkWriter writer;
   private final Attempts attempts;
   private final Map<String, Job> jobs;
-  private final Served served;
+  private final JobStatistics served;
 
-  Endings(
+  JobFinalizer(
       LedgerContext context,
       ChunkWriter writer,
       Attempts attempts,
       Map<String, Job> jobs,
-      Served served) {
+      JobStatistics served) {
     this.context = context;
     this.writer = writer;
     this.attempts = attempts;
@@ -94,7 +94,7 @@
           if (!context.still(term)) {
             return;
           }
-          if (outcome instanceof Outcome.Applied) {
+          if (outcome instanceof TxnOutcome.Applied) {
             // Also when the replica was quicker to say that the job's key is gone.
             context.hooks.ended(job.spec().ref(), true);
           }
@@ -111,37 +111,38 @@
         context
             .leadership
             .guard(new Txn())
-            .when(Keys.job(ref), job.stamp)
-            .put(Keys.over(ref), JobRecord.over(job, "done", context.clock.wall()))
-            .remove(Keys.job(ref));
+            .when(StateKeys.job(ref), job.stamp)
+            .put(StateKeys.over(ref), JobRecord.over(job, "done", context.clock.wall()))
+            .remove(StateKeys.job(ref));
     context.hooks.finishing(job, txn);
     for (Chunk chunk : job.chunks.values()) {
       if (chunk.stamp != 0 && !chunk.inFlight && txn.size() < context.settings.state().txnOps()) {
-        txn.when(Keys.run(ref, chunk.index), chunk.stamp).remove(Keys.run(ref, chunk.index));
+        txn.when(StateKeys.run(ref, chunk.index), chunk.stamp)
+            .remove(StateKeys.run(ref, chunk.index));
         removed.add(chunk);
       }
     }
     return txn;
   }
 
-  private void finished(Job job, List<Chunk> removed, Outcome outcome) {
+  private void finished(Job job, List<Chunk> removed, TxnOutcome outcome) {
     String ref = job.spec().ref();
-    if (outcome instanceof Outcome.Applied) {
+    if (outcome instanceof TxnOutcome.Applied) {
       removed.forEach(c -> c.stamp = 0);
       end(job);
       return;
     }
-    if (outcome instanceof Outcome.Conflict conflict) {
+    if (outcome instanceof TxnOutcome.Conflict conflict) {
       if (context.leadership.deposedBy(outcome)) {
         return;
       }
-      if (conflict.failed().contains(Keys.job(ref))) {
+      if (conflict.failed().contains(StateKeys.job(ref))) {
         // Cancelled before, or our own unanswered write was applied: over/ tells which.
         end(job);
         return;
       }
       for (Chunk c : removed) {
-        if (conflict.failed().contains(Keys.run(ref, c.index))) {
+        if (conflict.failed().contains(StateKeys.run(ref, c.index))) {
           writer.readBack(job, c);
         }
       }
@@ -172,7 +173,7 @@
 
   private void removeRecord(Job job, Chunk chunk) {
     chunk.inFlight = true;
-    String key = Keys.run(job.spec().ref(), chunk.index);
+    String key = StateKeys.run(job.spec().ref(), chunk.index);
     Txn txn = context.leadership.guard(new Txn()).when(key, chunk.stamp).remove(key);
     long term = context.term();
     context.state.commit(
@@ -184,12 +185,12 @@
             return;
           }
           chunk.inFlight = false;
-          if (outcome instanceof Outcome.Applied) {
+          if (outcome instanceof TxnOutcome.Applied) {
             chunk.stamp = 0;
             over(job);
           } else if (context.leadership.deposedBy(outcome)) {
             return;
-          } else if (outcome instanceof Outcome.Refused) {
+          } else if (outcome instanceof TxnOutcome.Refused) {
             context.timers.after(4 * context.retryMs, () -> over(job));
           } else {
             chunk.inFlight = true;
--- a/src/main/java/dapplestair/ledger/JobRecord.java
+++ b/src/main/java/dapplestair/ledger/JobRecord.java
@@ -44,7 +44,7 @@
           Json.number(value, "asked", at),
           (int) Json.number(value, "chunk", otherwiseChunkSize),
           stamp);
-    } catch (Submission.Malformed e) {
+    } catch (Submission.InvalidSubmissionException e) {
       LOG.error("a recorded job cannot be read: {}", e.getMessage());
       return null;
     }
--- a/src/main/java/dapplestair/ledger/Served.java
+++ b/src/main/java/dapplestair/ledger/JobStatistics.java
@@ -15,7 +15,7 @@
  * open then and those accepted since. By the operators' word a day has failed if less than half of
  * any one of them is served.
  */
-public final class Served {
+public final class JobStatistics {
   // Classes are named by users: without a bound their names would fill memory and metrics.
   private static final int MOST_NAMES = 64;
   private static final long LARGE_KEPT_MS = 1000;
@@ -29,12 +29,12 @@
    * @param due those that are to complete: neither services nor cancelled
    * @param done those that completed
    */
-  public record Count(int accepted, int started, int due, int done) {
+  public record JobCounts(int accepted, int started, int due, int done) {
     /** No jobs. */
-    public static final Count NONE = new Count(0, 0, 0, 0);
+    public static final JobCounts NONE = new JobCounts(0, 0, 0, 0);
 
-    private Count plus(Count count) {
-      return new Count(
+    private JobCounts plus(JobCounts count) {
+      return new JobCounts(
           accepted + count.accepted, started + count.started, due + count.due, done + count.done);
     }
 
@@ -60,7 +60,7 @@
    * @param begun those that began
    * @param longestMs the longest wait among them, for their first task or until now
    */
-  public record Largest(int jobs, int begun, long longestMs) {
+  public record LargestJobStatistics(int jobs, int begun, long longestMs) {
     /** Share of them that began; 1 without any. */
     public double share() {
       return jobs == 0 ? 1 : begun / (double) jobs;
@@ -77,18 +77,18 @@
   private final LargestJobs largest = new LargestJobs();
   private final Map<String, Double> largeFrom = new HashMap<>();
   private long largeAt;
-  private final Map<String, Count> endedByTeam = new HashMap<>();
-  private final Map<String, Count> endedByClass = new HashMap<>();
+  private final Map<String, JobCounts> endedByTeam = new HashMap<>();
+  private final Map<String, JobCounts> endedByClass = new HashMap<>();
 
   /** {@code open} shows all jobs that are not cleaned up. */
-  Served(Clock clock, Collection<Job> open) {
+  JobStatistics(Clock clock, Collection<Job> open) {
     this.clock = clock;
     this.open = open;
   }
 
   /** A job is over, for this leader the first time. */
   void ended(Job job) {
-    Count one = one(job);
+    JobCounts one = one(job);
     add(endedByTeam, job.spec().team(), one);
     largest.ended(add(endedByClass, job.spec().jobClass(), one), job, clock.wall());
   }
@@ -100,10 +100,10 @@
     largeFrom.clear();
   }
 
-  private static Count one(Job job) {
+  private static JobCounts one(Job job) {
     boolean done = job.allDone();
     boolean cancelled = job.over && !done;
-    return new Count(
+    return new JobCounts(
         1,
         job.begun || job.doneCount() > 0 ? 1 : 0,
         job.spec().service() || cancelled ? 0 : 1,
@@ -111,28 +111,28 @@
   }
 
   /** Under its own name while there are few; returns which. */
-  private static String add(Map<String, Count> to, String name, Count one) {
+  private static String add(Map<String, JobCounts> to, String name, JobCounts one) {
     String key = to.containsKey(name) || to.size() < MOST_NAMES ? name : OTHERS;
-    to.merge(key, one, Count::plus);
+    to.merge(key, one, JobCounts::plus);
     return key;
   }
 
   /** By team, those that are over and those that are open. */
-  public Map<String, Count> byTeam() {
-    Map<String, Count> out = new TreeMap<>(endedByTeam);
+  public Map<String, JobCounts> byTeam() {
+    Map<String, JobCounts> out = new TreeMap<>(endedByTeam);
     open.stream().filter(j -> !j.over).forEach(j -> add(out, j.spec().team(), one(j)));
     return out;
   }
 
   /** The same by class. */
-  public Map<String, Count> byClass() {
-    Map<String, Count> out = new TreeMap<>(endedByClass);
+  public Map<String, JobCounts> byClass() {
+    Map<String, JobCounts> out = new TreeMap<>(endedByClass);
     open.stream().filter(j -> !j.over).forEach(j -> add(out, j.spec().jobClass(), one(j)));
     return out;
   }
 
   /** The largest jobs of each class. */
-  public Map<String, Largest> largest() {
+  public Map<String, LargestJobStatistics> largest() {
     return largest.count(openByClass(), clock.wall());
   }
 
@@ -150,11 +150,11 @@
   }
 
   private Map<String, List<Job>> openByClass() {
-    Map<String, Count> names = new TreeMap<>(endedByClass);
+    Map<String, JobCounts> names = new TreeMap<>(endedByClass);
     Map<String, List<Job>> jobs = new TreeMap<>();
     for (Job job : open) {
       if (!job.over) {
-        String name = add(names, job.spec().jobClass(), Count.NONE);
+        String name = add(names, job.spec().jobClass(), JobCounts.NONE);
         jobs.computeIfAbsent(name, n -> new ArrayList<>()).add(job);
       }
     }
@@ -174,7 +174,7 @@
 
   /** The few that are served least, for a line of the log. */
   public String least() {
-    Map<String, Count> all = new TreeMap<>();
+    Map<String, JobCounts> all = new TreeMap<>();
     byTeam().forEach((name, c) -> all.put("team " + name, c));
     byClass().forEach((name, c) -> all.put("class " + name, c));
     return all.entrySet().stream()
--- a/src/main/java/dapplestair/ledger/LargestJobs.java
+++ b/src/main/java/dapplestair/ledger/LargestJobs.java
@@ -58,8 +58,9 @@
   }
 
   /** By class, those that are over and those that are open under the names that they are given. */
-  Map<String, Served.Largest> count(Map<String, ? extends Collection<Job>> open, long nowWall) {
-    Map<String, Served.Largest> out = new TreeMap<>();
+  Map<String, JobStatistics.LargestJobStatistics> count(
+      Map<String, ? extends Collection<Job>> open, long nowWall) {
+    Map<String, JobStatistics.LargestJobStatistics> out = new TreeMap<>();
     byClass.keySet().forEach(c -> out.put(c, count(c, List.of(), nowWall)));
     open.forEach((c, jobs) -> out.put(c, count(c, jobs, nowWall)));
     return out;
@@ -80,9 +81,10 @@
     return all.subList(0, Math.min(most, all.size()));
   }
 
-  private Served.Largest count(String jobClass, Collection<Job> open, long nowWall) {
+  private JobStatistics.LargestJobStatistics count(
+      String jobClass, Collection<Job> open, long nowWall) {
     List<Size> largest = largest(jobClass, open, nowWall);
-    return new Served.Largest(
+    return new JobStatistics.LargestJobStatistics(
         largest.size(),
         (int) largest.stream().filter(Size::begun).count(),
         largest.stream().mapToLong(Size::waitedMs).max().orElse(0));
--- a/src/main/java/dapplestair/ledger/LaunchBatch.java
+++ b/src/main/java/dapplestair/ledger/LaunchBatch.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplestair.json.Json;
+import dapplestair.work.JobShape;
 import dapplestair.work.Rank;
-import dapplestair.work.Shape;
 import dapplestair.work.Submission;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -44,13 +44,13 @@
    * What a job of one task takes. It may be over long before its launch batch is deleted, and then
    * tells a new leader what is left on its machine without one question for each.
    */
-  record Brief(String ref, String team, double cpus, double gpus, double memoryGb) {
+  record JobSummary(String ref, String team, double cpus, double gpus, double memoryGb) {
     Submission spec() {
       return new Submission(
           ref,
           "",
           team,
-          Shape.ARRAY,
+          JobShape.ARRAY,
           Rank.LOW,
           1,
           cpus,
@@ -111,12 +111,12 @@
     }
   }
 
-  static List<Brief> readBriefs(JsonNode value) {
-    List<Brief> out = new ArrayList<>();
+  static List<JobSummary> readBriefs(JsonNode value) {
+    List<JobSummary> out = new ArrayList<>();
     for (Map.Entry<String, JsonNode> entry : value.path("j").properties()) {
       JsonNode node = entry.getValue();
       out.add(
-          new Brief(
+          new JobSummary(
               entry.getKey(),
               node.path(0).asText(),
               node.path(1).asDouble(),
--- a/src/main/java/dapplestair/ledger/LaunchBatches.java
+++ b/src/main/java/dapplestair/ledger/LaunchBatches.java
@@ -1,9 +1,9 @@
 package dapplestair.ledger;
 
-import dapplestair.state.Keys;
-import dapplestair.state.Outcome;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
 import dapplestair.state.Txn;
+import dapplestair.state.TxnOutcome;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -33,12 +33,12 @@
     void dropped(Attempt unsent);
   }
 
-  private record Waiting(Job job, Chunk chunk) {}
+  private record PendingLaunch(Job job, Chunk chunk) {}
 
   /** One put under way. */
-  private static final class Flight {
+  private static final class InFlightPut {
     LaunchBatch launchBatch;
-    final List<Waiting> of = new ArrayList<>();
+    final List<PendingLaunch> of = new ArrayList<>();
     final List<Attempt> planned = new ArrayList<>();
   }
 
@@ -111,7 +111,7 @@
   }
 
   private void enqueue(Group group) {
-    Flight flight = new Flight();
+    InFlightPut flight = new InFlightPut();
     long term = context.term();
     context.state.commit(
         1,
@@ -125,7 +125,7 @@
           if (flight.launchBatch == null) {
             // Its turn did not come in time.
             context.timers.after(context.retryMs, () -> enqueue(group));
-          } else if (outcome instanceof Outcome.Unknown) {
+          } else if (outcome instanceof TxnOutcome.Unknown) {
             readBack(flight, term);
           } else {
             landed(flight, outcome);
@@ -133,14 +133,14 @@
         });
   }
 
-  private Txn build(Group group, Flight flight) {
+  private Txn build(Group group, InFlightPut flight) {
     group.queued = false;
     group.sentAt = context.clock.now();
     if (!context.leadership.leading()) {
       return null;
     }
-    List<Waiting> ready = new ArrayList<>();
-    group.waiting.forEach((c, job) -> ready.add(new Waiting(job, c)));
+    List<PendingLaunch> ready = new ArrayList<>();
+    group.waiting.forEach((c, job) -> ready.add(new PendingLaunch(job, c)));
     group.waiting.clear();
     ready.removeIf(w -> !chunks.waits(w.job, w.chunk));
     if (ready.size() < group.few) {
@@ -150,26 +150,26 @@
     ready.sort(Comparator.comparingInt(w -> w.job.spec().rank().ordinal()));
     fill(flight, ready);
     Txn txn = context.leadership.guard(new Txn());
-    for (Waiting w : flight.of) {
+    for (PendingLaunch w : flight.of) {
       // The job's own stamp: nothing starts for a job that was cancelled meanwhile.
-      txn.when(Keys.job(w.job.spec().ref()), w.job.stamp);
+      txn.when(StateKeys.job(w.job.spec().ref()), w.job.stamp);
       w.chunk.inFlight = true;
     }
-    LaunchBatch launchBatch = new LaunchBatch(Keys.launchBatch(context.term(), ++counter));
+    LaunchBatch launchBatch = new LaunchBatch(StateKeys.launchBatch(context.term(), ++counter));
     flight.launchBatch = launchBatch;
     launchBatches.put(launchBatch.key, launchBatch);
     return txn.when(launchBatch.key, 0).put(launchBatch.key, LaunchBatch.write(flight.planned));
   }
 
   /** Takes as many as one value and the conditions of one transaction hold; the others wait on. */
-  private void fill(Flight flight, List<Waiting> ready) {
+  private void fill(InFlightPut flight, List<PendingLaunch> ready) {
     int mostJobs = 4 * context.settings.state().txnOps() - 2;
     int mostEntries = LaunchBatch.capacity(context.settings.state().valueBytes());
     if (!ready.isEmpty() && ChunkWriter.single(ready.get(0).job)) {
       // With each entry goes what its job takes.
       mostEntries /= 2;
     }
-    for (Waiting waiting : ready) {
+    for (PendingLaunch waiting : ready) {
       List<Attempt> planned =
           waiting.chunk.live.values().stream()
               .filter(a -> a.phase == Attempt.Phase.PLANNED)
@@ -192,7 +192,7 @@
    * these attempts will be on record elsewhere as well, and it is taken away once the replica shows
    * it.
    */
-  private void readBack(Flight flight, long term) {
+  private void readBack(InFlightPut flight, long term) {
     context.state.get(
         flight.launchBatch.key,
         read -> {
@@ -200,21 +200,21 @@
             return;
           }
           if (read.exists()) {
-            landed(flight, new Outcome.Applied(read.stamp()));
+            landed(flight, new TxnOutcome.Applied(read.stamp()));
           } else if (read.known()) {
-            landed(flight, new Outcome.Refused());
+            landed(flight, new TxnOutcome.Refused());
           } else {
             context.timers.after(context.retryMs, () -> readBack(flight, term));
           }
         });
   }
 
-  private void landed(Flight flight, Outcome outcome) {
+  private void landed(InFlightPut flight, TxnOutcome outcome) {
     flight.of.forEach(w -> w.chunk.inFlight = false);
-    boolean made = outcome instanceof Outcome.Applied;
-    if (outcome instanceof Outcome.Applied applied) {
+    boolean made = outcome instanceof TxnOutcome.Applied;
+    if (outcome instanceof TxnOutcome.Applied applied) {
       flight.launchBatch.stamp = applied.stamp();
-      for (Waiting w : flight.of) {
+      for (PendingLaunch w : flight.of) {
         flight.launchBatch.claims.add(w.chunk);
         w.chunk.launchBatches.add(flight.launchBatch);
       }
@@ -224,7 +224,7 @@
           context.launch(attempt, flight.launchBatch.key, applied.stamp());
         }
       }
-    } else if (outcome instanceof Outcome.Conflict conflict) {
+    } else if (outcome instanceof TxnOutcome.Conflict conflict) {
       launchBatches.remove(flight.launchBatch.key);
       if (context.leadership.deposedBy(outcome)) {
         return;
@@ -236,9 +236,9 @@
     flight.of.forEach(w -> chunks.landed(w.job, w.chunk, made));
   }
 
-  private void dropCancelled(Flight flight, Outcome.Conflict conflict) {
+  private void dropCancelled(InFlightPut flight, TxnOutcome.Conflict conflict) {
     for (Attempt attempt : flight.planned) {
-      if (conflict.failed().contains(Keys.job(attempt.job.spec().ref()))
+      if (conflict.failed().contains(StateKeys.job(attempt.job.spec().ref()))
           && attempt.job.chunkOf(attempt.step).live.get(attempt.step) == attempt
           && !attempt.sent()) {
         chunks.dropped(attempt);
@@ -291,11 +291,11 @@
             return;
           }
           launchBatch.removing = false;
-          if (outcome instanceof Outcome.Applied) {
+          if (outcome instanceof TxnOutcome.Applied) {
             launchBatches.remove(launchBatch.key);
           } else if (context.leadership.deposedBy(outcome)) {
             return;
-          } else if (outcome instanceof Outcome.Conflict) {
+          } else if (outcome instanceof TxnOutcome.Conflict) {
             launchBatches.remove(launchBatch.key);
           } else {
             context.timers.after(4 * context.retryMs, () -> removeIfEmpty(launchBatch));
--- a/src/main/java/dapplestair/ledger/LaunchGate.java
+++ b/src/main/java/dapplestair/ledger/LaunchGate.java
@@ -5,11 +5,11 @@
 /** The one gate that every launch passes, whoever proposes it. */
 final class LaunchGate {
   private final LedgerContext context;
-  private final TeamUse use;
+  private final TeamUsage use;
   private final Attempts attempts;
   private final ChunkWriter writer;
 
-  LaunchGate(LedgerContext context, TeamUse use, Attempts attempts, ChunkWriter writer) {
+  LaunchGate(LedgerContext context, TeamUsage use, Attempts attempts, ChunkWriter writer) {
     this.context = context;
     this.use = use;
     this.attempts = attempts;
--- a/src/main/java/dapplestair/ledger/Ledger.java
+++ b/src/main/java/dapplestair/ledger/Ledger.java
@@ -28,13 +28,13 @@
   private final LedgerContext context;
   private final int chunkSize;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
-  private final Recorded recorded = new Recorded();
-  private final TeamUse use;
-  private final Served served;
+  private final RawAttemptRecords recorded = new RawAttemptRecords();
+  private final TeamUsage use;
+  private final JobStatistics served;
   private final ChunkWriter writer;
   private final Attempts attempts;
-  private final Endings endings;
-  private final Evidence evidence;
+  private final JobFinalizer endings;
+  private final AttemptReconciler evidence;
   private final LaunchGate launchGate;
   private final Takeover takeover;
 
@@ -46,15 +46,15 @@
       StateClient state,
       Leadership leadership,
       boolean withLaunchBatches,
-      Hooks hooks) {
+      LedgerCallbacks hooks) {
     context = new LedgerContext(clock, timers, settings, state, leadership, hooks);
     chunkSize = Math.max(1, settings.state().valueBytes() / BYTES_PER_ATTEMPT);
-    served = new Served(clock, jobs.values());
-    use = new TeamUse(settings);
+    served = new JobStatistics(clock, jobs.values());
+    use = new TeamUsage(settings);
     writer = new ChunkWriter(context, withLaunchBatches);
     attempts = new Attempts(context, use, writer);
-    endings = new Endings(context, writer, attempts, jobs, served);
-    evidence = new Evidence(context, attempts, writer, endings);
+    endings = new JobFinalizer(context, writer, attempts, jobs, served);
+    evidence = new AttemptReconciler(context, attempts, writer, endings);
     launchGate = new LaunchGate(context, use, attempts, writer);
     takeover =
         new Takeover(context, jobs, recorded, attempts, writer, endings, evidence, chunkSize);
@@ -229,8 +229,8 @@
   }
 
   /** How many of a job's tasks are out; {@code reached} tells which attempts can be heard. */
-  public Out out(Job job, Predicate<Attempt> reached) {
-    return Out.of(job, reached);
+  public UnavailableTasks out(Job job, Predicate<Attempt> reached) {
+    return UnavailableTasks.of(job, reached);
   }
 
   /** Up to {@code most} of a job's attempts at steps from {@code from} on, by step. */
@@ -263,7 +263,7 @@
   }
 
   /** What became of the jobs of each team and class since this controller leads. */
-  public Served served() {
+  public JobStatistics served() {
     return served;
   }
 
--- a/src/main/java/dapplestair/ledger/Hooks.java
+++ b/src/main/java/dapplestair/ledger/LedgerCallbacks.java
@@ -3,7 +3,7 @@
 import dapplestair.state.Txn;
 
 /** What the ledger asks of the other duties, and tells them. */
-public interface Hooks {
+public interface LedgerCallbacks {
   /** The attempt is recorded: its launch may be sent. */
   void launch(Attempt attempt);
 
--- a/src/main/java/dapplestair/ledger/LedgerContext.java
+++ b/src/main/java/dapplestair/ledger/LedgerContext.java
@@ -17,7 +17,7 @@
   final Settings settings;
   final StateClient state;
   final Leadership leadership;
-  final Hooks hooks;
+  final LedgerCallbacks hooks;
   final long retryMs;
 
   private long term;
@@ -30,7 +30,7 @@
       Settings settings,
       StateClient state,
       Leadership leadership,
-      Hooks hooks) {
+      LedgerCallbacks hooks) {
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
--- a/src/main/java/dapplestair/ledger/Recorded.java
+++ b/src/main/java/dapplestair/ledger/RawAttemptRecords.java
@@ -11,24 +11,25 @@
 import java.util.Set;
 
 /** The records of attempts as the replica tells them, unread: a follower needs no more. */
-final class Recorded {
+final class RawAttemptRecords {
   /** An attempt and the launch batch that has it. */
   record OnLaunchBatch(String key, LaunchBatch.Entry entry) {}
 
   /** One record and its stamp. */
-  record Row(JsonNode value, long stamp) {}
+  record VersionedRecord(JsonNode value, long stamp) {}
 
-  private final Map<String, Int2ObjectOpenHashMap<Row>> rows = new HashMap<>();
+  private final Map<String, Int2ObjectOpenHashMap<VersionedRecord>> rows = new HashMap<>();
   private final Map<String, Long> launchBatches = new HashMap<>();
   private final Map<String, List<OnLaunchBatch>> onLaunchBatches = new HashMap<>();
-  private final Map<String, LaunchBatch.Brief> briefs = new HashMap<>();
+  private final Map<String, LaunchBatch.JobSummary> briefs = new HashMap<>();
 
   void put(String ref, int chunk, JsonNode value, long stamp) {
-    rows.computeIfAbsent(ref, r -> new Int2ObjectOpenHashMap<>()).put(chunk, new Row(value, stamp));
+    rows.computeIfAbsent(ref, r -> new Int2ObjectOpenHashMap<>())
+        .put(chunk, new VersionedRecord(value, stamp));
   }
 
   void remove(String ref, int chunk) {
-    Int2ObjectOpenHashMap<Row> of = rows.get(ref);
+    Int2ObjectOpenHashMap<VersionedRecord> of = rows.get(ref);
     if (of != null) {
       of.remove(chunk);
       if (of.isEmpty()) {
@@ -67,7 +68,7 @@
   }
 
   /** What a job of one task takes of which nothing but launch batches speaks, or null. */
-  LaunchBatch.Brief brief(String ref) {
+  LaunchBatch.JobSummary brief(String ref) {
     return rows.containsKey(ref) ? null : briefs.get(ref);
   }
 
@@ -79,14 +80,14 @@
   }
 
   /** A job's records by chunk. */
-  Int2ObjectOpenHashMap<Row> of(String ref) {
+  Int2ObjectOpenHashMap<VersionedRecord> of(String ref) {
     return rows.getOrDefault(ref, new Int2ObjectOpenHashMap<>(0));
   }
 
   /** Tasks completed and tasks with an attempt. */
   int[] counts(String ref) {
     int[] out = new int[2];
-    for (Row row : of(ref).values()) {
+    for (VersionedRecord row : of(ref).values()) {
       out[0] += Chunk.countDone(row.value());
       out[1] += Chunk.countLive(row.value());
     }
--- a/src/main/java/dapplestair/ledger/Takeover.java
+++ b/src/main/java/dapplestair/ledger/Takeover.java
@@ -1,6 +1,6 @@
 package dapplestair.ledger;
 
-import dapplestair.state.Keys;
+import dapplestair.state.StateKeys;
 import it.unimi.dsi.fastutil.ints.Int2ObjectMap;
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import java.util.ArrayDeque;
@@ -19,11 +19,11 @@
 
   private final LedgerContext context;
   private final Map<String, Job> jobs;
-  private final Recorded recorded;
+  private final RawAttemptRecords recorded;
   private final Attempts attempts;
   private final ChunkWriter writer;
-  private final Endings endings;
-  private final Evidence evidence;
+  private final JobFinalizer endings;
+  private final AttemptReconciler evidence;
   private final int chunkSize;
 
   // The chunks that each earlier launch batch still counts for.
@@ -35,11 +35,11 @@
   Takeover(
       LedgerContext context,
       Map<String, Job> jobs,
-      Recorded recorded,
+      RawAttemptRecords recorded,
       Attempts attempts,
       ChunkWriter writer,
-      Endings endings,
-      Evidence evidence,
+      JobFinalizer endings,
+      AttemptReconciler evidence,
       int chunkSize) {
     this.context = context;
     this.jobs = jobs;
@@ -62,7 +62,7 @@
     orphans = 1;
     for (String ref : recorded.refs()) {
       Job job = jobs.get(ref);
-      LaunchBatch.Brief brief = recorded.brief(ref);
+      LaunchBatch.JobSummary brief = recorded.brief(ref);
       if (job != null) {
         build(job);
       } else if (brief != null) {
@@ -94,7 +94,7 @@
     }
     Job held = job;
     context.state.get(
-        Keys.over(held.spec().ref()),
+        StateKeys.over(held.spec().ref()),
         read -> {
           if (!context.still(forTerm)) {
             return;
@@ -115,7 +115,7 @@
   /** Attempts of a job that is over still use its team's share: its description is needed. */
   private void fetchOrphan(long forTerm, String ref) {
     context.state.get(
-        Keys.over(ref),
+        StateKeys.over(ref),
         read -> {
           if (!context.still(forTerm)) {
             return;
@@ -181,15 +181,15 @@
    * task the higher number counts: it was given out after the other one was proved absent.
    */
   private void readLaunchBatches(Job job) {
-    Int2ObjectMap<Recorded.OnLaunchBatch> newest = new Int2ObjectOpenHashMap<>();
-    for (Recorded.OnLaunchBatch on : recorded.onLaunchBatches(job.spec().ref())) {
+    Int2ObjectMap<RawAttemptRecords.OnLaunchBatch> newest = new Int2ObjectOpenHashMap<>();
+    for (RawAttemptRecords.OnLaunchBatch on : recorded.onLaunchBatches(job.spec().ref())) {
       LaunchBatch.Entry entry = on.entry();
       if (entry.number() > job.chunkOf(entry.step()).recordedNumber) {
         newest.merge(entry.step(), on, (a, b) -> a.entry().number() > b.entry().number() ? a : b);
         claims.computeIfAbsent(on.key(), k -> new LinkedHashSet<>()).add(job.chunkOf(entry.step()));
       }
     }
-    for (Recorded.OnLaunchBatch on : newest.values()) {
+    for (RawAttemptRecords.OnLaunchBatch on : newest.values()) {
       LaunchBatch.Entry entry = on.entry();
       Chunk chunk = job.chunkOf(entry.step());
       chunk.lastNumber = Math.max(chunk.lastNumber, entry.number());
@@ -215,7 +215,7 @@
   }
 
   private void build(Job job) {
-    for (Int2ObjectMap.Entry<Recorded.Row> entry :
+    for (Int2ObjectMap.Entry<RawAttemptRecords.VersionedRecord> entry :
         recorded.of(job.spec().ref()).int2ObjectEntrySet()) {
       Chunk c = job.chunk(entry.getIntKey());
       job.probesFailed = Math.max(job.probesFailed, Chunk.probesFailed(entry.getValue().value()));
--- a/src/main/java/dapplestair/ledger/TeamUse.java
+++ b/src/main/java/dapplestair/ledger/TeamUsage.java
@@ -6,29 +6,29 @@
 import java.util.Map;
 
 /** What each team's attempts use, counted from their planning until their absence is proved. */
-final class TeamUse {
-  private static final class Use {
+final class TeamUsage {
+  private static final class Usage {
     double cpus;
     double gpus;
   }
 
-  private static final Use NONE = new Use();
+  private static final Usage NONE = new Usage();
 
   private final Settings settings;
-  private final Map<String, Use> teams = new HashMap<>();
+  private final Map<String, Usage> teams = new HashMap<>();
 
-  TeamUse(Settings settings) {
+  TeamUsage(Settings settings) {
     this.settings = settings;
   }
 
   void add(Submission submission) {
-    Use use = teams.computeIfAbsent(submission.team(), t -> new Use());
+    Usage use = teams.computeIfAbsent(submission.team(), t -> new Usage());
     use.cpus += submission.cpus();
     use.gpus += submission.gpus();
   }
 
   void subtract(Submission submission) {
-    Use use = teams.get(submission.team());
+    Usage use = teams.get(submission.team());
     use.cpus -= submission.cpus();
     use.gpus -= submission.gpus();
   }
@@ -47,7 +47,7 @@
     if (team == null) {
       return false;
     }
-    Use use = teams.getOrDefault(submission.team(), NONE);
+    Usage use = teams.getOrDefault(submission.team(), NONE);
     return (team.cpusMax() <= 0 || use.cpus + tasks * submission.cpus() <= team.cpusMax() + 1e-6)
         && (team.gpusMax() <= 0 || use.gpus + tasks * submission.gpus() <= team.gpusMax() + 1e-6);
   }
--- a/src/main/java/dapplestair/ledger/Out.java
+++ b/src/main/java/dapplestair/ledger/UnavailableTasks.java
@@ -12,8 +12,8 @@
  * @param disrupted those among them that may have run before
  * @param stopping those among them that are being stopped
  */
-public record Out(int missing, int disrupted, int stopping) {
-  static Out of(Job job, Predicate<Attempt> reached) {
+public record UnavailableTasks(int missing, int disrupted, int stopping) {
+  static UnavailableTasks of(Job job, Predicate<Attempt> reached) {
     int in = 0;
     int disrupted = 0;
     int stopping = 0;
@@ -37,7 +37,7 @@
       }
       disrupted += chunk.awaitedAgain(starting + ended);
     }
-    return new Out(job.spec().steps() - done - in, disrupted + stopping, stopping);
+    return new UnavailableTasks(job.spec().steps() - done - in, disrupted + stopping, stopping);
   }
 
   private static boolean runs(Attempt attempt) {
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -3,7 +3,7 @@
 import com.google.common.collect.Maps;
 import dapplestair.admin.ControllerComponents;
 import dapplestair.disruption.BudgetStatus;
-import dapplestair.ledger.Served;
+import dapplestair.ledger.JobStatistics;
 import dapplestair.metrics.Exposition;
 import dapplestair.planning.Planning;
 import dapplestair.settings.Settings;
@@ -118,12 +118,15 @@
             "Share of a team's accepted jobs that started, since this controller leads.",
             "team",
             () ->
-                Maps.transformValues(duties.ledger().served().byTeam(), Served.Count::startedShare))
+                Maps.transformValues(
+                    duties.ledger().served().byTeam(), JobStatistics.JobCounts::startedShare))
         .gauges(
             "team_jobs_done_share",
             "Share of a team's arrays, less those cancelled, that are done since then.",
             "team",
-            () -> Maps.transformValues(duties.ledger().served().byTeam(), Served.Count::doneShare));
+            () ->
+                Maps.transformValues(
+                    duties.ledger().served().byTeam(), JobStatistics.JobCounts::doneShare));
   }
 
   /** How classes of jobs are served. */
@@ -135,23 +138,29 @@
             "class",
             () ->
                 Maps.transformValues(
-                    duties.ledger().served().byClass(), Served.Count::startedShare))
+                    duties.ledger().served().byClass(), JobStatistics.JobCounts::startedShare))
         .gauges(
             "class_jobs_done_share",
             "Share of a class's arrays, less those cancelled, that are done since then.",
             "class",
-            () -> Maps.transformValues(duties.ledger().served().byClass(), Served.Count::doneShare))
+            () ->
+                Maps.transformValues(
+                    duties.ledger().served().byClass(), JobStatistics.JobCounts::doneShare))
         .gauges(
             "class_largest_begun_share",
             "Share of a class's largest jobs (the largest tenth, three at least) that began.",
             "class",
-            () -> Maps.transformValues(duties.ledger().served().largest(), Served.Largest::share))
+            () ->
+                Maps.transformValues(
+                    duties.ledger().served().largest(), JobStatistics.LargestJobStatistics::share))
         .gauges(
             "class_largest_wait_seconds",
             "The longest wait of one of a class's largest jobs for its first task.",
             "class",
             () ->
-                Maps.transformValues(duties.ledger().served().largest(), Served.Largest::longestS));
+                Maps.transformValues(
+                    duties.ledger().served().largest(),
+                    JobStatistics.LargestJobStatistics::longestS));
   }
 
   /** What is stopped by choice. */
--- a/src/main/java/dapplestair/node/CoreComponents.java
+++ b/src/main/java/dapplestair/node/CoreComponents.java
@@ -37,7 +37,7 @@
   final Peers peers;
   final Leadership leadership;
   final CloudClient cloud;
-  final LedgerHooks hooks;
+  final LedgerCallbackRouter hooks;
   final TermTimers termTimers;
   final Ledger ledger;
   final Cancellations cancellations;
@@ -82,7 +82,7 @@
     leadership =
         new Leadership(
             clock, timers, outside.random(), settings, state, peers, listeners.leadership);
-    hooks = new LedgerHooks(clock, metrics, estimates);
+    hooks = new LedgerCallbackRouter(clock, metrics, estimates);
     termTimers = new TermTimers(timers, leadership);
     ledger =
         new Ledger(clock, termTimers, settings, state, leadership, outside.launchBatches(), hooks);
--- a/src/main/java/dapplestair/node/LedgerHooks.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -4,8 +4,8 @@
 import dapplestair.calendar.Calendars;
 import dapplestair.events.Events;
 import dapplestair.ledger.Attempt;
-import dapplestair.ledger.Hooks;
 import dapplestair.ledger.Job;
+import dapplestair.ledger.LedgerCallbacks;
 import dapplestair.ledger.Machine;
 import dapplestair.ledger.StopReason;
 import dapplestair.metrics.Metrics;
@@ -19,7 +19,7 @@
 import dapplestair.workers.WorkerManager;
 
 /** What the ledger tells and asks, brought to the duties whose it is. */
-final class LedgerHooks implements Hooks {
+final class LedgerCallbackRouter implements LedgerCallbacks {
   private final Clock clock;
   private final Metrics metrics;
   private final Estimates estimates;
@@ -31,7 +31,7 @@
   private Blame blame;
   private Calendars calendars;
 
-  LedgerHooks(Clock clock, Metrics metrics, Estimates estimates) {
+  LedgerCallbackRouter(Clock clock, Metrics metrics, Estimates estimates) {
     this.clock = clock;
     this.metrics = metrics;
     this.estimates = estimates;
--- a/src/main/java/dapplestair/node/OperationsComponents.java
+++ b/src/main/java/dapplestair/node/OperationsComponents.java
@@ -7,12 +7,12 @@
 import dapplestair.replacement.Replacements;
 import dapplestair.replacement.Room;
 import dapplestair.settings.Settings;
-import dapplestair.state.Wishes;
+import dapplestair.state.ConditionalWriter;
 import dapplestair.zones.Zones;
 
 /** What operators ask of machines and zones, carried out by the leader. */
 final class OperationsComponents implements AutoCloseable {
-  final Wishes wishes;
+  final ConditionalWriter wishes;
   final Drains drains;
   final Replacements replacements;
   final Zones zones;
@@ -24,7 +24,7 @@
       SchedulingComponents scheduling) {
     Clock clock = outside.clock();
     TermTimers timers = core.termTimers;
-    wishes = new Wishes(clock, core.state, core.replica);
+    wishes = new ConditionalWriter(clock, core.state, core.replica);
     drains =
         new Drains(
             clock,
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -13,9 +13,9 @@
 import dapplestair.ledger.Ledger;
 import dapplestair.placement.Placer;
 import dapplestair.replacement.Replacements;
-import dapplestair.state.Keys;
 import dapplestair.state.Replica;
-import dapplestair.weights.Weights;
+import dapplestair.state.StateKeys;
+import dapplestair.weights.ImageLocations;
 import dapplestair.zones.Zones;
 
 /** Hands each record of the replica to the duty whose it is. */
@@ -29,7 +29,7 @@
   private final Zones zones;
   private final Lanes lanes;
   private final Calendars calendars;
-  private final Weights weights;
+  private final ImageLocations weights;
   private final Cancellations cancellations;
   private final AcceptedJobs accepted;
   private final Placer placer;
@@ -59,86 +59,86 @@
 
   @Override
   public void put(String key, JsonNode value, long stamp) {
-    if (key.startsWith(Keys.RUN)
-        || key.startsWith(Keys.RENTAL)
-        || key.startsWith(Keys.LAUNCH_BATCH)) {
+    if (key.startsWith(StateKeys.RUN)
+        || key.startsWith(StateKeys.RENTAL)
+        || key.startsWith(StateKeys.LAUNCH_BATCH)) {
       leadership.leaderWrote();
     }
-    if (key.startsWith(Keys.RUN)) {
+    if (key.startsWith(StateKeys.RUN)) {
       int slash = key.lastIndexOf('/');
       ledger.runPut(
-          key.substring(Keys.RUN.length(), slash),
+          key.substring(StateKeys.RUN.length(), slash),
           Integer.parseInt(key.substring(slash + 1)),
           value,
           stamp);
-    } else if (key.startsWith(Keys.LAUNCH_BATCH)) {
+    } else if (key.startsWith(StateKeys.LAUNCH_BATCH)) {
       ledger.launchBatchPut(key, value, stamp);
-    } else if (key.startsWith(Keys.JOB)) {
-      ledger.jobPut(key.substring(Keys.JOB.length()), value, stamp);
-      accepted.read(key.substring(Keys.JOB.length()), stamp);
+    } else if (key.startsWith(StateKeys.JOB)) {
+      ledger.jobPut(key.substring(StateKeys.JOB.length()), value, stamp);
+      accepted.read(key.substring(StateKeys.JOB.length()), stamp);
       if (admin != null) {
-        admin.jobPut(key.substring(Keys.JOB.length()));
+        admin.jobPut(key.substring(StateKeys.JOB.length()));
       }
-    } else if (key.startsWith(Keys.RENTAL)) {
-      fleet.rentalPut(key.substring(Keys.RENTAL.length()), value, stamp);
-    } else if (key.equals(Keys.LEADER)) {
+    } else if (key.startsWith(StateKeys.RENTAL)) {
+      fleet.rentalPut(key.substring(StateKeys.RENTAL.length()), value, stamp);
+    } else if (key.equals(StateKeys.LEADER)) {
       leadership.leaderKey(value, stamp);
-    } else if (key.equals(Keys.TERM)) {
+    } else if (key.equals(StateKeys.TERM)) {
       leadership.termKey(value);
-    } else if (key.equals(Keys.TYPES)) {
+    } else if (key.equals(StateKeys.TYPES)) {
       fleet.typesKey(value, stamp);
-    } else if (key.startsWith(Keys.DRAIN) || key.startsWith(Keys.DRAIN_ZONE)) {
+    } else if (key.startsWith(StateKeys.DRAIN) || key.startsWith(StateKeys.DRAIN_ZONE)) {
       drains.recorded(key, value);
-    } else if (key.startsWith(Keys.ZONE)) {
+    } else if (key.startsWith(StateKeys.ZONE)) {
       zones.recorded(key, value);
-    } else if (key.startsWith(Keys.LANE)) {
+    } else if (key.startsWith(StateKeys.LANE)) {
       lanes.recorded(key, value);
-    } else if (key.startsWith(Keys.CALENDAR)) {
+    } else if (key.startsWith(StateKeys.CALENDAR)) {
       calendars.recorded(key, value);
-    } else if (key.startsWith(Keys.WEIGHTS)) {
+    } else if (key.startsWith(StateKeys.WEIGHTS)) {
       weights.recorded(key, value);
-    } else if (key.startsWith(Keys.REPLACE)) {
+    } else if (key.startsWith(StateKeys.REPLACE)) {
       replacements.recorded(key, value, stamp);
-    } else if (key.startsWith(Keys.DISRUPTION)) {
+    } else if (key.startsWith(StateKeys.DISRUPTION)) {
       lostWork.recorded(key, value);
     }
   }
 
   @Override
   public void removed(String key) {
-    if (key.startsWith(Keys.RUN)) {
+    if (key.startsWith(StateKeys.RUN)) {
       int slash = key.lastIndexOf('/');
       ledger.runRemoved(
-          key.substring(Keys.RUN.length(), slash), Integer.parseInt(key.substring(slash + 1)));
-    } else if (key.startsWith(Keys.LAUNCH_BATCH)) {
+          key.substring(StateKeys.RUN.length(), slash), Integer.parseInt(key.substring(slash + 1)));
+    } else if (key.startsWith(StateKeys.LAUNCH_BATCH)) {
       ledger.launchBatchRemoved(key);
-    } else if (key.startsWith(Keys.JOB)) {
+    } else if (key.startsWith(StateKeys.JOB)) {
       // While the ledger still has what was recorded of it.
-      cancellations.removed(key.substring(Keys.JOB.length()));
-      ledger.jobRemoved(key.substring(Keys.JOB.length()));
+      cancellations.removed(key.substring(StateKeys.JOB.length()));
+      ledger.jobRemoved(key.substring(StateKeys.JOB.length()));
       if (admin != null) {
-        admin.jobRemoved(key.substring(Keys.JOB.length()));
+        admin.jobRemoved(key.substring(StateKeys.JOB.length()));
       }
-    } else if (key.startsWith(Keys.RENTAL)) {
-      fleet.rentalRemoved(key.substring(Keys.RENTAL.length()));
-    } else if (key.equals(Keys.LEADER)) {
+    } else if (key.startsWith(StateKeys.RENTAL)) {
+      fleet.rentalRemoved(key.substring(StateKeys.RENTAL.length()));
+    } else if (key.equals(StateKeys.LEADER)) {
       leadership.leaderKey(null, 0);
-    } else if (key.equals(Keys.TYPES)) {
+    } else if (key.equals(StateKeys.TYPES)) {
       fleet.typesKey(null, 0);
-    } else if (key.startsWith(Keys.DRAIN) || key.startsWith(Keys.DRAIN_ZONE)) {
+    } else if (key.startsWith(StateKeys.DRAIN) || key.startsWith(StateKeys.DRAIN_ZONE)) {
       drains.recorded(key, null);
       placer.nudge();
-    } else if (key.startsWith(Keys.ZONE)) {
+    } else if (key.startsWith(StateKeys.ZONE)) {
       zones.recorded(key, null);
-    } else if (key.startsWith(Keys.LANE)) {
+    } else if (key.startsWith(StateKeys.LANE)) {
       lanes.recorded(key, null);
-    } else if (key.startsWith(Keys.CALENDAR)) {
+    } else if (key.startsWith(StateKeys.CALENDAR)) {
       calendars.recorded(key, null);
-    } else if (key.startsWith(Keys.WEIGHTS)) {
+    } else if (key.startsWith(StateKeys.WEIGHTS)) {
       weights.recorded(key, null);
-    } else if (key.startsWith(Keys.REPLACE)) {
+    } else if (key.startsWith(StateKeys.REPLACE)) {
       replacements.recorded(key, null, 0);
-    } else if (key.startsWith(Keys.DISRUPTION)) {
+    } else if (key.startsWith(StateKeys.DISRUPTION)) {
       lostWork.recorded(key, null);
     }
   }
--- a/src/main/java/dapplestair/node/SchedulingComponents.java
+++ b/src/main/java/dapplestair/node/SchedulingComponents.java
@@ -14,7 +14,7 @@
 import dapplestair.ports.Clock;
 import dapplestair.settings.Operator;
 import dapplestair.settings.Settings;
-import dapplestair.weights.Weights;
+import dapplestair.weights.ImageLocations;
 
 /** Which machines are rented and what runs on them: only a leader's work. */
 final class SchedulingComponents implements AutoCloseable {
@@ -24,7 +24,7 @@
   final DemandView demand;
   final Lanes lanes;
   final Calendars calendars;
-  final Weights weights;
+  final ImageLocations weights;
   final Placer placer;
   final Departures departures;
   final Planning planning;
@@ -76,7 +76,8 @@
             core.leadership,
             core.ledger,
             core.events);
-    weights = new Weights(clock, timers, settings, core.state, core.leadership, core.workers);
+    weights =
+        new ImageLocations(clock, timers, settings, core.state, core.leadership, core.workers);
     placer =
         new Placer(
             clock,
--- a/src/main/java/dapplestair/planning/Planning.java
+++ b/src/main/java/dapplestair/planning/Planning.java
@@ -12,12 +12,12 @@
 import dapplestair.ports.Cancellable;
 import dapplestair.ports.Clock;
 import dapplestair.settings.Operator;
-import dapplestair.state.Keys;
-import dapplestair.state.Outcome;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
 import dapplestair.state.Txn;
+import dapplestair.state.TxnOutcome;
 import dapplestair.workers.Host;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -328,7 +328,10 @@
     writing = true;
     int written = generation;
     Txn txn =
-        leadership.guard(new Txn()).when(Keys.PLAN, replica.stamp(Keys.PLAN)).put(Keys.PLAN, value);
+        leadership
+            .guard(new Txn())
+            .when(StateKeys.PLAN, replica.stamp(StateKeys.PLAN))
+            .put(StateKeys.PLAN, value);
     state.commit(
         txn,
         Priority.BOOKKEEPING,
@@ -338,7 +341,7 @@
             return;
           }
           writing = false;
-          if (outcome instanceof Outcome.Applied) {
+          if (outcome instanceof TxnOutcome.Applied) {
             lastWritten = value;
           } else {
             leadership.deposedBy(outcome);
--- a/src/main/java/dapplestair/relay/Relay.java
+++ b/src/main/java/dapplestair/relay/Relay.java
@@ -13,7 +13,7 @@
 import dapplestair.relay.RelayFrameCodec.Request;
 import dapplestair.relay.RelayFrameCodec.RequestKind;
 import dapplestair.settings.Settings;
-import dapplestair.work.Latest;
+import dapplestair.work.BoundedMap;
 import dapplestair.work.Report;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -57,7 +57,7 @@
   private final long leaseMs;
   private final Map<String, String> zones = new HashMap<>();
   private final Map<String, Long> aliveSince = new HashMap<>();
-  private final Map<String, Long> movedAt = new Latest<>(MOST_MOVES_KEPT);
+  private final Map<String, Long> movedAt = new BoundedMap<>(MOST_MOVES_KEPT);
   private Consumer<Exchange> reports = x -> {};
   private IntSupplier machines = () -> 0;
   private long relayed;
--- a/src/main/java/dapplestair/replacement/Replacements.java
+++ b/src/main/java/dapplestair/replacement/Replacements.java
@@ -14,8 +14,8 @@
 import dapplestair.ports.Clock;
 import dapplestair.replacement.Progress.Phase;
 import dapplestair.settings.Settings;
-import dapplestair.state.Keys;
 import dapplestair.state.StateClient;
+import dapplestair.state.StateKeys;
 import dapplestair.workers.Host;
 import dapplestair.workers.WorkerManager;
 import java.util.Collection;
@@ -93,7 +93,7 @@
 
   /** An order's key has this value, or is gone. */
   public void recorded(String key, JsonNode value, long stamp) {
-    String name = key.substring(Keys.REPLACE.length());
+    String name = key.substring(StateKeys.REPLACE.length());
     Running known = orders.get(name);
     if (value == null) {
       orders.remove(name);
--- a/src/main/java/dapplestair/replacement/Steps.java
+++ b/src/main/java/dapplestair/replacement/Steps.java
@@ -9,10 +9,10 @@
 import dapplestair.ports.Clock;
 import dapplestair.replacement.Progress.Phase;
 import dapplestair.settings.Settings;
-import dapplestair.state.Keys;
-import dapplestair.state.Outcome;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
+import dapplestair.state.TxnOutcome;
 import dapplestair.workers.Host;
 import java.util.HashSet;
 import java.util.List;
@@ -324,7 +324,7 @@
   /** On record first; nothing of it is done before. */
   private void write(Running running, Progress next, Runnable then) {
     running.writing = true;
-    String key = Keys.REPLACE + running.name;
+    String key = StateKeys.REPLACE + running.name;
     writer.put(
         key,
         running.stamp,
@@ -335,7 +335,7 @@
           if (now != null) {
             now.writing = false;
           }
-          if (outcome instanceof Outcome.Applied applied) {
+          if (outcome instanceof TxnOutcome.Applied applied) {
             if (now != null && now.stamp < applied.stamp()) {
               now.stamp = applied.stamp();
               now.progress = next;
--- a/src/main/java/dapplestair/silence/Account.java
+++ b/src/main/java/dapplestair/silence/Account.java
@@ -3,7 +3,7 @@
 import com.esotericsoftware.kryo.KryoException;
 import com.esotericsoftware.kryo.io.Input;
 import com.esotericsoftware.kryo.io.Output;
-import dapplestair.work.Names;
+import dapplestair.work.FrontCodedNames;
 import java.util.Map;
 import java.util.TreeMap;
 
@@ -44,7 +44,7 @@
 
   private static void write(Output out, Map<String, Long> ages) {
     out.writeVarInt(Math.min(MOST_ENTRIES, ages.size()), true);
-    Names names = new Names();
+    FrontCodedNames names = new FrontCodedNames();
     int left = MOST_ENTRIES;
     for (Map.Entry<String, Long> entry : new TreeMap<>(ages).entrySet()) {
       if (left-- == 0) {
@@ -74,7 +74,7 @@
       throw new IllegalArgumentException("too many entries: " + count);
     }
     Map<String, Long> out = new TreeMap<>();
-    Names names = new Names();
+    FrontCodedNames names = new FrontCodedNames();
     for (int i = 0; i < count; i++) {
       String name = names.read(in);
       long ago = in.readVarLong(true);
--- a/src/main/java/dapplestair/state/CommitQueue.java
+++ b/src/main/java/dapplestair/state/CommitQueue.java
@@ -27,7 +27,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(CommitQueue.class);
 
   /** Sends one transaction to the state service. */
-  interface Link {
+  interface TxnSender {
     /** {@code done} gets the answer, or none within {@code timeoutMs}. */
     void post(byte[] transaction, long timeoutMs, Consumer<HttpReply> done);
   }
@@ -40,18 +40,18 @@
   // A late answer is listened for as long: what is on its way holds connections.
   private static final int LATE_TIMEOUTS = 4;
 
-  private record Queued(
+  private record QueuedTxn(
       int size, Supplier<Txn> txn, long deadline, boolean repeated, PendingCommit commit) {}
 
   private final Clock clock;
   private final Timers timers;
-  private final Link link;
+  private final TxnSender link;
   private final TokenBucket requests;
   private final TokenBucket writes;
   private final long longestMs;
-  private final AnswerTimeout answerTimeout;
-  private final List<ArrayDeque<Queued>> queues =
-      Arrays.stream(Priority.values()).map(p -> new ArrayDeque<Queued>()).toList();
+  private final ResponseTimeout answerTimeout;
+  private final List<ArrayDeque<QueuedTxn>> queues =
+      Arrays.stream(Priority.values()).map(p -> new ArrayDeque<QueuedTxn>()).toList();
   private final int[] puts = new int[Priority.values().length];
   private int inFlight;
   private int used;
@@ -63,7 +63,7 @@
   CommitQueue(
       Clock clock,
       Timers timers,
-      Link link,
+      TxnSender link,
       TokenBucket requests,
       TokenBucket writes,
       long longestMs) {
@@ -73,7 +73,7 @@
     this.requests = requests;
     this.writes = writes;
     this.longestMs = longestMs;
-    this.answerTimeout = new AnswerTimeout(longestMs / LEAST_TIMEOUT_PART, longestMs);
+    this.answerTimeout = new ResponseTimeout(longestMs / LEAST_TIMEOUT_PART, longestMs);
   }
 
   /** Puts a second that are made or would be made if they could. */
@@ -111,13 +111,13 @@
   }
 
   /** Queues a transaction, as {@link StateClient#commit} says. */
-  void add(int size, Supplier<Txn> txn, Priority priority, long waitMs, Consumer<Outcome> done) {
-    ArrayDeque<Queued> queue = queues.get(priority.ordinal());
+  void add(int size, Supplier<Txn> txn, Priority priority, long waitMs, Consumer<TxnOutcome> done) {
+    ArrayDeque<QueuedTxn> queue = queues.get(priority.ordinal());
     if (queue.size() >= MOST_QUEUED) {
-      timers.after(0, () -> done.accept(new Outcome.Refused()));
+      timers.after(0, () -> done.accept(new TxnOutcome.Refused()));
       return;
     }
-    queue.add(new Queued(size, txn, clock.now() + waitMs, false, new PendingCommit(done)));
+    queue.add(new QueuedTxn(size, txn, clock.now() + waitMs, false, new PendingCommit(done)));
     pump();
   }
 
@@ -126,9 +126,9 @@
       return;
     }
     for (Priority priority : Priority.values()) {
-      ArrayDeque<Queued> queue = queues.get(priority.ordinal());
+      ArrayDeque<QueuedTxn> queue = queues.get(priority.ordinal());
       while (!queue.isEmpty()) {
-        Queued queued = queue.peek();
+        QueuedTxn queued = queue.peek();
         if (queued.commit.settled()) {
           queue.poll();
           continue;
@@ -150,8 +150,8 @@
         Txn txn = queued.txn.get();
         if (txn != null) {
           count(txn, priority);
-          Queued built =
-              new Queued(txn.size(), () -> txn, queued.deadline, queued.repeated, queued.commit);
+          QueuedTxn built =
+              new QueuedTxn(txn.size(), () -> txn, queued.deadline, queued.repeated, queued.commit);
           send(built, txn, priority);
         }
       }
@@ -177,13 +177,13 @@
 
   /** One copy on its way: it holds a place in flight until it is answered or late. */
   private final class Copy {
-    private final Queued queued;
+    private final QueuedTxn queued;
     private final Priority priority;
     private final long sentAt = clock.now();
     private Cancellable timer = () -> {};
     private boolean late;
 
-    Copy(Queued queued, Priority priority) {
+    Copy(QueuedTxn queued, Priority priority) {
       this.queued = queued;
       this.priority = priority;
     }
@@ -196,7 +196,7 @@
         queued.commit.repeat();
         queues
             .get(priority.ordinal())
-            .addFirst(new Queued(queued.size, queued.txn, repeatUntil, true, queued.commit));
+            .addFirst(new QueuedTxn(queued.size, queued.txn, repeatUntil, true, queued.commit));
       }
       pump();
     }
@@ -223,7 +223,7 @@
     }
   }
 
-  private void send(Queued queued, Txn txn, Priority priority) {
+  private void send(QueuedTxn queued, Txn txn, Priority priority) {
     inFlight++;
     queued.commit.sent();
     Copy copy = new Copy(queued, priority);
@@ -239,27 +239,27 @@
     link.post(txn.bytes(), timeoutMs, copy::answered);
   }
 
-  private static Outcome outcome(HttpReply reply) {
+  private static TxnOutcome outcome(HttpReply reply) {
     JsonNode body = Json.parse(reply.body());
     switch (reply.status()) {
       case 200:
         long epoch = Json.number(body, "epoch", -1);
-        return epoch < 0 ? new Outcome.Unknown() : new Outcome.Applied(epoch);
+        return epoch < 0 ? new TxnOutcome.Unknown() : new TxnOutcome.Applied(epoch);
       case 409:
         Set<String> failed = new HashSet<>();
         body.path("failed").forEach(k -> failed.add(k.asText()));
-        return new Outcome.Conflict(failed);
+        return new TxnOutcome.Conflict(failed);
       case 400:
         String error = Json.text(body, "error");
         if (error != null && error.contains("lease")) {
-          return new Outcome.NoHold();
+          return new TxnOutcome.NoHold();
         }
         LOG.error("the state service calls a transaction malformed: {}", error);
-        return new Outcome.Refused();
+        return new TxnOutcome.Refused();
       case HttpReply.NOT_SENT, 503, 429:
-        return new Outcome.Refused();
+        return new TxnOutcome.Refused();
       default:
-        return new Outcome.Unknown();
+        return new TxnOutcome.Unknown();
     }
   }
 }
--- a/src/main/java/dapplestair/state/Wishes.java
+++ b/src/main/java/dapplestair/state/ConditionalWriter.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 
 /** Records what operators wish, each wish conditional on the record that they were shown. */
-public final class Wishes {
+public final class ConditionalWriter {
   /** How a wish ended. */
   public enum Result {
     /** Recorded, or recorded already. */
@@ -24,7 +24,7 @@
   private final Replica replica;
 
   /** Writes by this client, on what this replica shows. */
-  public Wishes(Clock clock, StateClient state, Replica replica) {
+  public ConditionalWriter(Clock clock, StateClient state, Replica replica) {
     this.clock = clock;
     this.state = state;
     this.replica = replica;
@@ -48,12 +48,12 @@
         Priority.USER,
         Math.max(0, deadline - clock.now()),
         outcome -> {
-          if (outcome instanceof Outcome.Applied) {
+          if (outcome instanceof TxnOutcome.Applied) {
             done.accept(Result.DONE);
-          } else if (outcome instanceof Outcome.Conflict) {
+          } else if (outcome instanceof TxnOutcome.Conflict) {
             // Somebody else's change, or our own write that went unanswered before.
             settle(key, value, -1, deadline, done);
-          } else if (outcome instanceof Outcome.Unknown) {
+          } else if (outcome instanceof TxnOutcome.Unknown) {
             settle(key, value, stamp, deadline, done);
           } else {
             done.accept(Result.REFUSED);
--- a/src/main/java/dapplestair/state/PendingCommit.java
+++ b/src/main/java/dapplestair/state/PendingCommit.java
@@ -7,15 +7,15 @@
  * the keys that it writes, so at most one copy is applied; how it ended follows from all answers.
  */
 final class PendingCommit {
-  private final Consumer<Outcome> done;
+  private final Consumer<TxnOutcome> done;
   private int unanswered;
   private boolean waitsToRepeat;
   private boolean lost;
-  private Outcome notApplied;
+  private TxnOutcome notApplied;
   private boolean settled;
 
   /** {@code done} hears once how it ended. */
-  PendingCommit(Consumer<Outcome> done) {
+  PendingCommit(Consumer<TxnOutcome> done) {
     this.done = done;
   }
 
@@ -43,7 +43,7 @@
   /** The copy that was to be sent never will be. */
   void notSent() {
     waitsToRepeat = false;
-    note(new Outcome.Refused());
+    note(new TxnOutcome.Refused());
   }
 
   /** The copy on its way was not executed, and waits to be sent again. */
@@ -52,26 +52,26 @@
   }
 
   /** A copy ended. */
-  void answered(Outcome outcome) {
+  void answered(TxnOutcome outcome) {
     unanswered--;
     note(outcome);
   }
 
-  private void note(Outcome outcome) {
-    if (outcome instanceof Outcome.Applied) {
+  private void note(TxnOutcome outcome) {
+    if (outcome instanceof TxnOutcome.Applied) {
       settle(outcome);
-    } else if (outcome instanceof Outcome.Unknown) {
+    } else if (outcome instanceof TxnOutcome.Unknown) {
       lost = true;
-    } else if (!(notApplied instanceof Outcome.Conflict)) {
+    } else if (!(notApplied instanceof TxnOutcome.Conflict)) {
       notApplied = outcome;
     }
     // A conflict may be with another copy of its own, as long as that one is unanswered.
     if (unanswered == 0 && (!waitsToRepeat || notApplied != null)) {
-      settle(lost ? new Outcome.Unknown() : notApplied);
+      settle(lost ? new TxnOutcome.Unknown() : notApplied);
     }
   }
 
-  private void settle(Outcome outcome) {
+  private void settle(TxnOutcome outcome) {
     if (!settled) {
       settled = true;
       done.accept(outcome);
--- a/src/main/java/dapplestair/state/Replica.java
+++ b/src/main/java/dapplestair/state/Replica.java
@@ -78,7 +78,7 @@
   /** Forgets everything without telling anybody, and begins again. */
   public void restart() {
     // A job that ends while nothing is held has ended for those who knew it all the same.
-    stamps.keySet().stream().filter(k -> k.startsWith(Keys.JOB)).forEach(jobsBefore::add);
+    stamps.keySet().stream().filter(k -> k.startsWith(StateKeys.JOB)).forEach(jobsBefore::add);
     stamps.clear();
     reload();
   }
@@ -88,7 +88,7 @@
    * what became of it has not been read yet.
    */
   public boolean heldBefore(String job) {
-    return jobsBefore.contains(Keys.job(job));
+    return jobsBefore.contains(StateKeys.job(job));
   }
 
   /** True once complete. */
@@ -119,11 +119,11 @@
     return stamps.keySet();
   }
 
-  private record Row(JsonNode value, long stamp) {}
+  private record VersionedValue(JsonNode value, long stamp) {}
 
-  private void list(int gen, String from, long epoch, Map<String, Row> rows) {
+  private void list(int gen, String from, long epoch, Map<String, VersionedValue> rows) {
     state.list(
-        Keys.LIVE,
+        StateKeys.LIVE,
         from,
         page -> {
           if (gen != generation) {
@@ -137,7 +137,7 @@
           String last = from;
           for (JsonNode row : page.get("rows")) {
             last = row.path("k").asText();
-            rows.put(last, new Row(row.get("value"), Json.number(row, "stamp", 0)));
+            rows.put(last, new VersionedValue(row.get("value"), Json.number(row, "stamp", 0)));
           }
           // Pages are not one moment: changes since the first page are replayed over them.
           long start = epoch < 0 ? Json.number(page, "epoch", 0) : epoch;
@@ -151,7 +151,7 @@
         });
   }
 
-  private void adopt(Map<String, Row> rows) {
+  private void adopt(Map<String, VersionedValue> rows) {
     for (String key : List.copyOf(stamps.keySet())) {
       if (!rows.containsKey(key)) {
         stamps.removeLong(key);
@@ -176,7 +176,7 @@
     }
     long askedAt = state.now();
     state.changes(
-        Keys.LIVE,
+        StateKeys.LIVE,
         position,
         0,
         reply -> {
@@ -206,7 +206,7 @@
     }
     long askedAt = state.now();
     state.changes(
-        Keys.LIVE,
+        StateKeys.LIVE,
         position,
         BLOCK_MS,
         reply -> {
@@ -297,7 +297,7 @@
     int gen = generation;
     long askedAt = state.now();
     state.changes(
-        Keys.LIVE,
+        StateKeys.LIVE,
         position,
         0,
         reply -> {
--- a/src/main/java/dapplestair/state/AnswerTimeout.java
+++ b/src/main/java/dapplestair/state/ResponseTimeout.java
@@ -4,7 +4,7 @@
  * How long to wait for an answer before it is taken for lost, estimated from the time that answers
  * took lately, as TCP estimates its retransmission time-out (RFC 6298).
  */
-final class AnswerTimeout {
+final class ResponseTimeout {
   // Weights of the newest sample in the smoothed time and in its variation, and the variations
   // added to the smoothed time, all by RFC 6298.
   private static final double TIME_WEIGHT = 1.0 / 8;
@@ -18,7 +18,7 @@
   private int backoff = 1;
 
   /** Never less than {@code leastMs} nor more than {@code mostMs}. */
-  AnswerTimeout(long leastMs, long mostMs) {
+  ResponseTimeout(long leastMs, long mostMs) {
     this.leastMs = leastMs;
     this.mostMs = mostMs;
   }
--- a/src/main/java/dapplestair/state/StateClient.java
+++ b/src/main/java/dapplestair/state/StateClient.java
@@ -40,7 +40,7 @@
   }
 
   /** What a read found: {@code known} false when it could not be read. */
-  public record Read(boolean known, JsonNode value, long stamp) {
+  public record ReadResult(boolean known, JsonNode value, long stamp) {
     /** True when the key exists. */
     public boolean exists() {
       return known && value != null;
@@ -148,7 +148,7 @@
   }
 
   /** Queues a transaction; it ends as refused when it could not be sent within {@code waitMs}. */
-  public void commit(Txn txn, Priority priority, long waitMs, Consumer<Outcome> done) {
+  public void commit(Txn txn, Priority priority, long waitMs, Consumer<TxnOutcome> done) {
     commit(txn.size(), () -> txn, priority, waitMs, done);
   }
 
@@ -158,7 +158,7 @@
    * write, of which {@code done} does not hear.
    */
   public void commit(
-      int size, Supplier<Txn> txn, Priority priority, long waitMs, Consumer<Outcome> done) {
+      int size, Supplier<Txn> txn, Priority priority, long waitMs, Consumer<TxnOutcome> done) {
     commits.add(size, txn, priority, waitMs, done);
   }
 
@@ -168,7 +168,7 @@
   }
 
   /** Reads one key. */
-  public void get(String key, Consumer<Read> done) {
+  public void get(String key, Consumer<ReadResult> done) {
     requests.take(1);
     http.call(
         endpoint,
@@ -179,9 +179,9 @@
         reply -> {
           JsonNode body = Json.parse(note(reply).body());
           if (reply.status() == 200 && body.has("value")) {
-            done.accept(new Read(true, body.get("value"), Json.number(body, "stamp", 0)));
+            done.accept(new ReadResult(true, body.get("value"), Json.number(body, "stamp", 0)));
           } else {
-            done.accept(new Read(reply.status() == 404 && body.has("epoch"), null, 0));
+            done.accept(new ReadResult(reply.status() == 404 && body.has("epoch"), null, 0));
           }
         });
   }
--- a/src/main/java/dapplestair/state/Keys.java
+++ b/src/main/java/dapplestair/state/StateKeys.java
@@ -4,7 +4,7 @@
  * Names of keys. What is replicated lives under {@link #LIVE}; jobs that are over move out of it,
  * so that the replica and a start's listing stay small however long the cluster runs.
  */
-public final class Keys {
+public final class StateKeys {
   /** Prefix of all that controllers replicate. */
   public static final String LIVE = "live/";
 
@@ -59,7 +59,7 @@
   /** Prefix of jobs that are over. */
   public static final String OVER = "over/";
 
-  private Keys() {}
+  private StateKeys() {}
 
   /** A job that is not over. */
   public static String job(String ref) {
--- a/src/main/java/dapplestair/state/Outcome.java
+++ b/src/main/java/dapplestair/state/TxnOutcome.java
@@ -3,19 +3,19 @@
 import java.util.Set;
 
 /** How a transaction ended. */
-public sealed interface Outcome {
+public sealed interface TxnOutcome {
   /** Applied; every key it wrote has this stamp. */
-  record Applied(long stamp) implements Outcome {}
+  record Applied(long stamp) implements TxnOutcome {}
 
   /** Not applied, since these keys had other stamps. */
-  record Conflict(Set<String> failed) implements Outcome {}
+  record Conflict(Set<String> failed) implements TxnOutcome {}
 
   /** Surely not applied: refused, shed or never sent. */
-  record Refused() implements Outcome {}
+  record Refused() implements TxnOutcome {}
 
   /** May have been applied, or may yet be. */
-  record Unknown() implements Outcome {}
+  record Unknown() implements TxnOutcome {}
 
   /** Not applied: the hold it names has ended. */
-  record NoHold() implements Outcome {}
+  record NoHold() implements TxnOutcome {}
 }
--- a/src/main/java/dapplestair/submissions/FirstSubmissionTimes.java
+++ b/src/main/java/dapplestair/submissions/FirstSubmissionTimes.java
@@ -1,7 +1,7 @@
 package dapplestair.submissions;
 
 import dapplestair.ports.Clock;
-import dapplestair.work.Latest;
+import dapplestair.work.BoundedMap;
 import java.util.Map;
 
 /**
@@ -15,7 +15,7 @@
   private static final long KEPT_MS = 75_000;
 
   private final Clock clock;
-  private final Map<String, Long> turnedAway = new Latest<>(MOST_KEPT);
+  private final Map<String, Long> turnedAway = new BoundedMap<>(MOST_KEPT);
 
   FirstSubmissionTimes(Clock clock) {
     this.clock = clock;
--- a/src/main/java/dapplestair/submissions/JobFinder.java
+++ b/src/main/java/dapplestair/submissions/JobFinder.java
@@ -3,10 +3,10 @@
 import dapplestair.json.Json;
 import dapplestair.ledger.Job;
 import dapplestair.ledger.Ledger;
-import dapplestair.state.Keys;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
-import dapplestair.work.Latest;
+import dapplestair.state.StateKeys;
+import dapplestair.work.BoundedMap;
 import dapplestair.work.Submission;
 import java.util.Map;
 import java.util.function.BiConsumer;
@@ -20,7 +20,7 @@
   private final StateClient state;
   private final Replica replica;
   private final Ledger ledger;
-  private final Map<String, Boolean> over = new Latest<>(MOST_OVER_KEPT);
+  private final Map<String, Boolean> over = new BoundedMap<>(MOST_OVER_KEPT);
 
   JobFinder(StateClient state, Replica replica, Ledger ledger) {
     this.state = state;
@@ -63,7 +63,7 @@
         passed -> {
           if (!passed) {
             done.accept(false, null);
-          } else if (replica.stamp(Keys.job(ref)) != 0 && ledger.job(ref) != null) {
+          } else if (replica.stamp(StateKeys.job(ref)) != 0 && ledger.job(ref) != null) {
             done.accept(true, new Found(ledger.job(ref), false));
           } else {
             findOver(ref, done);
@@ -74,7 +74,7 @@
   private void findOver(String ref, BiConsumer<Boolean, Found> done) {
     // Not live as of the barrier: over before now, or never accepted before now.
     state.get(
-        Keys.over(ref),
+        StateKeys.over(ref),
         read -> {
           if (!read.known()) {
             done.accept(false, null);
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -11,12 +11,12 @@
 import dapplestair.ports.Clock;
 import dapplestair.ports.Exchange;
 import dapplestair.settings.Settings;
-import dapplestair.state.Keys;
-import dapplestair.state.Outcome;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
 import dapplestair.state.Txn;
+import dapplestair.state.TxnOutcome;
 import dapplestair.work.Rank;
 import dapplestair.work.Submission;
 import java.util.function.Consumer;
@@ -135,7 +135,7 @@
         }
       }
       submission = Submission.parse(body);
-    } catch (Submission.Malformed e) {
+    } catch (Submission.InvalidSubmissionException e) {
       refuseUnlessKnown(exchange, 400, e.getMessage());
       return;
     }
@@ -222,10 +222,10 @@
     pending++;
     Txn txn =
         new Txn()
-            .when(Keys.job(submission.ref()), 0)
-            .when(Keys.over(submission.ref()), 0)
+            .when(StateKeys.job(submission.ref()), 0)
+            .when(StateKeys.over(submission.ref()), 0)
             .put(
-                Keys.job(submission.ref()),
+                StateKeys.job(submission.ref()),
                 ledger.record(submission, firstAttempts.at(submission.ref())));
     state.commit(
         txn,
@@ -233,13 +233,13 @@
         Math.max(0, deadline - clock.now()),
         outcome -> {
           pending--;
-          if (outcome instanceof Outcome.Applied) {
+          if (outcome instanceof TxnOutcome.Applied) {
             firstAttempts.accepted(submission.ref());
             metrics.accepted(clock.now() - began);
             status(exchange, 201, submission.ref(), "queued", null);
-          } else if (outcome instanceof Outcome.Conflict) {
+          } else if (outcome instanceof TxnOutcome.Conflict) {
             look(exchange, submission.ref());
-          } else if (outcome instanceof Outcome.Unknown && clock.now() < deadline) {
+          } else if (outcome instanceof TxnOutcome.Unknown && clock.now() < deadline) {
             // The same conditions again: if the lost one was applied after all, this one is
             // refused and the job is found; both can never be.
             accept(exchange, submission, deadline, began);
@@ -303,19 +303,19 @@
     ObjectNode value = ledger.overRecord(job, "aborted");
     Txn txn =
         new Txn()
-            .when(Keys.job(ref), replica.stamp(Keys.job(ref)))
-            .put(Keys.over(ref), value)
-            .remove(Keys.job(ref));
+            .when(StateKeys.job(ref), replica.stamp(StateKeys.job(ref)))
+            .put(StateKeys.over(ref), value)
+            .remove(StateKeys.job(ref));
     state.commit(
         txn,
         Priority.USER,
         Math.max(0, deadline - clock.now()),
         outcome -> {
-          if (outcome instanceof Outcome.Applied) {
+          if (outcome instanceof TxnOutcome.Applied) {
             // Where its tasks are is on record by now, and whoever tells the user has read it: what
             // is told to the others is all there is. If that fails the user is told nothing yet.
             replica.barrier(passed -> cancelled(exchange, ref, passed));
-          } else if (outcome instanceof Outcome.Refused || clock.now() >= deadline) {
+          } else if (outcome instanceof TxnOutcome.Refused || clock.now() >= deadline) {
             busy(exchange);
           } else {
             // Done meanwhile, cancelled elsewhere, or unanswered: look again.
--- a/src/main/java/dapplestair/weights/Holders.java
+++ b/src/main/java/dapplestair/weights/ImageHolders.java
@@ -7,12 +7,12 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.io.BaseEncoding;
 import dapplestair.json.Json;
-import dapplestair.work.Names;
+import dapplestair.work.FrontCodedNames;
 import java.util.SortedSet;
 import java.util.TreeSet;
 
 /** The machines that hold an image, as a record: two to five bytes for a machine. */
-record Holders(String image, double gb, SortedSet<String> machines) {
+record ImageHolders(String image, double gb, SortedSet<String> machines) {
   // Base64 and the rest of the record come on top.
   private static final double SHARE = 0.6;
 
@@ -20,7 +20,7 @@
   ObjectNode toJson(int valueBytes) {
     int most = (int) (valueBytes * SHARE) - image.length();
     Output out = new Output(256, 2 * valueBytes);
-    Names names = new Names();
+    FrontCodedNames names = new FrontCodedNames();
     for (String m : machines) {
       if (out.position() + m.length() + 4 > most) {
         break;
@@ -34,17 +34,17 @@
   }
 
   /** Reads a record; without machines when it is garbled, since it holds hints only. */
-  static Holders parse(JsonNode in) {
+  static ImageHolders parse(JsonNode in) {
     SortedSet<String> machines = new TreeSet<>();
     try {
       Input bytes = new Input(BaseEncoding.base64().decode(in.path("on").asText()));
-      Names names = new Names();
+      FrontCodedNames names = new FrontCodedNames();
       while (bytes.position() < bytes.limit()) {
         machines.add(names.read(bytes));
       }
     } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
       machines.clear();
     }
-    return new Holders(in.path("image").asText(), in.path("gb").asDouble(), machines);
+    return new ImageHolders(in.path("image").asText(), in.path("gb").asDouble(), machines);
   }
 }
--- a/src/main/java/dapplestair/weights/Weights.java
+++ b/src/main/java/dapplestair/weights/ImageLocations.java
@@ -9,11 +9,11 @@
 import dapplestair.ports.Cancellable;
 import dapplestair.ports.Clock;
 import dapplestair.settings.Settings;
-import dapplestair.state.Keys;
-import dapplestair.state.Outcome;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
 import dapplestair.state.Txn;
+import dapplestair.state.TxnOutcome;
 import dapplestair.workers.Host;
 import dapplestair.workers.WorkerManager;
 import java.nio.charset.StandardCharsets;
@@ -29,7 +29,7 @@
  * not seen. Hints only: what a machine has given up since is fetched again, and nothing else
  * follows from it.
  */
-public final class Weights implements AutoCloseable {
+public final class ImageLocations implements AutoCloseable {
   // A put at a time, so many reports apart: a part in a hundred of what a busy day writes.
   private static final int REPORTS_APART = 2;
 
@@ -46,14 +46,14 @@
   private final WorkerManager desk;
 
   // By key, what the records say, and for which image.
-  private final Map<String, Holders> records = new HashMap<>();
+  private final Map<String, ImageHolders> records = new HashMap<>();
   private Cancellable timer = () -> {};
   private long ledSince;
   private boolean leading;
   private boolean writing;
 
   /** Nothing is known. */
-  public Weights(
+  public ImageLocations(
       Clock clock,
       TermTimers timers,
       Settings settings,
@@ -83,7 +83,7 @@
     if (value == null) {
       records.remove(key);
     } else {
-      records.put(key, Holders.parse(value));
+      records.put(key, ImageHolders.parse(value));
     }
   }
 
@@ -109,7 +109,7 @@
 
   /** Machines become known one after the other, for a while after a leader's beginning. */
   private void hint() {
-    for (Holders holders : records.values()) {
+    for (ImageHolders holders : records.values()) {
       for (String id : holders.machines()) {
         Host host = desk.known(id);
         if (host != null) {
@@ -132,7 +132,7 @@
   private void writeMostChanged() {
     String worst = null;
     double most = 0;
-    Map<String, Holders> now = now();
+    Map<String, ImageHolders> now = now();
     for (String key : Sets.union(now.keySet(), records.keySet())) {
       SortedSet<String> is = now.containsKey(key) ? now.get(key).machines() : new TreeSet<>();
       SortedSet<String> was =
@@ -149,8 +149,8 @@
     }
   }
 
-  private Map<String, Holders> now() {
-    Map<String, Holders> out = new TreeMap<>();
+  private Map<String, ImageHolders> now() {
+    Map<String, ImageHolders> out = new TreeMap<>();
     long at = clock.now();
     for (Host host : desk.hosts()) {
       if (host.up() && !host.gone() && !host.releasing()) {
@@ -158,7 +158,8 @@
             .ready(at)
             .forEach(
                 (image, gb) ->
-                    out.computeIfAbsent(key(image), k -> new Holders(image, gb, new TreeSet<>()))
+                    out.computeIfAbsent(
+                            key(image), k -> new ImageHolders(image, gb, new TreeSet<>()))
                         .machines()
                         .add(host.id()));
       }
@@ -167,10 +168,10 @@
   }
 
   private static String key(String image) {
-    return Keys.WEIGHTS + Hashing.murmur3_128().hashString(image, StandardCharsets.UTF_8);
+    return StateKeys.WEIGHTS + Hashing.murmur3_128().hashString(image, StandardCharsets.UTF_8);
   }
 
-  private void write(String key, Holders holders) {
+  private void write(String key, ImageHolders holders) {
     writing = true;
     Txn txn = writer.transaction();
     if (holders == null) {
@@ -186,7 +187,7 @@
             return;
           }
           writing = false;
-          if (outcome instanceof Outcome.Applied) {
+          if (outcome instanceof TxnOutcome.Applied) {
             if (holders == null) {
               records.remove(key);
             } else {
--- a/src/main/java/dapplestair/work/Names.java
+++ b/src/main/java/dapplestair/work/FrontCodedNames.java
@@ -4,7 +4,7 @@
 import com.esotericsoftware.kryo.io.Output;
 
 /** Names in order, each written as what it shares with the one before and its rest. */
-public final class Names {
+public final class FrontCodedNames {
   private static final int LONGEST = 200;
 
   private String before = "";
--- a/src/main/java/dapplestair/work/Shape.java
+++ b/src/main/java/dapplestair/work/JobShape.java
@@ -1,7 +1,7 @@
 package dapplestair.work;
 
 /** How the tasks of a job belong together. */
-public enum Shape {
+public enum JobShape {
   /** Independent tasks, each runs to completion. */
   ARRAY("sweep"),
   /** Tasks that run to completion side by side, none before all are there. */
@@ -11,12 +11,12 @@
 
   private final String wire;
 
-  Shape(String wire) {
+  JobShape(String wire) {
     this.wire = wire;
   }
 
-  static Shape of(String wire) {
-    for (Shape shape : values()) {
+  static JobShape of(String wire) {
+    for (JobShape shape : values()) {
       if (shape.wire.equals(wire)) {
         return shape;
       }
--- a/src/main/java/dapplestair/work/Submission.java
+++ b/src/main/java/dapplestair/work/Submission.java
@@ -21,7 +21,7 @@
     String ref,
     String jobClass,
     String team,
-    Shape shape,
+    JobShape shape,
     Rank rank,
     int steps,
     double cpus,
@@ -42,27 +42,27 @@
   private static final int MOST_STEPS = 100_000;
 
   /** What is wrong with a body; the message names the field. */
-  public static final class Malformed extends Exception {
+  public static final class InvalidSubmissionException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Malformed(String message) {
+    InvalidSubmissionException(String message) {
       super(message, null, false, false);
     }
   }
 
   /** True when its tasks run until it is cancelled. */
   public boolean service() {
-    return shape == Shape.SERVICE;
+    return shape == JobShape.SERVICE;
   }
 
   /** True when none of its tasks is of use before all of them run. */
   public boolean gang() {
-    return shape == Shape.GANG;
+    return shape == JobShape.GANG;
   }
 
   /** Tasks that must have room at the same time for the job to make sense. */
   public int atOnce() {
-    return shape == Shape.ARRAY ? 1 : steps;
+    return shape == JobShape.ARRAY ? 1 : steps;
   }
 
   /** Most tasks that may be in one zone. */
@@ -76,33 +76,33 @@
   }
 
   /** Reads and checks a user's body. */
-  public static Submission parse(JsonNode body) throws Malformed {
+  public static Submission parse(JsonNode body) throws InvalidSubmissionException {
     if (!body.isObject()) {
-      throw new Malformed("the body is not a JSON object");
+      throw new InvalidSubmissionException("the body is not a JSON object");
     }
     String ref = text(body, "ref");
     if (!validRef(ref)) {
-      throw new Malformed("ref: not a job id");
+      throw new InvalidSubmissionException("ref: not a job id");
     }
-    Shape shape = Shape.of(text(body, "shape"));
+    JobShape shape = JobShape.of(text(body, "shape"));
     if (shape == null) {
-      throw new Malformed("shape: must be sweep, gang or daemon");
+      throw new InvalidSubmissionException("shape: must be sweep, gang or daemon");
     }
     Rank rank = Rank.of(text(body, "rank"));
     if (rank == null) {
-      throw new Malformed("rank: must be critical, high, standard or low");
+      throw new InvalidSubmissionException("rank: must be critical, high, standard or low");
     }
     JsonNode steps = body.path("steps");
     if (!steps.isIntegralNumber()
         || !steps.canConvertToInt()
         || steps.intValue() < 1
         || steps.intValue() > MOST_STEPS) {
-      throw new Malformed("steps: must be a whole number from 1 to " + MOST_STEPS);
+      throw new InvalidSubmissionException("steps: must be a whole number from 1 to " + MOST_STEPS);
     }
     double cpus = amount(body, "vcpus");
     double memory = amount(body, "memoryGb");
     if (cpus <= 0) {
-      throw new Malformed("vcpus: must be above 0");
+      throw new InvalidSubmissionException("vcpus: must be above 0");
     }
     JsonNode due = body.path("dueS");
     return new Submission(
@@ -179,7 +179,7 @@
     return object;
   }
 
-  private static List<String> types(JsonNode node) throws Malformed {
+  private static List<String> types(JsonNode node) throws InvalidSubmissionException {
     if (node.isNull() || node.isMissingNode()) {
       return null;
     }
@@ -187,50 +187,51 @@
     if (node.isArray()) {
       for (JsonNode t : node) {
         if (!t.isTextual()) {
-          throw new Malformed("hulls: must hold names");
+          throw new InvalidSubmissionException("hulls: must hold names");
         }
         out.add(t.textValue());
       }
       return List.copyOf(out);
     }
-    throw new Malformed("hulls: must be an array or null");
+    throw new InvalidSubmissionException("hulls: must be an array or null");
   }
 
-  private static String text(JsonNode body, String field) throws Malformed {
+  private static String text(JsonNode body, String field) throws InvalidSubmissionException {
     String v = optionalText(body, field);
     if (v == null || v.isEmpty()) {
-      throw new Malformed(field + ": missing");
+      throw new InvalidSubmissionException(field + ": missing");
     }
     return v;
   }
 
-  private static String optionalText(JsonNode body, String field) throws Malformed {
+  private static String optionalText(JsonNode body, String field)
+      throws InvalidSubmissionException {
     JsonNode node = body.path(field);
     if (node.isNull() || node.isMissingNode()) {
       return null;
     }
     if (!node.isTextual() || node.textValue().length() > 200) {
-      throw new Malformed(field + ": must be a text of at most 200 characters");
+      throw new InvalidSubmissionException(field + ": must be a text of at most 200 characters");
     }
     return node.textValue();
   }
 
-  private static double amount(JsonNode body, String field) throws Malformed {
+  private static double amount(JsonNode body, String field) throws InvalidSubmissionException {
     JsonNode node = body.path(field);
     if (node.isNull() || node.isMissingNode()) {
-      throw new Malformed(field + ": missing");
+      throw new InvalidSubmissionException(field + ": missing");
     }
     double d = node.isNumber() ? node.doubleValue() : Double.NaN;
     if (!Double.isFinite(d) || d < 0 || d > 1e9) {
-      throw new Malformed(field + ": must be a number from 0 to 1e9");
+      throw new InvalidSubmissionException(field + ": must be a number from 0 to 1e9");
     }
     return d;
   }
 
-  private static boolean flag(JsonNode body, String field) throws Malformed {
+  private static boolean flag(JsonNode body, String field) throws InvalidSubmissionException {
     JsonNode node = body.path(field);
     if (!node.isBoolean()) {
-      throw new Malformed(field + ": must be true or false");
+      throw new InvalidSubmissionException(field + ": must be true or false");
     }
     return node.booleanValue();
   }
--- a/src/main/java/dapplestair/work/Order.java
+++ b/src/main/java/dapplestair/work/WorkerCommand.java
@@ -6,7 +6,7 @@
 import java.util.Collection;
 
 /** One command to a worker. */
-public sealed interface Order {
+public sealed interface WorkerCommand {
   /** The task, as in reports. */
   String key();
 
@@ -22,7 +22,7 @@
   }
 
   /** Start this attempt. */
-  record Launch(String key, long attempt) implements Order {
+  record Launch(String key, long attempt) implements WorkerCommand {
     @Override
     public ObjectNode toJson() {
       return base("launch", this);
@@ -30,7 +30,7 @@
   }
 
   /** Stop this attempt, leaving it {@code windDownS} to save. */
-  record Halt(String key, long attempt, double windDownS) implements Order {
+  record Halt(String key, long attempt, double windDownS) implements WorkerCommand {
     @Override
     public ObjectNode toJson() {
       return base("halt", this).put("windDownS", windDownS);
@@ -38,7 +38,7 @@
   }
 
   /** Take an exited attempt out of the reports. */
-  record Clear(String key, long attempt) implements Order {
+  record Clear(String key, long attempt) implements WorkerCommand {
     @Override
     public ObjectNode toJson() {
       return base("clear", this);
@@ -46,7 +46,7 @@
   }
 
   /** Orders under a token, as the answer to a report; a call names the session as well. */
-  static ObjectNode message(long token, Collection<? extends Order> orders) {
+  static ObjectNode message(long token, Collection<? extends WorkerCommand> orders) {
     ObjectNode message = Json.object().put("baton", token);
     ArrayNode list = message.putArray("orders");
     orders.forEach(o -> list.add(o.toJson()));
@@ -54,11 +54,11 @@
   }
 
   /** The same as a call to a worker in a session. */
-  static ObjectNode call(long token, long session, Collection<? extends Order> orders) {
+  static ObjectNode call(long token, long session, Collection<? extends WorkerCommand> orders) {
     return message(token, orders).put("tenure", session);
   }
 
-  private static ObjectNode base(String verb, Order order) {
+  private static ObjectNode base(String verb, WorkerCommand order) {
     return Json.object().put("verb", verb).put("step", order.key()).put("try", order.attempt());
   }
 }
--- a/src/main/java/dapplestair/workers/CommandSender.java
+++ b/src/main/java/dapplestair/workers/CommandSender.java
@@ -11,8 +11,8 @@
 import dapplestair.ports.Timers;
 import dapplestair.relay.Relay;
 import dapplestair.settings.Settings;
-import dapplestair.work.Order;
 import dapplestair.work.Report;
+import dapplestair.work.WorkerCommand;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.Iterator;
@@ -83,7 +83,7 @@
   }
 
   /** Sends an order with all others of this turn. */
-  void queue(String hostId, Order order) {
+  void queue(String hostId, WorkerCommand order) {
     Host host = roster.known(hostId);
     if (host == null || !leading) {
       return;
@@ -122,14 +122,14 @@
         || clock.now() < host.callAgainAt) {
       return;
     }
-    List<Order> orders = new ArrayList<>();
+    List<WorkerCommand> orders = new ArrayList<>();
     List<Attempt> launches = new ArrayList<>();
     take(host, orders, launches);
     if (orders.isEmpty() && !evenEmpty) {
       return;
     }
     Fencing.sending(host, orders, launches);
-    ObjectNode body = Order.call(token(host), host.session, orders);
+    ObjectNode body = WorkerCommand.call(token(host), host.session, orders);
     if (!launches.isEmpty()) {
       LOG.debug("{} launches leave for {} under token {}", launches.size(), host.id(), token(host));
     }
@@ -160,15 +160,15 @@
     return Math.min(reportMs, callMs << doublings);
   }
 
-  private void take(Host host, List<Order> orders, List<Attempt> launches) {
-    Iterator<Order> it = host.outbox.values().iterator();
+  private void take(Host host, List<WorkerCommand> orders, List<Attempt> launches) {
+    Iterator<WorkerCommand> it = host.outbox.values().iterator();
     while (it.hasNext() && orders.size() < MOST_ORDERS) {
-      Order order = it.next();
-      if (order instanceof Order.Launch && !mayLaunch(host)) {
+      WorkerCommand order = it.next();
+      if (order instanceof WorkerCommand.Launch && !mayLaunch(host)) {
         continue;
       }
       it.remove();
-      if (order instanceof Order.Launch) {
+      if (order instanceof WorkerCommand.Launch) {
         Attempt attempt = Fencing.due(host, order);
         if (attempt == null) {
           continue;
@@ -188,7 +188,8 @@
     return cancellations.mayLaunch() && Fencing.launchesMayLeave(host, leadership.term());
   }
 
-  private void answered(Host host, List<Order> orders, List<Attempt> launches, HttpReply reply) {
+  private void answered(
+      Host host, List<WorkerCommand> orders, List<Attempt> launches, HttpReply reply) {
     boolean executed = reply.status() == 200;
     if (executed || reply.status() == 409) {
       host.failedCalls = 0;
@@ -224,9 +225,9 @@
   }
 
   /** Stops may be repeated; a launch never is, nor a clear whose launch may still be on its way. */
-  private static void requeue(Host host, List<Order> orders) {
-    for (Order order : orders) {
-      if (order instanceof Order.Halt halt) {
+  private static void requeue(Host host, List<WorkerCommand> orders) {
+    for (WorkerCommand order : orders) {
+      if (order instanceof WorkerCommand.Halt halt) {
         host.outbox.putIfAbsent(halt.id(), halt);
       }
     }
--- a/src/main/java/dapplestair/workers/Fencing.java
+++ b/src/main/java/dapplestair/workers/Fencing.java
@@ -2,7 +2,7 @@
 
 import dapplestair.leadership.FencingToken;
 import dapplestair.ledger.Attempt;
-import dapplestair.work.Order;
+import dapplestair.work.WorkerCommand;
 import java.util.List;
 
 /**
@@ -13,7 +13,7 @@
   private Fencing() {}
 
   /** The attempt that this launch is still due for, or null. */
-  static Attempt due(Host host, Order launch) {
+  static Attempt due(Host host, WorkerCommand launch) {
     Attempt attempt = host.attempt(launch.key());
     // Dropped meanwhile, or planned for a session that has ended.
     boolean due =
@@ -35,8 +35,8 @@
   }
 
   /** A message with these orders is about to leave; its token is read after this. */
-  static void sending(Host host, List<Order> orders, List<Attempt> launches) {
-    if (orders.stream().anyMatch(o -> o instanceof Order.Clear)) {
+  static void sending(Host host, List<WorkerCommand> orders, List<Attempt> launches) {
+    if (orders.stream().anyMatch(o -> o instanceof WorkerCommand.Clear)) {
       // Once cleared, an attempt is forgotten: a copy of the message that launched it, come late,
       // would start it again. It carries a lower token than this one.
       host.fence++;
--- a/src/main/java/dapplestair/workers/Host.java
+++ b/src/main/java/dapplestair/workers/Host.java
@@ -2,7 +2,7 @@
 
 import dapplestair.ledger.Machine;
 import dapplestair.machines.MachineType;
-import dapplestair.work.Order;
+import dapplestair.work.WorkerCommand;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -37,7 +37,7 @@
   boolean acknowledged;
 
   // Orders.
-  final Map<String, Order> outbox = new LinkedHashMap<>();
+  final Map<String, WorkerCommand> outbox = new LinkedHashMap<>();
   boolean calling;
   int failedCalls;
 
--- a/src/main/java/dapplestair/workers/LeaseRenewal.java
+++ b/src/main/java/dapplestair/workers/LeaseRenewal.java
@@ -7,9 +7,9 @@
 import dapplestair.ledger.Attempt;
 import dapplestair.ledger.Ledger;
 import dapplestair.ports.Clock;
-import dapplestair.work.Latest;
-import dapplestair.work.Order;
+import dapplestair.work.BoundedMap;
 import dapplestair.work.Report;
+import dapplestair.work.WorkerCommand;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Predicate;
@@ -37,7 +37,7 @@
   private final Ledger ledger;
   private final Cancellations cancellations;
   private final Predicate<String> notOverWhenRead;
-  private final Map<String, Raised> raised = new Latest<>(MOST_KEPT);
+  private final Map<String, Raised> raised = new BoundedMap<>(MOST_KEPT);
 
   /**
    * {@code notOverWhenRead} tells of a job that is not in the ledger that it was not over when the
@@ -64,7 +64,7 @@
     if (!cancellations.mayRenew()) {
       return null;
     }
-    Map<String, Order> halts = new LinkedHashMap<>();
+    Map<String, WorkerCommand> halts = new LinkedHashMap<>();
     boolean launchOpen = false;
     for (Attempt attempt : host.attempts()) {
       if (attempt.job().over() && attempt.sent() && !attempt.exited()) {
@@ -95,7 +95,7 @@
     if (!cancellations.mayRenew()) {
       return null;
     }
-    Map<String, Order> halts = new LinkedHashMap<>();
+    Map<String, WorkerCommand> halts = new LinkedHashMap<>();
     for (Report.Task task : report.tasks()) {
       if (task.status() == Report.Status.EXITED) {
         continue;
@@ -131,12 +131,12 @@
     return token;
   }
 
-  private static void add(Map<String, Order> halts, String key, long number) {
-    Order.Halt halt = new Order.Halt(key, number, 0);
+  private static void add(Map<String, WorkerCommand> halts, String key, long number) {
+    WorkerCommand.Halt halt = new WorkerCommand.Halt(key, number, 0);
     halts.put(halt.id(), halt);
   }
 
-  private static ObjectNode answer(long token, Map<String, Order> halts) {
-    return halts.size() > MOST_HALTS ? null : Order.message(token, halts.values());
+  private static ObjectNode answer(long token, Map<String, WorkerCommand> halts) {
+    return halts.size() > MOST_HALTS ? null : WorkerCommand.message(token, halts.values());
   }
 }
--- a/src/main/java/dapplestair/workers/ReportApplier.java
+++ b/src/main/java/dapplestair/workers/ReportApplier.java
@@ -5,8 +5,8 @@
 import dapplestair.ledger.Ledger;
 import dapplestair.machines.MachineTypes;
 import dapplestair.ports.Clock;
-import dapplestair.work.Order;
 import dapplestair.work.Report;
+import dapplestair.work.WorkerCommand;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
@@ -112,12 +112,12 @@
   /** A task that no attempt accounts for: it is stopped and taken out of the reports. */
   private void stray(Host host, Report.Task task) {
     if (task.status() == Report.Status.EXITED) {
-      commandSender.queue(host.id(), new Order.Clear(task.key(), task.attempt()));
+      commandSender.queue(host.id(), new WorkerCommand.Clear(task.key(), task.attempt()));
     } else {
       host.strays++;
       unaccounted++;
       LOG.warn("{} try {} on {} is unaccounted for", task.key(), task.attempt(), host.id());
-      commandSender.queue(host.id(), new Order.Halt(task.key(), task.attempt(), 0));
+      commandSender.queue(host.id(), new WorkerCommand.Halt(task.key(), task.attempt(), 0));
     }
   }
 }
--- a/src/main/java/dapplestair/workers/WorkerManager.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -14,8 +14,8 @@
 import dapplestair.settings.Settings;
 import dapplestair.silence.Account;
 import dapplestair.state.StateClient;
-import dapplestair.work.Order;
 import dapplestair.work.Report;
+import dapplestair.work.WorkerCommand;
 import java.util.Collection;
 import java.util.List;
 import java.util.function.Predicate;
@@ -264,18 +264,19 @@
 
   /** Sends a launch. */
   public void launch(Attempt attempt) {
-    commandSender.queue(attempt.host(), new Order.Launch(attempt.key(), attempt.number()));
+    commandSender.queue(attempt.host(), new WorkerCommand.Launch(attempt.key(), attempt.number()));
   }
 
   /** Sends a stop. */
   public void halt(Attempt attempt, double windDownS) {
     attempt.haltSent(clock.now(), windDownS);
-    commandSender.queue(attempt.host(), new Order.Halt(attempt.key(), attempt.number(), windDownS));
+    commandSender.queue(
+        attempt.host(), new WorkerCommand.Halt(attempt.key(), attempt.number(), windDownS));
   }
 
   /** Takes an exited attempt out of a machine's reports. */
   public void clear(String hostId, String key, long number) {
-    commandSender.queue(hostId, new Order.Clear(key, number));
+    commandSender.queue(hostId, new WorkerCommand.Clear(key, number));
   }
 
   // ---- reports ----
--- a/src/main/java/dapplestair/zones/Zones.java
+++ b/src/main/java/dapplestair/zones/Zones.java
@@ -9,11 +9,11 @@
 import dapplestair.ports.Clock;
 import dapplestair.settings.Settings;
 import dapplestair.silence.SilenceTimeouts;
-import dapplestair.state.Keys;
-import dapplestair.state.Outcome;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
+import dapplestair.state.StateKeys;
+import dapplestair.state.TxnOutcome;
 import dapplestair.workers.Host;
 import dapplestair.workers.WorkerManager;
 import dapplestair.zones.ZoneLife.State;
@@ -92,7 +92,7 @@
 
   /** A zone's key has this value, or is gone. */
   public void recorded(String key, JsonNode value) {
-    String zone = key.substring(Keys.ZONE.length());
+    String zone = key.substring(StateKeys.ZONE.length());
     if (value == null) {
       lives.remove(zone);
     } else {
@@ -202,7 +202,7 @@
 
   private void write(String zone, ZoneLife next) {
     writing.add(zone);
-    String key = Keys.ZONE + zone;
+    String key = StateKeys.ZONE + zone;
     writer.put(
         key,
         replica.stamp(key),
@@ -211,7 +211,7 @@
         outcome -> {
           // Without an answer the replica tells; the next look goes on from there.
           timers.after(settings.workers().reportMs() / 4, () -> writing.remove(zone));
-          if (outcome instanceof Outcome.Applied) {
+          if (outcome instanceof TxnOutcome.Applied) {
             lives.put(zone, next);
             LOG.info("zone {} is {}", zone, next.state().shown());
             events.note(
--- a/src/test/java/dapplestair/ledger/AttemptRules.java
+++ b/src/test/java/dapplestair/ledger/AttemptRules.java
@@ -15,13 +15,13 @@
   private static Submission oneTask() {
     try {
       return spec("wk-1");
-    } catch (Submission.Malformed e) {
+    } catch (Submission.InvalidSubmissionException e) {
       throw new IllegalStateException(e);
     }
   }
 
   /** A service of this name. */
-  public static Submission spec(String ref) throws Submission.Malformed {
+  public static Submission spec(String ref) throws Submission.InvalidSubmissionException {
     return Submission.parse(
         Json.object()
             .put("ref", ref)
@@ -92,6 +92,6 @@
 
   /** What the product concludes from this report. */
   public static boolean provedAbsent(Attempt a, Report r) {
-    return Evidence.provedAbsent(a, r);
+    return AttemptReconciler.provedAbsent(a, r);
   }
 }
--- a/src/test/java/dapplestair/ledger/LaunchBatchTest.java
+++ b/src/test/java/dapplestair/ledger/LaunchBatchTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 class LaunchBatchTest {
-  private static Job job(int i) throws Submission.Malformed {
+  private static Job job(int i) throws Submission.InvalidSubmissionException {
     Submission s =
         Submission.parse(
             Json.object()
@@ -38,7 +38,7 @@
    * As many as are said to fit take no more than a value may, though each is on its own machine.
    */
   @Test
-  void whatFitsFitsAndComesBack() throws Submission.Malformed {
+  void whatFitsFitsAndComesBack() throws Submission.InvalidSubmissionException {
     int bytes = 8192;
     List<Attempt> attempts = new ArrayList<>();
     for (int i = 0; i < LaunchBatch.capacity(bytes); i++) {
--- a/src/test/java/dapplestair/model/Encoder.java
+++ b/src/test/java/dapplestair/model/Encoder.java
@@ -2,8 +2,8 @@
 
 import dapplestair.ledger.Attempt;
 import dapplestair.ledger.AttemptRules;
-import dapplestair.work.Order;
 import dapplestair.work.Report;
+import dapplestair.work.WorkerCommand;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -128,8 +128,8 @@
     }
   }
 
-  private void order(Order o) {
-    number(o instanceof Order.Launch ? 0 : o instanceof Order.Halt ? 1 : 2);
+  private void order(WorkerCommand o) {
+    number(o instanceof WorkerCommand.Launch ? 0 : o instanceof WorkerCommand.Halt ? 1 : 2);
     number(o.attempt());
   }
 
--- a/src/test/java/dapplestair/model/Leader.java
+++ b/src/test/java/dapplestair/model/Leader.java
@@ -3,8 +3,8 @@
 import dapplestair.leadership.FencingToken;
 import dapplestair.ledger.Attempt;
 import dapplestair.ledger.AttemptRules;
-import dapplestair.work.Order;
 import dapplestair.work.Report;
+import dapplestair.work.WorkerCommand;
 import dapplestair.workers.FencingRules;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -24,7 +24,7 @@
     boolean acknowledged;
     boolean strays;
     Call call;
-    final Map<String, Order> outbox = new LinkedHashMap<>();
+    final Map<String, WorkerCommand> outbox = new LinkedHashMap<>();
 
     Machine() {}
 
@@ -38,7 +38,7 @@
       outbox.putAll(other.outbox);
     }
 
-    private void queue(Order order) {
+    private void queue(WorkerCommand order) {
       outbox.put(order.id(), order);
     }
   }
@@ -132,7 +132,7 @@
     }
     AttemptRules.committed(attempt);
     int machine = machineOf(attempt);
-    machines[machine].queue(new Order.Launch(attempt.key(), attempt.number()));
+    machines[machine].queue(new WorkerCommand.Launch(attempt.key(), attempt.number()));
   }
 
   private static int machineOf(Attempt a) {
@@ -144,15 +144,16 @@
     if (!attempt.sent()) {
       attempt = null;
     } else {
-      machines[machineOf(attempt)].queue(new Order.Halt(attempt.key(), attempt.number(), 0));
+      machines[machineOf(attempt)].queue(
+          new WorkerCommand.Halt(attempt.key(), attempt.number(), 0));
     }
   }
 
   /** True while a halt of its attempt waits or is under way: one more would change nothing. */
   boolean halting() {
     Machine m = machines[machineOf(attempt)];
-    return m.outbox.values().stream().anyMatch(o -> o instanceof Order.Halt)
-        || m.call != null && m.call.message().has(Order.Halt.class);
+    return m.outbox.values().stream().anyMatch(o -> o instanceof WorkerCommand.Halt)
+        || m.call != null && m.call.message().has(WorkerCommand.Halt.class);
   }
 
   // ---- calls ----
@@ -169,10 +170,10 @@
   /** Sends what waits for a machine; null when nothing of it is due any more. */
   Message send(int machine) {
     Machine m = machines[machine];
-    List<Order> orders = new ArrayList<>();
+    List<WorkerCommand> orders = new ArrayList<>();
     List<Attempt> launches = new ArrayList<>();
-    for (Order order : m.outbox.values()) {
-      if (order instanceof Order.Launch) {
+    for (WorkerCommand order : m.outbox.values()) {
+      if (order instanceof WorkerCommand.Launch) {
         if (!FencingRules.due(m.session, isOn(machine) ? attempt : null, order)) {
           continue;
         }
@@ -195,7 +196,8 @@
     boolean launched =
         attempt != null
             && message.orders().stream()
-                .anyMatch(o -> o instanceof Order.Launch && o.attempt() == attempt.number());
+                .anyMatch(
+                    o -> o instanceof WorkerCommand.Launch && o.attempt() == attempt.number());
     return launched ? List.of(attempt) : List.of();
   }
 
@@ -226,7 +228,7 @@
   }
 
   private static void requeueHalts(Machine m, Message message) {
-    message.orders().stream().filter(o -> o instanceof Order.Halt).forEach(m::queue);
+    message.orders().stream().filter(o -> o instanceof WorkerCommand.Halt).forEach(m::queue);
   }
 
   // ---- reports ----
@@ -263,7 +265,7 @@
         exited(m, t, own, ended);
       } else if (!own && m.acknowledged) {
         m.strays = true;
-        m.queue(new Order.Halt(t.key(), t.attempt(), 0));
+        m.queue(new WorkerCommand.Halt(t.key(), t.attempt(), 0));
       }
     }
     if (!seen && isOn(machine) && AttemptRules.provedAbsent(attempt, r)) {
@@ -281,16 +283,16 @@
       attempt = null;
     }
     if (own || m.acknowledged) {
-      m.queue(new Order.Clear(t.key(), t.attempt()));
+      m.queue(new WorkerCommand.Clear(t.key(), t.attempt()));
     }
   }
 
   /** The answer to a report: the token, and a halt when the job is known to be cancelled. */
   Message answer(int machine, Report r) {
-    List<Order> halts = new ArrayList<>();
+    List<WorkerCommand> halts = new ArrayList<>();
     for (Report.Task t : r.tasks()) {
       if (knowsCancelled && t.status() != Report.Status.EXITED) {
-        halts.add(new Order.Halt(t.key(), t.attempt(), 0));
+        halts.add(new WorkerCommand.Halt(t.key(), t.attempt(), 0));
       }
     }
     return new Message(token(machine), r.session(), halts);
--- a/src/test/java/dapplestair/model/TaskProtocol.java
+++ b/src/test/java/dapplestair/model/TaskProtocol.java
@@ -2,8 +2,8 @@
 
 import dapplestair.leadership.FencingToken;
 import dapplestair.ledger.AttemptRules;
-import dapplestair.work.Order;
 import dapplestair.work.Report;
+import dapplestair.work.WorkerCommand;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -215,7 +215,7 @@
     Leader.Machine m = leader.machines[machine];
     String name = "leader " + leader.term;
     boolean mayRaise = leader.mayRaise(machine, bounds.raises());
-    boolean clears = m.outbox.values().stream().anyMatch(o -> o instanceof Order.Clear);
+    boolean clears = m.outbox.values().stream().anyMatch(o -> o instanceof WorkerCommand.Clear);
     if (leader.maySend(machine) && (mayRaise || !clears)) {
       Cluster after = new Cluster(c);
       Message sent = after.leader(l).send(machine);
--- a/src/test/java/dapplestair/model/Worker.java
+++ b/src/test/java/dapplestair/model/Worker.java
@@ -1,8 +1,8 @@
 package dapplestair.model;
 
 import dapplestair.ledger.AttemptRules;
-import dapplestair.work.Order;
 import dapplestair.work.Report;
+import dapplestair.work.WorkerCommand;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -77,14 +77,14 @@
     return true;
   }
 
-  private void execute(Order order) {
+  private void execute(WorkerCommand order) {
     int i = (int) order.attempt() - 1;
-    if (order instanceof Order.Launch && tasks[i] == Task.UNKNOWN) {
+    if (order instanceof WorkerCommand.Launch && tasks[i] == Task.UNKNOWN) {
       // One that is refused as busy is known as exited.
       tasks[i] = busy() ? Task.EXITED : Task.RUNNING;
-    } else if (order instanceof Order.Halt && tasks[i] == Task.RUNNING) {
+    } else if (order instanceof WorkerCommand.Halt && tasks[i] == Task.RUNNING) {
       tasks[i] = Task.EXITED;
-    } else if (order instanceof Order.Clear && tasks[i] == Task.EXITED) {
+    } else if (order instanceof WorkerCommand.Clear && tasks[i] == Task.EXITED) {
       tasks[i] = Task.UNKNOWN;
     }
   }
--- a/src/test/java/dapplestair/planning/EntriesTest.java
+++ b/src/test/java/dapplestair/planning/EntriesTest.java
@@ -14,7 +14,7 @@
 
 class EntriesTest {
   private static Submission job(int i, String shape, int steps, double cpus, double guessS)
-      throws Submission.Malformed {
+      throws Submission.InvalidSubmissionException {
     ObjectNode o =
         Json.object()
             .put("ref", "j-" + i)
@@ -39,7 +39,7 @@
 
   /** Found on a day whose first plans rented nothing for 8,000 tasks behind 289 services. */
   @Test
-  void manySmallJobsHideNoArray() throws Submission.Malformed {
+  void manySmallJobsHideNoArray() throws Submission.InvalidSubmissionException {
     List<Entries.Pending> pending = new ArrayList<>();
     for (int i = 0; i < 400; i++) {
       pending.add(new Entries.Pending(job(i, "daemon", 3, 1, 0), 3, 60, 0));
--- a/src/test/java/dapplestair/state/ReplicaTest.java
+++ b/src/test/java/dapplestair/state/ReplicaTest.java
@@ -90,7 +90,7 @@
             new Replica.Listener() {
               @Override
               public void put(String key, JsonNode value, long stamp) {
-                if (key.equals(Keys.LEADER) && forgets) {
+                if (key.equals(StateKeys.LEADER) && forgets) {
                   // As when somebody else leads from now on.
                   replica.restart();
                 }
--- a/src/test/java/dapplestair/work/SubmissionTest.java
+++ b/src/test/java/dapplestair/work/SubmissionTest.java
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void survivesBeingRecorded() throws Submission.Malformed {
+  void survivesBeingRecorded() throws Submission.InvalidSubmissionException {
     Submission s = Submission.parse(body());
     assertEquals(s, Submission.parse(Json.parse(Json.bytes(s.toJson()))));
     assertNull(s.zone());
@@ -47,7 +47,8 @@
     ObjectNode b = body();
     b.set(field, Json.parse(("[" + value + "]").getBytes(StandardCharsets.UTF_8)).get(0));
     String message =
-        assertThrows(Submission.Malformed.class, () -> Submission.parse(b)).getMessage();
+        assertThrows(Submission.InvalidSubmissionException.class, () -> Submission.parse(b))
+            .getMessage();
     assertTrue(message.startsWith(field + ":"), message);
   }
 }
--- a/src/test/java/dapplestair/workers/CancellationCosts.java
+++ b/src/test/java/dapplestair/workers/CancellationCosts.java
@@ -10,8 +10,8 @@
 import dapplestair.leadership.Leadership;
 import dapplestair.leadership.TermTimers;
 import dapplestair.ledger.AttemptRules;
-import dapplestair.ledger.Hooks;
 import dapplestair.ledger.Ledger;
+import dapplestair.ledger.LedgerCallbacks;
 import dapplestair.peers.PeerCodec;
 import dapplestair.peers.PeerStatus;
 import dapplestair.peers.Peers;
@@ -67,7 +67,7 @@
     time.run(1000);
   }
 
-  public static void main(String[] args) throws Submission.Malformed {
+  public static void main(String[] args) throws Submission.InvalidSubmissionException {
     int[] n = Arrays.stream(args).mapToInt(Integer::parseInt).toArray();
     System.out.println(
         "| machines | open | report read, answered, written: us | of it the answer: us "
@@ -249,11 +249,11 @@
     }
   }
 
-  private static Hooks noHooks() {
-    return (Hooks)
+  private static LedgerCallbacks noHooks() {
+    return (LedgerCallbacks)
         Proxy.newProxyInstance(
-            Hooks.class.getClassLoader(),
-            new Class<?>[] {Hooks.class},
+            LedgerCallbacks.class.getClassLoader(),
+            new Class<?>[] {LedgerCallbacks.class},
             (proxy, method, args) -> method.getReturnType() == int.class ? 0 : null);
   }
 
@@ -284,7 +284,7 @@
 
   // ---- what is measured ----
 
-  private void measure(int rounds) throws Submission.Malformed {
+  private void measure(int rounds) throws Submission.InvalidSubmissionException {
     Member leader = members.get("node-0");
     List<Host> hosts = new ArrayList<>();
     List<ArrayNode> reported = new ArrayList<>();
@@ -376,7 +376,7 @@
 
   /** A live job's tasks, on machines one after another. */
   private void place(Member leader, String ref, int job, List<Host> hosts, List<ArrayNode> reported)
-      throws Submission.Malformed {
+      throws Submission.InvalidSubmissionException {
     leader.ledger.jobPut(ref, leader.ledger.record(AttemptRules.spec(ref), 0), 1);
     for (int step = 0; step < TASKS_PER_CANCELLED; step++) {
       int m = machine(job, step);
--- a/src/test/java/dapplestair/workers/FencingRules.java
+++ b/src/test/java/dapplestair/workers/FencingRules.java
@@ -1,7 +1,7 @@
 package dapplestair.workers;
 
 import dapplestair.ledger.Attempt;
-import dapplestair.work.Order;
+import dapplestair.work.WorkerCommand;
 import java.util.List;
 
 /** Opens the rules for tokens and launches to the model in package {@code model}. */
@@ -17,7 +17,7 @@
   }
 
   /** True when the launch is still due for the attempt, which may be null. */
-  public static boolean due(long session, Attempt attempt, Order launch) {
+  public static boolean due(long session, Attempt attempt, WorkerCommand launch) {
     Host host = host(0, session);
     if (attempt != null) {
       host.hold(attempt);
@@ -26,7 +26,7 @@
   }
 
   /** The fence after a message with these orders was made up. */
-  public static long sending(long fence, List<Order> orders, List<Attempt> launches) {
+  public static long sending(long fence, List<WorkerCommand> orders, List<Attempt> launches) {
     Host host = host(fence, 0);
     Fencing.sending(host, orders, launches);
     return host.fence;
--- a/src/test/java/dapplestair/workers/HostTest.java
+++ b/src/test/java/dapplestair/workers/HostTest.java
@@ -20,7 +20,8 @@
     return read.get("t8");
   }
 
-  private static Submission needing(String image, double gb) throws Submission.Malformed {
+  private static Submission needing(String image, double gb)
+      throws Submission.InvalidSubmissionException {
     return Submission.parse(
         Json.object()
             .put("ref", "a-1")
@@ -43,7 +44,7 @@
   }
 
   @Test
-  void anImageIsWaitedForUntilItIsThere() throws Submission.Malformed {
+  void anImageIsWaitedForUntilItIsThere() throws Submission.InvalidSubmissionException {
     Host host = new Host("n-1", 0);
     host.describe("n-1:1", type(), "a", false);
     Submission s = needing("img-1", 1.5);
--- a/src/test/java/dapplestair/world/WeightsTest.java
+++ b/src/test/java/dapplestair/world/ImageLocationsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What a leader knows of machines' images outlives it (docs/weights.md). */
-class WeightsTest {
+class ImageLocationsTest {
   /** A model of four gigabytes: on one gigabyte a second its fetch takes four seconds. */
   private static final double GB = 4;
 
