--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dapplestair.blame.Blame;
+import dapplestair.blame.FaultAttribution;
 import dapplestair.calendar.Calendars;
 import dapplestair.cancellations.Cancellations;
 import dapplestair.disruption.BudgetStatus;
-import dapplestair.disruption.Disruption;
+import dapplestair.disruption.DisruptionGate;
 import dapplestair.fleet.Slot;
 import dapplestair.json.Json;
 import dapplestair.lane.Lanes;
@@ -35,12 +35,12 @@
   private final Settings settings;
   private final Ledger ledger;
   private final WorkerManager desk;
-  private final Disruption disruption;
+  private final DisruptionGate disruption;
   private final Planning planning;
   private final Zones zones;
   private final Lanes lanes;
   private final Calendars calendars;
-  private final Blame blame;
+  private final FaultAttribution blame;
   private final Leadership leadership;
   private final Peers peers;
   private final StateClient state;
--- a/src/main/java/dapplestair/admin/ControllerComponents.java
+++ b/src/main/java/dapplestair/admin/ControllerComponents.java
@@ -1,9 +1,9 @@
 package dapplestair.admin;
 
-import dapplestair.blame.Blame;
+import dapplestair.blame.FaultAttribution;
 import dapplestair.calendar.Calendars;
 import dapplestair.cancellations.Cancellations;
-import dapplestair.disruption.Disruption;
+import dapplestair.disruption.DisruptionGate;
 import dapplestair.drain.Drains;
 import dapplestair.events.EventLog;
 import dapplestair.fleet.Fleet;
@@ -18,7 +18,7 @@
 import dapplestair.ports.Timers;
 import dapplestair.relay.Relay;
 import dapplestair.replacement.Replacements;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.Settings;
 import dapplestair.state.ConditionalWriter;
 import dapplestair.state.Replica;
@@ -29,7 +29,7 @@
 /** The duties of a controller that its operators may look into. */
 public record ControllerComponents(
     Settings settings,
-    Operator operator,
+    OperatorSettings operator,
     Clock clock,
     Timers timers,
     Leadership leadership,
@@ -43,12 +43,12 @@
     Replica replica,
     StateClient state,
     Drains drains,
-    Disruption disruption,
+    DisruptionGate disruption,
     Replacements replacements,
     Zones zones,
     Lanes lanes,
     Calendars calendars,
-    Blame blame,
+    FaultAttribution blame,
     ConditionalWriter wishes,
     Cancellations cancellations,
     Relay relay,
--- a/src/main/java/dapplestair/admin/MachineViews.java
+++ b/src/main/java/dapplestair/admin/MachineViews.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplestair.drain.Drain;
+import dapplestair.drain.DrainExecutor;
 import dapplestair.drain.Drains;
-import dapplestair.drain.Emptying;
 import dapplestair.filter.Filter;
 import dapplestair.json.Json;
 import dapplestair.ledger.Attempt;
@@ -171,7 +171,7 @@
   }
 
   /** An order to empty something; {@code left} may be null. */
-  static ObjectNode drain(Drain drain, Emptying.Progress left) {
+  static ObjectNode drain(Drain drain, DrainExecutor.DrainProgress left) {
     ObjectNode object =
         Json.object()
             .put("by", drain.by())
--- a/src/main/java/dapplestair/admin/ReplacementHandler.java
+++ b/src/main/java/dapplestair/admin/ReplacementHandler.java
@@ -7,10 +7,10 @@
 import dapplestair.machines.MachineTypes;
 import dapplestair.ports.Clock;
 import dapplestair.ports.Timers;
-import dapplestair.replacement.Order;
+import dapplestair.replacement.MachineSelector;
+import dapplestair.replacement.ReplacementOrder;
 import dapplestair.replacement.Replacements;
-import dapplestair.replacement.Replacements.View;
-import dapplestair.replacement.Selection;
+import dapplestair.replacement.Replacements.ReplacementView;
 import dapplestair.settings.Settings;
 import dapplestair.state.ConditionalWriter;
 import dapplestair.state.StateKeys;
@@ -57,7 +57,7 @@
   }
 
   void show(String name, Consumer<AdminResponse> done) {
-    View view = replacements.view(name);
+    ReplacementView view = replacements.view(name);
     done.accept(view == null ? missing(name) : AdminResponse.of(moment.object().setAll(row(view))));
   }
 
@@ -65,8 +65,8 @@
     return AdminResponse.error(404, "no replacement " + name);
   }
 
-  private static ObjectNode row(View view) {
-    Order order = view.order();
+  private static ObjectNode row(ReplacementView view) {
+    ReplacementOrder order = view.order();
     String state = view.paused() != null ? "paused" : view.phase();
     ObjectNode object =
         Json.object()
@@ -86,7 +86,7 @@
     if (order.deadlineS() > 0) {
       object.put("deadline_s", order.deadlineS());
     }
-    Selection selection = order.selection();
+    MachineSelector selection = order.selection();
     if (selection.zone() != null) {
       object.put("zone", selection.zone());
     }
@@ -119,8 +119,8 @@
       throw new AdminRequest.BadRequestException(
           "name = \"" + name + "\": must be up to 40 small letters, digits and hyphens");
     }
-    Order order = order(question);
-    View before = replacements.view(name);
+    ReplacementOrder order = order(question);
+    ReplacementView before = replacements.view(name);
     if (before != null && order.sameAs(before.order())) {
       done.accept(told(name, before.phase(), false));
     } else if (before != null && !before.phase().equals("done")) {
@@ -206,10 +206,10 @@
 
   // ---- what is asked for ----
 
-  private Order order(AdminRequest question) throws AdminRequest.BadRequestException {
+  private ReplacementOrder order(AdminRequest question) throws AdminRequest.BadRequestException {
     JsonNode node = question.body();
     long now = clock.wall();
-    Selection selection = selection(node, now);
+    MachineSelector selection = selection(node, now);
     int total = replacements.covered(selection);
     double ratio = number(node, "step_ratio", 0, 0, 1);
     double usual = ratio > 0 ? Math.max(1, Math.min(MOST_NAMES, Math.ceil(ratio * total))) : 1;
@@ -218,7 +218,7 @@
       throw new AdminRequest.BadRequestException(
           "step_ratio = " + node.get("step_ratio") + ": must be above 0, and stand without step");
     }
-    return new Order(
+    return new ReplacementOrder(
         question.caller().name(),
         now,
         why(node),
@@ -242,7 +242,8 @@
     return object;
   }
 
-  private Selection selection(JsonNode node, long now) throws AdminRequest.BadRequestException {
+  private MachineSelector selection(JsonNode node, long now)
+      throws AdminRequest.BadRequestException {
     String zone = Json.text(node, "zone");
     if (zone != null && !settings.zones().contains(zone)) {
       throw new AdminRequest.BadRequestException("zone = \"" + zone + "\": no such zone");
@@ -266,7 +267,7 @@
           "select = {}: name a zone, a type, a kind, an age or machines");
     }
     long before = olderS > 0 ? now - Math.round(1000 * olderS) : 0;
-    return new Selection(
+    return new MachineSelector(
         zone, type, node.has("spot") ? node.get("spot").asBoolean() : null, before, names);
   }
 
--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dapplestair.blame.Blame;
-import dapplestair.disruption.Disruption;
-import dapplestair.disruption.Refusal;
+import dapplestair.blame.FaultAttribution;
+import dapplestair.disruption.DisruptionGate;
+import dapplestair.disruption.DisruptionRefusal;
 import dapplestair.fleet.Fleet;
 import dapplestair.fleet.Prospects;
 import dapplestair.ledger.Job;
@@ -21,8 +21,8 @@
   private final Ledger ledger;
   private final Placer placer;
   private final Fleet fleet;
-  private final Disruption disruption;
-  private final Blame blame;
+  private final DisruptionGate disruption;
+  private final FaultAttribution blame;
   private final JobViews jobs;
   private final AsOfStamp moment;
   private final double planIntervalS;
@@ -71,11 +71,11 @@
     int[] counts = ledger.counts(job);
     ObjectNode object = nothing(ref, JobViews.status(counts));
     object.put("waiting_tasks", explanation.waiting());
-    Refusal refusal = disruption.refused(job);
+    DisruptionRefusal refusal = disruption.refused(job);
     if (refusal != null) {
       object.put("not_moved", refusal.words());
     }
-    Blame.BudgetStatus standing = blame.standing(job);
+    FaultAttribution.JobFailureStatus standing = blame.standing(job);
     if (standing != null) {
       object
           .putObject("failing")
--- a/src/main/java/dapplestair/blame/Odds.java
+++ b/src/main/java/dapplestair/blame/FailureLogOdds.java
@@ -5,7 +5,7 @@
  * or by chance (a noisy OR, Pearl 1988); each side's evidence is discounted by how well the other
  * side explains it, as in the joint estimate of observers and cases by Dawid and Skene (1979).
  */
-final class Odds {
+final class FailureLogOdds {
   // What operators have seen: about one job in 25 is submitted with a mistake, and on a bad day one
   // machine in a hundred fails what it starts. A good task on a good machine hardly ever fails.
   static final double JOB_WRONG = 1 / 25.0;
@@ -22,7 +22,7 @@
   /** A verdict is given at this probability. */
   private static final double SURE = 0.9;
 
-  private Odds() {}
+  private FailureLogOdds() {}
 
   static double logit(double p) {
     return Math.log(p / (1 - p));
--- a/src/main/java/dapplestair/blame/FailureRecords.java
+++ b/src/main/java/dapplestair/blame/FailureRecords.java
@@ -25,8 +25,8 @@
   private final long reportMs;
   private final Ledger ledger;
   private final WorkerManager desk;
-  private final Map<String, JobCase> jobs = new HashMap<>();
-  private final Map<String, MachineCase> machines = new HashMap<>();
+  private final Map<String, JobFailures> jobs = new HashMap<>();
+  private final Map<String, MachineFailures> machines = new HashMap<>();
 
   FailureRecords(Clock clock, long reportMs, Ledger ledger, WorkerManager desk) {
     this.clock = clock;
@@ -41,7 +41,7 @@
   }
 
   /** What is held against a job, or null. */
-  JobCase of(String ref) {
+  JobFailures of(String ref) {
     return jobs.get(ref);
   }
 
@@ -51,12 +51,12 @@
   }
 
   /** A task failed by itself. */
-  JobCase failed(Attempt attempt, Host host) {
+  JobFailures failed(Attempt attempt, Host host) {
     String ref = attempt.job().spec().ref();
-    JobCase jobCase = jobs.computeIfAbsent(ref, r -> new JobCase());
+    JobFailures jobCase = jobs.computeIfAbsent(ref, r -> new JobFailures());
     jobCase.failed(host.id(), attempt.ranBeforeExitS());
-    MachineCase machineCase =
-        machines.computeIfAbsent(host.id(), h -> new MachineCase(clock.now()));
+    MachineFailures machineCase =
+        machines.computeIfAbsent(host.id(), h -> new MachineFailures(clock.now()));
     machineCase.failed(ref, attempt.step());
     countFailures(host.id());
     if (machineCase.jobs() >= PROBATION_JOBS) {
@@ -68,7 +68,7 @@
 
   /** A task completed: a machine on which it began after the first failure is cleared. */
   void completed(Attempt attempt, Host host) {
-    MachineCase machineCase = machines.get(host.id());
+    MachineFailures machineCase = machines.get(host.id());
     if (machineCase != null && attempt.plannedAt() > machineCase.since) {
       machines.remove(host.id());
       countFailures(host.id());
@@ -81,14 +81,14 @@
    * completed elsewhere still say of that machine what they said before.
    */
   void over(String ref) {
-    JobCase jobCase = jobs.get(ref);
+    JobFailures jobCase = jobs.get(ref);
     if (jobCase == null) {
       return;
     }
     Job job = ledger.job(ref);
     boolean witness = job != null && !job.suspected();
     for (String id : jobCase.failedOn.keySet()) {
-      MachineCase machineCase = machines.get(id);
+      MachineFailures machineCase = machines.get(id);
       IntOpenHashSet steps = machineCase == null ? null : machineCase.failed.remove(ref);
       if (steps == null) {
         continue;
@@ -110,13 +110,13 @@
   }
 
   /** The verdict on a job has changed: its failures are explained, or no longer. */
-  void verdictChanged(JobCase jobCase) {
+  void verdictChanged(JobFailures jobCase) {
     jobCase.failedOn.keySet().forEach(this::countFailures);
   }
 
   private void countFailures(String id) {
     Host host = desk.known(id);
-    MachineCase machineCase = machines.get(id);
+    MachineFailures machineCase = machines.get(id);
     if (host != null) {
       host.setFailures(machineCase == null ? 0 : machineCase.unexplained(this::explains));
     }
@@ -136,7 +136,7 @@
         .forEach(
             (ref, steps) -> {
               Job job = ledger.job(ref);
-              JobCase jobCase = jobs.get(ref);
+              JobFailures jobCase = jobs.get(ref);
               if (job != null && jobCase != null && !job.suspected()) {
                 jobCase.failedOn.removeInt(id);
                 each.accept(job, steps);
@@ -147,21 +147,22 @@
   // ---- what it says ----
 
   /** Log odds that a job is wrong. */
-  double jobOdds(Job job, JobCase jobCase) {
+  double jobOdds(Job job, JobFailures jobCase) {
     long now = clock.now();
     long works = working(job, jobCase, null);
     long outlived =
         ledger.attempts(job).stream().filter(a -> a.ranS(now) > jobCase.longestS).count() - works;
     double sum =
-        Odds.logit(Odds.JOB_WRONG) + Odds.completions(job.doneCount() + job.worked() + works);
+        FailureLogOdds.logit(FailureLogOdds.JOB_WRONG)
+            + FailureLogOdds.completions(job.doneCount() + job.worked() + works);
     for (String id : jobCase.failedOn.keySet()) {
-      sum += Odds.failureUnless(machineOdds(id, job.spec().ref(), false));
+      sum += FailureLogOdds.failureUnless(machineOdds(id, job.spec().ref(), false));
     }
-    return sum + Odds.outlived(outlived / (double) jobCase.failures);
+    return sum + FailureLogOdds.outlived(outlived / (double) jobCase.failures);
   }
 
   /** Tasks that live on, on other machines than this one. */
-  long working(Job job, JobCase jobCase, String butOn) {
+  long working(Job job, JobFailures jobCase, String butOn) {
     long now = clock.now();
     return ledger.attempts(job).stream()
         .filter(a -> a.ranS(now) > worksAfterS(jobCase) && !a.host().equals(butOn))
@@ -169,7 +170,7 @@
   }
 
   /** Services never complete: a task that outlives by far what failed says as much. */
-  private double worksAfterS(JobCase jobCase) {
+  private double worksAfterS(JobFailures jobCase) {
     return Math.max(reportMs / 1000.0, jobCase == null ? 0 : 2 * jobCase.longestS);
   }
 
@@ -184,15 +185,15 @@
    * of which some tasks alone are wrong would have it emptied otherwise.
    */
   private double machineOdds(String id, String except, boolean knownGood) {
-    double sum = Odds.logit(Odds.MACHINE_FAULTY);
-    MachineCase machineCase = machines.get(id);
+    double sum = FailureLogOdds.logit(FailureLogOdds.MACHINE_FAULTY);
+    MachineFailures machineCase = machines.get(id);
     if (machineCase == null) {
       return sum;
     }
     sum += machineCase.settledOdds();
     for (Map.Entry<String, IntOpenHashSet> entry : machineCase.failed.entrySet()) {
       Job job = ledger.job(entry.getKey());
-      JobCase jobCase = jobs.get(entry.getKey());
+      JobFailures jobCase = jobs.get(entry.getKey());
       if (!entry.getKey().equals(except) && job != null && jobCase != null && !job.suspected()) {
         sum += says(id, job, jobCase, entry.getValue(), knownGood);
       }
@@ -201,7 +202,7 @@
   }
 
   private double says(
-      String id, Job job, JobCase jobCase, IntOpenHashSet failedHere, boolean knownGood) {
+      String id, Job job, JobFailures jobCase, IntOpenHashSet failedHere, boolean knownGood) {
     // Replicas are alike, and never complete: others that live on elsewhere say as much.
     boolean service = job.spec().service();
     long good = service ? working(job, jobCase, id) + job.worked() : job.doneCount();
@@ -216,8 +217,8 @@
   }
 
   /** What so many steps of one job that failed on a machine say against it. */
-  private static double says(String id, JobCase jobCase, long good, int steps) {
-    double one = Odds.failure(Odds.rate(jobCase.elsewhere(id), good));
+  private static double says(String id, JobFailures jobCase, long good, int steps) {
+    double one = FailureLogOdds.failure(FailureLogOdds.rate(jobCase.elsewhere(id), good));
     // More tasks of one job say less than those of another job.
     return one * (1 + (Math.min(MOST_SAME_JOB, steps) - 1) / 2.0);
   }
--- a/src/main/java/dapplestair/blame/Blame.java
+++ b/src/main/java/dapplestair/blame/FaultAttribution.java
@@ -20,8 +20,8 @@
  * task at a time, after growing pauses. Neither verdict ends a job: it is still accepted, and goes
  * on as before once one of its tasks works.
  */
-public final class Blame implements AutoCloseable {
-  private static final Logger LOG = LoggerFactory.getLogger(Blame.class);
+public final class FaultAttribution implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
   private static final int MOST_PAUSE = 20;
 
@@ -49,7 +49,7 @@
   private Cancellable judging = () -> {};
 
   /** No evidence yet. */
-  public Blame(
+  public FaultAttribution(
       Clock clock,
       TermTimers timers,
       long reportMs,
@@ -79,15 +79,15 @@
   }
 
   /** How a job stands that has failed, or null. */
-  public BudgetStatus standing(Job job) {
-    JobCase jobCase = records.of(job.spec().ref());
+  public JobFailureStatus standing(Job job) {
+    JobFailures jobCase = records.of(job.spec().ref());
     if (jobCase == null && !job.suspected()) {
       return null;
     }
     double next = job.suspected() ? Math.max(0, job.heldBackUntil() - clock.now()) / 1000.0 : 0;
     return jobCase == null
-        ? new BudgetStatus(0, 0, job.suspected(), next)
-        : new BudgetStatus(jobCase.failures, jobCase.machines, job.suspected(), next);
+        ? new JobFailureStatus(0, 0, job.suspected(), next)
+        : new JobFailureStatus(jobCase.failures, jobCase.machines, job.suspected(), next);
   }
 
   /**
@@ -98,7 +98,7 @@
    * @param suspected true when it is tried by one task at a time
    * @param nextS seconds until it is tried again
    */
-  public record BudgetStatus(int failures, int machines, boolean suspected, double nextS) {}
+  public record JobFailureStatus(int failures, int machines, boolean suspected, double nextS) {}
 
   /** Jobs that are tried by one task at a time. */
   public int suspects() {
@@ -113,7 +113,7 @@
     if (job.over()) {
       return;
     }
-    JobCase jobCase = records.failed(attempt, host);
+    JobFailures jobCase = records.failed(attempt, host);
     ledger.failedStep(attempt, reportMs, MOST_PAUSE * reportMs);
     if (job.suspected()) {
       // A probe, or what still ran when the verdict was given.
@@ -140,7 +140,7 @@
       works(job);
       return;
     }
-    JobCase jobCase = records.of(job.spec().ref());
+    JobFailures jobCase = records.of(job.spec().ref());
     if (jobCase != null) {
       ledger.goOn(job);
       // Now it is known to be good, so what failed it may be judged.
@@ -160,10 +160,10 @@
     List<String> refs = List.copyOf(due);
     due.clear();
     for (String ref : refs) {
-      JobCase jobCase = records.of(ref);
+      JobFailures jobCase = records.of(ref);
       Job job = ledger.job(ref);
       if (jobCase != null && job != null && !job.over() && !job.suspected()) {
-        if (jobCase.failedOn.size() >= 2 && Odds.sure(records.jobOdds(job, jobCase))) {
+        if (jobCase.failedOn.size() >= 2 && FailureLogOdds.sure(records.jobOdds(job, jobCase))) {
           suspect(job, jobCase);
         } else {
           judgeMachines(jobCase);
@@ -172,13 +172,13 @@
     }
   }
 
-  private void judgeMachines(JobCase jobCase) {
+  private void judgeMachines(JobFailures jobCase) {
     List.copyOf(jobCase.failedOn.keySet()).forEach(this::judgeMachine);
   }
 
   private void judgeMachine(String id) {
     Host host = desk.known(id);
-    if (host != null && !host.draining() && Odds.sure(records.machineOdds(id))) {
+    if (host != null && !host.draining() && FailureLogOdds.sure(records.machineOdds(id))) {
       LOG.info("{} fails what others complete: it is emptied", id);
       host.setDraining(true);
       // What a faulty machine explains is held against no job, and no step waits for it.
@@ -187,7 +187,7 @@
     }
   }
 
-  private void suspect(Job job, JobCase jobCase) {
+  private void suspect(Job job, JobFailures jobCase) {
     LOG.info(
         "{} fails wherever it runs, {} times on {} machines: one task at a time from now on",
         job.spec().ref(),
@@ -198,7 +198,7 @@
     records.verdictChanged(jobCase);
   }
 
-  private void pause(Job job, JobCase jobCase) {
+  private void pause(Job job, JobFailures jobCase) {
     if (job.suspected() && job.held() > 1) {
       // Others of the same wave, or of the same gang, still run: one pause for all of them.
       return;
@@ -211,7 +211,7 @@
   private void works(Job job) {
     LOG.info("{} works after all", job.spec().ref());
     ledger.trust(job);
-    JobCase jobCase = records.of(job.spec().ref());
+    JobFailures jobCase = records.of(job.spec().ref());
     if (jobCase != null) {
       // What its being wrong explained is held against the machines again.
       records.verdictChanged(jobCase);
--- a/src/main/java/dapplestair/blame/JobCase.java
+++ b/src/main/java/dapplestair/blame/JobFailures.java
@@ -3,7 +3,7 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 
 /** What is known of one job whose tasks have failed. */
-final class JobCase {
+final class JobFailures {
   // More machines say nothing new of the job.
   private static final int MOST_MACHINES = 64;
 
--- a/src/main/java/dapplestair/blame/MachineCase.java
+++ b/src/main/java/dapplestair/blame/MachineFailures.java
@@ -6,7 +6,7 @@
 import java.util.function.Predicate;
 
 /** Failures on one machine since a task that began after the first of them completed there. */
-final class MachineCase {
+final class MachineFailures {
   final long since;
 
   /** Steps that failed here, by job, of jobs that are not over. */
@@ -17,7 +17,7 @@
   private int settledSteps;
   private int settledJobs;
 
-  MachineCase(long since) {
+  MachineFailures(long since) {
     this.since = since;
   }
 
--- a/src/main/java/dapplestair/cancellations/CancellationCodec.java
+++ b/src/main/java/dapplestair/cancellations/CancellationCodec.java
@@ -32,10 +32,10 @@
    * @param log whose log {@code after} counts in, 0 if none is known
    * @param after the last entry that the asker has
    */
-  record Ask(long asker, long number, long log, long after) {}
+  record LogRequest(long asker, long number, long log, long after) {}
 
   /** One entry of a log and how long ago it was made. */
-  record Entry(long number, String ref, long ageMs, List<Cancellation.TaskLocation> places) {}
+  record LogEntry(long number, String ref, long ageMs, List<Cancellation.TaskLocation> places) {}
 
   /**
    * An answer: the entries after the one named, and whether these are all.
@@ -44,9 +44,10 @@
    * @param term the highest term it knows of
    * @param whole whether the asker now has all that this process confirmed up to this moment
    */
-  record Answer(long asker, long number, long log, long term, boolean whole, List<Entry> entries) {}
+  record LogResponse(
+      long asker, long number, long log, long term, boolean whole, List<LogEntry> entries) {}
 
-  static byte[] encode(Ask ask) {
+  static byte[] encode(LogRequest ask) {
     Output out = new Output(64);
     out.writeByte(FORM);
     out.writeLong(ask.asker());
@@ -57,13 +58,14 @@
   }
 
   /** Reads a question, or gives null when it is garbled or of another form. */
-  static Ask ask(byte[] bytes) {
+  static LogRequest ask(byte[] bytes) {
     if (bytes.length == 0 || bytes[0] != FORM) {
       return null;
     }
     try {
       Input in = new Input(bytes, 1, bytes.length - 1);
-      Ask ask = new Ask(in.readLong(), in.readVarLong(true), in.readLong(), in.readVarLong(true));
+      LogRequest ask =
+          new LogRequest(in.readLong(), in.readVarLong(true), in.readLong(), in.readVarLong(true));
       return ask.number() < 0 || ask.after() < 0 ? null : ask;
     } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
       return null;
@@ -71,7 +73,7 @@
   }
 
   /** Writes an answer, or gives null when it is too large for one message. */
-  static byte[] encode(Answer answer) {
+  static byte[] encode(LogResponse answer) {
     try {
       return write(answer);
     } catch (KryoException e) {
@@ -79,7 +81,7 @@
     }
   }
 
-  private static byte[] write(Answer answer) {
+  private static byte[] write(LogResponse answer) {
     Output out = new Output(256, LARGEST);
     out.writeByte(FORM);
     out.writeLong(answer.asker());
@@ -92,7 +94,7 @@
     return out.toBytes();
   }
 
-  private static void write(Output out, Entry entry) {
+  private static void write(Output out, LogEntry entry) {
     out.writeVarLong(entry.number(), true);
     out.writeString(entry.ref());
     out.writeVarLong(Math.max(0, entry.ageMs()), true);
@@ -109,7 +111,7 @@
   }
 
   /** Reads an answer, or gives null when it is garbled, too large or of another form. */
-  static Answer answer(byte[] bytes) {
+  static LogResponse answer(byte[] bytes) {
     if (bytes.length == 0 || bytes.length > LARGEST || bytes[0] != FORM) {
       return null;
     }
@@ -124,20 +126,20 @@
       if (count < 0 || count > MOST_ENTRIES || term < 0 || term > HIGHEST_TERM) {
         return null;
       }
-      List<Entry> entries = new ArrayList<>();
+      List<LogEntry> entries = new ArrayList<>();
       int places = 0;
       for (int i = 0; i < count; i++) {
-        Entry e = entry(in, MOST_PLACES - places);
+        LogEntry e = entry(in, MOST_PLACES - places);
         places += e.places().size();
         entries.add(e);
       }
-      return in.end() ? new Answer(asker, number, log, term, whole, entries) : null;
+      return in.end() ? new LogResponse(asker, number, log, term, whole, entries) : null;
     } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
       return null;
     }
   }
 
-  private static Entry entry(Input in, int mostPlaces) {
+  private static LogEntry entry(Input in, int mostPlaces) {
     long number = in.readVarLong(true);
     String ref = in.readString();
     long age = in.readVarLong(true);
@@ -153,6 +155,6 @@
           new Cancellation.TaskLocation(
               host, in.readVarLong(true), in.readVarInt(true), in.readVarLong(true)));
     }
-    return new Entry(number, ref, age, places);
+    return new LogEntry(number, ref, age, places);
   }
 }
--- a/src/main/java/dapplestair/cancellations/Enforcer.java
+++ b/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
@@ -29,15 +29,15 @@
  * told a user, and while no leader says that it does the same. The last resort is the return of the
  * machine.
  */
-final class Enforcer {
-  private static final Logger LOG = LoggerFactory.getLogger(Enforcer.class);
+final class CancellationEnforcer {
+  private static final Logger LOG = LoggerFactory.getLogger(CancellationEnforcer.class);
   private static final int MOST_CALLS = 24;
   private static final int MOST_ADDRESSES = 4000;
   private static final int MOST_LISTED = 50;
   private static final int MOST_RETURNED_AT_ONCE = 20;
 
   /** A place at which a cancellation's task is not proved to be absent. */
-  private record Left(Cancellation cancellation, Cancellation.TaskLocation place) {
+  private record RemainingTask(Cancellation cancellation, Cancellation.TaskLocation place) {
     String ref() {
       return cancellation.ref();
     }
@@ -62,7 +62,7 @@
   /**
    * Launches may be sent for {@code launchMs} after a cancellation by one who does not know of it.
    */
-  Enforcer(
+  CancellationEnforcer(
       Clock clock,
       Timers timers,
       HttpCaller http,
@@ -89,7 +89,7 @@
   void enforce() {
     List<Cancellation> all = open.all();
     absent.keySet().retainAll(all.stream().map(Cancellation::ref).toList());
-    Map<String, List<Left>> byHost = new LinkedHashMap<>();
+    Map<String, List<RemainingTask>> byHost = new LinkedHashMap<>();
     List<String> hopeless = new ArrayList<>();
     long cancelMs = settings.workers().cancelMs();
     for (Cancellation cancellation : all) {
@@ -105,7 +105,9 @@
         open.proved(cancellation.ref());
       }
       for (Cancellation.TaskLocation p : left) {
-        byHost.computeIfAbsent(p.host(), h -> new ArrayList<>()).add(new Left(cancellation, p));
+        byHost
+            .computeIfAbsent(p.host(), h -> new ArrayList<>())
+            .add(new RemainingTask(cancellation, p));
         // Whoever leads returns a machine after half of the time at the latest.
         if (!carriedOn && ageMs > cancelMs * 5 / 8 && hopeless.size() < MOST_RETURNED_AT_ONCE) {
           hopeless.add(p.host());
@@ -116,7 +118,7 @@
     giveBack(hopeless.stream().distinct().toList());
   }
 
-  private void visit(String host, List<Left> tasks) {
+  private void visit(String host, List<RemainingTask> tasks) {
     if (calling.size() >= MOST_CALLS || calling.contains(host)) {
       return;
     }
@@ -142,7 +144,7 @@
         });
   }
 
-  private void halt(String endpoint, Report report, List<Left> tasks) {
+  private void halt(String endpoint, Report report, List<RemainingTask> tasks) {
     long token = FencingToken.raisedByOther(report.token());
     if (token < 0) {
       calling.remove(report.host());
@@ -173,7 +175,7 @@
    * the raised token. One that a leader who did not know sent later can be, so until none can be
    * sent any more the machine is asked again.
    */
-  private void conclude(Report after, long sentAt, List<Left> tasks) {
+  private void conclude(Report after, long sentAt, List<RemainingTask> tasks) {
     if (after == null) {
       return;
     }
@@ -181,7 +183,7 @@
     after.tasks().stream()
         .filter(t -> t.status() != Report.Status.EXITED)
         .forEach(t -> there.add(t.key()));
-    for (Left t : tasks) {
+    for (RemainingTask t : tasks) {
       boolean settled = sentAt > t.cancellation().at() + 2 * launchMs;
       boolean laterSession = after.session() > t.place().session();
       if (laterSession || settled && !there.contains(t.place().key(t.ref()))) {
--- a/src/main/java/dapplestair/cancellations/LogExchange.java
+++ b/src/main/java/dapplestair/cancellations/CancellationLogSync.java
@@ -11,7 +11,7 @@
 import java.util.function.ObjLongConsumer;
 
 /** Each controller asks every other for what it has confirmed since it was last asked. */
-final class LogExchange implements AutoCloseable {
+final class CancellationLogSync implements AutoCloseable {
   /** What is asked of a peer's log, every few moments. */
   private static final String ASK = "withdrawn";
 
@@ -22,8 +22,8 @@
   private final Leadership leadership;
   private final long process;
   private final KnownCancellations known;
-  private final KnownTo knownTo;
-  private final ObjLongConsumer<CancellationCodec.Entry> learn;
+  private final CancellationWatermark knownTo;
+  private final ObjLongConsumer<CancellationCodec.LogEntry> learn;
   private final long everyMs;
   private long asked;
   private Cancellable timer = () -> {};
@@ -32,7 +32,7 @@
    * {@code process} tells this process from its earlier lives; {@code learn} hears what is new and
    * whose.
    */
-  LogExchange(
+  CancellationLogSync(
       Clock clock,
       Timers timers,
       Settings settings,
@@ -40,8 +40,8 @@
       Leadership leadership,
       long process,
       KnownCancellations known,
-      KnownTo knownTo,
-      ObjLongConsumer<CancellationCodec.Entry> learn) {
+      CancellationWatermark knownTo,
+      ObjLongConsumer<CancellationCodec.LogEntry> learn) {
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
@@ -68,18 +68,20 @@
   }
 
   private void ask(String member) {
-    KnownTo.Peer peer = knownTo.peer(member);
+    CancellationWatermark.PeerLog peer = knownTo.peer(member);
     long number = ++asked;
     long askedAt = clock.now();
     byte[] body =
-        CancellationCodec.encode(new CancellationCodec.Ask(process, number, peer.log, peer.after));
+        CancellationCodec.encode(
+            new CancellationCodec.LogRequest(process, number, peer.log, peer.after));
     peers
         .questions()
         .ask(member, ASK, body, 4 * everyMs, reply -> answered(peer, number, askedAt, reply));
   }
 
-  private void answered(KnownTo.Peer peer, long number, long askedAt, byte[] reply) {
-    CancellationCodec.Answer answer = reply == null ? null : CancellationCodec.answer(reply);
+  private void answered(
+      CancellationWatermark.PeerLog peer, long number, long askedAt, byte[] reply) {
+    CancellationCodec.LogResponse answer = reply == null ? null : CancellationCodec.answer(reply);
     if (reply != null && answer == null) {
       peers.questions().refused();
     }
@@ -91,7 +93,7 @@
     if (answer.log() != peer.log) {
       knownTo.met(peer, answer.log());
     }
-    for (CancellationCodec.Entry entry : answer.entries()) {
+    for (CancellationCodec.LogEntry entry : answer.entries()) {
       learn.accept(entry, answer.log());
       peer.after = Math.max(peer.after, entry.number());
     }
@@ -101,18 +103,18 @@
   }
 
   private void answer(byte[] body, Consumer<byte[]> reply) {
-    CancellationCodec.Ask ask = CancellationCodec.ask(body);
+    CancellationCodec.LogRequest ask = CancellationCodec.ask(body);
     if (ask == null) {
       peers.questions().refused();
       return;
     }
     long after = ask.log() == process ? ask.after() : 0;
-    List<CancellationCodec.Entry> entries =
+    List<CancellationCodec.LogEntry> entries =
         known.after(after, CancellationCodec.MOST_ENTRIES / 4, CancellationCodec.MOST_PLACES);
     long last = entries.isEmpty() ? after : entries.get(entries.size() - 1).number();
     boolean whole = last >= known.lastNumber() || known.after(last, 1, Integer.MAX_VALUE).isEmpty();
-    CancellationCodec.Answer answer =
-        new CancellationCodec.Answer(
+    CancellationCodec.LogResponse answer =
+        new CancellationCodec.LogResponse(
             ask.asker(),
             ask.number(),
             process,
--- a/src/main/java/dapplestair/cancellations/KnownTo.java
+++ b/src/main/java/dapplestair/cancellations/CancellationWatermark.java
@@ -11,11 +11,11 @@
  * its last read of the state service, or the least of the moments up to which each peer has told
  * all.
  */
-final class KnownTo {
+final class CancellationWatermark {
   static final long NEVER = Long.MIN_VALUE / 2;
 
   /** What is known of one peer's log. */
-  static final class Peer {
+  static final class PeerLog {
     /** The process whose log it is; a process that begins again has another one. */
     long log;
 
@@ -31,16 +31,16 @@
 
   private final Clock clock;
   private final LongSupplier stateAsOf;
-  private final Map<String, Peer> peers = new HashMap<>();
+  private final Map<String, PeerLog> peers = new HashMap<>();
 
   /** {@code stateAsOf} is when the newest read of the records was asked for, or {@link #NEVER}. */
-  KnownTo(Clock clock, LongSupplier stateAsOf, Iterable<String> members) {
+  CancellationWatermark(Clock clock, LongSupplier stateAsOf, Iterable<String> members) {
     this.clock = clock;
     this.stateAsOf = stateAsOf;
-    members.forEach(m -> peers.put(m, new Peer()));
+    members.forEach(m -> peers.put(m, new PeerLog()));
   }
 
-  Peer peer(String member) {
+  PeerLog peer(String member) {
     return peers.get(member);
   }
 
@@ -51,7 +51,7 @@
   }
 
   /** The peer's process is another one than before. */
-  void met(Peer peer, long log) {
+  void met(PeerLog peer, long log) {
     peer.log = log;
     peer.after = 0;
     peer.metAt = clock.now();
@@ -63,7 +63,7 @@
    * that life's end. A refused connection or a silence says nothing; both a dead peer and one that
    * is cut off stay at what they told last.
    */
-  void told(Peer peer, long askedAt) {
+  void told(PeerLog peer, long askedAt) {
     if (stateAsOf.getAsLong() >= peer.metAt || peer.upTo >= peer.metAt) {
       peer.upTo = Math.max(peer.upTo, askedAt);
     }
--- a/src/main/java/dapplestair/cancellations/Cancellations.java
+++ b/src/main/java/dapplestair/cancellations/Cancellations.java
@@ -46,7 +46,7 @@
     boolean proved(String ref);
   }
 
-  private record Telling(String ref, Runnable then) {}
+  private record PendingConfirmation(String ref, Runnable then) {}
 
   private final Clock clock;
   private final Timers timers;
@@ -55,9 +55,9 @@
   private final Leadership leadership;
   private final Listener listener;
   private final KnownCancellations known;
-  private final KnownTo knownTo;
-  private final LogExchange logs;
-  private final Enforcer enforcer;
+  private final CancellationWatermark knownTo;
+  private final CancellationLogSync logs;
+  private final CancellationEnforcer enforcer;
   private final ForgottenMachines forgotten;
   private final OpenCancellations open;
   private final long process;
@@ -65,8 +65,8 @@
   private final long windowMs;
   private final long keptMs;
   private final LongSupplier stateAsOf;
-  private List<Telling> telling = new ArrayList<>();
-  private long newestAt = KnownTo.NEVER;
+  private List<PendingConfirmation> telling = new ArrayList<>();
+  private long newestAt = CancellationWatermark.NEVER;
   private Cancellable looking = () -> {};
 
   /** {@code stateAsOf} is when the newest read of the records was asked for. */
@@ -94,15 +94,21 @@
     this.known = new KnownCancellations(clock, keptMs);
     this.open = new OpenCancellations(clock, known, 2 * reportMs);
     this.knownTo =
-        new KnownTo(
+        new CancellationWatermark(
             clock, stateAsOf, settings.peers().stream().map(Settings.Peer::member).toList());
     this.logs =
-        new LogExchange(
+        new CancellationLogSync(
             clock, timers, settings, peers, leadership, process, known, knownTo, this::learn);
-    this.enforcer = new Enforcer(clock, timers, http, cloud, settings, open, launchMs());
+    this.enforcer =
+        new CancellationEnforcer(clock, timers, http, cloud, settings, open, launchMs());
     this.forgotten =
         new ForgottenMachines(
-            clock, timers, cloud, settings, peers, () -> stateAsOf.getAsLong() <= KnownTo.NEVER);
+            clock,
+            timers,
+            cloud,
+            settings,
+            peers,
+            () -> stateAsOf.getAsLong() <= CancellationWatermark.NEVER);
   }
 
   /**
@@ -167,7 +173,7 @@
   }
 
   /** Attempts of such jobs that may be on a machine, by the records, in a session of its worker. */
-  public List<KnownCancellations.Task> on(String host, long session) {
+  public List<KnownCancellations.CancelledTask> on(String host, long session) {
     return known.on(host).stream().filter(t -> t.place().session() == session).toList();
   }
 
@@ -213,13 +219,13 @@
       // All that come in the same turn share one message.
       timers.after(0, this::tell);
     }
-    telling.add(new Telling(ref, then));
+    telling.add(new PendingConfirmation(ref, then));
   }
 
   private void tell() {
-    List<Telling> now = telling;
+    List<PendingConfirmation> now = telling;
     telling = new ArrayList<>();
-    for (Telling t : now) {
+    for (PendingConfirmation t : now) {
       List<Cancellation.TaskLocation> places = listener.places(t.ref());
       known.learn(t.ref(), 0, places);
       known.told(t.ref());
@@ -228,7 +234,7 @@
         newestAt = clock.now();
       }
     }
-    List<String> refs = now.stream().map(Telling::ref).distinct().toList();
+    List<String> refs = now.stream().map(PendingConfirmation::ref).distinct().toList();
     int[] waiting = {1};
     Runnable one =
         () -> {
@@ -247,7 +253,7 @@
 
   /** A short bound: whoever does not answer is no reason to keep a user waiting. */
   private void tell(String member, List<String> refs, Runnable then) {
-    List<CancellationCodec.Entry> entries =
+    List<CancellationCodec.LogEntry> entries =
         refs.stream()
             .map(known::get)
             .filter(w -> w != null && w.places().size() <= CancellationCodec.MOST_PLACES)
@@ -256,7 +262,8 @@
             .toList();
     byte[] body =
         CancellationCodec.encode(
-            new CancellationCodec.Answer(0, 0, process, leadership.termSeen(), false, entries));
+            new CancellationCodec.LogResponse(
+                0, 0, process, leadership.termSeen(), false, entries));
     if (body == null) {
       // Too much for one message: it is asked for, part by part.
       timers.after(0, then);
@@ -279,8 +286,8 @@
             });
   }
 
-  private CancellationCodec.Entry entry(Cancellation cancellation) {
-    return new CancellationCodec.Entry(
+  private CancellationCodec.LogEntry entry(Cancellation cancellation) {
+    return new CancellationCodec.LogEntry(
         Math.max(1, known.number(cancellation.ref())),
         cancellation.ref(),
         clock.now() - cancellation.at(),
@@ -296,7 +303,7 @@
   }
 
   private void hear(byte[] body, Consumer<byte[]> reply) {
-    CancellationCodec.Answer told = CancellationCodec.answer(body);
+    CancellationCodec.LogResponse told = CancellationCodec.answer(body);
     if (told == null) {
       peers.questions().refused();
       return;
@@ -304,7 +311,7 @@
     leadership.termShown(told.term());
     byte[] how = new byte[told.entries().size()];
     int i = 0;
-    for (CancellationCodec.Entry entry : told.entries()) {
+    for (CancellationCodec.LogEntry entry : told.entries()) {
       learn(entry, told.log());
       how[i++] = carriedOut(entry.ref());
     }
@@ -320,7 +327,7 @@
     return listener.proved(ref) ? PROVED : CARRIED_ON;
   }
 
-  private void learn(CancellationCodec.Entry entry, long teller) {
+  private void learn(CancellationCodec.LogEntry entry, long teller) {
     known.learn(entry.ref(), entry.ageMs(), entry.places());
     if (known.told(entry.ref())) {
       // Also when it was known from the records: its user hears of it only now.
--- a/src/main/java/dapplestair/cancellations/ForgottenMachines.java
+++ b/src/main/java/dapplestair/cancellations/ForgottenMachines.java
@@ -40,7 +40,7 @@
   private static final int MOST_RETURNED_AT_ONCE = 100;
 
   /** A machine that may run something and is silent. */
-  private record Silent(String host, String zone) {}
+  private record SilentMachine(String host, String zone) {}
 
   /** What one turn finds out. */
   private static final class Survey {
@@ -50,7 +50,7 @@
     /** Zones of which a machine is heard. */
     final Set<String> heardZones = new HashSet<>();
 
-    final List<Silent> silent = new ArrayList<>();
+    final List<SilentMachine> silent = new ArrayList<>();
 
     /**
      * Machines that are silent while others are heard. A zone of which nothing is heard, neither
@@ -63,7 +63,7 @@
       }
       return silent.stream()
           .filter(m -> heardZones.contains(m.zone()) || !unansweredZones.contains(m.zone()))
-          .map(Silent::host)
+          .map(SilentMachine::host)
           .toList();
     }
   }
@@ -191,7 +191,7 @@
     if (isHeard(host)) {
       survey.heardZones.add(zone);
     } else if (ranBefore(node)) {
-      survey.silent.add(new Silent(host, zone));
+      survey.silent.add(new SilentMachine(host, zone));
     }
   }
 
--- a/src/main/java/dapplestair/cancellations/KnownCancellations.java
+++ b/src/main/java/dapplestair/cancellations/KnownCancellations.java
@@ -22,7 +22,7 @@
   private static final int MOST_KEPT = 20_000;
 
   /** A cancelled job's attempt at a place. */
-  public record Task(String ref, Cancellation.TaskLocation place) {}
+  public record CancelledTask(String ref, Cancellation.TaskLocation place) {}
 
   private final Clock clock;
   private final long keptMs;
@@ -30,7 +30,7 @@
   // What was told to users here, in the order of its telling.
   private final Map<String, Long> numbers = new LinkedHashMap<>();
   private final Set<String> told = new HashSet<>();
-  private final Map<String, Set<Task>> byHost = new HashMap<>();
+  private final Map<String, Set<CancelledTask>> byHost = new HashMap<>();
   private long lastNumber;
   private long forgotAt = Long.MIN_VALUE / 2;
 
@@ -72,12 +72,12 @@
     for (Cancellation.TaskLocation location : cancellation.places()) {
       byHost
           .computeIfAbsent(location.host(), h -> new HashSet<>())
-          .add(new Task(cancellation.ref(), location));
+          .add(new CancelledTask(cancellation.ref(), location));
     }
   }
 
   /** Attempts of cancelled jobs that may be on this machine. */
-  Set<Task> on(String host) {
+  Set<CancelledTask> on(String host) {
     return byHost.getOrDefault(host, Set.of());
   }
 
@@ -110,9 +110,9 @@
   }
 
   /** Entries of the log after a number, oldest first; stops before {@code mostPlaces}. */
-  List<CancellationCodec.Entry> after(long number, int most, int mostPlaces) {
+  List<CancellationCodec.LogEntry> after(long number, int most, int mostPlaces) {
     forget();
-    List<CancellationCodec.Entry> out = new ArrayList<>();
+    List<CancellationCodec.LogEntry> out = new ArrayList<>();
     int places = 0;
     for (Map.Entry<String, Long> entry : numbers.entrySet()) {
       if (entry.getValue() <= number) {
@@ -124,7 +124,7 @@
       }
       places += cancellation.places().size();
       out.add(
-          new CancellationCodec.Entry(
+          new CancellationCodec.LogEntry(
               entry.getValue(),
               cancellation.ref(),
               Math.max(0, clock.now() - cancellation.at()),
@@ -155,9 +155,9 @@
       numbers.remove(cancellation.ref());
       told.remove(cancellation.ref());
       for (Cancellation.TaskLocation location : cancellation.places()) {
-        Set<Task> on = byHost.get(location.host());
+        Set<CancelledTask> on = byHost.get(location.host());
         if (on != null) {
-          on.remove(new Task(cancellation.ref(), location));
+          on.remove(new CancelledTask(cancellation.ref(), location));
           if (on.isEmpty()) {
             byHost.remove(location.host());
           }
--- a/src/main/java/dapplestair/cancellations/OpenCancellations.java
+++ b/src/main/java/dapplestair/cancellations/OpenCancellations.java
@@ -15,12 +15,12 @@
 final class OpenCancellations {
   private static final long OURS = 0;
 
-  private static final class Open {
+  private static final class OpenCancellation {
     final long toldAt;
     long teller;
-    long carriedOnAt = KnownTo.NEVER;
+    long carriedOnAt = CancellationWatermark.NEVER;
 
-    Open(long toldAt, long teller) {
+    OpenCancellation(long toldAt, long teller) {
       this.toldAt = toldAt;
       this.teller = teller;
     }
@@ -33,7 +33,7 @@
   private final Clock clock;
   private final KnownCancellations known;
   private final long carriedOnMs;
-  private final Map<String, Open> open = new LinkedHashMap<>();
+  private final Map<String, OpenCancellation> open = new LinkedHashMap<>();
 
   /** Whoever says that it carries one on is believed for {@code carriedOnMs}. */
   OpenCancellations(Clock clock, KnownCancellations known, long carriedOnMs) {
@@ -44,12 +44,12 @@
 
   /** Its user is told now. */
   void told(String ref) {
-    open.put(ref, new Open(clock.now(), OURS));
+    open.put(ref, new OpenCancellation(clock.now(), OURS));
   }
 
   /** Its user was told some time ago by another controller's process, which looks after it. */
   void heard(String ref, long teller, long ageMs) {
-    open.putIfAbsent(ref, new Open(clock.now() - ageMs, teller));
+    open.putIfAbsent(ref, new OpenCancellation(clock.now() - ageMs, teller));
   }
 
   /**
@@ -57,7 +57,7 @@
    * this, what a machine that hangs runs of a cancelled job would stay for as long as it hangs.
    */
   void adopt(LongPredicate lives) {
-    for (Open o : open.values()) {
+    for (OpenCancellation o : open.values()) {
       if (!o.ours() && !lives.test(o.teller)) {
         o.teller = OURS;
         // A leader may carry it on: it is asked before anything is done here.
@@ -78,7 +78,7 @@
 
   /** A leader says that it carries this one out. */
   void carriedOnNow(String ref) {
-    Open o = open.get(ref);
+    OpenCancellation o = open.get(ref);
     if (o != null) {
       o.carriedOnAt = clock.now();
     }
@@ -86,7 +86,7 @@
 
   /** True while a leader says that it carries this one out. */
   boolean carriedOn(String ref) {
-    Open o = open.get(ref);
+    OpenCancellation o = open.get(ref);
     return o == null || clock.now() - o.carriedOnAt < carriedOnMs;
   }
 
@@ -97,7 +97,7 @@
   /** For how long the oldest has been open, milliseconds. */
   long oldestMs() {
     return open.values().stream()
-        .filter(Open::ours)
+        .filter(OpenCancellation::ours)
         .mapToLong(o -> clock.now() - o.toldAt)
         .max()
         .orElse(0);
--- a/src/main/java/dapplestair/cli/ControllerServer.java
+++ b/src/main/java/dapplestair/cli/ControllerServer.java
@@ -9,7 +9,7 @@
 import dapplestair.netty.TlsFiles;
 import dapplestair.node.Controller;
 import dapplestair.node.ControllerEnvironment;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.Settings;
 import dapplestair.settings.SettingsException;
 import java.io.IOException;
@@ -49,7 +49,7 @@
   }
 
   /** Builds a controller, binds its listeners and starts it. */
-  static ControllerServer start(Settings settings, Operator operator)
+  static ControllerServer start(Settings settings, OperatorSettings operator)
       throws InterruptedException, SettingsException {
     ControllerEventLoop loop = new ControllerEventLoop();
     HttpPool http =
@@ -67,7 +67,7 @@
             new PeerLinks(loop, settings),
             RandomSource.XO_RO_SHI_RO_128_PP.create(),
             Boolean.getBoolean(LAUNCH_BATCHES));
-    Operator.Admin on = operator.admin();
+    OperatorSettings.Admin on = operator.admin();
     Controller controller =
         new Controller(settings, operator, outside, on == null ? null : access(on, loop));
     // Some sockets stay free for the calls that this controller itself makes.
@@ -80,7 +80,7 @@
     return new ControllerServer(loop, controller, users, userPort, admin, adminPort);
   }
 
-  private static Authenticator access(Operator.Admin on, ControllerEventLoop loop)
+  private static Authenticator access(OperatorSettings.Admin on, ControllerEventLoop loop)
       throws SettingsException {
     try {
       if (on.tokens() != null) {
@@ -93,7 +93,8 @@
   }
 
   private static HttpServer admin(
-      Operator.Admin on, ControllerEventLoop loop, Controller controller) throws SettingsException {
+      OperatorSettings.Admin on, ControllerEventLoop loop, Controller controller)
+      throws SettingsException {
     try {
       TlsFiles tls = on.tls() == null ? null : TlsFiles.watch(on.tls(), loop, loop);
       HttpServer.Options options =
--- a/src/main/java/dapplestair/cli/DaemonCommand.java
+++ b/src/main/java/dapplestair/cli/DaemonCommand.java
@@ -3,8 +3,8 @@
 import dapplestair.daemon.DaemonSettings;
 import dapplestair.daemon.Emulation;
 import dapplestair.daemon.Registration;
-import dapplestair.settings.Operator;
-import dapplestair.settings.OperatorLoader;
+import dapplestair.settings.OperatorSettings;
+import dapplestair.settings.OperatorSettingsLoader;
 import dapplestair.settings.Settings.Address;
 import dapplestair.settings.SettingsException;
 import java.nio.file.Path;
@@ -58,11 +58,12 @@
       DaemonSettings settings = file.settings();
       Address users = EmulateCommand.address("--listen", listen, settings.listen());
       Address at = EmulateCommand.address("--admin", admin, settings.admin());
-      Operator operator = SettingsOptions.operator(operatorFile, settings.controller(users, ""));
+      OperatorSettings operator =
+          SettingsOptions.operator(operatorFile, settings.controller(users, ""));
       // Unless the operators' file says who may come, everybody on this machine may.
       if (operator.admin() == null) {
-        operator = operator.withAdmin(Operator.Admin.open(at));
-        OperatorLoader.check(operator.admin());
+        operator = operator.withAdmin(OperatorSettings.Admin.open(at));
+        OperatorSettingsLoader.check(operator.admin());
       }
       return run(settings, operator, users);
     } catch (SettingsException e) {
@@ -70,7 +71,8 @@
     }
   }
 
-  private int run(DaemonSettings settings, Operator operator, Address users) throws Exception {
+  private int run(DaemonSettings settings, OperatorSettings operator, Address users)
+      throws Exception {
     Emulation emulation = null;
     String endpoint = outside;
     if (outside == null) {
--- a/src/main/java/dapplestair/cli/RehearseCommand.java
+++ b/src/main/java/dapplestair/cli/RehearseCommand.java
@@ -6,7 +6,7 @@
 import dapplestair.netty.ControllerEventLoop;
 import dapplestair.netty.HttpPool;
 import dapplestair.ports.HttpReply;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.Settings.Address;
 import dapplestair.settings.SettingsLoader;
 import java.net.InetAddress;
@@ -104,7 +104,8 @@
           SETTINGS.formatted(
               i, ports[2 * i], ports[2 * i + 1], other, ports[2 * other + 1], at, at);
       both[i] =
-          ControllerServer.start(SettingsLoader.parse("rehearsal", text), Operator.defaults());
+          ControllerServer.start(
+              SettingsLoader.parse("rehearsal", text), OperatorSettings.defaults());
       outside.register("rehearsal-" + i, "127.0.0.1:" + ports[2 * i]);
     }
     String first = "127.0.0.1:" + ports[0];
--- a/src/main/java/dapplestair/cli/Service.java
+++ b/src/main/java/dapplestair/cli/Service.java
@@ -1,6 +1,6 @@
 package dapplestair.cli;
 
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.SettingsException;
 import dapplestair.settings.SettingsLoader;
 import java.net.BindException;
@@ -22,7 +22,7 @@
       System.exit(2);
     }
     try {
-      ControllerServer.start(SettingsLoader.load(Path.of(args[0])), Operator.defaults());
+      ControllerServer.start(SettingsLoader.load(Path.of(args[0])), OperatorSettings.defaults());
     } catch (SettingsException e) {
       System.exit(SettingsOptions.refuse(e));
     } catch (Exception e) {
--- a/src/main/java/dapplestair/cli/SettingsOptions.java
+++ b/src/main/java/dapplestair/cli/SettingsOptions.java
@@ -1,10 +1,10 @@
 package dapplestair.cli;
 
-import dapplestair.settings.BudgetsLoader;
 import dapplestair.settings.CalendarsLoader;
+import dapplestair.settings.DisruptionBudgetsLoader;
 import dapplestair.settings.LanesLoader;
-import dapplestair.settings.Operator;
-import dapplestair.settings.OperatorLoader;
+import dapplestair.settings.OperatorSettings;
+import dapplestair.settings.OperatorSettingsLoader;
 import dapplestair.settings.Settings;
 import dapplestair.settings.SettingsException;
 import dapplestair.settings.SettingsLoader;
@@ -30,17 +30,17 @@
     return SettingsLoader.load(config);
   }
 
-  Operator operator(Settings settings) throws SettingsException {
+  OperatorSettings operator(Settings settings) throws SettingsException {
     return operator(operator, settings);
   }
 
   /** The operators' file, if there is one, as far as it fits the platform's settings. */
-  static Operator operator(Path file, Settings settings) throws SettingsException {
+  static OperatorSettings operator(Path file, Settings settings) throws SettingsException {
     if (file == null) {
-      return Operator.defaults();
+      return OperatorSettings.defaults();
     }
-    Operator read = OperatorLoader.load(file);
-    BudgetsLoader.check(file, read.budgets(), settings);
+    OperatorSettings read = OperatorSettingsLoader.load(file);
+    DisruptionBudgetsLoader.check(file, read.budgets(), settings);
     LanesLoader.check(file, read.lanes(), settings);
     CalendarsLoader.check(file, read.calendars(), settings);
     return read;
--- a/src/main/java/dapplestair/disruption/Disruption.java
+++ b/src/main/java/dapplestair/disruption/DisruptionGate.java
@@ -6,8 +6,8 @@
 import dapplestair.ledger.StopReason;
 import dapplestair.ledger.UnavailableTasks;
 import dapplestair.ports.Clock;
-import dapplestair.settings.Budgets;
-import dapplestair.settings.Budgets.Budget;
+import dapplestair.settings.DisruptionBudgets;
+import dapplestair.settings.DisruptionBudgets.DisruptionBudget;
 import dapplestair.workers.Host;
 import dapplestair.workers.WorkerManager;
 import java.util.HashMap;
@@ -21,11 +21,11 @@
  * is out is no counter: it is derived anew from the attempts on record and from what is heard of
  * them, so that neither a change of leader nor a restart of all fills a budget up again.
  */
-public final class Disruption {
+public final class DisruptionGate {
   private static final double MESSAGE_S = 0.5;
 
   private final Clock clock;
-  private final Budgets budgets;
+  private final DisruptionBudgets budgets;
   private final Ledger ledger;
   private final WorkerManager desk;
   private final LostWork lost;
@@ -33,7 +33,7 @@
   // Of this look: how each team and job stands.
   private final Map<String, Sum> teams = new HashMap<>();
   private final Map<Job, Integer> missing = new LinkedHashMap<>();
-  private final Map<Job, Refusal> refusals = new LinkedHashMap<>();
+  private final Map<Job, DisruptionRefusal> refusals = new LinkedHashMap<>();
   private long lookedAt = Long.MIN_VALUE;
   private long granted;
   private long forced;
@@ -47,8 +47,8 @@
   }
 
   /** Guards what {@code ledger} runs. */
-  public Disruption(
-      Clock clock, Budgets budgets, Ledger ledger, WorkerManager desk, LostWork lost) {
+  public DisruptionGate(
+      Clock clock, DisruptionBudgets budgets, Ledger ledger, WorkerManager desk, LostWork lost) {
     this.clock = clock;
     this.budgets = budgets;
     this.ledger = ledger;
@@ -132,8 +132,8 @@
   }
 
   /** Stops a task if its team's budget allows that now; null, or what stands against it. */
-  public Refusal ask(Attempt attempt, double windDownS, StopReason why) {
-    Refusal refusal = refusal(attempt);
+  public DisruptionRefusal ask(Attempt attempt, double windDownS, StopReason why) {
+    DisruptionRefusal refusal = refusal(attempt);
     if (refusal != null) {
       refusals.put(attempt.job(), refusal);
       return refusal;
@@ -162,14 +162,14 @@
     return teams.computeIfAbsent(team, t -> new Sum());
   }
 
-  private Refusal refusal(Attempt attempt) {
+  private DisruptionRefusal refusal(Attempt attempt) {
     String team = attempt.spec().team();
-    Budget budget = budgets.of(team);
+    DisruptionBudget budget = budgets.of(team);
     Sum sum = sum(team);
     if (attempt.spec().service()) {
       int ofTeam = budget.ofTeam(sum.wanted);
       if (sum.out >= ofTeam) {
-        return new Refusal(
+        return new DisruptionRefusal(
             team, "replicas of the team", ofTeam, sum.out, because(sum.out, sum.stopping));
       }
       int steps = attempt.spec().steps();
@@ -177,11 +177,11 @@
       int gone = missing.getOrDefault(attempt.job(), steps);
       return gone < ofJob
           ? null
-          : new Refusal(
+          : new DisruptionRefusal(
               team, "replicas of " + attempt.spec().ref(), ofJob, gone, "of " + steps + " wanted");
     }
     if (sum.arraysOut >= budget.arrayTasks()) {
-      return new Refusal(
+      return new DisruptionRefusal(
           team,
           "tasks of arrays",
           budget.arrayTasks(),
@@ -219,7 +219,7 @@
   // ---- views ----
 
   /** What last stood against moving a task of a job, or null. */
-  public Refusal refused(Job job) {
+  public DisruptionRefusal refused(Job job) {
     return refusals.get(job);
   }
 
@@ -231,7 +231,7 @@
     Map<String, BudgetStatus> out = new TreeMap<>();
     teams.forEach(
         (team, s) -> {
-          Budget budget = budgets.of(team);
+          DisruptionBudget budget = budgets.of(team);
           out.put(
               team,
               new BudgetStatus(
--- a/src/main/java/dapplestair/disruption/Refusal.java
+++ b/src/main/java/dapplestair/disruption/DisruptionRefusal.java
@@ -9,7 +9,8 @@
  * @param out what is out, or spent, already
  * @param because what is out, and why, for people
  */
-public record Refusal(String team, String budget, double allowed, double out, String because) {
+public record DisruptionRefusal(
+    String team, String budget, double allowed, double out, String because) {
   /** For people. */
   public String words() {
     return "team %s allows %s for %s, and %s out: %s"
--- a/src/main/java/dapplestair/disruption/LostWork.java
+++ b/src/main/java/dapplestair/disruption/LostWork.java
@@ -6,7 +6,7 @@
 import dapplestair.leadership.GuardedWriter;
 import dapplestair.leadership.Leadership;
 import dapplestair.ports.Clock;
-import dapplestair.settings.Budgets;
+import dapplestair.settings.DisruptionBudgets;
 import dapplestair.settings.Settings;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
@@ -31,14 +31,14 @@
   private static final double SHARE = 1 / 16.0;
 
   private final Clock clock;
-  private final Budgets budgets;
+  private final DisruptionBudgets budgets;
   private final GuardedWriter writer;
   private final Replica replica;
   private final Leadership leadership;
-  private final Map<String, Account> accounts = new HashMap<>();
+  private final Map<String, TeamLostWork> accounts = new HashMap<>();
   private boolean leading;
 
-  private static final class Account {
+  private static final class TeamLostWork {
     /** What is on record as reserved, by slice. */
     final TreeMap<Long, Double> reserved = new TreeMap<>();
 
@@ -53,7 +53,7 @@
   public LostWork(
       Clock clock,
       Settings settings,
-      Budgets budgets,
+      DisruptionBudgets budgets,
       StateClient state,
       Replica replica,
       Leadership leadership) {
@@ -66,7 +66,7 @@
 
   /** The record of a team has this value, or is gone. */
   public void recorded(String key, JsonNode value) {
-    Account account = account(key.substring(StateKeys.DISRUPTION.length()));
+    TeamLostWork account = account(key.substring(StateKeys.DISRUPTION.length()));
     account.reserved.clear();
     if (value != null) {
       value
@@ -81,7 +81,7 @@
     leading = true;
     writer.reset();
     long slice = slice();
-    for (Account account : accounts.values()) {
+    for (TeamLostWork account : accounts.values()) {
       // All that is reserved counts as spent: the former leader may have done so.
       account.slice = slice;
       account.spent = account.reserved.getOrDefault(slice, 0.0);
@@ -95,8 +95,8 @@
     accounts.clear();
   }
 
-  private Account account(String team) {
-    return accounts.computeIfAbsent(team, t -> new Account());
+  private TeamLostWork account(String team) {
+    return accounts.computeIfAbsent(team, t -> new TeamLostWork());
   }
 
   private long slice() {
@@ -104,8 +104,8 @@
   }
 
   /** The account in this slice: what was reserved in an earlier one and not spent is void. */
-  private Account now(String team) {
-    Account account = account(team);
+  private TeamLostWork now(String team) {
+    TeamLostWork account = account(team);
     long slice = slice();
     if (account.slice != slice) {
       account.slice = slice;
@@ -117,7 +117,7 @@
 
   /** Reserved or spent in the last hour, CPU seconds. */
   double spent(String team) {
-    Account account = now(team);
+    TeamLostWork account = now(team);
     double sum = Math.max(account.spent, account.reserved.getOrDefault(account.slice, 0.0));
     // One slice more than an hour: what was spent at its end counts for a whole hour.
     for (double r :
@@ -128,12 +128,12 @@
   }
 
   /** Null when so much may be thrown away now; otherwise a reservation is begun if one may be. */
-  Refusal refusal(String team, double cpuS) {
+  DisruptionRefusal refusal(String team, double cpuS) {
     double allowed = budgets.of(team).lostCpuS();
     if (Double.isInfinite(allowed) || cpuS <= 0) {
       return null;
     }
-    Account account = now(team);
+    TeamLostWork account = now(team);
     double reserved = account.reserved.getOrDefault(account.slice, 0.0);
     if (account.spent + cpuS <= reserved + 1e-9 && !account.writing) {
       return null;
@@ -141,7 +141,7 @@
     double before = spent(team);
     double wanted = account.spent + cpuS;
     if (before - Math.max(account.spent, reserved) + wanted > allowed + 1e-9) {
-      return new Refusal(
+      return new DisruptionRefusal(
           team,
           "CPU seconds thrown away in an hour",
           allowed,
@@ -155,7 +155,7 @@
     double room = allowed - (before - Math.max(account.spent, reserved));
     // Twice as much, since what runs loses more by the time the put is made.
     write(team, account, Math.min(room, account.spent + Math.max(2 * cpuS, allowed * SHARE)));
-    return new Refusal(
+    return new DisruptionRefusal(
         team, "CPU seconds thrown away in an hour", allowed, before, "being put on record");
   }
 
@@ -171,14 +171,14 @@
     if (budgets.of(team).anyLoss() || cpuS <= 0) {
       return;
     }
-    Account account = now(team);
+    TeamLostWork account = now(team);
     account.spent += cpuS;
     if (account.spent > account.reserved.getOrDefault(account.slice, 0.0)) {
       write(team, account, account.spent + budgets.of(team).lostCpuS() * SHARE);
     }
   }
 
-  private void write(String team, Account account, double reserve) {
+  private void write(String team, TeamLostWork account, double reserve) {
     if (account.writing || !leading) {
       return;
     }
--- a/src/main/java/dapplestair/drain/Emptying.java
+++ b/src/main/java/dapplestair/drain/DrainExecutor.java
@@ -1,7 +1,7 @@
 package dapplestair.drain;
 
-import dapplestair.disruption.Disruption;
-import dapplestair.disruption.Refusal;
+import dapplestair.disruption.DisruptionGate;
+import dapplestair.disruption.DisruptionRefusal;
 import dapplestair.fleet.Fleet;
 import dapplestair.ledger.Attempt;
 import dapplestair.ledger.Job;
@@ -22,9 +22,9 @@
 /**
  * Empties drained machines. It only ever stops attempts and begins none, so it can put no task in
  * two places; what it must guard is that services stay whole: as many replicas at a time as their
- * team's budget allows ({@link Disruption}), and none without a place to go to.
+ * team's budget allows ({@link DisruptionGate}), and none without a place to go to.
  */
-public final class Emptying {
+public final class DrainExecutor {
   /**
    * What is left on a drained machine.
    *
@@ -34,14 +34,14 @@
    * @param because what stands against the next stop there, or null
    * @param noPlace true when a replica has nowhere to go
    */
-  public record Progress(int tasks, int services, int held, String because, boolean noPlace) {}
+  public record DrainProgress(int tasks, int services, int held, String because, boolean noPlace) {}
 
   private static final String NO_PLACE = "no other machine has room for %s under its rules";
 
   private final Clock clock;
   private final WorkerManager desk;
   private final Fleet fleet;
-  private final Disruption disruption;
+  private final DisruptionGate disruption;
   private final Set<Host> under = new LinkedHashSet<>();
 
   // Room that this step has given to replicas on their way, by machine.
@@ -50,7 +50,7 @@
   private final Set<Host> placeless = new LinkedHashSet<>();
 
   /** Works on what the leader knows. */
-  public Emptying(Clock clock, WorkerManager desk, Fleet fleet, Disruption disruption) {
+  public DrainExecutor(Clock clock, WorkerManager desk, Fleet fleet, DisruptionGate disruption) {
     this.clock = clock;
     this.desk = desk;
     this.fleet = fleet;
@@ -119,7 +119,7 @@
   }
 
   private boolean ask(Host host, Attempt attempt, double windDownS) {
-    Refusal refusal = disruption.ask(attempt, windDownS, StopReason.DRAIN);
+    DisruptionRefusal refusal = disruption.ask(attempt, windDownS, StopReason.DRAIN);
     if (refusal != null) {
       standing.putIfAbsent(host, refusal.words());
     }
@@ -180,7 +180,7 @@
     return !submission.together() || others == 0 || there == others;
   }
 
-  Progress progress(Host host) {
+  DrainProgress progress(Host host) {
     int tasks = 0;
     int services = 0;
     int held = 0;
@@ -196,6 +196,6 @@
         }
       }
     }
-    return new Progress(tasks, services, held, standing.get(host), placeless.contains(host));
+    return new DrainProgress(tasks, services, held, standing.get(host), placeless.contains(host));
   }
 }
--- a/src/main/java/dapplestair/drain/Drains.java
+++ b/src/main/java/dapplestair/drain/Drains.java
@@ -38,7 +38,7 @@
   private final ConditionalWriter wishes;
   private final Leadership leadership;
   private final WorkerManager desk;
-  private final Emptying emptying;
+  private final DrainExecutor emptying;
   private final Events events;
   private final Map<String, Drain> machines = new TreeMap<>();
   private final Map<String, Drain> zones = new TreeMap<>();
@@ -60,7 +60,7 @@
       ConditionalWriter wishes,
       Leadership leadership,
       WorkerManager desk,
-      Emptying emptying,
+      DrainExecutor emptying,
       Events events) {
     this.clock = clock;
     this.timers = timers;
@@ -141,7 +141,7 @@
   }
 
   /** What still stands against emptying a machine. */
-  public Emptying.Progress progress(Host host) {
+  public DrainExecutor.DrainProgress progress(Host host) {
     return emptying.progress(host);
   }
 
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dapplestair.cloud.CloudClient;
-import dapplestair.disruption.Disruption;
+import dapplestair.disruption.DisruptionGate;
 import dapplestair.events.Events;
 import dapplestair.json.Json;
 import dapplestair.leadership.Leadership;
@@ -60,7 +60,7 @@
       Leadership leadership,
       MachineTypes types,
       WorkerManager desk,
-      Disruption disruption,
+      DisruptionGate disruption,
       Events events) {
     this.clock = clock;
     this.cloud = cloud;
--- a/src/main/java/dapplestair/lane/Choice.java
+++ b/src/main/java/dapplestair/lane/Choice.java
@@ -1,6 +1,6 @@
 package dapplestair.lane;
 
-import dapplestair.disruption.Disruption;
+import dapplestair.disruption.DisruptionGate;
 import dapplestair.ledger.Attempt;
 import dapplestair.ledger.Job;
 import dapplestair.ledger.Ledger;
@@ -30,10 +30,10 @@
 
   private final Ledger ledger;
   private final WorkerManager desk;
-  private final Disruption disruption;
+  private final DisruptionGate disruption;
   private Predicate<Attempt> sheltered = a -> false;
 
-  Choice(Ledger ledger, WorkerManager desk, Disruption disruption) {
+  Choice(Ledger ledger, WorkerManager desk, DisruptionGate disruption) {
     this.ledger = ledger;
     this.desk = desk;
     this.disruption = disruption;
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -1,7 +1,7 @@
 package dapplestair.lane;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dapplestair.disruption.Disruption;
+import dapplestair.disruption.DisruptionGate;
 import dapplestair.leadership.Leadership;
 import dapplestair.leadership.TermTimers;
 import dapplestair.ledger.Attempt;
@@ -45,7 +45,7 @@
   private final Map<String, Lane> lanes = new LinkedHashMap<>();
   private final Ledger ledger;
   private final WorkerManager desk;
-  private final Disruption disruption;
+  private final DisruptionGate disruption;
   private final Choice choice;
   private final ClaimWriter writer;
 
@@ -71,7 +71,7 @@
       Leadership leadership,
       Ledger ledger,
       WorkerManager desk,
-      Disruption disruption) {
+      DisruptionGate disruption) {
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
--- a/src/main/java/dapplestair/netty/TlsFiles.java
+++ b/src/main/java/dapplestair/netty/TlsFiles.java
@@ -2,7 +2,7 @@
 
 import dapplestair.ports.BackgroundExecutor;
 import dapplestair.ports.Timers;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import io.netty.handler.ssl.ClientAuth;
 import io.netty.handler.ssl.SslContext;
 import io.netty.handler.ssl.SslContextBuilder;
@@ -30,16 +30,16 @@
 
   private record Loaded(List<FileTime> at, SslContext context) {}
 
-  private final Operator.Tls files;
+  private final OperatorSettings.Tls files;
   private volatile Loaded loaded;
 
-  private TlsFiles(Operator.Tls files) {
+  private TlsFiles(OperatorSettings.Tls files) {
     this.files = files;
   }
 
   /** Reads the files now, and again whenever one has changed. */
-  public static TlsFiles watch(Operator.Tls files, Timers timers, BackgroundExecutor background)
-      throws IOException {
+  public static TlsFiles watch(
+      OperatorSettings.Tls files, Timers timers, BackgroundExecutor background) throws IOException {
     TlsFiles tlsFiles = new TlsFiles(files);
     tlsFiles.loaded = tlsFiles.load();
     tlsFiles.look(timers, background);
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -10,7 +10,7 @@
 import dapplestair.metrics.Exposition;
 import dapplestair.peers.PeerStatus;
 import dapplestair.ports.Exchange;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.Settings;
 import dapplestair.state.Replica;
 import dapplestair.workers.Host;
@@ -36,13 +36,16 @@
   private final StatusReporter self;
 
   /** Wires the duties, without an operators' interface; nothing runs before {@link #start}. */
-  public Controller(Settings settings, Operator operator, ControllerEnvironment outside) {
+  public Controller(Settings settings, OperatorSettings operator, ControllerEnvironment outside) {
     this(settings, operator, outside, null);
   }
 
   /** Wires the duties; operators are served by {@link #operators} if {@code access} is given. */
   public Controller(
-      Settings settings, Operator operator, ControllerEnvironment outside, Authenticator access) {
+      Settings settings,
+      OperatorSettings operator,
+      ControllerEnvironment outside,
+      Authenticator access) {
     this.outside = outside;
     this.settings = settings;
     core =
@@ -83,7 +86,7 @@
     records = new RecordDispatcher(core, scheduling, operations, admin);
   }
 
-  private AdminHandler admin(Operator operator, Authenticator access) {
+  private AdminHandler admin(OperatorSettings operator, Authenticator access) {
     ControllerComponents duties =
         new ControllerComponents(
             settings,
--- a/src/main/java/dapplestair/node/CoreComponents.java
+++ b/src/main/java/dapplestair/node/CoreComponents.java
@@ -16,7 +16,7 @@
 import dapplestair.ports.Clock;
 import dapplestair.ports.Timers;
 import dapplestair.relay.Relay;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.Settings;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
@@ -69,7 +69,7 @@
 
   CoreComponents(
       Settings settings,
-      Operator operator,
+      OperatorSettings operator,
       ControllerEnvironment outside,
       boolean logsEvents,
       Listeners listeners) {
--- a/src/main/java/dapplestair/node/BlameEvents.java
+++ b/src/main/java/dapplestair/node/FaultAttributionEvents.java
@@ -1,12 +1,13 @@
 package dapplestair.node;
 
-import dapplestair.blame.Blame;
+import dapplestair.blame.FaultAttribution;
 import dapplestair.events.Events;
 import dapplestair.ledger.Job;
 import dapplestair.workers.Host;
 
 /** What is found out about jobs and machines that fail, brought to operators and to the plan. */
-record BlameEvents(Events events, Runnable roomLost) implements Blame.Listener {
+record FaultAttributionEvents(Events events, Runnable roomLost)
+    implements FaultAttribution.Listener {
   @Override
   public void faulty(Host host) {
     events.note(
--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -1,6 +1,6 @@
 package dapplestair.node;
 
-import dapplestair.blame.Blame;
+import dapplestair.blame.FaultAttribution;
 import dapplestair.calendar.Calendars;
 import dapplestair.events.Events;
 import dapplestair.ledger.Attempt;
@@ -28,7 +28,7 @@
   private Placer placer;
   private SubmissionHandler submissions;
   private Events events;
-  private Blame blame;
+  private FaultAttribution blame;
   private Calendars calendars;
 
   LedgerCallbackRouter(Clock clock, Metrics metrics, Estimates estimates) {
--- a/src/main/java/dapplestair/node/OperationsComponents.java
+++ b/src/main/java/dapplestair/node/OperationsComponents.java
@@ -1,11 +1,11 @@
 package dapplestair.node;
 
+import dapplestair.drain.DrainExecutor;
 import dapplestair.drain.Drains;
-import dapplestair.drain.Emptying;
 import dapplestair.leadership.TermTimers;
 import dapplestair.ports.Clock;
 import dapplestair.replacement.Replacements;
-import dapplestair.replacement.Room;
+import dapplestair.replacement.SurgeCapacity;
 import dapplestair.settings.Settings;
 import dapplestair.state.ConditionalWriter;
 import dapplestair.zones.Zones;
@@ -35,7 +35,7 @@
             wishes,
             core.leadership,
             core.workers,
-            new Emptying(clock, core.workers, scheduling.fleet, scheduling.disruption),
+            new DrainExecutor(clock, core.workers, scheduling.fleet, scheduling.disruption),
             core.events);
     scheduling.demand.drainsLackRoom(drains::lackRoom);
     replacements =
@@ -49,7 +49,7 @@
             core.workers,
             drains,
             scheduling.disruption,
-            new Room(core.workers, scheduling.fleet, core.types, scheduling.planning),
+            new SurgeCapacity(core.workers, scheduling.fleet, core.types, scheduling.planning),
             core.events);
     scheduling.planning.beyond(replacements::extra);
     zones =
--- a/src/main/java/dapplestair/node/SchedulingComponents.java
+++ b/src/main/java/dapplestair/node/SchedulingComponents.java
@@ -1,8 +1,8 @@
 package dapplestair.node;
 
-import dapplestair.blame.Blame;
+import dapplestair.blame.FaultAttribution;
 import dapplestair.calendar.Calendars;
-import dapplestair.disruption.Disruption;
+import dapplestair.disruption.DisruptionGate;
 import dapplestair.disruption.LostWork;
 import dapplestair.fleet.Fleet;
 import dapplestair.lane.Lanes;
@@ -12,14 +12,14 @@
 import dapplestair.planning.DemandView;
 import dapplestair.planning.Planning;
 import dapplestair.ports.Clock;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.Settings;
 import dapplestair.weights.ImageLocations;
 
 /** Which machines are rented and what runs on them: only a leader's work. */
 final class SchedulingComponents implements AutoCloseable {
   final LostWork lostWork;
-  final Disruption disruption;
+  final DisruptionGate disruption;
   final Fleet fleet;
   final DemandView demand;
   final Lanes lanes;
@@ -28,16 +28,19 @@
   final Placer placer;
   final Departures departures;
   final Planning planning;
-  final Blame blame;
+  final FaultAttribution blame;
 
   SchedulingComponents(
-      Settings settings, Operator operator, ControllerEnvironment outside, CoreComponents core) {
+      Settings settings,
+      OperatorSettings operator,
+      ControllerEnvironment outside,
+      CoreComponents core) {
     Clock clock = outside.clock();
     TermTimers timers = core.termTimers;
     lostWork =
         new LostWork(
             clock, settings, operator.budgets(), core.state, core.replica, core.leadership);
-    disruption = new Disruption(clock, operator.budgets(), core.ledger, core.workers, lostWork);
+    disruption = new DisruptionGate(clock, operator.budgets(), core.ledger, core.workers, lostWork);
     fleet =
         new Fleet(
             clock,
@@ -114,13 +117,13 @@
         },
         () -> core.types.bootS(null));
     blame =
-        new Blame(
+        new FaultAttribution(
             clock,
             timers,
             settings.workers().reportMs(),
             core.ledger,
             core.workers,
-            new BlameEvents(core.events, planning::soon));
+            new FaultAttributionEvents(core.events, planning::soon));
   }
 
   @Override
--- a/src/main/java/dapplestair/placement/Departures.java
+++ b/src/main/java/dapplestair/placement/Departures.java
@@ -1,6 +1,6 @@
 package dapplestair.placement;
 
-import dapplestair.disruption.Disruption;
+import dapplestair.disruption.DisruptionGate;
 import dapplestair.ledger.Attempt;
 import dapplestair.ledger.StopReason;
 import dapplestair.ports.Clock;
@@ -16,11 +16,11 @@
   private static final double SURELY_LATE = 1.5;
 
   private final Clock clock;
-  private final Disruption disruption;
+  private final DisruptionGate disruption;
   private final Estimates estimates;
 
   /** Judges by these estimates. */
-  public Departures(Clock clock, Disruption disruption, Estimates estimates) {
+  public Departures(Clock clock, DisruptionGate disruption, Estimates estimates) {
     this.clock = clock;
     this.disruption = disruption;
     this.estimates = estimates;
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -1,6 +1,6 @@
 package dapplestair.placement;
 
-import dapplestair.disruption.Disruption;
+import dapplestair.disruption.DisruptionGate;
 import dapplestair.ledger.Attempt;
 import dapplestair.ledger.Job;
 import dapplestair.ledger.Ledger;
@@ -35,7 +35,7 @@
   private final Settings settings;
   private final Ledger ledger;
   private final WorkerManager desk;
-  private final Disruption disruption;
+  private final DisruptionGate disruption;
   private final Bound bound;
   private final PlacementFilter filter;
 
@@ -51,7 +51,7 @@
       Settings settings,
       Ledger ledger,
       WorkerManager desk,
-      Disruption disruption,
+      DisruptionGate disruption,
       Bound bound,
       PlacementFilter filter) {
     this.clock = clock;
--- a/src/main/java/dapplestair/placement/Placer.java
+++ b/src/main/java/dapplestair/placement/Placer.java
@@ -1,7 +1,7 @@
 package dapplestair.placement;
 
 import dapplestair.calendar.Calendars;
-import dapplestair.disruption.Disruption;
+import dapplestair.disruption.DisruptionGate;
 import dapplestair.lane.Lanes;
 import dapplestair.ledger.Attempt;
 import dapplestair.ledger.Job;
@@ -50,7 +50,7 @@
       Ledger ledger,
       WorkerManager desk,
       Estimates estimates,
-      Disruption disruption,
+      DisruptionGate disruption,
       Lanes lanes,
       Calendars calendars,
       DoubleSupplier roomForServices,
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -11,7 +11,7 @@
 import dapplestair.planning.FleetProblem.DryTasks;
 import dapplestair.planning.FleetProblem.SlotState;
 import dapplestair.ports.Clock;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.Settings;
 import dapplestair.work.Submission;
 import dapplestair.workers.Host;
@@ -123,7 +123,7 @@
     return ledger.armed();
   }
 
-  FleetProblem problem(Operator operator) {
+  FleetProblem problem(OperatorSettings operator) {
     List<MachineType> kinds = List.copyOf(types.all());
     double longestBootS = kinds.stream().mapToDouble(MachineType::bootS).max().orElse(0);
     List<Submission> soon = arrivals.expected(clock.now(), Math.round(longestBootS * 1000));
@@ -281,7 +281,7 @@
   }
 
   /** The operators' budget, or a ratio to what all present work costs where it is cheapest. */
-  private double budget(Operator operator, List<SlotState> slots, List<Submission> soon) {
+  private double budget(OperatorSettings operator, List<SlotState> slots, List<Submission> soon) {
     if (operator.budgetPerHour() > 0) {
       return operator.budgetPerHour();
     }
--- a/src/main/java/dapplestair/planning/PlanChoice.java
+++ b/src/main/java/dapplestair/planning/PlanChoice.java
@@ -1,6 +1,6 @@
 package dapplestair.planning;
 
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import java.util.List;
 
 /** Which plan of a front is applied: the one nearest the origin among those that are in time. */
@@ -25,7 +25,7 @@
    *
    * @param pressure work that waits for long over what the fleet holds
    */
-  PlanChoice(Operator operator, double pressure) {
+  PlanChoice(OperatorSettings operator, double pressure) {
     weights =
         new double[] {
           operator.makespanWeight() * (1 + 2 * Math.min(MOST_PRESSURE, pressure)),
--- a/src/main/java/dapplestair/planning/Planning.java
+++ b/src/main/java/dapplestair/planning/Planning.java
@@ -11,7 +11,7 @@
 import dapplestair.ports.BackgroundExecutor;
 import dapplestair.ports.Cancellable;
 import dapplestair.ports.Clock;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.state.Replica;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
@@ -44,7 +44,7 @@
   private final TermTimers timers;
   private final BackgroundExecutor background;
   private final UniformRandomProvider random;
-  private final Operator operator;
+  private final OperatorSettings operator;
   private final Leadership leadership;
   private final StateClient state;
   private final Replica replica;
@@ -69,7 +69,7 @@
       TermTimers timers,
       BackgroundExecutor background,
       UniformRandomProvider random,
-      Operator operator,
+      OperatorSettings operator,
       Leadership leadership,
       StateClient state,
       Replica replica,
--- a/src/main/java/dapplestair/replacement/Selection.java
+++ b/src/main/java/dapplestair/replacement/MachineSelector.java
@@ -16,7 +16,7 @@
  * @param beforeWall only those rented before, milliseconds of the time of day; 0: no matter
  * @param names only these
  */
-public record Selection(
+public record MachineSelector(
     String zone, String type, Boolean spot, long beforeWall, Set<String> names) {
   /** True for a machine like this. */
   public boolean covers(String id, String inZone, String ofType, boolean isSpot, long rentedWall) {
@@ -28,7 +28,7 @@
   }
 
   /** True when another one, given so much earlier, means the same machines, by their age then. */
-  boolean sameAs(Selection selection, long laterMs) {
+  boolean sameAs(MachineSelector selection, long laterMs) {
     boolean sameAge =
         beforeWall == 0 || selection.beforeWall == 0
             ? beforeWall == selection.beforeWall
@@ -60,10 +60,10 @@
     return object;
   }
 
-  static Selection parse(JsonNode node) {
+  static MachineSelector parse(JsonNode node) {
     Set<String> names = new TreeSet<>();
     node.path("names").forEach(x -> names.add(x.asText()));
-    return new Selection(
+    return new MachineSelector(
         Json.text(node, "zone"),
         Json.text(node, "type"),
         node.has("spot") ? Json.flag(node, "spot") : null,
--- a/src/main/java/dapplestair/replacement/Order.java
+++ b/src/main/java/dapplestair/replacement/ReplacementOrder.java
@@ -20,11 +20,11 @@
  *     team's budget allows; 0 to wait for its end
  * @param slower how much slower than the old the new machines may be, a ratio
  */
-public record Order(
+public record ReplacementOrder(
     String by,
     long atWall,
     String why,
-    Selection selection,
+    MachineSelector selection,
     int total,
     int step,
     double stepRatio,
@@ -49,12 +49,12 @@
     return object;
   }
 
-  static Order parse(JsonNode node) {
-    return new Order(
+  static ReplacementOrder parse(JsonNode node) {
+    return new ReplacementOrder(
         String.valueOf(Json.text(node, "by")),
         Json.number(node, "at", 0),
         String.valueOf(Json.text(node, "why")),
-        Selection.parse(node.path("select")),
+        MachineSelector.parse(node.path("select")),
         (int) Json.number(node, "total", 0),
         (int) Json.number(node, "step", 1),
         Json.decimal(node, "stepRatio", 0),
@@ -65,7 +65,7 @@
   }
 
   /** True when somebody ordered the same, whenever that was. */
-  public boolean sameAs(Order order) {
+  public boolean sameAs(ReplacementOrder order) {
     return selection.sameAs(order.selection, atWall - order.atWall)
         && stepRatio == order.stepRatio
         && (stepRatio > 0 || step == order.step)
--- a/src/main/java/dapplestair/replacement/Progress.java
+++ b/src/main/java/dapplestair/replacement/ReplacementProgress.java
@@ -20,7 +20,7 @@
  * @param byWord true when only an operator's word ends the pause
  * @param remark what is noteworthy about how it goes on, or null
  */
-record Progress(
+record ReplacementProgress(
     Phase phase,
     int steps,
     Set<String> batch,
@@ -42,36 +42,42 @@
     DONE
   }
 
-  static final Progress BEGIN = new Progress(Phase.CHOOSE, 0, Set.of(), 0, 0, 0, null, false, null);
+  static final ReplacementProgress BEGIN =
+      new ReplacementProgress(Phase.CHOOSE, 0, Set.of(), 0, 0, 0, null, false, null);
 
-  Progress in(Phase next, long wall) {
-    return new Progress(next, steps, batch, wall, judgedWall, beyond, null, false, remark);
+  ReplacementProgress in(Phase next, long wall) {
+    return new ReplacementProgress(
+        next, steps, batch, wall, judgedWall, beyond, null, false, remark);
   }
 
-  Progress done(long wall) {
-    return new Progress(Phase.DONE, steps, Set.of(), wall, judgedWall, 0, null, false, null);
+  ReplacementProgress done(long wall) {
+    return new ReplacementProgress(
+        Phase.DONE, steps, Set.of(), wall, judgedWall, 0, null, false, null);
   }
 
-  Progress step(Phase next, Set<String> machines, int more, long wall) {
-    return new Progress(next, steps + 1, machines, wall, wall, more, null, false, null);
+  ReplacementProgress step(Phase next, Set<String> machines, int more, long wall) {
+    return new ReplacementProgress(next, steps + 1, machines, wall, wall, more, null, false, null);
   }
 
-  Progress only(Set<String> machines, long wall, String why) {
-    return new Progress(Phase.EMPTY, steps, machines, wall, judgedWall, beyond, null, false, why);
+  ReplacementProgress only(Set<String> machines, long wall, String why) {
+    return new ReplacementProgress(
+        Phase.EMPTY, steps, machines, wall, judgedWall, beyond, null, false, why);
   }
 
-  Progress pause(String why, boolean untilTold) {
-    return new Progress(phase, steps, batch, stepWall, judgedWall, beyond, why, untilTold, remark);
+  ReplacementProgress pause(String why, boolean untilTold) {
+    return new ReplacementProgress(
+        phase, steps, batch, stepWall, judgedWall, beyond, why, untilTold, remark);
   }
 
   /** Goes on. Whoever says so by his word has seen the new machines there are. */
-  Progress resume(long wall) {
-    return new Progress(
+  ReplacementProgress resume(long wall) {
+    return new ReplacementProgress(
         phase, steps, batch, wall, byWord ? wall : judgedWall, beyond, null, false, remark);
   }
 
-  Progress remark(String what) {
-    return new Progress(phase, steps, batch, stepWall, judgedWall, beyond, paused, byWord, what);
+  ReplacementProgress remark(String what) {
+    return new ReplacementProgress(
+        phase, steps, batch, stepWall, judgedWall, beyond, paused, byWord, what);
   }
 
   void write(ObjectNode to) {
@@ -92,14 +98,14 @@
     }
   }
 
-  static Progress read(JsonNode node) {
+  static ReplacementProgress read(JsonNode node) {
     JsonNode p = node.path("progress");
     if (!p.isObject()) {
       return BEGIN;
     }
     Set<String> batch = new TreeSet<>();
     p.path("batch").forEach(x -> batch.add(x.asText()));
-    return new Progress(
+    return new ReplacementProgress(
         phase(Json.text(p, "phase")),
         (int) Json.number(p, "steps", 0),
         batch,
--- a/src/main/java/dapplestair/replacement/Running.java
+++ b/src/main/java/dapplestair/replacement/ReplacementState.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 
 /** An order with where it stands, as this controller last saw it recorded. */
-final class Running {
+final class ReplacementState {
   final String name;
-  final Order order;
-  Progress progress;
+  final ReplacementOrder order;
+  ReplacementProgress progress;
   long stamp;
 
   /** A put is under way: nothing new is decided before its outcome is known. */
@@ -26,20 +26,20 @@
   // Stood still for want of room since a machine was emptied last; they wait for their next turn.
   final Set<String> passed = new HashSet<>();
 
-  Running(String name, JsonNode value, long stamp) {
+  ReplacementState(String name, JsonNode value, long stamp) {
     this.name = name;
-    this.order = Order.parse(value);
-    this.progress = Progress.read(value);
+    this.order = ReplacementOrder.parse(value);
+    this.progress = ReplacementProgress.read(value);
     this.stamp = stamp;
   }
 
-  ObjectNode record(Progress progress) {
+  ObjectNode record(ReplacementProgress progress) {
     ObjectNode object = order.toJson();
     progress.write(object);
     return object;
   }
 
   boolean active() {
-    return progress.paused() == null && progress.phase() != Progress.Phase.DONE;
+    return progress.paused() == null && progress.phase() != ReplacementProgress.Phase.DONE;
   }
 }
--- a/src/main/java/dapplestair/replacement/Steps.java
+++ b/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
@@ -7,7 +7,7 @@
 import dapplestair.leadership.Leadership;
 import dapplestair.machines.MachineTypes;
 import dapplestair.ports.Clock;
-import dapplestair.replacement.Progress.Phase;
+import dapplestair.replacement.ReplacementProgress.Phase;
 import dapplestair.settings.Settings;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateClient.Priority;
@@ -23,7 +23,7 @@
 import org.slf4j.LoggerFactory;
 
 /** How an order goes from step to step: on record first, then done. */
-final class Steps {
+final class ReplacementStepRunner {
   private static final Logger LOG = LoggerFactory.getLogger(Replacements.class);
 
   // Machines on record for one step: as many names as one value holds with room to spare.
@@ -40,17 +40,17 @@
   private final MachineTypes types;
   private final Drains drains;
   private final Events events;
-  private final Machines machines;
+  private final ReplacementTargets machines;
   private final StepHealthCheck healthCheck;
-  private final Room room;
-  private final Map<String, Running> orders;
+  private final SurgeCapacity room;
+  private final Map<String, ReplacementState> orders;
   private final ToIntFunction<Slot> extra;
   private final Runnable changed;
   private long leadingSince;
   private boolean lags;
 
   /** Works on {@code orders}; {@code changed} hears of each step that is on record. */
-  Steps(
+  ReplacementStepRunner(
       Clock clock,
       Settings settings,
       StateClient state,
@@ -58,10 +58,10 @@
       MachineTypes types,
       Drains drains,
       Events events,
-      Machines machines,
+      ReplacementTargets machines,
       StepHealthCheck healthCheck,
-      Room room,
-      Map<String, Running> orders,
+      SurgeCapacity room,
+      Map<String, ReplacementState> orders,
       ToIntFunction<Slot> extra,
       Runnable changed) {
     this.clock = clock;
@@ -86,7 +86,7 @@
   }
 
   /** Carries an order on as far as it can go now; nothing of it may be under way. */
-  void look(Running running, boolean lagging) {
+  void look(ReplacementState running, boolean lagging) {
     lags = lagging;
     if (running.progress.paused() != null) {
       resumeIfWell(running);
@@ -120,7 +120,7 @@
     return clock.now() - leadingSince > room.longestListLag();
   }
 
-  private void choose(Running running) {
+  private void choose(ReplacementState running) {
     if (!knowsAll()) {
       return;
     }
@@ -136,9 +136,9 @@
       return;
     }
     List<Host> hosts = machines.left(batch);
-    int beyond = room.affords(Machines.bySlot(hosts), running.order.beyond());
+    int beyond = room.affords(ReplacementTargets.bySlot(hosts), running.order.beyond());
     Phase phase = beyond > 0 ? Phase.RAISE : Phase.EMPTY;
-    Progress next = running.progress.step(phase, batch, beyond, clock.wall());
+    ReplacementProgress next = running.progress.step(phase, batch, beyond, clock.wall());
     if (running.order.beyond() > 0 && beyond == 0) {
       next = next.remark("the plan's budget pays for no machine beyond: none beyond in this step");
     }
@@ -146,7 +146,7 @@
   }
 
   /** Machines of the steps of other orders. */
-  private Set<String> taken(Running running) {
+  private Set<String> taken(ReplacementState running) {
     Set<String> taken = new HashSet<>();
     orders.values().stream()
         .filter(o -> o != running && o.progress.phase() != Phase.DONE)
@@ -155,9 +155,9 @@
   }
 
   /** Waits for new machines; without any to have it goes on machine by machine. */
-  private void raise(Running running) {
+  private void raise(ReplacementState running) {
     List<Host> left = machines.left(running.progress.batch());
-    if (left.isEmpty() || room.ready(Machines.bySlot(left), extra)) {
+    if (left.isEmpty() || room.ready(ReplacementTargets.bySlot(left), extra)) {
       write(running, running.progress.in(Phase.EMPTY, clock.wall()));
       return;
     }
@@ -184,7 +184,7 @@
     }
   }
 
-  private void empty(Running running) {
+  private void empty(ReplacementState running) {
     List<Host> left = machines.left(running.progress.batch());
     if (!left.isEmpty() || !knowsAll()) {
       running.emptiedAt = 0;
@@ -213,7 +213,7 @@
   /**
    * What stands still for longer than a lease says why, on record; seldom enough to cost little.
    */
-  private void remarkIfStuck(Running running, List<Host> left) {
+  private void remarkIfStuck(ReplacementState running, List<Host> left) {
     long now = clock.now();
     String why = null;
     for (Host h : left) {
@@ -254,7 +254,7 @@
   /**
    * Once for each time that a machine may take to come: an empty one for one where it is needed.
    */
-  private void swapIfCramped(Running running, List<Host> left, long now) {
+  private void swapIfCramped(ReplacementState running, List<Host> left, long now) {
     if (!running.cramped) {
       running.swappedAt = 0;
       return;
@@ -278,7 +278,7 @@
    * here forbid: another old one goes first, whose replicas may take that room and what is free
    * here. Without this an order for a full fleet stood still for ever (ReplacementTest).
    */
-  private void passOver(Running running, Host stuck) {
+  private void passOver(ReplacementState running, Host stuck) {
     Set<String> taken = taken(running);
     running.passed.add(stuck.id());
     taken.addAll(running.passed);
@@ -295,12 +295,12 @@
     write(running, running.progress.only(other, clock.wall(), said));
   }
 
-  private void pause(Running running, String why, boolean untilTold) {
+  private void pause(ReplacementState running, String why, boolean untilTold) {
     LOG.info("replacement {} pauses: {}", running.name, why);
     write(running, running.progress.pause(why, untilTold), () -> note(running.name, "paused", why));
   }
 
-  private void resumeIfWell(Running running) {
+  private void resumeIfWell(ReplacementState running) {
     boolean well =
         !running.progress.byWord()
             && healthCheck.outside(lags) == null
@@ -317,12 +317,12 @@
     }
   }
 
-  private void write(Running running, Progress next) {
+  private void write(ReplacementState running, ReplacementProgress next) {
     write(running, next, () -> {});
   }
 
   /** On record first; nothing of it is done before. */
-  private void write(Running running, Progress next, Runnable then) {
+  private void write(ReplacementState running, ReplacementProgress next, Runnable then) {
     running.writing = true;
     String key = StateKeys.REPLACE + running.name;
     writer.put(
@@ -331,7 +331,7 @@
         running.record(next),
         Priority.BOOKKEEPING,
         outcome -> {
-          Running now = orders.get(running.name);
+          ReplacementState now = orders.get(running.name);
           if (now != null) {
             now.writing = false;
           }
--- a/src/main/java/dapplestair/replacement/Machines.java
+++ b/src/main/java/dapplestair/replacement/ReplacementTargets.java
@@ -1,6 +1,6 @@
 package dapplestair.replacement;
 
-import dapplestair.disruption.Disruption;
+import dapplestair.disruption.DisruptionGate;
 import dapplestair.fleet.Slot;
 import dapplestair.ports.Clock;
 import dapplestair.workers.Host;
@@ -16,12 +16,12 @@
 import java.util.TreeSet;
 
 /** Which machines an order is about. Old from new is told by the record of a machine's rental. */
-final class Machines {
+final class ReplacementTargets {
   private final Clock clock;
   private final WorkerManager desk;
-  private final Disruption disruption;
+  private final DisruptionGate disruption;
 
-  Machines(Clock clock, WorkerManager desk, Disruption disruption) {
+  ReplacementTargets(Clock clock, WorkerManager desk, DisruptionGate disruption) {
     this.clock = clock;
     this.desk = desk;
     this.disruption = disruption;
@@ -37,14 +37,14 @@
         : clock.wall() - (clock.now() - host.rentedAt());
   }
 
-  private boolean covers(Selection selection, Host host) {
+  private boolean covers(MachineSelector selection, Host host) {
     return host.type() != null
         && selection.covers(
             host.id(), host.zone(), host.type().name(), host.spot(), rentedWall(host));
   }
 
   /** Machines that such an order is about if it is given now. */
-  List<Host> selected(Selection selection) {
+  List<Host> selected(MachineSelector selection) {
     List<Host> out = new ArrayList<>();
     for (Host host : desk.hosts()) {
       if (!host.gone()
@@ -58,7 +58,7 @@
   }
 
   /** Machines that are still to be replaced, also those on their way back to the cloud. */
-  List<Host> old(Order order) {
+  List<Host> old(ReplacementOrder order) {
     List<Host> out = new ArrayList<>();
     for (Host host : desk.hosts()) {
       if (!host.gone() && rentedWall(host) < order.atWall() && covers(order.selection(), host)) {
@@ -71,8 +71,8 @@
   /**
    * Machines rented since the order was given, and since then, that are of the kinds it is about.
    */
-  List<Host> fresh(Order order, long since) {
-    Selection selection = order.selection();
+  List<Host> fresh(ReplacementOrder order, long since) {
+    MachineSelector selection = order.selection();
     List<Host> out = new ArrayList<>();
     for (Host host : desk.hosts()) {
       if (!host.gone()
--- a/src/main/java/dapplestair/replacement/Replacements.java
+++ b/src/main/java/dapplestair/replacement/Replacements.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dapplestair.disruption.Disruption;
+import dapplestair.disruption.DisruptionGate;
 import dapplestair.drain.Drain;
 import dapplestair.drain.Drains;
 import dapplestair.events.Events;
@@ -12,7 +12,7 @@
 import dapplestair.machines.MachineTypes;
 import dapplestair.ports.Cancellable;
 import dapplestair.ports.Clock;
-import dapplestair.replacement.Progress.Phase;
+import dapplestair.replacement.ReplacementProgress.Phase;
 import dapplestair.settings.Settings;
 import dapplestair.state.StateClient;
 import dapplestair.state.StateKeys;
@@ -41,10 +41,10 @@
   private final Settings settings;
   private final StateClient state;
   private final MachineTypes types;
-  private final Machines machines;
-  private final Room room;
-  private final Steps steps;
-  private final Map<String, Running> orders = new TreeMap<>();
+  private final ReplacementTargets machines;
+  private final SurgeCapacity room;
+  private final ReplacementStepRunner steps;
+  private final Map<String, ReplacementState> orders = new TreeMap<>();
   private final Set<Host> leaving = new LinkedHashSet<>();
   private boolean leading;
   private long due;
@@ -61,8 +61,8 @@
       MachineTypes types,
       WorkerManager desk,
       Drains drains,
-      Disruption disruption,
-      Room room,
+      DisruptionGate disruption,
+      SurgeCapacity room,
       Events events) {
     this.clock = clock;
     this.timers = timers;
@@ -70,9 +70,9 @@
     this.state = state;
     this.room = room;
     this.types = types;
-    machines = new Machines(clock, desk, disruption);
+    machines = new ReplacementTargets(clock, desk, disruption);
     steps =
-        new Steps(
+        new ReplacementStepRunner(
             clock,
             settings,
             state,
@@ -94,7 +94,7 @@
   /** An order's key has this value, or is gone. */
   public void recorded(String key, JsonNode value, long stamp) {
     String name = key.substring(StateKeys.REPLACE.length());
-    Running known = orders.get(name);
+    ReplacementState known = orders.get(name);
     if (value == null) {
       orders.remove(name);
       if (leading) {
@@ -102,12 +102,12 @@
         steps.note(name, "ended", null);
       }
     } else if (known == null || known.stamp < stamp) {
-      if (known != null && known.order.equals(Order.parse(value))) {
+      if (known != null && known.order.equals(ReplacementOrder.parse(value))) {
         // What this leader has seen of the step under way stays.
-        known.progress = Progress.read(value);
+        known.progress = ReplacementProgress.read(value);
         known.stamp = stamp;
       } else {
-        orders.put(name, new Running(name, value, stamp));
+        orders.put(name, new ReplacementState(name, value, stamp));
       }
     }
   }
@@ -138,7 +138,7 @@
     if (now - due > reportMs / 2) {
       lagUntil = now + 2 * reportMs;
     }
-    for (Running running : List.copyOf(orders.values())) {
+    for (ReplacementState running : List.copyOf(orders.values())) {
       if (!running.writing && state.unreachableMs() == 0) {
         steps.look(running, now < lagUntil);
       }
@@ -154,7 +154,7 @@
       return;
     }
     Set<Host> now = new LinkedHashSet<>();
-    for (Running running : orders.values()) {
+    for (ReplacementState running : orders.values()) {
       if (running.active() && running.progress.phase() == Phase.RAISE) {
         for (Host h : machines.left(running.progress.batch())) {
           long bootMs = Math.round(1000 * types.bootS(h.type()));
@@ -177,7 +177,7 @@
 
   /** The order under which a machine is emptied now, or null. */
   private Drain drain(Host host) {
-    for (Running running : orders.values()) {
+    for (ReplacementState running : orders.values()) {
       if (running.active()
           && running.progress.phase() == Phase.EMPTY
           && running.progress.batch().contains(host.id())) {
@@ -199,11 +199,11 @@
    */
   public int extra(Slot slot) {
     int extra = 0;
-    for (Running running : orders.values()) {
+    for (ReplacementState running : orders.values()) {
       if (running.progress.phase() == Phase.CHOOSE || running.progress.phase() == Phase.DONE) {
         continue;
       }
-      Map<Slot, Integer> left = Machines.bySlot(machines.left(running.progress.batch()));
+      Map<Slot, Integer> left = ReplacementTargets.bySlot(machines.left(running.progress.batch()));
       int mine = left.getOrDefault(slot, 0);
       // Where a replica has no place to go, all that may be beyond is: the next comes in the zone
       // that has fewest.
@@ -218,7 +218,7 @@
   }
 
   /** How many machines an order like this would be about now. */
-  public int covered(Selection selection) {
+  public int covered(MachineSelector selection) {
     return machines.selected(selection).size();
   }
 
@@ -230,9 +230,9 @@
    * @param left old machines that are still there
    * @param endS seconds until it is expected to be done, or -1
    */
-  public record View(
+  public record ReplacementView(
       String name,
-      Order order,
+      ReplacementOrder order,
       String phase,
       int steps,
       Collection<String> batch,
@@ -243,17 +243,17 @@
       double endS) {}
 
   /** All orders, by name. */
-  public List<View> views() {
+  public List<ReplacementView> views() {
     return orders.values().stream().map(this::view).toList();
   }
 
   /** One order, or null. */
-  public View view(String name) {
-    Running running = orders.get(name);
+  public ReplacementView view(String name) {
+    ReplacementState running = orders.get(name);
     return running == null ? null : view(running);
   }
 
-  private View view(Running running) {
+  private ReplacementView view(ReplacementState running) {
     int left = running.progress.phase() == Phase.DONE ? 0 : machines.old(running.order).size();
     int done = running.order.total() - left;
     double elapsedS = (clock.wall() - running.order.atWall()) / 1000.0;
@@ -261,7 +261,7 @@
         left == 0
             ? 0
             : done <= 0 || running.progress.paused() != null ? -1 : elapsedS / done * left;
-    return new View(
+    return new ReplacementView(
         running.name,
         running.order,
         phase(running.progress),
@@ -274,21 +274,21 @@
         endS);
   }
 
-  private String phase(Progress progress) {
+  private String phase(ReplacementProgress progress) {
     boolean watched = progress.phase() == Phase.EMPTY && machines.left(progress.batch()).isEmpty();
     return watched ? "watch" : progress.phase().name().toLowerCase(java.util.Locale.ROOT);
   }
 
   /** The recorded form of a new order. */
-  public static ObjectNode begun(Order order) {
+  public static ObjectNode begun(ReplacementOrder order) {
     ObjectNode object = order.toJson();
-    Progress.BEGIN.write(object);
+    ReplacementProgress.BEGIN.write(object);
     return object;
   }
 
   /** The recorded form of an order that pauses by an operator's word, or goes on; null: no such. */
   public ObjectNode told(String name, String pause) {
-    Running running = orders.get(name);
+    ReplacementState running = orders.get(name);
     if (running == null) {
       return null;
     }
--- a/src/main/java/dapplestair/replacement/StepHealthCheck.java
+++ b/src/main/java/dapplestair/replacement/StepHealthCheck.java
@@ -1,7 +1,7 @@
 package dapplestair.replacement;
 
 import dapplestair.disruption.BudgetStatus;
-import dapplestair.disruption.Disruption;
+import dapplestair.disruption.DisruptionGate;
 import dapplestair.workers.Host;
 import dapplestair.workers.WorkerManager;
 import java.util.List;
@@ -13,10 +13,10 @@
   private static final int ENOUGH = 2;
 
   private final WorkerManager desk;
-  private final Disruption disruption;
-  private final Machines machines;
+  private final DisruptionGate disruption;
+  private final ReplacementTargets machines;
 
-  StepHealthCheck(WorkerManager desk, Disruption disruption, Machines machines) {
+  StepHealthCheck(WorkerManager desk, DisruptionGate disruption, ReplacementTargets machines) {
     this.desk = desk;
     this.disruption = disruption;
     this.machines = machines;
@@ -48,7 +48,7 @@
   }
 
   /** What is wrong with the new machines, or null; only an operator's word ends such a pause. */
-  String newMachines(Order order, long since) {
+  String newMachines(ReplacementOrder order, long since) {
     List<Host> fresh = machines.fresh(order, since);
     long up = fresh.stream().filter(Host::up).count();
     List<Host> failing = fresh.stream().filter(h -> h.draining() || h.failures() > ENOUGH).toList();
--- a/src/main/java/dapplestair/replacement/Room.java
+++ b/src/main/java/dapplestair/replacement/SurgeCapacity.java
@@ -14,14 +14,14 @@
  * Machines beyond the plan's count: how many the plan's own budget still pays for, and whether they
  * are up. The counts themselves stay the plan's.
  */
-public final class Room {
+public final class SurgeCapacity {
   private final WorkerManager desk;
   private final Fleet fleet;
   private final MachineTypes types;
   private final Planning planning;
 
   /** Beside what {@code planning} holds. */
-  public Room(WorkerManager desk, Fleet fleet, MachineTypes types, Planning planning) {
+  public SurgeCapacity(WorkerManager desk, Fleet fleet, MachineTypes types, Planning planning) {
     this.desk = desk;
     this.fleet = fleet;
     this.types = types;
@@ -71,7 +71,7 @@
     if (stuck.type() == null) {
       return false;
     }
-    Slot slot = Machines.slot(stuck);
+    Slot slot = ReplacementTargets.slot(stuck);
     for (Host host : desk.hosts()) {
       if (host.up()
           && host.idle()
--- a/src/main/java/dapplestair/settings/CalendarsLoader.java
+++ b/src/main/java/dapplestair/settings/CalendarsLoader.java
@@ -68,7 +68,7 @@
 
   private static double number(Path path, String field, double v, double low, double high)
       throws SettingsException {
-    return OperatorLoader.within(path, "calendar." + field, v, low, high);
+    return OperatorSettingsLoader.within(path, "calendar." + field, v, low, high);
   }
 
   private static LocalTime at(Path path, String text) throws SettingsException {
--- a/src/main/java/dapplestair/settings/Budgets.java
+++ b/src/main/java/dapplestair/settings/DisruptionBudgets.java
@@ -8,13 +8,14 @@
  * @param teams budgets of teams that have their own
  * @param others the budget of all other teams
  */
-public record Budgets(Map<String, Budget> teams, Budget others) {
+public record DisruptionBudgets(Map<String, DisruptionBudget> teams, DisruptionBudget others) {
   static final int NO_LIMIT = Integer.MAX_VALUE;
   static final double NO_RATIO = Double.POSITIVE_INFINITY;
 
   /** Holds when nothing is said: a replica of each job, and a tenth of a team's, at a time. */
-  public static final Budgets USUAL =
-      new Budgets(Map.of(), new Budget(NO_LIMIT, 0.1, 1, NO_RATIO, NO_LIMIT, NO_RATIO));
+  public static final DisruptionBudgets USUAL =
+      new DisruptionBudgets(
+          Map.of(), new DisruptionBudget(NO_LIMIT, 0.1, 1, NO_RATIO, NO_LIMIT, NO_RATIO));
 
   /**
    * One team's budget. What is out for any reason counts against it. Where both a count and a ratio
@@ -27,7 +28,7 @@
    * @param arrayTasks most tasks of arrays stopped at once
    * @param lostCpuS most work thrown away in an hour, CPU seconds
    */
-  public record Budget(
+  public record DisruptionBudget(
       int replicas,
       double replicasRatio,
       int jobReplicas,
@@ -56,7 +57,7 @@
   }
 
   /** The budget of a team. */
-  public Budget of(String team) {
+  public DisruptionBudget of(String team) {
     return teams.getOrDefault(team, others);
   }
 }
--- a/src/main/java/dapplestair/settings/BudgetsLoader.java
+++ b/src/main/java/dapplestair/settings/DisruptionBudgetsLoader.java
@@ -1,31 +1,31 @@
 package dapplestair.settings;
 
-import dapplestair.settings.Budgets.Budget;
+import dapplestair.settings.DisruptionBudgets.DisruptionBudget;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** Reads budgets of disruption from the operators' file. */
-public final class BudgetsLoader {
+public final class DisruptionBudgetsLoader {
   // Larger figures are slips of the keyboard.
   private static final double MOST_REPLICAS = 1e6;
   private static final double MOST_CPU_S = 1e12;
 
-  private BudgetsLoader() {}
+  private DisruptionBudgetsLoader() {}
 
-  static Budgets read(Path path, List<dapplestair.settings.proto.Budget> list)
+  static DisruptionBudgets read(Path path, List<dapplestair.settings.proto.Budget> list)
       throws SettingsException {
-    Budget others = Budgets.USUAL.others();
+    DisruptionBudget others = DisruptionBudgets.USUAL.others();
     for (dapplestair.settings.proto.Budget budget : list) {
       if (budget.getTeam().isEmpty()) {
-        if (others != Budgets.USUAL.others()) {
+        if (others != DisruptionBudgets.USUAL.others()) {
           throw new SettingsException(path + ": disruption.team = \"\": given twice");
         }
         others = budget(path, budget, others);
       }
     }
-    Map<String, Budget> teams = new HashMap<>();
+    Map<String, DisruptionBudget> teams = new HashMap<>();
     for (dapplestair.settings.proto.Budget budget : list) {
       if (!budget.getTeam().isEmpty()
           && teams.put(budget.getTeam(), budget(path, budget, others)) != null) {
@@ -33,13 +33,14 @@
             path + ": disruption.team = \"" + budget.getTeam() + "\": given twice");
       }
     }
-    return new Budgets(Map.copyOf(teams), others);
+    return new DisruptionBudgets(Map.copyOf(teams), others);
   }
 
   /** What a team does not say holds as for all others. */
-  private static Budget budget(Path path, dapplestair.settings.proto.Budget budget, Budget d)
+  private static DisruptionBudget budget(
+      Path path, dapplestair.settings.proto.Budget budget, DisruptionBudget d)
       throws SettingsException {
-    return new Budget(
+    return new DisruptionBudget(
         budget.hasReplicas() ? count(path, "replicas", budget.getReplicas()) : d.replicas(),
         budget.hasReplicasRatio()
             ? ratio(path, "replicas_ratio", budget.getReplicasRatio())
@@ -52,21 +53,22 @@
             ? count(path, "array_tasks", budget.getArrayTasks())
             : d.arrayTasks(),
         budget.hasLostCpuSPerHour()
-            ? OperatorLoader.within(
+            ? OperatorSettingsLoader.within(
                 path, "disruption.lost_cpu_s_per_hour", budget.getLostCpuSPerHour(), 0, MOST_CPU_S)
             : d.lostCpuS());
   }
 
   private static int count(Path path, String field, int v) throws SettingsException {
-    return (int) OperatorLoader.within(path, "disruption." + field, v, 0, MOST_REPLICAS);
+    return (int) OperatorSettingsLoader.within(path, "disruption." + field, v, 0, MOST_REPLICAS);
   }
 
   private static double ratio(Path path, String field, double v) throws SettingsException {
-    return OperatorLoader.within(path, "disruption." + field, v, 0, 1);
+    return OperatorSettingsLoader.within(path, "disruption." + field, v, 0, 1);
   }
 
   /** A budget for a team that the platform does not know is a slip, not a wish. */
-  public static void check(Path path, Budgets budgets, Settings settings) throws SettingsException {
+  public static void check(Path path, DisruptionBudgets budgets, Settings settings)
+      throws SettingsException {
     for (String team : budgets.teams().keySet()) {
       if (!settings.teams().containsKey(team)) {
         throw new SettingsException(
--- a/src/main/java/dapplestair/settings/LanesLoader.java
+++ b/src/main/java/dapplestair/settings/LanesLoader.java
@@ -54,11 +54,11 @@
         Set.copyOf(in.getOverList()),
         rank,
         overRank,
-        OperatorLoader.within(path, "lane.reserve_cpus", in.getReserveCpus(), 0, MOST_CPUS),
+        OperatorSettingsLoader.within(path, "lane.reserve_cpus", in.getReserveCpus(), 0, MOST_CPUS),
         Math.round(
             1000
                 * (in.hasBeginWithinS()
-                    ? OperatorLoader.within(
+                    ? OperatorSettingsLoader.within(
                         path, "lane.begin_within_s", in.getBeginWithinS(), 0.1, 3600)
                     : 2)));
   }
--- a/src/main/java/dapplestair/settings/Operator.java
+++ b/src/main/java/dapplestair/settings/OperatorSettings.java
@@ -10,7 +10,7 @@
  * @param relayAbove share of the leader's connections that machines may take before their
  *     connections are spread over all controllers; 0 spreads them always
  */
-public record Operator(
+public record OperatorSettings(
     long planIntervalMs,
     int population,
     int evaluations,
@@ -24,7 +24,7 @@
     double relayAbove,
     List<Lane> lanes,
     List<RunCalendar> calendars,
-    Budgets budgets,
+    DisruptionBudgets budgets,
     Admin admin) {
 
   /**
@@ -50,8 +50,8 @@
   private static final double RELAY_ABOVE = 0.9;
 
   /** What holds without an operator file. */
-  public static Operator defaults() {
-    return new Operator(
+  public static OperatorSettings defaults() {
+    return new OperatorSettings(
         3_000,
         20,
         300,
@@ -65,48 +65,48 @@
         RELAY_ABOVE,
         List.of(),
         List.of(),
-        Budgets.USUAL,
+        DisruptionBudgets.USUAL,
         null);
   }
 
   /** The same with this operators' interface. */
-  public Operator withAdmin(Admin other) {
+  public OperatorSettings withAdmin(Admin other) {
     return with(beginWithinMs, relayAbove, lanes, calendars, budgets, other);
   }
 
   /** The same with another bound within what every job is to begin. */
-  public Operator withBeginWithin(long ms) {
+  public OperatorSettings withBeginWithin(long ms) {
     return with(ms, relayAbove, lanes, calendars, budgets, admin);
   }
 
   /** The same with connections spread beyond this share. */
-  public Operator withRelayAbove(double share) {
+  public OperatorSettings withRelayAbove(double share) {
     return with(beginWithinMs, share, lanes, calendars, budgets, admin);
   }
 
   /** The same with these lanes. */
-  public Operator withLanes(List<Lane> others) {
+  public OperatorSettings withLanes(List<Lane> others) {
     return with(beginWithinMs, relayAbove, others, calendars, budgets, admin);
   }
 
   /** The same with these calendars. */
-  public Operator withCalendars(List<RunCalendar> others) {
+  public OperatorSettings withCalendars(List<RunCalendar> others) {
     return with(beginWithinMs, relayAbove, lanes, others, budgets, admin);
   }
 
   /** The same with these budgets of disruption. */
-  public Operator withBudgets(Budgets other) {
+  public OperatorSettings withBudgets(DisruptionBudgets other) {
     return with(beginWithinMs, relayAbove, lanes, calendars, other, admin);
   }
 
-  private Operator with(
+  private OperatorSettings with(
       long newBeginWithinMs,
       double newRelayAbove,
       List<Lane> newLanes,
       List<RunCalendar> newCalendars,
-      Budgets newBudgets,
+      DisruptionBudgets newBudgets,
       Admin newAdmin) {
-    return new Operator(
+    return new OperatorSettings(
         planIntervalMs,
         population,
         evaluations,
--- a/src/main/java/dapplestair/settings/OperatorLoader.java
+++ b/src/main/java/dapplestair/settings/OperatorSettingsLoader.java
@@ -7,11 +7,11 @@
 import java.nio.file.Path;
 
 /** Reads the operators' file, protobuf text format. */
-public final class OperatorLoader {
-  private OperatorLoader() {}
+public final class OperatorSettingsLoader {
+  private OperatorSettingsLoader() {}
 
   /** Loads and checks a file. */
-  public static Operator load(Path path) throws SettingsException {
+  public static OperatorSettings load(Path path) throws SettingsException {
     dapplestair.settings.proto.Operator.Builder in =
         dapplestair.settings.proto.Operator.newBuilder();
     try {
@@ -21,8 +21,8 @@
     } catch (IOException e) {
       throw new SettingsException(path + ": cannot be read");
     }
-    Operator operator = Operator.defaults();
-    return new Operator(
+    OperatorSettings operator = OperatorSettings.defaults();
+    return new OperatorSettings(
         in.hasPlanIntervalS()
             ? Math.round(1000 * within(path, "plan_interval_s", in.getPlanIntervalS(), 0.5, 3600))
             : operator.planIntervalMs(),
@@ -58,11 +58,11 @@
             : operator.relayAbove(),
         LanesLoader.read(path, in.getLaneList()),
         CalendarsLoader.read(path, in.getCalendarList()),
-        BudgetsLoader.read(path, in.getDisruptionList()),
+        DisruptionBudgetsLoader.read(path, in.getDisruptionList()),
         in.hasAdmin() ? admin(path, in.getAdmin()) : null);
   }
 
-  private static Operator.Admin admin(Path path, dapplestair.settings.proto.Admin in)
+  private static OperatorSettings.Admin admin(Path path, dapplestair.settings.proto.Admin in)
       throws SettingsException {
     Settings.Address listen = Settings.Address.parse(in.getListen());
     if (listen == null) {
@@ -72,24 +72,24 @@
     int most =
         in.hasMostConnections()
             ? (int) within(path, "admin.most_connections", in.getMostConnections(), 1, 10_000)
-            : Operator.MOST_CONNECTIONS;
-    Operator.Tls tls = null;
+            : OperatorSettings.MOST_CONNECTIONS;
+    OperatorSettings.Tls tls = null;
     if (in.hasTls()) {
       tls =
-          new Operator.Tls(
+          new OperatorSettings.Tls(
               file(path, "admin.tls.certificate", in.getTls().getCertificate()),
               file(path, "admin.tls.key", in.getTls().getKey()),
               file(path, "admin.tls.authority", in.getTls().getAuthority()));
     }
-    Operator.Admin admin =
-        new Operator.Admin(
+    OperatorSettings.Admin admin =
+        new OperatorSettings.Admin(
             listen, most, in.hasTokens() ? file(path, "admin.tokens", in.getTokens()) : null, tls);
     check(admin);
     return admin;
   }
 
   /** Plain HTTP is for this machine only. */
-  public static void check(Operator.Admin admin) throws SettingsException {
+  public static void check(OperatorSettings.Admin admin) throws SettingsException {
     if (admin.tls() == null && !loopback(admin.listen())) {
       throw new SettingsException(
           "admin.listen = " + admin.listen() + ": without admin.tls only an address on loopback");
--- a/src/main/java/dapplestair/silence/Account.java
+++ b/src/main/java/dapplestair/silence/LivenessReport.java
@@ -18,7 +18,7 @@
  *     were heard as they should be. Empty unless the speaker leads.
  * @param gone how many milliseconds ago each machine was proved to be gone, for those of late
  */
-public record Account(
+public record LivenessReport(
     long term,
     long number,
     Map<String, Long> zones,
@@ -56,13 +56,14 @@
   }
 
   /** Reads an account, or gives null when it is garbled or of another form. */
-  public static Account decode(byte[] bytes) {
+  public static LivenessReport decode(byte[] bytes) {
     if (bytes.length == 0 || bytes.length > LARGEST || bytes[0] != FORM) {
       return null;
     }
     try {
       Input in = new Input(bytes, 1, bytes.length - 1);
-      return new Account(in.readVarLong(true), in.readVarLong(true), read(in), read(in), read(in));
+      return new LivenessReport(
+          in.readVarLong(true), in.readVarLong(true), read(in), read(in), read(in));
     } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
       return null;
     }
--- a/src/main/java/dapplestair/silence/Accounts.java
+++ b/src/main/java/dapplestair/silence/LivenessReports.java
@@ -9,7 +9,7 @@
  * silence at its own beginning. Each entry is the latest moment at which anybody can have heard: an
  * account that comes late, twice or out of order makes a silence look shorter, never longer.
  */
-public final class Accounts {
+public final class LivenessReports {
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   private final Map<String, Long> zones = new HashMap<>();
@@ -20,7 +20,7 @@
   private long at = NEVER;
 
   /** An account arrived just now. */
-  public void said(Account account, long now) {
+  public void said(LivenessReport account, long now) {
     // How long the message took is not known: what it says lies further back than it seems here.
     account.zones().forEach((zone, ago) -> zones.merge(zone, now - ago, Math::max));
     boolean newer = account.term() > term || (account.term() == term && account.number() > number);
--- a/src/main/java/dapplestair/silence/ZoneWatch.java
+++ b/src/main/java/dapplestair/silence/ZoneContactTracker.java
@@ -7,27 +7,27 @@
  * Since when each zone has been heard without a break. Silence of one machine means something only
  * while others of its zone are heard, and not at once after a cut: then all have to be heard anew.
  */
-public final class ZoneWatch {
+public final class ZoneContactTracker {
   // In a zone of many machines some report at any moment, so that a break shows sooner.
   private static final double FEW = 5;
   private static final double LEAST_GAP = 0.15;
 
-  private static final class Zone {
+  private static final class ZoneContact {
     long since;
     long last = Long.MIN_VALUE / 2;
   }
 
   private final long intervalMs;
-  private final Map<String, Zone> zones = new HashMap<>();
+  private final Map<String, ZoneContact> zones = new HashMap<>();
 
   /** {@code intervalMs} is the longest time between two reports of a machine. */
-  public ZoneWatch(long intervalMs) {
+  public ZoneContactTracker(long intervalMs) {
     this.intervalMs = intervalMs;
   }
 
   /** One of the zone's machines was heard. */
   public void heard(String zone, long now, int machines) {
-    Zone z = zones.computeIfAbsent(zone, n -> new Zone());
+    ZoneContact z = zones.computeIfAbsent(zone, n -> new ZoneContact());
     if (now - z.last > gapMs(machines)) {
       z.since = now;
     }
@@ -41,13 +41,13 @@
 
   /** How long the zone has been heard without a break until just now; 0 when it is not heard. */
   public long heardForMs(String zone, long now, int machines) {
-    Zone z = zones.get(zone);
+    ZoneContact z = zones.get(zone);
     return z == null || now - z.last > gapMs(machines) ? 0 : now - z.since;
   }
 
   /** When the zone was last heard, or {@link Long#MIN_VALUE} / 2. */
   public long lastHeard(String zone) {
-    Zone z = zones.get(zone);
+    ZoneContact z = zones.get(zone);
     return z == null ? Long.MIN_VALUE / 2 : z.last;
   }
 
--- a/src/main/java/dapplestair/workers/LeaseRenewal.java
+++ b/src/main/java/dapplestair/workers/LeaseRenewal.java
@@ -107,7 +107,8 @@
         return null;
       }
     }
-    for (KnownCancellations.Task task : cancellations.on(report.host(), report.session())) {
+    for (KnownCancellations.CancelledTask task :
+        cancellations.on(report.host(), report.session())) {
       add(halts, task.place().key(task.ref()), task.place().number());
     }
     long token = raisedFor(report);
--- a/src/main/java/dapplestair/workers/LivenessTracker.java
+++ b/src/main/java/dapplestair/workers/LivenessTracker.java
@@ -4,9 +4,9 @@
 import com.google.common.collect.Multiset;
 import dapplestair.ports.Clock;
 import dapplestair.settings.Settings;
-import dapplestair.silence.Account;
-import dapplestair.silence.Accounts;
-import dapplestair.silence.ZoneWatch;
+import dapplestair.silence.LivenessReport;
+import dapplestair.silence.LivenessReports;
+import dapplestair.silence.ZoneContactTracker;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -26,9 +26,9 @@
   private final HostRegistry roster;
   private final long reportMs;
   private final long leaseMs;
-  private final ZoneWatch zones;
+  private final ZoneContactTracker zones;
   private final Multiset<String> perZone = HashMultiset.create();
-  private final Accounts accounts = new Accounts();
+  private final LivenessReports accounts = new LivenessReports();
 
   // When a worker of each zone last reported by itself.
   private final Map<String, Long> zoneReportedAt = new HashMap<>();
@@ -45,7 +45,7 @@
     this.roster = roster;
     this.reportMs = settings.workers().reportMs();
     this.leaseMs = settings.workers().leaseMs();
-    this.zones = new ZoneWatch(Math.round(OVERDUE * reportMs));
+    this.zones = new ZoneContactTracker(Math.round(OVERDUE * reportMs));
   }
 
   void lead() {
@@ -170,12 +170,12 @@
   // ---- shared with the other controllers ----
 
   /** What another controller heard. */
-  void said(Account account) {
+  void said(LivenessReport account) {
     accounts.said(account, clock.now());
   }
 
   /** What to tell the other controllers; of single machines only a leader that can judge tells. */
-  Account account(boolean leading, long term) {
+  LivenessReport account(boolean leading, long term) {
     long now = clock.now();
     Map<String, Long> zoneAges = new HashMap<>();
     Map<String, Long> late = new HashMap<>();
@@ -191,7 +191,7 @@
       }
     }
     Map<String, Long> gone = sure ? roster.goneWithin(leaseMs) : Map.of();
-    return new Account(sure ? term : 0, ++accountNumber, zoneAges, late, gone);
+    return new LivenessReport(sure ? term : 0, ++accountNumber, zoneAges, late, gone);
   }
 
   /**
--- a/src/main/java/dapplestair/workers/WorkerManager.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -12,7 +12,7 @@
 import dapplestair.ports.Timers;
 import dapplestair.relay.Relay;
 import dapplestair.settings.Settings;
-import dapplestair.silence.Account;
+import dapplestair.silence.LivenessReport;
 import dapplestair.state.StateClient;
 import dapplestair.work.Report;
 import dapplestair.work.WorkerCommand;
@@ -107,14 +107,14 @@
   }
 
   private void heardByOthers(byte[] body) {
-    Account account = Account.decode(body);
+    LivenessReport account = LivenessReport.decode(body);
     if (account != null) {
       liveness.said(account);
     }
   }
 
   private void share() {
-    Account account = liveness.account(leading && leadership.leading(), leadership.term());
+    LivenessReport account = liveness.account(leading && leadership.leading(), leadership.term());
     if (account.term() > 0 || !account.zones().isEmpty()) {
       peers.state(HEARD, account.encode());
     }
--- a/src/main/java/dapplestair/zones/ZoneProbes.java
+++ b/src/main/java/dapplestair/zones/ZoneProbes.java
@@ -44,7 +44,7 @@
   }
 
   /** The zone is cut or lost, and none of its machines is left. */
-  void emptied(String zone, ZoneLife life) {
+  void emptied(String zone, ZoneStatus life) {
     long now = clock.wall();
     if (now - life.cutWall() < timeouts.lostAfterMs(zone)) {
       return;
--- a/src/main/java/dapplestair/zones/ZoneLife.java
+++ b/src/main/java/dapplestair/zones/ZoneStatus.java
@@ -14,7 +14,7 @@
  * @param cuts how often it was cut of late, this time included
  * @param cutWall when it was last cut
  */
-public record ZoneLife(State state, long sinceWall, String by, int cuts, long cutWall) {
+public record ZoneStatus(State state, long sinceWall, String by, int cuts, long cutWall) {
   /** What a zone can be. */
   public enum State {
     /** Heard, and steady for as long as its past asks. */
@@ -33,16 +33,16 @@
   }
 
   /** A zone of which nothing bad is known. */
-  static final ZoneLife NEW = new ZoneLife(State.STEADY, 0, "", 0, 0);
+  static final ZoneStatus NEW = new ZoneStatus(State.STEADY, 0, "", 0, 0);
 
-  ZoneLife to(State next, long wall, String who) {
-    return new ZoneLife(next, wall, who, cuts, cutWall);
+  ZoneStatus to(State next, long wall, String who) {
+    return new ZoneStatus(next, wall, who, cuts, cutWall);
   }
 
   /** Cut once more; what lies further back than {@code memoryMs} is forgotten. */
-  ZoneLife cut(long wall, String who, long memoryMs) {
+  ZoneStatus cut(long wall, String who, long memoryMs) {
     int before = wall - cutWall < memoryMs ? cuts : 0;
-    return new ZoneLife(State.CUT, wall, who, before + 1, wall);
+    return new ZoneStatus(State.CUT, wall, who, before + 1, wall);
   }
 
   ObjectNode toJson() {
@@ -54,12 +54,12 @@
         .put("cutAt", cutWall);
   }
 
-  static ZoneLife parse(JsonNode node) {
+  static ZoneStatus parse(JsonNode node) {
     State state = State.STEADY;
     for (State s : State.values()) {
       state = s.name().equals(Json.text(node, "state")) ? s : state;
     }
-    return new ZoneLife(
+    return new ZoneStatus(
         state,
         Json.number(node, "since", 0),
         String.valueOf(Json.text(node, "by")),
--- a/src/main/java/dapplestair/zones/Zones.java
+++ b/src/main/java/dapplestair/zones/Zones.java
@@ -16,7 +16,7 @@
 import dapplestair.state.TxnOutcome;
 import dapplestair.workers.Host;
 import dapplestair.workers.WorkerManager;
-import dapplestair.zones.ZoneLife.State;
+import dapplestair.zones.ZoneStatus.State;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -55,7 +55,7 @@
   private final SilenceTimeouts timeouts;
   private final ZoneProbes probes;
   private final Events events;
-  private final Map<String, ZoneLife> lives = new TreeMap<>();
+  private final Map<String, ZoneStatus> lives = new TreeMap<>();
   private final Set<String> writing = new HashSet<>();
   private final Map<String, Long> triedAt = new HashMap<>();
   private boolean leading;
@@ -96,7 +96,7 @@
     if (value == null) {
       lives.remove(zone);
     } else {
-      lives.put(zone, ZoneLife.parse(value));
+      lives.put(zone, ZoneStatus.parse(value));
     }
   }
 
@@ -144,7 +144,7 @@
     return out;
   }
 
-  private void look(String zone, ZoneLife life) {
+  private void look(String zone, ZoneStatus life) {
     long silentMs = desk.zoneSilentMs(zone);
     long wall = clock.wall();
     String me = settings.member();
@@ -169,7 +169,7 @@
     }
   }
 
-  private void cutIfSilent(String zone, ZoneLife life, long silentMs) {
+  private void cutIfSilent(String zone, ZoneStatus life, long silentMs) {
     if (silentMs >= timeouts.prepareAfterMs()) {
       long wall = clock.wall() - silentMs;
       write(zone, life.cut(wall, settings.member(), MEMORY_LEASES * settings.workers().leaseMs()));
@@ -181,7 +181,7 @@
    * machine is left, one is rented that can be; if none is to be had, the zone is taken for back
    * after a while.
    */
-  private void returnIfHeard(String zone, ZoneLife life, long silentMs) {
+  private void returnIfHeard(String zone, ZoneStatus life, long silentMs) {
     long now = clock.now();
     boolean heard = silentMs == 0 && desk.zoneHeardNow(zone);
     boolean none = !desk.anyLeftIn(zone);
@@ -200,7 +200,7 @@
     }
   }
 
-  private void write(String zone, ZoneLife next) {
+  private void write(String zone, ZoneStatus next) {
     writing.add(zone);
     String key = StateKeys.ZONE + zone;
     writer.put(
@@ -229,26 +229,26 @@
   // ---- views ----
 
   /** Where a zone stands. */
-  public ZoneLife life(String zone) {
-    return lives.getOrDefault(zone, ZoneLife.NEW);
+  public ZoneStatus life(String zone) {
+    return lives.getOrDefault(zone, ZoneStatus.NEW);
   }
 
   /** All zones of which anything is known, by name. */
-  public Map<String, ZoneLife> lives() {
-    Map<String, ZoneLife> out = new TreeMap<>();
+  public Map<String, ZoneStatus> lives() {
+    Map<String, ZoneStatus> out = new TreeMap<>();
     known().forEach(z -> out.put(z, life(z)));
     return out;
   }
 
   /** How long a zone has to be heard before it is steady again: doubling with each cut. */
-  long heldMs(ZoneLife life) {
+  long heldMs(ZoneStatus life) {
     int leases = 1 << Math.min(30, Math.max(0, life.cuts() - 1));
     return Math.min(MOST_HELD_LEASES, leases) * settings.workers().leaseMs();
   }
 
   /** Seconds until a returning zone is steady, 0 for any other. */
   public double heldS(String zone) {
-    ZoneLife life = life(zone);
+    ZoneStatus life = life(zone);
     return life.state() != State.RETURNING
         ? 0
         : Math.max(0, heldMs(life) - (clock.wall() - life.sinceWall())) / 1000.0;
@@ -259,7 +259,7 @@
    * steady yet.
    */
   public boolean closed(String zone) {
-    ZoneLife life = life(zone);
+    ZoneStatus life = life(zone);
     boolean away = life.state() == State.CUT || life.state() == State.LOST;
     return leading && (away || life.cuts() > 1 && life.state() != State.STEADY);
   }
--- a/src/test/java/dapplestair/blame/MachineCaseTest.java
+++ b/src/test/java/dapplestair/blame/MachineFailuresTest.java
@@ -6,11 +6,11 @@
 
 import org.junit.jupiter.api.Test;
 
-class MachineCaseTest {
+class MachineFailuresTest {
   private static final String GOOD = "wk-000001";
   private static final String WRONG = "wk-000002";
 
-  private final MachineCase machineCase = new MachineCase(0);
+  private final MachineFailures machineCase = new MachineFailures(0);
 
   /** Its proof is that it completed elsewhere: a job that is over has just given it. */
   @Test
--- a/src/test/java/dapplestair/cancellations/CancellationCodecTest.java
+++ b/src/test/java/dapplestair/cancellations/CancellationCodecTest.java
@@ -10,23 +10,23 @@
 import org.junit.jupiter.api.Test;
 
 class CancellationCodecTest {
-  private static CancellationCodec.Answer answer(int entries, int places) {
-    List<CancellationCodec.Entry> out = new ArrayList<>();
+  private static CancellationCodec.LogResponse answer(int entries, int places) {
+    List<CancellationCodec.LogEntry> out = new ArrayList<>();
     for (int i = 1; i <= entries; i++) {
       List<Cancellation.TaskLocation> at = new ArrayList<>();
       for (int k = 0; k < places; k++) {
         at.add(new Cancellation.TaskLocation(String.format("n-%06d", k), 1 + k % 3, k, 7));
       }
-      out.add(new CancellationCodec.Entry(i, "wk-" + i, 40L * i, at));
+      out.add(new CancellationCodec.LogEntry(i, "wk-" + i, 40L * i, at));
     }
-    return new CancellationCodec.Answer(-5, 3, Long.MIN_VALUE + 1, 12, true, out);
+    return new CancellationCodec.LogResponse(-5, 3, Long.MIN_VALUE + 1, 12, true, out);
   }
 
   @Test
   void messagesComeBackAsTheyWere() {
-    CancellationCodec.Ask ask = new CancellationCodec.Ask(-77, 4, 99, 1000);
+    CancellationCodec.LogRequest ask = new CancellationCodec.LogRequest(-77, 4, 99, 1000);
     assertEquals(ask, CancellationCodec.ask(CancellationCodec.encode(ask)));
-    CancellationCodec.Answer answer = answer(5, 40);
+    CancellationCodec.LogResponse answer = answer(5, 40);
     assertEquals(answer, CancellationCodec.answer(CancellationCodec.encode(answer)));
   }
 
@@ -35,7 +35,7 @@
   void whatIsNotOursIsRefused() {
     SplittableRandom random = new SplittableRandom(1);
     byte[] good = CancellationCodec.encode(answer(4, 10));
-    byte[] ask = CancellationCodec.encode(new CancellationCodec.Ask(1, 2, 3, 4));
+    byte[] ask = CancellationCodec.encode(new CancellationCodec.LogRequest(1, 2, 3, 4));
     for (int i = 0; i < 5000; i++) {
       byte[] bad = good.clone();
       for (int k = 0; k < 4; k++) {
@@ -52,10 +52,10 @@
     ask[0] = CancellationCodec.FORM + 1;
     assertNull(CancellationCodec.answer(good), "another form");
     assertNull(CancellationCodec.ask(ask), "another form");
-    CancellationCodec.Answer term =
-        new CancellationCodec.Answer(1, 1, 1, 1L << 50, true, List.of());
+    CancellationCodec.LogResponse term =
+        new CancellationCodec.LogResponse(1, 1, 1, 1L << 50, true, List.of());
     assertNull(CancellationCodec.answer(CancellationCodec.encode(term)), "no term of any leader");
-    CancellationCodec.Answer large = answer(2, CancellationCodec.MOST_PLACES / 2 + 1);
+    CancellationCodec.LogResponse large = answer(2, CancellationCodec.MOST_PLACES / 2 + 1);
     assertNull(CancellationCodec.answer(CancellationCodec.encode(large)), "too many places");
   }
 }
--- a/src/test/java/dapplestair/cancellations/KnownToTest.java
+++ b/src/test/java/dapplestair/cancellations/CancellationWatermarkTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Up to when a controller knows all, case by case (docs/cancellations.md). */
-class KnownToTest {
+class CancellationWatermarkTest {
   private long now = 100_000;
-  private long records = KnownTo.NEVER;
+  private long records = CancellationWatermark.NEVER;
   private final Clock clock =
       new Clock() {
         @Override
@@ -24,10 +24,11 @@
           return now;
         }
       };
-  private final KnownTo knownTo = new KnownTo(clock, () -> records, List.of("b", "c"));
+  private final CancellationWatermark knownTo =
+      new CancellationWatermark(clock, () -> records, List.of("b", "c"));
 
   private void tells(String member, long log) {
-    KnownTo.Peer p = knownTo.peer(member);
+    CancellationWatermark.PeerLog p = knownTo.peer(member);
     if (p.log != log) {
       knownTo.met(p, log);
     }
--- a/src/test/java/dapplestair/keys/TlsTrustTest.java
+++ b/src/test/java/dapplestair/keys/TlsTrustTest.java
@@ -10,7 +10,7 @@
 import dapplestair.netty.TlsFiles;
 import dapplestair.ports.Exchange;
 import dapplestair.session.Processes;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.Settings.Address;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -62,7 +62,7 @@
     write(name, issued);
     TlsFiles tls =
         TlsFiles.watch(
-            new Operator.Tls(
+            new OperatorSettings.Tls(
                 folder.resolve(name + ".pem"),
                 folder.resolve(name + ".key"),
                 folder.resolve("ca.pem")),
--- a/src/test/java/dapplestair/planning/PlanChoiceTest.java
+++ b/src/test/java/dapplestair/planning/PlanChoiceTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -45,7 +45,7 @@
     return plan.variables()[0];
   }
 
-  private final PlanChoice choice = new PlanChoice(Operator.defaults(), 0);
+  private final PlanChoice choice = new PlanChoice(OperatorSettings.defaults(), 0);
 
   @Test
   void aBurstIsNotAnsweredByDozensOfMachines() {
--- a/src/test/java/dapplestair/settings/LanesLoaderTest.java
+++ b/src/test/java/dapplestair/settings/LanesLoaderTest.java
@@ -19,8 +19,8 @@
 
   @TempDir Path dir;
 
-  private Operator load(String text) throws IOException, SettingsException {
-    return OperatorLoader.load(Files.writeString(dir.resolve("o.textproto"), text));
+  private OperatorSettings load(String text) throws IOException, SettingsException {
+    return OperatorSettingsLoader.load(Files.writeString(dir.resolve("o.textproto"), text));
   }
 
   @Test
--- a/src/test/java/dapplestair/settings/RunCalendarTest.java
+++ b/src/test/java/dapplestair/settings/RunCalendarTest.java
@@ -76,8 +76,8 @@
     }
   }
 
-  private Operator load(String text) throws IOException, SettingsException {
-    return OperatorLoader.load(Files.writeString(dir.resolve("o.textproto"), text));
+  private OperatorSettings load(String text) throws IOException, SettingsException {
+    return OperatorSettingsLoader.load(Files.writeString(dir.resolve("o.textproto"), text));
   }
 
   @Test
--- a/src/test/java/dapplestair/settings/SettingsLoaderTest.java
+++ b/src/test/java/dapplestair/settings/SettingsLoaderTest.java
@@ -77,16 +77,16 @@
   void operatorsFileIsCheckedToo(@TempDir Path dir) throws Exception {
     Path file = dir.resolve("o.textproto");
     Files.writeString(file, "population: 40 plan_interval_s: 5");
-    Operator o = OperatorLoader.load(file);
+    OperatorSettings o = OperatorSettingsLoader.load(file);
     assertEquals(40, o.population());
     assertEquals(5000, o.planIntervalMs());
-    assertEquals(Operator.defaults().evaluations(), o.evaluations());
+    assertEquals(OperatorSettings.defaults().evaluations(), o.evaluations());
     Files.writeString(file, "population: 1");
     String message =
-        assertThrows(SettingsException.class, () -> OperatorLoader.load(file)).getMessage();
+        assertThrows(SettingsException.class, () -> OperatorSettingsLoader.load(file)).getMessage();
     assertTrue(message.endsWith("population = 1.0: must be from 4.0 to 1000.0"), message);
     Files.writeString(file, "poulation: 1");
-    assertThrows(SettingsException.class, () -> OperatorLoader.load(file));
+    assertThrows(SettingsException.class, () -> OperatorSettingsLoader.load(file));
   }
 
   @Test
@@ -95,25 +95,25 @@
     Files.writeString(
         file,
         "disruption { team: \"t\" replicas: 0 } disruption { replicas_ratio: 0.05 job_replicas: 2 }");
-    Budgets budgets = OperatorLoader.load(file).budgets();
+    DisruptionBudgets budgets = OperatorSettingsLoader.load(file).budgets();
     assertEquals(0, budgets.of("t").ofTeam(100));
     assertEquals(5, budgets.of("other").ofTeam(100));
     assertEquals(1, budgets.of("other").ofTeam(3), "a ratio above zero allows one");
     assertEquals(2, budgets.of("t").ofJob(9), "what a team does not say holds as for others");
-    BudgetsLoader.check(file, budgets, SettingsLoader.parse("f", GOOD));
+    DisruptionBudgetsLoader.check(file, budgets, SettingsLoader.parse("f", GOOD));
     Files.writeString(file, "disruption { team: \"nobody\" replicas: 3 }");
-    Budgets unknown = OperatorLoader.load(file).budgets();
+    DisruptionBudgets unknown = OperatorSettingsLoader.load(file).budgets();
     String message =
         assertThrows(
                 SettingsException.class,
-                () -> BudgetsLoader.check(file, unknown, SettingsLoader.parse("f", GOOD)))
+                () -> DisruptionBudgetsLoader.check(file, unknown, SettingsLoader.parse("f", GOOD)))
             .getMessage();
     assertTrue(
         message.endsWith("disruption.team = \"nobody\": no such team in the settings"), message);
     for (String bad :
         new String[] {"replicas_ratio: -0.1", "job_ratio: 1.5", "lost_cpu_s_per_hour: nan"}) {
       Files.writeString(file, "disruption { " + bad + " }");
-      assertThrows(SettingsException.class, () -> OperatorLoader.load(file), bad);
+      assertThrows(SettingsException.class, () -> OperatorSettingsLoader.load(file), bad);
     }
   }
 }
--- a/src/test/java/dapplestair/silence/AccountsTest.java
+++ b/src/test/java/dapplestair/silence/LivenessReportsTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /** An account that comes late, twice or out of order never makes a silence look longer. */
-class AccountsTest {
-  private static Account of(long term, long number, Map<String, Long> late) {
-    return new Account(term, number, Map.of("a", 100L), late, Map.of());
+class LivenessReportsTest {
+  private static LivenessReport of(long term, long number, Map<String, Long> late) {
+    return new LivenessReport(term, number, Map.of("a", 100L), late, Map.of());
   }
 
   @Test
@@ -27,10 +27,10 @@
     for (int i = 0; i < 700; i++) {
       late.put(String.format("n-%06d", 3 * i), 1000L + i);
     }
-    Account account =
-        new Account(7, 12, Map.of("a", 5L, "b", 70_000L), late, Map.of("n-000001", 400L));
+    LivenessReport account =
+        new LivenessReport(7, 12, Map.of("a", 5L, "b", 70_000L), late, Map.of("n-000001", 400L));
     byte[] bytes = account.encode();
-    assertEquals(account, Account.decode(bytes));
+    assertEquals(account, LivenessReport.decode(bytes));
     assertTrue(bytes.length < 10 * late.size(), bytes.length + " bytes for 700 machines");
   }
 
@@ -39,22 +39,22 @@
   void garbledOrOfAnotherFormIsNothing() {
     byte[] good = of(3, 4, Map.of("n-1", 5L, "n-2", 6L)).encode();
     byte[] other = good.clone();
-    other[0] = Account.FORM + 1;
-    assertNull(Account.decode(other));
-    assertNull(Account.decode(new byte[0]));
+    other[0] = LivenessReport.FORM + 1;
+    assertNull(LivenessReport.decode(other));
+    assertNull(LivenessReport.decode(new byte[0]));
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < 20_000; i++) {
       byte[] bad = good.clone();
       for (int k = 0; k < 3; k++) {
         bad[1 + random.nextInt(bad.length - 1)] = (byte) random.nextInt(256);
       }
-      Account.decode(Arrays.copyOf(bad, random.nextInt(bad.length + 1)));
+      LivenessReport.decode(Arrays.copyOf(bad, random.nextInt(bad.length + 1)));
     }
   }
 
   @Test
   void anOlderAccountChangesNothing() {
-    Accounts accounts = new Accounts();
+    LivenessReports accounts = new LivenessReports();
     accounts.said(of(2, 10, Map.of("n-1", 4000L)), 100_000);
     accounts.said(of(2, 11, Map.of()), 101_000);
     // Reordered, doubled, and from a former leader: each calls a machine late that was heard since.
@@ -68,7 +68,7 @@
   void silenceNeverLooksLongerThanItIs() {
     for (long seed = 1; seed <= 200; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      Accounts accounts = new Accounts();
+      LivenessReports accounts = new LivenessReports();
       List<Long> heardWhenSaid = new ArrayList<>(List.of(0L));
       PriorityQueue<long[]> underWay = new PriorityQueue<>(Comparator.comparingLong(m -> m[0]));
       long heard = 1000;
@@ -94,8 +94,9 @@
 
   @Test
   void whoeverDoesNotLeadSaysNothingOfMachines() {
-    Accounts accounts = new Accounts();
-    accounts.said(new Account(0, 5, Map.of("b", 200L), Map.of("n-1", 9000L), Map.of()), 10_000);
+    LivenessReports accounts = new LivenessReports();
+    accounts.said(
+        new LivenessReport(0, 5, Map.of("b", 200L), Map.of("n-1", 9000L), Map.of()), 10_000);
     assertEquals(9800, accounts.zoneHeardAt("b"));
     assertTrue(accounts.at() < 0);
     assertFalse(accounts.saidGone("n-1"));
--- a/src/test/java/dapplestair/world/CalendarTest.java
+++ b/src/test/java/dapplestair/world/CalendarTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.RunCalendar;
 import java.time.LocalTime;
 import java.time.ZoneOffset;
@@ -51,7 +51,7 @@
     World w = new World(seed, World.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
-    w.operator = Operator.defaults().withCalendars(List.of(BASIN));
+    w.operator = OperatorSettings.defaults().withCalendars(List.of(BASIN));
     w.nodes.forEach(n -> n.crash(500));
     for (int i = 0; i < 3; i++) {
       w.users.service("two", 3);
--- a/src/test/java/dapplestair/world/DisruptionTest.java
+++ b/src/test/java/dapplestair/world/DisruptionTest.java
@@ -7,8 +7,8 @@
 import dapplestair.emulator.EmulatedTask;
 import dapplestair.emulator.EmulatedWorker;
 import dapplestair.json.Json;
-import dapplestair.settings.Budgets;
-import dapplestair.settings.Operator;
+import dapplestair.settings.DisruptionBudgets;
+import dapplestair.settings.OperatorSettings;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -41,17 +41,19 @@
 
   /** From the next start of each controller on; all of them start again now. */
   private static void allow(World w, int one, int two) {
-    Budgets.Budget d = Budgets.USUAL.others();
+    DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
     w.operator =
-        Operator.defaults()
-            .withBudgets(new Budgets(Map.of("one", replicas(d, one), "two", replicas(d, two)), d));
+        OperatorSettings.defaults()
+            .withBudgets(
+                new DisruptionBudgets(Map.of("one", replicas(d, one), "two", replicas(d, two)), d));
     w.nodes.forEach(n -> n.crash(1000));
     w.run(8000);
     w.checker.budget = team -> team.equals("one") ? one : two;
   }
 
-  private static Budgets.Budget replicas(Budgets.Budget d, int most) {
-    return new Budgets.Budget(
+  private static DisruptionBudgets.DisruptionBudget replicas(
+      DisruptionBudgets.DisruptionBudget d, int most) {
+    return new DisruptionBudgets.DisruptionBudget(
         most, Double.POSITIVE_INFINITY, 1, Double.POSITIVE_INFINITY, d.arrayTasks(), d.lostCpuS());
   }
 
@@ -230,11 +232,13 @@
 
   /** Operators allow so many CPU seconds of each team's work to be thrown away in an hour. */
   static void allowLoss(World w, double cpuS) {
-    Budgets.Budget d = Budgets.USUAL.others();
+    DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
     w.operator =
-        Operator.defaults()
+        OperatorSettings.defaults()
             .withBudgets(
-                new Budgets(Map.of(), new Budgets.Budget(1, 1, 1, 1, d.arrayTasks(), cpuS)));
+                new DisruptionBudgets(
+                    Map.of(),
+                    new DisruptionBudgets.DisruptionBudget(1, 1, 1, 1, d.arrayTasks(), cpuS)));
     w.nodes.forEach(n -> n.crash(1000));
     w.run(8000);
   }
--- a/src/test/java/dapplestair/world/LaneTest.java
+++ b/src/test/java/dapplestair/world/LaneTest.java
@@ -7,7 +7,7 @@
 import dapplestair.emulator.EmulatedTask;
 import dapplestair.emulator.EmulatedWorker;
 import dapplestair.settings.Lane;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.work.Rank;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -40,7 +40,7 @@
     World w = new World(seed, World.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
-    w.operator = Operator.defaults().withLanes(lane == null ? List.of() : List.of(lane));
+    w.operator = OperatorSettings.defaults().withLanes(lane == null ? List.of() : List.of(lane));
     w.nodes.forEach(n -> n.crash(500));
     w.cloud.setCapacity(0.25);
     w.run(10_000);
@@ -232,7 +232,7 @@
     World w = new World(seed, World.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
-    w.operator = Operator.defaults().withLanes(List.of(lane));
+    w.operator = OperatorSettings.defaults().withLanes(List.of(lane));
     w.nodes.forEach(n -> n.crash(500));
     w.cloud.setCapacity(0.25);
     w.run(10_000);
@@ -258,7 +258,7 @@
     World w = begun(seed, GATE, 0);
     rider(w, 30);
     w.run(150);
-    w.operator = Operator.defaults();
+    w.operator = OperatorSettings.defaults();
     w.nodes.forEach(n -> n.crash(500));
     w.run(30_000);
     assertEquals(null, claims(w), "a claim without a lane");
--- a/src/test/java/dapplestair/world/LargestTest.java
+++ b/src/test/java/dapplestair/world/LargestTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -156,7 +156,7 @@
   @Test
   void withoutTheBoundTheyDoNotBegin() {
     World w = new World(6003, World.Size.MIDDLE);
-    Operator d = Operator.defaults();
+    OperatorSettings d = OperatorSettings.defaults();
     w.operator = d.withBeginWithin(24 * 3600_000);
     w.nodes.forEach(n -> n.crash(500));
     w.net.loss = 0;
--- a/src/test/java/dapplestair/world/RelayTest.java
+++ b/src/test/java/dapplestair/world/RelayTest.java
@@ -6,7 +6,7 @@
 
 import dapplestair.emulator.EmulatedWorker;
 import dapplestair.relay.RelayAssignment;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -193,7 +193,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9741, 9742, 9743, 9744, 9745, 9746})
   void troublesMeet(long seed) {
-    Operator spread = Operator.defaults().withRelayAbove(0);
+    OperatorSettings spread = OperatorSettings.defaults().withRelayAbove(0);
     MeetingsTest.play(
         new World(seed, MeetingsTest.SHORT, true, spread),
         seed,
--- a/src/test/java/dapplestair/world/ReplacementCosts.java
+++ b/src/test/java/dapplestair/world/ReplacementCosts.java
@@ -3,8 +3,8 @@
 import dapplestair.emulator.EmulatedTask;
 import dapplestair.emulator.EmulatedWorker;
 import dapplestair.json.Json;
-import dapplestair.settings.Budgets;
-import dapplestair.settings.Operator;
+import dapplestair.settings.DisruptionBudgets;
+import dapplestair.settings.OperatorSettings;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -81,13 +81,13 @@
     World w = new World(4711, new World.Size(perPlace, 8.0 * perPlace * 3, 1_000_000, 1), true);
     w.net.loss = 0;
     w.users.quiet = true;
-    Budgets.Budget d = Budgets.USUAL.others();
+    DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
     w.operator =
-        Operator.defaults()
+        OperatorSettings.defaults()
             .withBudgets(
-                new Budgets(
+                new DisruptionBudgets(
                     Map.of(),
-                    new Budgets.Budget(
+                    new DisruptionBudgets.DisruptionBudget(
                         Integer.MAX_VALUE, way.budget, 1, 1, d.arrayTasks(), d.lostCpuS())));
     w.nodes.forEach(n -> n.crash(1000));
     w.run(8000);
--- a/src/test/java/dapplestair/world/ReplacementTest.java
+++ b/src/test/java/dapplestair/world/ReplacementTest.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplestair.emulator.EmulatedWorker;
 import dapplestair.json.Json;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
@@ -227,9 +227,9 @@
     // What arrays needed is given back first.
     w.run(60_000);
     long held = steady(w);
-    Operator o = w.operator;
+    OperatorSettings o = w.operator;
     w.operator =
-        new Operator(
+        new OperatorSettings(
             o.planIntervalMs(),
             o.population(),
             o.evaluations(),
--- a/src/test/java/dapplestair/world/TradeTimes.java
+++ b/src/test/java/dapplestair/world/TradeTimes.java
@@ -1,7 +1,7 @@
 package dapplestair.world;
 
 import dapplestair.settings.Lane;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.work.Rank;
 import java.util.List;
 import java.util.Set;
@@ -44,7 +44,7 @@
         h.getMaxValue());
   }
 
-  private static World world(int seed, Operator operator) {
+  private static World world(int seed, OperatorSettings operator) {
     World w = new World(seed, World.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
@@ -56,7 +56,7 @@
   }
 
   private static long election(int seed, int atOnce) {
-    World w = world(seed, Operator.defaults());
+    World w = world(seed, OperatorSettings.defaults());
     for (int twice = 0; twice < 2; twice++) {
       int first = w.leader() == null ? 0 : w.leader().index;
       for (int i = 0; i < atOnce; i++) {
@@ -80,7 +80,11 @@
         new Lane(
             "gate", Set.of("gate"), Set.of(), Set.of("settle"), Rank.HIGH, Rank.STANDARD, 0, 2000);
     World w =
-        world(seed, lane ? Operator.defaults().withLanes(List.of(gate)) : Operator.defaults());
+        world(
+            seed,
+            lane
+                ? OperatorSettings.defaults().withLanes(List.of(gate))
+                : OperatorSettings.defaults());
     for (int i = 0; i < 12; i++) {
       w.users.changed(
           i % 2 == 0 ? "one" : "two",
--- a/src/test/java/dapplestair/world/World.java
+++ b/src/test/java/dapplestair/world/World.java
@@ -19,7 +19,7 @@
 import dapplestair.ports.HttpReply;
 import dapplestair.ports.PeerNetwork;
 import dapplestair.ports.Timers;
-import dapplestair.settings.Operator;
+import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.Settings;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -100,7 +100,7 @@
   Runnable also = () -> {};
 
   /** What controllers are told by their operators from their next start on. */
-  Operator operator;
+  OperatorSettings operator;
 
   /** Every world spreads its connections from this share on; less than 0: as the operators say. */
   private static final double RELAY_ABOVE =
@@ -133,15 +133,15 @@
   }
 
   World(long seed, Size size, boolean operators) {
-    this(seed, size, operators, List.of(machineType(TYPE)), Operator.defaults());
+    this(seed, size, operators, List.of(machineType(TYPE)), OperatorSettings.defaults());
   }
 
   World(long seed, Size size, boolean operators, List<Shape.Machine> types) {
-    this(seed, size, operators, types, Operator.defaults());
+    this(seed, size, operators, types, OperatorSettings.defaults());
   }
 
   /** Controllers are told {@code operator} from their first start on. */
-  World(long seed, Size size, boolean operators, Operator operator) {
+  World(long seed, Size size, boolean operators, OperatorSettings operator) {
     this(seed, size, operators, List.of(machineType(TYPE)), operator);
   }
 
@@ -155,7 +155,7 @@
       Size size,
       boolean operators,
       List<Shape.Machine> machineTypes,
-      Operator operator) {
+      OperatorSettings operator) {
     this.operator = operator;
     this.seed = seed;
     this.types = machineTypes.stream().map(Shape.Machine::name).toList();
@@ -507,7 +507,7 @@
           new Controller(node.settings, told(), outside, operators ? Authenticator.open() : null);
     }
 
-    private Operator told() {
+    private OperatorSettings told() {
       return RELAY_ABOVE < 0 ? operator : operator.withRelayAbove(RELAY_ABOVE);
     }
 
