--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -7,7 +7,7 @@
 import dapplestair.cancellations.Cancellations;
 import dapplestair.disruption.BudgetStatus;
 import dapplestair.disruption.DisruptionGate;
-import dapplestair.fleet.Slot;
+import dapplestair.fleet.MachineKind;
 import dapplestair.json.Json;
 import dapplestair.lane.Lanes;
 import dapplestair.leadership.Leadership;
@@ -16,7 +16,7 @@
 import dapplestair.ledger.JobStatistics;
 import dapplestair.ledger.Ledger;
 import dapplestair.peers.Peers;
-import dapplestair.planning.Planning;
+import dapplestair.planning.Autoscaler;
 import dapplestair.ports.Clock;
 import dapplestair.relay.Relay;
 import dapplestair.settings.Settings;
@@ -36,7 +36,7 @@
   private final Ledger ledger;
   private final WorkerManager desk;
   private final DisruptionGate disruption;
-  private final Planning planning;
+  private final Autoscaler planning;
   private final Zones zones;
   private final Lanes lanes;
   private final Calendars calendars;
@@ -259,7 +259,7 @@
   /** The plan applied last. */
   ObjectNode plan() {
     ObjectNode object = moment.object();
-    Planning.Applied applied = planning.applied();
+    Autoscaler.AppliedPlan applied = planning.applied();
     ArrayNode rows = object.putArray("rows");
     if (applied == null) {
       return object;
@@ -275,7 +275,7 @@
         .put("budget_per_hour", applied.budgetPerHour())
         .put("front", applied.front())
         .put("age", (clock.now() - applied.at()) / 1000.0);
-    for (Map.Entry<Slot, Integer> entry : applied.counts().entrySet()) {
+    for (Map.Entry<MachineKind, Integer> entry : applied.counts().entrySet()) {
       rows.addObject()
           .put("type", entry.getKey().type())
           .put("spot", entry.getKey().spot())
--- a/src/main/java/dapplestair/admin/ControllerComponents.java
+++ b/src/main/java/dapplestair/admin/ControllerComponents.java
@@ -13,7 +13,7 @@
 import dapplestair.machines.MachineTypes;
 import dapplestair.peers.Peers;
 import dapplestair.placement.Placer;
-import dapplestair.planning.Planning;
+import dapplestair.planning.Autoscaler;
 import dapplestair.ports.Clock;
 import dapplestair.ports.Timers;
 import dapplestair.relay.Relay;
@@ -38,7 +38,7 @@
     Fleet fleet,
     MachineTypes types,
     Placer placer,
-    Planning planning,
+    Autoscaler planning,
     Peers peers,
     Replica replica,
     StateClient state,
--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -6,12 +6,12 @@
 import dapplestair.disruption.DisruptionGate;
 import dapplestair.disruption.DisruptionRefusal;
 import dapplestair.fleet.Fleet;
-import dapplestair.fleet.Prospects;
+import dapplestair.fleet.PendingCapacity;
 import dapplestair.ledger.Job;
 import dapplestair.ledger.Ledger;
 import dapplestair.placement.Explanation;
+import dapplestair.placement.PlacementVerdict;
 import dapplestair.placement.Placer;
-import dapplestair.placement.Verdict;
 import dapplestair.settings.Settings;
 import java.util.function.Consumer;
 
@@ -87,7 +87,7 @@
     if (explanation.waiting() == 0) {
       return object;
     }
-    Prospects prospects = fleet.prospects(job.spec());
+    PendingCapacity prospects = fleet.prospects(job.spec());
     ArrayNode reasons = object.putArray("reasons");
     explanation.job().forEach((v, n) -> add(reasons, v, "tasks", n, job, explanation));
     explanation.machines().forEach((v, n) -> add(reasons, v, "machines", n, job, explanation));
@@ -99,7 +99,7 @@
           .put("words", "machines are on their way")
           .put("in_s", prospects.nextS());
     }
-    for (Prospects.Refusal r : prospects.refusals()) {
+    for (PendingCapacity.CapacityRefusal r : prospects.refusals()) {
       reasons
           .addObject()
           .put("reason", "cloud-refused")
@@ -124,26 +124,31 @@
   }
 
   private void add(
-      ArrayNode to, Verdict verdict, String of, int count, Job job, Explanation explanation) {
+      ArrayNode to,
+      PlacementVerdict verdict,
+      String of,
+      int count,
+      Job job,
+      Explanation explanation) {
     ObjectNode object =
         to.addObject().put("reason", verdict.shown()).put(of, count).put("words", verdict.words());
     Settings.Team team = settings.teams().get(job.spec().team());
-    if (verdict == Verdict.TEAM_LIMIT && team != null) {
+    if (verdict == PlacementVerdict.TEAM_LIMIT && team != null) {
       object.put("limit_cpus", team.cpusMax()).put("use_cpus", ledger.teamCpus(team.name()));
-    } else if (verdict == Verdict.BACKED_OFF) {
+    } else if (verdict == PlacementVerdict.BACKED_OFF) {
       object.put("in_s", explanation.heldBackS());
-    } else if (verdict == Verdict.GANG && explanation.gangRoom() >= 0) {
+    } else if (verdict == PlacementVerdict.GANG && explanation.gangRoom() >= 0) {
       object.put("room_for", explanation.gangRoom());
-    } else if (verdict == Verdict.FULL && explanation.freeInS() >= 0) {
+    } else if (verdict == PlacementVerdict.FULL && explanation.freeInS() >= 0) {
       object.put("in_s", explanation.freeInS());
     }
   }
 
   /** The earliest of what is on its way, but not before the job may start at all; -1: unknown. */
-  private double expected(Explanation explanation, Prospects prospects) {
+  private double expected(Explanation explanation, PendingCapacity prospects) {
     double first = Double.POSITIVE_INFINITY;
-    if (explanation.machines().containsKey(Verdict.FITS)
-        || explanation.job().containsKey(Verdict.ROOM_ON_ITS_WAY)) {
+    if (explanation.machines().containsKey(PlacementVerdict.FITS)
+        || explanation.job().containsKey(PlacementVerdict.ROOM_ON_ITS_WAY)) {
       first = 0;
     }
     if (explanation.freeInS() >= 0) {
@@ -152,10 +157,10 @@
     if (prospects.booting() > 0) {
       first = Math.min(first, prospects.nextS());
     }
-    for (Prospects.Refusal refusal : prospects.refusals()) {
+    for (PendingCapacity.CapacityRefusal refusal : prospects.refusals()) {
       first = Math.min(first, refusal.againS());
     }
-    boolean limited = explanation.job().containsKey(Verdict.TEAM_LIMIT);
+    boolean limited = explanation.job().containsKey(PlacementVerdict.TEAM_LIMIT);
     if (limited && explanation.freeInS() < 0 || Double.isInfinite(first)) {
       return -1;
     }
--- a/src/main/java/dapplestair/fleet/Supply.java
+++ b/src/main/java/dapplestair/fleet/CapacityEstimator.java
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /** What the cloud has shown to give: capacity shows only when it refuses. */
-final class Supply {
-  private static final Logger LOG = LoggerFactory.getLogger(Supply.class);
+final class CapacityEstimator {
+  private static final Logger LOG = LoggerFactory.getLogger(CapacityEstimator.class);
 
   private final Clock clock;
   private final MachineTypes types;
@@ -38,7 +38,7 @@
    * @param holding the same and what is asked for
    * @param staying the same without machines that are about to be replaced
    */
-  Supply(
+  CapacityEstimator(
       Clock clock,
       MachineTypes types,
       Events events,
@@ -90,13 +90,13 @@
   }
 
   /** True when some zone may have more of this slot. */
-  boolean open(Slot slot) {
+  boolean open(MachineKind slot) {
     MachineType type = types.get(slot.type());
     return type != null && type.zones().stream().anyMatch(z -> mayRent(new CapacityPool(slot, z)));
   }
 
   /** Most machines of a slot that the cloud has shown to give, or {@code otherwise}. */
-  int capacity(Slot slot, int otherwise) {
+  int capacity(MachineKind slot, int otherwise) {
     MachineType type = types.get(slot.type());
     if (type == null) {
       return 0;
@@ -119,12 +119,12 @@
   }
 
   /** What costs least of all that the cloud may have in this zone, or null. */
-  CapacityPool cheapestIn(String zone, Market market) {
+  CapacityPool cheapestIn(String zone, SpotHistory market) {
     CapacityPool cheapest = null;
     double least = Double.POSITIVE_INFINITY;
     for (MachineType type : types.all()) {
       for (boolean spot : new boolean[] {true, false}) {
-        CapacityPool pool = new CapacityPool(new Slot(type.name(), spot), zone);
+        CapacityPool pool = new CapacityPool(new MachineKind(type.name(), spot), zone);
         double price = market.price(type, spot);
         if (type.zones().contains(zone) && open(pool) && price < least) {
           cheapest = pool;
@@ -136,7 +136,7 @@
   }
 
   /** Spreads {@code count} more of a type over the zones that still have some, the fewest first. */
-  Map<CapacityPool, Integer> spread(Slot slot, MachineType type, int count) {
+  Map<CapacityPool, Integer> spread(MachineKind slot, MachineType type, int count) {
     Map<CapacityPool, Integer> share = new LinkedHashMap<>();
     Map<CapacityPool, Integer> have = new HashMap<>();
     for (String z : type.zones()) {
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -37,10 +37,10 @@
   private final MachineTypes types;
   private final WorkerManager desk;
   private final CloudClient cloud;
-  private final Market market;
+  private final SpotHistory market;
   private final Rentals rentals;
   private final FleetCapacity capacity;
-  private final Supply supply;
+  private final CapacityEstimator supply;
   private final Releases releases;
   private final MachineList list;
   private final MachineHealthMonitor healthMonitor;
@@ -70,7 +70,7 @@
     this.leadership = leadership;
     this.types = types;
     this.desk = desk;
-    market = new Market(clock);
+    market = new SpotHistory(clock);
     SilenceTimeouts timeouts = new SilenceTimeouts(settings);
     rentals =
         new Rentals(
@@ -87,7 +87,7 @@
             this::refused);
     capacity = new FleetCapacity(clock, desk, rentals, timeouts);
     supply =
-        new Supply(
+        new CapacityEstimator(
             clock,
             types,
             events,
@@ -232,7 +232,7 @@
   }
 
   /** What the cloud's machines cost and how often it takes them. */
-  public Market market() {
+  public SpotHistory market() {
     return market;
   }
 
@@ -248,7 +248,7 @@
   }
 
   /** Rents up to {@code count} more, spread over the zones that still have some. */
-  public void rent(Slot slot, int count) {
+  public void rent(MachineKind slot, int count) {
     MachineType type = types.get(slot.type());
     if (type == null || !leading) {
       return;
@@ -267,7 +267,7 @@
   }
 
   /** Rents one more in this zone; false when nothing is to be had there now. */
-  public boolean rentIn(Slot slot, String zone) {
+  public boolean rentIn(MachineKind slot, String zone) {
     if (!leading || !mayRentIn(slot, zone)) {
       return false;
     }
@@ -276,7 +276,7 @@
   }
 
   /** Rents up to {@code count} more in this zone, at most one lot. */
-  public void rentIn(Slot slot, String zone, int count) {
+  public void rentIn(MachineKind slot, String zone, int count) {
     if (leading && count > 0 && mayRentIn(slot, zone)) {
       rentals.begin(new CapacityPool(slot, zone), Math.min(count, MOST_PER_RENTAL));
     }
@@ -296,12 +296,12 @@
   }
 
   /** True when the cloud may have more there, and something may be rented there. */
-  public boolean mayRentIn(Slot slot, String zone) {
+  public boolean mayRentIn(MachineKind slot, String zone) {
     return supply.mayRent(new CapacityPool(slot, zone));
   }
 
   /** Machines asked for in this zone of which the cloud has not told yet. */
-  public int pendingIn(Slot slot, String zone) {
+  public int pendingIn(MachineKind slot, String zone) {
     return rentals.pending(new CapacityPool(slot, zone));
   }
 
@@ -313,17 +313,17 @@
   // ---- views ----
 
   /** Machines of a slot that are or will be of use. */
-  public int holding(Slot slot) {
+  public int holding(MachineKind slot) {
     return capacity.holding(slot);
   }
 
   /** True when a machine is, or will be, of use in this slot. */
-  public boolean counts(Host host, Slot slot) {
+  public boolean counts(Host host, MachineKind slot) {
     return capacity.counts(host, slot);
   }
 
   /** Most machines of a slot that the cloud has shown to give, or {@code otherwise}. */
-  public int capacity(Slot slot, int otherwise) {
+  public int capacity(MachineKind slot, int otherwise) {
     return supply.capacity(slot, otherwise);
   }
 
@@ -331,17 +331,17 @@
    * Keeps new work from so many steady machines of a slot, those that empty soonest, none of them
    * in the zones that are spared.
    */
-  public void cordon(Slot slot, int count, Predicate<String> spared) {
+  public void cordon(MachineKind slot, int count, Predicate<String> spared) {
     capacity.cordon(slot, count, spared);
   }
 
   /** Idle machines of a slot that may be returned now, those idle longest first. */
-  public List<Host> returnable(Slot slot) {
+  public List<Host> returnable(MachineKind slot) {
     return capacity.returnable(slot);
   }
 
   /** What is on its way for a job, and what the cloud refused. */
-  public Prospects prospects(Submission submission) {
+  public PendingCapacity prospects(Submission submission) {
     long now = clock.now();
     int booting = 0;
     double next = -1;
@@ -363,14 +363,16 @@
         next = next < 0 ? due : Math.min(next, due);
       }
     }
-    List<Prospects.Refusal> refusals = new ArrayList<>();
+    List<PendingCapacity.CapacityRefusal> refusals = new ArrayList<>();
     supply.refusals(
         (p, againS) -> {
           if (suits(submission, p)) {
-            refusals.add(new Prospects.Refusal(p.slot().type(), p.zone(), p.slot().spot(), againS));
+            refusals.add(
+                new PendingCapacity.CapacityRefusal(
+                    p.slot().type(), p.zone(), p.slot().spot(), againS));
           }
         });
-    return new Prospects(booting, next, refusals);
+    return new PendingCapacity(booting, next, refusals);
   }
 
   private boolean suits(Submission submission, CapacityPool capacityPool) {
--- a/src/main/java/dapplestair/fleet/FleetCapacity.java
+++ b/src/main/java/dapplestair/fleet/FleetCapacity.java
@@ -27,7 +27,7 @@
   }
 
   /** True when a machine is, or will be, of use in this slot. */
-  boolean counts(Host host, Slot slot) {
+  boolean counts(Host host, MachineKind slot) {
     return !host.gone()
         && !host.releasing()
         && !host.draining()
@@ -55,7 +55,7 @@
     return host.serviceCpus() == 0 || desk.silentMs(host) < timeouts.prepareAfterMs();
   }
 
-  int holding(Slot slot) {
+  int holding(MachineKind slot) {
     int count = 0;
     for (Host host : desk.hosts()) {
       if (counts(host, slot)) {
@@ -97,7 +97,7 @@
    * Keeps new work from so many steady machines of a slot, those that empty soonest, none of them
    * in the zones that are spared.
    */
-  void cordon(Slot slot, int count, Predicate<String> spared) {
+  void cordon(MachineKind slot, int count, Predicate<String> spared) {
     if (slot.spot()) {
       return;
     }
@@ -120,7 +120,7 @@
   }
 
   /** Idle machines of a slot that may be returned now, those idle longest first. */
-  List<Host> returnable(Slot slot) {
+  List<Host> returnable(MachineKind slot) {
     long now = clock.now();
     List<Host> out = new ArrayList<>();
     for (Host host : desk.hosts()) {
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -34,9 +34,9 @@
   private final MachineTypes types;
   private final WorkerManager desk;
   private final Releases releases;
-  private final Market market;
+  private final SpotHistory market;
   private final SilenceTimeouts timeouts;
-  private final Supply supply;
+  private final CapacityEstimator supply;
   private final Consumer<Host> debit;
   private DoubleSupplier waitingCpus = () -> 0;
   private Runnable roomLost = () -> {};
@@ -57,9 +57,9 @@
       MachineTypes types,
       WorkerManager desk,
       Releases releases,
-      Market market,
+      SpotHistory market,
       SilenceTimeouts timeouts,
-      Supply supply,
+      CapacityEstimator supply,
       Consumer<Host> debit,
       Events events) {
     this.clock = clock;
@@ -205,7 +205,8 @@
             desk.silentMs(silent),
             replicas,
             room,
-            silent.type() != null && supply.open(new Slot(silent.type().name(), silent.spot())),
+            silent.type() != null
+                && supply.open(new MachineKind(silent.type().name(), silent.spot())),
             bootS);
     if (givenUp) {
       freeCpus -= silent.cpusUsed();
--- a/src/main/java/dapplestair/fleet/Slot.java
+++ b/src/main/java/dapplestair/fleet/MachineKind.java
@@ -1,4 +1,4 @@
 package dapplestair.fleet;
 
 /** A type of machine under one pricing: what a plan counts. */
-public record Slot(String type, boolean spot) {}
+public record MachineKind(String type, boolean spot) {}
--- a/src/main/java/dapplestair/fleet/Prospects.java
+++ b/src/main/java/dapplestair/fleet/PendingCapacity.java
@@ -9,8 +9,8 @@
  * @param nextS seconds until the first of them is due, or -1
  * @param refusals where the cloud refused machines that would suit it
  */
-public record Prospects(int booting, double nextS, List<Refusal> refusals) {
+public record PendingCapacity(int booting, double nextS, List<CapacityRefusal> refusals) {
 
   /** The cloud had none; it is asked again after so many seconds. */
-  public record Refusal(String type, String zone, boolean spot, double againS) {}
+  public record CapacityRefusal(String type, String zone, boolean spot, double againS) {}
 }
--- a/src/main/java/dapplestair/fleet/Rental.java
+++ b/src/main/java/dapplestair/fleet/Rental.java
@@ -38,7 +38,7 @@
 
   /** The rental of a record; {@code now} is the time of day where it names none. */
   static Rental read(String name, JsonNode value, long now) {
-    Slot slot = new Slot(value.path("hull").asText(), Json.flag(value, "loaners"));
+    MachineKind slot = new MachineKind(value.path("hull").asText(), Json.flag(value, "loaners"));
     CapacityPool pool = new CapacityPool(slot, value.path("basin").asText());
     return new Rental(name, pool, value.path("howMany").asInt(), Json.number(value, "at", now));
   }
--- a/src/main/java/dapplestair/fleet/Rentals.java
+++ b/src/main/java/dapplestair/fleet/Rentals.java
@@ -138,7 +138,7 @@
   }
 
   /** Machines of a slot that are asked for. */
-  int pending(Slot slot) {
+  int pending(MachineKind slot) {
     int count = 0;
     for (Rental rental : rentals.values()) {
       if (rental.pending() && rental.pool.slot().equals(slot)) {
--- a/src/main/java/dapplestair/fleet/Market.java
+++ b/src/main/java/dapplestair/fleet/SpotHistory.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 
 /** What machines cost lately and how often the cloud took them back: two costs of a plan. */
-public final class Market {
+public final class SpotHistory {
   // As the users' design says: spot is priced at the highest price of the last minute.
   private static final long PRICE_WINDOW_MS = 60_000;
 
   private record Price(long at, double perHour) {}
 
   private final Clock clock;
-  private final Map<Slot, ArrayDeque<Long>> takenAt = new HashMap<>();
-  private final Map<Slot, ArrayDeque<Price>> prices = new HashMap<>();
+  private final Map<MachineKind, ArrayDeque<Long>> takenAt = new HashMap<>();
+  private final Map<MachineKind, ArrayDeque<Price>> prices = new HashMap<>();
 
-  Market(Clock clock) {
+  SpotHistory(Clock clock) {
     this.clock = clock;
   }
 
@@ -27,7 +27,7 @@
     long now = clock.now();
     for (MachineType type : types) {
       ArrayDeque<Price> seen =
-          prices.computeIfAbsent(new Slot(type.name(), true), s -> new ArrayDeque<>());
+          prices.computeIfAbsent(new MachineKind(type.name(), true), s -> new ArrayDeque<>());
       seen.addLast(new Price(now, type.spotPrice()));
       while (seen.size() > 1 && seen.peekFirst().at() < now - PRICE_WINDOW_MS) {
         seen.removeFirst();
@@ -41,7 +41,8 @@
       return type.price();
     }
     double highest = type.spotPrice();
-    for (Price price : prices.getOrDefault(new Slot(type.name(), true), new ArrayDeque<>())) {
+    for (Price price :
+        prices.getOrDefault(new MachineKind(type.name(), true), new ArrayDeque<>())) {
       highest = Math.max(highest, price.perHour());
     }
     return highest;
@@ -51,13 +52,13 @@
   void noteTaken(Host host) {
     if (host.spot() && host.type() != null) {
       takenAt
-          .computeIfAbsent(new Slot(host.type().name(), true), s -> new ArrayDeque<>())
+          .computeIfAbsent(new MachineKind(host.type().name(), true), s -> new ArrayDeque<>())
           .addLast(clock.now());
     }
   }
 
   /** Share of the last {@code windows} windows of {@code windowMs} with a take-back. */
-  public double takeBackChance(Slot slot, long windowMs, int windows) {
+  public double takeBackChance(MachineKind slot, long windowMs, int windows) {
     ArrayDeque<Long> times = takenAt.get(slot);
     if (times == null) {
       return 0;
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -46,7 +46,7 @@
   private final Ledger ledger;
   private final WorkerManager desk;
   private final DisruptionGate disruption;
-  private final Choice choice;
+  private final VictimSelector choice;
   private final ClaimWriter writer;
 
   // What the records say, for whoever leads next.
@@ -55,7 +55,7 @@
   // By lane, while leading.
   private final Map<String, List<OpenClaim>> open = new TreeMap<>();
   private final Set<Host> claimed = new LinkedHashSet<>();
-  private final ReserveRoom reserve = new ReserveRoom();
+  private final ReserveCapacity reserve = new ReserveCapacity();
   private Runnable changed = () -> {};
   private Cancellable timer = () -> {};
   private long stops;
@@ -78,7 +78,7 @@
     this.ledger = ledger;
     this.desk = desk;
     this.disruption = disruption;
-    this.choice = new Choice(ledger, desk, disruption);
+    this.choice = new VictimSelector(ledger, desk, disruption);
     this.writer = new ClaimWriter(timers, settings, state, replica, leadership, new Claims());
     lanes.forEach(l -> this.lanes.put(l.name(), l));
   }
--- a/src/main/java/dapplestair/lane/ReserveRoom.java
+++ b/src/main/java/dapplestair/lane/ReserveCapacity.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** CPUs free on steady machines in a turn of placing, by zone, of which a lane keeps its part. */
-final class ReserveRoom {
+final class ReserveCapacity {
   private final Object2DoubleOpenHashMap<String> free = new Object2DoubleOpenHashMap<>();
 
   void begin(List<Host> usable) {
--- a/src/main/java/dapplestair/lane/Choice.java
+++ b/src/main/java/dapplestair/lane/VictimSelector.java
@@ -18,11 +18,11 @@
 /**
  * Which batches go for a rider: those that lose least, each machine for as many tasks as it can.
  */
-final class Choice {
+final class VictimSelector {
   // What has waited for long is left alone while anything else can go.
   private static final double SHELTERED = 1e9;
 
-  private record Offer(Host host, int tasks, List<Attempt> victims, double loss) {
+  private record VictimCandidate(Host host, int tasks, List<Attempt> victims, double loss) {
     double each() {
       return loss / tasks;
     }
@@ -33,7 +33,7 @@
   private final DisruptionGate disruption;
   private Predicate<Attempt> sheltered = a -> false;
 
-  Choice(Ledger ledger, WorkerManager desk, DisruptionGate disruption) {
+  VictimSelector(Ledger ledger, WorkerManager desk, DisruptionGate disruption) {
     this.ledger = ledger;
     this.desk = desk;
     this.disruption = disruption;
@@ -45,35 +45,37 @@
 
   /** Claims for up to {@code wanted} tasks on machines that are not claimed yet. */
   List<Claim> claims(Lane lane, Job rider, int wanted, Predicate<Host> unclaimed) {
-    List<Offer> offers = new ArrayList<>();
+    List<VictimCandidate> offers = new ArrayList<>();
     for (Host host : desk.hosts()) {
       if (!host.closed()
           && desk.fresh(host)
           && host.allowed(rider.spec())
           && unclaimed.test(host)
           && ledger.zoneAllows(rider, host.zone())) {
-        Offer offer = offer(lane, rider.spec(), host, wanted);
+        VictimCandidate offer = offer(lane, rider.spec(), host, wanted);
         if (offer != null) {
           offers.add(offer);
         }
       }
     }
-    offers.sort(Comparator.comparingDouble(Offer::each).thenComparing(o -> o.host().id()));
+    offers.sort(
+        Comparator.comparingDouble(VictimCandidate::each).thenComparing(o -> o.host().id()));
     return take(lane, rider, wanted, offers);
   }
 
-  private List<Claim> take(Lane lane, Job rider, int wanted, List<Offer> offers) {
+  private List<Claim> take(Lane lane, Job rider, int wanted, List<VictimCandidate> offers) {
     Submission submission = rider.spec();
     Map<String, Integer> perZone = new HashMap<>();
     List<Claim> out = new ArrayList<>();
     int left = wanted;
-    for (Offer offer : offers) {
+    for (VictimCandidate offer : offers) {
       String zone = offer.host().zone();
       int allowed = submission.mostPerZone() - rider.inZone(zone) - perZone.getOrDefault(zone, 0);
       int tasks = Math.min(Math.min(left, offer.tasks()), allowed);
       if (tasks > 0 && (!submission.together() || perZone.isEmpty() || perZone.containsKey(zone))) {
         // Fewer than it has room for: then fewer have to go.
-        Offer exact = tasks < offer.tasks() ? offer(lane, submission, offer.host(), tasks) : offer;
+        VictimCandidate exact =
+            tasks < offer.tasks() ? offer(lane, submission, offer.host(), tasks) : offer;
         List<String> victims = new ArrayList<>();
         exact.victims().forEach(a -> victims.add(Claim.victim(a.key(), a.number())));
         out.add(new Claim(submission.ref(), offer.host().id(), tasks, victims));
@@ -85,7 +87,7 @@
   }
 
   /** The cheapest room for up to {@code most} tasks on this machine; null without any. */
-  private Offer offer(Lane lane, Submission submission, Host host, int most) {
+  private VictimCandidate offer(Lane lane, Submission submission, Host host, int most) {
     double cpus = host.cpusFree();
     double memory = host.memoryFree();
     double gpus = host.gpusFree();
@@ -121,7 +123,7 @@
         counted.clear();
       }
     }
-    return tasks == 0 ? null : new Offer(host, Math.min(tasks, most), victims, loss);
+    return tasks == 0 ? null : new VictimCandidate(host, Math.min(tasks, most), victims, loss);
   }
 
   private double loss(Attempt attempt) {
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -5,7 +5,7 @@
 import dapplestair.disruption.BudgetStatus;
 import dapplestair.ledger.JobStatistics;
 import dapplestair.metrics.Exposition;
-import dapplestair.planning.Planning;
+import dapplestair.planning.Autoscaler;
 import dapplestair.settings.Settings;
 import dapplestair.state.StateClient;
 import java.util.Locale;
@@ -195,15 +195,15 @@
         .gauge(
             "plan_makespan_seconds",
             "Mean makespan of the plan applied.",
-            () -> plan(duties, Planning.Applied::makespanS))
+            () -> plan(duties, Autoscaler.AppliedPlan::makespanS))
         .gauge(
             "plan_spend_per_hour",
             "What the plan applied costs an hour.",
-            () -> plan(duties, Planning.Applied::perHour))
+            () -> plan(duties, Autoscaler.AppliedPlan::perHour))
         .gauge(
             "plan_risk",
             "Spot CPUs of the plan applied, times their risk.",
-            () -> plan(duties, Planning.Applied::risk));
+            () -> plan(duties, Autoscaler.AppliedPlan::risk));
   }
 
   private static double drained(ControllerComponents duties) {
@@ -234,8 +234,8 @@
   }
 
   private static double plan(
-      ControllerComponents duties, ToDoubleFunction<Planning.Applied> figure) {
-    Planning.Applied applied = duties.planning().applied();
+      ControllerComponents duties, ToDoubleFunction<Autoscaler.AppliedPlan> figure) {
+    Autoscaler.AppliedPlan applied = duties.planning().applied();
     return applied == null ? Double.NaN : figure.applyAsDouble(applied);
   }
 }
--- a/src/main/java/dapplestair/node/CoreComponents.java
+++ b/src/main/java/dapplestair/node/CoreComponents.java
@@ -12,7 +12,7 @@
 import dapplestair.metrics.Metrics;
 import dapplestair.peers.PeerStatus;
 import dapplestair.peers.Peers;
-import dapplestair.placement.Estimates;
+import dapplestair.placement.RuntimeEstimates;
 import dapplestair.ports.Clock;
 import dapplestair.ports.Timers;
 import dapplestair.relay.Relay;
@@ -33,7 +33,7 @@
   final StateClient state;
   final MachineTypes types = new MachineTypes();
   final Metrics metrics = new Metrics();
-  final Estimates estimates = new Estimates();
+  final RuntimeEstimates estimates = new RuntimeEstimates();
   final Peers peers;
   final Leadership leadership;
   final CloudClient cloud;
--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -9,8 +9,8 @@
 import dapplestair.ledger.Machine;
 import dapplestair.ledger.StopReason;
 import dapplestair.metrics.Metrics;
-import dapplestair.placement.Estimates;
 import dapplestair.placement.Placer;
+import dapplestair.placement.RuntimeEstimates;
 import dapplestair.planning.DemandView;
 import dapplestair.ports.Clock;
 import dapplestair.state.Txn;
@@ -22,7 +22,7 @@
 final class LedgerCallbackRouter implements LedgerCallbacks {
   private final Clock clock;
   private final Metrics metrics;
-  private final Estimates estimates;
+  private final RuntimeEstimates estimates;
   private WorkerManager workers;
   private DemandView demand;
   private Placer placer;
@@ -31,7 +31,7 @@
   private FaultAttribution blame;
   private Calendars calendars;
 
-  LedgerCallbackRouter(Clock clock, Metrics metrics, Estimates estimates) {
+  LedgerCallbackRouter(Clock clock, Metrics metrics, RuntimeEstimates estimates) {
     this.clock = clock;
     this.metrics = metrics;
     this.estimates = estimates;
--- a/src/main/java/dapplestair/node/SchedulingComponents.java
+++ b/src/main/java/dapplestair/node/SchedulingComponents.java
@@ -7,10 +7,10 @@
 import dapplestair.fleet.Fleet;
 import dapplestair.lane.Lanes;
 import dapplestair.leadership.TermTimers;
-import dapplestair.placement.Departures;
 import dapplestair.placement.Placer;
+import dapplestair.placement.ReclaimNoticeHandler;
+import dapplestair.planning.Autoscaler;
 import dapplestair.planning.DemandView;
-import dapplestair.planning.Planning;
 import dapplestair.ports.Clock;
 import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.Settings;
@@ -26,8 +26,8 @@
   final Calendars calendars;
   final ImageLocations weights;
   final Placer placer;
-  final Departures departures;
-  final Planning planning;
+  final ReclaimNoticeHandler departures;
+  final Autoscaler planning;
   final FaultAttribution blame;
 
   SchedulingComponents(
@@ -95,9 +95,9 @@
             demand::roomForServices,
             operator.beginWithinMs());
     lanes.wire(placer::nudge, placer::shelters);
-    departures = new Departures(clock, disruption, core.estimates);
+    departures = new ReclaimNoticeHandler(clock, disruption, core.estimates);
     planning =
-        new Planning(
+        new Autoscaler(
             clock,
             timers,
             outside.background(),
--- a/src/main/java/dapplestair/placement/DecisionRecorder.java
+++ b/src/main/java/dapplestair/placement/DecisionRecorder.java
@@ -26,14 +26,18 @@
   private final Clock clock;
   private final Ledger ledger;
   private final WorkerManager desk;
-  private final Estimates estimates;
+  private final RuntimeEstimates estimates;
   private final Calendars calendars;
   private final Map<String, List<Consumer<Explanation>>> asked = new LinkedHashMap<>();
-  private final Map<String, Map<Verdict, Integer>> found = new LinkedHashMap<>();
+  private final Map<String, Map<PlacementVerdict, Integer>> found = new LinkedHashMap<>();
   private final Object2IntOpenHashMap<String> gangRoom = new Object2IntOpenHashMap<>();
 
   DecisionRecorder(
-      Clock clock, Ledger ledger, WorkerManager desk, Estimates estimates, Calendars calendars) {
+      Clock clock,
+      Ledger ledger,
+      WorkerManager desk,
+      RuntimeEstimates estimates,
+      Calendars calendars) {
     this.calendars = calendars;
     this.clock = clock;
     this.ledger = ledger;
@@ -47,10 +51,10 @@
   }
 
   /** The turn decided this about the job as a whole. */
-  void found(Job job, Verdict verdict, int count) {
+  void found(Job job, PlacementVerdict verdict, int count) {
     if (asked.containsKey(job.spec().ref())) {
       found
-          .computeIfAbsent(job.spec().ref(), r -> new EnumMap<>(Verdict.class))
+          .computeIfAbsent(job.spec().ref(), r -> new EnumMap<>(PlacementVerdict.class))
           .merge(verdict, count, Integer::sum);
     }
   }
@@ -62,7 +66,7 @@
   }
 
   /** Ends the turn: {@code judge} is the same that placed. Nothing is asked afterwards. */
-  void answer(BiFunction<Job, Host, Verdict> filter) {
+  void answer(BiFunction<Job, Host, PlacementVerdict> filter) {
     asked.forEach(
         (ref, answers) -> {
           Explanation explanation = explain(ref, filter);
@@ -75,37 +79,37 @@
     asked.values().forEach(answers -> answers.forEach(a -> a.accept(null)));
   }
 
-  private Explanation explain(String ref, BiFunction<Job, Host, Verdict> filter) {
+  private Explanation explain(String ref, BiFunction<Job, Host, PlacementVerdict> filter) {
     Job job = ledger.job(ref);
     if (job == null || job.waiting() == 0) {
       return Explanation.nothingWaits();
     }
-    Map<Verdict, Integer> machines = new EnumMap<>(Verdict.class);
+    Map<PlacementVerdict, Integer> machines = new EnumMap<>(PlacementVerdict.class);
     double free = -1;
     for (Host host : desk.hosts()) {
-      Verdict verdict = filter.apply(job, host);
+      PlacementVerdict verdict = filter.apply(job, host);
       machines.merge(verdict, 1, Integer::sum);
-      if (verdict == Verdict.FULL) {
+      if (verdict == PlacementVerdict.FULL) {
         double s = freeInS(job.spec(), host);
         free = free < 0 || s >= 0 && s < free ? s : free;
       }
     }
-    Map<Verdict, Integer> whole = new EnumMap<>(Verdict.class);
+    Map<PlacementVerdict, Integer> whole = new EnumMap<>(PlacementVerdict.class);
     whole.putAll(found.getOrDefault(ref, Map.of()));
     double heldBack = Math.max(0, job.heldBackUntil() - clock.now()) / 1000.0;
     if (calendars.holds(job)) {
-      whole.put(Verdict.CYCLE, job.waiting());
+      whole.put(PlacementVerdict.CYCLE, job.waiting());
     }
     if (heldBack > 0) {
-      whole.put(Verdict.BACKED_OFF, job.waiting());
+      whole.put(PlacementVerdict.BACKED_OFF, job.waiting());
     } else if (job.suspected()) {
-      whole.put(Verdict.PROBING, job.waiting());
+      whole.put(PlacementVerdict.PROBING, job.waiting());
     } else if (job.heldSteps() > 0) {
-      whole.put(Verdict.STEPS_BACKED_OFF, job.heldSteps());
+      whole.put(PlacementVerdict.STEPS_BACKED_OFF, job.heldSteps());
     }
     int byLimit = job.waiting() - Math.min(job.waiting(), ledger.teamRoom(job.spec(), false));
     if (!ledger.teamAllows(job.spec())) {
-      whole.put(Verdict.TEAM_LIMIT, Math.max(1, byLimit));
+      whole.put(PlacementVerdict.TEAM_LIMIT, Math.max(1, byLimit));
     }
     return new Explanation(job.waiting(), machines, whole, free, heldBack, gangRoom.getInt(ref));
   }
--- a/src/main/java/dapplestair/placement/Earliest.java
+++ b/src/main/java/dapplestair/placement/EarliestFinishSelector.java
@@ -11,26 +11,26 @@
 import java.util.Set;
 
 /** Where a task completes earliest, its image's fetch included. */
-final class Earliest {
+final class EarliestFinishSelector {
   private static final double FAILED_HERE_S = 1e4;
 
   // What stands against this job there, and not against others of its size.
-  private static final Set<Verdict> ROOM_FOR_OTHERS =
-      EnumSet.of(Verdict.SPREAD, Verdict.TOGETHER, Verdict.FAILED_HERE);
+  private static final Set<PlacementVerdict> ROOM_FOR_OTHERS =
+      EnumSet.of(PlacementVerdict.SPREAD, PlacementVerdict.TOGETHER, PlacementVerdict.FAILED_HERE);
 
   private final Clock clock;
   private final Ledger ledger;
-  private final Estimates estimates;
-  private final SteadyRoom steady;
+  private final RuntimeEstimates estimates;
+  private final SteadyCapacity steady;
   private final PlacementFilter filter;
   private final Reservations reservations;
   private final List<NoRoom> noRoom = new ArrayList<>();
 
-  Earliest(
+  EarliestFinishSelector(
       Clock clock,
       Ledger ledger,
-      Estimates estimates,
-      SteadyRoom steady,
+      RuntimeEstimates estimates,
+      SteadyCapacity steady,
       PlacementFilter filter,
       Reservations reservations) {
     this.clock = clock;
@@ -59,8 +59,8 @@
     double bestScore = Double.POSITIVE_INFINITY;
     boolean room = false;
     for (Host host : usable) {
-      Verdict verdict = filter.filter(job, host, explain);
-      if (verdict == Verdict.FITS) {
+      PlacementVerdict verdict = filter.filter(job, host, explain);
+      if (verdict == PlacementVerdict.FITS) {
         room = true;
         double score = score(job, host);
         if (score < bestScore) {
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -29,14 +29,14 @@
   private static final int MOST_SCANS = 4;
 
   /** One task's room on one machine, and what it costs. */
-  private record Offer(Host host, List<Attempt> victims, double loss) {}
+  private record EvictionCandidate(Host host, List<Attempt> victims, double loss) {}
 
   private final Clock clock;
   private final Settings settings;
   private final Ledger ledger;
   private final WorkerManager desk;
   private final DisruptionGate disruption;
-  private final Bound bound;
+  private final StarvationGuard bound;
   private final PlacementFilter filter;
 
   // Of this turn: teams' use beyond their guarantees, machines whose coming room is spoken for.
@@ -52,7 +52,7 @@
       Ledger ledger,
       WorkerManager desk,
       DisruptionGate disruption,
-      Bound bound,
+      StarvationGuard bound,
       PlacementFilter filter) {
     this.clock = clock;
     this.settings = settings;
@@ -131,25 +131,26 @@
     }
     scans++;
     long now = clock.now();
-    List<Offer> offers = offers(job, false, h -> h.imageWaitS(submission, now) == 0);
+    List<EvictionCandidate> offers = offers(job, false, h -> h.imageWaitS(submission, now) == 0);
     offers.removeIf(o -> o.victims().stream().anyMatch(a -> a.spec().saves()));
     return take(offers, job.waiting());
   }
 
   /** Takes up the cheapest offers; returns how many. */
-  private int take(List<Offer> offers, int wanted) {
-    offers.sort(Comparator.comparingDouble(Offer::loss).thenComparing(o -> o.host().id()));
-    List<Offer> taken = offers.subList(0, Math.min(wanted, offers.size()));
-    for (Offer o : taken) {
+  private int take(List<EvictionCandidate> offers, int wanted) {
+    offers.sort(
+        Comparator.comparingDouble(EvictionCandidate::loss).thenComparing(o -> o.host().id()));
+    List<EvictionCandidate> taken = offers.subList(0, Math.min(wanted, offers.size()));
+    for (EvictionCandidate o : taken) {
       spokenFor.add(o.host());
       o.victims().forEach(this::stop);
     }
     return taken.size();
   }
 
-  private List<Offer> offers(Job job, boolean fromBorrowers, Predicate<Host> where) {
+  private List<EvictionCandidate> offers(Job job, boolean fromBorrowers, Predicate<Host> where) {
     Submission submission = job.spec();
-    List<Offer> offers = new ArrayList<>();
+    List<EvictionCandidate> offers = new ArrayList<>();
     for (Host host : desk.hosts()) {
       if (!host.closed()
           && !spokenFor.contains(host)
@@ -158,7 +159,7 @@
           && where.test(host)
           && desk.fresh(host)
           && ledger.zoneAllows(job, host.zone())) {
-        Offer offer = offer(submission, host, fromBorrowers);
+        EvictionCandidate offer = offer(submission, host, fromBorrowers);
         if (offer != null) {
           offers.add(offer);
         }
@@ -176,7 +177,7 @@
         attempt, attempt.spec().saves() ? 2 * attempt.spec().saveS() : 0, StopReason.ROOM_NEEDED);
   }
 
-  private Offer offer(Submission submission, Host host, boolean fromBorrowers) {
+  private EvictionCandidate offer(Submission submission, Host host, boolean fromBorrowers) {
     double cpus = submission.cpus() - host.cpusFree();
     double memory = submission.memoryGb() - host.memoryFree();
     double gpus = submission.gpus() - host.gpusFree();
@@ -208,12 +209,12 @@
       gpus -= attempt.spec().gpus();
     }
     boolean enough = cpus <= 1e-9 && memory <= 1e-9 && gpus <= 1e-9;
-    return enough ? new Offer(host, victims, loss) : null;
+    return enough ? new EvictionCandidate(host, victims, loss) : null;
   }
 
   private boolean mayStop(Submission submission, Attempt attempt, boolean fromBorrowers) {
     Submission other = attempt.spec();
-    if (!Bound.critical(submission) && bound.shelters(attempt)) {
+    if (!StarvationGuard.critical(submission) && bound.shelters(attempt)) {
       // It has waited for long: stopped at once, it would not have begun at all.
       return false;
     }
--- a/src/main/java/dapplestair/placement/Explanation.java
+++ b/src/main/java/dapplestair/placement/Explanation.java
@@ -15,14 +15,14 @@
  */
 public record Explanation(
     int waiting,
-    Map<Verdict, Integer> machines,
-    Map<Verdict, Integer> job,
+    Map<PlacementVerdict, Integer> machines,
+    Map<PlacementVerdict, Integer> job,
     double freeInS,
     double heldBackS,
     int gangRoom) {
 
   static Explanation nothingWaits() {
     return new Explanation(
-        0, new EnumMap<>(Verdict.class), new EnumMap<>(Verdict.class), -1, 0, -1);
+        0, new EnumMap<>(PlacementVerdict.class), new EnumMap<>(PlacementVerdict.class), -1, 0, -1);
   }
 }
--- a/src/main/java/dapplestair/placement/PlacementFilter.java
+++ b/src/main/java/dapplestair/placement/PlacementFilter.java
@@ -22,8 +22,8 @@
   private final Clock clock;
   private final Ledger ledger;
   private final WorkerManager desk;
-  private final Estimates estimates;
-  private final SteadyRoom steady;
+  private final RuntimeEstimates estimates;
+  private final SteadyCapacity steady;
   private final Reservations reservations;
   private final Lanes lanes;
   private final long avoidedMs;
@@ -34,8 +34,8 @@
       long reportMs,
       Ledger ledger,
       WorkerManager desk,
-      Estimates estimates,
-      SteadyRoom steady,
+      RuntimeEstimates estimates,
+      SteadyCapacity steady,
       Reservations reservations,
       Lanes lanes) {
     this.clock = clock;
@@ -54,7 +54,7 @@
   }
 
   /** What stands against starting a task of the job on this machine now. */
-  Verdict filter(Job job, Host host, boolean explain) {
+  PlacementVerdict filter(Job job, Host host, boolean explain) {
     Submission submission = job.spec();
     boolean kept = keptFrom(job, host);
     if (host.fits(submission)
@@ -63,24 +63,24 @@
         && leavesRoom(submission, host)
         && !kept) {
       if (failedHere(job, host)) {
-        return Verdict.FAILED_HERE;
+        return PlacementVerdict.FAILED_HERE;
       }
       if (host.probed(clock.now())) {
-        return Verdict.PROBATION;
+        return PlacementVerdict.PROBATION;
       }
       if (host.leavesAt() != Long.MAX_VALUE
           && !estimates.endsBefore(submission, host, clock.now())) {
-        return Verdict.LEAVING;
+        return PlacementVerdict.LEAVING;
       }
       if (ledger.zoneAllows(job, host.zone())) {
-        return Verdict.FITS;
+        return PlacementVerdict.FITS;
       }
       return submission.apart() && job.inZone(host.zone()) >= submission.mostPerZone()
-          ? Verdict.SPREAD
-          : Verdict.TOGETHER;
+          ? PlacementVerdict.SPREAD
+          : PlacementVerdict.TOGETHER;
     }
     // Which obstacle it is matters only to whoever asked.
-    return explain ? obstacle(submission, host, kept) : Verdict.FULL;
+    return explain ? obstacle(submission, host, kept) : PlacementVerdict.FULL;
   }
 
   /**
@@ -99,45 +99,45 @@
   }
 
   /** The same for any machine, also those that a turn does not look at. */
-  Verdict judgeAny(Job job, Host host) {
-    return !host.closed() && !desk.fresh(host) ? Verdict.SILENT : filter(job, host, true);
+  PlacementVerdict judgeAny(Job job, Host host) {
+    return !host.closed() && !desk.fresh(host) ? PlacementVerdict.SILENT : filter(job, host, true);
   }
 
-  private static Verdict obstacle(Submission submission, Host host, boolean kept) {
+  private static PlacementVerdict obstacle(Submission submission, Host host, boolean kept) {
     if (host.type() == null || !host.up() || !host.acknowledged()) {
       boolean allowed =
           host.type() == null || host.allowed(submission) || !submission.spot() && host.spot();
-      return allowed ? Verdict.NOT_UP : Verdict.NOT_ALLOWED;
+      return allowed ? PlacementVerdict.NOT_UP : PlacementVerdict.NOT_ALLOWED;
     }
     if (!host.type().suits(submission)
         || submission.zone() != null && !submission.zone().equals(host.zone())) {
-      return Verdict.NOT_ALLOWED;
+      return PlacementVerdict.NOT_ALLOWED;
     }
     if (!host.allowed(submission)) {
-      return Verdict.SPOT;
+      return PlacementVerdict.SPOT;
     }
     if (host.releasing() || host.gone()) {
-      return Verdict.RETURNING;
+      return PlacementVerdict.RETURNING;
     }
     if (host.drained()) {
-      return Verdict.DRAINED;
+      return PlacementVerdict.DRAINED;
     }
     if (host.draining()) {
-      return Verdict.FAULTY;
+      return PlacementVerdict.FAULTY;
     }
     if (host.recalled()) {
-      return Verdict.NOTICE;
+      return PlacementVerdict.NOTICE;
     }
     if (host.hasStrays()) {
-      return Verdict.STRAYS;
+      return PlacementVerdict.STRAYS;
     }
     if (host.cordoned()) {
-      return Verdict.CORDONED;
+      return PlacementVerdict.CORDONED;
     }
     if (host.overfull() || !host.fits(submission)) {
-      return Verdict.FULL;
+      return PlacementVerdict.FULL;
     }
-    return kept ? Verdict.KEPT : Verdict.HELD_FOR_SERVICES;
+    return kept ? PlacementVerdict.KEPT : PlacementVerdict.HELD_FOR_SERVICES;
   }
 
   /** How many more of the job's tasks these machines can take together. */
--- a/src/main/java/dapplestair/placement/Verdict.java
+++ b/src/main/java/dapplestair/placement/PlacementVerdict.java
@@ -1,7 +1,7 @@
 package dapplestair.placement;
 
 /** What placement says of one machine, or of the cluster as a whole, for a task that waits. */
-public enum Verdict {
+public enum PlacementVerdict {
   /** A task may start there. */
   FITS(Scope.MACHINE, "it may start there: the next turn places it"),
   /** Wrong type or zone. */
@@ -73,7 +73,7 @@
   private final Scope scope;
   private final String words;
 
-  Verdict(Scope scope, String words) {
+  PlacementVerdict(Scope scope, String words) {
     this.scope = scope;
     this.words = words;
   }
--- a/src/main/java/dapplestair/placement/Placer.java
+++ b/src/main/java/dapplestair/placement/Placer.java
@@ -26,18 +26,18 @@
   private final Settings settings;
   private final Ledger ledger;
   private final WorkerManager desk;
-  private final Estimates estimates;
+  private final RuntimeEstimates estimates;
   private final Ranking ranking;
   private final long pauseMs;
   private final DoubleSupplier roomForServices;
   private final Evictions evictions;
   private final Lanes lanes;
   private final Calendars calendars;
-  private final SteadyRoom steady = new SteadyRoom();
-  private final Bound bound;
+  private final SteadyCapacity steady = new SteadyCapacity();
+  private final StarvationGuard bound;
   private final Reservations reservations;
   private final PlacementFilter filter;
-  private final Earliest earliest;
+  private final EarliestFinishSelector earliest;
   private boolean awaitsImage;
   private boolean due;
   private DecisionRecorder recorder;
@@ -49,7 +49,7 @@
       Settings settings,
       Ledger ledger,
       WorkerManager desk,
-      Estimates estimates,
+      RuntimeEstimates estimates,
       DisruptionGate disruption,
       Lanes lanes,
       Calendars calendars,
@@ -63,7 +63,7 @@
     this.ledger = ledger;
     this.desk = desk;
     this.estimates = estimates;
-    this.bound = new Bound(clock, ledger, beginWithinMs);
+    this.bound = new StarvationGuard(clock, ledger, beginWithinMs);
     this.reservations = new Reservations(ledger, desk);
     this.filter =
         new PlacementFilter(
@@ -75,7 +75,8 @@
             steady,
             reservations,
             lanes);
-    this.earliest = new Earliest(clock, ledger, estimates, steady, filter, reservations);
+    this.earliest =
+        new EarliestFinishSelector(clock, ledger, estimates, steady, filter, reservations);
     this.evictions = new Evictions(clock, settings, ledger, desk, disruption, bound, filter);
     this.calendars = calendars;
     this.ranking = new Ranking(clock, settings, ledger, estimates, calendars);
@@ -166,7 +167,7 @@
     List<Job> riders = new ArrayList<>();
     for (Job job : waiting) {
       boolean rides = lanes.rides(job.spec());
-      if (!rides && !Bound.critical(job.spec())) {
+      if (!rides && !StarvationGuard.critical(job.spec())) {
         others.add(job);
         continue;
       }
@@ -195,7 +196,7 @@
     for (Job job : order) {
       place(job, usable, first.get(job));
       int lacking = job.spec().service() || job.spec().gang() ? job.waiting() : 1;
-      if (job.waiting() > 0 && (Bound.idle(job) || job.spec().service())) {
+      if (job.waiting() > 0 && (StarvationGuard.idle(job) || job.spec().service())) {
         reservations.keep(job, lacking, cpus);
       }
     }
@@ -228,7 +229,7 @@
     if (recorder != null) {
       order.stream()
           .skip(order.indexOf(gang) + 1L)
-          .forEach(j -> recorder.found(j, Verdict.BEHIND_GANG, j.waiting()));
+          .forEach(j -> recorder.found(j, PlacementVerdict.BEHIND_GANG, j.waiting()));
     }
   }
 
@@ -271,7 +272,7 @@
       }
     }
     if (awaitsImage && recorder != null) {
-      recorder.found(job, Verdict.AWAITS_IMAGE, job.waiting());
+      recorder.found(job, PlacementVerdict.AWAITS_IMAGE, job.waiting());
     }
     // Others do not make room for a job that fails wherever it runs.
     boolean whole = most == Integer.MAX_VALUE;
@@ -280,7 +281,7 @@
     if (step >= 0 && whole && ledger.teamAllows(job.spec()) && !awaitsImage && !job.suspected()) {
       int onItsWay = evictions.makeRoom(job, ranking.guaranteed(job));
       if (onItsWay > 0 && recorder != null) {
-        recorder.found(job, Verdict.ROOM_ON_ITS_WAY, onItsWay);
+        recorder.found(job, PlacementVerdict.ROOM_ON_ITS_WAY, onItsWay);
       }
     }
   }
@@ -345,7 +346,7 @@
       }
     }
     if (recorder != null) {
-      recorder.found(job, Verdict.GANG, job.waiting());
+      recorder.found(job, PlacementVerdict.GANG, job.waiting());
     }
     return false;
   }
--- a/src/main/java/dapplestair/placement/Ranking.java
+++ b/src/main/java/dapplestair/placement/Ranking.java
@@ -17,17 +17,22 @@
   private final Clock clock;
   private final Settings settings;
   private final Ledger ledger;
-  private final Estimates estimates;
-  private final Promises promises;
+  private final RuntimeEstimates estimates;
+  private final ServiceObjectives promises;
   private final Calendars calendars;
 
-  Ranking(Clock clock, Settings settings, Ledger ledger, Estimates estimates, Calendars calendars) {
+  Ranking(
+      Clock clock,
+      Settings settings,
+      Ledger ledger,
+      RuntimeEstimates estimates,
+      Calendars calendars) {
     this.calendars = calendars;
     this.clock = clock;
     this.settings = settings;
     this.ledger = ledger;
     this.estimates = estimates;
-    this.promises = new Promises(settings.objectives());
+    this.promises = new ServiceObjectives(settings.objectives());
   }
 
   private record Ranked(Job job, int urgency, boolean borrows, int broken, double order) {}
--- a/src/main/java/dapplestair/placement/Departures.java
+++ b/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
@@ -11,16 +11,16 @@
  * Stops what cannot end on a machine before the cloud takes it, so that it begins elsewhere at once
  * instead of after the machine is gone. What may still end there stays.
  */
-public final class Departures {
+public final class ReclaimNoticeHandler {
   // Owners' guesses are often wrong by half: unsaved work is given up only when it is well over.
   private static final double SURELY_LATE = 1.5;
 
   private final Clock clock;
   private final DisruptionGate disruption;
-  private final Estimates estimates;
+  private final RuntimeEstimates estimates;
 
   /** Judges by these estimates. */
-  public Departures(Clock clock, DisruptionGate disruption, Estimates estimates) {
+  public ReclaimNoticeHandler(Clock clock, DisruptionGate disruption, RuntimeEstimates estimates) {
     this.clock = clock;
     this.disruption = disruption;
     this.estimates = estimates;
--- a/src/main/java/dapplestair/placement/Reservations.java
+++ b/src/main/java/dapplestair/placement/Reservations.java
@@ -36,7 +36,7 @@
 
   /** True when this machine is kept for another job, and this one has to look elsewhere. */
   boolean keptFrom(Job job, Host host) {
-    if (kept.isEmpty() || Bound.critical(job.spec())) {
+    if (kept.isEmpty() || StarvationGuard.critical(job.spec())) {
       return false;
     }
     String owner = kept.get(host);
@@ -49,7 +49,7 @@
   }
 
   /** Gives up what is kept for jobs that need it no more, and machines that are of no use. */
-  void begin(Bound bound) {
+  void begin(StarvationGuard bound) {
     if (byJob.isEmpty()) {
       return;
     }
--- a/src/main/java/dapplestair/placement/Estimates.java
+++ b/src/main/java/dapplestair/placement/RuntimeEstimates.java
@@ -6,12 +6,12 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 
 /** How long tasks take: the owners' guesses, corrected by what was seen of each class. */
-public final class Estimates {
+public final class RuntimeEstimates {
   private static final double WEIGHT = 0.1;
   private final Object2DoubleOpenHashMap<String> correction = new Object2DoubleOpenHashMap<>();
 
   /** No corrections yet. */
-  public Estimates() {
+  public RuntimeEstimates() {
     correction.defaultReturnValue(1);
   }
 
--- a/src/main/java/dapplestair/placement/Promises.java
+++ b/src/main/java/dapplestair/placement/ServiceObjectives.java
@@ -12,10 +12,10 @@
  * least slack makes everything late; work that can still keep a promise goes before work that
  * cannot.
  */
-final class Promises {
+final class ServiceObjectives {
   private final Map<String, List<Settings.Objective>> byClass = new HashMap<>();
 
-  Promises(List<Settings.Objective> objectives) {
+  ServiceObjectives(List<Settings.Objective> objectives) {
     for (Settings.Objective objective : objectives) {
       if (objective.withinS() > 0
           && (objective.kind().equals("wait") || objective.kind().equals("finished"))) {
--- a/src/main/java/dapplestair/placement/Bound.java
+++ b/src/main/java/dapplestair/placement/StarvationGuard.java
@@ -25,7 +25,7 @@
  * and class apart, and is not stopped to make room. An array that has not begun begins with one
  * task even when that part is used up.
  */
-final class Bound {
+final class StarvationGuard {
   // From this part of the bound on a job begins: what is left is for room to become free.
   private static final double NEAR = 0.6;
 
@@ -44,7 +44,7 @@
   private final long boundMs;
 
   /** {@code boundMs} is within what every job is to begin. */
-  Bound(Clock clock, Ledger ledger, long boundMs) {
+  StarvationGuard(Clock clock, Ledger ledger, long boundMs) {
     this.clock = clock;
     this.ledger = ledger;
     this.boundMs = boundMs;
--- a/src/main/java/dapplestair/placement/SteadyRoom.java
+++ b/src/main/java/dapplestair/placement/SteadyCapacity.java
@@ -4,7 +4,7 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 
 /** CPUs that are free on steady machines in a turn of placing, in all and by zone. */
-final class SteadyRoom {
+final class SteadyCapacity {
   private final Object2DoubleOpenHashMap<String> byZone = new Object2DoubleOpenHashMap<>();
   private double free;
 
--- a/src/main/java/dapplestair/planning/Arrivals.java
+++ b/src/main/java/dapplestair/planning/ArrivalForecast.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** Jobs that arrived lately, class by class: what may be expected of the next moments. */
-final class Arrivals {
+final class ArrivalForecast {
   private static final int MOST_PER_CLASS = 1024;
 
   private record Arrival(long at, Submission job) {}
@@ -16,7 +16,7 @@
   private final long windowMs;
   private final Map<String, ArrayDeque<Arrival>> classes = new HashMap<>();
 
-  Arrivals(long windowMs) {
+  ArrivalForecast(long windowMs) {
     this.windowMs = windowMs;
   }
 
--- a/src/main/java/dapplestair/planning/Planning.java
+++ b/src/main/java/dapplestair/planning/Autoscaler.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplestair.fleet.Fleet;
-import dapplestair.fleet.Slot;
+import dapplestair.fleet.MachineKind;
 import dapplestair.json.Json;
 import dapplestair.leadership.Leadership;
 import dapplestair.leadership.TermTimers;
@@ -34,8 +34,8 @@
  * records it, rents what it holds beyond the fleet, and returns machines only after several rounds
  * wanting fewer.
  */
-public final class Planning implements AutoCloseable {
-  private static final Logger LOG = LoggerFactory.getLogger(Planning.class);
+public final class Autoscaler implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
 
   // Of what waits; where the search begins, so that the front spans the same costs each time.
   private static final double[] SHARES = {0.25, 0.5, 0.75, 1};
@@ -52,19 +52,19 @@
   private final MachineTypes types;
   private final DemandView demand;
   private final ZoneDemand zoneDemand;
-  private final Map<Slot, Integer> fewer = new HashMap<>();
-  private Map<Slot, Integer> plan = Map.of();
-  private Applied applied;
+  private final Map<MachineKind, Integer> fewer = new HashMap<>();
+  private Map<MachineKind, Integer> plan = Map.of();
+  private AppliedPlan applied;
   private ObjectNode lastWritten;
   private boolean writing;
-  private ToIntFunction<Slot> beyond = s -> 0;
+  private ToIntFunction<MachineKind> beyond = s -> 0;
   private Cancellable timer = () -> {};
   private long roundAt;
   private boolean extra;
   private int generation;
 
   /** Plans for what {@code demand} sees. */
-  public Planning(
+  public Autoscaler(
       Clock clock,
       TermTimers timers,
       BackgroundExecutor background,
@@ -101,8 +101,8 @@
    * @param front plans on the front that it was chosen from
    * @param at when it was chosen, steady time
    */
-  public record Applied(
-      Map<Slot, Integer> counts,
+  public record AppliedPlan(
+      Map<MachineKind, Integer> counts,
       double makespanS,
       double perHour,
       double risk,
@@ -111,17 +111,17 @@
       long at) {}
 
   /** The plan applied last, or null. */
-  public Applied applied() {
+  public AppliedPlan applied() {
     return applied;
   }
 
   /** How many machines of a slot are held beyond the plan while others are replaced. */
-  public void beyond(ToIntFunction<Slot> extra) {
+  public void beyond(ToIntFunction<MachineKind> extra) {
     beyond = extra;
   }
 
   /** Machines of a slot that are or will be of use. */
-  public int holding(Slot slot) {
+  public int holding(MachineKind slot) {
     return fleet.holding(slot);
   }
 
@@ -192,7 +192,7 @@
 
   private double[] held(FleetProblem problem) {
     return problem.slots().stream()
-        .mapToDouble(s -> fleet.holding(new Slot(s.type().name(), s.spot())))
+        .mapToDouble(s -> fleet.holding(new MachineKind(s.type().name(), s.spot())))
         .toArray();
   }
 
@@ -210,8 +210,8 @@
     double[] x = problem.lower();
     double[] upper = problem.upper();
     for (int i = 0; i < x.length; i++) {
-      FleetProblem.SlotState slot = problem.slots().get(i);
-      int wanted = plan.getOrDefault(new Slot(slot.type().name(), slot.spot()), 0);
+      FleetProblem.MachineKindState slot = problem.slots().get(i);
+      int wanted = plan.getOrDefault(new MachineKind(slot.type().name(), slot.spot()), 0);
       x[i] = Math.max(x[i], Math.min(upper[i], wanted));
     }
     return x;
@@ -222,14 +222,14 @@
     return costs == null ? null : new Nsga2.Individual(last, costs);
   }
 
-  private record Chosen(int[] counts, double[] costs, int front) {}
+  private record ChosenPlan(int[] counts, double[] costs, int front) {}
 
-  private static Chosen best(
+  private static ChosenPlan best(
       Nsga2 search, FleetProblem problem, List<double[]> seeds, double[] last, PlanChoice choice) {
     List<Nsga2.Individual> front = search.search(problem, seeds);
     if (front.isEmpty()) {
       double[] unknown = {Double.NaN, Double.NaN, Double.NaN};
-      return new Chosen(FleetProblem.counts(problem.lower()), unknown, 0);
+      return new ChosenPlan(FleetProblem.counts(problem.lower()), unknown, 0);
     }
     Nsga2.Individual nearest = choice.of(front, standing(problem, last));
     int[] counts = FleetProblem.counts(nearest.variables());
@@ -244,15 +244,15 @@
           Math.round(front.stream().mapToDouble(i -> i.costs()[0]).max().orElse(0)),
           front.size());
     }
-    return new Chosen(counts, nearest.costs(), front.size());
+    return new ChosenPlan(counts, nearest.costs(), front.size());
   }
 
-  private void apply(FleetProblem problem, Chosen chosen, boolean extraRound) {
+  private void apply(FleetProblem problem, ChosenPlan chosen, boolean extraRound) {
     int[] counts = chosen.counts();
-    Map<Slot, Integer> next = new LinkedHashMap<>();
+    Map<MachineKind, Integer> next = new LinkedHashMap<>();
     for (int i = 0; i < counts.length; i++) {
-      FleetProblem.SlotState s = problem.slots().get(i);
-      next.put(new Slot(s.type().name(), s.spot()), counts[i]);
+      FleetProblem.MachineKindState s = problem.slots().get(i);
+      next.put(new MachineKind(s.type().name(), s.spot()), counts[i]);
     }
     if (!next.equals(plan)) {
       LOG.debug("plan {}", next);
@@ -260,7 +260,7 @@
     plan = next;
     double[] costs = chosen.costs();
     applied =
-        new Applied(
+        new AppliedPlan(
             next, costs[0], costs[1], costs[2], problem.budget(), chosen.front(), clock.now());
     record();
     zoneDemand.shortages().forEach(this::rentInZone);
@@ -278,7 +278,7 @@
     fleet.rentIn(lack.slot(), lack.zone(), most);
   }
 
-  private void steer(Slot slot, int planned, boolean extraRound) {
+  private void steer(MachineKind slot, int planned, boolean extraRound) {
     // Machines that are being replaced: the plan's counts stay as they are.
     int want = Math.max(0, planned + beyond.applyAsInt(slot));
     int have = fleet.holding(slot);
@@ -309,7 +309,7 @@
    * as the next one would take to boot, since until then keeping it costs less than what replaces
    * it.
    */
-  private int timeouts(Slot slot) {
+  private int timeouts(MachineKind slot) {
     double bootMs = 1000 * types.get(slot.type()).bootS();
     return Math.max(
         operator.returnAfterRounds(), (int) Math.ceil(bootMs / operator.planIntervalMs()));
--- a/src/main/java/dapplestair/planning/Floors.java
+++ b/src/main/java/dapplestair/planning/CapacityFloors.java
@@ -2,7 +2,7 @@
 
 import dapplestair.ledger.Job;
 import dapplestair.ledger.Ledger;
-import dapplestair.planning.FleetProblem.SlotState;
+import dapplestair.planning.FleetProblem.MachineKindState;
 import dapplestair.ports.Clock;
 import dapplestair.work.Submission;
 import java.util.ArrayList;
@@ -14,13 +14,13 @@
 import java.util.function.BooleanSupplier;
 
 /** How few machines a plan may hold: what must start at once has its room whatever it costs. */
-final class Floors {
+final class CapacityFloors {
   private final Clock clock;
   private final Ledger ledger;
   private final Map<String, Long> waitingSince = new HashMap<>();
   private BooleanSupplier drainsLackRoom = () -> false;
 
-  Floors(Clock clock, Ledger ledger) {
+  CapacityFloors(Clock clock, Ledger ledger) {
     this.clock = clock;
     this.ledger = ledger;
   }
@@ -30,7 +30,7 @@
    * boot, and one machine more, so that replicas lost with a machine start again at once. Work that
    * may be stopped fills that room meanwhile.
    */
-  List<SlotState> forServices(List<SlotState> slots, List<Submission> soon) {
+  List<MachineKindState> forServices(List<MachineKindState> slots, List<Submission> soon) {
     double need = 0;
     for (Job job : ledger.jobs()) {
       if (!job.over() && !job.spec().spot()) {
@@ -44,7 +44,7 @@
     }
     double room = 0;
     double largest = 0;
-    for (SlotState s : slots) {
+    for (MachineKindState s : slots) {
       if (!s.spot() && s.least() > 0) {
         room += s.least() * s.type().cpus();
         largest = Math.max(largest, s.type().cpus());
@@ -61,16 +61,16 @@
       // Replicas that the room there is did not take for as long as a boot: it lies in zones that
       // already have all that they may. The next machine comes where there are fewest.
       double up = 0;
-      for (SlotState s : slots) {
+      for (MachineKindState s : slots) {
         up += s.spot() ? 0 : s.up() * s.type().cpus();
       }
       need = Math.max(need, up + stranded);
     }
-    List<SlotState> out = new ArrayList<>(slots);
+    List<MachineKindState> out = new ArrayList<>(slots);
     while (room < need) {
       int cheapest = -1;
       for (int i = 0; i < out.size(); i++) {
-        SlotState s = out.get(i);
+        MachineKindState s = out.get(i);
         if (!s.spot()
             && s.least() < s.most()
             && (cheapest < 0 || perCpu(s) < perCpu(out.get(cheapest)))) {
@@ -80,7 +80,7 @@
       if (cheapest < 0) {
         break;
       }
-      SlotState s = out.get(cheapest);
+      MachineKindState s = out.get(cheapest);
       out.set(cheapest, withLeast(s, s.least() + 1));
       room += s.type().cpus();
     }
@@ -92,12 +92,12 @@
     drainsLackRoom = lack;
   }
 
-  private static int zones(List<SlotState> slots) {
+  private static int zones(List<MachineKindState> slots) {
     return slots.stream().mapToInt(s -> s.type().zones().size()).max().orElse(1);
   }
 
   /** CPUs of services that have waited for longer than a machine boots. */
-  private double strandedCpus(List<SlotState> slots) {
+  private double strandedCpus(List<MachineKindState> slots) {
     double bootMs = 1000 * slots.stream().mapToDouble(s -> s.type().bootS()).max().orElse(0);
     long now = clock.now();
     Set<String> waiting = new HashSet<>();
@@ -118,8 +118,8 @@
    * search alone might settle for fewer for ever. Machines are spread over the zones, so one that
    * must be in one zone needs as many in each.
    */
-  List<SlotState> forGangs(List<SlotState> slots, long afterMs) {
-    List<SlotState> out = new ArrayList<>(slots);
+  List<MachineKindState> forGangs(List<MachineKindState> slots, long afterMs) {
+    List<MachineKindState> out = new ArrayList<>(slots);
     for (Job job : ledger.jobs()) {
       Submission submission = job.spec();
       if (!submission.gang()
@@ -131,7 +131,7 @@
       double need = submission.cpus() * job.waiting();
       boolean zones = submission.together() && submission.zone() == null;
       for (int i = 0; i < out.size() && need > 0; i++) {
-        SlotState slot = out.get(i);
+        MachineKindState slot = out.get(i);
         if (slot.type().suits(submission) && (submission.spot() || !slot.spot())) {
           double perMachine =
               Math.floor(slot.type().cpus() / submission.cpus()) * submission.cpus();
@@ -147,8 +147,8 @@
     return out;
   }
 
-  private static SlotState withLeast(SlotState slot, int least) {
-    return new SlotState(
+  private static MachineKindState withLeast(MachineKindState slot, int least) {
+    return new MachineKindState(
         slot.type(),
         slot.spot(),
         least,
@@ -159,7 +159,7 @@
         slot.takeBack());
   }
 
-  static double perCpu(SlotState slot) {
+  static double perCpu(MachineKindState slot) {
     return slot.price() / slot.type().cpus();
   }
 }
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -1,15 +1,15 @@
 package dapplestair.planning;
 
 import dapplestair.fleet.Fleet;
-import dapplestair.fleet.Slot;
+import dapplestair.fleet.MachineKind;
 import dapplestair.ledger.Attempt;
 import dapplestair.ledger.Job;
 import dapplestair.ledger.Ledger;
 import dapplestair.machines.MachineType;
 import dapplestair.machines.MachineTypes;
-import dapplestair.placement.Estimates;
+import dapplestair.placement.RuntimeEstimates;
 import dapplestair.planning.FleetProblem.DryTasks;
-import dapplestair.planning.FleetProblem.SlotState;
+import dapplestair.planning.FleetProblem.MachineKindState;
 import dapplestair.ports.Clock;
 import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.Settings;
@@ -31,9 +31,9 @@
   private final WorkerManager desk;
   private final Fleet fleet;
   private final MachineTypes types;
-  private final Estimates estimates;
-  private final Arrivals arrivals;
-  private final Floors floors;
+  private final RuntimeEstimates estimates;
+  private final ArrivalForecast arrivals;
+  private final CapacityFloors floors;
   private final long windowMs;
 
   /** Looks at the leader's duties. */
@@ -44,7 +44,7 @@
       WorkerManager desk,
       Fleet fleet,
       MachineTypes types,
-      Estimates estimates) {
+      RuntimeEstimates estimates) {
     this.clock = clock;
     this.ledger = ledger;
     this.desk = desk;
@@ -52,8 +52,8 @@
     this.types = types;
     this.estimates = estimates;
     this.windowMs = 20 * settings.workers().reportMs();
-    this.arrivals = new Arrivals(2 * windowMs);
-    this.floors = new Floors(clock, ledger);
+    this.arrivals = new ArrivalForecast(2 * windowMs);
+    this.floors = new CapacityFloors(clock, ledger);
   }
 
   /** What waits for room in one zone alone. */
@@ -129,7 +129,7 @@
     List<Submission> soon = arrivals.expected(clock.now(), Math.round(longestBootS * 1000));
     double laneCpus = laneCpus(soon);
     double need = needCpus(soon);
-    List<SlotState> slots = new ArrayList<>();
+    List<MachineKindState> slots = new ArrayList<>();
     for (MachineType type : kinds) {
       slots.add(slot(type, false, laneCpus, need));
       slots.add(slot(type, true, laneCpus, need));
@@ -151,8 +151,8 @@
     return sizes.length == 0 ? 1 : Math.max(0.25, sizes[sizes.length / 2] / 2);
   }
 
-  private SlotState slot(MachineType type, boolean spot, double laneCpus, double needCpus) {
-    Slot slot = new Slot(type.name(), spot);
+  private MachineKindState slot(MachineType type, boolean spot, double laneCpus, double needCpus) {
+    MachineKind slot = new MachineKind(type.name(), spot);
     List<Host> up = new ArrayList<>();
     List<double[]> lanes = new ArrayList<>();
     int perMachine = Math.max(1, (int) Math.floor(type.cpus() / laneCpus + 1e-9));
@@ -188,7 +188,7 @@
         until[i] = Math.max(until[i], backS);
       }
       for (double at : until) {
-        horizon = at < HeldLanes.FOR_EVER_S ? Math.max(horizon, at) : horizon;
+        horizon = at < HeldTaskSlots.FOR_EVER_S ? Math.max(horizon, at) : horizon;
       }
       lanes.add(until);
     }
@@ -201,12 +201,12 @@
     // many rounds from nothing.
     int forAll = (int) Math.ceil(needCpus / type.cpus() / Math.max(1, type.zones().size()));
     int most = Math.max(busy, fleet.capacity(slot, Math.max(2, forAll)));
-    return new SlotState(
+    return new MachineKindState(
         type,
         spot,
         busy,
         most,
-        new HeldLanes(lanes, horizon),
+        new HeldTaskSlots(lanes, horizon),
         up.size(),
         fleet.market().price(type, spot),
         fleet.market().takeBackChance(slot, windowMs, WINDOWS));
@@ -238,7 +238,7 @@
       }
     }
     for (long l = (long) Math.ceil(services / laneCpus); l > 0 && used < perMachine; l--) {
-      until[used++] = HeldLanes.FOR_EVER_S;
+      until[used++] = HeldTaskSlots.FOR_EVER_S;
     }
     return until;
   }
@@ -256,23 +256,23 @@
   }
 
   private List<DryTasks> tasks(
-      List<SlotState> slots, List<Submission> soon, double laneCpus, double aheadS) {
-    List<Entries.Pending> pending = new ArrayList<>();
+      List<MachineKindState> slots, List<Submission> soon, double laneCpus, double aheadS) {
+    List<DryRunEntries.PendingTasks> pending = new ArrayList<>();
     for (Job job : ledger.jobs()) {
       int count = wanted(job);
       if (count > 0) {
         double age = (clock.wall() - job.acceptedWall()) / 1000.0;
-        pending.add(new Entries.Pending(job.spec(), count, slack(job.spec()) - age, 0));
+        pending.add(new DryRunEntries.PendingTasks(job.spec(), count, slack(job.spec()) - age, 0));
       }
     }
     for (int i = 0; i < soon.size(); i++) {
       double arrives = aheadS * (i + 0.5) / soon.size();
       Submission submission = soon.get(i);
       pending.add(
-          new Entries.Pending(
+          new DryRunEntries.PendingTasks(
               submission, submission.steps(), slack(submission) + arrives, arrives));
     }
-    return new Entries(slots, laneCpus, aheadS, windowMs / 1000.0, estimates).of(pending);
+    return new DryRunEntries(slots, laneCpus, aheadS, windowMs / 1000.0, estimates).of(pending);
   }
 
   private double slack(Submission submission) {
@@ -281,7 +281,8 @@
   }
 
   /** The operators' budget, or a ratio to what all present work costs where it is cheapest. */
-  private double budget(OperatorSettings operator, List<SlotState> slots, List<Submission> soon) {
+  private double budget(
+      OperatorSettings operator, List<MachineKindState> slots, List<Submission> soon) {
     if (operator.budgetPerHour() > 0) {
       return operator.budgetPerHour();
     }
@@ -295,14 +296,14 @@
     for (Submission s : soon) {
       demand += cheapest(slots, s) * s.cpus() * s.steps();
     }
-    double oneMore = slots.stream().mapToDouble(SlotState::price).max().orElse(0);
+    double oneMore = slots.stream().mapToDouble(MachineKindState::price).max().orElse(0);
     return Math.max(operator.budgetRatio() * demand, floor + oneMore);
   }
 
-  private static double cheapest(List<SlotState> slots, Submission job) {
+  private static double cheapest(List<MachineKindState> slots, Submission job) {
     return slots.stream()
         .filter(s -> s.type().suits(job) && (job.spot() || !s.spot()))
-        .mapToDouble(Floors::perCpu)
+        .mapToDouble(CapacityFloors::perCpu)
         .min()
         .orElse(0);
   }
--- a/src/main/java/dapplestair/planning/Entries.java
+++ b/src/main/java/dapplestair/planning/DryRunEntries.java
@@ -1,8 +1,8 @@
 package dapplestair.planning;
 
-import dapplestair.placement.Estimates;
+import dapplestair.placement.RuntimeEstimates;
 import dapplestair.planning.FleetProblem.DryTasks;
-import dapplestair.planning.FleetProblem.SlotState;
+import dapplestair.planning.FleetProblem.MachineKindState;
 import dapplestair.work.Submission;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -15,17 +15,17 @@
  * many small jobs that are alike: hundreds of services, or a swarm of single tasks, would otherwise
  * take all entries, and the plan would rent nothing for the arrays behind them.
  */
-final class Entries {
+final class DryRunEntries {
   private static final int MOST = 200;
 
   /** Tasks of one job that wait, or are expected in {@code arrivesS} seconds. */
-  record Pending(Submission job, int count, double slackS, double arrivesS) {}
+  record PendingTasks(Submission job, int count, double slackS, double arrivesS) {}
 
-  private final List<SlotState> slots;
+  private final List<MachineKindState> slots;
   private final double laneCpus;
   private final double aheadS;
   private final double serviceS;
-  private final Estimates estimates;
+  private final RuntimeEstimates estimates;
 
   /**
    * Entries over these variables.
@@ -33,8 +33,12 @@
    * @param aheadS how far ahead work is expected
    * @param serviceS what a service counts as running
    */
-  Entries(
-      List<SlotState> slots, double laneCpus, double aheadS, double serviceS, Estimates estimates) {
+  DryRunEntries(
+      List<MachineKindState> slots,
+      double laneCpus,
+      double aheadS,
+      double serviceS,
+      RuntimeEstimates estimates) {
     this.slots = slots;
     this.laneCpus = laneCpus;
     this.aheadS = aheadS;
@@ -42,14 +46,14 @@
     this.estimates = estimates;
   }
 
-  List<DryTasks> of(List<Pending> pending) {
-    List<Pending> ordered = new ArrayList<>(pending);
-    ordered.sort(Comparator.comparingDouble(Pending::slackS));
-    Map<Object, Alike> entries = new LinkedHashMap<>();
-    for (Pending p : ordered) {
+  List<DryTasks> of(List<PendingTasks> pending) {
+    List<PendingTasks> ordered = new ArrayList<>(pending);
+    ordered.sort(Comparator.comparingDouble(PendingTasks::slackS));
+    Map<Object, SimilarJobs> entries = new LinkedHashMap<>();
+    for (PendingTasks p : ordered) {
       Object like = small(p.job()) ? traits(p) : p;
       if (entries.size() < MOST || entries.containsKey(like)) {
-        entries.computeIfAbsent(like, l -> new Alike(p.job())).add(p);
+        entries.computeIfAbsent(like, l -> new SimilarJobs(p.job())).add(p);
       }
     }
     return entries.values().stream().map(this::dryTasks).toList();
@@ -63,7 +67,7 @@
   private record Traits(
       List<String> types, boolean spot, boolean service, int lanes, int run, int image, int due) {}
 
-  private Traits traits(Pending pending) {
+  private Traits traits(PendingTasks pending) {
     Submission submission = pending.job();
     return new Traits(
         submission.types(),
@@ -81,28 +85,28 @@
   }
 
   /** Jobs that are one entry. */
-  private static final class Alike {
+  private static final class SimilarJobs {
     final Submission first;
     int jobs;
     int count;
     double arrivesS;
 
-    Alike(Submission first) {
+    SimilarJobs(Submission first) {
       this.first = first;
     }
 
-    void add(Pending pending) {
+    void add(PendingTasks pending) {
       jobs++;
       count += pending.count();
       arrivesS += pending.arrivesS();
     }
   }
 
-  private DryTasks dryTasks(Alike of) {
+  private DryTasks dryTasks(SimilarJobs of) {
     Submission submission = of.first;
     boolean[] allowed = new boolean[slots.size()];
     for (int i = 0; i < allowed.length; i++) {
-      SlotState slot = slots.get(i);
+      MachineKindState slot = slots.get(i);
       allowed[i] = slot.type().suits(submission) && (submission.spot() || !slot.spot());
     }
     return new DryTasks(
--- a/src/main/java/dapplestair/planning/FleetProblem.java
+++ b/src/main/java/dapplestair/planning/FleetProblem.java
@@ -14,7 +14,8 @@
  * @param laneCpus CPUs that one lane of the dry run stands for
  * @param budget most that a plan may cost per hour
  */
-record FleetProblem(List<SlotState> slots, List<DryTasks> tasks, double laneCpus, double budget)
+record FleetProblem(
+    List<MachineKindState> slots, List<DryTasks> tasks, double laneCpus, double budget)
     implements Nsga2.Problem {
 
   // How much longer a job counts as taking when a plan has no place at all for one of its tasks.
@@ -30,12 +31,12 @@
    * @param price highest price of the last minute
    * @param takeBack chance that a machine is taken back within a window
    */
-  record SlotState(
+  record MachineKindState(
       MachineType type,
       boolean spot,
       int least,
       int most,
-      HeldLanes held,
+      HeldTaskSlots held,
       int up,
       double price,
       double takeBack) {}
@@ -74,12 +75,12 @@
 
   @Override
   public double[] lower() {
-    return slots.stream().mapToDouble(SlotState::least).toArray();
+    return slots.stream().mapToDouble(MachineKindState::least).toArray();
   }
 
   @Override
   public double[] upper() {
-    return slots.stream().mapToDouble(SlotState::most).toArray();
+    return slots.stream().mapToDouble(MachineKindState::most).toArray();
   }
 
   /**
@@ -94,9 +95,9 @@
     }
     Integer[] order = new Integer[x.length];
     Arrays.setAll(order, i -> i);
-    Arrays.sort(order, Comparator.comparingDouble(i -> Floors.perCpu(slots.get(i))));
+    Arrays.sort(order, Comparator.comparingDouble(i -> CapacityFloors.perCpu(slots.get(i))));
     for (int i : order) {
-      SlotState slot = slots.get(i);
+      MachineKindState slot = slots.get(i);
       double more = Math.min(slot.most() - x[i], Math.ceil(need / slot.type().cpus()));
       if (more > 0) {
         x[i] += more;
@@ -118,7 +119,7 @@
     double risk = 0;
     int machines = 0;
     for (int i = 0; i < n.length; i++) {
-      SlotState slot = slots.get(i);
+      MachineKindState slot = slots.get(i);
       machines += n[i];
       spend += n[i] * slot.price();
       if (slot.spot()) {
@@ -139,9 +140,9 @@
    * more than a few.
    */
   double makespan(int[] n) {
-    FreeLanes[] free = new FreeLanes[n.length];
+    FreeTaskSlots[] free = new FreeTaskSlots[n.length];
     for (int i = 0; i < n.length; i++) {
-      SlotState slot = slots.get(i);
+      MachineKindState slot = slots.get(i);
       int perMachine = Math.max(1, (int) Math.floor(slot.type().cpus() / laneCpus + 1e-9));
       free[i] = slot.held().free(n[i], perMachine, slot.type().bootS());
     }
@@ -154,7 +155,7 @@
     return jobs == 0 ? 0 : sum / jobs;
   }
 
-  private double makespan(DryTasks dryTasks, int[] n, FreeLanes[] free) {
+  private double makespan(DryTasks dryTasks, int[] n, FreeTaskSlots[] free) {
     double longest = 0;
     double sum = 0;
     for (int left = dryTasks.count(); left > 0; ) {
@@ -187,7 +188,7 @@
     return dryTasks.jobs() == 1 ? longest : sum / dryTasks.count();
   }
 
-  private static double fetchS(DryTasks dryTasks, SlotState slot, double start) {
+  private static double fetchS(DryTasks dryTasks, MachineKindState slot, double start) {
     return start > 0 || slot.up() == 0 ? dryTasks.fetchGb() / slot.type().fetchGbPerS() : 0;
   }
 }
--- a/src/main/java/dapplestair/planning/FreeLanes.java
+++ b/src/main/java/dapplestair/planning/FreeTaskSlots.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** Lanes of one slot in a dry run: how many become free when, in order of time. */
-final class FreeLanes {
+final class FreeTaskSlots {
   private double[] at = new double[48];
   private int[] lanes = new int[48];
   private int size;
--- a/src/main/java/dapplestair/planning/HeldLanes.java
+++ b/src/main/java/dapplestair/planning/HeldTaskSlots.java
@@ -8,7 +8,7 @@
  * evaluation does not grow with the fleet: times are rounded up to a few edges, and for every
  * number of machines the lanes free at each edge are known beforehand.
  */
-final class HeldLanes {
+final class HeldTaskSlots {
   private static final int EDGES = 32;
 
   /** Lanes that services occupy count as free only after this. */
@@ -23,7 +23,7 @@
    * @param freeAtS for each machine, when each of its lanes is free, from now
    * @param horizonS the last moment to tell apart from for ever
    */
-  HeldLanes(List<double[]> freeAtS, double horizonS) {
+  HeldTaskSlots(List<double[]> freeAtS, double horizonS) {
     edges = new double[EDGES];
     for (int i = 0; i < EDGES - 1; i++) {
       // Finer near now, where plans differ most.
@@ -55,8 +55,8 @@
   /**
    * The lanes of the first {@code count} machines, and of new ones that are up after {@code bootS}.
    */
-  FreeLanes free(int count, int lanesPerMachine, double bootS) {
-    FreeLanes out = new FreeLanes();
+  FreeTaskSlots free(int count, int lanesPerMachine, double bootS) {
+    FreeTaskSlots out = new FreeTaskSlots();
     int held = Math.min(count, machines());
     for (int e = 0; e < EDGES; e++) {
       out.add(edges[e], firstMachines[held][e]);
--- a/src/main/java/dapplestair/planning/ZoneDemand.java
+++ b/src/main/java/dapplestair/planning/ZoneDemand.java
@@ -1,7 +1,7 @@
 package dapplestair.planning;
 
 import dapplestair.fleet.Fleet;
-import dapplestair.fleet.Slot;
+import dapplestair.fleet.MachineKind;
 import dapplestair.ledger.Job;
 import dapplestair.ledger.Ledger;
 import dapplestair.machines.MachineType;
@@ -29,10 +29,10 @@
    *
    * @param overdue the job has lacked them for longer than one boots
    */
-  record Shortage(Slot slot, String zone, int machines, boolean overdue) {}
+  record Shortage(MachineKind slot, String zone, int machines, boolean overdue) {}
 
   /** What a machine that is up, booting or being rented still has for the jobs looked at. */
-  private static final class Room {
+  private static final class FreeCapacity {
     final String zone;
     final MachineType type;
     final boolean spot;
@@ -40,7 +40,8 @@
     double memoryGb;
     double gpus;
 
-    Room(String zone, MachineType type, boolean spot, double cpus, double memoryGb, double gpus) {
+    FreeCapacity(
+        String zone, MachineType type, boolean spot, double cpus, double memoryGb, double gpus) {
       this.zone = zone;
       this.type = type;
       this.spot = spot;
@@ -49,8 +50,8 @@
       this.gpus = gpus;
     }
 
-    static Room of(Host host) {
-      return new Room(
+    static FreeCapacity of(Host host) {
+      return new FreeCapacity(
           host.zone(),
           host.type(),
           host.spot(),
@@ -59,8 +60,8 @@
           host.gpusFree());
     }
 
-    static Room empty(String zone, MachineType type, boolean spot) {
-      return new Room(zone, type, spot, type.cpus(), type.memoryGb(), type.gpus());
+    static FreeCapacity empty(String zone, MachineType type, boolean spot) {
+      return new FreeCapacity(zone, type, spot, type.cpus(), type.memoryGb(), type.gpus());
     }
 
     /** Takes up to {@code most} tasks of the job; returns how many. */
@@ -100,7 +101,7 @@
     waitedFor.clear();
     List<Shortage> out = new ArrayList<>();
     Set<String> lacking = new HashSet<>();
-    List<Room> rooms = null;
+    List<FreeCapacity> rooms = null;
     for (Job job : ledger.jobs()) {
       int tasks = waitingInOneZone(job);
       if (tasks == 0) {
@@ -108,10 +109,10 @@
       }
       waitedFor.add(job.spec().zone());
       rooms = rooms == null ? rooms() : rooms;
-      for (Room room : rooms) {
+      for (FreeCapacity room : rooms) {
         tasks -= room.take(job.spec(), tasks);
       }
-      Slot slot = tasks > 0 ? cheapest(job.spec()) : null;
+      MachineKind slot = tasks > 0 ? cheapest(job.spec()) : null;
       if (slot != null) {
         lacking.add(job.spec().ref());
         out.add(shortage(job.spec(), slot, tasks, rooms));
@@ -139,21 +140,22 @@
     return Math.min(job.wanted(clock.now()), ledger.teamRoom(job.spec(), false));
   }
 
-  private List<Room> rooms() {
-    List<Room> out = new ArrayList<>();
+  private List<FreeCapacity> rooms() {
+    List<FreeCapacity> out = new ArrayList<>();
     for (Host host : desk.hosts()) {
       boolean ofUse =
-          host.type() != null && fleet.counts(host, new Slot(host.type().name(), host.spot()));
+          host.type() != null
+              && fleet.counts(host, new MachineKind(host.type().name(), host.spot()));
       if (ofUse && (!host.up() || !host.closed())) {
-        out.add(Room.of(host));
+        out.add(FreeCapacity.of(host));
       }
     }
     for (MachineType type : types.all()) {
       for (String zone : type.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
-          int coming = fleet.pendingIn(new Slot(type.name(), spot), zone);
+          int coming = fleet.pendingIn(new MachineKind(type.name(), spot), zone);
           for (int i = 0; i < coming; i++) {
-            out.add(Room.empty(zone, type, spot));
+            out.add(FreeCapacity.empty(zone, type, spot));
           }
         }
       }
@@ -162,12 +164,12 @@
   }
 
   /** The slot that costs least a CPU, of those in which the zone may have more; null if none. */
-  private Slot cheapest(Submission submission) {
-    Slot best = null;
+  private MachineKind cheapest(Submission submission) {
+    MachineKind best = null;
     double least = Double.POSITIVE_INFINITY;
     for (MachineType type : types.all()) {
       for (boolean spot : new boolean[] {true, false}) {
-        Slot slot = new Slot(type.name(), spot);
+        MachineKind slot = new MachineKind(type.name(), spot);
         double perCpu = fleet.market().price(type, spot) / type.cpus();
         boolean allowed = type.suits(submission) && (submission.spot() || !spot);
         if (allowed && perCpu < least && fleet.mayRentIn(slot, submission.zone())) {
@@ -180,11 +182,12 @@
   }
 
   /** What machines would do for so many tasks; they are room for the jobs looked at next. */
-  private Shortage shortage(Submission submission, Slot slot, int tasks, List<Room> rooms) {
+  private Shortage shortage(
+      Submission submission, MachineKind slot, int tasks, List<FreeCapacity> rooms) {
     MachineType type = types.get(slot.type());
     int machines = 0;
     for (int left = tasks; left > 0; machines++) {
-      Room room = Room.empty(submission.zone(), type, slot.spot());
+      FreeCapacity room = FreeCapacity.empty(submission.zone(), type, slot.spot());
       left -= Math.max(1, room.take(submission, left));
       rooms.add(room);
     }
--- a/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
+++ b/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
@@ -2,7 +2,7 @@
 
 import dapplestair.drain.Drains;
 import dapplestair.events.Events;
-import dapplestair.fleet.Slot;
+import dapplestair.fleet.MachineKind;
 import dapplestair.leadership.GuardedWriter;
 import dapplestair.leadership.Leadership;
 import dapplestair.machines.MachineTypes;
@@ -44,7 +44,7 @@
   private final StepHealthCheck healthCheck;
   private final SurgeCapacity room;
   private final Map<String, ReplacementState> orders;
-  private final ToIntFunction<Slot> extra;
+  private final ToIntFunction<MachineKind> extra;
   private final Runnable changed;
   private long leadingSince;
   private boolean lags;
@@ -62,7 +62,7 @@
       StepHealthCheck healthCheck,
       SurgeCapacity room,
       Map<String, ReplacementState> orders,
-      ToIntFunction<Slot> extra,
+      ToIntFunction<MachineKind> extra,
       Runnable changed) {
     this.clock = clock;
     this.settings = settings;
--- a/src/main/java/dapplestair/replacement/ReplacementTargets.java
+++ b/src/main/java/dapplestair/replacement/ReplacementTargets.java
@@ -1,7 +1,7 @@
 package dapplestair.replacement;
 
 import dapplestair.disruption.DisruptionGate;
-import dapplestair.fleet.Slot;
+import dapplestair.fleet.MachineKind;
 import dapplestair.ports.Clock;
 import dapplestair.workers.Host;
 import dapplestair.workers.WorkerManager;
@@ -27,8 +27,8 @@
     this.disruption = disruption;
   }
 
-  static Slot slot(Host host) {
-    return new Slot(host.type().name(), host.spot());
+  static MachineKind slot(Host host) {
+    return new MachineKind(host.type().name(), host.spot());
   }
 
   private long rentedWall(Host host) {
@@ -100,9 +100,9 @@
   }
 
   /** How many there are of each kind. */
-  static Map<Slot, Integer> bySlot(Collection<Host> machines) {
-    Map<Slot, Integer> out =
-        new TreeMap<>(Comparator.comparing(Slot::type).thenComparing(Slot::spot));
+  static Map<MachineKind, Integer> bySlot(Collection<Host> machines) {
+    Map<MachineKind, Integer> out =
+        new TreeMap<>(Comparator.comparing(MachineKind::type).thenComparing(MachineKind::spot));
     // Of one that is known by its attempts alone nobody can say of what kind it is.
     machines.stream()
         .filter(h -> h.type() != null)
--- a/src/main/java/dapplestair/replacement/Replacements.java
+++ b/src/main/java/dapplestair/replacement/Replacements.java
@@ -6,7 +6,7 @@
 import dapplestair.drain.Drain;
 import dapplestair.drain.Drains;
 import dapplestair.events.Events;
-import dapplestair.fleet.Slot;
+import dapplestair.fleet.MachineKind;
 import dapplestair.leadership.Leadership;
 import dapplestair.leadership.TermTimers;
 import dapplestair.machines.MachineTypes;
@@ -197,13 +197,14 @@
    * that are being emptied are no room and not counted as held, but they are still there: what
    * takes their place must not come up before they are gone, but for as many as may be beyond.
    */
-  public int extra(Slot slot) {
+  public int extra(MachineKind slot) {
     int extra = 0;
     for (ReplacementState running : orders.values()) {
       if (running.progress.phase() == Phase.CHOOSE || running.progress.phase() == Phase.DONE) {
         continue;
       }
-      Map<Slot, Integer> left = ReplacementTargets.bySlot(machines.left(running.progress.batch()));
+      Map<MachineKind, Integer> left =
+          ReplacementTargets.bySlot(machines.left(running.progress.batch()));
       int mine = left.getOrDefault(slot, 0);
       // Where a replica has no place to go, all that may be beyond is: the next comes in the zone
       // that has fewest.
--- a/src/main/java/dapplestair/replacement/SurgeCapacity.java
+++ b/src/main/java/dapplestair/replacement/SurgeCapacity.java
@@ -1,10 +1,10 @@
 package dapplestair.replacement;
 
 import dapplestair.fleet.Fleet;
-import dapplestair.fleet.Slot;
+import dapplestair.fleet.MachineKind;
 import dapplestair.machines.MachineType;
 import dapplestair.machines.MachineTypes;
-import dapplestair.planning.Planning;
+import dapplestair.planning.Autoscaler;
 import dapplestair.workers.Host;
 import dapplestair.workers.WorkerManager;
 import java.util.Map;
@@ -18,10 +18,10 @@
   private final WorkerManager desk;
   private final Fleet fleet;
   private final MachineTypes types;
-  private final Planning planning;
+  private final Autoscaler planning;
 
   /** Beside what {@code planning} holds. */
-  public SurgeCapacity(WorkerManager desk, Fleet fleet, MachineTypes types, Planning planning) {
+  public SurgeCapacity(WorkerManager desk, Fleet fleet, MachineTypes types, Autoscaler planning) {
     this.desk = desk;
     this.fleet = fleet;
     this.types = types;
@@ -29,8 +29,8 @@
   }
 
   /** How many of {@code beyond} machines the budget pays for beside the plan. */
-  int affords(Map<Slot, Integer> batch, int beyond) {
-    Planning.Applied plan = planning.applied();
+  int affords(Map<MachineKind, Integer> batch, int beyond) {
+    Autoscaler.AppliedPlan plan = planning.applied();
     if (plan == null) {
       return 0;
     }
@@ -39,7 +39,7 @@
       return beyond;
     }
     int count = 0;
-    for (Map.Entry<Slot, Integer> entry : batch.entrySet()) {
+    for (Map.Entry<MachineKind, Integer> entry : batch.entrySet()) {
       MachineType type = types.get(entry.getKey().type());
       double price = type == null ? Double.POSITIVE_INFINITY : type.price(entry.getKey().spot());
       for (int i = share(batch, entry.getKey(), beyond); i > 0 && left >= price; i--) {
@@ -51,9 +51,9 @@
   }
 
   /** How many of {@code beyond} fall to one kind: in order, as many as there are old ones of it. */
-  int share(Map<Slot, Integer> batch, Slot slot, int beyond) {
+  int share(Map<MachineKind, Integer> batch, MachineKind slot, int beyond) {
     int rest = beyond;
-    for (Map.Entry<Slot, Integer> entry : batch.entrySet()) {
+    for (Map.Entry<MachineKind, Integer> entry : batch.entrySet()) {
       int count = Math.min(rest, entry.getValue());
       if (entry.getKey().equals(slot)) {
         return count;
@@ -71,7 +71,7 @@
     if (stuck.type() == null) {
       return false;
     }
-    Slot slot = ReplacementTargets.slot(stuck);
+    MachineKind slot = ReplacementTargets.slot(stuck);
     for (Host host : desk.hosts()) {
       if (host.up()
           && host.idle()
@@ -91,12 +91,12 @@
   }
 
   /** True when all that plan and order want is up and heard. */
-  boolean ready(Map<Slot, Integer> batch, ToIntFunction<Slot> extra) {
-    Planning.Applied plan = planning.applied();
+  boolean ready(Map<MachineKind, Integer> batch, ToIntFunction<MachineKind> extra) {
+    Autoscaler.AppliedPlan plan = planning.applied();
     if (plan == null) {
       return false;
     }
-    for (Slot slot : batch.keySet()) {
+    for (MachineKind slot : batch.keySet()) {
       int up = 0;
       for (Host host : desk.hosts()) {
         up += fleet.counts(host, slot) && host.acknowledged() && desk.fresh(host) ? 1 : 0;
--- a/src/test/java/dapplestair/fleet/SupplyTest.java
+++ b/src/test/java/dapplestair/fleet/CapacityEstimatorTest.java
@@ -13,16 +13,16 @@
  * What the cloud has shown to give, beside rentals that are under way
  * (docs/incidents/cold-burst.md).
  */
-class SupplyTest {
-  private static final CapacityPool POOL = new CapacityPool(new Slot("t8", true), "a");
+class CapacityEstimatorTest {
+  private static final CapacityPool POOL = new CapacityPool(new MachineKind("t8", true), "a");
   private static final long BELIEVED_MS = 15_000;
 
   private long now;
   private int held;
   private int pending;
   private final MachineTypes types = new MachineTypes();
-  private final Supply supply =
-      new Supply(
+  private final CapacityEstimator supply =
+      new CapacityEstimator(
           new Clock() {
             @Override
             public long now() {
--- a/src/test/java/dapplestair/fleet/MarketTest.java
+++ b/src/test/java/dapplestair/fleet/SpotHistoryTest.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class MarketTest {
+class SpotHistoryTest {
   private long now;
-  private final Market market =
-      new Market(
+  private final SpotHistory market =
+      new SpotHistory(
           new Clock() {
             @Override
             public long now() {
@@ -41,6 +41,6 @@
 
   @Test
   void nothingTakenNoChance() {
-    assertEquals(0, market.takeBackChance(new Slot("t8", true), 60_000, 10));
+    assertEquals(0, market.takeBackChance(new MachineKind("t8", true), 60_000, 10));
   }
 }
--- a/src/test/java/dapplestair/planning/EntriesTest.java
+++ b/src/test/java/dapplestair/planning/DryRunEntriesTest.java
@@ -5,14 +5,14 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplestair.json.Json;
-import dapplestair.placement.Estimates;
+import dapplestair.placement.RuntimeEstimates;
 import dapplestair.planning.FleetProblem.DryTasks;
 import dapplestair.work.Submission;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class EntriesTest {
+class DryRunEntriesTest {
   private static Submission job(int i, String shape, int steps, double cpus, double guessS)
       throws Submission.InvalidSubmissionException {
     ObjectNode o =
@@ -40,17 +40,20 @@
   /** Found on a day whose first plans rented nothing for 8,000 tasks behind 289 services. */
   @Test
   void manySmallJobsHideNoArray() throws Submission.InvalidSubmissionException {
-    List<Entries.Pending> pending = new ArrayList<>();
+    List<DryRunEntries.PendingTasks> pending = new ArrayList<>();
     for (int i = 0; i < 400; i++) {
-      pending.add(new Entries.Pending(job(i, "daemon", 3, 1, 0), 3, 60, 0));
+      pending.add(new DryRunEntries.PendingTasks(job(i, "daemon", 3, 1, 0), 3, 60, 0));
     }
     for (int i = 0; i < 900; i++) {
-      pending.add(new Entries.Pending(job(1000 + i, "sweep", 1, 0.25, 100 + i % 3), 1, 50, 0));
+      pending.add(
+          new DryRunEntries.PendingTasks(job(1000 + i, "sweep", 1, 0.25, 100 + i % 3), 1, 50, 0));
     }
     for (int i = 0; i < 30; i++) {
-      pending.add(new Entries.Pending(job(3000 + i, "sweep", 90, 4, 40), 90, 200 + i, 0));
+      pending.add(
+          new DryRunEntries.PendingTasks(job(3000 + i, "sweep", 90, 4, 40), 90, 200 + i, 0));
     }
-    List<DryTasks> entries = new Entries(List.of(), 2, 15, 60, new Estimates()).of(pending);
+    List<DryTasks> entries =
+        new DryRunEntries(List.of(), 2, 15, 60, new RuntimeEstimates()).of(pending);
     assertEquals(30, entries.stream().filter(e -> e.count() == 90).count(), "arrays");
     assertEquals(
         400 * 3 + 900 + 30 * 90, entries.stream().mapToInt(DryTasks::count).sum(), "tasks");
--- a/src/test/java/dapplestair/planning/HeldLanesTest.java
+++ b/src/test/java/dapplestair/planning/HeldTaskSlotsTest.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class HeldLanesTest {
+class HeldTaskSlotsTest {
   private static List<double[]> machines(int n) {
     List<double[]> out = new ArrayList<>();
     for (int m = 0; m < n; m++) {
       double[] until = new double[16];
       for (int l = 0; l < 16; l++) {
-        until[l] = l < 4 ? HeldLanes.FOR_EVER_S : (m * 16 + l) % 97;
+        until[l] = l < 4 ? HeldTaskSlots.FOR_EVER_S : (m * 16 + l) % 97;
       }
       out.add(until);
     }
@@ -22,7 +22,7 @@
 
   @Test
   void countsTheLanesOfTheFirstMachines() {
-    HeldLanes held = new HeldLanes(machines(40), 100);
+    HeldTaskSlots held = new HeldTaskSlots(machines(40), 100);
     assertEquals(16 * 25, held.free(25, 16, 30).total());
     assertEquals(16 * 50, held.free(50, 16, 30).total());
     assertEquals(12 * 25, held.free(25, 16, 30).freeBy(100));
@@ -30,8 +30,8 @@
 
   @Test
   void roundsUpOnly() {
-    HeldLanes held = new HeldLanes(List.of(new double[] {7.3, 0}), 100);
-    FreeLanes free = held.free(1, 2, 30);
+    HeldTaskSlots held = new HeldTaskSlots(List.of(new double[] {7.3, 0}), 100);
+    FreeTaskSlots free = held.free(1, 2, 30);
     assertEquals(0, free.start(1));
     assertTrue(free.start(2) >= 7.3 && free.start(2) < 15, "free at " + free.start(2));
   }
@@ -40,7 +40,7 @@
   @Test
   void momentsStayFewHoweverManyMachines() {
     for (int n : new int[] {10, 100, 1500}) {
-      FreeLanes free = new HeldLanes(machines(n), 100).free(n + 10, 16, 30);
+      FreeTaskSlots free = new HeldTaskSlots(machines(n), 100).free(n + 10, 16, 30);
       int moments = 0;
       while (free.total() > 0 && free.start(1) < Double.POSITIVE_INFINITY && moments < 1000) {
         free.remove(free.freeBy(free.start(1)));
@@ -52,7 +52,7 @@
 
   @Test
   void occupiesWhatIsFreeFirst() {
-    FreeLanes free = new FreeLanes();
+    FreeTaskSlots free = new FreeTaskSlots();
     free.add(0, 4);
     free.add(10, 4);
     free.occupy(6, 50);
--- a/src/test/java/dapplestair/planning/PlansHoldTest.java
+++ b/src/test/java/dapplestair/planning/PlanStabilityTest.java
@@ -13,20 +13,21 @@
 import org.junit.jupiter.api.Test;
 
 /** The same demand gets the same plan, whatever chance the search has; other demand another. */
-class PlansHoldTest {
+class PlanStabilityTest {
   private static final double INERTIA = 0.05;
   private static final double[] WEIGHTS = {2.1, 1, 0.5};
 
-  private static FleetProblem.SlotState slot(String name, double cpus, boolean spot, double price) {
+  private static FleetProblem.MachineKindState slot(
+      String name, double cpus, boolean spot, double price) {
     MachineType t =
         new MachineType(name, cpus, 0, 64, 50, 1, price, price / 2, 25, List.of("a", "b"));
-    return new FleetProblem.SlotState(
-        t, spot, spot ? 0 : 5, 400, new HeldLanes(List.of(), 50), 0, price, spot ? 0.1 : 0);
+    return new FleetProblem.MachineKindState(
+        t, spot, spot ? 0 : 5, 400, new HeldTaskSlots(List.of(), 50), 0, price, spot ? 0.1 : 0);
   }
 
   /** Eight variables and as many arrays as are asked for. */
   private static FleetProblem problem(int jobs) {
-    List<FleetProblem.SlotState> slots = new ArrayList<>();
+    List<FleetProblem.MachineKindState> slots = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       double cpus = 8 << (i % 3);
       slots.add(slot("t" + i, cpus, false, cpus * (0.04 + 0.004 * i)));
@@ -48,7 +49,7 @@
     for (int round = 0; round < 25; round++) {
       List<double[]> seeds = new ArrayList<>(List.of(problem.lower()));
       if (standing) {
-        Planning.addShares(problem, seeds);
+        Autoscaler.addShares(problem, seeds);
         if (last != null) {
           seeds.add(last);
         }
@@ -87,7 +88,7 @@
 
   private static double[] chosen(FleetProblem problem, double[] last) {
     List<double[]> seeds = new ArrayList<>(List.of(problem.lower()));
-    Planning.addShares(problem, seeds);
+    Autoscaler.addShares(problem, seeds);
     if (last != null) {
       seeds.add(last);
     }
