--- a/src/main/java/dapplestair/cli/DaemonCommand.java
+++ b/src/main/java/dapplestair/cli/DaemonCommand.java
@@ -1,8 +1,8 @@
 package dapplestair.cli;
 
+import dapplestair.daemon.ControllerRegistration;
 import dapplestair.daemon.DaemonSettings;
 import dapplestair.daemon.Emulation;
-import dapplestair.daemon.Registration;
 import dapplestair.settings.OperatorSettings;
 import dapplestair.settings.OperatorSettingsLoader;
 import dapplestair.settings.Settings.Address;
@@ -85,7 +85,7 @@
         ControllerServer.start(settings.controller(users, endpoint), operator);
     ShutdownHook.onSignal(running::stop);
     String userEndpoint = users.host() + ":" + running.userPort();
-    Registration.repeat(running.loop(), endpoint, userEndpoint);
+    ControllerRegistration.repeat(running.loop(), endpoint, userEndpoint);
     while (!running.await(READY_WITHIN_MS)) {
       System.err.println("dapplestair: still waiting for state service and cloud at " + endpoint);
     }
--- a/src/main/java/dapplestair/daemon/Registration.java
+++ b/src/main/java/dapplestair/daemon/ControllerRegistration.java
@@ -5,10 +5,10 @@
 import dapplestair.netty.HttpPool;
 
 /** Tells the emulated workers where the controller is, again and again: they may start anew. */
-public final class Registration {
+public final class ControllerRegistration {
   private static final long EVERY_MS = 1000;
 
-  private Registration() {}
+  private ControllerRegistration() {}
 
   /** Begins; goes on while the loop does. */
   public static void repeat(ControllerEventLoop loop, String outside, String endpoint) {
--- a/src/main/java/dapplestair/daemon/DaemonSettings.java
+++ b/src/main/java/dapplestair/daemon/DaemonSettings.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-import dapplestair.emulator.Shape;
+import dapplestair.emulator.EmulatorSettings;
 import dapplestair.json.Json;
 import dapplestair.settings.Settings;
 import dapplestair.settings.Settings.Address;
@@ -31,7 +31,7 @@
     Address admin,
     Address outside,
     long seed,
-    Shape shape,
+    EmulatorSettings shape,
     Map<String, Settings.Team> teams,
     List<Settings.Objective> objectives,
     Settings.Workers workers,
@@ -131,12 +131,12 @@
         cloud);
   }
 
-  private static Shape shape(
+  private static EmulatorSettings shape(
       Fields top, Settings.Workers workers, Settings.Cloud cloud, Settings.State state)
       throws SettingsException {
     Fields cluster = top.table("cluster");
     cluster.only("zones", "per_zone", "never_boots");
-    return new Shape(
+    return new EmulatorSettings(
         machines(top),
         cluster.names("zones", List.of("a", "b", "c")),
         (int) cluster.number("per_zone", 20, 1, 10_000),
@@ -150,8 +150,8 @@
         10_000);
   }
 
-  private static List<Shape.Machine> machines(Fields top) throws SettingsException {
-    List<Shape.Machine> out = new ArrayList<>();
+  private static List<EmulatorSettings.MachineSpec> machines(Fields top) throws SettingsException {
+    List<EmulatorSettings.MachineSpec> out = new ArrayList<>();
     for (Fields fields : top.tables("machines")) {
       fields.only(
           "name",
@@ -165,7 +165,7 @@
           "boot_s");
       double price = fields.number("price", 1, 0, MOST);
       out.add(
-          new Shape.Machine(
+          new EmulatorSettings.MachineSpec(
               fields.text("name"),
               fields.number("cpus", 8, 0.1, MOST),
               fields.number("gpus", 0, 0, MOST),
@@ -177,7 +177,7 @@
               fields.number("boot_s", 1, 0.1, MOST)));
     }
     return out.isEmpty()
-        ? List.of(new Shape.Machine("m8", 8, 0, 32, 50, 1, 1, 0.4, 1))
+        ? List.of(new EmulatorSettings.MachineSpec("m8", 8, 0, 32, 50, 1, 1, 0.4, 1))
         : List.copyOf(out);
   }
 
--- a/src/main/java/dapplestair/daemon/Emulation.java
+++ b/src/main/java/dapplestair/daemon/Emulation.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dapplestair.emulator.Directory;
+import dapplestair.emulator.ControllerDirectory;
 import dapplestair.emulator.EmulatedCloud;
 import dapplestair.emulator.EmulatedState;
 import dapplestair.emulator.EmulatedTask;
@@ -27,7 +27,7 @@
  * {@code /emulator/} are for whoever runs it: controllers are made known there, and what truly runs
  * on the machines can be read.
  */
-public final class Emulation implements AutoCloseable, Directory {
+public final class Emulation implements AutoCloseable, ControllerDirectory {
   private static final String OWN = "/emulator/";
   private static final String CONTROLLERS = OWN + "controllers/";
   private static final int MOST_CONNECTIONS = 4000;
@@ -42,8 +42,8 @@
   /** Everything as the settings say; nothing is served before {@link #start}. */
   public Emulation(DaemonSettings settings) {
     HttpPool http = new HttpPool(loop, CALLS_A_PLACE, settings.shape().reportMs() / 4);
-    Loopback world =
-        new Loopback(
+    LoopbackEnvironment world =
+        new LoopbackEnvironment(
             loop,
             http,
             settings.seed() == 0
@@ -90,7 +90,7 @@
       boolean forCloud =
           exchange.path().equals("/machine_types") || exchange.path().startsWith("/rentals");
       RequestHandler place = forCloud ? cloud : state;
-      Wire.hand(exchange, place);
+      EmulatorHttpAdapter.hand(exchange, place);
     }
   }
 
--- a/src/main/java/dapplestair/daemon/Wire.java
+++ b/src/main/java/dapplestair/daemon/EmulatorHttpAdapter.java
@@ -4,8 +4,8 @@
 import dapplestair.ports.Exchange;
 
 /** Hands a request of a socket to an emulated place. */
-final class Wire {
-  private Wire() {}
+final class EmulatorHttpAdapter {
+  private EmulatorHttpAdapter() {}
 
   static void hand(Exchange exchange, RequestHandler place) {
     String path =
--- a/src/main/java/dapplestair/daemon/Loopback.java
+++ b/src/main/java/dapplestair/daemon/LoopbackEnvironment.java
@@ -1,7 +1,7 @@
 package dapplestair.daemon;
 
+import dapplestair.emulator.EmulatorEnvironment;
 import dapplestair.emulator.RequestHandler;
-import dapplestair.emulator.Surroundings;
 import dapplestair.netty.ControllerEventLoop;
 import dapplestair.netty.HttpPool;
 import dapplestair.netty.HttpServer;
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Real time and real sockets on this machine for the emulated parts. */
-final class Loopback implements Surroundings {
-  private static final Logger LOG = LoggerFactory.getLogger(Loopback.class);
+final class LoopbackEnvironment implements EmulatorEnvironment {
+  private static final Logger LOG = LoggerFactory.getLogger(LoopbackEnvironment.class);
   private static final String HOST = "127.0.0.1";
   private static final int CONNECTIONS_A_MACHINE = 16;
   // A machine without power is silent. Past any lease nobody calls it any more.
@@ -28,7 +28,7 @@
   private final UniformRandomProvider random;
   private final Map<String, HttpServer> open = new HashMap<>();
 
-  Loopback(ControllerEventLoop loop, HttpPool http, UniformRandomProvider random) {
+  LoopbackEnvironment(ControllerEventLoop loop, HttpPool http, UniformRandomProvider random) {
     this.loop = loop;
     this.http = http;
     this.random = random;
@@ -67,7 +67,7 @@
   @Override
   public void open(String name, RequestHandler place, Consumer<String> opened) {
     HttpServer.Options options = HttpServer.Options.users(CONNECTIONS_A_MACHINE);
-    HttpServer server = new HttpServer(loop, options, x -> Wire.hand(x, place));
+    HttpServer server = new HttpServer(loop, options, x -> EmulatorHttpAdapter.hand(x, place));
     server.open(
         new Address(HOST, 0),
         port -> {
--- a/src/main/java/dapplestair/emulator/Directory.java
+++ b/src/main/java/dapplestair/emulator/ControllerDirectory.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** The controllers as the workers know them. */
-public interface Directory {
+public interface ControllerDirectory {
   /** Names of all, in a fixed order. */
   List<String> members();
 
--- a/src/main/java/dapplestair/emulator/ControllerSelector.java
+++ b/src/main/java/dapplestair/emulator/ControllerSelector.java
@@ -16,7 +16,7 @@
   }
 
   /** Any of them, to begin with. */
-  void any(Surroundings world) {
+  void any(EmulatorEnvironment world) {
     int controllers = members().size();
     node = controllers == 0 ? 0 : (int) world.between(0, controllers - 1);
   }
--- a/src/main/java/dapplestair/emulator/EmulatedCloud.java
+++ b/src/main/java/dapplestair/emulator/EmulatedCloud.java
@@ -22,10 +22,10 @@
   private static final long SNAPSHOT_MS = 500;
   private static final long QUICK_BOOT_MS = 2000;
 
-  private final Surroundings world;
-  private final Shape shape;
-  private final JobBook book;
-  private final Directory directory;
+  private final EmulatorEnvironment world;
+  private final EmulatorSettings shape;
+  private final SubmissionLookup book;
+  private final ControllerDirectory directory;
   private final TaskObserver observer;
   private final TreeMap<String, EmulatedWorker> machines = new TreeMap<>();
   private final Map<String, Long> rentedAt = new HashMap<>();
@@ -45,7 +45,11 @@
 
   /** A cloud without rented machines. */
   public EmulatedCloud(
-      Surroundings world, Shape shape, JobBook book, Directory directory, TaskObserver observer) {
+      EmulatorEnvironment world,
+      EmulatorSettings shape,
+      SubmissionLookup book,
+      ControllerDirectory directory,
+      TaskObserver observer) {
     this.world = world;
     this.shape = shape;
     this.book = book;
@@ -104,11 +108,11 @@
 
   // ---- for its machines ----
 
-  JobBook book() {
+  SubmissionLookup book() {
     return book;
   }
 
-  Directory directory() {
+  ControllerDirectory directory() {
     return directory;
   }
 
@@ -221,7 +225,7 @@
 
   private HttpReply rent(JsonNode in) {
     String name = in.path("rental").asText();
-    Shape.Machine type = shape.type(in.path("hull").asText());
+    EmulatorSettings.MachineSpec type = shape.type(in.path("hull").asText());
     int count = in.path("howMany").asInt();
     if (name.isEmpty() || type == null || count < 1 || count > 50) {
       return EmulatedState.json(400, Json.object().put("error", "malformed"));
@@ -244,7 +248,8 @@
     return EmulatedState.json(200, object);
   }
 
-  private List<String> make(Shape.Machine type, String zone, boolean spot, int count) {
+  private List<String> make(
+      EmulatorSettings.MachineSpec type, String zone, boolean spot, int count) {
     List<String> hosts = new ArrayList<>();
     for (int i = 0; i < count && room(type, zone, spot); i++) {
       String id = String.format("n-%06d", made++);
@@ -268,7 +273,7 @@
     return hosts;
   }
 
-  private long bootMs(Shape.Machine type) {
+  private long bootMs(EmulatorSettings.MachineSpec type) {
     if (quickBoots > 0 && world.chance(quickBoots)) {
       return world.between(QUICK_BOOT_MS / 8, QUICK_BOOT_MS);
     }
@@ -276,7 +281,7 @@
     return world.between(usualMs / 8, usualMs * 3 / 2);
   }
 
-  private boolean room(Shape.Machine type, String zone, boolean spot) {
+  private boolean room(EmulatorSettings.MachineSpec type, String zone, boolean spot) {
     long n =
         machines.values().stream()
             .filter(w -> !w.gone() && w.zone().equals(zone) && w.spot() == spot)
@@ -288,7 +293,7 @@
   private ObjectNode types() {
     ObjectNode object = Json.object();
     ArrayNode hulls = object.putArray("hulls");
-    for (Shape.Machine machine : shape.types()) {
+    for (EmulatorSettings.MachineSpec machine : shape.types()) {
       ObjectNode t =
           hulls
               .addObject()
--- a/src/main/java/dapplestair/emulator/EmulatedImages.java
+++ b/src/main/java/dapplestair/emulator/EmulatedImages.java
@@ -5,11 +5,11 @@
 
 /** The images on one machine: one fetch serves all tasks that need it. */
 final class EmulatedImages {
-  private final Surroundings world;
-  private final Shape.Machine type;
+  private final EmulatorEnvironment world;
+  private final EmulatorSettings.MachineSpec type;
   private final Map<String, Long> readyAt = new HashMap<>();
 
-  EmulatedImages(Surroundings world, Shape.Machine type) {
+  EmulatedImages(EmulatorEnvironment world, EmulatorSettings.MachineSpec type) {
     this.world = world;
     this.type = type;
   }
--- a/src/main/java/dapplestair/emulator/EmulatedState.java
+++ b/src/main/java/dapplestair/emulator/EmulatedState.java
@@ -26,8 +26,8 @@
 
   private static final long TICK_MS = 50;
 
-  private final Surroundings world;
-  private final Shape shape;
+  private final EmulatorEnvironment world;
+  private final EmulatorSettings shape;
   private final TreeMap<String, StoredValue> rows = new TreeMap<>();
   private final List<Change> changes = new ArrayList<>();
   private final Map<Long, Long> holdEnds = new HashMap<>();
@@ -45,7 +45,7 @@
   private String violation;
 
   /** An empty store. */
-  public EmulatedState(Surroundings world, Shape shape) {
+  public EmulatedState(EmulatorEnvironment world, EmulatorSettings shape) {
     this.world = world;
     this.shape = shape;
     this.writeLimit = new WriteLimit(shape.writeRps(), world.now());
--- a/src/main/java/dapplestair/emulator/EmulatedWorker.java
+++ b/src/main/java/dapplestair/emulator/EmulatedWorker.java
@@ -15,9 +15,9 @@
 public final class EmulatedWorker implements RequestHandler {
   private static final long LEASE_CHECK_MS = 200;
 
-  private final Surroundings world;
+  private final EmulatorEnvironment world;
   private final EmulatedCloud cloud;
-  private final Shape.Machine type;
+  private final EmulatorSettings.MachineSpec type;
   private final String id;
   private final String zone;
   private final boolean spot;
@@ -31,10 +31,10 @@
   private long recallAt = -1;
 
   EmulatedWorker(
-      Surroundings world,
+      EmulatorEnvironment world,
       EmulatedCloud cloud,
-      Shape shape,
-      Shape.Machine type,
+      EmulatorSettings shape,
+      EmulatorSettings.MachineSpec type,
       String id,
       String zone,
       boolean spot) {
--- a/src/main/java/dapplestair/emulator/Surroundings.java
+++ b/src/main/java/dapplestair/emulator/EmulatorEnvironment.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** Time, chance and the wire as the emulated parts meet them: the seeded world's or real ones. */
-public interface Surroundings extends Timers {
+public interface EmulatorEnvironment extends Timers {
   /** Milliseconds since some moment. */
   long now();
 
--- a/src/main/java/dapplestair/emulator/Shape.java
+++ b/src/main/java/dapplestair/emulator/EmulatorSettings.java
@@ -14,8 +14,8 @@
  * @param changesKept changes that may be asked for; older ones are 410
  * @param writeRps puts and deletes a second above which the state service answers 429, or infinity
  */
-public record Shape(
-    List<Machine> types,
+public record EmulatorSettings(
+    List<MachineSpec> types,
     List<String> zones,
     int perPlace,
     double neverBoots,
@@ -29,8 +29,8 @@
     double writeRps) {
 
   /** A world whose state service takes any number of writes. */
-  public Shape(
-      List<Machine> types,
+  public EmulatorSettings(
+      List<MachineSpec> types,
       List<String> zones,
       int perPlace,
       double neverBoots,
@@ -57,7 +57,7 @@
   }
 
   /** A machine type; prices are per hour. */
-  public record Machine(
+  public record MachineSpec(
       String name,
       double cpus,
       double gpus,
@@ -87,7 +87,7 @@
     }
   }
 
-  Machine type(String name) {
+  MachineSpec type(String name) {
     return types.stream().filter(t -> t.name().equals(name)).findFirst().orElse(null);
   }
 }
--- a/src/main/java/dapplestair/emulator/MachineCondition.java
+++ b/src/main/java/dapplestair/emulator/MachineCondition.java
@@ -5,7 +5,7 @@
 
 /** What ails a machine: no power, a stall, an inbound link that drops everything, failing tasks. */
 final class MachineCondition {
-  private final Surroundings world;
+  private final EmulatorEnvironment world;
   private final List<Runnable> deferred = new ArrayList<>();
   private boolean gone;
   private boolean hanging;
@@ -15,7 +15,7 @@
   private long deafUntil;
   private long muteUntil;
 
-  MachineCondition(Surroundings world) {
+  MachineCondition(EmulatorEnvironment world) {
     this.world = world;
   }
 
--- a/src/main/java/dapplestair/emulator/ReportSender.java
+++ b/src/main/java/dapplestair/emulator/ReportSender.java
@@ -10,7 +10,7 @@
   private static final long NEXT_CONTROLLER_MS = 1000;
   private static final long LEAST_PAUSE_MS = 500;
 
-  private final Surroundings world;
+  private final EmulatorEnvironment world;
   private final EmulatedWorker worker;
   private final MachineCondition condition;
   private final WorkerSession session;
@@ -19,7 +19,7 @@
   private boolean reporting;
 
   ReportSender(
-      Surroundings world,
+      EmulatorEnvironment world,
       EmulatedWorker worker,
       MachineCondition condition,
       WorkerSession session,
--- a/src/main/java/dapplestair/emulator/TaskRunner.java
+++ b/src/main/java/dapplestair/emulator/TaskRunner.java
@@ -14,10 +14,10 @@
   private static final double LEAST_RUN_RATIO = 0.9;
   private static final double RUN_RATIO_RANGE = 0.2;
 
-  private final Surroundings world;
+  private final EmulatorEnvironment world;
   private final EmulatedCloud cloud;
   private final EmulatedWorker worker;
-  private final Shape.Machine type;
+  private final EmulatorSettings.MachineSpec type;
   private final MachineCondition condition;
   private final WorkerSession session;
   private final Runnable report;
@@ -26,10 +26,10 @@
 
   /** Without tasks; {@code report} is run when something is worth a report of its own. */
   TaskRunner(
-      Surroundings world,
+      EmulatorEnvironment world,
       EmulatedCloud cloud,
       EmulatedWorker worker,
-      Shape.Machine type,
+      EmulatorSettings.MachineSpec type,
       MachineCondition condition,
       WorkerSession session,
       Runnable report) {
--- a/src/main/java/dapplestair/emulator/WorkerSession.java
+++ b/src/main/java/dapplestair/emulator/WorkerSession.java
@@ -2,14 +2,14 @@
 
 /** A worker's session: its number, the tick of its reports, its fencing token and its lease. */
 final class WorkerSession {
-  private final Surroundings world;
+  private final EmulatorEnvironment world;
   private final long leaseMs;
   private long number = 1;
   private long tick;
   private long token;
   private long leaseFrom;
 
-  WorkerSession(Surroundings world, long leaseMs) {
+  WorkerSession(EmulatorEnvironment world, long leaseMs) {
     this.world = world;
     this.leaseMs = leaseMs;
   }
--- a/src/test/java/dapplestair/model/TaskProtocol.java
+++ b/src/test/java/dapplestair/model/TaskProtocol.java
@@ -16,7 +16,7 @@
  */
 final class TaskProtocol {
   /** Told of each step: what happens, and the state after it. */
-  interface Steps {
+  interface StepListener {
     void accept(Supplier<String> name, Cluster after);
   }
 
@@ -31,7 +31,7 @@
   }
 
   /** Calls {@code next} with the name of each possible step and the state after it. */
-  void steps(Cluster c, Steps next) {
+  void steps(Cluster c, StepListener next) {
     for (int m = 0; m < bounds.machines(); m++) {
       workerSteps(c, m, next);
       messageSteps(c, m, next);
@@ -47,7 +47,7 @@
 
   // ---- workers ----
 
-  private void workerSteps(Cluster c, int machine, Steps next) {
+  private void workerSteps(Cluster c, int machine, StepListener next) {
     Worker w = c.workers[machine];
     Cluster reported = new Cluster(c);
     Report report = reported.worker(machine).report();
@@ -83,7 +83,8 @@
     return out;
   }
 
-  private void addReport(Cluster c, int machine, Report r, Supplier<String> step, Steps next) {
+  private void addReport(
+      Cluster c, int machine, Report r, Supplier<String> step, StepListener next) {
     for (Set<Report> reports : with(c.reports.get(machine), r, bounds.reports())) {
       Cluster after = new Cluster(c);
       after.reports.set(machine, reports);
@@ -91,7 +92,8 @@
     }
   }
 
-  private void addMessage(Cluster c, int machine, Message m, Supplier<String> step, Steps next) {
+  private void addMessage(
+      Cluster c, int machine, Message m, Supplier<String> step, StepListener next) {
     for (Set<Message> messages : with(c.messages.get(machine), m, bounds.messages())) {
       Cluster after = new Cluster(c);
       after.messages.set(machine, messages);
@@ -116,7 +118,7 @@
 
   // ---- messages to workers ----
 
-  private void messageSteps(Cluster c, int machine, Steps next) {
+  private void messageSteps(Cluster c, int machine, StepListener next) {
     for (Message m : c.messages.get(machine)) {
       // It stays in the network: a copy may come at any later time.
       Cluster after = new Cluster(c);
@@ -140,7 +142,7 @@
 
   // ---- reports to controllers ----
 
-  private void reportSteps(Cluster c, int machine, Steps next) {
+  private void reportSteps(Cluster c, int machine, StepListener next) {
     for (Report r : c.reports.get(machine)) {
       for (int l = 0; l < c.leaders.length; l++) {
         if (c.leaders[l].leading) {
@@ -166,7 +168,7 @@
 
   // ---- leaders ----
 
-  private void leaderSteps(Cluster c, int l, Steps next) {
+  private void leaderSteps(Cluster c, int l, StepListener next) {
     Leader leader = c.leaders[l];
     String name = "leader " + leader.term;
     for (int m = 0; m < bounds.machines(); m++) {
@@ -210,7 +212,7 @@
     return c;
   }
 
-  private void callSteps(Cluster c, int l, int machine, Steps next) {
+  private void callSteps(Cluster c, int l, int machine, StepListener next) {
     Leader leader = c.leaders[l];
     Leader.Machine m = leader.machines[machine];
     String name = "leader " + leader.term;
@@ -249,7 +251,7 @@
 
   // ---- the state service ----
 
-  private void stateSteps(Cluster c, Steps next) {
+  private void stateSteps(Cluster c, StepListener next) {
     if (bounds.cancellation() && !c.cancelled) {
       Cluster after = new Cluster(c);
       after.cancelled = true;
@@ -298,7 +300,7 @@
     }
   }
 
-  private static void recordSteps(Cluster c, int l, Steps next) {
+  private static void recordSteps(Cluster c, int l, StepListener next) {
     Leader leader = c.leaders[l];
     boolean entitled = c.leaderKey == l;
     if (leader.recording) {
--- a/src/test/java/dapplestair/session/PressureTest.java
+++ b/src/test/java/dapplestair/session/AdminOverloadTest.java
@@ -28,7 +28,7 @@
 
 /** What the operators' interface does with those who ask too much, too long or half. */
 @Tag("session")
-class PressureTest {
+class AdminOverloadTest {
   private static final int MOST_CONNECTIONS = 32;
 
   @TempDir private Path folder;
--- a/src/test/java/dapplestair/session/TradeSessionTest.java
+++ b/src/test/java/dapplestair/session/LaneCalendarSessionTest.java
@@ -25,7 +25,7 @@
  * gathers its deliveries.
  */
 @Tag("session")
-class TradeSessionTest {
+class LaneCalendarSessionTest {
   private static final Duration SOON = Duration.ofSeconds(40);
 
   private static final String TRADE =
--- a/src/test/java/dapplestair/submissions/RetryAdviceTest.java
+++ b/src/test/java/dapplestair/submissions/RetryAdviceTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class RetryAdviceTest {
-  private static final class Hand implements Clock {
+  private static final class ManualClock implements Clock {
     long now;
 
     @Override
@@ -24,7 +24,7 @@
   /** Found on a day of 12 singles a second: after 55 s without controllers 21,000 were told 1 s. */
   @Test
   void manyComeBackLater() {
-    Hand clock = new Hand();
+    ManualClock clock = new ManualClock();
     RetryAdvice off = new RetryAdvice(clock);
     assertEquals(1, off.retryAfterS(6));
     int last = 0;
--- a/src/test/java/dapplestair/world/AcceptanceTest.java
+++ b/src/test/java/dapplestair/world/AcceptanceTest.java
@@ -22,7 +22,7 @@
 
   /** Submits small jobs at a steady pace; returns the share that was accepted soon. */
   private static double soonAccepted(World w) {
-    List<Users.Told> jobs = new ArrayList<>();
+    List<Users.KnownJob> jobs = new ArrayList<>();
     for (int i = 0; i < SUBMISSIONS; i++) {
       jobs.add(w.users.array("one", "high", 1, 2));
       w.run(w.sim.between(200, 600));
@@ -55,7 +55,7 @@
     World w = begun(seed);
     World.Node leader = w.leader();
     World.Node refused = leads ? leader : w.nodes.get((leader.index + 1) % 3);
-    Users.Told cancelled = w.users.array("two", "high", 10, 60);
+    Users.KnownJob cancelled = w.users.array("two", "high", 10, 60);
     w.run(8000);
     w.state.refuse("node-" + refused.index, true);
     // The time in which nobody leads is not what is looked at here.
--- a/src/test/java/dapplestair/world/AllAwayTest.java
+++ b/src/test/java/dapplestair/world/AllControllersUnavailableTest.java
@@ -13,14 +13,14 @@
  * All controllers are away for longer than a lease: their processes ended, stand still, or reach no
  * worker. All tasks are killed; what was accepted runs again, what was cancelled does not.
  */
-class AllAwayTest {
+class AllControllersUnavailableTest {
   private static final long AWAY_MS = World.LEASE_MS * 5 / 4;
 
-  private static List<Users.Told> begun(World w) {
+  private static List<Users.KnownJob> begun(World w) {
     w.net.loss = 0;
     w.users.quiet = true;
     w.run(5000);
-    List<Users.Told> jobs = new ArrayList<>();
+    List<Users.KnownJob> jobs = new ArrayList<>();
     for (String team : List.of("one", "two")) {
       jobs.add(w.users.array(team, "high", 6, 40));
       jobs.add(
@@ -90,8 +90,8 @@
   })
   void allAreAwayForLongerThanALease(long seed, String how, long spreadMs, long cancelledMs) {
     World w = new World(seed, World.Size.MIDDLE);
-    List<Users.Told> jobs = begun(w);
-    List<Users.Told> cancelled = jobs.subList(0, jobs.size() / 2);
+    List<Users.KnownJob> jobs = begun(w);
+    List<Users.KnownJob> cancelled = jobs.subList(0, jobs.size() / 2);
     if (cancelledMs >= 0) {
       cancelled.forEach(w.users::cancel);
       w.run(cancelledMs);
@@ -109,7 +109,7 @@
     assertEquals(3, running(w, jobs.get(jobs.size() - 1)), "replicas of a service not cancelled");
   }
 
-  private static long running(World w, Users.Told job) {
+  private static long running(World w, Users.KnownJob job) {
     return w.cloud.machines().stream()
         .filter(m -> !m.gone())
         .flatMap(m -> m.tasks().stream())
--- a/src/test/java/dapplestair/world/CalendarTest.java
+++ b/src/test/java/dapplestair/world/CalendarTest.java
@@ -65,11 +65,11 @@
     w.run(BASIN.next(BASIN.cycle(wall(w))) - wall(w) + 200);
   }
 
-  static Users.Told model(World w) {
+  static Users.KnownJob model(World w) {
     return w.users.changed("one", 10, 8, b -> b.put("jobclass", "model").put("rank", "high"));
   }
 
-  private static Users.Told gauge(World w) {
+  private static Users.KnownJob gauge(World w) {
     return w.users.changed("one", 1, 1, b -> b.put("jobclass", "gauge").put("rank", "standard"));
   }
 
@@ -82,7 +82,7 @@
   }
 
   static void deliver(World w, int gauges) {
-    List<Users.Told> sent = new ArrayList<>();
+    List<Users.KnownJob> sent = new ArrayList<>();
     for (int i = 0; i < gauges; i++) {
       sent.add(gauge(w));
     }
@@ -92,7 +92,7 @@
     }
   }
 
-  static void untilBegun(World w, Users.Told job, long ms) {
+  static void untilBegun(World w, Users.KnownJob job, long ms) {
     long until = w.sim.now() + ms;
     while (!job.started && w.sim.now() < until) {
       w.run(50);
@@ -105,7 +105,7 @@
   @ValueSource(longs = {6401, 6402, 6403})
   void completeReleases(long seed) {
     World w = begun(seed);
-    Users.Told model = model(w);
+    Users.KnownJob model = model(w);
     deliver(w, COMPLETE - 1);
     assertFalse(model.started, "it did not wait");
     long before = w.state.putsTo("live/calendar/");
@@ -121,7 +121,7 @@
   void fewerReleaseLater(long seed, int gauges, String by) {
     World w = begun(seed);
     long start = BASIN.cycle(wall(w));
-    Users.Told model = model(w);
+    Users.KnownJob model = model(w);
     deliver(w, gauges);
     long due = by.equals("quorum") ? 20_000 : CUT_OFF_MS;
     w.run(Math.max(0, start + due - wall(w) - 500));
@@ -146,7 +146,7 @@
   })
   void aCycleOutlivesItsLeaders(long seed, long afterMs) {
     World w = begun(seed);
-    Users.Told model = model(w);
+    Users.KnownJob model = model(w);
     List<Long> released = new ArrayList<>();
     w.also =
         () -> {
@@ -156,7 +156,7 @@
           }
         };
     w.run(1000);
-    List<Users.Told> gauges = new ArrayList<>();
+    List<Users.KnownJob> gauges = new ArrayList<>();
     for (int i = 0; i < COMPLETE; i++) {
       gauges.add(gauge(w));
     }
@@ -187,7 +187,7 @@
     w.users.changed("one", 1, 70, b -> b.put("jobclass", "gauge").put("rank", "standard"));
     deliver(w, 1);
     toNextCycle(w);
-    Users.Told model = model(w);
+    Users.KnownJob model = model(w);
     deliver(w, COMPLETE - 1);
     w.run(CUT_OFF_MS - 12_000);
     assertEquals(
@@ -207,7 +207,7 @@
   @CsvSource({"6451,false", "6452,true", "6453,false", "6454,true"})
   void nothingIsHeldPastTheCutOff(long seed, boolean down) {
     World w = begun(seed);
-    Users.Told model = model(w);
+    Users.KnownJob model = model(w);
     w.run(8000);
     if (down) {
       w.nodes.forEach(n -> n.crash(CUT_OFF_MS + 2000));
--- a/src/test/java/dapplestair/world/CancelTimes.java
+++ b/src/test/java/dapplestair/world/CancellationLatency.java
@@ -6,24 +6,28 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long a cancelled job's tasks live after its user was told: {@code CancelTimes SEEDS} plays so
- * many seeds of each trouble and prints median, 99 of 100 and the longest.
+ * How long a cancelled job's tasks live after its user was told: {@code CancellationLatency SEEDS}
+ * plays so many seeds of each trouble and prints median, 99 of 100 and the longest.
  */
-final class CancelTimes {
+final class CancellationLatency {
   private static final long STEP_MS = 20;
 
-  private CancelTimes() {}
+  private CancellationLatency() {}
 
   public static void main(String[] args) {
     int seeds = Integer.parseInt(args[0]);
     measure("none", seeds, d -> {}, d -> {});
     measure("the leader ends as it is told", seeds, d -> {}, d -> d.old.crash(800));
-    measure("the leader is refused, then all", seeds, GapTest::refuse, d -> d.w.state.fail());
+    measure(
+        "the leader is refused, then all",
+        seeds,
+        CancellationOutageTest::refuse,
+        d -> d.w.state.fail());
     measure(
         "the same, links between controllers refused",
         seeds,
         d -> {
-          GapTest.refuse(d);
+          CancellationOutageTest.refuse(d);
           d.links("refused", true);
         },
         d -> d.w.state.fail());
@@ -31,7 +35,7 @@
         "the same, who confirmed ends at once",
         seeds,
         d -> {
-          GapTest.refuse(d);
+          CancellationOutageTest.refuse(d);
           d.links("refused", true);
         },
         d -> {
@@ -49,24 +53,27 @@
   }
 
   private static void measure(
-      String trouble, int seeds, Consumer<GapTest.Day> before, Consumer<GapTest.Day> after) {
+      String trouble,
+      int seeds,
+      Consumer<CancellationOutageTest.Day> before,
+      Consumer<CancellationOutageTest.Day> after) {
     Histogram ms = new Histogram(World.CANCEL_MS * 4, 3);
     for (int i = 0; i < seeds; i++) {
-      GapTest.Day d = new GapTest.Day(8700 + i);
+      CancellationOutageTest.Day d = new CancellationOutageTest.Day(8700 + i);
       before.accept(d);
       d.cancel(d.second);
       after.accept(d);
-      Map<Users.Told, Long> goneAt = new HashMap<>();
+      Map<Users.KnownJob, Long> goneAt = new HashMap<>();
       long end = d.w.sim.now() + World.CANCEL_MS;
       while (d.w.sim.now() < end && goneAt.size() < d.cancelled.size()) {
-        for (Users.Told t : d.cancelled) {
+        for (Users.KnownJob t : d.cancelled) {
           if (d.running(t) == 0) {
             goneAt.putIfAbsent(t, d.w.sim.now());
           }
         }
         d.w.run(STEP_MS);
       }
-      for (Users.Told t : d.cancelled) {
+      for (Users.KnownJob t : d.cancelled) {
         ms.recordValue(Math.max(0, goneAt.getOrDefault(t, end) - t.abortedAt));
       }
     }
--- a/src/test/java/dapplestair/world/GapTest.java
+++ b/src/test/java/dapplestair/world/CancellationOutageTest.java
@@ -18,7 +18,7 @@
  * tasks are gone in time is checked by the checker's {@code ran_cancelled}, from the user's answer
  * on (docs/cancellations.md).
  */
-class GapTest {
+class CancellationOutageTest {
   private static final int MOST_WAITS = 30;
 
   /** Jobs of every kind that run for longer than the outage. */
@@ -27,8 +27,8 @@
     final World.Node old;
     final World.Node second;
     final World.Node third;
-    final List<Users.Told> cancelled = new ArrayList<>();
-    final List<Users.Told> kept = new ArrayList<>();
+    final List<Users.KnownJob> cancelled = new ArrayList<>();
+    final List<Users.KnownJob> kept = new ArrayList<>();
 
     Day(long seed) {
       this(DisruptionTest.begun(seed, 5, 5));
@@ -42,7 +42,7 @@
       second = w.nodes.get((old.index + 1) % 3);
       third = w.nodes.get((old.index + 2) % 3);
       for (int i = 0; i < 2; i++) {
-        List<Users.Told> to = i == 0 ? cancelled : kept;
+        List<Users.KnownJob> to = i == 0 ? cancelled : kept;
         // First, so that it makes its room before the others have theirs.
         to.add(w.users.service("one", 3));
         w.run(4000);
@@ -63,7 +63,7 @@
       cancelled.forEach(t -> assertTrue(running(t) > 0, t.ref + " does not run"));
     }
 
-    long running(Users.Told job) {
+    long running(Users.KnownJob job) {
       return w.cloud.machines().stream()
           .filter(m -> !m.gone())
           .flatMap(m -> m.tasks().stream())
@@ -71,12 +71,12 @@
           .count();
     }
 
-    long running(List<Users.Told> jobs) {
+    long running(List<Users.KnownJob> jobs) {
       return jobs.stream().mapToLong(this::running).sum();
     }
 
     /** Every second machine that runs a task of a job that is to be cancelled. */
-    void troubleEverySecond(MachineTrouble trouble, long ms) {
+    void troubleEverySecond(MachineFault trouble, long ms) {
       List<EmulatedWorker> machines =
           w.cloud.machines().stream()
               .filter(m -> !m.gone() && m.tasks().stream().anyMatch(this::toBeCancelled))
@@ -287,7 +287,7 @@
         d.w.cloud.machines().stream().filter(m -> !m.gone()).map(m -> m.endpoint()).toList();
     machines.forEach(m -> d.w.net.cut("node-" + d.old.index, m, true));
     // As many as a follower's puts take in the time; the others are cancelled in the end.
-    List<Users.Told> later = List.copyOf(d.cancelled);
+    List<Users.KnownJob> later = List.copyOf(d.cancelled);
     d.cancelled.clear();
     for (int i = 0; i < 4; i++) {
       d.cancelled.add(d.w.users.array("one", "high", 4, 150));
@@ -356,7 +356,7 @@
       refuse(d);
       d.cancel(d.second);
     }
-    List<Users.Told> others = refused ? d.kept : d.cancelled;
+    List<Users.KnownJob> others = refused ? d.kept : d.cancelled;
     long before = d.running(others);
     d.w.state.fail();
     d.w.run(2 * World.CANCEL_MS);
@@ -374,8 +374,8 @@
   void whoHearsNobodyLetsGo(long seed) {
     Day d = new Day(seed);
     d.w.state.fail();
-    new Troubles(d.w).alone(d.old, false, 2 * World.CANCEL_MS);
-    new Troubles(d.w).alone(d.second, false, 2 * World.CANCEL_MS);
+    new RandomFaults(d.w).alone(d.old, false, 2 * World.CANCEL_MS);
+    new RandomFaults(d.w).alone(d.second, false, 2 * World.CANCEL_MS);
     d.w.run(World.CANCEL_MS * 11 / 10);
     assertEquals(0, d.running(d.cancelled) + d.running(d.kept), "tasks on kept leases");
     d.w.state.recover();
--- a/src/test/java/dapplestair/world/Commits.java
+++ b/src/test/java/dapplestair/world/CommitInterceptor.java
@@ -12,7 +12,7 @@
  * Transactions that were carried out: a test may watch them, and may lose the answer alone of some,
  * so that their sender does not learn what everybody else can read.
  */
-final class Commits {
+final class CommitInterceptor {
   static final String JOB = "live/job/";
   static final String OVER = "over/";
 
@@ -36,7 +36,7 @@
   // Until when these callers get no answer to their questions for changes.
   private final Map<String, Long> withoutNews = new HashMap<>();
 
-  Commits(Sim sim) {
+  CommitInterceptor(Sim sim) {
     this.sim = sim;
   }
 
--- a/src/test/java/dapplestair/world/CloseLooks.java
+++ b/src/test/java/dapplestair/world/ConcurrentReaders.java
@@ -5,9 +5,9 @@
 
 /**
  * Users who ask at all controllers within milliseconds, and submit again what was accepted. Answers
- * are held against each other by {@link AnswerOrder} and {@link Checker}.
+ * are held against each other by {@link MonotonicReadsChecker} and {@link InvariantChecker}.
  */
-final class CloseLooks {
+final class ConcurrentReaders {
   /** Of one look after the other, in milliseconds: within a message, a put, a report. */
   private static final long[] MOMENTS = {0, 3, 9, 30, 100, 400, 1500};
 
@@ -19,12 +19,12 @@
   /** Answers that told a state. */
   int told;
 
-  CloseLooks(World world) {
+  ConcurrentReaders(World world) {
     this.world = world;
   }
 
   /** From now on, for a moment: each controller is asked, and every other time told again. */
-  void around(Users.Told job) {
+  void around(Users.KnownJob job) {
     for (int i = 0; i < MOMENTS.length; i++) {
       boolean again = i % 2 == 1;
       world.sim.after(
@@ -41,17 +41,22 @@
   }
 
   /** Asks for a job's state. */
-  void ask(Users.Told job, World.Node node) {
+  void ask(Users.KnownJob job, World.Node node) {
     call(job, node, "GET", "/submissions/" + job.ref, null, POLL_MS);
   }
 
   /** Submits a job again. */
-  void repeat(Users.Told job, World.Node node) {
+  void repeat(Users.KnownJob job, World.Node node) {
     call(job, node, "POST", "/submissions", Json.bytes(job.body), SUBMIT_MS);
   }
 
   private void call(
-      Users.Told job, World.Node node, String method, String path, byte[] body, long timeoutMs) {
+      Users.KnownJob job,
+      World.Node node,
+      String method,
+      String path,
+      byte[] body,
+      long timeoutMs) {
     String before = job.finalState();
     world.net.call(
         "users",
@@ -63,7 +68,7 @@
         reply -> heard(job, before, reply));
   }
 
-  private void heard(Users.Told job, String before, HttpReply reply) {
+  private void heard(Users.KnownJob job, String before, HttpReply reply) {
     if (reply.status() == 200 || reply.status() == 201) {
       told++;
       world.checker.told(job, before, Json.parse(reply.body()).path("status").asText());
--- a/src/test/java/dapplestair/world/KeptReports.java
+++ b/src/test/java/dapplestair/world/DelayedReports.java
@@ -6,7 +6,7 @@
 import java.util.function.Predicate;
 
 /** Copies of workers' reports that are kept until the next leader has begun, or has acted. */
-final class KeptReports {
+final class DelayedReports {
   /** What the next leader has done before the copies arrive. */
   enum Arrival {
     /** It has begun: it shows its token to machines. */
@@ -23,7 +23,7 @@
   private final ArrayDeque<Kept> kept = new ArrayDeque<>();
 
   /** Keeps this share of the reports of the last {@code keptMs}. */
-  KeptReports(World world, double share, long keptMs) {
+  DelayedReports(World world, double share, long keptMs) {
     this.world = world;
     this.share = share;
     this.keptMs = keptMs;
--- a/src/test/java/dapplestair/world/DisruptionTest.java
+++ b/src/test/java/dapplestair/world/DisruptionTest.java
@@ -186,7 +186,7 @@
             .count();
     assertTrue(left > 0, "no replica of one was in the zone");
     boolean said = false;
-    for (Users.Told job : w.users.told.values()) {
+    for (Users.KnownJob job : w.users.told.values()) {
       if (job.team.equals("one") && job.service && !said) {
         JsonNode why = OperatorsTest.answer(w, "/v1/jobs/" + job.ref + "/why");
         said = why.path("not_moved").asText().contains("zero means never");
@@ -201,7 +201,7 @@
   void whatIsLostCounts(long seed) {
     World w = begun(seed, 1, 2);
     // These may run nowhere else, and there the cloud will have no more machines.
-    Users.Told lost =
+    Users.KnownJob lost =
         w.users.changed(
             "one",
             3,
@@ -250,7 +250,7 @@
     World w = begun(seed, 1, 1);
     double most = 2.0 * 60 * 8;
     allowLoss(w, most);
-    Users.Told array = w.users.array("two", "standard", 60, 300);
+    Users.KnownJob array = w.users.array("two", "standard", 60, 300);
     w.run(40_000);
     for (String zone : World.ZONES) {
       OperatorsTest.order(w, "/v1/zones/" + zone + "/drain", Json.object().put("deadline_s", 1));
--- a/src/test/java/dapplestair/world/DrainTest.java
+++ b/src/test/java/dapplestair/world/DrainTest.java
@@ -14,7 +14,7 @@
 
 /** Machines and zones that operators empty, while leaders end and operators disagree. */
 class DrainTest {
-  static long running(World w, Users.Told job) {
+  static long running(World w, Users.KnownJob job) {
     return w.cloud.machines().stream()
         .filter(m -> !m.gone())
         .flatMap(m -> m.tasks().stream())
@@ -27,14 +27,14 @@
   @ValueSource(longs = {11, 12, 13})
   void drainingAZoneKeepsServicesWhole(long seed) {
     World w = OperatorsTest.quiet(seed, OperatorsTest.ROOMY);
-    List<Users.Told> services =
+    List<Users.KnownJob> services =
         List.of(w.users.service("one", 4), w.users.service("two", 6), w.users.service("one", 3));
     w.run(60_000);
     services.forEach(s -> assertEquals(s.steps, running(w, s), s.ref + " runs before"));
     long[] least = {Long.MAX_VALUE};
     w.also =
         () -> {
-          for (Users.Told s : services) {
+          for (Users.KnownJob s : services) {
             least[0] = Math.min(least[0], running(w, s) - s.steps);
           }
         };
@@ -49,7 +49,7 @@
   @Test
   void replicasWithoutAPlaceStay() {
     World w = OperatorsTest.quiet(21, OperatorsTest.ROOMY);
-    Users.Told service = w.users.service("one", 4);
+    Users.KnownJob service = w.users.service("one", 4);
     w.run(60_000);
     OperatorsTest.order(w, "/v1/zones/a/drain", Json.object().put("deadline_s", 5));
     OperatorsTest.order(w, "/v1/zones/b/drain", Json.object().put("deadline_s", 5));
--- a/src/test/java/dapplestair/world/WrongJobsTest.java
+++ b/src/test/java/dapplestair/world/FailingJobsTest.java
@@ -20,7 +20,7 @@
  * Jobs submitted with a mistake, which fail on every machine, and machines that fail every task:
  * each side is blamed for its own, whatever else is under way, and the rules hold after each step.
  */
-class WrongJobsTest {
+class FailingJobsTest {
   private static final int STEPS = 24;
 
   /** Operators are served, so that what the product says of machines can be read. */
@@ -38,7 +38,7 @@
     return w;
   }
 
-  private static Users.Told wrong(World w, int mistaken) {
+  private static Users.KnownJob wrong(World w, int mistaken) {
     return w.users.changed("one", STEPS, 5, b -> b.put("mistakenSteps", mistaken));
   }
 
@@ -52,7 +52,7 @@
     return out;
   }
 
-  private static Users.Told good(World w, int i) {
+  private static Users.KnownJob good(World w, int i) {
     return w.users.array(i % 2 == 0 ? "one" : "two", "high", 12, 6);
   }
 
@@ -61,8 +61,8 @@
   @ValueSource(longs = {2001, 2002, 2003, 2004})
   void noMachineIsBlamedForJobs(long seed) {
     World w = begun(seed);
-    List<Users.Told> wrong = new ArrayList<>();
-    List<Users.Told> good = new ArrayList<>();
+    List<Users.KnownJob> wrong = new ArrayList<>();
+    List<Users.KnownJob> good = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       wrong.add(wrong(w, STEPS));
       good.add(good(w, i));
@@ -72,7 +72,7 @@
     w.run(60_000);
     assertEquals(Set.of(), faulty(w), "machines emptied");
     good.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
-    for (Users.Told j : wrong) {
+    for (Users.KnownJob j : wrong) {
       assertTrue(j.accepted && j.finalState() == null, j.ref + " is called " + j.finalState());
       // One wave, of which what failed first may have begun again, and then one task at a time.
       assertTrue(j.starts <= 2 * STEPS, j.ref + " was started " + j.starts + " times");
@@ -87,7 +87,7 @@
   @ValueSource(longs = {2011, 2012})
   void aWrongJobTakesNoRoom(long seed) {
     World w = begun(seed);
-    Users.Told wrong = w.users.changed("one", 120, 5, b -> b.put("mistakenSteps", 120));
+    Users.KnownJob wrong = w.users.changed("one", 120, 5, b -> b.put("mistakenSteps", 120));
     w.run(40_000);
     int starts = wrong.starts;
     Set<String> before = machines(w);
@@ -111,7 +111,7 @@
   @ValueSource(longs = {2021, 2022, 2023, 2024})
   void itRunsOnceItWorks(long seed) {
     World w = begun(seed);
-    Users.Told wrong = wrong(w, STEPS);
+    Users.KnownJob wrong = wrong(w, STEPS);
     w.run(45_000);
     assertFalse(wrong.done);
     ((ObjectNode) wrong.body).remove("mistakenSteps");
@@ -125,7 +125,7 @@
   @ValueSource(longs = {2031, 2032, 2033, 2034})
   void whatIsDoneStaysDone(long seed) {
     World w = begun(seed);
-    Users.Told some = wrong(w, 3);
+    Users.KnownJob some = wrong(w, 3);
     w.run(40_000);
     int starts = some.starts;
     JsonNode job = OperatorsTest.answer(w, "/v1/jobs/" + some.ref);
@@ -155,7 +155,7 @@
     }
     Map<String, Integer> before = Map.copyOf(w.checker.startsOn);
     Set<String> emptied = new HashSet<>();
-    List<Users.Told> good = new ArrayList<>();
+    List<Users.KnownJob> good = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       if (i % 2 == 0) {
         wrong(w, STEPS);
@@ -215,9 +215,9 @@
   @ValueSource(longs = {2051, 2052})
   void wrongServicesAndGangs(long seed) {
     World w = begun(seed);
-    Users.Told gang =
+    Users.KnownJob gang =
         w.users.changed("one", 6, 4, b -> b.put("mistakenSteps", 6).put("shape", "gang"));
-    Users.Told service =
+    Users.KnownJob service =
         w.users.changed(
             "two",
             6,
@@ -259,7 +259,7 @@
   @ValueSource(longs = {2061, 2062, 2063, 2064})
   void itOutlivesALeader(long seed) {
     World w = begun(seed);
-    Users.Told wrong = wrong(w, STEPS);
+    Users.KnownJob wrong = wrong(w, STEPS);
     w.run(40_000);
     int starts = wrong.starts;
     for (int i = 0; i < 3; i++) {
--- a/src/test/java/dapplestair/world/FailureTimes.java
+++ b/src/test/java/dapplestair/world/FailureDetectionTimes.java
@@ -14,11 +14,11 @@
  * How long failures are noticed, measured in the seeded world; started by hand. Times are virtual:
  * they hold what is decided and sent, not what a processor takes.
  */
-public final class FailureTimes {
+public final class FailureDetectionTimes {
   private static final int SEEDS = 200;
   private static final int REPLICAS = 120;
 
-  private FailureTimes() {}
+  private FailureDetectionTimes() {}
 
   /** Prints the tables of docs/results.md. */
   public static void main(String[] args) {
@@ -67,7 +67,7 @@
                 world.leader().crash(4000);
               }
               int before = world.checker.started;
-              Users.Told job = world.users.array("one", "high", 4, 5);
+              Users.KnownJob job = world.users.array("one", "high", 4, 5);
               long acceptedAt = 0;
               while ((world.checker.started == before || !job.accepted)
                   && world.sim.now() - at < 60_000) {
@@ -132,7 +132,7 @@
     Histogram waits = new Histogram(120_000, 3);
     int others = 0;
     for (int i = 0; i < 60; i++) {
-      Users.Told job = world.users.array("one", "high", 12, 6);
+      Users.KnownJob job = world.users.array("one", "high", 12, 6);
       others++;
       long at = world.sim.now();
       while (!job.started && world.sim.now() - at < 60_000) {
@@ -199,7 +199,7 @@
     int n = 0;
     for (EmulatedWorker m : world.cloud.machines()) {
       if (!m.gone()) {
-        n += (int) m.tasks().stream().filter(FailureTimes::up).count();
+        n += (int) m.tasks().stream().filter(FailureDetectionTimes::up).count();
       }
     }
     return n;
--- a/src/test/java/dapplestair/world/Meetings.java
+++ b/src/test/java/dapplestair/world/FaultCombinationRunner.java
@@ -4,11 +4,12 @@
 import java.util.List;
 
 /**
- * Plays more meetings than a build has time for: {@code Meetings FROM TO} plays these seeds and
- * prints each that broke a rule; {@code Meetings FROM TO machines} plays troubles with machines.
+ * Plays more meetings than a build has time for: {@code FaultCombinationRunner FROM TO} plays these
+ * seeds and prints each that broke a rule; {@code FaultCombinationRunner FROM TO machines} plays
+ * troubles with machines.
  */
-final class Meetings {
-  private Meetings() {}
+final class FaultCombinationRunner {
+  private FaultCombinationRunner() {}
 
   public static void main(String[] args) {
     long from = Long.parseLong(args[0]);
@@ -20,9 +21,9 @@
       }
       try {
         if (args.length > 2 && args[2].equals("machines")) {
-          MeetingsTest.playMachines(seed);
+          FaultCombinationTest.playMachines(seed);
         } else {
-          MeetingsTest.play(seed);
+          FaultCombinationTest.play(seed);
         }
       } catch (AssertionError e) {
         broken.add(e.getMessage());
--- a/src/test/java/dapplestair/world/MeetingsTest.java
+++ b/src/test/java/dapplestair/world/FaultCombinationTest.java
@@ -12,9 +12,9 @@
 /**
  * Two and three troubles that meet, placed at the steps of a change of leader, while jobs of one to
  * three tasks are cancelled by the dozen (docs/meetings.md). More seeds than here are played with
- * {@link Meetings}.
+ * {@link FaultCombinationRunner}.
  */
-class MeetingsTest {
+class FaultCombinationTest {
   private static final int ROUNDS = 5;
 
   /** Jobs of at most three tasks. */
@@ -34,17 +34,17 @@
   }
 
   static void play(long seed) {
-    play(new World(seed, SHORT), seed, Troubles::any);
+    play(new World(seed, SHORT), seed, RandomFaults::any);
   }
 
   static void playMachines(long seed) {
-    play(new World(seed, SHORT), seed, Troubles::ofMachines);
+    play(new World(seed, SHORT), seed, RandomFaults::ofMachines);
   }
 
-  static void play(World w, long seed, Consumer<Troubles> trouble) {
+  static void play(World w, long seed, Consumer<RandomFaults> trouble) {
     try {
       w.users.cancelledArrays = 0.5;
-      Troubles troubles = new Troubles(w);
+      RandomFaults troubles = new RandomFaults(w);
       w.run(15_000);
       for (int i = 0; i < ROUNDS; i++) {
         transition(w, troubles);
@@ -56,7 +56,7 @@
         cancelSome(w);
         w.run(w.sim.between(8000, 40_000));
       }
-      w.run(Troubles.LONGEST_MS);
+      w.run(RandomFaults.LONGEST_MS);
       w.state.recover();
       SeededDaysTest.settle(w);
     } catch (AssertionError e) {
@@ -70,10 +70,10 @@
     return w.sim.between(0, spans[(int) w.sim.between(0, spans.length - 1)]);
   }
 
-  private static void transition(World w, Troubles troubles) {
+  private static void transition(World w, RandomFaults troubles) {
     World.Node leader = w.leader() == null ? w.nodes.get(0) : w.leader();
     String name = "node-" + leader.index;
-    long ms = w.sim.between(1500, Troubles.LONGEST_MS);
+    long ms = w.sim.between(1500, RandomFaults.LONGEST_MS);
     switch ((int) w.sim.between(0, 7)) {
       case 0 -> leader.crash(w.sim.between(60, 900));
       case 1 -> leader.crash(w.sim.between(2000, 6000));
@@ -112,7 +112,7 @@
 
   /** A third of what its users still wait for. */
   private static void cancelSome(World w) {
-    for (Users.Told t : new ArrayList<>(w.users.told.values())) {
+    for (Users.KnownJob t : new ArrayList<>(w.users.told.values())) {
       if (t.accepted && !t.done && !t.cancelAsked && w.sim.chance(0.33)) {
         w.users.cancel(t);
       }
--- a/src/test/java/dapplestair/world/ForgottenMachinesTest.java
+++ b/src/test/java/dapplestair/world/ForgottenMachinesTest.java
@@ -17,7 +17,7 @@
   private static final long LONG_MS = World.CANCEL_MS * 3 / 2;
 
   private static World allEndInAnOutage(long seed) {
-    World w = new GapTest.Day(seed).w;
+    World w = new CancellationOutageTest.Day(seed).w;
     w.state.fail();
     w.nodes.forEach(n -> n.crash(1000));
     return w;
@@ -39,7 +39,7 @@
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12301,100", "12302,3000", "12303,9000", "12304,15000"})
   void oneControllerStaysAway(long seed, long endMs) {
-    GapTest.Day d = ManyLeadersTest.cancelledOnHangingMachines(seed);
+    CancellationOutageTest.Day d = ManyLeadersTest.cancelledOnHangingMachines(seed);
     World w = d.w;
     w.run(endMs);
     w.nodes.forEach(n -> n.crash(n == d.third ? LONG_MS : 1000));
@@ -50,7 +50,7 @@
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12311,100", "12312,3000", "12313,9000", "12314,15000"})
   void oneControllerIsCutOff(long seed, long endMs) {
-    GapTest.Day d = ManyLeadersTest.cancelledOnHangingMachines(seed);
+    CancellationOutageTest.Day d = ManyLeadersTest.cancelledOnHangingMachines(seed);
     World w = d.w;
     w.run(endMs);
     w.cutOff(d.third, m -> false, false, LONG_MS);
@@ -62,7 +62,7 @@
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12321,100", "12322,3000", "12323,9000", "12324,15000"})
   void mostMachinesHang(long seed, long endMs) {
-    GapTest.Day d = ManyLeadersTest.cancelledOnHangingMachines(seed);
+    CancellationOutageTest.Day d = ManyLeadersTest.cancelledOnHangingMachines(seed);
     World w = d.w;
     int i = 0;
     for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
@@ -79,10 +79,10 @@
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12331,0", "12332,500", "12333,2000", "12334,4000"})
   void aMachineIsListedAsBooting(long seed, long endMs) {
-    GapTest.Day d = new GapTest.Day(seed);
+    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     World w = d.w;
     // More than fits, so that machines are rented for it.
-    Users.Told job = w.users.array("one", "high", 12, 150);
+    Users.KnownJob job = w.users.array("one", "high", 12, 150);
     for (int i = 0; i < 300 && d.running(job) < 3; i++) {
       w.run(100);
     }
@@ -134,7 +134,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {12361, 12362, 12363, 12364})
   void aZoneCutOffWithItsControllerIsKept(long seed) {
-    GapTest.Day d = new GapTest.Day(seed);
+    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     World w = d.w;
     World.Node inside = w.nodes.get(1);
     String zone = inside.settings.zone();
--- a/src/test/java/dapplestair/world/FullMachineTest.java
+++ b/src/test/java/dapplestair/world/FullMachineTest.java
@@ -28,8 +28,8 @@
   void aStartRefusedAsFullIsNotRepeatedWithoutPause(long seed) {
     World w = begun(seed);
     w.cloud.machines().forEach(m -> m.crowd(CROWDED_MS));
-    Users.Told service = w.users.service("two", 3);
-    Users.Told array = w.users.array("two", "high", 12, 5);
+    Users.KnownJob service = w.users.service("two", 3);
+    Users.KnownJob array = w.users.array("two", "high", 12, 5);
     w.run(CROWDED_MS);
     w.run(BEGIN_MS);
     assertTrue(service.begunAt() >= 0, "the service has not begun");
@@ -43,12 +43,12 @@
     World w = begun(seed);
     EmulatedWorker crowded = w.cloud.machines().iterator().next();
     crowded.crowd(CROWDED_MS);
-    Users.Told first = w.users.array("two", "high", 24, 5);
+    Users.KnownJob first = w.users.array("two", "high", 24, 5);
     w.run(CROWDED_MS);
     assertTrue(first.done, "the work of the crowded machine is not done elsewhere");
     int before = w.checker.startsOn.getOrDefault(crowded.id(), 0);
     // As many tasks as all machines have room for.
-    Users.Told second = w.users.array("two", "high", (int) (w.size.teamLimit() / 2), 20);
+    Users.KnownJob second = w.users.array("two", "high", (int) (w.size.teamLimit() / 2), 20);
     w.run(BEGIN_MS);
     int after = w.checker.startsOn.getOrDefault(crowded.id(), 0);
     assertTrue(crowded.gone() || after > before, "it got no work again");
--- a/src/test/java/dapplestair/world/GangTest.java
+++ b/src/test/java/dapplestair/world/GangTest.java
@@ -19,17 +19,17 @@
   /** Within which the others are stopped and saved, once it is known that one is missing. */
   private static final long STOPPED_MS = 10_000;
 
-  private static List<EmulatedWorker> machinesOf(World w, Users.Told gang) {
+  private static List<EmulatedWorker> machinesOf(World w, Users.KnownJob gang) {
     return w.cloud.machines().stream()
         .filter(m -> !m.gone() && m.tasks().stream().anyMatch(t -> member(gang, t)))
         .toList();
   }
 
-  private static boolean member(Users.Told gang, EmulatedTask task) {
+  private static boolean member(Users.KnownJob gang, EmulatedTask task) {
     return task.onMachine() && task.key().startsWith(gang.ref + "/");
   }
 
-  private static long running(World w, Users.Told gang) {
+  private static long running(World w, Users.KnownJob gang) {
     return machinesOf(w, gang).stream()
         .flatMap(m -> m.tasks().stream())
         .filter(t -> member(gang, t))
@@ -37,7 +37,7 @@
   }
 
   /** For how long some of it, but not all, is on machines until it has begun anew as a whole. */
-  private static long incompleteMs(World w, Users.Told gang) {
+  private static long incompleteMs(World w, Users.KnownJob gang) {
     int starts = gang.starts;
     long sum = 0;
     for (long t = 0; t < LOOK_MS && (gang.starts == starts || running(w, gang) < MEMBERS); ) {
@@ -66,7 +66,7 @@
     w.cloud.setCapacity(0.25);
     w.run(5000);
     w.users.array("two", "low", 60, 3);
-    Users.Told gang =
+    Users.KnownJob gang =
         w.users.changed(
             "one",
             MEMBERS,
--- a/src/test/java/dapplestair/world/GuaranteeTest.java
+++ b/src/test/java/dapplestair/world/GuaranteeTest.java
@@ -10,7 +10,7 @@
   // 96 CPUs in all; each of the two teams is guaranteed 40 and limited to 80.
   private static final World.Size TIGHT = new World.Size(2, 40, 1_000_000, 1);
 
-  private static long running(World world, Users.Told job) {
+  private static long running(World world, Users.KnownJob job) {
     return world.cloud.machines().stream()
         .filter(m -> !m.gone())
         .flatMap(m -> m.tasks().stream())
@@ -25,10 +25,10 @@
     world.net.loss = 0;
     world.users.quiet = true;
     world.run(5000);
-    Users.Told borrower = world.users.array("one", "standard", 40, 300);
+    Users.KnownJob borrower = world.users.array("one", "standard", 40, 300);
     world.run(60_000);
     assertTrue(running(world, borrower) >= 30, running(world, borrower) + " borrowers run");
-    Users.Told owner = world.users.array("two", "standard", 20, 300);
+    Users.KnownJob owner = world.users.array("two", "standard", 20, 300);
     world.run(30_000);
     long owned = running(world, owner);
     long borrowed = running(world, borrower);
--- a/src/test/java/dapplestair/world/HandoverTest.java
+++ b/src/test/java/dapplestair/world/HandoverTest.java
@@ -49,10 +49,10 @@
   }
 
   static World play(long seed, LeaderChange change, long cancelledMs) {
-    GapTest.Day d = new GapTest.Day(seed);
+    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     World w = d.w;
     long at = w.sim.now() + 6000;
-    List<Users.Told> ending = new ArrayList<>();
+    List<Users.KnownJob> ending = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       // Tasks last a tenth more or less than their users guess, and begin about a second later.
       ending.add(w.users.array("one", "high", 1 + i % 3, 5));
@@ -82,7 +82,7 @@
   @ParameterizedTest(name = "out {0} ms after the next leader has won")
   @ValueSource(ints = {3, 5, 9, 11})
   void outAsTheNextOneBegins(int ms) {
-    GapTest.Day d = new GapTest.Day(12200 + ms);
+    CancellationOutageTest.Day d = new CancellationOutageTest.Day(12200 + ms);
     World w = d.w;
     d.stallEveryThird();
     d.old.crash(9000);
@@ -100,7 +100,7 @@
   }
 
   /** Arrays, a gang, a service and jobs of one task, whose launches are on their way. */
-  private static void launch(World w, List<Users.Told> to) {
+  private static void launch(World w, List<Users.KnownJob> to) {
     to.add(w.users.array("one", "high", 4, 150));
     to.add(w.users.changed("two", 3, 150, b -> b.put("shape", "gang")));
     to.add(w.users.service("two", 3));
--- a/src/test/java/dapplestair/world/IdleCapacity.java
+++ b/src/test/java/dapplestair/world/IdleCapacity.java
@@ -2,7 +2,7 @@
 
 import dapplestair.emulator.EmulatedTask;
 import dapplestair.emulator.EmulatedWorker;
-import dapplestair.emulator.Shape;
+import dapplestair.emulator.EmulatorSettings;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -26,12 +26,12 @@
 
   private final World world;
   private final Map<EmulatedWorker, Deque<Room>> samples = new HashMap<>();
-  private final Map<Users.Told, Waiting> waiting = new HashMap<>();
+  private final Map<Users.KnownJob, Waiting> waiting = new HashMap<>();
 
   /** Free CPUs, memory and accelerators of one machine. */
   private record Room(List<Double> free) {
     static Room of(EmulatedWorker machine) {
-      return new Room(Shape.Machine.FIELDS.stream().map(machine::free).toList());
+      return new Room(EmulatorSettings.MachineSpec.FIELDS.stream().map(machine::free).toList());
     }
 
     Room least(Room other) {
@@ -43,10 +43,10 @@
     }
 
     /** How many more tasks of a job it holds. */
-    int fitting(Users.Told job) {
+    int fitting(Users.KnownJob job) {
       double tasks = job.steps;
       for (int i = 0; i < free.size(); i++) {
-        double each = job.body.path(Shape.Machine.FIELDS.get(i)).asDouble();
+        double each = job.body.path(EmulatorSettings.MachineSpec.FIELDS.get(i)).asDouble();
         tasks = each > 0 ? Math.min(tasks, (free.get(i) + 1e-9) / each) : tasks;
       }
       return (int) Math.max(0, Math.floor(tasks));
@@ -81,7 +81,7 @@
   private void look() {
     Map<EmulatedWorker, Room> idle = idle();
     Occupancy occupied = occupied();
-    for (Users.Told job : world.users.told.values()) {
+    for (Users.KnownJob job : world.users.told.values()) {
       boolean neglected =
           waits(job, occupied) && allowed(job, occupied) && fits(job, occupied, idle);
       Waiting before = waiting.get(job);
@@ -118,7 +118,7 @@
     Occupancy out = new Occupancy();
     for (EmulatedWorker machine : world.cloud.machines()) {
       for (EmulatedTask task : machine.tasks()) {
-        Users.Told job = world.users.told.get(Checker.ref(task.key()));
+        Users.KnownJob job = world.users.told.get(InvariantChecker.ref(task.key()));
         if (machine.gone() || task.status().equals("exited")) {
           continue;
         }
@@ -133,7 +133,7 @@
   }
 
   /** True when it has a task that neither has completed nor is on a machine; of a gang all. */
-  private boolean waits(Users.Told job, Occupancy occupied) {
+  private boolean waits(Users.KnownJob job, Occupancy occupied) {
     if (!job.accepted || job.cancelAsked || job.done || job.body.has("mistakenSteps")) {
       return false;
     }
@@ -149,20 +149,20 @@
     return false;
   }
 
-  private static boolean gang(Users.Told job) {
+  private static boolean gang(Users.KnownJob job) {
     return job.body.path("shape").asText().equals("gang");
   }
 
-  private static int atOnce(Users.Told job) {
+  private static int atOnce(Users.KnownJob job) {
     return gang(job) ? job.steps : 1;
   }
 
-  private boolean allowed(Users.Told job, Occupancy occupied) {
+  private boolean allowed(Users.KnownJob job, Occupancy occupied) {
     double cpus = occupied.teamCpus.getOrDefault(job.team, 0.0) + atOnce(job) * job.cpus;
     return job.team.equals("guest") || cpus <= world.size.teamLimit() + 1e-6;
   }
 
-  private boolean fits(Users.Told job, Occupancy occupied, Map<EmulatedWorker, Room> idle) {
+  private boolean fits(Users.KnownJob job, Occupancy occupied, Map<EmulatedWorker, Room> idle) {
     Map<String, Integer> there = occupied.jobByZone.getOrDefault(job.ref, Map.of());
     Map<String, Integer> room = new HashMap<>();
     idle.forEach(
@@ -185,7 +185,7 @@
 
   /** What the job's user allows, given where its other tasks are. */
   private static boolean mayUse(
-      Users.Told job, EmulatedWorker machine, Map<String, Integer> there) {
+      Users.KnownJob job, EmulatedWorker machine, Map<String, Integer> there) {
     boolean others = there.keySet().stream().anyMatch(z -> !z.equals(machine.zone()));
     return job.body.path("basin").asText(machine.zone()).equals(machine.zone())
         && job.allowsType(machine.type())
--- a/src/test/java/dapplestair/world/ImageLocationsTest.java
+++ b/src/test/java/dapplestair/world/ImageLocationsTest.java
@@ -12,7 +12,7 @@
   /** A model of four gigabytes: on one gigabyte a second its fetch takes four seconds. */
   private static final double GB = 4;
 
-  private static Users.Told model(World w, int replicas) {
+  private static Users.KnownJob model(World w, int replicas) {
     return w.users.changed(
         "one",
         replicas,
@@ -35,7 +35,7 @@
     // One on each machine, so that all of them stay and each has room for one replica more.
     w.users.changed("two", 14, 900, b -> b.put("vcpus", 5.0).put("loaners", false));
     w.run(25_000);
-    Users.Told model = model(w, 6);
+    Users.KnownJob model = model(w, 6);
     w.run(60_000);
     assertTrue(model.starts >= 6, "the model does not run");
     w.users.cancel(model);
@@ -44,7 +44,7 @@
   }
 
   private static long firstStartMs(World w) {
-    Users.Told again = model(w, 5);
+    Users.KnownJob again = model(w, 5);
     long at = w.sim.now();
     while (again.starts < 5 && w.sim.now() - at < 20_000) {
       w.run(50);
--- a/src/test/java/dapplestair/world/DeafTest.java
+++ b/src/test/java/dapplestair/world/InboundCutTest.java
@@ -15,7 +15,7 @@
  * Heard is not reached: machines whose reports arrive while nothing reaches them, and copies of
  * reports that come late (docs/known.md).
  */
-class DeafTest {
+class InboundCutTest {
   private static final int REPLICAS = 72;
 
   private static World begun(long seed) {
--- a/src/test/java/dapplestair/world/OddJob.java
+++ b/src/test/java/dapplestair/world/InvalidJob.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /** Jobs that must not be accepted, by the protocol's page and the world's machines and teams. */
-final class OddJob {
+final class InvalidJob {
   /** What is wrong with a job, and the answer that it must get. */
   enum Fault {
     MALFORMED(400),
@@ -35,7 +35,7 @@
 
   private static final int IMPOSSIBLE_KINDS = 7;
 
-  private OddJob() {}
+  private InvalidJob() {}
 
   /** The same job without one field, or changed so that it can never run. */
   static ObjectNode make(ObjectNode job, Sim sim) {
--- a/src/test/java/dapplestair/world/OddRequestsTest.java
+++ b/src/test/java/dapplestair/world/InvalidRequestsTest.java
@@ -14,10 +14,10 @@
 
 /**
  * Users send jobs that can't run or lack a field, submit accepted jobs again, also without a field,
- * and cancel what is done, at controllers of which some have just started. {@link AnswerOrder}
- * knows which answer each must get.
+ * and cancel what is done, at controllers of which some have just started. {@link
+ * MonotonicReadsChecker} knows which answer each must get.
  */
-class OddRequestsTest {
+class InvalidRequestsTest {
   private static final long EVERY_MS = 250;
   private static final long ANSWER_MS = 5000;
   private static final long FOR_MS = 90_000;
@@ -26,7 +26,7 @@
   /** The requests of one day. */
   private static final class Requests {
     final World w;
-    final CloseLooks looks;
+    final ConcurrentReaders looks;
     final long until;
     int made;
     int refused;
@@ -35,7 +35,7 @@
 
     Requests(World w) {
       this.w = w;
-      looks = new CloseLooks(w);
+      looks = new ConcurrentReaders(w);
       until = w.sim.now() + FOR_MS;
     }
 
@@ -53,8 +53,8 @@
     }
 
     /** One of the jobs that pass, if there are any. */
-    private List<Users.Told> some(Predicate<Users.Told> wanted) {
-      List<Users.Told> all = w.users.told.values().stream().filter(wanted).toList();
+    private List<Users.KnownJob> some(Predicate<Users.KnownJob> wanted) {
+      List<Users.KnownJob> all = w.users.told.values().stream().filter(wanted).toList();
       return all.isEmpty() ? all : List.of(all.get((int) w.sim.between(0, all.size() - 1)));
     }
 
@@ -71,7 +71,7 @@
               });
     }
 
-    private void repeatWithoutField(Users.Told job) {
+    private void repeatWithoutField(Users.KnownJob job) {
       ObjectNode body = job.body.deepCopy();
       body.remove("imageGb");
       submit(body, r -> repeated += r.status() == 200 ? 1 : 0);
@@ -80,7 +80,7 @@
     private void submitOdd(JsonNode like) {
       ObjectNode body = like.deepCopy();
       body.put("ref", "od-%06d".formatted(++made));
-      submitUntilRefused(OddJob.make(body, w.sim));
+      submitUntilRefused(InvalidJob.make(body, w.sim));
     }
 
     private void submitUntilRefused(ObjectNode body) {
--- a/src/test/java/dapplestair/world/Checker.java
+++ b/src/test/java/dapplestair/world/InvariantChecker.java
@@ -16,11 +16,11 @@
 import java.util.function.ToIntFunction;
 
 /** The rules of the protocol, checked on the world itself, knowing nothing of the product. */
-final class Checker implements TaskObserver {
+final class InvariantChecker implements TaskObserver {
   private final World world;
   private final Set<String> completed = new HashSet<>();
   // In the order in which their users were told.
-  private final ArrayDeque<Users.Told> cancelled = new ArrayDeque<>();
+  private final ArrayDeque<Users.KnownJob> cancelled = new ArrayDeque<>();
   int started;
   final Map<String, Integer> startsOn = new HashMap<>();
 
@@ -59,7 +59,7 @@
   /** Told of each task that completes, on its machine and at that moment. */
   Consumer<String> alsoCompleted = key -> {};
 
-  Checker(World world) {
+  InvariantChecker(World world) {
     this.world = world;
   }
 
@@ -88,7 +88,7 @@
   @Override
   public void started(EmulatedWorker w, EmulatedTask task) {
     started++;
-    Users.Told job = world.users.told.get(ref(task.key()));
+    Users.KnownJob job = world.users.told.get(ref(task.key()));
     job.started = true;
     job.starts++;
     job.taskStarted(task.key(), world.sim.now());
@@ -107,7 +107,7 @@
         if (m.gone() || !t.onMachine()) {
           continue;
         }
-        Users.Told other = world.users.told.get(ref(t.key()));
+        Users.KnownJob other = world.users.told.get(ref(t.key()));
         if (other.body.path("owner").equals(job.body.path("owner"))) {
           teamCpus += other.cpus;
         }
@@ -143,7 +143,7 @@
     }
   }
 
-  private void lateAfterCancellation(Users.Told job, EmulatedTask task, String what) {
+  private void lateAfterCancellation(Users.KnownJob job, EmulatedTask task, String what) {
     if (world.sim.now() > job.abortedAt + World.CANCEL_MS) {
       broken("ran_cancelled: " + task.key() + " " + what);
     }
@@ -152,7 +152,7 @@
   @Override
   public void resumed(EmulatedWorker w) {
     for (EmulatedTask t : w.tasks()) {
-      Users.Told job = world.users.told.get(ref(t.key()));
+      Users.KnownJob job = world.users.told.get(ref(t.key()));
       if (!w.gone() && t.onMachine() && job.aborted) {
         resumedAfterCancellation++;
         lateAfterCancellation(job, t, "goes on after " + w.id() + " hung");
@@ -173,7 +173,7 @@
     }
   }
 
-  private void gone(Users.Told job) {
+  private void gone(Users.KnownJob job) {
     for (EmulatedWorker m : world.cloud.machines()) {
       for (EmulatedTask t : m.tasks()) {
         if (!m.gone() && t.onMachine() && ref(t.key()).equals(job.ref)) {
@@ -186,7 +186,7 @@
   /** Budgets of disruption are checked on what machines did, not on what the product counts. */
   @Override
   public void stopped(EmulatedWorker w, EmulatedTask task) {
-    Users.Told job = world.users.told.get(ref(task.key()));
+    Users.KnownJob job = world.users.told.get(ref(task.key()));
     if (job == null || job.cancelAsked) {
       return;
     }
@@ -235,14 +235,14 @@
   }
 
   /** What became of the jobs of one class, or of one team. */
-  static final class Served {
+  static final class JobTally {
     int jobs;
     int accepted;
     int started;
     int due;
     int done;
 
-    private void add(Users.Told job) {
+    private void add(Users.KnownJob job) {
       jobs++;
       if (!job.accepted) {
         return;
@@ -265,11 +265,11 @@
   }
 
   /** By class and by team, from what users were told and what machines ran. */
-  Map<String, Served> served() {
-    Map<String, Served> out = new TreeMap<>();
-    for (Users.Told job : world.users.told.values()) {
-      out.computeIfAbsent("class " + job.jobClass, k -> new Served()).add(job);
-      out.computeIfAbsent("team " + job.team, k -> new Served()).add(job);
+  Map<String, JobTally> served() {
+    Map<String, JobTally> out = new TreeMap<>();
+    for (Users.KnownJob job : world.users.told.values()) {
+      out.computeIfAbsent("class " + job.jobClass, k -> new JobTally()).add(job);
+      out.computeIfAbsent("team " + job.team, k -> new JobTally()).add(job);
     }
     return out;
   }
@@ -278,16 +278,16 @@
   static final long BEGIN_MS = 240_000;
 
   /** The largest tenth of each class by tasks times CPUs, three at the least. */
-  Map<String, List<Users.Told>> largest() {
-    Map<String, List<Users.Told>> out = new TreeMap<>();
-    for (Users.Told job : world.users.told.values()) {
+  Map<String, List<Users.KnownJob>> largest() {
+    Map<String, List<Users.KnownJob>> out = new TreeMap<>();
+    for (Users.KnownJob job : world.users.told.values()) {
       if (job.accepted && (!job.cancelAsked || job.begunAt() >= 0)) {
         out.computeIfAbsent(job.jobClass, k -> new ArrayList<>()).add(job);
       }
     }
     out.replaceAll(
         (c, jobs) -> {
-          jobs.sort(Comparator.comparingDouble(Users.Told::size).reversed());
+          jobs.sort(Comparator.comparingDouble(Users.KnownJob::size).reversed());
           return jobs.subList(0, Math.min(jobs.size(), Math.max(3, (jobs.size() + 9) / 10)));
         });
     return out;
@@ -330,7 +330,7 @@
   }
 
   /** A user was told the state of a job, having been told {@code before} when it asked. */
-  void told(Users.Told job, String before, String status) {
+  void told(Users.KnownJob job, String before, String status) {
     if (before != null && !before.equals(status)) {
       broken("went_back: " + job.ref + " is called " + status);
     }
--- a/src/test/java/dapplestair/world/CheckerTest.java
+++ b/src/test/java/dapplestair/world/InvariantCheckerTest.java
@@ -2,24 +2,25 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dapplestair.emulator.Shape;
+import dapplestair.emulator.EmulatorSettings;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Days on which each of the checker's rules of place has work to look at. */
-class CheckerTest {
+class InvariantCheckerTest {
   /** Two types of machines, one of them for nobody but the jobs that name it. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9101, 9102})
   void jobsRunOnTheirTypesAndInTheirZones(long seed) {
-    List<Shape.Machine> types = List.of(World.machineType("t8"), World.machineType("u8"));
+    List<EmulatorSettings.MachineSpec> types =
+        List.of(World.machineType("t8"), World.machineType("u8"));
     World w = new World(seed, World.Size.MIDDLE, false, types);
     w.users.quiet = true;
     w.run(5000);
     for (String type : List.of("t8", "u8")) {
       for (String zone : World.ZONES) {
-        Users.Told job =
+        Users.KnownJob job =
             w.users.changed(
                 "one",
                 3,
--- a/src/test/java/dapplestair/world/LoneControllerTest.java
+++ b/src/test/java/dapplestair/world/IsolatedControllerTest.java
@@ -12,7 +12,7 @@
  * Controllers that lose the state service and each other, but not their workers, and processes that
  * are back within a fraction of a second (docs/known.md).
  */
-class LoneControllerTest {
+class IsolatedControllerTest {
   private static final long LONG_MS = 2 * World.LEASE_MS;
 
   private static World begun(long seed) {
@@ -43,8 +43,8 @@
     World.Node leader = w.leader();
     World.Node lone = led > 0 ? leader : w.nodes.get((leader.index + 1) % 3);
     int killed = w.cloud.killedByLease();
-    new Troubles(w).alone(lone, hold, LONG_MS);
-    Users.Told job = w.users.array("one", "high", 20, 5);
+    new RandomFaults(w).alone(lone, hold, LONG_MS);
+    Users.KnownJob job = w.users.array("one", "high", 20, 5);
     w.run(World.LEASE_MS / 2);
     assertNotEquals(lone, w.leader(), "it cannot lead");
     assertEquals(503, up(w, lone), "users go on coming to it");
@@ -67,7 +67,7 @@
   void twoAtOnce(long seed) {
     World w = begun(seed);
     World.Node leader = w.leader();
-    Troubles troubles = new Troubles(w);
+    RandomFaults troubles = new RandomFaults(w);
     troubles.alone(leader, false, LONG_MS);
     troubles.alone(w.nodes.get((leader.index + 1) % 3), true, LONG_MS);
     int killed = w.cloud.killedByLease();
--- a/src/test/java/dapplestair/world/LaneTest.java
+++ b/src/test/java/dapplestair/world/LaneTest.java
@@ -71,14 +71,14 @@
     return free;
   }
 
-  static Users.Told rider(World w, int tasks) {
+  static Users.KnownJob rider(World w, int tasks) {
     return w.users.changed(
         "two", tasks, 6, b -> b.put("jobclass", "gate").put("rank", "high").put("loaners", true));
   }
 
   /** How many of a job's tasks have started so far, each counted once. */
-  static void untilBegun(World w, List<Users.Told> riders, long mostMs) {
-    for (Users.Told r : riders) {
+  static void untilBegun(World w, List<Users.KnownJob> riders, long mostMs) {
+    for (Users.KnownJob r : riders) {
       long until = r.submittedAt + mostMs;
       while (r.starts < r.steps && w.sim.now() < until) {
         w.run(50);
@@ -104,7 +104,7 @@
     World w = begun(seed, GATE, saveS);
     int before = stopped(w);
     long laneBefore = w.state.putsTo("live/lane/");
-    List<Users.Told> riders = new ArrayList<>();
+    List<Users.KnownJob> riders = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       riders.add(rider(w, 6));
     }
@@ -133,7 +133,7 @@
     }
     w.cloud.machines().stream().limit(8).forEach(m -> w.sim.after(0, m::end));
     w.run(25_000);
-    Users.Told rider =
+    Users.KnownJob rider =
         w.users.changed(
             "two",
             3,
@@ -160,7 +160,7 @@
   void claimsOutliveLeaders(long seed, long afterMs, boolean twice) {
     World w = begun(seed, GATE, 0);
     int before = stopped(w);
-    Users.Told rider = rider(w, 8);
+    Users.KnownJob rider = rider(w, 8);
     Map<String, Set<String>> claimed = new HashMap<>();
     w.also =
         () -> {
@@ -196,7 +196,7 @@
   @ValueSource(longs = {6331, 6332, 6333, 6334})
   void claimedMachinesFail(long seed) {
     World w = begun(seed, GATE, 0);
-    Users.Told rider = rider(w, 12);
+    Users.KnownJob rider = rider(w, 12);
     w.run(250);
     if (claims(w) != null) {
       int n = 0;
@@ -246,7 +246,7 @@
     w.run(40_000);
     assertTrue(free(w) >= 24, free(w) + " CPUs are left of a reserve of 24");
     int before = stopped(w);
-    Users.Told rider = rider(w, 10);
+    Users.KnownJob rider = rider(w, 10);
     untilBegun(w, List.of(rider), STEPS_MS);
     assertEquals(before, stopped(w), "stops, though the reserve was free");
   }
--- a/src/test/java/dapplestair/world/GrownDaysTest.java
+++ b/src/test/java/dapplestair/world/LargeClusterDaysTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Days with hundreds of machines and thousands of tasks: the rules, and what a start costs. */
-class GrownDaysTest {
+class LargeClusterDaysTest {
   // An array of some 75 tasks takes about a dozen puts from its acceptance to its end.
   private static final double MOST_PUTS_PER_START = 0.5;
 
--- a/src/test/java/dapplestair/world/LargestTest.java
+++ b/src/test/java/dapplestair/world/LargestJobsTest.java
@@ -15,7 +15,7 @@
  * More work than the cluster takes, for minutes, with leaders that end: the largest jobs, the
  * lowest rank and those without a guarantee begin all the same (docs/known.md).
  */
-class LargestTest {
+class LargestJobsTest {
   private static final double CLUSTER_CPUS = 192;
   private static final int SMALL_STEPS = 8;
   private static final double SMALL_S = 8;
@@ -61,8 +61,8 @@
     }
   }
 
-  private static List<Users.Told> large(World w) {
-    List<Users.Told> out = new ArrayList<>();
+  private static List<Users.KnownJob> large(World w) {
+    List<Users.KnownJob> out = new ArrayList<>();
     for (String team : List.of("one", "guest")) {
       out.add(
           w.users.changed(
@@ -87,14 +87,14 @@
     return out;
   }
 
-  private static long waitMs(World w, Users.Told job) {
+  private static long waitMs(World w, Users.KnownJob job) {
     return (job.begunAt() < 0 ? w.sim.now() : job.begunAt()) - job.submittedAt;
   }
 
-  private static void begunInTime(World w, List<Users.Told> jobs) {
-    for (Users.Told job : jobs) {
+  private static void begunInTime(World w, List<Users.KnownJob> jobs) {
+    for (Users.KnownJob job : jobs) {
       assertTrue(
-          job.begunAt() >= 0 && waitMs(w, job) <= Checker.BEGIN_MS,
+          job.begunAt() >= 0 && waitMs(w, job) <= InvariantChecker.BEGIN_MS,
           () -> job.ref + " of " + job.jobClass + " waits for " + waitMs(w, job) + " ms");
     }
   }
@@ -105,7 +105,7 @@
     World w = begun(seed);
     overload(w, factor, cpus, 280_000);
     w.run(20_000);
-    List<Users.Told> large = large(w);
+    List<Users.KnownJob> large = large(w);
     runEnding(w, 255_000);
     begunInTime(w, large);
     // No replica was lost for it.
@@ -123,13 +123,13 @@
     w.run(20_000);
     long outageMs = 55_000;
     w.state.fail();
-    Users.Told large = large(w).get(0);
+    Users.KnownJob large = large(w).get(0);
     w.run(outageMs);
     w.state.recover();
-    w.run(Checker.BEGIN_MS - outageMs);
+    w.run(InvariantChecker.BEGIN_MS - outageMs);
     begunInTime(w, List.of(large));
     // Three fifths of the bound and what it takes to begin, but no outage on top.
-    long most = Checker.BEGIN_MS * 3 / 5 + outageMs * 2 / 3;
+    long most = InvariantChecker.BEGIN_MS * 3 / 5 + outageMs * 2 / 3;
     assertTrue(waitMs(w, large) <= most, "it waited for " + waitMs(w, large) + " ms");
   }
 
@@ -141,14 +141,14 @@
   @CsvSource({"6021,40", "6022,80", "6023,20"})
   void everyArrayBeginsThoughWindowsAreFull(long seed, int steps) {
     World w = begun(seed);
-    List<Users.Told> arrays = new ArrayList<>();
+    List<Users.KnownJob> arrays = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
       int size = steps + (int) w.sim.between(0, 4 * steps);
       w.sim.after(
           i * 4_000L,
           () -> arrays.add(w.users.changed("one", size, 60, b -> b.put("jobclass", "long"))));
     }
-    w.run(24 * 4_000 + Checker.BEGIN_MS);
+    w.run(24 * 4_000 + InvariantChecker.BEGIN_MS);
     begunInTime(w, arrays);
   }
 
@@ -165,10 +165,10 @@
     w.run(20_000);
     overload(w, 3, 2, 280_000);
     w.run(20_000);
-    List<Users.Told> large = large(w);
+    List<Users.KnownJob> large = large(w);
     w.run(255_000);
     assertFalse(
-        large.stream().allMatch(j -> j.begunAt() >= 0 && waitMs(w, j) <= Checker.BEGIN_MS),
+        large.stream().allMatch(j -> j.begunAt() >= 0 && waitMs(w, j) <= InvariantChecker.BEGIN_MS),
         "this test says nothing");
   }
 
@@ -179,7 +179,7 @@
     World w = begun(seed);
     overload(w, 2, 2, 280_000);
     w.run(20_000);
-    Users.Told gang =
+    Users.KnownJob gang =
         w.users.changed(
             "one",
             28,
--- a/src/test/java/dapplestair/world/LastEndTest.java
+++ b/src/test/java/dapplestair/world/LastTaskEndTest.java
@@ -19,7 +19,7 @@
  * the state service, or while its end or its cancellation is on its way there, moved by a message,
  * a put or a report, at the leader or at others.
  */
-class LastEndTest {
+class LastTaskEndTest {
   private static final int JOBS = 12;
   private static final long RUN_S = 4;
 
@@ -38,10 +38,10 @@
   /** Who sends what where. */
   private static final class Day {
     final World w;
-    final CloseLooks looks;
+    final ConcurrentReaders looks;
     final Step step;
     final long moveMs;
-    final Map<String, Users.Told> jobs = new LinkedHashMap<>();
+    final Map<String, Users.KnownJob> jobs = new LinkedHashMap<>();
     final Map<String, Integer> completed = new LinkedHashMap<>();
     final Set<String> heldOnce = new HashSet<>();
     int met;
@@ -50,7 +50,7 @@
       w = new World(seed);
       w.net.loss = 0;
       w.users.cancelledArrays = 0;
-      looks = new CloseLooks(w);
+      looks = new ConcurrentReaders(w);
       this.step = step;
       this.moveMs = moveMs;
       w.checker.alsoCompleted = this::completed;
@@ -66,12 +66,12 @@
     }
 
     void submit(int i) {
-      Users.Told job = w.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 3, RUN_S);
+      Users.KnownJob job = w.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 3, RUN_S);
       jobs.put(job.ref, job);
     }
 
     private void completed(String task) {
-      Users.Told job = jobs.get(task.substring(0, task.indexOf('/')));
+      Users.KnownJob job = jobs.get(task.substring(0, task.indexOf('/')));
       boolean last = job != null && completed.merge(job.ref, 1, Integer::sum) == job.steps;
       if (last && step == Step.TASK_EXITS) {
         w.sim.after(moveMs, () -> meet(job));
@@ -81,10 +81,11 @@
     }
 
     private void sent(String from, JsonNode body) {
-      Users.Told job = jobs.get(String.valueOf(Commits.job(body)));
+      Users.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
       boolean held =
-          step == Step.DONE_IS_SENT && Commits.any(body, Commits.ends("done"))
-              || step == Step.CANCELLATION_IS_SENT && Commits.any(body, Commits.ends("aborted"));
+          step == Step.DONE_IS_SENT && CommitInterceptor.any(body, CommitInterceptor.ends("done"))
+              || step == Step.CANCELLATION_IS_SENT
+                  && CommitInterceptor.any(body, CommitInterceptor.ends("aborted"));
       if (job != null && held && heldOnce.add(job.ref)) {
         w.net.cut(from, "state:1", true);
         w.sim.after(moveMs, () -> w.net.heal(from, "state:1"));
@@ -93,14 +94,16 @@
     }
 
     private void carriedOut(String from, JsonNode body) {
-      Users.Told job = jobs.get(String.valueOf(Commits.job(body)));
-      if (job != null && step == Step.DONE_IS_PUT && Commits.any(body, Commits.ends("done"))) {
+      Users.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
+      if (job != null
+          && step == Step.DONE_IS_PUT
+          && CommitInterceptor.any(body, CommitInterceptor.ends("done"))) {
         w.sim.after(moveMs, () -> meet(job));
       }
     }
 
     /** In turn: cancelled at the leader, at another, at all at once, asked for and repeated. */
-    private void meet(Users.Told job) {
+    private void meet(Users.KnownJob job) {
       int leader = w.leader().index;
       int kind = met++ % 4;
       if (kind == 3) {
@@ -117,8 +120,8 @@
       looks.around(job);
     }
 
-    String recorded(Users.Told job) {
-      JsonNode over = w.state.value(Commits.OVER + job.ref);
+    String recorded(Users.KnownJob job) {
+      JsonNode over = w.state.value(CommitInterceptor.OVER + job.ref);
       assertNotNull(over, job.ref + " is not over");
       return over.path("status").asText();
     }
@@ -152,7 +155,7 @@
     d.w.run(20_000);
     SeededDaysTest.settle(d.w);
     assertTrue(2 * d.met >= JOBS, d.met + " of " + JOBS + " ends were met");
-    for (Users.Told job : d.jobs.values()) {
+    for (Users.KnownJob job : d.jobs.values()) {
       assertEquals(d.recorded(job), job.finalState(), job.ref);
       if (step == Step.DONE_IS_PUT) {
         assertEquals("done", job.finalState(), job.ref);
--- a/src/test/java/dapplestair/world/LateCommandsTest.java
+++ b/src/test/java/dapplestair/world/LateCommandsTest.java
@@ -32,7 +32,7 @@
     switch (how) {
       case "ends" -> old.crash(6000);
       case "hangs" -> old.freeze(12_000);
-      case "alone" -> new Troubles(w).alone(old, false, World.LEASE_MS);
+      case "alone" -> new RandomFaults(w).alone(old, false, World.LEASE_MS);
       default -> throw new IllegalArgumentException(how);
     }
   }
@@ -65,7 +65,7 @@
 
   /** A third of what runs, or is about to, is cancelled through the new leader. */
   private static void cancelSome(World w) {
-    for (Users.Told t : new ArrayList<>(w.users.told.values())) {
+    for (Users.KnownJob t : new ArrayList<>(w.users.told.values())) {
       if (t.accepted && !t.done && !t.cancelAsked && w.sim.chance(0.33)) {
         w.users.cancel(t);
       }
--- a/src/test/java/dapplestair/world/TradeTimes.java
+++ b/src/test/java/dapplestair/world/LatencyReport.java
@@ -11,11 +11,11 @@
 import org.HdrHistogram.Histogram;
 
 /** Prints the tables of docs/results.md on elections, lanes and long waits. Not a test. */
-final class TradeTimes {
+final class LatencyReport {
   private static final int SEEDS = 200;
   private static final long MOST_MS = 600_000;
 
-  private TradeTimes() {}
+  private LatencyReport() {}
 
   /** Without arguments all tables; the number of seeds may be given. */
   public static void main(String[] args) {
@@ -93,7 +93,7 @@
           b -> b.put("jobclass", "settle").put("snapshotEveryS", 5.0).put("snapshotS", 0.5));
     }
     w.run(40_000);
-    Users.Told rider =
+    Users.KnownJob rider =
         w.users.changed("two", 24, 60, b -> b.put("jobclass", "gate").put("rank", "high"));
     if (leaderEnds) {
       w.run(w.sim.between(20, 500));
--- a/src/test/java/dapplestair/world/LeaderChange.java
+++ b/src/test/java/dapplestair/world/LeaderChange.java
@@ -51,7 +51,7 @@
   ALONE {
     @Override
     void happen(World w, World.Node leader) {
-      new Troubles(w).alone(leader, w.sim.chance(0.5), 8000);
+      new RandomFaults(w).alone(leader, w.sim.chance(0.5), 8000);
     }
   },
   /** The state service refuses it alone. */
--- a/src/test/java/dapplestair/world/LeaderMeetings.java
+++ b/src/test/java/dapplestair/world/LeaderChangeRunner.java
@@ -5,10 +5,10 @@
 import java.util.function.LongFunction;
 
 /**
- * Plays more changes of the leader than a build has time for: {@code LeaderMeetings FROM TO} plays
- * these seeds, prints each that broke a rule, and counts what rules permit.
+ * Plays more changes of the leader than a build has time for: {@code LeaderChangeRunner FROM TO}
+ * plays these seeds, prints each that broke a rule, and counts what rules permit.
  */
-final class LeaderMeetings {
+final class LeaderChangeRunner {
   private static final long[] OFFSETS_MS = {-1500, -400, -30, -5, 0, 5, 30, 400, 1700, 3000};
   private static final String[] LINKS = {"whole", "refused", "held"};
 
@@ -34,20 +34,20 @@
   }
 
   private void play(long seed) {
-    MachineTrouble trouble = pick(MachineTrouble.values(), seed);
+    MachineFault trouble = pick(MachineFault.values(), seed);
     LeaderChange change = pick(LeaderChange.values(), seed / 7);
     long offset = OFFSETS_MS[(int) (seed / 3 % OFFSETS_MS.length)];
-    RefusedThenOutTest.Asked asked = pick(RefusedThenOutTest.Asked.values(), seed / 10);
+    RefusedThenOutageTest.Asked asked = pick(RefusedThenOutageTest.Asked.values(), seed / 10);
     long askedMs = Math.min(offset, 900);
-    play("limits", seed, s -> LimitsTest.play(s, trouble, change, Math.max(-1500, offset)));
+    play("limits", seed, s -> TeamLimitsTest.play(s, trouble, change, Math.max(-1500, offset)));
     play("handover", seed, s -> HandoverTest.play(s, change, Math.max(-400, offset)));
-    play("refused", seed, s -> RefusedThenOutTest.play(s, asked, askedMs, pick(LINKS, s), 1700));
+    play("refused", seed, s -> RefusedThenOutageTest.play(s, asked, askedMs, pick(LINKS, s), 1700));
     long outMs = seed % 2 * 8000;
     play("leaders", seed, s -> ManyLeadersTest.play(s, trouble, (int) (s % 5), outMs));
   }
 
   public static void main(String[] args) {
-    LeaderMeetings meetings = new LeaderMeetings();
+    LeaderChangeRunner meetings = new LeaderChangeRunner();
     for (long seed = Long.parseLong(args[0]); seed <= Long.parseLong(args[1]); seed++) {
       meetings.play(seed);
     }
--- a/src/test/java/dapplestair/world/LeaseAnswersTest.java
+++ b/src/test/java/dapplestair/world/LeaseResponsesTest.java
@@ -25,7 +25,7 @@
  * Guards of the proof in docs/cancellations.md that other layers hide on a whole day: each is shown
  * by the answer that one controller gives to one report, or by the moment of one message.
  */
-class LeaseAnswersTest {
+class LeaseResponsesTest {
   /** For how long after a cancellation a leader that does not know of it may send launches. */
   private static final long LAUNCH_MS =
       (World.CANCEL_MS - World.LEASE_MS - World.LEASE_MS / 16) / 4;
@@ -77,7 +77,7 @@
   /**
    * Halts of jobs that are not done: of those that are, what is on record may be halted as well.
    */
-  private static Set<String> halts(GapTest.Day d, HttpReply reply) {
+  private static Set<String> halts(CancellationOutageTest.Day d, HttpReply reply) {
     Set<String> keys = halts(reply);
     keys.removeIf(
         key -> {
@@ -88,7 +88,7 @@
   }
 
   /** The tasks of these jobs among {@code tasks}. */
-  private static Set<String> of(List<Users.Told> jobs, JsonNode tasks) {
+  private static Set<String> of(List<Users.KnownJob> jobs, JsonNode tasks) {
     Set<String> keys = new HashSet<>();
     for (JsonNode t : tasks) {
       String key = t.path("step").asText();
@@ -100,7 +100,7 @@
   }
 
   /** A machine that runs tasks to be cancelled as well as others. */
-  private static Reporter mixed(GapTest.Day d) {
+  private static Reporter mixed(CancellationOutageTest.Day d) {
     return d.w.cloud.machines().stream()
         .filter(m -> !m.gone() && m.booted())
         .map(Reporter::new)
@@ -110,9 +110,9 @@
   }
 
   /** A follower that was told of cancellations answers in an outage of all. */
-  private static Reporter toldFollower(GapTest.Day d) {
+  private static Reporter toldFollower(CancellationOutageTest.Day d) {
     Reporter r = mixed(d);
-    GapTest.refuse(d);
+    CancellationOutageTest.refuse(d);
     d.cancel(d.second);
     d.w.state.fail();
     // Its own reports must not meet those of the test, and who asks here is told here once more.
@@ -127,7 +127,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8201, 8202, 8203})
   void aFollowersAnswerHaltsCancelledTasks(long seed) {
-    GapTest.Day d = new GapTest.Day(seed);
+    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     Reporter r = toldFollower(d);
     Set<String> cancelled = of(d.cancelled, r.tasks());
     HttpReply answer = r.to(d.third, r.tasks(), r.token());
@@ -147,7 +147,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8201, 8202, 8203})
   void aFollowerRaisesTheTokenUntilNoLaunchCanBeSent(long seed) {
-    GapTest.Day d = new GapTest.Day(seed);
+    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     Reporter r = toldFollower(d);
     long first = token(r.to(d.third, r.tasks(), r.token()));
     assertTrue(first >= r.token() + 2 * FencingToken.MOST_AHEAD, "raised above any launch");
@@ -161,7 +161,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8201, 8202, 8203})
   void aFollowerKeepsNoLeaseForJobsItDoesNotKnow(long seed) {
-    GapTest.Day d = new GapTest.Day(seed);
+    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     Reporter r = toldFollower(d);
     token(r.to(d.third, r.tasks(), r.token()));
     ArrayNode tasks = r.tasks().deepCopy();
@@ -175,9 +175,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8211, 8212, 8213})
   void aLeaderKeepsOutALaunchOnItsWay(long seed) {
-    GapTest.Day d = new GapTest.Day(seed);
+    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     refuseMachines(d, true);
-    Users.Told job = d.w.users.array("one", "high", 4, 150);
+    Users.KnownJob job = d.w.users.array("one", "high", 4, 150);
     waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
     List<Reporter> reporters = hostsOnRecord(d, job).stream().map(Reporter::new).toList();
     d.w.users.cancelAt(job, d.second);
@@ -192,7 +192,7 @@
   }
 
   /** Calls of the old leader get no answer; what was called is lost. Reports go on. */
-  private static void refuseMachines(GapTest.Day d, boolean refused) {
+  private static void refuseMachines(CancellationOutageTest.Day d, boolean refused) {
     String node = "node-" + d.old.index;
     for (EmulatedWorker m : d.w.cloud.machines()) {
       if (refused) {
@@ -203,7 +203,8 @@
     }
   }
 
-  private static List<EmulatedWorker> hostsOnRecord(GapTest.Day d, Users.Told job) {
+  private static List<EmulatedWorker> hostsOnRecord(
+      CancellationOutageTest.Day d, Users.KnownJob job) {
     String records = "";
     for (String key : d.w.state.keys("live/")) {
       if (key.startsWith("live/run/" + job.ref) || key.startsWith("live/sheet/")) {
@@ -222,14 +223,14 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8221, 8222, 8223})
   void noLaunchLeavesLongAfterTheLastKnowledge(long seed) {
-    GapTest.Day d = new GapTest.Day(seed);
+    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     boolean[] refusing = {true};
     for (EmulatedWorker m : d.w.cloud.machines()) {
       d.w.net.place(m.endpoint(), refusing("node-" + d.old.index, refusing, m));
     }
-    Users.Told job = d.w.users.array("two", "high", 4, 150);
+    Users.KnownJob job = d.w.users.array("two", "high", 4, 150);
     waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
-    GapTest.refuse(d);
+    CancellationOutageTest.refuse(d);
     d.links("refused", true);
     d.w.users.cancelAt(job, d.second);
     waitUntil(d, () -> job.aborted);
@@ -302,11 +303,11 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8231, 8232, 8233})
   void nobodyIsToldBeforeAllPlacesAreRead(long seed) {
-    GapTest.Day d = new GapTest.Day(seed);
+    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     HeldState state = new HeldState(d.w.state);
     d.w.net.place("state:1", state);
     state.blind.add("node-" + d.old.index);
-    Users.Told job = d.w.users.array("one", "high", 4, 150);
+    Users.KnownJob job = d.w.users.array("one", "high", 4, 150);
     waitUntil(d, () -> job.accepted);
     d.w.users.cancelAt(job, d.second);
     waitUntil(d, () -> state.cancellation != null);
@@ -324,7 +325,7 @@
     assertFalse(reporters.isEmpty());
   }
 
-  private static void waitUntil(GapTest.Day d, BooleanSupplier condition) {
+  private static void waitUntil(CancellationOutageTest.Day d, BooleanSupplier condition) {
     for (int i = 0; i < 400 && !condition.getAsBoolean(); i++) {
       d.w.run(10);
     }
--- a/src/test/java/dapplestair/world/LostOrdersTest.java
+++ b/src/test/java/dapplestair/world/LostOperatorResponsesTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * As {@link LostAnswersTest}, for what operators, budgets and calendars put on record: only the
+ * As {@link LostResponsesTest}, for what operators, budgets and calendars put on record: only the
  * answer is lost, and the sender goes on, hears no news, or ends.
  */
-class LostOrdersTest {
+class LostOperatorResponsesTest {
   private static final long FOR_MS = 30_000;
   private static final long LONG_MS = 180_000;
   private static final long REPLACED_MS = 900_000;
 
-  private static void begin(World w, Predicate<JsonNode> writes, LostAnswersTest.Sender sender) {
-    LostAnswersTest.loseAnswers(w, writes, sender);
+  private static void begin(World w, Predicate<JsonNode> writes, LostResponsesTest.Sender sender) {
+    LostResponsesTest.loseAnswers(w, writes, sender);
   }
 
   private static void end(World w) {
@@ -31,10 +31,13 @@
   /** Guards against drains that are forgotten, or never end, for want of an answer. */
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13101,GOES_ON", "13102,HEARS_NO_NEWS", "13105,ENDS_AT_ONCE", "13104,ENDS_LATER"})
-  void drainsWithoutAnswer(long seed, LostAnswersTest.Sender sender) {
+  void drainsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
     World w = DisruptionTest.begun(seed, 2, 3);
     int replicas = DisruptionTest.replicas(w);
-    begin(w, Commits.puts("live/drain").or(Commits.removes("live/drain")), sender);
+    begin(
+        w,
+        CommitInterceptor.puts("live/drain").or(CommitInterceptor.removes("live/drain")),
+        sender);
     OperatorsTest.order(w, "/v1/zones/c/drain", Json.object().put("why", "power"));
     w.run(LONG_MS);
     assertEquals(0, DisruptionTest.tasksIn(w, "c"), "tasks left in the zone");
@@ -49,11 +52,11 @@
   /** Guards against replacements that stand still, or begin again, for want of an answer. */
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13111,GOES_ON", "13112,HEARS_NO_NEWS", "13113,ENDS_AT_ONCE", "13114,ENDS_LATER"})
-  void replacementsWithoutAnswer(long seed, LostAnswersTest.Sender sender) {
+  void replacementsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
     World w = DisruptionTest.begun(seed, 2, 3);
     Set<String> before = ReplacementTest.machines(w);
     int replicas = DisruptionTest.replicas(w);
-    begin(w, Commits.puts("live/replace/"), sender);
+    begin(w, CommitInterceptor.puts("live/replace/"), sender);
     OperatorsTest.order(w, "/v1/replacements/night/start", ReplacementTest.all(3, 3));
     w.run(2 * FOR_MS);
     end(w);
@@ -64,13 +67,13 @@
   /** Guards against more work thrown away than a budget allows, and against budgets never used. */
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13112,GOES_ON", "13222,HEARS_NO_NEWS", "13123,ENDS_AT_ONCE", "13124,ENDS_LATER"})
-  void budgetsWithoutAnswer(long seed, LostAnswersTest.Sender sender) {
+  void budgetsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
     World w = DisruptionTest.begun(seed, 1, 1);
     double most = 2.0 * 60 * 8;
     DisruptionTest.allowLoss(w, most);
     w.users.array("two", "standard", 60, 300);
     w.run(40_000);
-    begin(w, Commits.puts("live/disruption/"), sender);
+    begin(w, CommitInterceptor.puts("live/disruption/"), sender);
     for (String zone : World.ZONES) {
       OperatorsTest.order(w, "/v1/zones/" + zone + "/drain", Json.object().put("deadline_s", 1));
     }
@@ -85,10 +88,10 @@
   /** Guards against runs held past their cut-off, and marks that count twice. */
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13122,GOES_ON", "13116,HEARS_NO_NEWS", "13110,ENDS_AT_ONCE", "13134,ENDS_LATER"})
-  void calendarMarksWithoutAnswer(long seed, LostAnswersTest.Sender sender) {
+  void calendarMarksWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
     World w = CalendarTest.begun(seed);
-    Users.Told model = CalendarTest.model(w);
-    begin(w, Commits.puts("live/calendar/"), sender);
+    Users.KnownJob model = CalendarTest.model(w);
+    begin(w, CommitInterceptor.puts("live/calendar/"), sender);
     CalendarTest.deliver(w, CalendarTest.COMPLETE);
     CalendarTest.untilBegun(w, model, CalendarTest.CUT_OFF_MS + CalendarTest.STEPS_MS);
     end(w);
--- a/src/test/java/dapplestair/world/LostAnswersTest.java
+++ b/src/test/java/dapplestair/world/LostResponsesTest.java
@@ -16,7 +16,7 @@
  * controllers about what it wrote; the one that sent it goes on, or ends before or just after it
  * would have missed the answer.
  */
-class LostAnswersTest {
+class LostResponsesTest {
   private static final double SHARE = 0.6;
   private static final long FOR_MS = 45_000;
   private static final long DEPOSE_EVERY_MS = 6000;
@@ -29,16 +29,16 @@
 
   /** The kinds of transactions of docs/meetings.md. */
   enum Put {
-    ACCEPTANCE(Commits.puts(Commits.JOB)),
-    CANCELLATION(Commits.ends("aborted")),
-    DONE(Commits.ends("done")),
-    ATTEMPTS(Commits.puts("live/run/")),
-    LAUNCH_BATCH(Commits.puts("live/sheet/")),
-    CLEARING(Commits.removes("live/run/").or(Commits.removes("live/sheet/"))),
-    RENTAL(Commits.puts("live/rental/")),
-    RENTAL_ENDED(Commits.removes("live/rental/")),
-    LEADER(Commits.puts("live/leader")),
-    PLAN_OR_TYPES(Commits.puts("live/plan").or(Commits.puts("live/types"))),
+    ACCEPTANCE(CommitInterceptor.puts(CommitInterceptor.JOB)),
+    CANCELLATION(CommitInterceptor.ends("aborted")),
+    DONE(CommitInterceptor.ends("done")),
+    ATTEMPTS(CommitInterceptor.puts("live/run/")),
+    LAUNCH_BATCH(CommitInterceptor.puts("live/sheet/")),
+    CLEARING(CommitInterceptor.removes("live/run/").or(CommitInterceptor.removes("live/sheet/"))),
+    RENTAL(CommitInterceptor.puts("live/rental/")),
+    RENTAL_ENDED(CommitInterceptor.removes("live/rental/")),
+    LEADER(CommitInterceptor.puts("live/leader")),
+    PLAN_OR_TYPES(CommitInterceptor.puts("live/plan").or(CommitInterceptor.puts("live/types"))),
     ALL(write -> true);
 
     final Predicate<JsonNode> writes;
@@ -67,13 +67,13 @@
   private static final long NO_NEWS_MS = 5000;
 
   static void loseAnswers(World w, Predicate<JsonNode> writes, Sender sender) {
-    CloseLooks looks = new CloseLooks(w);
+    ConcurrentReaders looks = new ConcurrentReaders(w);
     long[] crashAgainAt = {0};
     w.net.commits.lostAnswersOf = writes;
     w.net.commits.lostAnswers = SHARE;
     w.net.commits.answerLost =
         (from, body) -> {
-          Users.Told job = w.users.told.get(String.valueOf(Commits.job(body)));
+          Users.KnownJob job = w.users.told.get(String.valueOf(CommitInterceptor.job(body)));
           if (job != null) {
             lookAt(w, looks, job);
           }
@@ -89,7 +89,7 @@
   }
 
   /** A job that nobody was told of yet may be asked for by whoever submitted it. */
-  private static void lookAt(World w, CloseLooks looks, Users.Told job) {
+  private static void lookAt(World w, ConcurrentReaders looks, Users.KnownJob job) {
     looks.around(job);
     if (w.sim.chance(0.3)) {
       w.nodes.forEach(n -> w.sim.after(w.sim.between(0, 30), () -> w.users.cancelAt(job, n)));
@@ -179,8 +179,8 @@
   })
   void claimsOfALane(long seed, Sender sender) {
     World w = LaneTest.begun(seed, LaneTest.GATE, 0);
-    loseAnswers(w, Commits.puts("live/lane/"), sender);
-    List<Users.Told> riders = new ArrayList<>();
+    loseAnswers(w, CommitInterceptor.puts("live/lane/"), sender);
+    List<Users.KnownJob> riders = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       riders.add(LaneTest.rider(w, 6));
       w.run(3000);
--- a/src/test/java/dapplestair/world/MachineTrouble.java
+++ b/src/test/java/dapplestair/world/MachineFault.java
@@ -3,7 +3,7 @@
 import dapplestair.emulator.EmulatedWorker;
 
 /** The ways in which a machine with cancelled tasks does not do what it is told. */
-enum MachineTrouble {
+enum MachineFault {
   /** Nothing reaches it or comes from it; the messages are lost. */
   CUT {
     @Override
--- a/src/test/java/dapplestair/world/ManyLeadersTest.java
+++ b/src/test/java/dapplestair/world/ManyLeadersTest.java
@@ -35,12 +35,12 @@
     "11210,MUTE,1,60000",
     "11211,UNASKED,0,70000"
   })
-  void tenLeaders(long seed, MachineTrouble trouble, int outRound, long outMs) {
+  void tenLeaders(long seed, MachineFault trouble, int outRound, long outMs) {
     play(seed, trouble, outRound, outMs);
   }
 
-  static World play(long seed, MachineTrouble trouble, int outRound, long outMs) {
-    LimitsTest.FullDay f = new LimitsTest.FullDay(seed);
+  static World play(long seed, MachineFault trouble, int outRound, long outMs) {
+    TeamLimitsTest.FullDay f = new TeamLimitsTest.FullDay(seed);
     World w = f.w;
     LeaderChange[] ways = LeaderChange.values();
     long first = term(w);
@@ -83,7 +83,8 @@
     "12013,a,9000,true"
   })
   void aZoneHangsAndNoLeaderStays(long seed, String zone, long everyMs, boolean ofOneTask) {
-    GapTest.Day d = ofOneTask ? new GapTest.Day(seed) : new LimitsTest.FullDay(seed).day;
+    CancellationOutageTest.Day d =
+        ofOneTask ? new CancellationOutageTest.Day(seed) : new TeamLimitsTest.FullDay(seed).day;
     World w = d.w;
     if (ofOneTask) {
       d.cancelled.clear();
@@ -109,8 +110,8 @@
   }
 
   /** Users are told while machines hang, and an outage begins. */
-  static GapTest.Day cancelledOnHangingMachines(long seed) {
-    GapTest.Day d = new GapTest.Day(seed);
+  static CancellationOutageTest.Day cancelledOnHangingMachines(long seed) {
+    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     d.cancelled.forEach(t -> d.w.users.cancelAt(t, d.old));
     d.stallEveryThird();
     d.w.run(500);
@@ -124,7 +125,7 @@
   @ParameterizedTest(name = "seed {0}, ends after {1} ms")
   @CsvSource({"12101,100", "12102,3000", "12103,15000"})
   void whoToldEndsInAnOutage(long seed, long endsMs) {
-    GapTest.Day d = cancelledOnHangingMachines(seed);
+    CancellationOutageTest.Day d = cancelledOnHangingMachines(seed);
     World w = d.w;
     w.sim.after(endsMs, () -> d.old.crash(4000));
     w.run(World.CANCEL_MS * 3 / 2);
@@ -137,7 +138,7 @@
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12201,100", "12202,3000", "12203,15000"})
   void allEndInAnOutageWhileMachinesHang(long seed, long endMs) {
-    GapTest.Day d = cancelledOnHangingMachines(seed);
+    CancellationOutageTest.Day d = cancelledOnHangingMachines(seed);
     World w = d.w;
     w.nodes.forEach(n -> w.sim.after(endMs, () -> n.crash(1000)));
     w.run(World.CANCEL_MS * 3 / 2);
@@ -147,13 +148,13 @@
   }
 
   /** Something small that is just being launched. */
-  private static void cancelOne(LimitsTest.FullDay f) {
-    Users.Told job = f.w.users.array("two", "high", 2, 20);
+  private static void cancelOne(TeamLimitsTest.FullDay f) {
+    Users.KnownJob job = f.w.users.array("two", "high", 2, 20);
     f.day.cancelled.add(job);
     cancelOnceAccepted(f.w, job);
   }
 
-  static void cancelOnceAccepted(World w, Users.Told job) {
+  static void cancelOnceAccepted(World w, Users.KnownJob job) {
     if (job.accepted) {
       w.users.cancel(job);
     } else {
@@ -165,7 +166,7 @@
   @ParameterizedTest(name = "seed {0}, out for {1} ms, back after {2} ms")
   @CsvSource({"11221,20000,300", "11222,60000,300", "11223,75000,4000", "11224,120000,800"})
   void allEndInTurnInsideAnOutage(long seed, long outMs, long backMs) {
-    GapTest.Day d = new GapTest.Day(seed);
+    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     World w = d.w;
     d.cancelled.forEach(w.users::cancel);
     w.run(w.sim.between(50, 400));
--- a/src/test/java/dapplestair/world/AnswerOrder.java
+++ b/src/test/java/dapplestair/world/MonotonicReadsChecker.java
@@ -15,7 +15,7 @@
  * that job when the question was asked: no answer may be older. It sees requests and answers on the
  * wire and knows nothing of the product.
  */
-final class AnswerOrder implements Network.Tap {
+final class MonotonicReadsChecker implements Network.Tap {
   private static final String SUBMISSIONS = "/submissions";
   private static final String CANCEL = "/withdraw";
 
@@ -51,7 +51,7 @@
   /** Answers held against what had been known. */
   int checked;
 
-  AnswerOrder(World world) {
+  MonotonicReadsChecker(World world) {
     this.world = world;
   }
 
@@ -70,7 +70,7 @@
                 SUBMISSIONS.length() + 1, path.length() - (cancellation ? CANCEL.length() : 0));
     Question q =
         new Question(ref, method, cancellation, job, known.getOrDefault(ref, Known.NOTHING));
-    if (q.submission() && OddJob.faultOf(job, world) == null) {
+    if (q.submission() && InvalidJob.faultOf(job, world) == null) {
       acceptable.add(ref);
     }
     return reply -> {
@@ -94,7 +94,7 @@
     if (q.then.accepted) {
       world.checker.broken("forgotten: " + q + " again gets " + status);
     }
-    OddJob.Fault fault = OddJob.faultOf(q.job, world);
+    InvalidJob.Fault fault = InvalidJob.faultOf(q.job, world);
     if (fault == null || fault.status != status) {
       world.checker.broken(q + " gets " + status + ", expected was " + fault);
     }
@@ -102,7 +102,7 @@
 
   private void told(Question q, int status, String state) {
     if (!acceptable.contains(q.ref)) {
-      OddJob.Fault fault = q.submission() ? OddJob.faultOf(q.job, world) : null;
+      InvalidJob.Fault fault = q.submission() ? InvalidJob.faultOf(q.job, world) : null;
       world.checker.broken("invented: " + q + " gets " + status + ", fault: " + fault);
     }
     if (q.then.accepted && status == 201) {
--- a/src/test/java/dapplestair/world/CloseAnswersTest.java
+++ b/src/test/java/dapplestair/world/MonotonicReadsTest.java
@@ -13,9 +13,10 @@
 /**
  * Users ask at all controllers within milliseconds, submit again and cancel at once, right after a
  * job was accepted, has ended or was confirmed as cancelled, while the controllers that are asked
- * are not up to date. That nobody is told anything older is checked by {@link AnswerOrder}.
+ * are not up to date. That nobody is told anything older is checked by {@link
+ * MonotonicReadsChecker}.
  */
-class CloseAnswersTest {
+class MonotonicReadsTest {
   private static final int JOBS = 9;
   private static final int CHANGES_TO_FORGET = 900;
 
@@ -36,15 +37,15 @@
   /** One day with its scripted jobs. */
   private static final class Day {
     final World w;
-    final CloseLooks looks;
+    final ConcurrentReaders looks;
     final Behind behind;
     final long moveMs;
-    final Map<String, Users.Told> jobs = new HashMap<>();
+    final Map<String, Users.KnownJob> jobs = new HashMap<>();
     final Map<String, Integer> moments = new HashMap<>();
 
     Day(long seed, Behind behind, long moveMs) {
       w = new World(seed);
-      looks = new CloseLooks(w);
+      looks = new ConcurrentReaders(w);
       this.behind = behind;
       this.moveMs = moveMs;
       w.answers.firstHeard = this::firstHeard;
@@ -64,7 +65,7 @@
       w.sim.after(
           ms,
           () -> {
-            Users.Told job = w.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 2, 3);
+            Users.KnownJob job = w.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 2, 3);
             jobs.put(job.ref, job);
           });
     }
@@ -79,7 +80,7 @@
     }
 
     private void carriedOut(String from, JsonNode body) {
-      Users.Told job = jobs.get(String.valueOf(Commits.job(body)));
+      Users.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
       if (job == null) {
         return;
       }
@@ -109,7 +110,7 @@
     }
 
     private void firstHeard(String ref, String state) {
-      Users.Told job = jobs.get(ref);
+      Users.KnownJob job = jobs.get(ref);
       // Jobs that are none of the script.
       if (job == null) {
         return;
--- a/src/test/java/dapplestair/world/Network.java
+++ b/src/test/java/dapplestair/world/Network.java
@@ -75,7 +75,7 @@
   double lateWrites;
 
   /** What is done to the answers to transactions. */
-  final Commits commits;
+  final CommitInterceptor commits;
 
   /** Sees each request on its way and may look at its answer. */
   interface Tap {
@@ -103,7 +103,7 @@
 
   Network(Sim sim) {
     this.sim = sim;
-    commits = new Commits(sim);
+    commits = new CommitInterceptor(sim);
   }
 
   void place(String name, RequestHandler place) {
--- a/src/test/java/dapplestair/world/GuestsTest.java
+++ b/src/test/java/dapplestair/world/NoGuaranteeTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Guests without a guarantee: swarms of single tasks and arrays of very many small ones. */
-class GuestsTest {
+class NoGuaranteeTest {
   /**
    * Its acceptance, its end, the job's key, and shares of two more: of its launch, of a launch
    * batch.
@@ -25,13 +25,13 @@
     return w;
   }
 
-  private static Users.Told single(World w, double runS) {
+  private static Users.KnownJob single(World w, double runS) {
     return w.users.changed(
         "guest", 1, runS, b -> b.put("rank", "low").put("vcpus", 0.25).put("jobclass", "swarm"));
   }
 
-  private static List<Users.Told> swarm(World w, int jobs, long everyMs, double runS) {
-    List<Users.Told> out = new ArrayList<>();
+  private static List<Users.KnownJob> swarm(World w, int jobs, long everyMs, double runS) {
+    List<Users.KnownJob> out = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
       w.sim.after(i * everyMs, () -> out.add(single(w, runS)));
     }
@@ -44,7 +44,7 @@
   void aSwarmSharesPuts(long seed) {
     World w = begun(seed);
     long before = w.state.puts();
-    List<Users.Told> swarm = swarm(w, 300, 130, 20);
+    List<Users.KnownJob> swarm = swarm(w, 300, 130, 20);
     w.run(300 * 130 + 40_000);
     swarm.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
     double each = (w.state.puts() - before) / 300.0;
@@ -59,7 +59,7 @@
   void othersAreAcceptedInTime(long seed) {
     World w = begun(seed);
     swarm(w, 2400, 8, 5);
-    List<Users.Told> others = new ArrayList<>();
+    List<Users.KnownJob> others = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       w.run(1000);
       others.add(w.users.array("one", "high", 2, 4));
@@ -75,7 +75,7 @@
   @ValueSource(longs = {4011, 4012, 4013, 4014, 4015, 4016, 4017, 4018})
   void aSwarmOutlivesItsLeaders(long seed) {
     World w = begun(seed);
-    List<Users.Told> swarm = swarm(w, 250, 130, 12);
+    List<Users.KnownJob> swarm = swarm(w, 250, 130, 12);
     for (int i = 0; i < 4; i++) {
       w.run(6000 + w.sim.between(0, 2000));
       if (i == 2) {
@@ -98,7 +98,7 @@
   @ValueSource(longs = {4021, 4022, 4024, 4025})
   void aSwarmOutlivesItsMachines(long seed) {
     World w = begun(seed);
-    List<Users.Told> swarm = swarm(w, 150, 130, 25);
+    List<Users.KnownJob> swarm = swarm(w, 150, 130, 25);
     w.run(20_000);
     w.cloud.machines().stream().filter(m -> m.booted() && w.sim.chance(0.4)).forEach(m -> m.end());
     w.run(2000);
@@ -117,13 +117,13 @@
   @ValueSource(longs = {4031, 4032})
   void anArrayOfVeryManyTasks(long seed) {
     World w = begun(seed);
-    Users.Told[] of = new Users.Told[2];
+    Users.KnownJob[] of = new Users.KnownJob[2];
     for (int i = 0; i < 2; i++) {
       of[i] =
           w.users.changed(
               "guest", 2500, 3, b -> b.put("rank", "low").put("vcpus", 0.25).put("memoryGb", 0.4));
     }
-    Users.Told other = w.users.array("one", "high", 20, 5);
+    Users.KnownJob other = w.users.array("one", "high", 20, 5);
     w.run(30_000);
     assertTrue(other.done, "the other team's array is not done");
     w.nodes.forEach(n -> n.crash(2000));
--- a/src/test/java/dapplestair/world/OperatorsTest.java
+++ b/src/test/java/dapplestair/world/OperatorsTest.java
@@ -66,7 +66,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void answersAreNeverOlderThanTheirQuestions(long seed) {
     World w = world(seed, World.Size.SMALL);
-    Troubles troubles = new Troubles(w);
+    RandomFaults troubles = new RandomFaults(w);
     w.run(10_000);
     troubles.begin(4000);
     try {
@@ -140,7 +140,7 @@
   }
 
   /** Reasons of what waits are never empty, and name no rule that its job does not have. */
-  private void why(World w, Users.Told job, JsonNode b) {
+  private void why(World w, Users.KnownJob job, JsonNode b) {
     if (b.path("waiting_tasks").asInt() == 0) {
       return;
     }
@@ -168,14 +168,14 @@
   }
 
   /** CPUs that the team's jobs could use at most; nothing can bind that lies above. */
-  private static double demand(World w, Users.Told job) {
+  private static double demand(World w, Users.KnownJob job) {
     return w.users.told.values().stream()
         .filter(o -> o.body.path("owner").equals(job.body.path("owner")))
         .mapToDouble(o -> o.cpus * o.steps)
         .sum();
   }
 
-  static Set<String> reasons(World w, Users.Told job) {
+  static Set<String> reasons(World w, Users.KnownJob job) {
     Set<String> out = new HashSet<>();
     answer(w, "/v1/jobs/" + job.ref + "/why")
         .path("reasons")
@@ -202,10 +202,10 @@
     w.users.quiet = true;
     w.run(60_000);
     for (JsonNode row : answer(w, "/v1/teams").path("rows")) {
-      Checker.Served seen =
+      InvariantChecker.JobTally seen =
           w.checker
               .served()
-              .getOrDefault("team " + row.path("team").asText(), new Checker.Served());
+              .getOrDefault("team " + row.path("team").asText(), new InvariantChecker.JobTally());
       JsonNode told = row.path("served");
       assertEquals(seen.accepted, told.path("accepted").asInt(), row + " " + seen);
       assertEquals(seen.started, told.path("started").asInt(), row + " " + seen);
--- a/src/test/java/dapplestair/world/MuteMachinesTest.java
+++ b/src/test/java/dapplestair/world/OutboundCutTest.java
@@ -16,7 +16,7 @@
  * Workers that can't open connections to any controller, while direct commands reach them: these
  * don't renew leases, so what runs there is lost when the lease ends (docs/meetings.md).
  */
-class MuteMachinesTest {
+class OutboundCutTest {
   private static final int REPLICAS = 72;
 
   private static World begun(long seed) {
--- a/src/test/java/dapplestair/world/OverloadTest.java
+++ b/src/test/java/dapplestair/world/OverloadTest.java
@@ -20,7 +20,7 @@
   /** Within what urgent work begins: a boot, a stop with its saving, and slow messages. */
   private static final long URGENT_MS = 40_000;
 
-  private final List<Users.Told> urgent = new ArrayList<>();
+  private final List<Users.KnownJob> urgent = new ArrayList<>();
 
   private void submit(World w, int number) {
     String team = number % 2 == 0 ? "one" : "two";
@@ -69,14 +69,14 @@
     }
     w.net.slowMs = 0;
     SeededDaysTest.settle(w);
-    for (Users.Told job : urgent) {
+    for (Users.KnownJob job : urgent) {
       assertTrue(
           !job.accepted || job.cancelAsked || waitedMs(job) <= URGENT_MS,
           () -> job.ref + " waited for " + waitedMs(job) + " ms");
     }
   }
 
-  private static long waitedMs(Users.Told job) {
+  private static long waitedMs(Users.KnownJob job) {
     return job.begunAt() - job.submittedAt;
   }
 
@@ -87,7 +87,7 @@
   }
 
   private static void cancelSome(World w) {
-    for (Users.Told job : List.copyOf(w.users.told.values())) {
+    for (Users.KnownJob job : List.copyOf(w.users.told.values())) {
       if (job.accepted && !job.done && !job.cancelAsked && w.sim.chance(0.2)) {
         w.users.cancel(job);
       }
--- a/src/test/java/dapplestair/world/QuickBootTest.java
+++ b/src/test/java/dapplestair/world/QuickBootTest.java
@@ -19,7 +19,7 @@
  */
 class QuickBootTest {
   /** Where in the life of a new machine the leader ends. */
-  enum Moment {
+  enum CrashPoint {
     /** The rental is put on record; the cloud is not asked yet. */
     RENTAL_PUT,
     /** The cloud is asked. */
@@ -43,7 +43,7 @@
   }
 
   /** The request that marks the moment, for a machine that was not there before. */
-  private static Predicate<Network.Request> mark(World w, Moment moment) {
+  private static Predicate<Network.Request> mark(World w, CrashPoint moment) {
     Set<String> before = new HashSet<>();
     w.cloud.machines().forEach(m -> before.add(m.id()));
     Predicate<String> ofNew =
@@ -91,7 +91,7 @@
     "5315,LAUNCH_SENT,3,0.5",
     "5317,LAUNCH_SENT,1700,0.5"
   })
-  void theLeaderEnds(long seed, Moment moment, long afterMs, double late) {
+  void theLeaderEnds(long seed, CrashPoint moment, long afterMs, double late) {
     World w = begun(seed);
     int[] met = {0};
     for (int i = 0; i < 2; i++) {
--- a/src/test/java/dapplestair/world/Troubles.java
+++ b/src/test/java/dapplestair/world/RandomFaults.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /** Troubles of every kind at random times, alone and overlapping. */
-final class Troubles {
+final class RandomFaults {
   static final long LONGEST_MS = 25_000;
   private final World w;
   private boolean over;
 
-  Troubles(World w) {
+  RandomFaults(World w) {
     this.w = w;
   }
 
@@ -64,9 +64,9 @@
         w.sim.after(ms, () -> w.net.lateWrites = 0);
       }
       default -> {
-        KeptReports.Arrival[] all = KeptReports.Arrival.values();
-        KeptReports reports = new KeptReports(w, 0.3, ms);
-        KeptReports.Arrival arrival = all[(int) w.sim.between(0, all.length - 1)];
+        DelayedReports.Arrival[] all = DelayedReports.Arrival.values();
+        DelayedReports reports = new DelayedReports(w, 0.3, ms);
+        DelayedReports.Arrival arrival = all[(int) w.sim.between(0, all.length - 1)];
         w.sim.after(ms, () -> reports.arrive(arrival, w.sim.chance(0.5), World.REPORT_MS));
       }
     }
--- a/src/test/java/dapplestair/world/RefusedThenOutTest.java
+++ b/src/test/java/dapplestair/world/RefusedThenOutageTest.java
@@ -10,7 +10,7 @@
  * Jobs are cancelled at the very moment at which the state service refuses the leader alone; a
  * second later it is out for all, for longer than {@code cancel_s}.
  */
-class RefusedThenOutTest {
+class RefusedThenOutageTest {
   /** Who is asked to cancel. */
   enum Asked {
     LEADER,
@@ -19,8 +19,8 @@
     ALL
   }
 
-  private static void cancel(GapTest.Day d, Asked asked) {
-    for (Users.Told job : d.cancelled) {
+  private static void cancel(CancellationOutageTest.Day d, Asked asked) {
+    for (Users.KnownJob job : d.cancelled) {
       switch (asked) {
         case LEADER -> d.w.users.cancelAt(job, d.old);
         case OTHER -> d.w.users.cancelAt(job, d.second);
@@ -60,7 +60,7 @@
   }
 
   static World play(long seed, Asked asked, long askedMs, String links, long outMs) {
-    GapTest.Day d = new GapTest.Day(seed);
+    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     World w = d.w;
     long at = w.sim.now() + 100;
     w.sim.after(100, () -> w.state.refuse("node-" + d.old.index, true));
--- a/src/test/java/dapplestair/world/RelayTest.java
+++ b/src/test/java/dapplestair/world/RelayTest.java
@@ -84,7 +84,7 @@
       }
     }
     assertTrue(3 * d.at(d.w.leader()) < 2 * d.living().size(), "the leader takes most");
-    Users.Told array = d.w.users.array("one", "high", 30, 5);
+    Users.KnownJob array = d.w.users.array("one", "high", 30, 5);
     d.w.run(30_000);
     assertTrue(array.done, "an array is not done");
     assertEquals(0, d.w.cloud.killedByLease(), "tasks killed by the end of a lease");
@@ -133,7 +133,7 @@
       case "ends" -> relay.crash(ms);
       case "ends and returns at once" -> relay.crash(80);
       case "stands still" -> relay.freeze(ms);
-      case "loses its peers and the state service" -> new Troubles(d.w).alone(relay, true, ms);
+      case "loses its peers and the state service" -> new RandomFaults(d.w).alone(relay, true, ms);
       case "loses its workers" -> {
         List<String> machines =
             d.w.cloud.machines().stream().map(EmulatedWorker::endpoint).toList();
@@ -154,7 +154,7 @@
         relay.crash(2000);
       }
     }
-    Users.Told array = d.w.users.array("one", "high", 20, 5);
+    Users.KnownJob array = d.w.users.array("one", "high", 20, 5);
     d.w.run(ms);
     assertEquals(lost, d.w.cloud.killedByLease() + d.w.cloud.killedByRelease(), "tasks killed");
     assertTrue(array.done, "an array is not done meanwhile");
@@ -173,7 +173,7 @@
     Day d = new Day(seed);
     World.Node leader = d.w.leader();
     World.Node relay = d.follower();
-    List<Users.Told> jobs =
+    List<Users.KnownJob> jobs =
         List.of(
             d.w.users.array("one", "high", 30, 60),
             d.w.users.array("two", "high", 30, 60),
@@ -189,14 +189,14 @@
     SeededDaysTest.settle(d.w);
   }
 
-  /** As {@link MeetingsTest}, with connections spread. */
+  /** As {@link FaultCombinationTest}, with connections spread. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9741, 9742, 9743, 9744, 9745, 9746})
   void troublesMeet(long seed) {
     OperatorSettings spread = OperatorSettings.defaults().withRelayAbove(0);
-    MeetingsTest.play(
-        new World(seed, MeetingsTest.SHORT, true, spread),
+    FaultCombinationTest.play(
+        new World(seed, FaultCombinationTest.SHORT, true, spread),
         seed,
-        seed % 2 == 0 ? Troubles::any : Troubles::ofMachines);
+        seed % 2 == 0 ? RandomFaults::any : RandomFaults::ofMachines);
   }
 }
--- a/src/test/java/dapplestair/world/ReplacementTrouble.java
+++ b/src/test/java/dapplestair/world/ReplacementFault.java
@@ -8,7 +8,7 @@
 import java.util.stream.StreamSupport;
 
 /** What goes wrong while workers are replaced. */
-enum ReplacementTrouble {
+enum ReplacementFault {
   LEADERS_END {
     @Override
     void strike(World w) {
--- a/src/test/java/dapplestair/world/ReplacementTest.java
+++ b/src/test/java/dapplestair/world/ReplacementTest.java
@@ -85,7 +85,7 @@
   /** Whatever fails, budgets hold and the order goes on until the fleet is new. */
   @ParameterizedTest(name = "{0}")
   @EnumSource
-  void theOrderGoesOnThrough(ReplacementTrouble trouble) {
+  void theOrderGoesOnThrough(ReplacementFault trouble) {
     for (long seed = 1; seed <= 2; seed++) {
       World w = DisruptionTest.begun(100 * trouble.ordinal() + seed, 2, 3);
       try {
@@ -128,7 +128,7 @@
       w.run(100_000);
       Set<String> before = machines(w);
       assertTrue(before.size() > 200, before.size() + " machines");
-      Troubles troubles = new Troubles(w);
+      RandomFaults troubles = new RandomFaults(w);
       OperatorsTest.order(w, NIGHT + "/start", all(20, 20));
       troubles.begin(9000);
       w.run(120_000);
--- a/src/test/java/dapplestair/world/AnswerMeetings.java
+++ b/src/test/java/dapplestair/world/RequestRaceRunner.java
@@ -1,20 +1,20 @@
 package dapplestair.world;
 
-import dapplestair.world.CloseAnswersTest.Behind;
-import dapplestair.world.LostAnswersTest.Put;
-import dapplestair.world.LostAnswersTest.Sender;
+import dapplestair.world.LostResponsesTest.Put;
+import dapplestair.world.LostResponsesTest.Sender;
+import dapplestair.world.MonotonicReadsTest.Behind;
 
 /**
- * Plays more meetings of users' answers than a build has time for: {@code AnswerMeetings FROM TO}
- * plays each kind with these seeds and prints each play that failed.
+ * Plays more meetings of users' answers than a build has time for: {@code RequestRaceRunner FROM
+ * TO} plays each kind with these seeds and prints each play that failed.
  */
-final class AnswerMeetings {
+final class RequestRaceRunner {
   private static final long[] MOVES_MS = {0, 2, 8, 25, 90, 300, 1300};
 
   private static int plays;
   private static int failed;
 
-  private AnswerMeetings() {}
+  private RequestRaceRunner() {}
 
   public static void main(String[] args) {
     long to = Long.parseLong(args[1]);
@@ -24,17 +24,17 @@
       Behind behind = Behind.values()[(int) (s % Behind.values().length)];
       Put put = Put.values()[(int) (s % Put.values().length)];
       Sender sender = Sender.values()[(int) (s / 2 % Sender.values().length)];
-      LastEndTest.Step step = LastEndTest.Step.values()[(int) (s % 4)];
+      LastTaskEndTest.Step step = LastTaskEndTest.Step.values()[(int) (s % 4)];
       play(
           "%d %s %d".formatted(s, behind, move),
-          () -> new CloseAnswersTest().nobodyIsToldAnythingOlder(s, behind, move));
+          () -> new MonotonicReadsTest().nobodyIsToldAnythingOlder(s, behind, move));
       play(
           "%d %s %s".formatted(s, put, sender),
-          () -> new LostAnswersTest().onlyTheAnswerIsLost(s, put, sender));
+          () -> new LostResponsesTest().onlyTheAnswerIsLost(s, put, sender));
       play(
           "%d %s %d".formatted(s, step, move),
-          () -> new LastEndTest().aRequestMeetsTheEnd(s, step, move));
-      play("%d odd".formatted(s), () -> new OddRequestsTest().oddRequestsGetTheirAnswers(s));
+          () -> new LastTaskEndTest().aRequestMeetsTheEnd(s, step, move));
+      play("%d odd".formatted(s), () -> new InvalidRequestsTest().oddRequestsGetTheirAnswers(s));
     }
     System.out.printf("%d plays, %d failed%n", plays, failed);
   }
--- a/src/test/java/dapplestair/world/SeededDaysTest.java
+++ b/src/test/java/dapplestair/world/SeededDaysTest.java
@@ -166,9 +166,9 @@
   static void settle(World world) {
     world.users.quiet = true;
     // The last troubles end by themselves.
-    world.users.calmFrom = world.sim.now() + Troubles.LONGEST_MS;
+    world.users.calmFrom = world.sim.now() + RandomFaults.LONGEST_MS;
     world.run(CALM_MS);
-    for (Users.Told job : world.users.told.values()) {
+    for (Users.KnownJob job : world.users.told.values()) {
       assertTrue(
           !job.accepted || job.service || job.done || job.aborted,
           () -> job.ref + " was accepted but never ended: " + job.body);
@@ -246,7 +246,7 @@
   static void play(long seed, long troubleEveryMs) {
     World world = new World(seed);
     try {
-      Troubles troubles = new Troubles(world);
+      RandomFaults troubles = new RandomFaults(world);
       world.run(10_000);
       troubles.begin(troubleEveryMs);
       world.run(ROUGH_MS);
--- a/src/test/java/dapplestair/world/SilentControllersTest.java
+++ b/src/test/java/dapplestair/world/SilentControllersTest.java
@@ -50,15 +50,15 @@
   }
 
   /** Single tasks of a guest, one each {@code everyMs} for a while. */
-  private static List<Users.Told> swarm(World w, int jobs, long everyMs) {
-    List<Users.Told> out = new ArrayList<>();
+  private static List<Users.KnownJob> swarm(World w, int jobs, long everyMs) {
+    List<Users.KnownJob> out = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
       w.sim.after(i * everyMs, () -> out.add(single(w)));
     }
     return out;
   }
 
-  private static Users.Told single(World w) {
+  private static Users.KnownJob single(World w) {
     return w.users.changed(
         "guest", 1, 6, b -> b.put("rank", "low").put("vcpus", 0.25).put("jobclass", "swarm"));
   }
@@ -70,7 +70,7 @@
     assertEquals(REPLICAS, replicas(w), "replicas " + ms + " ms after " + when);
   }
 
-  private static void settled(World w, List<Users.Told> jobs) {
+  private static void settled(World w, List<Users.KnownJob> jobs) {
     w.run(60_000);
     jobs.forEach(j -> assertTrue(j.done || j.aborted, j.ref + " is not over"));
     w.checker.checkServed();
@@ -81,7 +81,7 @@
   @ValueSource(longs = {3001, 3002, 3003, 3004, 3005, 3006})
   void aLeaderStandsStill(long seed) {
     World w = begun(seed);
-    List<Users.Told> swarm = swarm(w, 60, 250);
+    List<Users.KnownJob> swarm = swarm(w, 60, 250);
     w.run(2000);
     World.Node still = w.leader();
     still.freeze(LONG_MS);
@@ -99,7 +99,7 @@
   @ValueSource(longs = {3011, 3012, 3013, 3014, 3015, 3016})
   void allStandStillPastTheLease(long seed) {
     World w = begun(seed);
-    List<Users.Told> swarm = swarm(w, 40, 250);
+    List<Users.KnownJob> swarm = swarm(w, 40, 250);
     w.run(3000);
     Set<String> before = withReplicas(w);
     Set<String> all = up(w);
@@ -138,8 +138,8 @@
   @ValueSource(longs = {3021, 3022, 3023, 3024, 3025, 3026, 3027, 3028, 3029, 3030})
   void oneAfterTheOther(long seed) {
     World w = begun(seed);
-    List<Users.Told> jobs = swarm(w, 80, 500);
-    Users.Told wrong = w.users.changed("two", 20, 5, b -> b.put("mistakenSteps", 20));
+    List<Users.KnownJob> jobs = swarm(w, 80, 500);
+    Users.KnownJob wrong = w.users.changed("two", 20, 5, b -> b.put("mistakenSteps", 20));
     jobs.add(
         w.users.changed(
             "guest",
--- a/src/test/java/dapplestair/world/SingleTaskJobsTest.java
+++ b/src/test/java/dapplestair/world/SingleTaskJobsTest.java
@@ -27,7 +27,7 @@
   /** One play. */
   private static final class Swarm {
     final World w;
-    final List<Users.Told> jobs = new ArrayList<>();
+    final List<Users.KnownJob> jobs = new ArrayList<>();
     final Set<String> cancelledAtOnce = new HashSet<>();
     final Set<String> cancelledAtEnd = new HashSet<>();
 
@@ -51,7 +51,7 @@
 
     void submit() {
       double runS = w.sim.between(2, 20);
-      Users.Told job =
+      Users.KnownJob job =
           w.users.changed(
               "guest",
               1,
--- a/src/test/java/dapplestair/world/OldReportsTest.java
+++ b/src/test/java/dapplestair/world/StaleReportsTest.java
@@ -9,7 +9,7 @@
  * Old reports reach every controller just as a new leader begins, or arrive at it once it has acted
  * (docs/meetings.md). They lack tasks that were launched since, and show others that have ended.
  */
-class OldReportsTest {
+class StaleReportsTest {
   private static final int CHANGES = 5;
 
   /** Tasks end and begin all the time, so that each report is soon out of date. */
@@ -38,9 +38,9 @@
     "5010,8000,ACTED,true"
   })
   void theyMeetTheNextLeader(
-      long seed, long afterMs, KeptReports.Arrival arrival, boolean everywhere) {
+      long seed, long afterMs, DelayedReports.Arrival arrival, boolean everywhere) {
     World w = begun(seed);
-    KeptReports reports = new KeptReports(w, 1, 2 * World.LEASE_MS);
+    DelayedReports reports = new DelayedReports(w, 1, 2 * World.LEASE_MS);
     for (int i = 0; i < CHANGES; i++) {
       w.net.when(
           r -> r.orders("launch"),
@@ -60,9 +60,9 @@
   /** Nobody answers for longer than a lease, so the copies are of an earlier session. */
   @ParameterizedTest(name = "seed {0}, {1} ms after a launch, the next has {2}")
   @CsvSource({"5021,1,BEGUN", "5022,400,BEGUN", "5023,1700,BEGUN", "5024,1,ACTED"})
-  void theyAreOfAnEarlierSession(long seed, long afterMs, KeptReports.Arrival arrival) {
+  void theyAreOfAnEarlierSession(long seed, long afterMs, DelayedReports.Arrival arrival) {
     World w = begun(seed);
-    KeptReports reports = new KeptReports(w, 1, 4 * World.LEASE_MS);
+    DelayedReports reports = new DelayedReports(w, 1, 4 * World.LEASE_MS);
     w.run(World.REPORT_MS);
     reports.arrive(arrival, true, World.REPORT_MS);
     w.nodes.forEach(n -> n.crash(World.LEASE_MS * 5 / 4));
--- a/src/test/java/dapplestair/world/LimitsTest.java
+++ b/src/test/java/dapplestair/world/TeamLimitsTest.java
@@ -12,17 +12,17 @@
  * while the machines of cancelled tasks are in trouble and the leader changes. What counts too
  * little of a team's use, or too early, starts something and breaks {@code quota}.
  */
-class LimitsTest {
+class TeamLimitsTest {
   private static final List<String> TEAMS = List.of("one", "two");
   private static final World.Size TIGHT = new World.Size(16, 50, 2150, 12);
 
   /** Jobs to be cancelled and jobs to be kept, and more work than the teams' limits allow. */
   static final class FullDay {
-    final GapTest.Day day;
+    final CancellationOutageTest.Day day;
     final World w;
 
     FullDay(long seed) {
-      day = new GapTest.Day(begun(seed));
+      day = new CancellationOutageTest.Day(begun(seed));
       w = day.w;
       TEAMS.forEach(team -> w.users.array(team, "low", 60, 20));
       w.run(8000);
@@ -44,7 +44,7 @@
 
     double cpus(String team) {
       double sum = 0;
-      for (Users.Told job : w.users.told.values()) {
+      for (Users.KnownJob job : w.users.told.values()) {
         sum += job.team.equals(team) ? job.cpus * day.running(job) : 0;
       }
       return sum;
@@ -86,11 +86,11 @@
     "11016,STALL,PLANNED,24000",
     "11017,STALL,FROZEN,400"
   })
-  void cancelledAtTheLimit(long seed, MachineTrouble trouble, LeaderChange change, long afterMs) {
+  void cancelledAtTheLimit(long seed, MachineFault trouble, LeaderChange change, long afterMs) {
     play(seed, trouble, change, afterMs);
   }
 
-  static World play(long seed, MachineTrouble trouble, LeaderChange change, long afterMs) {
+  static World play(long seed, MachineFault trouble, LeaderChange change, long afterMs) {
     FullDay f = new FullDay(seed);
     int before = f.w.checker.started;
     f.w.sim.after(1500 + afterMs, () -> change.happen(f.w));
--- a/src/test/java/dapplestair/world/FarApartTest.java
+++ b/src/test/java/dapplestair/world/UnevenTaskDurationsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Jobs of two and three tasks whose ends lie far apart, with changes of leader in between. */
-class FarApartTest {
+class UnevenTaskDurationsTest {
   private static final double SHORT_S = 4;
 
   private static World begun(long seed) {
@@ -26,7 +26,7 @@
   }
 
   /** A job whose tasks last so many times the shortest. */
-  private static Users.Told job(World w, double... factors) {
+  private static Users.KnownJob job(World w, double... factors) {
     return w.users.changed(
         "one",
         factors.length,
@@ -39,8 +39,8 @@
         });
   }
 
-  private static List<Users.Told> jobs(World w) {
-    List<Users.Told> out = new ArrayList<>();
+  private static List<Users.KnownJob> jobs(World w) {
+    List<Users.KnownJob> out = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       out.add(job(w, 1, 6 + i));
       out.add(job(w, 5 + i, 1, 2));
@@ -48,11 +48,11 @@
     return out;
   }
 
-  private static boolean completed(World w, Users.Told job, int step) {
+  private static boolean completed(World w, Users.KnownJob job, int step) {
     return w.checker.hasCompleted(job.ref + "/" + step);
   }
 
-  private static void runUntilCompleted(World w, Users.Told job, int step) {
+  private static void runUntilCompleted(World w, Users.KnownJob job, int step) {
     for (int i = 0; i < 400 && !completed(w, job, step); i++) {
       w.run(50);
     }
@@ -60,7 +60,7 @@
   }
 
   /** Each of its tasks ran once, and it is done. */
-  private static void doneOnce(Users.Told job) {
+  private static void doneOnce(Users.KnownJob job) {
     assertTrue(job.done, () -> job.ref + " is not done");
     assertEquals(job.steps, job.starts, () -> "starts of " + job.ref);
   }
@@ -81,7 +81,7 @@
   })
   void doneIsSaidOnceAndOnlyWhenAllAre(long seed, long endsMs, long nextEndsMs) {
     World w = begun(seed);
-    List<Users.Told> jobs = jobs(w);
+    List<Users.KnownJob> jobs = jobs(w);
     runUntilCompleted(w, jobs.get(0), 0);
     w.run(endsMs);
     w.leader().crash(w.sim.between(100, 3000));
@@ -93,7 +93,7 @@
     }
     jobs.forEach(job -> assertFalse(job.done, () -> job.ref + " is done before its last end"));
     w.run(45_000);
-    jobs.forEach(FarApartTest::doneOnce);
+    jobs.forEach(UnevenTaskDurationsTest::doneOnce);
     SeededDaysTest.settle(w);
   }
 
@@ -105,7 +105,7 @@
   @ValueSource(longs = {9421, 9422, 9423, 9424})
   void anEndKnownOnlyToTheFormerLeader(long seed) {
     World w = begun(seed);
-    List<Users.Told> jobs = jobs(w);
+    List<Users.KnownJob> jobs = jobs(w);
     World.Node leader = w.leader();
     runUntilCompleted(w, jobs.get(0), 0);
     w.net.cut("node-" + leader.index, "state:1", seed % 2 == 0);
@@ -116,7 +116,7 @@
     w.run(2500);
     w.net.heal("node-" + leader.index, "state:1");
     w.run(45_000);
-    jobs.forEach(FarApartTest::doneOnce);
+    jobs.forEach(UnevenTaskDurationsTest::doneOnce);
     SeededDaysTest.settle(w);
   }
 }
--- a/src/test/java/dapplestair/world/UnreadJobsTest.java
+++ b/src/test/java/dapplestair/world/UnreadJobsTest.java
@@ -26,7 +26,7 @@
   }
 
   /** How many tasks of these jobs are on machines of a zone. */
-  private static long running(World w, String zone, List<Users.Told> jobs) {
+  private static long running(World w, String zone, List<Users.KnownJob> jobs) {
     return w.cloud.machines().stream()
         .filter(m -> !m.gone() && m.zone().equals(zone))
         .flatMap(m -> m.tasks().stream())
@@ -36,9 +36,9 @@
   }
 
   /** Jobs of the follower's zone that are accepted while it does not hear the state service. */
-  private static List<Users.Told> unreadJobs(World w, World.Node follower, long unreadMs) {
+  private static List<Users.KnownJob> unreadJobs(World w, World.Node follower, long unreadMs) {
     w.net.cut("node-" + follower.index, "state:1", false);
-    List<Users.Told> jobs = new ArrayList<>();
+    List<Users.KnownJob> jobs = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
       jobs.add(w.users.changed("two", 2, RUN_S, b -> b.put("basin", follower.settings.zone())));
     }
@@ -53,7 +53,7 @@
     World w = begun(seed);
     World.Node follower = w.nodes.get((w.leader().index + 1) % 3);
     String zone = follower.settings.zone();
-    List<Users.Told> jobs = unreadJobs(w, follower, unreadMs);
+    List<Users.KnownJob> jobs = unreadJobs(w, follower, unreadMs);
     w.cutOff(follower, m -> m.zone().equals(zone), false, World.LEASE_MS * 4 / 3);
     long unread = running(w, zone, jobs);
     w.run(2 * World.LEASE_MS);
@@ -69,7 +69,7 @@
   void unreadJobsCancelledOutsideACutEndInTime(long seed, long cancelledMs) {
     World w = begun(seed);
     World.Node follower = w.nodes.get((w.leader().index + 1) % 3);
-    List<Users.Told> jobs = unreadJobs(w, follower, World.REPORT_MS);
+    List<Users.KnownJob> jobs = unreadJobs(w, follower, World.REPORT_MS);
     String zone = follower.settings.zone();
     long cutMs = 2 * World.CANCEL_MS;
     w.cutOff(follower, m -> m.zone().equals(zone), false, cutMs);
--- a/src/test/java/dapplestair/world/Users.java
+++ b/src/test/java/dapplestair/world/Users.java
@@ -12,7 +12,7 @@
 /** Users who submit, poll and cancel, repeat what failed, and remember what they were told. */
 final class Users {
   /** A job with all that any user was told of it. */
-  static final class Told {
+  static final class KnownJob {
     final String ref;
     final JsonNode body;
     final int steps;
@@ -109,7 +109,7 @@
       return done ? "done" : aborted ? "aborted" : null;
     }
 
-    Told(JsonNode body) {
+    KnownJob(JsonNode body) {
       this.body = body;
       this.ref = body.path("ref").asText();
       this.steps = body.path("steps").asInt();
@@ -121,7 +121,7 @@
     }
   }
 
-  final Map<String, Told> told = new LinkedHashMap<>();
+  final Map<String, KnownJob> told = new LinkedHashMap<>();
   private final World world;
   private int made;
   boolean quiet;
@@ -148,7 +148,7 @@
   }
 
   private void watchAnswers() {
-    for (Told t : told.values()) {
+    for (KnownJob t : told.values()) {
       // A question counts from when it was asked: late retries ask anew about jobs long over.
       long since = Math.max(calmFrom, Math.max(t.lastAnswer, t.askedFrom));
       if (t.accepted && t.asked && world.sim.now() - since > FORGOTTEN_MS) {
@@ -192,7 +192,7 @@
             .put("guessS", service ? 0.0 : world.sim.between(1, 12))
             .put("snapshotEveryS", world.sim.chance(0.5) ? 2.0 : 0.0)
             .put("snapshotS", 1.0);
-    Told t = new Told(b);
+    KnownJob t = new KnownJob(b);
     told.put(t.ref, t);
     submit(t, world.sim.now() + 60_000);
     if (service || world.sim.chance(cancelledArrays)) {
@@ -201,12 +201,12 @@
   }
 
   /** Submits one array of two-CPU tasks that never save, besides the random ones. */
-  Told array(String team, String rank, int steps, double runS) {
+  KnownJob array(String team, String rank, int steps, double runS) {
     return changed(team, steps, runS, b -> b.put("rank", rank));
   }
 
   /** Submits one service of one-CPU replicas, spread over zones, besides the random ones. */
-  Told service(String team, int replicas) {
+  KnownJob service(String team, int replicas) {
     return changed(
         team,
         replicas,
@@ -221,7 +221,7 @@
   }
 
   /** Submits one such array, changed by the test. */
-  Told changed(String team, int steps, double runS, Consumer<ObjectNode> change) {
+  KnownJob changed(String team, int steps, double runS, Consumer<ObjectNode> change) {
     ObjectNode b =
         Json.object()
             .put("ref", String.format("ch-%06d", ++made))
@@ -242,7 +242,7 @@
             .put("snapshotEveryS", 0.0)
             .put("snapshotS", 0.0);
     change.accept(b);
-    Told t = new Told(b);
+    KnownJob t = new KnownJob(b);
     told.put(t.ref, t);
     submit(t, world.sim.now() + 60_000);
     return t;
@@ -252,7 +252,7 @@
     return World.client((int) world.sim.between(0, world.nodes.size() - 1));
   }
 
-  private void submit(Told t, long until) {
+  private void submit(KnownJob t, long until) {
     if (t.submittedAt == 0) {
       t.submittedAt = world.sim.now();
     }
@@ -284,7 +284,7 @@
         });
   }
 
-  private void poll(Told t) {
+  private void poll(KnownJob t) {
     if (!t.asked) {
       t.asked = true;
       t.askedFrom = world.sim.now();
@@ -311,11 +311,11 @@
   }
 
   /** Cancels through one controller, once; what it answers counts like any other answer. */
-  void cancelAt(Told t, World.Node node) {
+  void cancelAt(KnownJob t, World.Node node) {
     cancelAt(t, World.client(node.index), () -> {});
   }
 
-  private void cancelAt(Told t, String client, Runnable otherwise) {
+  private void cancelAt(KnownJob t, String client, Runnable otherwise) {
     t.cancelAsked = true;
     String before = t.finalState();
     world.net.call(
@@ -336,7 +336,7 @@
         });
   }
 
-  void cancel(Told t) {
+  void cancel(KnownJob t) {
     if (!t.accepted) {
       world.sim.after(
           1000,
@@ -369,7 +369,7 @@
     world.net.call("users", someNode(), method, path, body, timeout, done);
   }
 
-  private void heard(Told t, String before, HttpReply r) {
+  private void heard(KnownJob t, String before, HttpReply r) {
     JsonNode body = Json.parse(r.body());
     world.checker.told(t, before, body.path("status").asText());
   }
--- a/src/test/java/dapplestair/world/WaitingReasonsTest.java
+++ b/src/test/java/dapplestair/world/WaitingReasonsTest.java
@@ -26,7 +26,7 @@
   @Test
   void theTeamsLimitIsNamed() {
     World w = quiet(1, new World.Size(40, 20, 1_000_000, 1));
-    Users.Told job = w.users.array("one", "standard", 60, 300);
+    Users.KnownJob job = w.users.array("one", "standard", 60, 300);
     w.run(40_000);
     assertTrue(reasons(w, job).contains("team-limit"), reasons(w, job).toString());
   }
@@ -34,7 +34,7 @@
   @Test
   void aCloudWithNothingToGiveIsNamed() {
     World w = quiet(2, new World.Size(1, 1000, 1_000_000, 1));
-    Users.Told job = w.users.array("one", "standard", 100, 300);
+    Users.KnownJob job = w.users.array("one", "standard", 100, 300);
     w.run(40_000);
     Set<String> all = reasons(w, job);
     assertTrue(all.contains("cloud-refused") && all.contains("full"), all.toString());
@@ -43,7 +43,7 @@
   @Test
   void machinesOnTheirWayAreNamed() {
     World w = quiet(3, OperatorsTest.ROOMY);
-    Users.Told job = w.users.array("one", "standard", 60, 300);
+    Users.KnownJob job = w.users.array("one", "standard", 60, 300);
     w.run(4500);
     JsonNode why = answer(w, "/v1/jobs/" + job.ref + "/why");
     boolean booting = false;
@@ -62,7 +62,7 @@
     for (String zone : World.ZONES) {
       order(w, "/v1/zones/" + zone + "/drain", Json.object());
     }
-    Users.Told job = w.users.array("one", "standard", 4, 300);
+    Users.KnownJob job = w.users.array("one", "standard", 4, 300);
     w.run(10_000);
     Set<String> all = reasons(w, job);
     assertTrue(all.contains("drained"), all.toString());
@@ -77,7 +77,7 @@
   void aJobThatFailsEverywhereIsBackedOff() {
     World w = quiet(5, OperatorsTest.ROOMY);
     w.also = () -> w.cloud.machines().forEach(EmulatedWorker::sicken);
-    Users.Told job = w.users.array("one", "standard", 6, 5);
+    Users.KnownJob job = w.users.array("one", "standard", 6, 5);
     w.run(25_000);
     boolean named = false;
     for (int i = 0; i < 10 && !named; i++) {
@@ -105,7 +105,7 @@
   void spotMachinesThatAJobDoesNotWantAreNamed() {
     // Long enough that no spot machine has been returned as idle when the question comes.
     World w = full(6, 1, 60);
-    Users.Told job = w.users.changed("one", 40, 300, b -> b.put("loaners", false));
+    Users.KnownJob job = w.users.changed("one", 40, 300, b -> b.put("loaners", false));
     w.run(12_000);
     JsonNode why = answer(w, "/v1/jobs/" + job.ref + "/why");
     assertEquals(Set.of(), difference(Set.of("spot", "full"), reasons(w, job)), why.toString());
@@ -130,7 +130,7 @@
     }
     w.run(30_000);
     w.cloud.setCapacity(0);
-    Users.Told job = w.users.array("one", "standard", 40, 300);
+    Users.KnownJob job = w.users.array("one", "standard", 40, 300);
     boolean named = false;
     for (int i = 0; i < 20 && !named; i++) {
       w.run(1000);
@@ -153,7 +153,7 @@
                 .put("bundle", "img-large")
                 .put("vcpus", 2.0)
                 .put("imageGb", 8.0);
-    Users.Told first = w.users.changed("one", 1, 0, service);
+    Users.KnownJob first = w.users.changed("one", 1, 0, service);
     w.run(25_000);
     EmulatedWorker holder = null;
     for (EmulatedWorker m : w.cloud.machines()) {
@@ -183,7 +183,7 @@
       w.net.cut(from, to, true);
       w.sim.after(1000, () -> w.net.heal(from, to));
     }
-    Users.Told second = w.users.changed("one", 1, 0, service);
+    Users.KnownJob second = w.users.changed("one", 1, 0, service);
     Set<String> all = new LinkedHashSet<>();
     String why = "/v1/jobs/" + second.ref + "/why";
     for (int i = 0; i < 100 && all.stream().noneMatch(x -> x.contains("awaits-image")); i++) {
@@ -202,7 +202,7 @@
   @Test
   void theOnlyZoneAllowedIsNamed() {
     World w = full(7, 1);
-    Users.Told job = w.users.changed("one", 40, 300, b -> b.put("basin", "b"));
+    Users.KnownJob job = w.users.changed("one", 40, 300, b -> b.put("basin", "b"));
     w.run(12_000);
     Set<String> all = reasons(w, job);
     assertEquals(Set.of(), difference(Set.of("not-allowed", "full"), all), all.toString());
@@ -214,7 +214,7 @@
     w.users.array("one", "standard", 12, 8);
     w.run(24_000);
     w.cloud.setCapacity(0);
-    Users.Told job = w.users.changed("one", 14, 300, b -> b.put("together", true));
+    Users.KnownJob job = w.users.changed("one", 14, 300, b -> b.put("together", true));
     w.run(3000);
     Set<String> all = reasons(w, job);
     assertTrue(all.contains("together"), all + " " + answer(w, "/v1/machines"));
@@ -225,7 +225,7 @@
     World w = quiet(9, new World.Size(2, 1000, 1_000_000, 1));
     order(w, "/v1/zones/b/drain", Json.object());
     order(w, "/v1/zones/c/drain", Json.object());
-    Users.Told job = w.users.service("one", 6);
+    Users.KnownJob job = w.users.service("one", 6);
     w.run(40_000);
     Set<String> all = reasons(w, job);
     assertTrue(all.contains("spread"), all.toString());
@@ -235,7 +235,7 @@
   @Test
   void aGangThatNeedsMoreRoomIsNamed() {
     World w = full(10, 1);
-    Users.Told job = w.users.changed("one", 60, 300, b -> b.put("shape", "gang"));
+    Users.KnownJob job = w.users.changed("one", 60, 300, b -> b.put("shape", "gang"));
     // What ran there before has ended by then.
     w.run(20_000);
     JsonNode why = answer(w, "/v1/jobs/" + job.ref + "/why");
@@ -252,7 +252,7 @@
     World w = full(15, 1);
     w.users.changed("one", 60, 10, b -> b.put("shape", "gang"));
     w.run(45_000);
-    Users.Told behind = w.users.array("one", "standard", 6, 300);
+    Users.KnownJob behind = w.users.array("one", "standard", 6, 300);
     w.run(4000);
     Set<String> all = reasons(w, behind);
     assertTrue(all.contains("behind-gang"), all.toString());
@@ -270,7 +270,7 @@
     w.users.array("two", "standard", 6, 10);
     w.run(10_000);
     w.cloud.setDown(true);
-    Users.Told job = w.users.array("one", "standard", 6, 10);
+    Users.KnownJob job = w.users.array("one", "standard", 6, 10);
     w.run(20_000);
     Set<String> all = reasons(w, job);
     assertTrue(all.contains("faulty") || all.contains("returning"), all.toString());
--- a/src/test/java/dapplestair/world/World.java
+++ b/src/test/java/dapplestair/world/World.java
@@ -1,13 +1,13 @@
 package dapplestair.world;
 
 import dapplestair.admin.Authenticator;
-import dapplestair.emulator.Directory;
+import dapplestair.emulator.ControllerDirectory;
 import dapplestair.emulator.EmulatedCloud;
 import dapplestair.emulator.EmulatedState;
 import dapplestair.emulator.EmulatedWorker;
+import dapplestair.emulator.EmulatorEnvironment;
+import dapplestair.emulator.EmulatorSettings;
 import dapplestair.emulator.RequestHandler;
-import dapplestair.emulator.Shape;
-import dapplestair.emulator.Surroundings;
 import dapplestair.node.Controller;
 import dapplestair.node.ControllerEnvironment;
 import dapplestair.peers.PeerAnswer;
@@ -119,8 +119,8 @@
   final EmulatedState state;
   final EmulatedCloud cloud;
   final Users users;
-  final Checker checker;
-  final AnswerOrder answers;
+  final InvariantChecker checker;
+  final MonotonicReadsChecker answers;
   final List<Node> nodes = new ArrayList<>();
 
   World(long seed) {
@@ -136,7 +136,7 @@
     this(seed, size, operators, List.of(machineType(TYPE)), OperatorSettings.defaults());
   }
 
-  World(long seed, Size size, boolean operators, List<Shape.Machine> types) {
+  World(long seed, Size size, boolean operators, List<EmulatorSettings.MachineSpec> types) {
     this(seed, size, operators, types, OperatorSettings.defaults());
   }
 
@@ -146,25 +146,25 @@
   }
 
   /** A type of machine like the usual one. */
-  static Shape.Machine machineType(String name) {
-    return new Shape.Machine(name, CPUS, 0, 64, 50, 1, 1, 0.4, 4);
+  static EmulatorSettings.MachineSpec machineType(String name) {
+    return new EmulatorSettings.MachineSpec(name, CPUS, 0, 64, 50, 1, 1, 0.4, 4);
   }
 
   private World(
       long seed,
       Size size,
       boolean operators,
-      List<Shape.Machine> machineTypes,
+      List<EmulatorSettings.MachineSpec> machineTypes,
       OperatorSettings operator) {
     this.operator = operator;
     this.seed = seed;
-    this.types = machineTypes.stream().map(Shape.Machine::name).toList();
+    this.types = machineTypes.stream().map(EmulatorSettings.MachineSpec::name).toList();
     this.operators = operators;
     this.size = size;
     sim = new Sim(seed);
     net = new Network(sim);
-    Shape shape =
-        new Shape(
+    EmulatorSettings shape =
+        new EmulatorSettings(
             machineTypes,
             ZONES,
             size.perPlace(),
@@ -178,17 +178,17 @@
             40,
             400,
             size.keptWriteRps());
-    state = new EmulatedState(new Surrounding(), shape);
+    state = new EmulatedState(new SimulatedEnvironment(), shape);
     net.place("state:1", state);
     for (int i = 0; i < 3; i++) {
       nodes.add(new Node(i));
     }
-    checker = new Checker(this);
-    answers = new AnswerOrder(this);
+    checker = new InvariantChecker(this);
+    answers = new MonotonicReadsChecker(this);
     net.tap = answers;
     cloud =
         new EmulatedCloud(
-            new Surrounding(),
+            new SimulatedEnvironment(),
             shape,
             ref -> users().told.containsKey(ref) ? users().told.get(ref).body : null,
             new Members(),
@@ -299,7 +299,7 @@
   }
 
   /** Virtual time, seeded chance and the simulated network, as the emulated parts meet them. */
-  private final class Surrounding implements Surroundings {
+  private final class SimulatedEnvironment implements EmulatorEnvironment {
     @Override
     public long now() {
       return sim.now();
@@ -354,7 +354,7 @@
     }
   }
 
-  private final class Members implements Directory {
+  private final class Members implements ControllerDirectory {
     @Override
     public List<String> members() {
       return nodes.stream().map(n -> "node-" + n.index).toList();
@@ -370,7 +370,7 @@
   final class Node implements RequestHandler {
     final int index;
     final Settings settings;
-    private Life life;
+    private ControllerProcess life;
 
     /** Reports of workers that came to it. */
     int beats;
@@ -383,7 +383,7 @@
     }
 
     void start() {
-      life = new Life(this);
+      life = new ControllerProcess(this);
       life.begin();
     }
 
@@ -442,7 +442,7 @@
       if (life == null) {
         reply.accept(HttpReply.of(HttpReply.NOT_SENT));
       } else {
-        Life now = life;
+        ControllerProcess now = life;
         beats += path.equals("/agent/beat") ? 1 : 0;
         now.run(() -> now.controller.handle(new Request(method, path, body, reply)));
       }
@@ -475,7 +475,7 @@
   }
 
   /** One process: everything it set in motion ends with it, except what has left it. */
-  private final class Life implements Clock, Timers, BackgroundExecutor, PeerNetwork {
+  private final class ControllerProcess implements Clock, Timers, BackgroundExecutor, PeerNetwork {
     final Node node;
     final Controller controller;
     final double drift = 1 + sim.random.nextDouble() * 0.0005;
@@ -484,7 +484,7 @@
     long frozenUntil;
     PeerNetwork.Listener listener;
 
-    Life(Node node) {
+    ControllerProcess(Node node) {
       this.node = node;
       ControllerEnvironment outside =
           new ControllerEnvironment(
@@ -570,7 +570,7 @@
           message instanceof PeerAnswer || message instanceof PeerAsk ask && ask.number() > 0,
           () -> {
             if (to.life != null) {
-              Life now = to.life;
+              ControllerProcess now = to.life;
               now.run(() -> now.listener.message("node-" + node.index, message));
             }
           });
--- a/src/test/java/dapplestair/world/ZoneBoundTest.java
+++ b/src/test/java/dapplestair/world/ZoneBoundTest.java
@@ -22,8 +22,8 @@
   }
 
   /** Jobs of each shape that run in this zone alone; they last for half a minute. */
-  private static List<Users.Told> bound(World w, String zone) {
-    List<Users.Told> out = new ArrayList<>();
+  private static List<Users.KnownJob> bound(World w, String zone) {
+    List<Users.KnownJob> out = new ArrayList<>();
     double runS = 30;
     out.add(w.users.changed("one", 12, runS, b -> b.put("basin", zone)));
     out.add(w.users.changed("two", 1, runS, b -> b.put("basin", zone).put("loaners", false)));
@@ -70,7 +70,7 @@
       w.users.array("one", "high", 12, 200);
       w.run(20_000);
     }
-    List<Users.Told> jobs = bound(w, zone);
+    List<Users.KnownJob> jobs = bound(w, zone);
     w.run(90_000);
     jobs.forEach(
         job -> assertTrue(job.service ? job.started : job.done, () -> job.body + " waits"));
@@ -97,7 +97,7 @@
     World w = quiet(seed);
     w.run(5000);
     w.users.array("two", "standard", 40, 15);
-    List<Users.Told> jobs = bound(w, zone);
+    List<Users.KnownJob> jobs = bound(w, zone);
     w.run(30_000);
     for (int round = 0; round < 2; round++) {
       eachMachine(
@@ -147,7 +147,7 @@
     World w = quiet(seed);
     w.run(5000);
     w.users.array("two", "standard", 40, 15);
-    List<Users.Told> jobs = bound(w, zone);
+    List<Users.KnownJob> jobs = bound(w, zone);
     w.run(30_000);
     long cutMs = World.LEASE_MS * tenths / 10;
     w.cutZone(zone, seed % 2 == 0, cutMs);
