--- a/src/main/java/dapplestair/admin/AdminHandler.java
+++ b/src/main/java/dapplestair/admin/AdminHandler.java
@@ -34,7 +34,7 @@
 
   private final Clock clock;
   private final Timers timers;
-  private final Authenticator access;
+  private final Authenticator authenticator;
   private final Leadership leadership;
   private final Ledger ledger;
   private final Peers peers;
@@ -49,36 +49,37 @@
 
   /** {@code users} answers what users ask; {@code metrics} gives them as text. */
   public AdminHandler(
-      ControllerComponents duties,
-      Authenticator access,
+      ControllerComponents components,
+      Authenticator authenticator,
       Consumer<Exchange> users,
       Supplier<byte[]> metrics) {
-    this.clock = duties.clock();
-    this.timers = duties.timers();
-    this.access = access;
-    this.leadership = duties.leadership();
-    this.ledger = duties.ledger();
-    this.peers = duties.peers();
-    this.replica = duties.replica();
-    this.state = duties.state();
+    this.clock = components.clock();
+    this.timers = components.timers();
+    this.authenticator = authenticator;
+    this.leadership = components.leadership();
+    this.ledger = components.ledger();
+    this.peers = components.peers();
+    this.replica = components.replica();
+    this.state = components.state();
     this.users = users;
     this.metrics = metrics;
     this.failures = new TokenBucket(clock, 0.2, 25);
-    AsOfStamp moment = new AsOfStamp(duties.settings(), leadership, replica);
-    PagedListing pages = new PagedListing(timers, moment);
-    this.jobs = new JobViews(clock, ledger, state, moment, pages);
+    AsOfStamp asOf = new AsOfStamp(components.settings(), leadership, replica);
+    PagedListing listing = new PagedListing(timers, asOf);
+    this.jobs = new JobViews(clock, ledger, state, asOf, listing);
     MachineViews machines =
-        new MachineViews(clock, duties.workers(), duties.drains(), jobs, moment, pages);
-    double planS = duties.operator().planIntervalMs() / 1000.0;
+        new MachineViews(clock, components.workers(), components.drains(), jobs, asOf, listing);
+    double planS = components.operatorSettings().planIntervalMs() / 1000.0;
     this.routes =
         new Routes(
             jobs,
             machines,
-            new WhyView(duties, jobs, moment, planS),
-            new ClusterViews(duties, machines, moment),
-            new EventViews(timers, duties.events(), pages),
-            new DrainHandler(clock, duties.settings(), duties.workers(), duties.drains(), moment),
-            new ReplacementHandler(duties, moment));
+            new WhyView(components, jobs, asOf, planS),
+            new ClusterViews(components, machines, asOf),
+            new EventViews(timers, components.events(), listing),
+            new DrainHandler(
+                clock, components.settings(), components.workers(), components.drains(), asOf),
+            new ReplacementHandler(components, asOf));
     peers.questions().answer(TOPIC, this::asked);
   }
 
@@ -99,7 +100,7 @@
 
   /** An operator asks. */
   public void handle(Exchange exchange) {
-    Authenticator.Identity known = access.who(exchange);
+    Authenticator.Identity known = authenticator.who(exchange);
     if (known == null) {
       // Bounded, so that guessing does not fill the log.
       if (failures.take(1)) {
@@ -132,17 +133,17 @@
     }
   }
 
-  private void ask(Exchange exchange, AdminRequest question) {
-    Routes.Route route = routes.find(question);
+  private void ask(Exchange exchange, AdminRequest request) {
+    Routes.Route route = routes.find(request);
     if (route == null) {
       reply(exchange, AdminResponse.error(404, "no such path"));
-    } else if (!question.method().equals(route.role() == Role.VIEW ? "GET" : "POST")) {
+    } else if (!request.method().equals(route.role() == Role.VIEW ? "GET" : "POST")) {
       reply(
           exchange,
           AdminResponse.error(405, "use " + (route.role() == Role.VIEW ? "GET" : "POST")));
-    } else if (!question.body().isObject()) {
+    } else if (!request.body().isObject()) {
       reply(exchange, AdminResponse.error(400, "the body is not a JSON object"));
-    } else if (!question.caller().role().covers(route.role())) {
+    } else if (!request.caller().role().covers(route.role())) {
       reply(exchange, AdminResponse.error(403, "this needs the role " + route.role().shown()));
     } else if (open >= MOST_OPEN) {
       reply(exchange, AdminResponse.later("too many questions at once"));
@@ -154,29 +155,29 @@
             reply(exchange, a);
           };
       if (route.byLeader()) {
-        lead(question, route, clock.now() + LEADER_WITHIN_MS, done);
+        lead(request, route, clock.now() + LEADER_WITHIN_MS, done);
       } else {
-        serve(question, route, () -> true, done);
+        serve(request, route, () -> true, done);
       }
     }
   }
 
-  private static void reply(Exchange exchange, AdminResponse answer) {
-    exchange.reply(answer.status(), answer.body(), answer.retryAfterS());
+  private static void reply(Exchange exchange, AdminResponse response) {
+    exchange.reply(response.status(), response.body(), response.retryAfterS());
   }
 
   // ---- the leader's memory ----
 
   private void lead(
-      AdminRequest question, Routes.Route route, long deadline, Consumer<AdminResponse> done) {
+      AdminRequest request, Routes.Route route, long deadline, Consumer<AdminResponse> done) {
     if (able()) {
-      serve(question, route, this::able, done);
+      serve(request, route, this::able, done);
       return;
     }
     String leader = leadership.leading() ? null : leadership.leader();
     if (leader == null || !peers.alive(leader)) {
       again(
-          question, route, deadline, done, leader == null ? "nobody leads" : leader + " is silent");
+          request, route, deadline, done, leader == null ? "nobody leads" : leader + " is silent");
       return;
     }
     long timeouts = Math.max(LOOK_AGAIN_MS, deadline - clock.now()) + route.waitMs();
@@ -185,17 +186,17 @@
         .ask(
             leader,
             TOPIC,
-            Json.bytes(question.toJson()),
+            Json.bytes(request.toJson()),
             timeouts,
             frame -> {
-              AdminResponse answer = frame == null ? null : AdminResponse.parse(frame);
-              if (answer == null) {
+              AdminResponse response = frame == null ? null : AdminResponse.parse(frame);
+              if (response == null) {
                 done.accept(
                     AdminResponse.later("the leader, " + leader + ", did not answer in time"));
-              } else if (answer.status() == NOT_LEADING) {
-                again(question, route, deadline, done, leader + " does not lead yet");
+              } else if (response.status() == NOT_LEADING) {
+                again(request, route, deadline, done, leader + " does not lead yet");
               } else {
-                done.accept(answer);
+                done.accept(response);
               }
             });
   }
@@ -205,7 +206,7 @@
   }
 
   private void again(
-      AdminRequest question,
+      AdminRequest request,
       Routes.Route route,
       long deadline,
       Consumer<AdminResponse> done,
@@ -213,20 +214,20 @@
     if (clock.now() >= deadline) {
       done.accept(AdminResponse.later("no leader can be asked: " + why));
     } else {
-      timers.after(LOOK_AGAIN_MS, () -> lead(question, route, deadline, done));
+      timers.after(LOOK_AGAIN_MS, () -> lead(request, route, deadline, done));
     }
   }
 
   /** A peer asks this controller as the leader. */
   private void asked(byte[] body, Consumer<byte[]> answer) {
-    AdminRequest question = AdminRequest.parse(Json.parse(body));
-    Routes.Route route = question == null ? null : routes.find(question);
+    AdminRequest request = AdminRequest.parse(Json.parse(body));
+    Routes.Route route = request == null ? null : routes.find(request);
     if (route == null) {
       answer.accept(AdminResponse.error(404, "no such path").frame());
     } else if (!able()) {
       answer.accept(new AdminResponse(NOT_LEADING, new byte[0], 0).frame());
     } else {
-      serve(question, route, this::able, a -> answer.accept(a.frame()));
+      serve(request, route, this::able, a -> answer.accept(a.frame()));
     }
   }
 
@@ -234,7 +235,7 @@
 
   /** Passes a barrier, then answers if {@code still} holds. */
   private void serve(
-      AdminRequest question,
+      AdminRequest request,
       Routes.Route route,
       java.util.function.BooleanSupplier still,
       Consumer<AdminResponse> done) {
@@ -249,7 +250,7 @@
           } else if (!still.getAsBoolean()) {
             done.accept(AdminResponse.later("the leader has just changed"));
           } else {
-            answer(question, route, done);
+            answer(request, route, done);
           }
         });
   }
@@ -261,13 +262,13 @@
   }
 
   private static void answer(
-      AdminRequest question, Routes.Route route, Consumer<AdminResponse> done) {
+      AdminRequest request, Routes.Route route, Consumer<AdminResponse> done) {
     try {
-      route.handler().answer(question, done);
+      route.handler().answer(request, done);
     } catch (AdminRequest.BadRequestException e) {
       done.accept(AdminResponse.error(400, e.getMessage()));
     } catch (RuntimeException e) {
-      LOG.error("{} {} failed", question.method(), question.path(), e);
+      LOG.error("{} {} failed", request.method(), request.path(), e);
       done.accept(AdminResponse.error(500, "this went wrong; the log says more"));
     }
   }
--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -34,53 +34,52 @@
   private final Clock clock;
   private final Settings settings;
   private final Ledger ledger;
-  private final WorkerManager desk;
-  private final DisruptionGate disruption;
-  private final Autoscaler planning;
+  private final WorkerManager workers;
+  private final DisruptionGate disruptionGate;
+  private final Autoscaler autoscaler;
   private final Zones zones;
   private final Lanes lanes;
   private final Calendars calendars;
-  private final FaultAttribution blame;
+  private final FaultAttribution faultAttribution;
   private final Leadership leadership;
   private final Peers peers;
   private final StateClient state;
   private final MachineViews machines;
-  private final AsOfStamp moment;
+  private final AsOfStamp asOf;
   private final Cancellations cancellations;
   private final Relay relay;
 
-  ClusterViews(ControllerComponents duties, MachineViews machines, AsOfStamp moment) {
-    this.clock = duties.clock();
-    this.settings = duties.settings();
-    this.ledger = duties.ledger();
-    this.desk = duties.workers();
-    this.disruption = duties.disruption();
-    this.planning = duties.planning();
-    this.zones = duties.zones();
-    this.lanes = duties.lanes();
-    this.calendars = duties.calendars();
-    this.blame = duties.blame();
-    this.leadership = duties.leadership();
-    this.peers = duties.peers();
-    this.state = duties.state();
+  ClusterViews(ControllerComponents components, MachineViews machines, AsOfStamp asOf) {
+    this.clock = components.clock();
+    this.settings = components.settings();
+    this.ledger = components.ledger();
+    this.workers = components.workers();
+    this.disruptionGate = components.disruptionGate();
+    this.autoscaler = components.autoscaler();
+    this.zones = components.zones();
+    this.lanes = components.lanes();
+    this.calendars = components.calendars();
+    this.faultAttribution = components.faultAttribution();
+    this.leadership = components.leadership();
+    this.peers = components.peers();
+    this.state = components.state();
     this.machines = machines;
-    this.moment = moment;
-    this.cancellations = duties.cancellations();
-    this.relay = duties.relay();
+    this.asOf = asOf;
+    this.cancellations = components.cancellations();
+    this.relay = components.relay();
   }
 
   /** Who leads, who lives, what waits where. */
   ObjectNode status() {
     ObjectNode object =
-        moment
-            .object()
+        asOf.object()
             .put("leader", leadership.leader())
             .put("term", leadership.term())
             .put("jobs", ledger.jobs().size())
             .put("attempts", ledger.attemptCount())
-            .put("jobs_suspected", blame.suspects());
+            .put("jobs_suspected", faultAttribution.suspects());
     Map<String, Integer> states = new TreeMap<>();
-    desk.hosts().forEach(h -> states.merge(machines.state(h), 1, Integer::sum));
+    workers.hosts().forEach(h -> states.merge(machines.state(h), 1, Integer::sum));
     ObjectNode m = object.putObject("machines");
     states.forEach(m::put);
     if (lanes.any()) {
@@ -156,8 +155,8 @@
     // Who borrows does not say from whom: what is lent is parted by what each leaves unused.
     double lentShare = unused <= 0 ? 0 : Math.min(1, borrowed / unused);
     Map<String, JobStatistics.JobCounts> served = ledger.served().byTeam();
-    Map<String, BudgetStatus> statuses = disruption.statuses();
-    ObjectNode object = moment.object();
+    Map<String, BudgetStatus> statuses = disruptionGate.statuses();
+    ObjectNode object = asOf.object();
     ArrayNode rows = object.putArray("rows");
     for (Settings.Team team : new TreeMap<>(settings.teams()).values()) {
       double use = ledger.teamCpus(team.name());
@@ -213,7 +212,7 @@
 
   /** Zones: where each stands, and what is there. */
   ObjectNode zones() {
-    ObjectNode object = moment.object();
+    ObjectNode object = asOf.object();
     ArrayNode rows = object.putArray("rows");
     zones
         .lives()
@@ -224,7 +223,7 @@
               int replicas = 0;
               int tasks = 0;
               int unproved = 0;
-              for (Host host : desk.hosts()) {
+              for (Host host : workers.hosts()) {
                 if (!zone.equals(host.zone())) {
                   continue;
                 }
@@ -245,7 +244,7 @@
                   .put("since", life.sinceWall())
                   .put("cuts", life.cuts())
                   .put("steady_in_s", zones.heldS(zone))
-                  .put("silent_s", desk.zoneSilentMs(zone) / 1000.0)
+                  .put("silent_s", workers.zoneSilentMs(zone) / 1000.0)
                   .put("machines", there)
                   .put("unheard", unheard)
                   .put("replicas", replicas)
@@ -258,8 +257,8 @@
 
   /** The plan applied last. */
   ObjectNode plan() {
-    ObjectNode object = moment.object();
-    Autoscaler.AppliedPlan applied = planning.applied();
+    ObjectNode object = asOf.object();
+    Autoscaler.AppliedPlan applied = autoscaler.applied();
     ArrayNode rows = object.putArray("rows");
     if (applied == null) {
       return object;
@@ -280,7 +279,7 @@
           .put("type", entry.getKey().type())
           .put("spot", entry.getKey().spot())
           .put("wanted", entry.getValue())
-          .put("held", planning.holding(entry.getKey()));
+          .put("held", autoscaler.holding(entry.getKey()));
     }
     return object;
   }
--- a/src/main/java/dapplestair/admin/CredentialStore.java
+++ b/src/main/java/dapplestair/admin/CredentialStore.java
@@ -50,10 +50,10 @@
   /** Reads a file, and again whenever it has changed. */
   public static CredentialStore watch(Path file, Timers timers, BackgroundExecutor background)
       throws IOException {
-    CredentialStore tokens = new CredentialStore(file);
-    tokens.read = tokens.load();
-    tokens.look(timers, background);
-    return tokens;
+    CredentialStore credentials = new CredentialStore(file);
+    credentials.read = credentials.load();
+    credentials.look(timers, background);
+    return credentials;
   }
 
   private void look(Timers timers, BackgroundExecutor background) {
--- a/src/main/java/dapplestair/admin/DrainHandler.java
+++ b/src/main/java/dapplestair/admin/DrainHandler.java
@@ -18,23 +18,23 @@
 
   private final Clock clock;
   private final Settings settings;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final Drains drains;
-  private final AsOfStamp moment;
+  private final AsOfStamp asOf;
 
   DrainHandler(
-      Clock clock, Settings settings, WorkerManager desk, Drains drains, AsOfStamp moment) {
+      Clock clock, Settings settings, WorkerManager workers, Drains drains, AsOfStamp asOf) {
     this.clock = clock;
     this.settings = settings;
-    this.desk = desk;
+    this.workers = workers;
     this.drains = drains;
-    this.moment = moment;
+    this.asOf = asOf;
   }
 
-  void machine(AdminRequest question, String id, boolean on, Consumer<AdminResponse> done)
+  void machine(AdminRequest request, String id, boolean on, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
     // A drain may outlive its machine for a moment; it can be ended all the same.
-    if (desk.known(id) == null && !drains.machines().containsKey(id)) {
+    if (workers.known(id) == null && !drains.machines().containsKey(id)) {
       done.accept(AdminResponse.error(404, "no machine " + id));
       return;
     }
@@ -43,11 +43,11 @@
         id,
         StateKeys.DRAIN + id,
         drains.machines().get(id),
-        on ? drain(question) : null,
+        on ? drain(request) : null,
         done);
   }
 
-  void zone(AdminRequest question, String zone, boolean on, Consumer<AdminResponse> done)
+  void zone(AdminRequest request, String zone, boolean on, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
     if (!settings.zones().contains(zone)) {
       done.accept(AdminResponse.error(404, "no zone " + zone));
@@ -58,25 +58,25 @@
         zone,
         StateKeys.DRAIN_ZONE + zone,
         drains.zones().get(zone),
-        on ? drain(question) : null,
+        on ? drain(request) : null,
         done);
   }
 
-  private Drain drain(AdminRequest question) throws AdminRequest.BadRequestException {
-    String why = Json.text(question.body(), "why");
+  private Drain drain(AdminRequest request) throws AdminRequest.BadRequestException {
+    String why = Json.text(request.body(), "why");
     if (why != null && why.length() > LONGEST_WHY) {
       throw new AdminRequest.BadRequestException(
           "why: must have at most " + LONGEST_WHY + " characters");
     }
-    double deadline = Json.decimal(question.body(), "deadline_s", 0);
+    double deadline = Json.decimal(request.body(), "deadline_s", 0);
     if (deadline < 0 || deadline > 1e7) {
       throw new AdminRequest.BadRequestException("deadline_s: must be a number from 0 to 1e7");
     }
     return new Drain(
-        question.caller().name(),
+        request.caller().name(),
         clock.wall(),
         why == null ? "" : why,
-        Json.flag(question.body(), "return"),
+        Json.flag(request.body(), "return"),
         deadline);
   }
 
@@ -98,7 +98,7 @@
       String what, String name, Drain before, Drain drain, ConditionalWriter.Result result) {
     return switch (result) {
       case DONE -> {
-        ObjectNode object = moment.object().put(what, name).put("drained", drain != null);
+        ObjectNode object = asOf.object().put(what, name).put("drained", drain != null);
         object.put("changed", (before == null) != (drain == null));
         yield AdminResponse.of(object);
       }
--- a/src/main/java/dapplestair/admin/EventViews.java
+++ b/src/main/java/dapplestair/admin/EventViews.java
@@ -15,12 +15,12 @@
 final class EventViews {
   private final Timers timers;
   private final EventLog log;
-  private final PagedListing pages;
+  private final PagedListing listing;
 
-  EventViews(Timers timers, EventLog log, PagedListing pages) {
+  EventViews(Timers timers, EventLog log, PagedListing listing) {
     this.timers = timers;
     this.log = log;
-    this.pages = pages;
+    this.listing = listing;
   }
 
   /**
@@ -92,7 +92,7 @@
       over = true;
       timer.cancel();
       log.unwait(wake);
-      done.accept(pages.page(rows, Long.toString(after)));
+      done.accept(listing.page(rows, Long.toString(after)));
     }
   }
 
--- a/src/main/java/dapplestair/admin/JobViews.java
+++ b/src/main/java/dapplestair/admin/JobViews.java
@@ -27,18 +27,18 @@
   private final Clock clock;
   private final Ledger ledger;
   private final StateClient state;
-  private final AsOfStamp moment;
-  private final PagedListing pages;
+  private final AsOfStamp asOf;
+  private final PagedListing listing;
 
   // Jobs that are not over, in the order in which they are listed.
   private final TreeSet<String> live = new TreeSet<>();
 
-  JobViews(Clock clock, Ledger ledger, StateClient state, AsOfStamp moment, PagedListing pages) {
+  JobViews(Clock clock, Ledger ledger, StateClient state, AsOfStamp asOf, PagedListing listing) {
     this.clock = clock;
     this.ledger = ledger;
     this.state = state;
-    this.moment = moment;
-    this.pages = pages;
+    this.asOf = asOf;
+    this.listing = listing;
   }
 
   void put(String ref) {
@@ -56,7 +56,7 @@
   // ---- listing ----
 
   void list(Filter filter, String after, int limit, Consumer<AdminResponse> done) {
-    pages.read(live, this::row, filter, after, limit, done);
+    listing.read(live, this::row, filter, after, limit, done);
   }
 
   private PagedListing.WritableRow row(String ref) {
@@ -103,7 +103,7 @@
               rows.add(Json.written(written::write));
             }
           }
-          done.accept(pages.page(rows, Json.flag(page, "more") ? last : null));
+          done.accept(listing.page(rows, Json.flag(page, "more") ? last : null));
         });
   }
 
@@ -186,7 +186,7 @@
         ref,
         done,
         record -> {
-          ObjectNode object = moment.object().put("status", Json.text(record, "status"));
+          ObjectNode object = asOf.object().put("status", Json.text(record, "status"));
           object.put("accepted", Json.number(record, "at", 0));
           object.set("job", record.path("job"));
           return AdminResponse.of(object);
@@ -219,8 +219,7 @@
     Submission submission = job.spec();
     int[] counts = ledger.counts(job);
     ObjectNode object =
-        moment
-            .object()
+        asOf.object()
             .put("status", status(counts))
             .put("accepted", job.acceptedWall())
             .put("age", age(job.acceptedWall()))
--- a/src/main/java/dapplestair/admin/MachineViews.java
+++ b/src/main/java/dapplestair/admin/MachineViews.java
@@ -20,35 +20,35 @@
 /** Machines as operators see them; only a leader knows them. */
 final class MachineViews {
   private final Clock clock;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final Drains drains;
   private final JobViews jobs;
-  private final AsOfStamp moment;
-  private final PagedListing pages;
+  private final AsOfStamp asOf;
+  private final PagedListing listing;
 
   MachineViews(
       Clock clock,
-      WorkerManager desk,
+      WorkerManager workers,
       Drains drains,
       JobViews jobs,
-      AsOfStamp moment,
-      PagedListing pages) {
+      AsOfStamp asOf,
+      PagedListing listing) {
     this.clock = clock;
-    this.desk = desk;
+    this.workers = workers;
     this.drains = drains;
     this.jobs = jobs;
-    this.moment = moment;
-    this.pages = pages;
+    this.asOf = asOf;
+    this.listing = listing;
   }
 
   void list(Filter filter, String after, int limit, Consumer<AdminResponse> done) {
     TreeSet<String> names = new TreeSet<>();
-    desk.hosts().forEach(h -> names.add(h.id()));
-    pages.read(names, this::row, filter, after, limit, done);
+    workers.hosts().forEach(h -> names.add(h.id()));
+    listing.read(names, this::row, filter, after, limit, done);
   }
 
   private PagedListing.WritableRow row(String id) {
-    Host host = desk.known(id);
+    Host host = workers.known(id);
     return host == null ? null : new MachineRow(host, state(host), clock.now());
   }
 
@@ -135,14 +135,13 @@
   }
 
   void show(String id, Consumer<AdminResponse> done) {
-    Host host = desk.known(id);
+    Host host = workers.known(id);
     if (host == null) {
       done.accept(AdminResponse.error(404, "no machine " + id));
       return;
     }
     ObjectNode object =
-        moment
-            .object()
+        asOf.object()
             .put("id", id)
             .put("state", state(host))
             .put("type", host.type() == null ? null : host.type().name())
@@ -195,14 +194,14 @@
 
   /** All drains, also those whose machines are not known yet. */
   ObjectNode drains() {
-    ObjectNode object = moment.object();
+    ObjectNode object = asOf.object();
     ArrayNode list = object.putArray("rows");
     drains.zones().forEach((zone, d) -> list.add(drain(d, null).put("zone", zone)));
     drains
         .machines()
         .forEach(
             (id, d) -> {
-              Host host = desk.known(id);
+              Host host = workers.known(id);
               list.add(drain(d, host == null ? null : drains.progress(host)).put("machine", id));
             });
     return object;
--- a/src/main/java/dapplestair/admin/PagedListing.java
+++ b/src/main/java/dapplestair/admin/PagedListing.java
@@ -29,11 +29,11 @@
   }
 
   private final Timers timers;
-  private final AsOfStamp moment;
+  private final AsOfStamp asOf;
 
-  PagedListing(Timers timers, AsOfStamp moment) {
+  PagedListing(Timers timers, AsOfStamp asOf) {
     this.timers = timers;
-    this.moment = moment;
+    this.asOf = asOf;
   }
 
   /**
@@ -85,7 +85,7 @@
         Json.written(
             out -> {
               out.writeStartObject();
-              moment.write(out);
+              asOf.write(out);
               out.writeArrayFieldStart("rows");
               for (byte[] r : rows) {
                 out.writeRawValue(new String(r, java.nio.charset.StandardCharsets.UTF_8));
--- a/src/main/java/dapplestair/admin/ReplacementHandler.java
+++ b/src/main/java/dapplestair/admin/ReplacementHandler.java
@@ -34,23 +34,23 @@
   private final Settings settings;
   private final MachineTypes types;
   private final Replacements replacements;
-  private final ConditionalWriter wishes;
-  private final AsOfStamp moment;
+  private final ConditionalWriter conditionalWriter;
+  private final AsOfStamp asOf;
 
-  ReplacementHandler(ControllerComponents duties, AsOfStamp moment) {
-    this.clock = duties.clock();
-    this.timers = duties.timers();
-    this.settings = duties.settings();
-    this.types = duties.types();
-    this.replacements = duties.replacements();
-    this.wishes = duties.wishes();
-    this.moment = moment;
+  ReplacementHandler(ControllerComponents components, AsOfStamp asOf) {
+    this.clock = components.clock();
+    this.timers = components.timers();
+    this.settings = components.settings();
+    this.types = components.types();
+    this.replacements = components.replacements();
+    this.conditionalWriter = components.conditionalWriter();
+    this.asOf = asOf;
   }
 
   // ---- looking ----
 
   ObjectNode list() {
-    ObjectNode object = moment.object();
+    ObjectNode object = asOf.object();
     ArrayNode rows = object.putArray("rows");
     replacements.views().forEach(v -> rows.add(row(v)));
     return object;
@@ -58,7 +58,7 @@
 
   void show(String name, Consumer<AdminResponse> done) {
     ReplacementView view = replacements.view(name);
-    done.accept(view == null ? missing(name) : AdminResponse.of(moment.object().setAll(row(view))));
+    done.accept(view == null ? missing(name) : AdminResponse.of(asOf.object().setAll(row(view))));
   }
 
   private static AdminResponse missing(String name) {
@@ -113,13 +113,13 @@
 
   // ---- orders ----
 
-  void start(AdminRequest question, String name, Consumer<AdminResponse> done)
+  void start(AdminRequest request, String name, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
     if (!NAME.matcher(name).matches()) {
       throw new AdminRequest.BadRequestException(
           "name = \"" + name + "\": must be up to 40 small letters, digits and hyphens");
     }
-    ReplacementOrder order = order(question);
+    ReplacementOrder order = order(request);
     ReplacementView before = replacements.view(name);
     if (before != null && order.sameAs(before.order())) {
       done.accept(told(name, before.phase(), false));
@@ -128,7 +128,7 @@
           AdminResponse.error(409, "replacement " + name + " is another order, and not done"));
     } else if (order.total() == 0) {
       throw new AdminRequest.BadRequestException(
-          "select = " + select(question.body()) + ": matches no machine");
+          "select = " + select(request.body()) + ": matches no machine");
     } else if (before == null && replacements.views().size() >= MOST_ORDERS) {
       done.accept(
           AdminResponse.error(409, "there are " + MOST_ORDERS + " replacements: abort some"));
@@ -137,10 +137,10 @@
     }
   }
 
-  void pause(AdminRequest question, String name, Consumer<AdminResponse> done)
+  void pause(AdminRequest request, String name, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
-    String why = why(question.body());
-    String words = "by " + question.caller().name() + (why.isEmpty() ? "" : ": " + why);
+    String why = why(request.body());
+    String words = "by " + request.caller().name() + (why.isEmpty() ? "" : ": " + why);
     change(name, () -> replacements.told(name, words), "paused", done);
   }
 
@@ -174,7 +174,7 @@
       String state,
       long deadline,
       Consumer<AdminResponse> done) {
-    wishes.record(
+    conditionalWriter.record(
         StateKeys.REPLACE + name,
         value.get(),
         deadline,
@@ -201,13 +201,13 @@
 
   private AdminResponse told(String name, String state, boolean changed) {
     return AdminResponse.of(
-        moment.object().put("name", name).put("state", state).put("changed", changed));
+        asOf.object().put("name", name).put("state", state).put("changed", changed));
   }
 
   // ---- what is asked for ----
 
-  private ReplacementOrder order(AdminRequest question) throws AdminRequest.BadRequestException {
-    JsonNode node = question.body();
+  private ReplacementOrder order(AdminRequest request) throws AdminRequest.BadRequestException {
+    JsonNode node = request.body();
     long now = clock.wall();
     MachineSelector selection = selection(node, now);
     int total = replacements.covered(selection);
@@ -219,7 +219,7 @@
           "step_ratio = " + node.get("step_ratio") + ": must be above 0, and stand without step");
     }
     return new ReplacementOrder(
-        question.caller().name(),
+        request.caller().name(),
         now,
         why(node),
         selection,
--- a/src/main/java/dapplestair/admin/Routes.java
+++ b/src/main/java/dapplestair/admin/Routes.java
@@ -42,7 +42,7 @@
   /** Something that answers a question. */
   @FunctionalInterface
   interface Handler {
-    void answer(AdminRequest question, Consumer<AdminResponse> done)
+    void answer(AdminRequest request, Consumer<AdminResponse> done)
         throws AdminRequest.BadRequestException;
   }
 
@@ -56,13 +56,13 @@
   record Route(Role role, boolean byLeader, long waitMs, Handler handler) {}
 
   /** Where a question goes, or null when there is no such path. */
-  Route find(AdminRequest question) {
-    if (!question.path().startsWith(V1)) {
+  Route find(AdminRequest request) {
+    if (!request.path().startsWith(V1)) {
       return null;
     }
-    String[] parts = question.path().substring(V1.length()).split("/", -1);
+    String[] parts = request.path().substring(V1.length()).split("/", -1);
     return switch (parts.length) {
-      case 1 -> all(question, parts[0]);
+      case 1 -> all(request, parts[0]);
       case 2 -> one(parts[0], parts[1]);
       case 3 -> part(parts[0], parts[1], parts[2]);
       default -> null;
@@ -73,7 +73,7 @@
     return new Route(Role.VIEW, byLeader, 0, handler);
   }
 
-  private Route all(AdminRequest question, String what) {
+  private Route all(AdminRequest request, String what) {
     return switch (what) {
       case "jobs" -> view(false, this::listJobs);
       case "machines" -> view(true, this::listMachines);
@@ -84,7 +84,7 @@
       case "replacements" ->
           view(true, (x, done) -> done.accept(AdminResponse.of(replacements.list())));
       case "drains" -> view(true, (x, done) -> done.accept(AdminResponse.of(machines.drains())));
-      case "events" -> new Route(Role.VIEW, true, waitMs(question), this::listEvents);
+      case "events" -> new Route(Role.VIEW, true, waitMs(request), this::listEvents);
       default -> null;
     };
   }
@@ -148,17 +148,17 @@
     return new Route(Role.OPERATE, true, 0, handler);
   }
 
-  private static long waitMs(AdminRequest question) {
+  private static long waitMs(AdminRequest request) {
     try {
-      return question.number("waitMs", 0, 0, LONGEST_POLL_MS);
+      return request.number("waitMs", 0, 0, LONGEST_POLL_MS);
     } catch (AdminRequest.BadRequestException e) {
       return 0;
     }
   }
 
-  private static Filter filter(AdminRequest question, Schema schema)
+  private static Filter filter(AdminRequest request, Schema schema)
       throws AdminRequest.BadRequestException {
-    String where = question.param("where");
+    String where = request.param("where");
     try {
       return Filter.read(where, schema);
     } catch (FilterException e) {
@@ -167,29 +167,28 @@
     }
   }
 
-  private static int limit(AdminRequest question) throws AdminRequest.BadRequestException {
-    return (int) question.number("limit", USUAL_ROWS, 1, PagedListing.MOST_ROWS);
+  private static int limit(AdminRequest request) throws AdminRequest.BadRequestException {
+    return (int) request.number("limit", USUAL_ROWS, 1, PagedListing.MOST_ROWS);
   }
 
-  private void listJobs(AdminRequest question, Consumer<AdminResponse> done)
+  private void listJobs(AdminRequest request, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
-    Filter filter = filter(question, Schema.JOBS);
-    if ("over".equals(question.param("scope"))) {
-      jobs.listOver(filter, question.param("after"), limit(question), done);
+    Filter filter = filter(request, Schema.JOBS);
+    if ("over".equals(request.param("scope"))) {
+      jobs.listOver(filter, request.param("after"), limit(request), done);
     } else {
-      jobs.list(filter, question.param("after"), limit(question), done);
+      jobs.list(filter, request.param("after"), limit(request), done);
     }
   }
 
-  private void listMachines(AdminRequest question, Consumer<AdminResponse> done)
+  private void listMachines(AdminRequest request, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
-    machines.list(
-        filter(question, Schema.MACHINES), question.param("after"), limit(question), done);
+    machines.list(filter(request, Schema.MACHINES), request.param("after"), limit(request), done);
   }
 
-  private void listEvents(AdminRequest question, Consumer<AdminResponse> done)
+  private void listEvents(AdminRequest request, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
-    long after = question.number("after", 0, 0, Long.MAX_VALUE);
-    events.list(filter(question, Schema.EVENTS), after, limit(question), waitMs(question), done);
+    long after = request.number("after", 0, 0, Long.MAX_VALUE);
+    events.list(filter(request, Schema.EVENTS), after, limit(request), waitMs(request), done);
   }
 }
--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -21,21 +21,21 @@
   private final Ledger ledger;
   private final Placer placer;
   private final Fleet fleet;
-  private final DisruptionGate disruption;
-  private final FaultAttribution blame;
+  private final DisruptionGate disruptionGate;
+  private final FaultAttribution faultAttribution;
   private final JobViews jobs;
-  private final AsOfStamp moment;
+  private final AsOfStamp asOf;
   private final double planIntervalS;
 
-  WhyView(ControllerComponents duties, JobViews jobs, AsOfStamp moment, double planIntervalS) {
-    this.settings = duties.settings();
-    this.ledger = duties.ledger();
-    this.placer = duties.placer();
-    this.fleet = duties.fleet();
-    this.disruption = duties.disruption();
-    this.blame = duties.blame();
+  WhyView(ControllerComponents components, JobViews jobs, AsOfStamp asOf, double planIntervalS) {
+    this.settings = components.settings();
+    this.ledger = components.ledger();
+    this.placer = components.placer();
+    this.fleet = components.fleet();
+    this.disruptionGate = components.disruptionGate();
+    this.faultAttribution = components.faultAttribution();
     this.jobs = jobs;
-    this.moment = moment;
+    this.asOf = asOf;
     this.planIntervalS = planIntervalS;
   }
 
@@ -60,8 +60,7 @@
   }
 
   private ObjectNode nothing(String ref, String status) {
-    ObjectNode object =
-        moment.object().put("ref", ref).put("status", status).put("waiting_tasks", 0);
+    ObjectNode object = asOf.object().put("ref", ref).put("status", status).put("waiting_tasks", 0);
     object.putArray("reasons");
     return object;
   }
@@ -71,11 +70,11 @@
     int[] counts = ledger.counts(job);
     ObjectNode object = nothing(ref, JobViews.status(counts));
     object.put("waiting_tasks", explanation.waiting());
-    DisruptionRefusal refusal = disruption.refused(job);
+    DisruptionRefusal refusal = disruptionGate.refused(job);
     if (refusal != null) {
       object.put("not_moved", refusal.words());
     }
-    FaultAttribution.JobFailureStatus standing = blame.standing(job);
+    FaultAttribution.JobFailureStatus standing = faultAttribution.standing(job);
     if (standing != null) {
       object
           .putObject("failing")
@@ -87,19 +86,19 @@
     if (explanation.waiting() == 0) {
       return object;
     }
-    PendingCapacity prospects = fleet.prospects(job.spec());
+    PendingCapacity pendingCapacity = fleet.prospects(job.spec());
     ArrayNode reasons = object.putArray("reasons");
     explanation.job().forEach((v, n) -> add(reasons, v, "tasks", n, job, explanation));
     explanation.machines().forEach((v, n) -> add(reasons, v, "machines", n, job, explanation));
-    if (prospects.booting() > 0) {
+    if (pendingCapacity.booting() > 0) {
       reasons
           .addObject()
           .put("reason", "booting")
-          .put("machines", prospects.booting())
+          .put("machines", pendingCapacity.booting())
           .put("words", "machines are on their way")
-          .put("in_s", prospects.nextS());
+          .put("in_s", pendingCapacity.nextS());
     }
-    for (PendingCapacity.CapacityRefusal r : prospects.refusals()) {
+    for (PendingCapacity.CapacityRefusal r : pendingCapacity.refusals()) {
       reasons
           .addObject()
           .put("reason", "cloud-refused")
@@ -116,7 +115,7 @@
           .put("words", "there is no machine at all: the next plan rents some")
           .put("in_s", planIntervalS);
     }
-    double start = expected(explanation, prospects);
+    double start = expected(explanation, pendingCapacity);
     if (start >= 0) {
       object.put("expected_start_s", start);
     }
@@ -145,7 +144,7 @@
   }
 
   /** The earliest of what is on its way, but not before the job may start at all; -1: unknown. */
-  private double expected(Explanation explanation, PendingCapacity prospects) {
+  private double expected(Explanation explanation, PendingCapacity pendingCapacity) {
     double first = Double.POSITIVE_INFINITY;
     if (explanation.machines().containsKey(PlacementVerdict.FITS)
         || explanation.job().containsKey(PlacementVerdict.ROOM_ON_ITS_WAY)) {
@@ -154,10 +153,10 @@
     if (explanation.freeInS() >= 0) {
       first = Math.min(first, explanation.freeInS());
     }
-    if (prospects.booting() > 0) {
-      first = Math.min(first, prospects.nextS());
+    if (pendingCapacity.booting() > 0) {
+      first = Math.min(first, pendingCapacity.nextS());
     }
-    for (PendingCapacity.CapacityRefusal refusal : prospects.refusals()) {
+    for (PendingCapacity.CapacityRefusal refusal : pendingCapacity.refusals()) {
       first = Math.min(first, refusal.againS());
     }
     boolean limited = explanation.job().containsKey(PlacementVerdict.TEAM_LIMIT);
--- a/src/main/java/dapplestair/blame/FailureRecords.java
+++ b/src/main/java/dapplestair/blame/FailureRecords.java
@@ -24,15 +24,15 @@
   private final Clock clock;
   private final long reportMs;
   private final Ledger ledger;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final Map<String, JobFailures> jobs = new HashMap<>();
   private final Map<String, MachineFailures> machines = new HashMap<>();
 
-  FailureRecords(Clock clock, long reportMs, Ledger ledger, WorkerManager desk) {
+  FailureRecords(Clock clock, long reportMs, Ledger ledger, WorkerManager workers) {
     this.clock = clock;
     this.reportMs = reportMs;
     this.ledger = ledger;
-    this.desk = desk;
+    this.workers = workers;
   }
 
   void clear() {
@@ -47,29 +47,29 @@
 
   /** Forgets machines that are gone. */
   void forgetGone() {
-    machines.keySet().removeIf(id -> desk.known(id) == null);
+    machines.keySet().removeIf(id -> workers.known(id) == null);
   }
 
   /** A task failed by itself. */
   JobFailures failed(Attempt attempt, Host host) {
     String ref = attempt.job().spec().ref();
-    JobFailures jobCase = jobs.computeIfAbsent(ref, r -> new JobFailures());
-    jobCase.failed(host.id(), attempt.ranBeforeExitS());
-    MachineFailures machineCase =
+    JobFailures jobFailures = jobs.computeIfAbsent(ref, r -> new JobFailures());
+    jobFailures.failed(host.id(), attempt.ranBeforeExitS());
+    MachineFailures machineFailures =
         machines.computeIfAbsent(host.id(), h -> new MachineFailures(clock.now()));
-    machineCase.failed(ref, attempt.step());
+    machineFailures.failed(ref, attempt.step());
     countFailures(host.id());
-    if (machineCase.jobs() >= PROBATION_JOBS) {
+    if (machineFailures.jobs() >= PROBATION_JOBS) {
       long until = clock.now() + PROBATION_REPORTS * reportMs;
-      host.setProbation(new Probation(machineCase.since, until));
+      host.setProbation(new Probation(machineFailures.since, until));
     }
-    return jobCase;
+    return jobFailures;
   }
 
   /** A task completed: a machine on which it began after the first failure is cleared. */
   void completed(Attempt attempt, Host host) {
-    MachineFailures machineCase = machines.get(host.id());
-    if (machineCase != null && attempt.plannedAt() > machineCase.since) {
+    MachineFailures machineFailures = machines.get(host.id());
+    if (machineFailures != null && attempt.plannedAt() > machineFailures.since) {
       machines.remove(host.id());
       countFailures(host.id());
       host.setProbation(Probation.NONE);
@@ -81,23 +81,23 @@
    * completed elsewhere still say of that machine what they said before.
    */
   void over(String ref) {
-    JobFailures jobCase = jobs.get(ref);
-    if (jobCase == null) {
+    JobFailures jobFailures = jobs.get(ref);
+    if (jobFailures == null) {
       return;
     }
     Job job = ledger.job(ref);
     boolean witness = job != null && !job.suspected();
-    for (String id : jobCase.failedOn.keySet()) {
-      MachineFailures machineCase = machines.get(id);
-      IntOpenHashSet steps = machineCase == null ? null : machineCase.failed.remove(ref);
+    for (String id : jobFailures.failedOn.keySet()) {
+      MachineFailures machineFailures = machines.get(id);
+      IntOpenHashSet steps = machineFailures == null ? null : machineFailures.failed.remove(ref);
       if (steps == null) {
         continue;
       }
       int completed = witness ? completedElsewhere(job, steps) : 0;
       if (completed > 0) {
-        machineCase.settle(says(id, jobCase, job.doneCount(), completed), completed);
+        machineFailures.settle(says(id, jobFailures, job.doneCount(), completed), completed);
       }
-      if (machineCase.empty()) {
+      if (machineFailures.empty()) {
         machines.remove(id);
       }
       countFailures(id);
@@ -110,15 +110,15 @@
   }
 
   /** The verdict on a job has changed: its failures are explained, or no longer. */
-  void verdictChanged(JobFailures jobCase) {
-    jobCase.failedOn.keySet().forEach(this::countFailures);
+  void verdictChanged(JobFailures jobFailures) {
+    jobFailures.failedOn.keySet().forEach(this::countFailures);
   }
 
   private void countFailures(String id) {
-    Host host = desk.known(id);
-    MachineFailures machineCase = machines.get(id);
+    Host host = workers.known(id);
+    MachineFailures machineFailures = machines.get(id);
     if (host != null) {
-      host.setFailures(machineCase == null ? 0 : machineCase.unexplained(this::explains));
+      host.setFailures(machineFailures == null ? 0 : machineFailures.unexplained(this::explains));
     }
   }
 
@@ -136,9 +136,9 @@
         .forEach(
             (ref, steps) -> {
               Job job = ledger.job(ref);
-              JobFailures jobCase = jobs.get(ref);
-              if (job != null && jobCase != null && !job.suspected()) {
-                jobCase.failedOn.removeInt(id);
+              JobFailures jobFailures = jobs.get(ref);
+              if (job != null && jobFailures != null && !job.suspected()) {
+                jobFailures.failedOn.removeInt(id);
                 each.accept(job, steps);
               }
             });
@@ -147,31 +147,32 @@
   // ---- what it says ----
 
   /** Log odds that a job is wrong. */
-  double jobOdds(Job job, JobFailures jobCase) {
+  double jobOdds(Job job, JobFailures jobFailures) {
     long now = clock.now();
-    long works = working(job, jobCase, null);
+    long works = working(job, jobFailures, null);
     long outlived =
-        ledger.attempts(job).stream().filter(a -> a.ranS(now) > jobCase.longestS).count() - works;
+        ledger.attempts(job).stream().filter(a -> a.ranS(now) > jobFailures.longestS).count()
+            - works;
     double sum =
         FailureLogOdds.logit(FailureLogOdds.JOB_WRONG)
             + FailureLogOdds.completions(job.doneCount() + job.worked() + works);
-    for (String id : jobCase.failedOn.keySet()) {
+    for (String id : jobFailures.failedOn.keySet()) {
       sum += FailureLogOdds.failureUnless(machineOdds(id, job.spec().ref(), false));
     }
-    return sum + FailureLogOdds.outlived(outlived / (double) jobCase.failures);
+    return sum + FailureLogOdds.outlived(outlived / (double) jobFailures.failures);
   }
 
   /** Tasks that live on, on other machines than this one. */
-  long working(Job job, JobFailures jobCase, String butOn) {
+  long working(Job job, JobFailures jobFailures, String butOn) {
     long now = clock.now();
     return ledger.attempts(job).stream()
-        .filter(a -> a.ranS(now) > worksAfterS(jobCase) && !a.host().equals(butOn))
+        .filter(a -> a.ranS(now) > worksAfterS(jobFailures) && !a.host().equals(butOn))
         .count();
   }
 
   /** Services never complete: a task that outlives by far what failed says as much. */
-  private double worksAfterS(JobFailures jobCase) {
-    return Math.max(reportMs / 1000.0, jobCase == null ? 0 : 2 * jobCase.longestS);
+  private double worksAfterS(JobFailures jobFailures) {
+    return Math.max(reportMs / 1000.0, jobFailures == null ? 0 : 2 * jobFailures.longestS);
   }
 
   /** Log odds that a machine is faulty, by what completed elsewhere. */
@@ -186,39 +187,42 @@
    */
   private double machineOdds(String id, String except, boolean knownGood) {
     double sum = FailureLogOdds.logit(FailureLogOdds.MACHINE_FAULTY);
-    MachineFailures machineCase = machines.get(id);
-    if (machineCase == null) {
+    MachineFailures machineFailures = machines.get(id);
+    if (machineFailures == null) {
       return sum;
     }
-    sum += machineCase.settledOdds();
-    for (Map.Entry<String, IntOpenHashSet> entry : machineCase.failed.entrySet()) {
+    sum += machineFailures.settledOdds();
+    for (Map.Entry<String, IntOpenHashSet> entry : machineFailures.failed.entrySet()) {
       Job job = ledger.job(entry.getKey());
-      JobFailures jobCase = jobs.get(entry.getKey());
-      if (!entry.getKey().equals(except) && job != null && jobCase != null && !job.suspected()) {
-        sum += says(id, job, jobCase, entry.getValue(), knownGood);
+      JobFailures jobFailures = jobs.get(entry.getKey());
+      if (!entry.getKey().equals(except)
+          && job != null
+          && jobFailures != null
+          && !job.suspected()) {
+        sum += says(id, job, jobFailures, entry.getValue(), knownGood);
       }
     }
     return sum;
   }
 
   private double says(
-      String id, Job job, JobFailures jobCase, IntOpenHashSet failedHere, boolean knownGood) {
+      String id, Job job, JobFailures jobFailures, IntOpenHashSet failedHere, boolean knownGood) {
     // Replicas are alike, and never complete: others that live on elsewhere say as much.
     boolean service = job.spec().service();
-    long good = service ? working(job, jobCase, id) + job.worked() : job.doneCount();
+    long good = service ? working(job, jobFailures, id) + job.worked() : job.doneCount();
     int steps = failedHere.size();
     if (knownGood && service) {
       // The same replica that fails here again and again says as much as another one.
-      steps = good > 0 ? jobCase.failedOn.getInt(id) : 0;
+      steps = good > 0 ? jobFailures.failedOn.getInt(id) : 0;
     } else if (knownGood) {
       steps = completedElsewhere(job, failedHere);
     }
-    return steps == 0 ? 0 : says(id, jobCase, good, steps);
+    return steps == 0 ? 0 : says(id, jobFailures, good, steps);
   }
 
   /** What so many steps of one job that failed on a machine say against it. */
-  private static double says(String id, JobFailures jobCase, long good, int steps) {
-    double one = FailureLogOdds.failure(FailureLogOdds.rate(jobCase.elsewhere(id), good));
+  private static double says(String id, JobFailures jobFailures, long good, int steps) {
+    double one = FailureLogOdds.failure(FailureLogOdds.rate(jobFailures.elsewhere(id), good));
     // More tasks of one job say less than those of another job.
     return one * (1 + (Math.min(MOST_SAME_JOB, steps) - 1) / 2.0);
   }
--- a/src/main/java/dapplestair/blame/FaultAttribution.java
+++ b/src/main/java/dapplestair/blame/FaultAttribution.java
@@ -40,7 +40,7 @@
   private final Clock clock;
   private final TermTimers timers;
   private final Ledger ledger;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final Listener listener;
   private final long reportMs;
   private final FailureRecords records;
@@ -54,15 +54,15 @@
       TermTimers timers,
       long reportMs,
       Ledger ledger,
-      WorkerManager desk,
+      WorkerManager workers,
       Listener listener) {
     this.clock = clock;
     this.timers = timers;
     this.reportMs = reportMs;
     this.ledger = ledger;
-    this.desk = desk;
+    this.workers = workers;
     this.listener = listener;
-    this.records = new FailureRecords(clock, reportMs, ledger, desk);
+    this.records = new FailureRecords(clock, reportMs, ledger, workers);
   }
 
   /** Begins to look whether probes live on. */
@@ -80,14 +80,14 @@
 
   /** How a job stands that has failed, or null. */
   public JobFailureStatus standing(Job job) {
-    JobFailures jobCase = records.of(job.spec().ref());
-    if (jobCase == null && !job.suspected()) {
+    JobFailures jobFailures = records.of(job.spec().ref());
+    if (jobFailures == null && !job.suspected()) {
       return null;
     }
     double next = job.suspected() ? Math.max(0, job.heldBackUntil() - clock.now()) / 1000.0 : 0;
-    return jobCase == null
+    return jobFailures == null
         ? new JobFailureStatus(0, 0, job.suspected(), next)
-        : new JobFailureStatus(jobCase.failures, jobCase.machines, job.suspected(), next);
+        : new JobFailureStatus(jobFailures.failures, jobFailures.machines, job.suspected(), next);
   }
 
   /**
@@ -113,18 +113,18 @@
     if (job.over()) {
       return;
     }
-    JobFailures jobCase = records.failed(attempt, host);
+    JobFailures jobFailures = records.failed(attempt, host);
     ledger.failedStep(attempt, reportMs, MOST_PAUSE * reportMs);
     if (job.suspected()) {
       // A probe, or what still ran when the verdict was given.
-      pause(job, jobCase);
+      pause(job, jobFailures);
       return;
     }
     if (due.isEmpty()) {
       judging = timers.after(reportMs / 60, this::judge);
     }
     boolean first = due.add(job.spec().ref());
-    long works = job.doneCount() + job.worked() + records.working(job, jobCase, null);
+    long works = job.doneCount() + job.worked() + records.working(job, jobFailures, null);
     if (first && works == 0) {
       // Failures come in crowds: what is lost starts again after the verdict, not before. Until one
       // of its tasks is known to work that is when no more fail.
@@ -140,11 +140,11 @@
       works(job);
       return;
     }
-    JobFailures jobCase = records.of(job.spec().ref());
-    if (jobCase != null) {
+    JobFailures jobFailures = records.of(job.spec().ref());
+    if (jobFailures != null) {
       ledger.goOn(job);
       // Now it is known to be good, so what failed it may be judged.
-      judgeMachines(jobCase);
+      judgeMachines(jobFailures);
     }
   }
 
@@ -160,24 +160,25 @@
     List<String> refs = List.copyOf(due);
     due.clear();
     for (String ref : refs) {
-      JobFailures jobCase = records.of(ref);
+      JobFailures jobFailures = records.of(ref);
       Job job = ledger.job(ref);
-      if (jobCase != null && job != null && !job.over() && !job.suspected()) {
-        if (jobCase.failedOn.size() >= 2 && FailureLogOdds.sure(records.jobOdds(job, jobCase))) {
-          suspect(job, jobCase);
+      if (jobFailures != null && job != null && !job.over() && !job.suspected()) {
+        if (jobFailures.failedOn.size() >= 2
+            && FailureLogOdds.sure(records.jobOdds(job, jobFailures))) {
+          suspect(job, jobFailures);
         } else {
-          judgeMachines(jobCase);
+          judgeMachines(jobFailures);
         }
       }
     }
   }
 
-  private void judgeMachines(JobFailures jobCase) {
-    List.copyOf(jobCase.failedOn.keySet()).forEach(this::judgeMachine);
+  private void judgeMachines(JobFailures jobFailures) {
+    List.copyOf(jobFailures.failedOn.keySet()).forEach(this::judgeMachine);
   }
 
   private void judgeMachine(String id) {
-    Host host = desk.known(id);
+    Host host = workers.known(id);
     if (host != null && !host.draining() && FailureLogOdds.sure(records.machineOdds(id))) {
       LOG.info("{} fails what others complete: it is emptied", id);
       host.setDraining(true);
@@ -187,35 +188,35 @@
     }
   }
 
-  private void suspect(Job job, JobFailures jobCase) {
+  private void suspect(Job job, JobFailures jobFailures) {
     LOG.info(
         "{} fails wherever it runs, {} times on {} machines: one task at a time from now on",
         job.spec().ref(),
-        jobCase.failures,
-        jobCase.failedOn.size());
-    pause(job, jobCase);
+        jobFailures.failures,
+        jobFailures.failedOn.size());
+    pause(job, jobFailures);
     // Its failures are explained, and say nothing of the machines for as long as that holds.
-    records.verdictChanged(jobCase);
+    records.verdictChanged(jobFailures);
   }
 
-  private void pause(Job job, JobFailures jobCase) {
+  private void pause(Job job, JobFailures jobFailures) {
     if (job.suspected() && job.held() > 1) {
       // Others of the same wave, or of the same gang, still run: one pause for all of them.
       return;
     }
     long pause = reportMs * Math.min(MOST_PAUSE, 1L << Math.min(10, job.probesFailed()));
     ledger.suspect(job, pause);
-    listener.wrong(job, jobCase.failures, jobCase.machines, pause);
+    listener.wrong(job, jobFailures.failures, jobFailures.machines, pause);
   }
 
   private void works(Job job) {
     LOG.info("{} works after all", job.spec().ref());
     ledger.trust(job);
-    JobFailures jobCase = records.of(job.spec().ref());
-    if (jobCase != null) {
+    JobFailures jobFailures = records.of(job.spec().ref());
+    if (jobFailures != null) {
       // What its being wrong explained is held against the machines again.
-      records.verdictChanged(jobCase);
-      judgeMachines(jobCase);
+      records.verdictChanged(jobFailures);
+      judgeMachines(jobFailures);
     }
     listener.works(job);
   }
--- a/src/main/java/dapplestair/cancellations/CancellationCodec.java
+++ b/src/main/java/dapplestair/cancellations/CancellationCodec.java
@@ -47,13 +47,13 @@
   record LogResponse(
       long asker, long number, long log, long term, boolean whole, List<LogEntry> entries) {}
 
-  static byte[] encode(LogRequest ask) {
+  static byte[] encode(LogRequest request) {
     Output out = new Output(64);
     out.writeByte(FORM);
-    out.writeLong(ask.asker());
-    out.writeVarLong(ask.number(), true);
-    out.writeLong(ask.log());
-    out.writeVarLong(ask.after(), true);
+    out.writeLong(request.asker());
+    out.writeVarLong(request.number(), true);
+    out.writeLong(request.log());
+    out.writeVarLong(request.after(), true);
     return out.toBytes();
   }
 
@@ -64,33 +64,33 @@
     }
     try {
       Input in = new Input(bytes, 1, bytes.length - 1);
-      LogRequest ask =
+      LogRequest request =
           new LogRequest(in.readLong(), in.readVarLong(true), in.readLong(), in.readVarLong(true));
-      return ask.number() < 0 || ask.after() < 0 ? null : ask;
+      return request.number() < 0 || request.after() < 0 ? null : request;
     } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
       return null;
     }
   }
 
   /** Writes an answer, or gives null when it is too large for one message. */
-  static byte[] encode(LogResponse answer) {
+  static byte[] encode(LogResponse response) {
     try {
-      return write(answer);
+      return write(response);
     } catch (KryoException e) {
       return null;
     }
   }
 
-  private static byte[] write(LogResponse answer) {
+  private static byte[] write(LogResponse response) {
     Output out = new Output(256, LARGEST);
     out.writeByte(FORM);
-    out.writeLong(answer.asker());
-    out.writeVarLong(answer.number(), true);
-    out.writeLong(answer.log());
-    out.writeVarLong(answer.term(), true);
-    out.writeBoolean(answer.whole());
-    out.writeVarInt(answer.entries().size(), true);
-    answer.entries().forEach(e -> write(out, e));
+    out.writeLong(response.asker());
+    out.writeVarLong(response.number(), true);
+    out.writeLong(response.log());
+    out.writeVarLong(response.term(), true);
+    out.writeBoolean(response.whole());
+    out.writeVarInt(response.entries().size(), true);
+    response.entries().forEach(e -> write(out, e));
     return out.toBytes();
   }
 
--- a/src/main/java/dapplestair/cancellations/CancellationLogSync.java
+++ b/src/main/java/dapplestair/cancellations/CancellationLogSync.java
@@ -22,7 +22,7 @@
   private final Leadership leadership;
   private final long process;
   private final KnownCancellations known;
-  private final CancellationWatermark knownTo;
+  private final CancellationWatermark watermark;
   private final ObjLongConsumer<CancellationCodec.LogEntry> learn;
   private final long everyMs;
   private long asked;
@@ -40,7 +40,7 @@
       Leadership leadership,
       long process,
       KnownCancellations known,
-      CancellationWatermark knownTo,
+      CancellationWatermark watermark,
       ObjLongConsumer<CancellationCodec.LogEntry> learn) {
     this.clock = clock;
     this.timers = timers;
@@ -49,7 +49,7 @@
     this.leadership = leadership;
     this.process = process;
     this.known = known;
-    this.knownTo = knownTo;
+    this.watermark = watermark;
     this.learn = learn;
     this.everyMs = settings.workers().reportMs() / 8;
   }
@@ -68,7 +68,7 @@
   }
 
   private void ask(String member) {
-    CancellationWatermark.PeerLog peer = knownTo.peer(member);
+    CancellationWatermark.PeerLog peer = watermark.peer(member);
     long number = ++asked;
     long askedAt = clock.now();
     byte[] body =
@@ -81,47 +81,47 @@
 
   private void answered(
       CancellationWatermark.PeerLog peer, long number, long askedAt, byte[] reply) {
-    CancellationCodec.LogResponse answer = reply == null ? null : CancellationCodec.answer(reply);
-    if (reply != null && answer == null) {
+    CancellationCodec.LogResponse response = reply == null ? null : CancellationCodec.answer(reply);
+    if (reply != null && response == null) {
       peers.questions().refused();
     }
     // An answer to a question of an earlier life of this process says nothing about this one's.
-    if (answer == null || answer.asker() != process || answer.number() != number) {
+    if (response == null || response.asker() != process || response.number() != number) {
       return;
     }
-    leadership.termShown(answer.term());
-    if (answer.log() != peer.log) {
-      knownTo.met(peer, answer.log());
+    leadership.termShown(response.term());
+    if (response.log() != peer.log) {
+      watermark.met(peer, response.log());
     }
-    for (CancellationCodec.LogEntry entry : answer.entries()) {
-      learn.accept(entry, answer.log());
+    for (CancellationCodec.LogEntry entry : response.entries()) {
+      learn.accept(entry, response.log());
       peer.after = Math.max(peer.after, entry.number());
     }
-    if (answer.whole()) {
-      knownTo.told(peer, askedAt);
+    if (response.whole()) {
+      watermark.told(peer, askedAt);
     }
   }
 
   private void answer(byte[] body, Consumer<byte[]> reply) {
-    CancellationCodec.LogRequest ask = CancellationCodec.ask(body);
-    if (ask == null) {
+    CancellationCodec.LogRequest request = CancellationCodec.ask(body);
+    if (request == null) {
       peers.questions().refused();
       return;
     }
-    long after = ask.log() == process ? ask.after() : 0;
+    long after = request.log() == process ? request.after() : 0;
     List<CancellationCodec.LogEntry> entries =
         known.after(after, CancellationCodec.MOST_ENTRIES / 4, CancellationCodec.MOST_PLACES);
     long last = entries.isEmpty() ? after : entries.get(entries.size() - 1).number();
     boolean whole = last >= known.lastNumber() || known.after(last, 1, Integer.MAX_VALUE).isEmpty();
-    CancellationCodec.LogResponse answer =
+    CancellationCodec.LogResponse response =
         new CancellationCodec.LogResponse(
-            ask.asker(),
-            ask.number(),
+            request.asker(),
+            request.number(),
             process,
             leadership.termSeen(),
             whole && !known.forgotTooEarly(),
             entries);
-    byte[] bytes = CancellationCodec.encode(answer);
+    byte[] bytes = CancellationCodec.encode(response);
     if (bytes != null) {
       reply.accept(bytes);
     }
--- a/src/main/java/dapplestair/cancellations/Cancellations.java
+++ b/src/main/java/dapplestair/cancellations/Cancellations.java
@@ -55,7 +55,7 @@
   private final Leadership leadership;
   private final Listener listener;
   private final KnownCancellations known;
-  private final CancellationWatermark knownTo;
+  private final CancellationWatermark watermark;
   private final CancellationLogSync logs;
   private final CancellationEnforcer enforcer;
   private final ForgottenMachines forgotten;
@@ -93,12 +93,12 @@
     this.keptMs = 2 * settings.workers().cancelMs();
     this.known = new KnownCancellations(clock, keptMs);
     this.open = new OpenCancellations(clock, known, 2 * reportMs);
-    this.knownTo =
+    this.watermark =
         new CancellationWatermark(
             clock, stateAsOf, settings.peers().stream().map(Settings.Peer::member).toList());
     this.logs =
         new CancellationLogSync(
-            clock, timers, settings, peers, leadership, process, known, knownTo, this::learn);
+            clock, timers, settings, peers, leadership, process, known, watermark, this::learn);
     this.enforcer =
         new CancellationEnforcer(clock, timers, http, cloud, settings, open, launchMs());
     this.forgotten =
@@ -164,7 +164,7 @@
 
   /** How old the knowledge of all cancellations is, milliseconds. */
   public long ageMs() {
-    return knownTo.ageMs();
+    return watermark.ageMs();
   }
 
   /** True when this job's user was told that it is cancelled, or the job is over otherwise. */
@@ -350,7 +350,7 @@
             !known.knows(ref)
                 || recordsAreNew && listener.places(ref).isEmpty()
                 || listener.proved(ref));
-    open.adopt(process -> knownTo.lives(process, peers::alive));
+    open.adopt(process -> watermark.lives(process, peers::alive));
     List<String> refs = open.refs();
     if (!refs.isEmpty()) {
       for (Settings.Peer peer : settings.peers()) {
--- a/src/main/java/dapplestair/cli/ControllerServer.java
+++ b/src/main/java/dapplestair/cli/ControllerServer.java
@@ -49,7 +49,7 @@
   }
 
   /** Builds a controller, binds its listeners and starts it. */
-  static ControllerServer start(Settings settings, OperatorSettings operator)
+  static ControllerServer start(Settings settings, OperatorSettings operatorSettings)
       throws InterruptedException, SettingsException {
     ControllerEventLoop loop = new ControllerEventLoop();
     HttpPool http =
@@ -58,7 +58,7 @@
             MOST_CALLS_PER_ENDPOINT,
             settings.workers().reportMs() / 4,
             settings.resources().maxConnections() / 2);
-    ControllerEnvironment outside =
+    ControllerEnvironment environment =
         new ControllerEnvironment(
             loop,
             loop,
@@ -67,9 +67,10 @@
             new PeerLinks(loop, settings),
             RandomSource.XO_RO_SHI_RO_128_PP.create(),
             Boolean.getBoolean(LAUNCH_BATCHES));
-    OperatorSettings.Admin on = operator.admin();
+    OperatorSettings.Admin on = operatorSettings.admin();
     Controller controller =
-        new Controller(settings, operator, outside, on == null ? null : access(on, loop));
+        new Controller(
+            settings, operatorSettings, environment, on == null ? null : access(on, loop));
     // Some sockets stay free for the calls that this controller itself makes.
     int incoming = settings.resources().maxConnections() * 3 / 4;
     HttpServer users = new HttpServer(loop, HttpServer.Options.users(incoming), controller::handle);
--- a/src/main/java/dapplestair/cli/DaemonCommand.java
+++ b/src/main/java/dapplestair/cli/DaemonCommand.java
@@ -58,20 +58,20 @@
       DaemonSettings settings = file.settings();
       Address users = EmulateCommand.address("--listen", listen, settings.listen());
       Address at = EmulateCommand.address("--admin", admin, settings.admin());
-      OperatorSettings operator =
+      OperatorSettings operatorSettings =
           SettingsOptions.operator(operatorFile, settings.controller(users, ""));
       // Unless the operators' file says who may come, everybody on this machine may.
-      if (operator.admin() == null) {
-        operator = operator.withAdmin(OperatorSettings.Admin.open(at));
-        OperatorSettingsLoader.check(operator.admin());
+      if (operatorSettings.admin() == null) {
+        operatorSettings = operatorSettings.withAdmin(OperatorSettings.Admin.open(at));
+        OperatorSettingsLoader.check(operatorSettings.admin());
       }
-      return run(settings, operator, users);
+      return run(settings, operatorSettings, users);
     } catch (SettingsException e) {
       return SettingsOptions.refuse(e);
     }
   }
 
-  private int run(DaemonSettings settings, OperatorSettings operator, Address users)
+  private int run(DaemonSettings settings, OperatorSettings operatorSettings, Address users)
       throws Exception {
     Emulation emulation = null;
     String endpoint = outside;
@@ -81,21 +81,21 @@
     } else if (Address.parse(outside) == null) {
       throw new SettingsException("--outside = " + outside + ": must be host:port");
     }
-    ControllerServer running =
-        ControllerServer.start(settings.controller(users, endpoint), operator);
-    ShutdownHook.onSignal(running::stop);
-    String userEndpoint = users.host() + ":" + running.userPort();
-    ControllerRegistration.repeat(running.loop(), endpoint, userEndpoint);
-    while (!running.await(READY_WITHIN_MS)) {
+    ControllerServer server =
+        ControllerServer.start(settings.controller(users, endpoint), operatorSettings);
+    ShutdownHook.onSignal(server::stop);
+    String userEndpoint = users.host() + ":" + server.userPort();
+    ControllerRegistration.repeat(server.loop(), endpoint, userEndpoint);
+    while (!server.await(READY_WITHIN_MS)) {
       System.err.println("dapplestair: still waiting for state service and cloud at " + endpoint);
     }
     System.out.println(
         "ready users="
             + userEndpoint
             + " admin="
-            + operator.admin().listen().host()
+            + operatorSettings.admin().listen().host()
             + ":"
-            + running.adminPort());
+            + server.adminPort());
     Thread.currentThread().join();
     return ControllerCommand.STAYS;
   }
--- a/src/main/java/dapplestair/client/ClusterCommands.java
+++ b/src/main/java/dapplestair/client/ClusterCommands.java
@@ -117,7 +117,7 @@
   static final class ListEvents extends ClientCommand {
     private static final long WAIT_MS = 10_000;
 
-    @Mixin private FilterOption where;
+    @Mixin private FilterOption filterOption;
 
     @Option(
         names = "--limit",
@@ -131,7 +131,7 @@
 
     @Override
     int run(ApiClient api, Output out) throws CommandException {
-      String path = "/v1/events?limit=500" + where.query(Schema.EVENTS);
+      String path = "/v1/events?limit=500" + filterOption.query(Schema.EVENTS);
       List<JsonNode> rows = new ArrayList<>();
       JsonNode page = api.get(path);
       String after = page.path("next").asText("0");
--- a/src/main/java/dapplestair/client/JobCommand.java
+++ b/src/main/java/dapplestair/client/JobCommand.java
@@ -125,7 +125,7 @@
         "  dapplestair job list --over --limit 20 -o csv"
       })
   static final class ListJobs extends ClientCommand {
-    @Mixin private FilterOption where;
+    @Mixin private FilterOption filterOption;
 
     @Option(
         names = "--limit",
@@ -139,7 +139,7 @@
 
     @Override
     int run(ApiClient api, Output out) throws CommandException {
-      String query = (over ? "&scope=over" : "") + where.query(Schema.JOBS);
+      String query = (over ? "&scope=over" : "") + filterOption.query(Schema.JOBS);
       JsonNode answer = pages(api, "/v1/jobs", query, Math.max(0, limit));
       out.rows(
           answer,
--- a/src/main/java/dapplestair/client/MachineCommand.java
+++ b/src/main/java/dapplestair/client/MachineCommand.java
@@ -28,7 +28,7 @@
       description = "List machines.",
       footer = {"", "Example:  dapplestair machine list --where 'zone = a and state != up'"})
   static final class ListMachines extends ClientCommand {
-    @Mixin private FilterOption where;
+    @Mixin private FilterOption filterOption;
 
     @Option(
         names = "--limit",
@@ -40,7 +40,7 @@
     @Override
     int run(ApiClient api, Output out) throws CommandException {
       out.rows(
-          pages(api, "/v1/machines", where.query(Schema.MACHINES), Math.max(0, limit)),
+          pages(api, "/v1/machines", filterOption.query(Schema.MACHINES), Math.max(0, limit)),
           "id",
           "type",
           "zone",
--- a/src/main/java/dapplestair/cloud/CloudClient.java
+++ b/src/main/java/dapplestair/cloud/CloudClient.java
@@ -71,8 +71,8 @@
     this.endpoint = settings.cloudEndpoint();
     this.bucket = new TokenBucket(clock, settings.cloud().rps() * RATE_RATIO, 1);
     this.timeoutMs = settings.workers().reportMs();
-    for (RequestPriority queue : RequestPriority.values()) {
-      queues.put(queue, new ArrayDeque<>());
+    for (RequestPriority priority : RequestPriority.values()) {
+      queues.put(priority, new ArrayDeque<>());
     }
   }
 
@@ -147,12 +147,12 @@
     return reply.status() == UNAVAILABLE && error != null && error.contains("capacity");
   }
 
-  private void add(RequestPriority queue, QueuedRequest request) {
-    if (queues.get(queue).size() >= MOST_QUEUED) {
+  private void add(RequestPriority priority, QueuedRequest request) {
+    if (queues.get(priority).size() >= MOST_QUEUED) {
       timers.after(0, () -> request.done.accept(HttpReply.of(HttpReply.NOT_SENT)));
       return;
     }
-    queues.get(queue).add(request);
+    queues.get(priority).add(request);
     pump();
   }
 
--- a/src/main/java/dapplestair/daemon/Emulation.java
+++ b/src/main/java/dapplestair/daemon/Emulation.java
@@ -41,16 +41,18 @@
 
   /** Everything as the settings say; nothing is served before {@link #start}. */
   public Emulation(DaemonSettings settings) {
-    HttpPool http = new HttpPool(loop, CALLS_A_PLACE, settings.shape().reportMs() / 4);
-    LoopbackEnvironment world =
+    HttpPool http = new HttpPool(loop, CALLS_A_PLACE, settings.emulatorSettings().reportMs() / 4);
+    LoopbackEnvironment environment =
         new LoopbackEnvironment(
             loop,
             http,
             settings.seed() == 0
                 ? RandomSource.XO_RO_SHI_RO_128_PP.create()
                 : RandomSource.XO_RO_SHI_RO_128_PP.create(settings.seed()));
-    state = new EmulatedState(world, settings.shape());
-    cloud = new EmulatedCloud(world, settings.shape(), this::job, this, TaskObserver.none());
+    state = new EmulatedState(environment, settings.emulatorSettings());
+    cloud =
+        new EmulatedCloud(
+            environment, settings.emulatorSettings(), this::job, this, TaskObserver.none());
     server = new HttpServer(loop, HttpServer.Options.users(MOST_CONNECTIONS), this::handle);
   }
 
--- a/src/main/java/dapplestair/disruption/DisruptionGate.java
+++ b/src/main/java/dapplestair/disruption/DisruptionGate.java
@@ -27,7 +27,7 @@
   private final Clock clock;
   private final DisruptionBudgets budgets;
   private final Ledger ledger;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final LostWork lost;
 
   // Of this look: how each team and job stands.
@@ -48,11 +48,11 @@
 
   /** Guards what {@code ledger} runs. */
   public DisruptionGate(
-      Clock clock, DisruptionBudgets budgets, Ledger ledger, WorkerManager desk, LostWork lost) {
+      Clock clock, DisruptionBudgets budgets, Ledger ledger, WorkerManager workers, LostWork lost) {
     this.clock = clock;
     this.budgets = budgets;
     this.ledger = ledger;
-    this.desk = desk;
+    this.workers = workers;
     this.lost = lost;
   }
 
@@ -104,16 +104,16 @@
   }
 
   private void count(Job job) {
-    UnavailableTasks out = ledger.out(job, this::reached);
+    UnavailableTasks unavailable = ledger.out(job, this::reached);
     Sum sum = sum(job.spec().team());
     if (job.spec().service()) {
       sum.wanted += job.spec().steps();
-      sum.out += out.disrupted();
-      sum.stopping += out.stopping();
-      missing.put(job, out.missing());
+      sum.out += unavailable.disrupted();
+      sum.stopping += unavailable.stopping();
+      missing.put(job, unavailable.missing());
     } else {
-      sum.arraysOut += out.disrupted();
-      sum.arraysStopping += out.stopping();
+      sum.arraysOut += unavailable.disrupted();
+      sum.arraysStopping += unavailable.stopping();
     }
   }
 
@@ -122,7 +122,7 @@
    * still be carried out on it, and what it said may be older than that.
    */
   private boolean reached(Attempt attempt) {
-    Host host = desk.known(attempt.host());
+    Host host = workers.known(attempt.host());
     return host != null
         && host.acknowledged()
         && !host.outOfReach()
--- a/src/main/java/dapplestair/disruption/LostWork.java
+++ b/src/main/java/dapplestair/disruption/LostWork.java
@@ -66,14 +66,14 @@
 
   /** The record of a team has this value, or is gone. */
   public void recorded(String key, JsonNode value) {
-    TeamLostWork account = account(key.substring(StateKeys.DISRUPTION.length()));
-    account.reserved.clear();
+    TeamLostWork teamLostWork = account(key.substring(StateKeys.DISRUPTION.length()));
+    teamLostWork.reserved.clear();
     if (value != null) {
       value
           .path("reserved")
           .fields()
           .forEachRemaining(
-              e -> account.reserved.put(Long.parseLong(e.getKey()), e.getValue().asDouble()));
+              e -> teamLostWork.reserved.put(Long.parseLong(e.getKey()), e.getValue().asDouble()));
     }
   }
 
@@ -81,11 +81,11 @@
     leading = true;
     writer.reset();
     long slice = slice();
-    for (TeamLostWork account : accounts.values()) {
+    for (TeamLostWork teamLostWork : accounts.values()) {
       // All that is reserved counts as spent: the former leader may have done so.
-      account.slice = slice;
-      account.spent = account.reserved.getOrDefault(slice, 0.0);
-      account.writing = false;
+      teamLostWork.slice = slice;
+      teamLostWork.spent = teamLostWork.reserved.getOrDefault(slice, 0.0);
+      teamLostWork.writing = false;
     }
   }
 
@@ -105,23 +105,27 @@
 
   /** The account in this slice: what was reserved in an earlier one and not spent is void. */
   private TeamLostWork now(String team) {
-    TeamLostWork account = account(team);
+    TeamLostWork teamLostWork = account(team);
     long slice = slice();
-    if (account.slice != slice) {
-      account.slice = slice;
+    if (teamLostWork.slice != slice) {
+      teamLostWork.slice = slice;
       // A controller whose clock was ahead may have written of this slice already.
-      account.spent = account.reserved.getOrDefault(slice, 0.0);
+      teamLostWork.spent = teamLostWork.reserved.getOrDefault(slice, 0.0);
     }
-    return account;
+    return teamLostWork;
   }
 
   /** Reserved or spent in the last hour, CPU seconds. */
   double spent(String team) {
-    TeamLostWork account = now(team);
-    double sum = Math.max(account.spent, account.reserved.getOrDefault(account.slice, 0.0));
+    TeamLostWork teamLostWork = now(team);
+    double sum =
+        Math.max(teamLostWork.spent, teamLostWork.reserved.getOrDefault(teamLostWork.slice, 0.0));
     // One slice more than an hour: what was spent at its end counts for a whole hour.
     for (double r :
-        account.reserved.subMap(account.slice - HOUR_MS / SLICE_MS, account.slice).values()) {
+        teamLostWork
+            .reserved
+            .subMap(teamLostWork.slice - HOUR_MS / SLICE_MS, teamLostWork.slice)
+            .values()) {
       sum += r;
     }
     return sum;
@@ -133,14 +137,14 @@
     if (Double.isInfinite(allowed) || cpuS <= 0) {
       return null;
     }
-    TeamLostWork account = now(team);
-    double reserved = account.reserved.getOrDefault(account.slice, 0.0);
-    if (account.spent + cpuS <= reserved + 1e-9 && !account.writing) {
+    TeamLostWork teamLostWork = now(team);
+    double reserved = teamLostWork.reserved.getOrDefault(teamLostWork.slice, 0.0);
+    if (teamLostWork.spent + cpuS <= reserved + 1e-9 && !teamLostWork.writing) {
       return null;
     }
     double before = spent(team);
-    double wanted = account.spent + cpuS;
-    if (before - Math.max(account.spent, reserved) + wanted > allowed + 1e-9) {
+    double wanted = teamLostWork.spent + cpuS;
+    if (before - Math.max(teamLostWork.spent, reserved) + wanted > allowed + 1e-9) {
       return new DisruptionRefusal(
           team,
           "CPU seconds thrown away in an hour",
@@ -152,9 +156,12 @@
                       .formatted(cpuS)
                   + " was accepted");
     }
-    double room = allowed - (before - Math.max(account.spent, reserved));
+    double room = allowed - (before - Math.max(teamLostWork.spent, reserved));
     // Twice as much, since what runs loses more by the time the put is made.
-    write(team, account, Math.min(room, account.spent + Math.max(2 * cpuS, allowed * SHARE)));
+    write(
+        team,
+        teamLostWork,
+        Math.min(room, teamLostWork.spent + Math.max(2 * cpuS, allowed * SHARE)));
     return new DisruptionRefusal(
         team, "CPU seconds thrown away in an hour", allowed, before, "being put on record");
   }
@@ -171,27 +178,28 @@
     if (budgets.of(team).anyLoss() || cpuS <= 0) {
       return;
     }
-    TeamLostWork account = now(team);
-    account.spent += cpuS;
-    if (account.spent > account.reserved.getOrDefault(account.slice, 0.0)) {
-      write(team, account, account.spent + budgets.of(team).lostCpuS() * SHARE);
+    TeamLostWork teamLostWork = now(team);
+    teamLostWork.spent += cpuS;
+    if (teamLostWork.spent > teamLostWork.reserved.getOrDefault(teamLostWork.slice, 0.0)) {
+      write(team, teamLostWork, teamLostWork.spent + budgets.of(team).lostCpuS() * SHARE);
     }
   }
 
-  private void write(String team, TeamLostWork account, double reserve) {
-    if (account.writing || !leading) {
+  private void write(String team, TeamLostWork teamLostWork, double reserve) {
+    if (teamLostWork.writing || !leading) {
       return;
     }
-    account.writing = true;
-    long slice = account.slice;
+    teamLostWork.writing = true;
+    long slice = teamLostWork.slice;
     String key = StateKeys.DISRUPTION + team;
     ObjectNode value = Json.object();
     ObjectNode slices = value.putObject("reserved");
-    account
+    teamLostWork
         .reserved
         .tailMap(slice - HOUR_MS / SLICE_MS)
         .forEach((s, r) -> slices.put(Long.toString(s), (double) r));
-    slices.put(Long.toString(slice), Math.max(reserve, account.reserved.getOrDefault(slice, 0.0)));
+    slices.put(
+        Long.toString(slice), Math.max(reserve, teamLostWork.reserved.getOrDefault(slice, 0.0)));
     writer.put(
         key,
         replica.stamp(key),
@@ -199,7 +207,7 @@
         Priority.BOOKKEEPING,
         outcome -> {
           // Without an answer the replica tells what is on record; until then nothing is granted.
-          account.writing = false;
+          teamLostWork.writing = false;
           if (outcome instanceof TxnOutcome.Applied) {
             recorded(key, value);
           } else {
--- a/src/main/java/dapplestair/drain/DrainExecutor.java
+++ b/src/main/java/dapplestair/drain/DrainExecutor.java
@@ -39,9 +39,9 @@
   private static final String NO_PLACE = "no other machine has room for %s under its rules";
 
   private final Clock clock;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final Fleet fleet;
-  private final DisruptionGate disruption;
+  private final DisruptionGate disruptionGate;
   private final Set<Host> under = new LinkedHashSet<>();
 
   // Room that this step has given to replicas on their way, by machine.
@@ -50,11 +50,12 @@
   private final Set<Host> placeless = new LinkedHashSet<>();
 
   /** Works on what the leader knows. */
-  public DrainExecutor(Clock clock, WorkerManager desk, Fleet fleet, DisruptionGate disruption) {
+  public DrainExecutor(
+      Clock clock, WorkerManager workers, Fleet fleet, DisruptionGate disruptionGate) {
     this.clock = clock;
-    this.desk = desk;
+    this.workers = workers;
     this.fleet = fleet;
-    this.disruption = disruption;
+    this.disruptionGate = disruptionGate;
   }
 
   void clear() {
@@ -79,7 +80,7 @@
     standing.clear();
     placeless.clear();
     if (!drained.isEmpty()) {
-      disruption.look();
+      disruptionGate.look();
     }
     List<Host> order = new ArrayList<>(drained.keySet());
     order.sort(
@@ -119,7 +120,7 @@
   }
 
   private boolean ask(Host host, Attempt attempt, double windDownS) {
-    DisruptionRefusal refusal = disruption.ask(attempt, windDownS, StopReason.DRAIN);
+    DisruptionRefusal refusal = disruptionGate.ask(attempt, windDownS, StopReason.DRAIN);
     if (refusal != null) {
       standing.putIfAbsent(host, refusal.words());
     }
@@ -135,10 +136,10 @@
     Submission submission = job.spec();
     Host best = null;
     double bestWaitS = Double.POSITIVE_INFINITY;
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       if (host != from
           && !host.closed()
-          && desk.fresh(host)
+          && workers.fresh(host)
           && host.allowed(submission)
           && roomBeside(host, submission)
           && zoneAllowsMove(job, from.zone(), host.zone())) {
--- a/src/main/java/dapplestair/drain/Drains.java
+++ b/src/main/java/dapplestair/drain/Drains.java
@@ -35,10 +35,10 @@
   private final Settings settings;
   private final StateClient state;
   private final Replica replica;
-  private final ConditionalWriter wishes;
+  private final ConditionalWriter conditionalWriter;
   private final Leadership leadership;
-  private final WorkerManager desk;
-  private final DrainExecutor emptying;
+  private final WorkerManager workers;
+  private final DrainExecutor drainExecutor;
   private final Events events;
   private final Map<String, Drain> machines = new TreeMap<>();
   private final Map<String, Drain> zones = new TreeMap<>();
@@ -57,20 +57,20 @@
       Settings settings,
       StateClient state,
       Replica replica,
-      ConditionalWriter wishes,
+      ConditionalWriter conditionalWriter,
       Leadership leadership,
-      WorkerManager desk,
-      DrainExecutor emptying,
+      WorkerManager workers,
+      DrainExecutor drainExecutor,
       Events events) {
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
     this.state = state;
     this.replica = replica;
-    this.wishes = wishes;
+    this.conditionalWriter = conditionalWriter;
     this.leadership = leadership;
-    this.desk = desk;
-    this.emptying = emptying;
+    this.workers = workers;
+    this.drainExecutor = drainExecutor;
     this.events = events;
   }
 
@@ -113,7 +113,7 @@
     machines.clear();
     zones.clear();
     forgetting.clear();
-    emptying.clear();
+    drainExecutor.clear();
     lacksSince = 0;
   }
 
@@ -142,7 +142,7 @@
 
   /** What still stands against emptying a machine. */
   public DrainExecutor.DrainProgress progress(Host host) {
-    return emptying.progress(host);
+    return drainExecutor.progress(host);
   }
 
   /** True when replicas on drained machines have had no place to go for a while. */
@@ -160,7 +160,7 @@
    */
   public void order(
       String key, Drain drain, long deadline, Consumer<ConditionalWriter.Result> done) {
-    wishes.record(key, drain == null ? null : drain.toJson(), deadline, done);
+    conditionalWriter.record(key, drain == null ? null : drain.toJson(), deadline, done);
   }
 
   // ---- leading ----
@@ -193,22 +193,22 @@
     if (!leading) {
       return;
     }
-    if (!any() && !emptying.any()) {
+    if (!any() && !drainExecutor.any()) {
       return;
     }
     Map<Host, Drain> drained = new LinkedHashMap<>();
-    for (Host h : desk.hosts()) {
+    for (Host h : workers.hosts()) {
       Drain drain = of(h);
       h.setDrained(drain != null);
       if (drain != null) {
         drained.put(h, drain);
       }
     }
-    emptying.step(drained, clock.wall());
+    drainExecutor.step(drained, clock.wall());
     // Orders to replace machines say themselves how many may be beyond.
     boolean lack =
         drained.keySet().stream()
-            .anyMatch(h -> also.apply(h) == null && emptying.progress(h).noPlace());
+            .anyMatch(h -> also.apply(h) == null && drainExecutor.progress(h).noPlace());
     lacksSince = !lack ? 0 : lacksSince == 0 ? clock.now() : lacksSince;
     forget();
   }
@@ -217,8 +217,8 @@
   private void forget() {
     for (String id : List.copyOf(machines.keySet())) {
       boolean never =
-          desk.known(id) == null && clock.now() - leadingSince > settings.workers().leaseMs();
-      if ((desk.isGone(id) || never) && forgetting.add(id)) {
+          workers.known(id) == null && clock.now() - leadingSince > settings.workers().leaseMs();
+      if ((workers.isGone(id) || never) && forgetting.add(id)) {
         forget(StateKeys.DRAIN + id, id);
       }
     }
--- a/src/main/java/dapplestair/emulator/ControllerSelector.java
+++ b/src/main/java/dapplestair/emulator/ControllerSelector.java
@@ -16,9 +16,9 @@
   }
 
   /** Any of them, to begin with. */
-  void any(EmulatorEnvironment world) {
+  void any(EmulatorEnvironment environment) {
     int controllers = members().size();
-    node = controllers == 0 ? 0 : (int) world.between(0, controllers - 1);
+    node = controllers == 0 ? 0 : (int) environment.between(0, controllers - 1);
   }
 
   /** Its address, or null while no controller is known. */
--- a/src/main/java/dapplestair/emulator/EmulatedCloud.java
+++ b/src/main/java/dapplestair/emulator/EmulatedCloud.java
@@ -22,9 +22,9 @@
   private static final long SNAPSHOT_MS = 500;
   private static final long QUICK_BOOT_MS = 2000;
 
-  private final EmulatorEnvironment world;
-  private final EmulatorSettings shape;
-  private final SubmissionLookup book;
+  private final EmulatorEnvironment environment;
+  private final EmulatorSettings emulatorSettings;
+  private final SubmissionLookup lookup;
   private final ControllerDirectory directory;
   private final TaskObserver observer;
   private final TreeMap<String, EmulatedWorker> machines = new TreeMap<>();
@@ -45,17 +45,17 @@
 
   /** A cloud without rented machines. */
   public EmulatedCloud(
-      EmulatorEnvironment world,
-      EmulatorSettings shape,
-      SubmissionLookup book,
+      EmulatorEnvironment environment,
+      EmulatorSettings emulatorSettings,
+      SubmissionLookup lookup,
       ControllerDirectory directory,
       TaskObserver observer) {
-    this.world = world;
-    this.shape = shape;
-    this.book = book;
+    this.environment = environment;
+    this.emulatorSettings = emulatorSettings;
+    this.lookup = lookup;
     this.directory = directory;
     this.observer = observer;
-    this.neverBoots = shape.neverBoots();
+    this.neverBoots = emulatorSettings.neverBoots();
     snapshot();
   }
 
@@ -109,7 +109,7 @@
   // ---- for its machines ----
 
   SubmissionLookup book() {
-    return book;
+    return lookup;
   }
 
   ControllerDirectory directory() {
@@ -153,12 +153,12 @@
             hosts.put(id, listed(id, w));
           }
         });
-    snapshots.add(new Snapshot(world.now(), hosts));
+    snapshots.add(new Snapshot(environment.now(), hosts));
     // Older than any list may be.
-    while (snapshots.size() > 2 + 2 * shape.listLagMs() / SNAPSHOT_MS) {
+    while (snapshots.size() > 2 + 2 * emulatorSettings.listLagMs() / SNAPSHOT_MS) {
       snapshots.poll();
     }
-    world.after(SNAPSHOT_MS, this::snapshot);
+    environment.after(SNAPSHOT_MS, this::snapshot);
   }
 
   private ObjectNode listed(String id, EmulatedWorker emulatedWorker) {
@@ -169,7 +169,7 @@
         .put("basin", emulatedWorker.zone())
         .put("loaners", emulatedWorker.spot())
         .put("status", emulatedWorker.booted() ? "running" : "booting")
-        .put("ageS", (world.now() - rentedAt.get(id)) / 1000.0);
+        .put("ageS", (environment.now() - rentedAt.get(id)) / 1000.0);
   }
 
   @Override
@@ -204,7 +204,10 @@
 
   private HttpReply list(String from) {
     // Lists lag by up to twice the stated time, and come out of order.
-    long at = world.now() - world.between(shape.listLagMs() / 2, 2 * shape.listLagMs());
+    long at =
+        environment.now()
+            - environment.between(
+                emulatorSettings.listLagMs() / 2, 2 * emulatorSettings.listLagMs());
     Snapshot best = snapshots.peek();
     for (Snapshot snapshot : snapshots) {
       if (snapshot.at <= at) {
@@ -225,7 +228,7 @@
 
   private HttpReply rent(JsonNode in) {
     String name = in.path("rental").asText();
-    EmulatorSettings.MachineSpec type = shape.type(in.path("hull").asText());
+    EmulatorSettings.MachineSpec type = emulatorSettings.type(in.path("hull").asText());
     int count = in.path("howMany").asInt();
     if (name.isEmpty() || type == null || count < 1 || count > 50) {
       return EmulatedState.json(400, Json.object().put("error", "malformed"));
@@ -253,15 +256,16 @@
     List<String> hosts = new ArrayList<>();
     for (int i = 0; i < count && room(type, zone, spot); i++) {
       String id = String.format("n-%06d", made++);
-      EmulatedWorker emulatedWorker = new EmulatedWorker(world, this, shape, type, id, zone, spot);
+      EmulatedWorker emulatedWorker =
+          new EmulatedWorker(environment, this, emulatorSettings, type, id, zone, spot);
       machines.put(id, emulatedWorker);
-      rentedAt.put(id, world.now());
+      rentedAt.put(id, environment.now());
       hosts.add(id);
       if (sick) {
         emulatedWorker.sicken();
       }
-      if (!world.chance(neverBoots)) {
-        world.after(
+      if (!environment.chance(neverBoots)) {
+        environment.after(
             bootMs(type),
             () -> {
               if (!emulatedWorker.gone()) {
@@ -274,11 +278,11 @@
   }
 
   private long bootMs(EmulatorSettings.MachineSpec type) {
-    if (quickBoots > 0 && world.chance(quickBoots)) {
-      return world.between(QUICK_BOOT_MS / 8, QUICK_BOOT_MS);
+    if (quickBoots > 0 && environment.chance(quickBoots)) {
+      return environment.between(QUICK_BOOT_MS / 8, QUICK_BOOT_MS);
     }
     long usualMs = Math.round(1000 * type.bootS());
-    return world.between(usualMs / 8, usualMs * 3 / 2);
+    return environment.between(usualMs / 8, usualMs * 3 / 2);
   }
 
   private boolean room(EmulatorSettings.MachineSpec type, String zone, boolean spot) {
@@ -287,13 +291,14 @@
             .filter(w -> !w.gone() && w.zone().equals(zone) && w.spot() == spot)
             .filter(w -> w.type().equals(type.name()))
             .count();
-    return shape.zones().contains(zone) && n < Math.floor(capacity * shape.perPlace());
+    return emulatorSettings.zones().contains(zone)
+        && n < Math.floor(capacity * emulatorSettings.perPlace());
   }
 
   private ObjectNode types() {
     ObjectNode object = Json.object();
     ArrayNode hulls = object.putArray("hulls");
-    for (EmulatorSettings.MachineSpec machine : shape.types()) {
+    for (EmulatorSettings.MachineSpec machine : emulatorSettings.types()) {
       ObjectNode t =
           hulls
               .addObject()
@@ -306,7 +311,7 @@
               .put("hourly", machine.price())
               .put("marketPrice", machine.spotPrice())
               .put("readyS", machine.bootS());
-      shape.zones().forEach(t.putArray("basins")::add);
+      emulatorSettings.zones().forEach(t.putArray("basins")::add);
     }
     return object;
   }
--- a/src/main/java/dapplestair/emulator/EmulatedState.java
+++ b/src/main/java/dapplestair/emulator/EmulatedState.java
@@ -26,8 +26,8 @@
 
   private static final long TICK_MS = 50;
 
-  private final EmulatorEnvironment world;
-  private final EmulatorSettings shape;
+  private final EmulatorEnvironment environment;
+  private final EmulatorSettings emulatorSettings;
   private final TreeMap<String, StoredValue> rows = new TreeMap<>();
   private final List<Change> changes = new ArrayList<>();
   private final Map<Long, Long> holdEnds = new HashMap<>();
@@ -45,10 +45,10 @@
   private String violation;
 
   /** An empty store. */
-  public EmulatedState(EmulatorEnvironment world, EmulatorSettings shape) {
-    this.world = world;
-    this.shape = shape;
-    this.writeLimit = new WriteLimit(shape.writeRps(), world.now());
+  public EmulatedState(EmulatorEnvironment environment, EmulatorSettings emulatorSettings) {
+    this.environment = environment;
+    this.emulatorSettings = emulatorSettings;
+    this.writeLimit = new WriteLimit(emulatorSettings.writeRps(), environment.now());
     tick();
   }
 
@@ -101,7 +101,7 @@
   /** An outage ends: every hold has its full time again. */
   public void recover() {
     down = false;
-    holdEnds.replaceAll((h, end) -> world.now() + holdTtl.get(h));
+    holdEnds.replaceAll((h, end) -> environment.now() + holdTtl.get(h));
   }
 
   /** One caller alone gets 503, or not any more. */
@@ -118,18 +118,18 @@
   private void tick() {
     if (!down) {
       for (long h : List.copyOf(holdEnds.keySet())) {
-        if (holdEnds.get(h) < world.now()) {
+        if (holdEnds.get(h) < environment.now()) {
           endHold(h);
         }
       }
       for (Watch watch : List.copyOf(watches)) {
-        if (watch.until <= world.now()) {
+        if (watch.until <= environment.now()) {
           watches.remove(watch);
           watch.reply.accept(news(watch.prefix, watch.from));
         }
       }
     }
-    world.after(TICK_MS, this::tick);
+    environment.after(TICK_MS, this::tick);
   }
 
   private void endHold(long h) {
@@ -156,8 +156,8 @@
   }
 
   private void wake() {
-    if (changes.size() > 2 * shape.changesKept()) {
-      List<Change> old = changes.subList(0, changes.size() - shape.changesKept());
+    if (changes.size() > 2 * emulatorSettings.changesKept()) {
+      List<Change> old = changes.subList(0, changes.size() - emulatorSettings.changesKept());
       forgotten = old.get(old.size() - 1).stamp;
       old.clear();
     }
@@ -192,7 +192,7 @@
       watch(path, reply);
     } else if (path.equals("/holds")) {
       long ttl = in.path("ttlMs").asLong();
-      holdEnds.put(++lastHold, world.now() + ttl);
+      holdEnds.put(++lastHold, environment.now() + ttl);
       holdTtl.put(lastHold, ttl);
       reply.accept(json(200, Json.object().put("hold", lastHold)));
     } else if (path.startsWith("/holds/")) {
@@ -209,7 +209,7 @@
     if (method.equals("DELETE")) {
       endHold(h);
     } else {
-      holdEnds.put(h, world.now() + holdTtl.get(h));
+      holdEnds.put(h, environment.now() + holdTtl.get(h));
     }
     return json(200, Json.object());
   }
@@ -222,17 +222,18 @@
     if (block == 0 || tooOld(since) || anyNews(prefix, since)) {
       reply.accept(news(prefix, since));
     } else {
-      watches.add(new Watch(prefix, since, world.now() + block, reply));
+      watches.add(new Watch(prefix, since, environment.now() + block, reply));
     }
   }
 
   private HttpReply commit(JsonNode in) {
-    if (in.path("writes").size() > shape.txnOps() || in.path("when").size() > 4 * shape.txnOps()) {
+    if (in.path("writes").size() > emulatorSettings.txnOps()
+        || in.path("when").size() > 4 * emulatorSettings.txnOps()) {
       violation = "transaction too large: " + in;
       return json(400, Json.object().put("error", "too large"));
     }
     // Transactions whose conditions fail are counted as well.
-    if (!writeLimit.allows(in.path("writes").size(), world.now())) {
+    if (!writeLimit.allows(in.path("writes").size(), environment.now())) {
       tooMany++;
       return json(429, Json.object());
     }
@@ -247,7 +248,7 @@
       if (w.has("hold") && !holdEnds.containsKey(w.path("hold").asLong())) {
         return json(400, Json.object().put("error", "no such lease"));
       }
-      if (w.has("put") && Json.bytes(w.get("value")).length > shape.valueBytes()) {
+      if (w.has("put") && Json.bytes(w.get("value")).length > emulatorSettings.valueBytes()) {
         violation = "value too large under " + w.path("put").asText();
         return json(400, Json.object().put("error", "value too large"));
       }
@@ -282,7 +283,9 @@
 
   private HttpReply list(String prefix, String from, String limit) {
     int most =
-        Math.min(shape.pageRows(), limit == null ? shape.pageRows() : Integer.parseInt(limit));
+        Math.min(
+            emulatorSettings.pageRows(),
+            limit == null ? emulatorSettings.pageRows() : Integer.parseInt(limit));
     ObjectNode object = Json.object();
     ArrayNode out = object.putArray("rows");
     boolean more = false;
@@ -303,7 +306,8 @@
   private boolean tooOld(long since) {
     int count = changes.size();
     return since < forgotten
-        || count > shape.changesKept() && changes.get(count - shape.changesKept()).stamp > since;
+        || count > emulatorSettings.changesKept()
+            && changes.get(count - emulatorSettings.changesKept()).stamp > since;
   }
 
   /** Index of the first change after a moment. */
--- a/src/main/java/dapplestair/emulator/EmulatedWorker.java
+++ b/src/main/java/dapplestair/emulator/EmulatedWorker.java
@@ -15,7 +15,7 @@
 public final class EmulatedWorker implements RequestHandler {
   private static final long LEASE_CHECK_MS = 200;
 
-  private final EmulatorEnvironment world;
+  private final EmulatorEnvironment environment;
   private final EmulatedCloud cloud;
   private final EmulatorSettings.MachineSpec type;
   private final String id;
@@ -31,25 +31,28 @@
   private long recallAt = -1;
 
   EmulatedWorker(
-      EmulatorEnvironment world,
+      EmulatorEnvironment environment,
       EmulatedCloud cloud,
-      EmulatorSettings shape,
+      EmulatorSettings emulatorSettings,
       EmulatorSettings.MachineSpec type,
       String id,
       String zone,
       boolean spot) {
-    this.world = world;
+    this.environment = environment;
     this.cloud = cloud;
     this.type = type;
     this.id = id;
     this.zone = zone;
     this.spot = spot;
-    this.condition = new MachineCondition(world);
-    this.session = new WorkerSession(world, shape.leaseMs());
+    this.condition = new MachineCondition(environment);
+    this.session = new WorkerSession(environment, emulatorSettings.leaseMs());
     this.selector = new ControllerSelector(cloud);
-    this.reports = new ReportSender(world, this, condition, session, selector, shape.reportMs());
-    this.tasks = new TaskRunner(world, cloud, this, type, condition, session, reports::report);
-    this.endpoint = world.address(id);
+    this.reports =
+        new ReportSender(
+            environment, this, condition, session, selector, emulatorSettings.reportMs());
+    this.tasks =
+        new TaskRunner(environment, cloud, this, type, condition, session, reports::report);
+    this.endpoint = environment.address(id);
   }
 
   // ---- what may be seen of it ----
@@ -112,8 +115,8 @@
   void boot() {
     booted = true;
     session.startLease();
-    selector.any(world);
-    world.open(
+    selector.any(environment);
+    environment.open(
         id,
         this,
         address -> {
@@ -125,15 +128,15 @@
 
   /** The cloud will take it, with or without a notice. */
   public void recall(long inMs) {
-    recallAt = world.now() + inMs;
-    world.after(inMs, this::end);
+    recallAt = environment.now() + inMs;
+    environment.after(inMs, this::end);
   }
 
   /** Power off: nothing is left, and nobody is told. */
   public void end() {
     condition.powerOff();
     tasks.clear();
-    world.silence(id);
+    environment.silence(id);
   }
 
   /** It stops executing for a while; its lease goes on. */
@@ -177,7 +180,7 @@
   private void watchLease() {
     if (!gone()) {
       checkLease();
-      world.after(LEASE_CHECK_MS, this::watchLease);
+      environment.after(LEASE_CHECK_MS, this::watchLease);
     }
   }
 
@@ -246,7 +249,7 @@
             .put("tick", session.tick())
             .put("baton", session.token());
     if (recallAt >= 0) {
-      report.put("recallS", Math.max(0, recallAt - world.now()) / 1000.0);
+      report.put("recallS", Math.max(0, recallAt - environment.now()) / 1000.0);
     }
     tasks.addTo(report.putArray("steps"));
     return report;
--- a/src/main/java/dapplestair/emulator/MachineCondition.java
+++ b/src/main/java/dapplestair/emulator/MachineCondition.java
@@ -5,7 +5,7 @@
 
 /** What ails a machine: no power, a stall, an inbound link that drops everything, failing tasks. */
 final class MachineCondition {
-  private final EmulatorEnvironment world;
+  private final EmulatorEnvironment environment;
   private final List<Runnable> deferred = new ArrayList<>();
   private boolean gone;
   private boolean hanging;
@@ -15,8 +15,8 @@
   private long deafUntil;
   private long muteUntil;
 
-  MachineCondition(EmulatorEnvironment world) {
-    this.world = world;
+  MachineCondition(EmulatorEnvironment environment) {
+    this.environment = environment;
   }
 
   /** True while it has power, executes, hears what it is told and fails no tasks. */
@@ -36,12 +36,12 @@
 
   /** True while neither commands nor answers reach it. */
   boolean deaf() {
-    return world.now() < deafUntil;
+    return environment.now() < deafUntil;
   }
 
   /** True while it opens no connection to any controller. */
   boolean mute() {
-    return world.now() < muteUntil;
+    return environment.now() < muteUntil;
   }
 
   /** True when every task fails that starts here. */
@@ -64,21 +64,21 @@
 
   void crowd(long ms) {
     crowded = true;
-    world.after(ms, () -> crowded = false);
+    environment.after(ms, () -> crowded = false);
   }
 
   void deafen(long ms) {
-    deafUntil = Math.max(deafUntil, world.now() + ms);
+    deafUntil = Math.max(deafUntil, environment.now() + ms);
   }
 
   void mute(long ms) {
-    muteUntil = Math.max(muteUntil, world.now() + ms);
+    muteUntil = Math.max(muteUntil, environment.now() + ms);
   }
 
   /** Its tasks stay on it past its lease, for a while in which it hangs. */
   void stall(long ms) {
     stalled = true;
-    world.after(ms, () -> stalled = false);
+    environment.after(ms, () -> stalled = false);
   }
 
   /** True while its tasks stay on it past its lease. */
@@ -92,7 +92,7 @@
    */
   void hang(long ms, Runnable resumed, Runnable caughtUp) {
     hanging = true;
-    world.after(
+    environment.after(
         ms,
         () -> {
           hanging = false;
--- a/src/main/java/dapplestair/emulator/ReportSender.java
+++ b/src/main/java/dapplestair/emulator/ReportSender.java
@@ -10,7 +10,7 @@
   private static final long NEXT_CONTROLLER_MS = 1000;
   private static final long LEAST_PAUSE_MS = 500;
 
-  private final EmulatorEnvironment world;
+  private final EmulatorEnvironment environment;
   private final EmulatedWorker worker;
   private final MachineCondition condition;
   private final WorkerSession session;
@@ -19,13 +19,13 @@
   private boolean reporting;
 
   ReportSender(
-      EmulatorEnvironment world,
+      EmulatorEnvironment environment,
       EmulatedWorker worker,
       MachineCondition condition,
       WorkerSession session,
       ControllerSelector selector,
       long reportMs) {
-    this.world = world;
+    this.environment = environment;
     this.worker = worker;
     this.condition = condition;
     this.session = session;
@@ -39,7 +39,7 @@
       return;
     }
     report();
-    world.after(reportMs * 3 / 4 + world.between(0, reportMs / 2), this::heartbeat);
+    environment.after(reportMs * 3 / 4 + environment.between(0, reportMs / 2), this::heartbeat);
   }
 
   /** Reports at once, unless a report is under way. */
@@ -52,17 +52,17 @@
       return;
     }
     reporting = true;
-    long sentAt = world.now();
+    long sentAt = environment.now();
     long sentIn = session.number();
     session.nextTick();
     if (condition.mute()) {
       // Refused at once, or given up like a report that gets no answer.
-      long failsAfterMs = world.chance(0.5) ? 0 : ANSWER_TIMEOUT_MS;
+      long failsAfterMs = environment.chance(0.5) ? 0 : ANSWER_TIMEOUT_MS;
       HttpReply notSent = HttpReply.of(HttpReply.NOT_SENT);
-      world.after(failsAfterMs, () -> ended(notSent, sentAt, sentIn));
+      environment.after(failsAfterMs, () -> ended(notSent, sentAt, sentIn));
       return;
     }
-    world.call(
+    environment.call(
         worker.endpoint(),
         controller,
         "POST",
@@ -74,14 +74,14 @@
 
   /** Reports a little later, as a worker does that was shown a higher token. */
   void reportSoon() {
-    world.after(LEAST_PAUSE_MS, this::report);
+    environment.after(LEAST_PAUSE_MS, this::report);
   }
 
   private void arrived(HttpReply reply, long sentAt, long sentIn) {
     if (condition.deaf()) {
       // It waits for as long as for any answer that does not come.
-      long left = Math.max(0, sentAt + ANSWER_TIMEOUT_MS - world.now());
-      world.after(left, () -> ended(HttpReply.of(HttpReply.UNKNOWN), sentAt, sentIn));
+      long left = Math.max(0, sentAt + ANSWER_TIMEOUT_MS - environment.now());
+      environment.after(left, () -> ended(HttpReply.of(HttpReply.UNKNOWN), sentAt, sentIn));
     } else {
       ended(reply, sentAt, sentIn);
     }
@@ -111,10 +111,10 @@
   private void redirected(HttpReply reply) {
     String named = reply.status() == 421 ? Json.text(Json.parse(reply.body()), "steward") : null;
     if (selector.named(named)) {
-      world.after(world.between(0, LEAST_PAUSE_MS), this::report);
+      environment.after(environment.between(0, LEAST_PAUSE_MS), this::report);
     } else {
       selector.next();
-      world.after(NEXT_CONTROLLER_MS, this::report);
+      environment.after(NEXT_CONTROLLER_MS, this::report);
     }
   }
 }
--- a/src/main/java/dapplestair/emulator/TaskRunner.java
+++ b/src/main/java/dapplestair/emulator/TaskRunner.java
@@ -14,7 +14,7 @@
   private static final double LEAST_RUN_RATIO = 0.9;
   private static final double RUN_RATIO_RANGE = 0.2;
 
-  private final EmulatorEnvironment world;
+  private final EmulatorEnvironment environment;
   private final EmulatedCloud cloud;
   private final EmulatedWorker worker;
   private final EmulatorSettings.MachineSpec type;
@@ -26,21 +26,21 @@
 
   /** Without tasks; {@code report} is run when something is worth a report of its own. */
   TaskRunner(
-      EmulatorEnvironment world,
+      EmulatorEnvironment environment,
       EmulatedCloud cloud,
       EmulatedWorker worker,
       EmulatorSettings.MachineSpec type,
       MachineCondition condition,
       WorkerSession session,
       Runnable report) {
-    this.world = world;
+    this.environment = environment;
     this.cloud = cloud;
     this.worker = worker;
     this.type = type;
     this.condition = condition;
     this.session = session;
     this.report = report;
-    this.images = new EmulatedImages(world, type);
+    this.images = new EmulatedImages(environment, type);
   }
 
   /** All attempts that the worker knows. */
@@ -91,9 +91,9 @@
     }
     task.status = "flushing";
     cloud.observer().stopped(worker, task);
-    double ranS = task.ranS(world.now());
+    double ranS = task.ranS(environment.now());
     long startedIn = session.number();
-    world.after(Math.round(1000 * saveS), () -> saved(task, ranS, startedIn));
+    environment.after(Math.round(1000 * saveS), () -> saved(task, ranS, startedIn));
   }
 
   private void saved(EmulatedTask task, double ranS, long startedIn) {
@@ -103,14 +103,14 @@
     cloud.keep(task.key(), ranS);
     task.stored = true;
     task.exit("stopped");
-    world.after(REPORT_DELAY_MS, report);
+    environment.after(REPORT_DELAY_MS, report);
   }
 
   /** Checkpoints that the task has made by itself while it ran. */
   private void keepCheckpoints(EmulatedTask task) {
     double every = task.amount("snapshotEveryS");
     if (every > 0 && task.onMachine()) {
-      cloud.keep(task.key(), Math.floor(task.ranS(world.now()) / every) * every);
+      cloud.keep(task.key(), Math.floor(task.ranS(environment.now()) / every) * every);
     }
   }
 
@@ -133,7 +133,7 @@
       cloud.observer().refusedAsFull(worker, task);
     } else {
       long startedIn = session.number();
-      world.after(images.fetchMs(task), () -> start(task, startedIn));
+      environment.after(images.fetchMs(task), () -> start(task, startedIn));
     }
   }
 
@@ -146,21 +146,21 @@
       return;
     }
     task.status = "running";
-    task.runsSince = world.now();
+    task.runsSince = environment.now();
     cloud.observer().started(worker, task);
     if (condition.failing()) {
-      world.after(LEAST_RUN_MS, () -> finish(task, "error", startedIn));
+      environment.after(LEAST_RUN_MS, () -> finish(task, "error", startedIn));
     } else if (task.mistaken()) {
       long runMs = Math.max(LEAST_RUN_BEFORE_ERROR_MS, Math.round(1000 * task.amount("guessS")));
-      world.after(runMs, () -> finish(task, "error", startedIn));
+      environment.after(runMs, () -> finish(task, "error", startedIn));
     } else if (!task.service()) {
-      world.after(runMs(task), () -> finish(task, "done", startedIn));
+      environment.after(runMs(task), () -> finish(task, "done", startedIn));
     }
     report.run();
   }
 
   private long runMs(EmulatedTask task) {
-    double ratio = LEAST_RUN_RATIO + RUN_RATIO_RANGE * world.fraction();
+    double ratio = LEAST_RUN_RATIO + RUN_RATIO_RANGE * environment.fraction();
     double runS = task.guessS() * ratio - cloud.kept(task.key());
     return Math.max(LEAST_RUN_MS, Math.round(1000 * runS));
   }
@@ -178,7 +178,7 @@
       cloud.forget(task.key());
     }
     task.exit(cause);
-    world.after(REPORT_DELAY_MS, report);
+    environment.after(REPORT_DELAY_MS, report);
   }
 
   /** True when what began in that session cannot go on any more. */
--- a/src/main/java/dapplestair/emulator/WorkerSession.java
+++ b/src/main/java/dapplestair/emulator/WorkerSession.java
@@ -2,15 +2,15 @@
 
 /** A worker's session: its number, the tick of its reports, its fencing token and its lease. */
 final class WorkerSession {
-  private final EmulatorEnvironment world;
+  private final EmulatorEnvironment environment;
   private final long leaseMs;
   private long number = 1;
   private long tick;
   private long token;
   private long leaseFrom;
 
-  WorkerSession(EmulatorEnvironment world, long leaseMs) {
-    this.world = world;
+  WorkerSession(EmulatorEnvironment environment, long leaseMs) {
+    this.environment = environment;
     this.leaseMs = leaseMs;
   }
 
@@ -43,7 +43,7 @@
 
   /** The lease begins now. */
   void startLease() {
-    leaseFrom = world.now();
+    leaseFrom = environment.now();
   }
 
   /** A report sent at this moment was answered. */
@@ -53,7 +53,7 @@
 
   /** Milliseconds since it sent the last report that was answered. */
   long leaseAgeMs() {
-    return world.now() - leaseFrom;
+    return environment.now() - leaseFrom;
   }
 
   boolean leaseExpired() {
--- a/src/main/java/dapplestair/fleet/CapacityEstimator.java
+++ b/src/main/java/dapplestair/fleet/CapacityEstimator.java
@@ -63,7 +63,7 @@
   boolean refuse(CapacityPool pool) {
     boolean news = open(pool);
     if (news) {
-      LOG.info("no more {} in {}", pool.slot(), pool.zone());
+      LOG.info("no more {} in {}", pool.kind(), pool.zone());
       events.note(Events.Kind.REFUSED, pool::describe);
     }
     refusedUntil.put(pool, clock.now() + refusalMs);
@@ -90,20 +90,20 @@
   }
 
   /** True when some zone may have more of this slot. */
-  boolean open(MachineKind slot) {
-    MachineType type = types.get(slot.type());
-    return type != null && type.zones().stream().anyMatch(z -> mayRent(new CapacityPool(slot, z)));
+  boolean open(MachineKind kind) {
+    MachineType type = types.get(kind.type());
+    return type != null && type.zones().stream().anyMatch(z -> mayRent(new CapacityPool(kind, z)));
   }
 
   /** Most machines of a slot that the cloud has shown to give, or {@code otherwise}. */
-  int capacity(MachineKind slot, int otherwise) {
-    MachineType type = types.get(slot.type());
+  int capacity(MachineKind kind, int otherwise) {
+    MachineType type = types.get(kind.type());
     if (type == null) {
       return 0;
     }
     int sum = 0;
     for (String z : type.zones()) {
-      CapacityPool capacityPool = new CapacityPool(slot, z);
+      CapacityPool capacityPool = new CapacityPool(kind, z);
       if (closed.test(z)) {
         // What is held there stays; nothing more is rented.
         sum += holding.applyAsInt(capacityPool);
@@ -119,13 +119,13 @@
   }
 
   /** What costs least of all that the cloud may have in this zone, or null. */
-  CapacityPool cheapestIn(String zone, SpotHistory market) {
+  CapacityPool cheapestIn(String zone, SpotHistory spotHistory) {
     CapacityPool cheapest = null;
     double least = Double.POSITIVE_INFINITY;
     for (MachineType type : types.all()) {
       for (boolean spot : new boolean[] {true, false}) {
         CapacityPool pool = new CapacityPool(new MachineKind(type.name(), spot), zone);
-        double price = market.price(type, spot);
+        double price = spotHistory.price(type, spot);
         if (type.zones().contains(zone) && open(pool) && price < least) {
           cheapest = pool;
           least = price;
@@ -136,11 +136,11 @@
   }
 
   /** Spreads {@code count} more of a type over the zones that still have some, the fewest first. */
-  Map<CapacityPool, Integer> spread(MachineKind slot, MachineType type, int count) {
+  Map<CapacityPool, Integer> spread(MachineKind kind, MachineType type, int count) {
     Map<CapacityPool, Integer> share = new LinkedHashMap<>();
     Map<CapacityPool, Integer> have = new HashMap<>();
     for (String z : type.zones()) {
-      CapacityPool p = new CapacityPool(slot, z);
+      CapacityPool p = new CapacityPool(kind, z);
       if (mayRent(p)) {
         share.put(p, 0);
         have.put(p, staying.applyAsInt(p));
--- a/src/main/java/dapplestair/fleet/CapacityPool.java
+++ b/src/main/java/dapplestair/fleet/CapacityPool.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** Where a slot's machines can be had. */
-record CapacityPool(MachineKind slot, String zone) {
+record CapacityPool(MachineKind kind, String zone) {
   /** For events. */
   void describe(ObjectNode object) {
-    object.put("type", slot.type()).put("spot", slot.spot()).put("zone", zone);
+    object.put("type", kind.type()).put("spot", kind.spot()).put("zone", zone);
   }
 }
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -35,12 +35,12 @@
   private final StateClient state;
   private final Leadership leadership;
   private final MachineTypes types;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final CloudClient cloud;
-  private final SpotHistory market;
+  private final SpotHistory spotHistory;
   private final Rentals rentals;
   private final FleetCapacity capacity;
-  private final CapacityEstimator supply;
+  private final CapacityEstimator capacityEstimator;
   private final Releases releases;
   private final MachineList list;
   private final MachineHealthMonitor healthMonitor;
@@ -59,8 +59,8 @@
       StateClient state,
       Leadership leadership,
       MachineTypes types,
-      WorkerManager desk,
-      DisruptionGate disruption,
+      WorkerManager workers,
+      DisruptionGate disruptionGate,
       Events events) {
     this.clock = clock;
     this.cloud = cloud;
@@ -69,8 +69,8 @@
     this.state = state;
     this.leadership = leadership;
     this.types = types;
-    this.desk = desk;
-    market = new SpotHistory(clock);
+    this.workers = workers;
+    spotHistory = new SpotHistory(clock);
     SilenceTimeouts timeouts = new SilenceTimeouts(settings);
     rentals =
         new Rentals(
@@ -80,13 +80,13 @@
             state,
             leadership,
             types,
-            desk,
+            workers,
             cloud,
             events,
             this::open,
             this::refused);
-    capacity = new FleetCapacity(clock, desk, rentals, timeouts);
-    supply =
+    capacity = new FleetCapacity(clock, workers, rentals, timeouts);
+    capacityEstimator =
         new CapacityEstimator(
             clock,
             types,
@@ -95,30 +95,30 @@
             capacity::given,
             capacity::holding,
             capacity::staying);
-    supply.closeZones(z -> desk.zoneSilentMs(z) > 0);
-    releases = new Releases(desk, cloud, events);
+    capacityEstimator.closeZones(z -> workers.zoneSilentMs(z) > 0);
+    releases = new Releases(workers, cloud, events);
     healthMonitor =
         new MachineHealthMonitor(
             clock,
             settings,
             state,
             types,
-            desk,
+            workers,
             releases,
-            market,
+            spotHistory,
             timeouts,
-            supply,
-            disruption::givenUp,
+            capacityEstimator,
+            disruptionGate::givenUp,
             events);
-    list = new MachineList(clock, settings, types, desk, cloud, healthMonitor);
+    list = new MachineList(clock, settings, types, workers, cloud, healthMonitor);
   }
 
   private boolean open(CapacityPool pool) {
-    return supply.open(pool);
+    return capacityEstimator.open(pool);
   }
 
   private void refused(CapacityPool pool) {
-    if (supply.refuse(pool)) {
+    if (capacityEstimator.refuse(pool)) {
       // What is wanted must come from elsewhere: a plan that knows, not the next one in its turn.
       healthMonitor.roomLost();
     }
@@ -127,7 +127,7 @@
   /** Zones in which nothing is to be rented, since operators have them emptied. */
   public void closeZones(Predicate<String> closed) {
     // Nothing is rented in a silent zone either: what boots there cannot be reached.
-    supply.closeZones(z -> closed.test(z) || desk.zoneSilentMs(z) > 0);
+    capacityEstimator.closeZones(z -> closed.test(z) || workers.zoneSilentMs(z) > 0);
   }
 
   /**
@@ -204,7 +204,7 @@
           }
           boolean knewNone = !types.known() || typesStamp == 0;
           if (types.read(Json.parse(reply.body()))) {
-            market.notePrices(types.all());
+            spotHistory.notePrices(types.all());
             if (knewNone) {
               recordTypes();
             }
@@ -233,7 +233,7 @@
 
   /** What the cloud's machines cost and how often it takes them. */
   public SpotHistory market() {
-    return market;
+    return spotHistory;
   }
 
   // ---- returning and renting ----
@@ -248,18 +248,18 @@
   }
 
   /** Rents up to {@code count} more, spread over the zones that still have some. */
-  public void rent(MachineKind slot, int count) {
-    MachineType type = types.get(slot.type());
+  public void rent(MachineKind kind, int count) {
+    MachineType type = types.get(kind.type());
     if (type == null || !leading) {
       return;
     }
-    supply
-        .spread(slot, type, count)
+    capacityEstimator
+        .spread(kind, type, count)
         .forEach(
             (pool, n) -> {
               // Where the cloud has refused lately one lot tells whether it has more again: each
               // is a put before the cloud is asked.
-              int most = supply.refusedBefore(pool) ? Math.min(n, MOST_PER_RENTAL) : n;
+              int most = capacityEstimator.refusedBefore(pool) ? Math.min(n, MOST_PER_RENTAL) : n;
               for (int left = most; left > 0; left -= MOST_PER_RENTAL) {
                 rentals.begin(pool, Math.min(left, MOST_PER_RENTAL));
               }
@@ -267,18 +267,18 @@
   }
 
   /** Rents one more in this zone; false when nothing is to be had there now. */
-  public boolean rentIn(MachineKind slot, String zone) {
-    if (!leading || !mayRentIn(slot, zone)) {
+  public boolean rentIn(MachineKind kind, String zone) {
+    if (!leading || !mayRentIn(kind, zone)) {
       return false;
     }
-    rentals.begin(new CapacityPool(slot, zone), 1);
+    rentals.begin(new CapacityPool(kind, zone), 1);
     return true;
   }
 
   /** Rents up to {@code count} more in this zone, at most one lot. */
-  public void rentIn(MachineKind slot, String zone, int count) {
-    if (leading && count > 0 && mayRentIn(slot, zone)) {
-      rentals.begin(new CapacityPool(slot, zone), Math.min(count, MOST_PER_RENTAL));
+  public void rentIn(MachineKind kind, String zone, int count) {
+    if (leading && count > 0 && mayRentIn(kind, zone)) {
+      rentals.begin(new CapacityPool(kind, zone), Math.min(count, MOST_PER_RENTAL));
     }
   }
 
@@ -287,7 +287,7 @@
    * when none is to be had there now.
    */
   public boolean rentAnyIn(String zone) {
-    CapacityPool cheapest = leading ? supply.cheapestIn(zone, market) : null;
+    CapacityPool cheapest = leading ? capacityEstimator.cheapestIn(zone, spotHistory) : null;
     if (cheapest == null || rentals.pending(cheapest) > 0) {
       return false;
     }
@@ -296,13 +296,13 @@
   }
 
   /** True when the cloud may have more there, and something may be rented there. */
-  public boolean mayRentIn(MachineKind slot, String zone) {
-    return supply.mayRent(new CapacityPool(slot, zone));
+  public boolean mayRentIn(MachineKind kind, String zone) {
+    return capacityEstimator.mayRent(new CapacityPool(kind, zone));
   }
 
   /** Machines asked for in this zone of which the cloud has not told yet. */
-  public int pendingIn(MachineKind slot, String zone) {
-    return rentals.pending(new CapacityPool(slot, zone));
+  public int pendingIn(MachineKind kind, String zone) {
+    return rentals.pending(new CapacityPool(kind, zone));
   }
 
   /** A machine that no list has shown for so long is not there; milliseconds. */
@@ -313,31 +313,31 @@
   // ---- views ----
 
   /** Machines of a slot that are or will be of use. */
-  public int holding(MachineKind slot) {
-    return capacity.holding(slot);
+  public int holding(MachineKind kind) {
+    return capacity.holding(kind);
   }
 
   /** True when a machine is, or will be, of use in this slot. */
-  public boolean counts(Host host, MachineKind slot) {
-    return capacity.counts(host, slot);
+  public boolean counts(Host host, MachineKind kind) {
+    return capacity.counts(host, kind);
   }
 
   /** Most machines of a slot that the cloud has shown to give, or {@code otherwise}. */
-  public int capacity(MachineKind slot, int otherwise) {
-    return supply.capacity(slot, otherwise);
+  public int capacity(MachineKind kind, int otherwise) {
+    return capacityEstimator.capacity(kind, otherwise);
   }
 
   /**
    * Keeps new work from so many steady machines of a slot, those that empty soonest, none of them
    * in the zones that are spared.
    */
-  public void cordon(MachineKind slot, int count, Predicate<String> spared) {
-    capacity.cordon(slot, count, spared);
+  public void cordon(MachineKind kind, int count, Predicate<String> spared) {
+    capacity.cordon(kind, count, spared);
   }
 
   /** Idle machines of a slot that may be returned now, those idle longest first. */
-  public List<Host> returnable(MachineKind slot) {
-    return capacity.returnable(slot);
+  public List<Host> returnable(MachineKind kind) {
+    return capacity.returnable(kind);
   }
 
   /** What is on its way for a job, and what the cloud refused. */
@@ -345,7 +345,7 @@
     long now = clock.now();
     int booting = 0;
     double next = -1;
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       if (!host.up()
           && !host.gone()
           && !host.releasing()
@@ -359,27 +359,27 @@
     for (Rental rental : rentals.all()) {
       if (rental.pending() && suits(submission, rental.pool)) {
         booting += rental.count;
-        double due = types.get(rental.pool.slot().type()).bootS();
+        double due = types.get(rental.pool.kind().type()).bootS();
         next = next < 0 ? due : Math.min(next, due);
       }
     }
     List<PendingCapacity.CapacityRefusal> refusals = new ArrayList<>();
-    supply.refusals(
+    capacityEstimator.refusals(
         (p, againS) -> {
           if (suits(submission, p)) {
             refusals.add(
                 new PendingCapacity.CapacityRefusal(
-                    p.slot().type(), p.zone(), p.slot().spot(), againS));
+                    p.kind().type(), p.zone(), p.kind().spot(), againS));
           }
         });
     return new PendingCapacity(booting, next, refusals);
   }
 
   private boolean suits(Submission submission, CapacityPool capacityPool) {
-    MachineType type = types.get(capacityPool.slot().type());
+    MachineType type = types.get(capacityPool.kind().type());
     return type != null
         && type.suits(submission)
-        && (submission.spot() || !capacityPool.slot().spot())
+        && (submission.spot() || !capacityPool.kind().spot())
         && (submission.zone() == null || submission.zone().equals(capacityPool.zone()));
   }
 
--- a/src/main/java/dapplestair/fleet/FleetCapacity.java
+++ b/src/main/java/dapplestair/fleet/FleetCapacity.java
@@ -15,19 +15,19 @@
   private static final long CHARGED_MS = 60_000;
 
   private final Clock clock;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final Rentals rentals;
   private final SilenceTimeouts timeouts;
 
-  FleetCapacity(Clock clock, WorkerManager desk, Rentals rentals, SilenceTimeouts timeouts) {
+  FleetCapacity(Clock clock, WorkerManager workers, Rentals rentals, SilenceTimeouts timeouts) {
     this.clock = clock;
-    this.desk = desk;
+    this.workers = workers;
     this.rentals = rentals;
     this.timeouts = timeouts;
   }
 
   /** True when a machine is, or will be, of use in this slot. */
-  boolean counts(Host host, MachineKind slot) {
+  boolean counts(Host host, MachineKind kind) {
     return !host.gone()
         && !host.releasing()
         && !host.draining()
@@ -35,8 +35,8 @@
         && !host.recalled()
         && awaited(host)
         && host.type() != null
-        && host.type().name().equals(slot.type())
-        && host.spot() == slot.spot();
+        && host.type().name().equals(kind.type())
+        && host.spot() == kind.spot();
   }
 
   /**
@@ -46,31 +46,31 @@
   private boolean awaited(Host host) {
     // What runs on a mute machine will be lost with its lease, so others are rented in time. If
     // nobody reports at all, new ones could not either.
-    if (host.mute() && desk.anyReports()) {
+    if (host.mute() && workers.anyReports()) {
       return false;
     }
     if (host.zoneSilentMs() == 0 && !host.hanging()) {
       return !host.outOfReach();
     }
-    return host.serviceCpus() == 0 || desk.silentMs(host) < timeouts.prepareAfterMs();
+    return host.serviceCpus() == 0 || workers.silentMs(host) < timeouts.prepareAfterMs();
   }
 
-  int holding(MachineKind slot) {
+  int holding(MachineKind kind) {
     int count = 0;
-    for (Host host : desk.hosts()) {
-      if (counts(host, slot)) {
+    for (Host host : workers.hosts()) {
+      if (counts(host, kind)) {
         count++;
       }
     }
-    return count + rentals.pending(slot);
+    return count + rentals.pending(kind);
   }
 
   /** The same without machines that are about to be replaced: new ones go where those leave. */
   int staying(CapacityPool pool) {
     int count = 0;
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       if (host.leavesAt() == Long.MAX_VALUE
-          && counts(host, pool.slot())
+          && counts(host, pool.kind())
           && pool.zone().equals(host.zone())) {
         count++;
       }
@@ -85,8 +85,8 @@
   /** The same without what is asked for. */
   int given(CapacityPool pool) {
     int count = 0;
-    for (Host host : desk.hosts()) {
-      if (counts(host, pool.slot()) && pool.zone().equals(host.zone())) {
+    for (Host host : workers.hosts()) {
+      if (counts(host, pool.kind()) && pool.zone().equals(host.zone())) {
         count++;
       }
     }
@@ -97,13 +97,13 @@
    * Keeps new work from so many steady machines of a slot, those that empty soonest, none of them
    * in the zones that are spared.
    */
-  void cordon(MachineKind slot, int count, Predicate<String> spared) {
-    if (slot.spot()) {
+  void cordon(MachineKind kind, int count, Predicate<String> spared) {
+    if (kind.spot()) {
       return;
     }
     List<Host> up = new ArrayList<>();
-    for (Host h : desk.hosts()) {
-      if (counts(h, slot) && h.up()) {
+    for (Host h : workers.hosts()) {
+      if (counts(h, kind) && h.up()) {
         up.add(h);
       }
     }
@@ -120,13 +120,13 @@
   }
 
   /** Idle machines of a slot that may be returned now, those idle longest first. */
-  List<Host> returnable(MachineKind slot) {
+  List<Host> returnable(MachineKind kind) {
     long now = clock.now();
     List<Host> out = new ArrayList<>();
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       // What a silent machine does is not known.
       boolean idle = host.up() && host.idle() && host.zoneSilentMs() == 0 && !host.hanging();
-      if (idle && counts(host, slot) && now - host.rentedAt() >= CHARGED_MS) {
+      if (idle && counts(host, kind) && now - host.rentedAt() >= CHARGED_MS) {
         out.add(host);
       }
     }
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -32,11 +32,11 @@
   private final Settings settings;
   private final StateClient state;
   private final MachineTypes types;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final Releases releases;
-  private final SpotHistory market;
+  private final SpotHistory spotHistory;
   private final SilenceTimeouts timeouts;
-  private final CapacityEstimator supply;
+  private final CapacityEstimator capacityEstimator;
   private final Consumer<Host> debit;
   private DoubleSupplier waitingCpus = () -> 0;
   private Runnable roomLost = () -> {};
@@ -55,22 +55,22 @@
       Settings settings,
       StateClient state,
       MachineTypes types,
-      WorkerManager desk,
+      WorkerManager workers,
       Releases releases,
-      SpotHistory market,
+      SpotHistory spotHistory,
       SilenceTimeouts timeouts,
-      CapacityEstimator supply,
+      CapacityEstimator capacityEstimator,
       Consumer<Host> debit,
       Events events) {
     this.clock = clock;
     this.settings = settings;
     this.state = state;
     this.types = types;
-    this.desk = desk;
+    this.workers = workers;
     this.releases = releases;
-    this.market = market;
+    this.spotHistory = spotHistory;
     this.timeouts = timeouts;
-    this.supply = supply;
+    this.capacityEstimator = capacityEstimator;
     this.debit = debit;
     this.events = events;
   }
@@ -97,8 +97,8 @@
     anyFresh = false;
     boolean anyAwaited = false;
     expectedUp.clear();
-    for (Host host : desk.hosts()) {
-      anyFresh |= desk.fresh(host);
+    for (Host host : workers.hosts()) {
+      anyFresh |= workers.fresh(host);
       anyAwaited |= host.zoneSilentMs() > 0;
       prepare(host);
       if (host.expectedUp()) {
@@ -106,7 +106,7 @@
       }
     }
     freeCpus = anyAwaited ? freeCpus() : 0;
-    for (Host host : List.copyOf(desk.hosts())) {
+    for (Host host : List.copyOf(workers.hosts())) {
       inspect(host, now);
     }
   }
@@ -115,7 +115,7 @@
   public void failed(Host host) {
     LOG.info("{} has failed", host.id());
     lost(host, "failed");
-    desk.gone(host);
+    workers.gone(host);
     releases.addGone(host.id());
   }
 
@@ -123,8 +123,8 @@
   public void taken(Host host) {
     LOG.info("{} was taken", host.id());
     lost(host, "taken by the cloud");
-    market.noteTaken(host);
-    desk.gone(host);
+    spotHistory.noteTaken(host);
+    workers.gone(host);
   }
 
   private void inspect(Host host, long now) {
@@ -149,7 +149,7 @@
   }
 
   private void judge(Host host, long now) {
-    if (desk.saidGone(host)) {
+    if (workers.saidGone(host)) {
       LOG.info("{} was returned by the leader before: once more", host.id());
       releases.add(host);
     } else if (host.outOfReach() && givenUp(host)) {
@@ -159,14 +159,14 @@
               + "{} attempts, CPUs of replicas {}",
           host.id(),
           host.zone(),
-          desk.silentMs(host),
+          workers.silentMs(host),
           host.zoneSilentMs(),
           host.hanging(),
           host.mute(),
           host.attempts().size(),
           host.serviceCpus());
       lost(host, "silent");
-      market.noteTaken(host);
+      spotHistory.noteTaken(host);
       giveUp(host);
     } else if (!host.expectedUp() && bootOverdue(host, now)) {
       LOG.info("{} does not come up: returning it", host.id());
@@ -176,7 +176,7 @@
       LOG.info("{} is recorded but not listed: returning it", host.id());
       releases.add(host);
     } else if ((host.draining() || host.recalled()) && host.idle() && host.attempts().isEmpty()) {
-      market.noteTaken(host);
+      spotHistory.noteTaken(host);
       releases.add(host);
     }
   }
@@ -189,8 +189,8 @@
   private boolean givenUp(Host silent) {
     boolean replicas = silent.serviceCpus() > 0;
     double bootS = types.bootS(silent.type());
-    if (desk.zoneHeard(silent)) {
-      return !silent.hanging() || timeouts.hangsTooLong(desk.silentMs(silent), replicas, bootS);
+    if (workers.zoneHeard(silent)) {
+      return !silent.hanging() || timeouts.hangsTooLong(workers.silentMs(silent), replicas, bootS);
     }
     if (!anyFresh) {
       return false;
@@ -202,11 +202,11 @@
     boolean givenUp =
         timeouts.givenUp(
             silent.zone(),
-            desk.silentMs(silent),
+            workers.silentMs(silent),
             replicas,
             room,
             silent.type() != null
-                && supply.open(new MachineKind(silent.type().name(), silent.spot())),
+                && capacityEstimator.open(new MachineKind(silent.type().name(), silent.spot())),
             bootS);
     if (givenUp) {
       freeCpus -= silent.cpusUsed();
@@ -227,8 +227,8 @@
   /** Room that is free now and that nothing waits for. */
   private double freeCpus() {
     double free = -waitingCpus.getAsDouble();
-    for (Host host : desk.hosts()) {
-      free += !host.closed() && desk.fresh(host) ? Math.max(0, host.cpusFree()) : 0;
+    for (Host host : workers.hosts()) {
+      free += !host.closed() && workers.fresh(host) ? Math.max(0, host.cpusFree()) : 0;
     }
     return free;
   }
@@ -262,7 +262,7 @@
    * the machine has long been returned. Then it must not make its zone look silent for long.
    */
   private boolean neverListed(Host host, long now) {
-    boolean ghost = host.up() && desk.silentMs(host) > 2 * settings.workers().reportMs();
+    boolean ghost = host.up() && workers.silentMs(host) > 2 * settings.workers().reportMs();
     return (!host.up() || ghost)
         && host.firstListedAt() == Long.MAX_VALUE
         && list.listedAt() - host.knownSince() > list.longestLag()
--- a/src/main/java/dapplestair/fleet/MachineList.java
+++ b/src/main/java/dapplestair/fleet/MachineList.java
@@ -26,7 +26,7 @@
   private final Clock clock;
   private final Settings settings;
   private final MachineTypes types;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final CloudClient cloud;
   private final Listener listener;
   private long listedAt = Long.MIN_VALUE / 2;
@@ -37,13 +37,13 @@
       Clock clock,
       Settings settings,
       MachineTypes types,
-      WorkerManager desk,
+      WorkerManager workers,
       CloudClient cloud,
       Listener listener) {
     this.clock = clock;
     this.settings = settings;
     this.types = types;
-    this.desk = desk;
+    this.workers = workers;
     this.cloud = cloud;
     this.listener = listener;
   }
@@ -106,11 +106,11 @@
   }
 
   private void listed(String id, JsonNode node) {
-    if (desk.isGone(id)) {
+    if (workers.isGone(id)) {
       return;
     }
     long now = clock.now();
-    Host host = desk.host(id);
+    Host host = workers.host(id);
     boolean addressed = host.addressed();
     host.describe(
         Json.text(node, "endpoint"),
@@ -125,7 +125,7 @@
     } else if (status.equals("running")) {
       host.saidUp();
       if (!addressed) {
-        desk.reach(host);
+        workers.reach(host);
       }
     }
   }
@@ -136,7 +136,7 @@
    */
   private void missing(long askedAt, Set<String> seen) {
     long longestLag = longestLag();
-    for (Host host : List.copyOf(desk.hosts())) {
+    for (Host host : List.copyOf(workers.hosts())) {
       if (!seen.contains(host.id())
           && host.firstListedAt() != Long.MAX_VALUE
           && askedAt - host.firstListedAt() > longestLag) {
--- a/src/main/java/dapplestair/fleet/Releases.java
+++ b/src/main/java/dapplestair/fleet/Releases.java
@@ -16,7 +16,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(Releases.class);
   private static final int MOST_PER_RELEASE = 100;
 
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final CloudClient cloud;
   private final Events events;
   // Replicas wait for the release of their former machine, so those go first.
@@ -25,8 +25,8 @@
   private boolean leading;
   private boolean asking;
 
-  Releases(WorkerManager desk, CloudClient cloud, Events events) {
-    this.desk = desk;
+  Releases(WorkerManager workers, CloudClient cloud, Events events) {
+    this.workers = workers;
     this.cloud = cloud;
     this.events = events;
   }
@@ -75,11 +75,11 @@
   private void returned(String id) {
     urgent.remove(id);
     waiting.remove(id);
-    Host host = desk.known(id);
+    Host host = workers.known(id);
     if (host != null) {
       LOG.debug("{} is returned", id);
       events.note(Events.Kind.RETURNED, o -> o.put("machine", id).put("zone", host.zone()));
-      desk.gone(host);
+      workers.gone(host);
     }
   }
 }
--- a/src/main/java/dapplestair/fleet/Rental.java
+++ b/src/main/java/dapplestair/fleet/Rental.java
@@ -38,8 +38,8 @@
 
   /** The rental of a record; {@code now} is the time of day where it names none. */
   static Rental read(String name, JsonNode value, long now) {
-    MachineKind slot = new MachineKind(value.path("hull").asText(), Json.flag(value, "loaners"));
-    CapacityPool pool = new CapacityPool(slot, value.path("basin").asText());
+    MachineKind kind = new MachineKind(value.path("hull").asText(), Json.flag(value, "loaners"));
+    CapacityPool pool = new CapacityPool(kind, value.path("basin").asText());
     return new Rental(name, pool, value.path("howMany").asInt(), Json.number(value, "at", now));
   }
 
@@ -58,9 +58,9 @@
   ObjectNode toJson() {
     ObjectNode object =
         Json.object()
-            .put("hull", pool.slot().type())
+            .put("hull", pool.kind().type())
             .put("basin", pool.zone())
-            .put("loaners", pool.slot().spot())
+            .put("loaners", pool.kind().spot())
             .put("howMany", count)
             .put("at", wall);
     if (hosts != null) {
--- a/src/main/java/dapplestair/fleet/Rentals.java
+++ b/src/main/java/dapplestair/fleet/Rentals.java
@@ -38,7 +38,7 @@
   private final StateClient state;
   private final Leadership leadership;
   private final MachineTypes types;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final CloudClient cloud;
   private final Events events;
   private final Predicate<CapacityPool> open;
@@ -58,7 +58,7 @@
       StateClient state,
       Leadership leadership,
       MachineTypes types,
-      WorkerManager desk,
+      WorkerManager workers,
       CloudClient cloud,
       Events events,
       Predicate<CapacityPool> open,
@@ -69,7 +69,7 @@
     this.state = state;
     this.leadership = leadership;
     this.types = types;
-    this.desk = desk;
+    this.workers = workers;
     this.cloud = cloud;
     this.events = events;
     this.open = open;
@@ -138,10 +138,10 @@
   }
 
   /** Machines of a slot that are asked for. */
-  int pending(MachineKind slot) {
+  int pending(MachineKind kind) {
     int count = 0;
     for (Rental rental : rentals.values()) {
-      if (rental.pending() && rental.pool.slot().equals(slot)) {
+      if (rental.pending() && rental.pool.kind().equals(kind)) {
         count += rental.count;
       }
     }
@@ -241,8 +241,8 @@
     rental.asking = true;
     cloud.rent(
         rental.name,
-        rental.pool.slot().type(),
-        rental.pool.slot().spot(),
+        rental.pool.kind().type(),
+        rental.pool.kind().spot(),
         rental.pool.zone(),
         rental.count,
         () -> wanted(rental),
@@ -286,8 +286,8 @@
         "rented {} of {} {} {} in {}",
         rental.hosts.size(),
         rental.count,
-        rental.pool.slot().type(),
-        rental.pool.slot().spot() ? "spot" : "steady",
+        rental.pool.kind().type(),
+        rental.pool.kind().spot() ? "spot" : "steady",
         rental.pool.zone());
     events.note(
         Events.Kind.RENTED,
@@ -306,13 +306,13 @@
 
   private void adopt(Rental rental) {
     for (String id : rental.hosts) {
-      if (!desk.isGone(id)) {
-        Host host = desk.host(id);
+      if (!workers.isGone(id)) {
+        Host host = workers.host(id);
         host.describe(
             null,
-            types.get(rental.pool.slot().type()),
+            types.get(rental.pool.kind().type()),
             rental.pool.zone(),
-            rental.pool.slot().spot());
+            rental.pool.kind().spot());
         host.setRentedAt(clock.now() - Math.max(0, clock.wall() - rental.wall));
       }
     }
@@ -327,7 +327,7 @@
       boolean over =
           rental.refused
               || (rental.hosts != null
-                  && rental.hosts.stream().allMatch(h -> desk.known(h) == null));
+                  && rental.hosts.stream().allMatch(h -> workers.known(h) == null));
       if (!over) {
         shorten(rental);
       } else if (rental.stamp == 0) {
@@ -345,7 +345,7 @@
   private void shorten(Rental rental) {
     if (rental.hosts != null
         && clock.now() - rental.writtenAt > settings.workers().leaseMs()
-        && rental.hosts.removeIf(h -> desk.known(h) == null)) {
+        && rental.hosts.removeIf(h -> workers.known(h) == null)) {
       write(rental, false);
     }
   }
--- a/src/main/java/dapplestair/fleet/SpotHistory.java
+++ b/src/main/java/dapplestair/fleet/SpotHistory.java
@@ -58,8 +58,8 @@
   }
 
   /** Share of the last {@code windows} windows of {@code windowMs} with a take-back. */
-  public double takeBackChance(MachineKind slot, long windowMs, int windows) {
-    ArrayDeque<Long> times = takenAt.get(slot);
+  public double takeBackChance(MachineKind kind, long windowMs, int windows) {
+    ArrayDeque<Long> times = takenAt.get(kind);
     if (times == null) {
       return 0;
     }
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -44,9 +44,9 @@
   private final Settings settings;
   private final Map<String, Lane> lanes = new LinkedHashMap<>();
   private final Ledger ledger;
-  private final WorkerManager desk;
-  private final DisruptionGate disruption;
-  private final VictimSelector choice;
+  private final WorkerManager workers;
+  private final DisruptionGate disruptionGate;
+  private final VictimSelector victimSelector;
   private final ClaimWriter writer;
 
   // What the records say, for whoever leads next.
@@ -70,15 +70,15 @@
       Replica replica,
       Leadership leadership,
       Ledger ledger,
-      WorkerManager desk,
-      DisruptionGate disruption) {
+      WorkerManager workers,
+      DisruptionGate disruptionGate) {
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
     this.ledger = ledger;
-    this.desk = desk;
-    this.disruption = disruption;
-    this.choice = new VictimSelector(ledger, desk, disruption);
+    this.workers = workers;
+    this.disruptionGate = disruptionGate;
+    this.victimSelector = new VictimSelector(ledger, workers, disruptionGate);
     this.writer = new ClaimWriter(timers, settings, state, replica, leadership, new Claims());
     lanes.forEach(l -> this.lanes.put(l.name(), l));
   }
@@ -86,7 +86,7 @@
   /** {@code change} hears of room that comes; {@code sheltered} attempts go last. */
   public void wire(Runnable change, Predicate<Attempt> sheltered) {
     changed = change;
-    choice.shelter(sheltered);
+    victimSelector.shelter(sheltered);
   }
 
   // ---- what the replica says ----
@@ -155,7 +155,7 @@
         .removeIf(
             o -> {
               Job job = ledger.job(o.claim().ref());
-              Host host = desk.known(o.claim().host());
+              Host host = workers.known(o.claim().host());
               if (job == null
                   || job.over()
                   || host == null
@@ -195,7 +195,7 @@
   private void carryOn(String name) {
     Lane lane = lanes.get(name);
     for (OpenClaim openClaim : open.getOrDefault(name, List.of())) {
-      Host host = openClaim.recorded() ? desk.known(openClaim.claim().host()) : null;
+      Host host = openClaim.recorded() ? workers.known(openClaim.claim().host()) : null;
       if (host == null) {
         continue;
       }
@@ -211,9 +211,9 @@
   private void stop(Lane lane, Attempt attempt) {
     if (!attempt.halting()) {
       stops++;
-      disruption.ride(attempt, lane.windDownS(attempt.spec()));
+      disruptionGate.ride(attempt, lane.windDownS(attempt.spec()));
     } else if (attempt.windDownS() > 0 && clock.now() - attempt.haltAt() > lane.beginWithinMs()) {
-      disruption.ride(attempt, 0);
+      disruptionGate.ride(attempt, 0);
     }
   }
 
@@ -291,10 +291,10 @@
       if (wanted <= 0 || list.size() >= most) {
         continue;
       }
-      for (Claim claim : choice.claims(lane, job, wanted, h -> !claimed.contains(h))) {
+      for (Claim claim : victimSelector.claims(lane, job, wanted, h -> !claimed.contains(h))) {
         if (list.size() < most) {
           list.add(new OpenClaim(claim, clock.now(), false));
-          claimed.add(desk.host(claim.host()));
+          claimed.add(workers.host(claim.host()));
           more.add(lane.name());
         }
       }
@@ -304,7 +304,7 @@
 
   private void recount() {
     claimed.clear();
-    open.values().forEach(list -> list.forEach(o -> claimed.add(desk.host(o.claim().host()))));
+    open.values().forEach(list -> list.forEach(o -> claimed.add(workers.host(o.claim().host()))));
   }
 
   // ---- the record ----
--- a/src/main/java/dapplestair/lane/VictimSelector.java
+++ b/src/main/java/dapplestair/lane/VictimSelector.java
@@ -29,14 +29,14 @@
   }
 
   private final Ledger ledger;
-  private final WorkerManager desk;
-  private final DisruptionGate disruption;
+  private final WorkerManager workers;
+  private final DisruptionGate disruptionGate;
   private Predicate<Attempt> sheltered = a -> false;
 
-  VictimSelector(Ledger ledger, WorkerManager desk, DisruptionGate disruption) {
+  VictimSelector(Ledger ledger, WorkerManager workers, DisruptionGate disruptionGate) {
     this.ledger = ledger;
-    this.desk = desk;
-    this.disruption = disruption;
+    this.workers = workers;
+    this.disruptionGate = disruptionGate;
   }
 
   void shelter(Predicate<Attempt> attempts) {
@@ -46,15 +46,15 @@
   /** Claims for up to {@code wanted} tasks on machines that are not claimed yet. */
   List<Claim> claims(Lane lane, Job rider, int wanted, Predicate<Host> unclaimed) {
     List<VictimCandidate> offers = new ArrayList<>();
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       if (!host.closed()
-          && desk.fresh(host)
+          && workers.fresh(host)
           && host.allowed(rider.spec())
           && unclaimed.test(host)
           && ledger.zoneAllows(rider, host.zone())) {
-        VictimCandidate offer = offer(lane, rider.spec(), host, wanted);
-        if (offer != null) {
-          offers.add(offer);
+        VictimCandidate candidate = offer(lane, rider.spec(), host, wanted);
+        if (candidate != null) {
+          offers.add(candidate);
         }
       }
     }
@@ -68,17 +68,19 @@
     Map<String, Integer> perZone = new HashMap<>();
     List<Claim> out = new ArrayList<>();
     int left = wanted;
-    for (VictimCandidate offer : offers) {
-      String zone = offer.host().zone();
+    for (VictimCandidate candidate : offers) {
+      String zone = candidate.host().zone();
       int allowed = submission.mostPerZone() - rider.inZone(zone) - perZone.getOrDefault(zone, 0);
-      int tasks = Math.min(Math.min(left, offer.tasks()), allowed);
+      int tasks = Math.min(Math.min(left, candidate.tasks()), allowed);
       if (tasks > 0 && (!submission.together() || perZone.isEmpty() || perZone.containsKey(zone))) {
         // Fewer than it has room for: then fewer have to go.
         VictimCandidate exact =
-            tasks < offer.tasks() ? offer(lane, submission, offer.host(), tasks) : offer;
+            tasks < candidate.tasks()
+                ? offer(lane, submission, candidate.host(), tasks)
+                : candidate;
         List<String> victims = new ArrayList<>();
         exact.victims().forEach(a -> victims.add(Claim.victim(a.key(), a.number())));
-        out.add(new Claim(submission.ref(), offer.host().id(), tasks, victims));
+        out.add(new Claim(submission.ref(), candidate.host().id(), tasks, victims));
         perZone.merge(zone, tasks, Integer::sum);
         left -= tasks;
       }
@@ -127,6 +129,6 @@
   }
 
   private double loss(Attempt attempt) {
-    return disruption.lossCpuS(attempt) + (sheltered.test(attempt) ? SHELTERED : 0);
+    return disruptionGate.lossCpuS(attempt) + (sheltered.test(attempt) ? SHELTERED : 0);
   }
 }
--- a/src/main/java/dapplestair/ledger/AttemptReconciler.java
+++ b/src/main/java/dapplestair/ledger/AttemptReconciler.java
@@ -18,15 +18,15 @@
   private final LedgerContext context;
   private final Attempts attempts;
   private final ChunkWriter writer;
-  private final JobFinalizer endings;
+  private final JobFinalizer jobFinalizer;
   private final RefusedStarts refusedStarts;
 
   AttemptReconciler(
-      LedgerContext context, Attempts attempts, ChunkWriter writer, JobFinalizer endings) {
+      LedgerContext context, Attempts attempts, ChunkWriter writer, JobFinalizer jobFinalizer) {
     this.context = context;
     this.attempts = attempts;
     this.writer = writer;
-    this.endings = endings;
+    this.jobFinalizer = jobFinalizer;
     this.refusedStarts = new RefusedStarts(context);
   }
 
@@ -116,7 +116,7 @@
         attempt.job.begun = true;
         attempt.began = true;
         attempt.job.chunkOf(attempt.step).resumed(attempt.step);
-        context.hooks.started(attempt);
+        context.callbacks.started(attempt);
         host.imageSeen(attempt.spec(), now);
       } else if (task.status() == Report.Status.EXITED) {
         exited(host, attempt, task);
@@ -133,7 +133,7 @@
     }
     if (cause.equals("error")) {
       attempt.job.failedOn.put(host.id(), context.clock.now());
-      context.hooks.failed(attempt, host);
+      context.callbacks.failed(attempt, host);
     } else if (cause.equals("unknown") || cause.equals("busy")) {
       holdBack(attempt.job, context.settings.workers().reportMs() / 3);
     }
@@ -144,7 +144,7 @@
     // Before its room is given back: nothing is to be placed there first.
     refusedStarts.exited(host, cause);
     attempts.retire(attempt);
-    context.hooks.clear(attempt.host, attempt.key(), attempt.number);
+    context.callbacks.clear(attempt.host, attempt.key(), attempt.number);
   }
 
   private void completed(Machine host, Attempt attempt) {
@@ -152,14 +152,14 @@
     attempt.done = true;
     attempts.vacate(attempt);
     chunk.done.set(attempt.step - chunk.from);
-    context.hooks.completed(attempt, host, attempt.ranBeforeExitS);
+    context.callbacks.completed(attempt, host, attempt.ranBeforeExitS);
     if (attempt.job.over) {
       attempts.drop(attempt);
-    } else if (!endings.finishIfDone(attempt.job)) {
+    } else if (!jobFinalizer.finishIfDone(attempt.job)) {
       // Recorded before it is cleared: until then the report is the only proof.
       writer.dirty(attempt.job, chunk, false);
     }
-    context.hooks.changed();
+    context.callbacks.changed();
   }
 
   /**
@@ -183,7 +183,7 @@
           ms,
           () -> {
             job.heldSteps.remove(attempt.step);
-            context.hooks.changed();
+            context.callbacks.changed();
           });
     }
   }
@@ -192,12 +192,12 @@
   void forgive(Job job, int step) {
     job.stepFailures.remove(step);
     job.heldSteps.remove(step);
-    context.hooks.changed();
+    context.callbacks.changed();
   }
 
   /** Keeps a job from starting tasks for a while. */
   void holdBack(Job job, long ms) {
     job.heldBackUntil = Math.max(job.heldBackUntil, context.clock.now() + ms);
-    context.timers.after(ms + 1, context.hooks::changed);
+    context.timers.after(ms + 1, context.callbacks::changed);
   }
 }
--- a/src/main/java/dapplestair/ledger/Attempts.java
+++ b/src/main/java/dapplestair/ledger/Attempts.java
@@ -31,7 +31,7 @@
     attempt.job.held++;
     attempt.job.perZone.addTo(attempt.zone, 1);
     use.add(attempt.spec());
-    context.hooks.host(attempt.host).hold(attempt);
+    context.callbacks.host(attempt.host).hold(attempt);
   }
 
   /** Asks for a stop; repeated by the workers' duty until it is proved. */
@@ -43,10 +43,10 @@
     if (!attempt.halting) {
       attempt.haltAt = context.clock.now();
       takeBackStart(attempt, why);
-      context.hooks.stopping(attempt, why);
+      context.callbacks.stopping(attempt, why);
     }
     attempt.halting = true;
-    context.hooks.halt(attempt, windDownS);
+    context.callbacks.halt(attempt, windDownS);
     stopRestOfGang(attempt);
   }
 
@@ -101,7 +101,7 @@
     }
     job.perZone.addTo(attempt.zone, -1);
     use.subtract(attempt.spec());
-    context.hooks.host(attempt.host).vacate(attempt, context.clock.now());
+    context.callbacks.host(attempt.host).vacate(attempt, context.clock.now());
   }
 
   private double ranS(Attempt attempt) {
@@ -119,28 +119,28 @@
       }
       attempt.job.held--;
     }
-    context.hooks.host(attempt.host).forget(attempt);
+    context.callbacks.host(attempt.host).forget(attempt);
     if (attempt.job.over) {
       emptied.accept(attempt.job);
     } else {
       writer.dirty(attempt.job, chunk, false);
       stopRestOfGang(attempt);
     }
-    context.hooks.changed();
+    context.callbacks.changed();
   }
 
   /** The attempt of a job that is over needs nothing more. */
   void drop(Attempt attempt) {
     retire(attempt);
     if (attempt.done) {
-      context.hooks.clear(attempt.host, attempt.key(), attempt.number);
+      context.callbacks.clear(attempt.host, attempt.key(), attempt.number);
     }
   }
 
   /** Its absence is proved, though nobody saw it end. */
   void absent(Attempt attempt) {
     if (attempt.sent() && !attempt.exited && !attempt.halting && !attempt.job.over) {
-      context.hooks.lost(attempt);
+      context.callbacks.lost(attempt);
     }
     retire(attempt);
   }
--- a/src/main/java/dapplestair/ledger/ChunkWriter.java
+++ b/src/main/java/dapplestair/ledger/ChunkWriter.java
@@ -264,8 +264,8 @@
     if (chunk.live.get(attempt.step) == attempt) {
       chunk.live.remove(attempt.step);
       job.held--;
-      context.hooks.host(attempt.host).forget(attempt);
-      context.hooks.clear(attempt.host, attempt.key(), attempt.number);
+      context.callbacks.host(attempt.host).forget(attempt);
+      context.callbacks.clear(attempt.host, attempt.key(), attempt.number);
     }
   }
 
--- a/src/main/java/dapplestair/ledger/JobFinalizer.java
+++ b/src/main/java/dapplestair/ledger/JobFinalizer.java
@@ -15,19 +15,19 @@
   private final ChunkWriter writer;
   private final Attempts attempts;
   private final Map<String, Job> jobs;
-  private final JobStatistics served;
+  private final JobStatistics jobStatistics;
 
   JobFinalizer(
       LedgerContext context,
       ChunkWriter writer,
       Attempts attempts,
       Map<String, Job> jobs,
-      JobStatistics served) {
+      JobStatistics jobStatistics) {
     this.context = context;
     this.writer = writer;
     this.attempts = attempts;
     this.jobs = jobs;
-    this.served = served;
+    this.jobStatistics = jobStatistics;
     attempts.whenEmptied(this::over);
     writer.listen(this);
   }
@@ -52,7 +52,7 @@
     job.stamp = 0;
     job.overAt = context.clock.now();
     if (context.armed()) {
-      served.ended(job);
+      jobStatistics.ended(job);
     }
     for (Chunk chunk : job.chunks.values()) {
       for (Attempt attempt : List.copyOf(chunk.live.values())) {
@@ -64,7 +64,7 @@
       }
     }
     over(job);
-    context.hooks.changed();
+    context.callbacks.changed();
   }
 
   /** Makes the job done when all of it is. True when the job is over. */
@@ -85,7 +85,7 @@
     long term = context.term();
     boolean low = job.spec().rank() == Rank.LOW;
     context.state.commit(
-        2 + context.hooks.mostWithFinish() + job.chunks.size(),
+        2 + context.callbacks.mostWithFinish() + job.chunks.size(),
         () -> context.term() == term && !job.over ? finishing(job, removed) : null,
         // A swarm's ends come by the hundred; no other user is to hear later that all is done.
         low ? Priority.FINISH_LOW : Priority.FINISH,
@@ -96,7 +96,7 @@
           }
           if (outcome instanceof TxnOutcome.Applied) {
             // Also when the replica was quicker to say that the job's key is gone.
-            context.hooks.ended(job.spec().ref(), true);
+            context.callbacks.ended(job.spec().ref(), true);
           }
           if (!job.over) {
             finished(job, removed, outcome);
@@ -114,7 +114,7 @@
             .when(StateKeys.job(ref), job.stamp)
             .put(StateKeys.over(ref), JobRecord.over(job, "done", context.clock.wall()))
             .remove(StateKeys.job(ref));
-    context.hooks.finishing(job, txn);
+    context.callbacks.finishing(job, txn);
     for (Chunk chunk : job.chunks.values()) {
       if (chunk.stamp != 0 && !chunk.inFlight && txn.size() < context.settings.state().txnOps()) {
         txn.when(StateKeys.run(ref, chunk.index), chunk.stamp)
--- a/src/main/java/dapplestair/ledger/Ledger.java
+++ b/src/main/java/dapplestair/ledger/Ledger.java
@@ -28,13 +28,13 @@
   private final LedgerContext context;
   private final int chunkSize;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
-  private final RawAttemptRecords recorded = new RawAttemptRecords();
+  private final RawAttemptRecords rawRecords = new RawAttemptRecords();
   private final TeamUsage use;
-  private final JobStatistics served;
+  private final JobStatistics jobStatistics;
   private final ChunkWriter writer;
   private final Attempts attempts;
-  private final JobFinalizer endings;
-  private final AttemptReconciler evidence;
+  private final JobFinalizer jobFinalizer;
+  private final AttemptReconciler reconciler;
   private final LaunchGate launchGate;
   private final Takeover takeover;
 
@@ -46,18 +46,19 @@
       StateClient state,
       Leadership leadership,
       boolean withLaunchBatches,
-      LedgerCallbacks hooks) {
-    context = new LedgerContext(clock, timers, settings, state, leadership, hooks);
+      LedgerCallbacks callbacks) {
+    context = new LedgerContext(clock, timers, settings, state, leadership, callbacks);
     chunkSize = Math.max(1, settings.state().valueBytes() / BYTES_PER_ATTEMPT);
-    served = new JobStatistics(clock, jobs.values());
+    jobStatistics = new JobStatistics(clock, jobs.values());
     use = new TeamUsage(settings);
     writer = new ChunkWriter(context, withLaunchBatches);
     attempts = new Attempts(context, use, writer);
-    endings = new JobFinalizer(context, writer, attempts, jobs, served);
-    evidence = new AttemptReconciler(context, attempts, writer, endings);
+    jobFinalizer = new JobFinalizer(context, writer, attempts, jobs, jobStatistics);
+    reconciler = new AttemptReconciler(context, attempts, writer, jobFinalizer);
     launchGate = new LaunchGate(context, use, attempts, writer);
     takeover =
-        new Takeover(context, jobs, recorded, attempts, writer, endings, evidence, chunkSize);
+        new Takeover(
+            context, jobs, rawRecords, attempts, writer, jobFinalizer, reconciler, chunkSize);
   }
 
   // ---- what the replica says ----
@@ -75,10 +76,10 @@
       // Followers count arrivals too, so that a new leader knows what to expect. What a listing
       // brings at a start is older than that.
       if (context.clock.wall() - job.acceptedWall() < context.settings.workers().reportMs()) {
-        context.hooks.arrived(job);
+        context.callbacks.arrived(job);
       }
       if (context.armed()) {
-        context.hooks.changed();
+        context.callbacks.changed();
       }
     }
   }
@@ -104,9 +105,9 @@
       return;
     }
     if (!job.over && !job.finishing) {
-      context.hooks.cancelled(job);
+      context.callbacks.cancelled(job);
     }
-    endings.end(job);
+    jobFinalizer.end(job);
   }
 
   /**
@@ -123,7 +124,7 @@
   public List<Cancellation.TaskLocation> places(String ref) {
     Job job = jobs.get(ref);
     if (!context.held()) {
-      return recorded.places(ref);
+      return rawRecords.places(ref);
     }
     return job == null
         ? List.of()
@@ -152,21 +153,21 @@
   public void runPut(String ref, int chunk, JsonNode value, long stamp) {
     // A leader's own memory is ahead of its records.
     if (!context.held()) {
-      recorded.put(ref, chunk, value, stamp);
+      rawRecords.put(ref, chunk, value, stamp);
     }
   }
 
   /** A record of attempts is gone. */
   public void runRemoved(String ref, int chunk) {
     if (!context.held()) {
-      recorded.remove(ref, chunk);
+      rawRecords.remove(ref, chunk);
     }
   }
 
   /** A launch batch of attempts has this value. */
   public void launchBatchPut(String key, JsonNode value, long stamp) {
     if (!context.held()) {
-      recorded.putLaunchBatch(key, value, stamp);
+      rawRecords.putLaunchBatch(key, value, stamp);
     } else {
       writer.launchBatches().shown(key, stamp);
     }
@@ -175,7 +176,7 @@
   /** A launch batch of attempts is gone. */
   public void launchBatchRemoved(String key) {
     if (!context.held()) {
-      recorded.removeLaunchBatch(key);
+      rawRecords.removeLaunchBatch(key);
     }
   }
 
@@ -189,10 +190,10 @@
   /** Forgets everything: the replica will tell it again. */
   public void clear() {
     jobs.clear();
-    recorded.clear();
+    rawRecords.clear();
     takeover.clear();
     use.clear();
-    served.clear();
+    jobStatistics.clear();
     writer.clear();
     context.leave();
   }
@@ -218,7 +219,7 @@
   public int[] counts(Job job) {
     return context.held()
         ? new int[] {job.doneCount(), job.liveCount()}
-        : recorded.counts(job.spec().ref());
+        : rawRecords.counts(job.spec().ref());
   }
 
   /** A job's attempts whose absence is not proved; only a leader has them. */
@@ -249,7 +250,7 @@
 
   /** Launch batches that are on record; none before a former version may lead again. */
   public int launchBatchCount() {
-    return context.held() ? writer.launchBatches().count() : recorded.launchBatches().size();
+    return context.held() ? writer.launchBatches().count() : rawRecords.launchBatches().size();
   }
 
   /** Attempts whose absence is not proved. */
@@ -259,12 +260,12 @@
 
   /** Starts that machines have refused since this process began, by cause. */
   public Map<String, Long> refusedStarts() {
-    return evidence.refusedStarts();
+    return reconciler.refusedStarts();
   }
 
   /** What became of the jobs of each team and class since this controller leads. */
   public JobStatistics served() {
-    return served;
+    return jobStatistics;
   }
 
   /** CPUs that a team's attempts use. */
@@ -321,7 +322,7 @@
 
   /** Applies a machine's newest report. Returns tasks in it that no attempt accounts for. */
   public List<Report.Task> report(Machine host, Report report) {
-    return evidence.report(host, report);
+    return reconciler.report(host, report);
   }
 
   /** The machine is proved to be gone: so is all that was on it. */
@@ -341,17 +342,17 @@
 
   /** A step has failed: it waits if it did before, for longer each time. */
   public void failedStep(Attempt attempt, long firstMs, long mostMs) {
-    evidence.failedStep(attempt, firstMs, mostMs);
+    reconciler.failedStep(attempt, firstMs, mostMs);
   }
 
   /** This step failed only since its machine was faulty: it need not wait. */
   public void forgive(Job job, int step) {
-    evidence.forgive(job, step);
+    reconciler.forgive(job, step);
   }
 
   /** Keeps a job from starting tasks for a while. */
   public void holdBack(Job job, long ms) {
-    evidence.holdBack(job, ms);
+    reconciler.holdBack(job, ms);
   }
 
   /**
@@ -361,7 +362,7 @@
   public void suspect(Job job, long pauseMs) {
     job.suspected = true;
     job.probesFailed++;
-    evidence.holdBack(job, pauseMs);
+    reconciler.holdBack(job, pauseMs);
   }
 
   /** Whether a job is left out of what is planned for, for now. */
@@ -379,6 +380,6 @@
     job.suspected = false;
     job.probesFailed = 0;
     job.heldBackUntil = 0;
-    context.hooks.changed();
+    context.callbacks.changed();
   }
 }
--- a/src/main/java/dapplestair/ledger/LedgerContext.java
+++ b/src/main/java/dapplestair/ledger/LedgerContext.java
@@ -17,7 +17,7 @@
   final Settings settings;
   final StateClient state;
   final Leadership leadership;
-  final LedgerCallbacks hooks;
+  final LedgerCallbacks callbacks;
   final long retryMs;
 
   private long term;
@@ -30,13 +30,13 @@
       Settings settings,
       StateClient state,
       Leadership leadership,
-      LedgerCallbacks hooks) {
+      LedgerCallbacks callbacks) {
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
     this.state = state;
     this.leadership = leadership;
-    this.hooks = hooks;
+    this.callbacks = callbacks;
     this.retryMs = settings.workers().reportMs() / 12;
   }
 
@@ -51,7 +51,7 @@
         attempt.session,
         key,
         revision);
-    hooks.launch(attempt);
+    callbacks.launch(attempt);
   }
 
   void take(long newTerm) {
--- a/src/main/java/dapplestair/ledger/RefusedStarts.java
+++ b/src/main/java/dapplestair/ledger/RefusedStarts.java
@@ -58,7 +58,7 @@
         pauseMs,
         () -> {
           machine.overfull(false);
-          context.hooks.changed();
+          context.callbacks.changed();
         });
   }
 
--- a/src/main/java/dapplestair/ledger/Takeover.java
+++ b/src/main/java/dapplestair/ledger/Takeover.java
@@ -19,11 +19,11 @@
 
   private final LedgerContext context;
   private final Map<String, Job> jobs;
-  private final RawAttemptRecords recorded;
+  private final RawAttemptRecords rawRecords;
   private final Attempts attempts;
   private final ChunkWriter writer;
-  private final JobFinalizer endings;
-  private final AttemptReconciler evidence;
+  private final JobFinalizer jobFinalizer;
+  private final AttemptReconciler reconciler;
   private final int chunkSize;
 
   // The chunks that each earlier launch batch still counts for.
@@ -35,19 +35,19 @@
   Takeover(
       LedgerContext context,
       Map<String, Job> jobs,
-      RawAttemptRecords recorded,
+      RawAttemptRecords rawRecords,
       Attempts attempts,
       ChunkWriter writer,
-      JobFinalizer endings,
-      AttemptReconciler evidence,
+      JobFinalizer jobFinalizer,
+      AttemptReconciler reconciler,
       int chunkSize) {
     this.context = context;
     this.jobs = jobs;
-    this.recorded = recorded;
+    this.rawRecords = rawRecords;
     this.attempts = attempts;
     this.writer = writer;
-    this.endings = endings;
-    this.evidence = evidence;
+    this.jobFinalizer = jobFinalizer;
+    this.reconciler = reconciler;
     this.chunkSize = chunkSize;
   }
 
@@ -60,9 +60,9 @@
   void begin(long newTerm) {
     context.take(newTerm);
     orphans = 1;
-    for (String ref : recorded.refs()) {
+    for (String ref : rawRecords.refs()) {
       Job job = jobs.get(ref);
-      LaunchBatch.JobSummary brief = recorded.brief(ref);
+      LaunchBatch.JobSummary brief = rawRecords.brief(ref);
       if (job != null) {
         build(job);
       } else if (brief != null) {
@@ -137,20 +137,20 @@
   private void over(Job job, long ms) {
     jobs.put(job.spec().ref(), job);
     build(job);
-    endings.end(job);
+    jobFinalizer.end(job);
     overFor(job, ms);
   }
 
   private void orphanFound() {
     if (--orphans == 0) {
       dropClaimsOfForgottenJobs();
-      recorded
+      rawRecords
           .launchBatches()
           .forEach(
               (key, stamp) ->
                   writer.launchBatches().adopt(key, stamp, claims.getOrDefault(key, Set.of())));
       context.arm();
-      recorded.clear();
+      rawRecords.clear();
       int claimed = claims.size();
       claims.clear();
       LOG.info(
@@ -159,9 +159,9 @@
           jobs.values().stream().mapToInt(Job::held).sum(),
           claimed);
       for (Job job : List.copyOf(jobs.values())) {
-        endings.finishIfDone(job);
+        jobFinalizer.finishIfDone(job);
       }
-      context.hooks.changed();
+      context.callbacks.changed();
     }
   }
 
@@ -182,7 +182,7 @@
    */
   private void readLaunchBatches(Job job) {
     Int2ObjectMap<RawAttemptRecords.OnLaunchBatch> newest = new Int2ObjectOpenHashMap<>();
-    for (RawAttemptRecords.OnLaunchBatch on : recorded.onLaunchBatches(job.spec().ref())) {
+    for (RawAttemptRecords.OnLaunchBatch on : rawRecords.onLaunchBatches(job.spec().ref())) {
       LaunchBatch.Entry entry = on.entry();
       if (entry.number() > job.chunkOf(entry.step()).recordedNumber) {
         newest.merge(entry.step(), on, (a, b) -> a.entry().number() > b.entry().number() ? a : b);
@@ -216,7 +216,7 @@
 
   private void build(Job job) {
     for (Int2ObjectMap.Entry<RawAttemptRecords.VersionedRecord> entry :
-        recorded.of(job.spec().ref()).int2ObjectEntrySet()) {
+        rawRecords.of(job.spec().ref()).int2ObjectEntrySet()) {
       Chunk c = job.chunk(entry.getIntKey());
       job.probesFailed = Math.max(job.probesFailed, Chunk.probesFailed(entry.getValue().value()));
       c.read(
@@ -228,7 +228,7 @@
     job.chunks.values().forEach(c -> c.countUnknown(job.spec().gang()));
     if (job.probesFailed > 0) {
       job.suspected = true;
-      evidence.holdBack(job, context.settings.workers().reportMs());
+      reconciler.holdBack(job, context.settings.workers().reportMs());
     }
   }
 }
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -23,37 +23,40 @@
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
   private static final int SUMMARY_EVERY_REPORTS = 20;
 
-  private final ControllerEnvironment outside;
+  private final ControllerEnvironment environment;
   private final Settings settings;
   private final CoreComponents core;
   private final SchedulingComponents scheduling;
   private final OperationsComponents operations;
   private final AdminHandler admin;
   private final RoleChangeNotifier roleChanges;
-  private final RecordDispatcher records;
+  private final RecordDispatcher dispatcher;
   private final HttpRouter router;
   private final LoopMonitor loopMonitor;
   private final StatusReporter self;
 
   /** Wires the duties, without an operators' interface; nothing runs before {@link #start}. */
-  public Controller(Settings settings, OperatorSettings operator, ControllerEnvironment outside) {
-    this(settings, operator, outside, null);
+  public Controller(
+      Settings settings, OperatorSettings operatorSettings, ControllerEnvironment environment) {
+    this(settings, operatorSettings, environment, null);
   }
 
-  /** Wires the duties; operators are served by {@link #operators} if {@code access} is given. */
+  /**
+   * Wires the duties; operators are served by {@link #operators} if {@code authenticator} is given.
+   */
   public Controller(
       Settings settings,
-      OperatorSettings operator,
-      ControllerEnvironment outside,
-      Authenticator access) {
-    this.outside = outside;
+      OperatorSettings operatorSettings,
+      ControllerEnvironment environment,
+      Authenticator authenticator) {
+    this.environment = environment;
     this.settings = settings;
     core =
         new CoreComponents(
             settings,
-            operator,
-            outside,
-            access != null,
+            operatorSettings,
+            environment,
+            authenticator != null,
             new CoreComponents.Listeners(
                 this::ownStatus,
                 this::peerStatus,
@@ -61,14 +64,14 @@
                 new CancellationEvents(),
                 this::hostChanged,
                 new ReplicaEvents()));
-    scheduling = new SchedulingComponents(settings, operator, outside, core);
-    core.hooks.wire(core, scheduling);
+    scheduling = new SchedulingComponents(settings, operatorSettings, environment, core);
+    core.callbacks.wire(core, scheduling);
     self = new StatusReporter(core);
     long reportMs = settings.workers().reportMs();
     loopMonitor =
         new LoopMonitor(
-            outside.clock(),
-            outside.timers(),
+            environment.clock(),
+            environment.timers(),
             core.metrics,
             SUMMARY_EVERY_REPORTS * reportMs,
             self::line);
@@ -80,43 +83,43 @@
             core.peers,
             core.state::unreachableMs,
             reportMs / 4);
-    operations = new OperationsComponents(settings, outside, core, scheduling);
-    admin = access == null ? null : admin(operator, access);
+    operations = new OperationsComponents(settings, environment, core, scheduling);
+    admin = authenticator == null ? null : admin(operatorSettings, authenticator);
     roleChanges = new RoleChangeNotifier(settings.member(), core, scheduling, operations, admin);
-    records = new RecordDispatcher(core, scheduling, operations, admin);
+    dispatcher = new RecordDispatcher(core, scheduling, operations, admin);
   }
 
-  private AdminHandler admin(OperatorSettings operator, Authenticator access) {
-    ControllerComponents duties =
+  private AdminHandler admin(OperatorSettings operatorSettings, Authenticator authenticator) {
+    ControllerComponents components =
         new ControllerComponents(
             settings,
-            operator,
-            outside.clock(),
-            outside.timers(),
+            operatorSettings,
+            environment.clock(),
+            environment.timers(),
             core.leadership,
             core.ledger,
             core.workers,
             scheduling.fleet,
             core.types,
             scheduling.placer,
-            scheduling.planning,
+            scheduling.autoscaler,
             core.peers,
             core.replica,
             core.state,
             operations.drains,
-            scheduling.disruption,
+            scheduling.disruptionGate,
             operations.replacements,
             operations.zones,
             scheduling.lanes,
             scheduling.calendars,
-            scheduling.blame,
-            operations.wishes,
+            scheduling.faultAttribution,
+            operations.conditionalWriter,
             core.cancellations,
             core.relay,
             core.log);
-    Exposition exposition = ControllerMetrics.of(duties);
+    Exposition exposition = ControllerMetrics.of(components);
     core.metrics.tell(exposition);
-    return new AdminHandler(duties, access, this::handle, exposition::text);
+    return new AdminHandler(components, authenticator, this::handle, exposition::text);
   }
 
   /** Answers a request of an operator; only with access given. */
@@ -169,7 +172,7 @@
   private void hostChanged(Host host) {
     operations.drains.mark(host);
     if (host.recalled() && !host.gone()) {
-      scheduling.departures.leave(host);
+      scheduling.reclaimNoticeHandler.leave(host);
     }
     scheduling.placer.nudge();
   }
@@ -215,17 +218,17 @@
   private final class ReplicaEvents implements Replica.Listener {
     @Override
     public void put(String key, JsonNode value, long stamp) {
-      records.put(key, value, stamp);
+      dispatcher.put(key, value, stamp);
     }
 
     @Override
     public void removed(String key) {
-      records.removed(key);
+      dispatcher.removed(key);
     }
 
     @Override
     public void loaded() {
-      records.loaded();
+      dispatcher.loaded();
     }
   }
 
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -20,117 +20,124 @@
 
   private ControllerMetrics() {}
 
-  static Exposition of(ControllerComponents duties) {
+  static Exposition of(ControllerComponents components) {
     Exposition exposition = new Exposition(VERSION);
-    addCluster(exposition, duties);
-    addState(exposition, duties);
-    addTeams(exposition, duties);
-    addClasses(exposition, duties);
-    addStops(exposition, duties);
-    addPlan(exposition, duties);
+    addCluster(exposition, components);
+    addState(exposition, components);
+    addTeams(exposition, components);
+    addClasses(exposition, components);
+    addStops(exposition, components);
+    addPlan(exposition, components);
     return exposition;
   }
 
   /** Who leads, and what there is in the cluster. */
-  private static void addCluster(Exposition exposition, ControllerComponents duties) {
+  private static void addCluster(Exposition exposition, ControllerComponents components) {
     exposition
         .gauge(
             "leading",
             "1 while this controller leads.",
-            () -> duties.leadership().leading() ? 1 : 0)
-        .gauge("term", "The highest term known.", () -> duties.leadership().termSeen())
+            () -> components.leadership().leading() ? 1 : 0)
+        .gauge("term", "The highest term known.", () -> components.leadership().termSeen())
         .gauge(
             "epoch",
             "Up to which change the replica is complete.",
-            () -> duties.replica().position())
-        .gauge("jobs", "Jobs that are not over.", () -> duties.ledger().jobs().size())
+            () -> components.replica().position())
+        .gauge("jobs", "Jobs that are not over.", () -> components.ledger().jobs().size())
         .gauge(
             "attempts",
             "Attempts whose absence is not proved.",
-            () -> duties.ledger().attemptCount())
-        .gauge("machines", "Machines not proved to be gone.", () -> duties.workers().hosts().size())
+            () -> components.ledger().attemptCount())
+        .gauge(
+            "machines",
+            "Machines not proved to be gone.",
+            () -> components.workers().hosts().size())
         .gauge(
             "jobs_suspected",
             "Jobs that fail wherever they run, tried by one task at a time.",
-            () -> duties.blame().suspects())
+            () -> components.faultAttribution().suspects())
         .gauge(
             "withdrawals_known_to_age_seconds",
             "Age of the knowledge of all confirmed cancellations; leases are kept only while it is small.",
-            () -> duties.cancellations().ageMs() / 1000.0)
+            () -> components.cancellations().ageMs() / 1000.0)
         .gauge(
             "withdrawals_open",
             "Cancellations told to users here that are not proved to be carried out.",
-            () -> duties.cancellations().open())
+            () -> components.cancellations().open())
         .gauge(
             "withdrawals_open_oldest_seconds",
             "For how long the oldest of them has been so.",
-            () -> duties.cancellations().openMs() / 1000.0)
+            () -> components.cancellations().openMs() / 1000.0)
         .gauge(
             "peer_messages_refused",
             "Messages of peers that were garbled, too large or of an unknown form.",
-            () -> duties.peers().questions().refusedSoFar())
+            () -> components.peers().questions().refusedSoFar())
         .gauge(
             "relay_on",
             "1 while the connections of workers are spread over all controllers.",
-            () -> duties.relay().on() ? 1 : 0)
+            () -> components.relay().on() ? 1 : 0)
         .gauge(
             "relayed_reports",
             "Reports of workers that this controller has passed on to a leader.",
-            () -> duties.relay().relayed())
+            () -> components.relay().relayed())
         .gauges(
             "starts_refused",
             "Starts that machines have refused, by cause; full: they were emptier in the records.",
             "cause",
-            () -> duties.ledger().refusedStarts())
+            () -> components.ledger().refusedStarts())
         .gauge(
             "tasks_unaccounted_for",
             "How often a task was reported that no record explains.",
-            () -> duties.workers().unaccountedTasks())
-        .gauge("machines_drained", "Machines drained by operators.", () -> drained(duties));
+            () -> components.workers().unaccountedTasks())
+        .gauge("machines_drained", "Machines drained by operators.", () -> drained(components));
   }
 
   /** The state service, and what waits for it. */
-  private static void addState(Exposition exposition, ControllerComponents duties) {
+  private static void addState(Exposition exposition, ControllerComponents components) {
     exposition
-        .gauge("state_reachable", "1 while the state service answers.", () -> reachable(duties))
+        .gauge("state_reachable", "1 while the state service answers.", () -> reachable(components))
         .gauge(
-            "puts_allowed", "Puts a second that may be made.", () -> duties.state().putsAllowed())
-        .gauge("puts_wanted", "Puts a second made or waiting.", () -> duties.state().wanted())
-        .gauges("transactions_queued", "Transactions that wait.", "priority", () -> queued(duties));
+            "puts_allowed",
+            "Puts a second that may be made.",
+            () -> components.state().putsAllowed())
+        .gauge("puts_wanted", "Puts a second made or waiting.", () -> components.state().wanted())
+        .gauges(
+            "transactions_queued", "Transactions that wait.", "priority", () -> queued(components));
   }
 
   /** What teams use, and what they were promised. */
-  private static void addTeams(Exposition exposition, ControllerComponents duties) {
+  private static void addTeams(Exposition exposition, ControllerComponents components) {
     exposition
-        .gauges("team_cpus_used", "CPUs that a team's attempts use.", "team", () -> used(duties))
+        .gauges(
+            "team_cpus_used", "CPUs that a team's attempts use.", "team", () -> used(components))
         .gauges(
             "team_cpus_guaranteed",
             "CPUs guaranteed to a team.",
             "team",
-            () -> teams(duties, Settings.Team::cpus))
+            () -> teams(components, Settings.Team::cpus))
         .gauges(
             "team_cpus_limit",
             "Most CPUs of a team, 0 for no limit.",
             "team",
-            () -> teams(duties, Settings.Team::cpusMax))
+            () -> teams(components, Settings.Team::cpusMax))
         .gauges(
             "team_jobs_started_share",
             "Share of a team's accepted jobs that started, since this controller leads.",
             "team",
             () ->
                 Maps.transformValues(
-                    duties.ledger().served().byTeam(), JobStatistics.JobCounts::startedShare))
+                    components.ledger().served().byTeam(), JobStatistics.JobCounts::startedShare))
         .gauges(
             "team_jobs_done_share",
             "Share of a team's arrays, less those cancelled, that are done since then.",
             "team",
             () ->
                 Maps.transformValues(
-                    duties.ledger().served().byTeam(), JobStatistics.JobCounts::doneShare));
+                    components.ledger().served().byTeam(), JobStatistics.JobCounts::doneShare));
   }
 
   /** How classes of jobs are served. */
-  private static void addClasses(Exposition exposition, ControllerComponents duties) {
+  private static void addClasses(Exposition exposition, ControllerComponents components) {
     exposition
         .gauges(
             "class_jobs_started_share",
@@ -138,104 +145,109 @@
             "class",
             () ->
                 Maps.transformValues(
-                    duties.ledger().served().byClass(), JobStatistics.JobCounts::startedShare))
+                    components.ledger().served().byClass(), JobStatistics.JobCounts::startedShare))
         .gauges(
             "class_jobs_done_share",
             "Share of a class's arrays, less those cancelled, that are done since then.",
             "class",
             () ->
                 Maps.transformValues(
-                    duties.ledger().served().byClass(), JobStatistics.JobCounts::doneShare))
+                    components.ledger().served().byClass(), JobStatistics.JobCounts::doneShare))
         .gauges(
             "class_largest_begun_share",
             "Share of a class's largest jobs (the largest tenth, three at least) that began.",
             "class",
             () ->
                 Maps.transformValues(
-                    duties.ledger().served().largest(), JobStatistics.LargestJobStatistics::share))
+                    components.ledger().served().largest(),
+                    JobStatistics.LargestJobStatistics::share))
         .gauges(
             "class_largest_wait_seconds",
             "The longest wait of one of a class's largest jobs for its first task.",
             "class",
             () ->
                 Maps.transformValues(
-                    duties.ledger().served().largest(),
+                    components.ledger().served().largest(),
                     JobStatistics.LargestJobStatistics::longestS));
   }
 
   /** What is stopped by choice. */
-  private static void addStops(Exposition exposition, ControllerComponents duties) {
+  private static void addStops(Exposition exposition, ControllerComponents components) {
     exposition
         .gauges(
             "team_replicas_out",
             "Replicas of a team that are out, for whatever reason.",
             "team",
-            () -> Maps.transformValues(duties.disruption().statuses(), BudgetStatus::out))
+            () -> Maps.transformValues(components.disruptionGate().statuses(), BudgetStatus::out))
         .gauges(
             "team_replicas_out_allowed",
             "Replicas of a team that may be out before nothing more is stopped by choice.",
             "team",
-            () -> Maps.transformValues(duties.disruption().statuses(), BudgetStatus::allowed))
+            () ->
+                Maps.transformValues(components.disruptionGate().statuses(), BudgetStatus::allowed))
         .gauges(
-            "lane_claims", "Open claims of a lane's riders.", "lane", () -> duties.lanes().claims())
-        .gauge("lane_stops", "Tasks stopped for riders of lanes.", () -> duties.lanes().stops())
+            "lane_claims",
+            "Open claims of a lane's riders.",
+            "lane",
+            () -> components.lanes().claims())
+        .gauge("lane_stops", "Tasks stopped for riders of lanes.", () -> components.lanes().stops())
         .gauge(
             "stops_granted",
             "Stops that asked for a budget and were granted.",
-            () -> duties.disruption().granted())
+            () -> components.disruptionGate().granted())
         .gauge(
             "stops_forced",
             "Stops that could not wait for a budget.",
-            () -> duties.disruption().forced());
+            () -> components.disruptionGate().forced());
   }
 
   /** The plan applied. */
-  private static void addPlan(Exposition exposition, ControllerComponents duties) {
+  private static void addPlan(Exposition exposition, ControllerComponents components) {
     exposition
         .gauge(
             "plan_makespan_seconds",
             "Mean makespan of the plan applied.",
-            () -> plan(duties, Autoscaler.AppliedPlan::makespanS))
+            () -> plan(components, Autoscaler.AppliedPlan::makespanS))
         .gauge(
             "plan_spend_per_hour",
             "What the plan applied costs an hour.",
-            () -> plan(duties, Autoscaler.AppliedPlan::perHour))
+            () -> plan(components, Autoscaler.AppliedPlan::perHour))
         .gauge(
             "plan_risk",
             "Spot CPUs of the plan applied, times their risk.",
-            () -> plan(duties, Autoscaler.AppliedPlan::risk));
+            () -> plan(components, Autoscaler.AppliedPlan::risk));
   }
 
-  private static double drained(ControllerComponents duties) {
-    return duties.workers().hosts().stream().filter(h -> h.drained()).count();
+  private static double drained(ControllerComponents components) {
+    return components.workers().hosts().stream().filter(h -> h.drained()).count();
   }
 
-  private static double reachable(ControllerComponents duties) {
-    return duties.state().reachable() ? 1 : 0;
+  private static double reachable(ControllerComponents components) {
+    return components.state().reachable() ? 1 : 0;
   }
 
-  private static Map<String, Integer> queued(ControllerComponents duties) {
+  private static Map<String, Integer> queued(ControllerComponents components) {
     Map<String, Integer> out = new TreeMap<>();
     for (StateClient.Priority priority : StateClient.Priority.values()) {
-      out.put(priority.name().toLowerCase(Locale.ROOT), duties.state().queued(priority));
+      out.put(priority.name().toLowerCase(Locale.ROOT), components.state().queued(priority));
     }
     return out;
   }
 
-  private static Map<String, Double> used(ControllerComponents duties) {
-    return teams(duties, t -> duties.ledger().teamCpus(t.name()));
+  private static Map<String, Double> used(ControllerComponents components) {
+    return teams(components, t -> components.ledger().teamCpus(t.name()));
   }
 
   private static Map<String, Double> teams(
-      ControllerComponents duties, Function<Settings.Team, Double> figure) {
+      ControllerComponents components, Function<Settings.Team, Double> figure) {
     Map<String, Double> out = new TreeMap<>();
-    duties.settings().teams().values().forEach(t -> out.put(t.name(), figure.apply(t)));
+    components.settings().teams().values().forEach(t -> out.put(t.name(), figure.apply(t)));
     return out;
   }
 
   private static double plan(
-      ControllerComponents duties, ToDoubleFunction<Autoscaler.AppliedPlan> figure) {
-    Autoscaler.AppliedPlan applied = duties.planning().applied();
+      ControllerComponents components, ToDoubleFunction<Autoscaler.AppliedPlan> figure) {
+    Autoscaler.AppliedPlan applied = components.autoscaler().applied();
     return applied == null ? Double.NaN : figure.applyAsDouble(applied);
   }
 }
--- a/src/main/java/dapplestair/node/CoreComponents.java
+++ b/src/main/java/dapplestair/node/CoreComponents.java
@@ -37,7 +37,7 @@
   final Peers peers;
   final Leadership leadership;
   final CloudClient cloud;
-  final LedgerCallbackRouter hooks;
+  final LedgerCallbackRouter callbacks;
   final TermTimers termTimers;
   final Ledger ledger;
   final Cancellations cancellations;
@@ -69,29 +69,35 @@
 
   CoreComponents(
       Settings settings,
-      OperatorSettings operator,
-      ControllerEnvironment outside,
+      OperatorSettings operatorSettings,
+      ControllerEnvironment environment,
       boolean logsEvents,
       Listeners listeners) {
-    Clock clock = outside.clock();
-    Timers timers = outside.timers();
-    state = new StateClient(clock, timers, outside.http(), settings);
+    Clock clock = environment.clock();
+    Timers timers = environment.timers();
+    state = new StateClient(clock, timers, environment.http(), settings);
     peers =
         new Peers(
-            clock, timers, outside.peers(), settings, listeners.ownStatus, listeners.peerStatus);
+            clock,
+            timers,
+            environment.peers(),
+            settings,
+            listeners.ownStatus,
+            listeners.peerStatus);
     leadership =
         new Leadership(
-            clock, timers, outside.random(), settings, state, peers, listeners.leadership);
-    hooks = new LedgerCallbackRouter(clock, metrics, estimates);
+            clock, timers, environment.random(), settings, state, peers, listeners.leadership);
+    callbacks = new LedgerCallbackRouter(clock, metrics, estimates);
     termTimers = new TermTimers(timers, leadership);
     ledger =
-        new Ledger(clock, termTimers, settings, state, leadership, outside.launchBatches(), hooks);
-    cloud = new CloudClient(clock, timers, outside.http(), settings);
+        new Ledger(
+            clock, termTimers, settings, state, leadership, environment.launchBatches(), callbacks);
+    cloud = new CloudClient(clock, timers, environment.http(), settings);
     cancellations =
         new Cancellations(
             clock,
             timers,
-            outside.http(),
+            environment.http(),
             cloud,
             settings,
             peers,
@@ -102,7 +108,13 @@
         new AcceptedJobs(timers, settings, peers, leadership::leading, this::recordsPosition);
     relay =
         new Relay(
-            clock, timers, outside.http(), settings, operator.relayAbove(), leadership, peers);
+            clock,
+            timers,
+            environment.http(),
+            settings,
+            operatorSettings.relayAbove(),
+            leadership,
+            peers);
     workers =
         new WorkerManager(
             clock,
@@ -119,7 +131,8 @@
             listeners.workers);
     log = logsEvents ? new EventLog(clock) : null;
     events = logsEvents ? log : Events.OFF;
-    replica = new Replica(state, timers, outside.random(), leadership::leading, listeners.replica);
+    replica =
+        new Replica(state, timers, environment.random(), leadership::leading, listeners.replica);
     requestRelay = new RequestRelay(peers, settings.workers().reportMs() / 4);
     submissions =
         new SubmissionHandler(
