--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -28,7 +28,7 @@
   private Placer placer;
   private SubmissionHandler submissions;
   private Events events;
-  private FaultAttribution blame;
+  private FaultAttribution faultAttribution;
   private Calendars calendars;
 
   LedgerCallbackRouter(Clock clock, Metrics metrics, RuntimeEstimates estimates) {
@@ -44,7 +44,7 @@
     events = core.events;
     demand = scheduling.demand;
     placer = scheduling.placer;
-    blame = scheduling.blame;
+    faultAttribution = scheduling.faultAttribution;
     calendars = scheduling.calendars;
   }
 
@@ -86,7 +86,7 @@
 
   @Override
   public void cancelled(Job job) {
-    blame.over(job.spec().ref());
+    faultAttribution.over(job.spec().ref());
     events.note(Events.Kind.OVER, o -> EventFields.of(o, job).put("status", "aborted"));
   }
 
@@ -102,7 +102,7 @@
 
   @Override
   public void ended(String ref, boolean done) {
-    blame.over(ref);
+    faultAttribution.over(ref);
     submissions.ended(ref, done);
     events.note(Events.Kind.OVER, o -> o.put("job", ref).put("status", done ? "done" : "aborted"));
   }
@@ -124,14 +124,14 @@
       host.observeSlowness(seconds / expected);
     }
     estimates.observe(attempt.spec(), seconds);
-    blame.completed(attempt, host);
+    faultAttribution.completed(attempt, host);
   }
 
   @Override
   public void failed(Attempt attempt, Machine machine) {
     metrics.lost();
     events.note(Events.Kind.FAILED, o -> EventFields.of(o, attempt));
-    blame.failed(attempt, workers.host(machine.id()));
+    faultAttribution.failed(attempt, workers.host(machine.id()));
   }
 
   @Override
--- a/src/main/java/dapplestair/node/OperationsComponents.java
+++ b/src/main/java/dapplestair/node/OperationsComponents.java
@@ -12,19 +12,19 @@
 
 /** What operators ask of machines and zones, carried out by the leader. */
 final class OperationsComponents implements AutoCloseable {
-  final ConditionalWriter wishes;
+  final ConditionalWriter conditionalWriter;
   final Drains drains;
   final Replacements replacements;
   final Zones zones;
 
   OperationsComponents(
       Settings settings,
-      ControllerEnvironment outside,
+      ControllerEnvironment environment,
       CoreComponents core,
       SchedulingComponents scheduling) {
-    Clock clock = outside.clock();
+    Clock clock = environment.clock();
     TermTimers timers = core.termTimers;
-    wishes = new ConditionalWriter(clock, core.state, core.replica);
+    conditionalWriter = new ConditionalWriter(clock, core.state, core.replica);
     drains =
         new Drains(
             clock,
@@ -32,10 +32,10 @@
             settings,
             core.state,
             core.replica,
-            wishes,
+            conditionalWriter,
             core.leadership,
             core.workers,
-            new DrainExecutor(clock, core.workers, scheduling.fleet, scheduling.disruption),
+            new DrainExecutor(clock, core.workers, scheduling.fleet, scheduling.disruptionGate),
             core.events);
     scheduling.demand.drainsLackRoom(drains::lackRoom);
     replacements =
@@ -48,10 +48,10 @@
             core.types,
             core.workers,
             drains,
-            scheduling.disruption,
-            new SurgeCapacity(core.workers, scheduling.fleet, core.types, scheduling.planning),
+            scheduling.disruptionGate,
+            new SurgeCapacity(core.workers, scheduling.fleet, core.types, scheduling.autoscaler),
             core.events);
-    scheduling.planning.beyond(replacements::extra);
+    scheduling.autoscaler.beyond(replacements::extra);
     zones =
         new Zones(
             clock,
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -29,7 +29,7 @@
   private final Zones zones;
   private final Lanes lanes;
   private final Calendars calendars;
-  private final ImageLocations weights;
+  private final ImageLocations imageLocations;
   private final Cancellations cancellations;
   private final AcceptedJobs accepted;
   private final Placer placer;
@@ -49,7 +49,7 @@
     this.lostWork = scheduling.lostWork;
     this.lanes = scheduling.lanes;
     this.calendars = scheduling.calendars;
-    this.weights = scheduling.weights;
+    this.imageLocations = scheduling.imageLocations;
     this.placer = scheduling.placer;
     this.drains = operations.drains;
     this.replacements = operations.replacements;
@@ -96,7 +96,7 @@
     } else if (key.startsWith(StateKeys.CALENDAR)) {
       calendars.recorded(key, value);
     } else if (key.startsWith(StateKeys.WEIGHTS)) {
-      weights.recorded(key, value);
+      imageLocations.recorded(key, value);
     } else if (key.startsWith(StateKeys.REPLACE)) {
       replacements.recorded(key, value, stamp);
     } else if (key.startsWith(StateKeys.DISRUPTION)) {
@@ -135,7 +135,7 @@
     } else if (key.startsWith(StateKeys.CALENDAR)) {
       calendars.recorded(key, null);
     } else if (key.startsWith(StateKeys.WEIGHTS)) {
-      weights.recorded(key, null);
+      imageLocations.recorded(key, null);
     } else if (key.startsWith(StateKeys.REPLACE)) {
       replacements.recorded(key, null, 0);
     } else if (key.startsWith(StateKeys.DISRUPTION)) {
--- a/src/main/java/dapplestair/node/RoleChangeNotifier.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -32,17 +32,17 @@
     scheduling.fleet.lead();
     core.ledger.lead(term);
     core.accepted.lead();
-    scheduling.disruption.lead();
+    scheduling.disruptionGate.lead();
     core.workers.lead();
     // Before anything is placed: room that was freed for a rider is its own.
     scheduling.lanes.lead();
     scheduling.calendars.lead();
-    scheduling.weights.lead();
+    scheduling.imageLocations.lead();
     operations.drains.lead();
     operations.replacements.lead();
     operations.zones.lead();
-    scheduling.blame.lead();
-    scheduling.planning.lead();
+    scheduling.faultAttribution.lead();
+    scheduling.autoscaler.lead();
     if (core.log != null) {
       core.log.begin(term);
       core.log.note(Events.Kind.LEADING, o -> o.put("term", term).put("by", member));
@@ -53,20 +53,20 @@
   @Override
   public void follow() {
     core.state.leading(false);
-    scheduling.planning.clear();
+    scheduling.autoscaler.clear();
     operations.drains.clear();
     operations.replacements.clear();
     operations.zones.clear();
     scheduling.lanes.clear();
     scheduling.calendars.clear();
-    scheduling.weights.clear();
-    scheduling.blame.clear();
+    scheduling.imageLocations.clear();
+    scheduling.faultAttribution.clear();
     if (admin != null) {
       admin.clear();
     }
     scheduling.fleet.clear();
     core.ledger.clear();
-    scheduling.disruption.clear();
+    scheduling.disruptionGate.clear();
     core.workers.clear();
     // What was in memory may not be what was recorded: read all of it again.
     core.replica.restart();
--- a/src/main/java/dapplestair/node/SchedulingComponents.java
+++ b/src/main/java/dapplestair/node/SchedulingComponents.java
@@ -19,28 +19,29 @@
 /** Which machines are rented and what runs on them: only a leader's work. */
 final class SchedulingComponents implements AutoCloseable {
   final LostWork lostWork;
-  final DisruptionGate disruption;
+  final DisruptionGate disruptionGate;
   final Fleet fleet;
   final DemandView demand;
   final Lanes lanes;
   final Calendars calendars;
-  final ImageLocations weights;
+  final ImageLocations imageLocations;
   final Placer placer;
-  final ReclaimNoticeHandler departures;
-  final Autoscaler planning;
-  final FaultAttribution blame;
+  final ReclaimNoticeHandler reclaimNoticeHandler;
+  final Autoscaler autoscaler;
+  final FaultAttribution faultAttribution;
 
   SchedulingComponents(
       Settings settings,
-      OperatorSettings operator,
-      ControllerEnvironment outside,
+      OperatorSettings operatorSettings,
+      ControllerEnvironment environment,
       CoreComponents core) {
-    Clock clock = outside.clock();
+    Clock clock = environment.clock();
     TermTimers timers = core.termTimers;
     lostWork =
         new LostWork(
-            clock, settings, operator.budgets(), core.state, core.replica, core.leadership);
-    disruption = new DisruptionGate(clock, operator.budgets(), core.ledger, core.workers, lostWork);
+            clock, settings, operatorSettings.budgets(), core.state, core.replica, core.leadership);
+    disruptionGate =
+        new DisruptionGate(clock, operatorSettings.budgets(), core.ledger, core.workers, lostWork);
     fleet =
         new Fleet(
             clock,
@@ -51,7 +52,7 @@
             core.leadership,
             core.types,
             core.workers,
-            disruption,
+            disruptionGate,
             core.events);
     demand =
         new DemandView(
@@ -61,78 +62,78 @@
             clock,
             timers,
             settings,
-            operator.lanes(),
+            operatorSettings.lanes(),
             core.state,
             core.replica,
             core.leadership,
             core.ledger,
             core.workers,
-            disruption);
+            disruptionGate);
     calendars =
         new Calendars(
             clock,
             timers,
             settings,
-            operator.calendars(),
+            operatorSettings.calendars(),
             core.state,
             core.replica,
             core.leadership,
             core.ledger,
             core.events);
-    weights =
+    imageLocations =
         new ImageLocations(clock, timers, settings, core.state, core.leadership, core.workers);
     placer =
         new Placer(
             clock,
-            outside.timers(),
+            environment.timers(),
             settings,
             core.ledger,
             core.workers,
             core.estimates,
-            disruption,
+            disruptionGate,
             lanes,
             calendars,
             demand::roomForServices,
-            operator.beginWithinMs());
+            operatorSettings.beginWithinMs());
     lanes.wire(placer::nudge, placer::shelters);
-    departures = new ReclaimNoticeHandler(clock, disruption, core.estimates);
-    planning =
+    reclaimNoticeHandler = new ReclaimNoticeHandler(clock, disruptionGate, core.estimates);
+    autoscaler =
         new Autoscaler(
             clock,
             timers,
-            outside.background(),
-            outside.random(),
-            operator,
+            environment.background(),
+            environment.random(),
+            operatorSettings,
             core.leadership,
             core.state,
             core.replica,
             fleet,
             core.types,
             demand);
-    fleet.weigh(demand::waitingCpus, planning::soon);
+    fleet.weigh(demand::waitingCpus, autoscaler::soon);
     calendars.wire(
         () -> {
           placer.nudge();
-          planning.soon();
+          autoscaler.soon();
         },
         () -> core.types.bootS(null));
-    blame =
+    faultAttribution =
         new FaultAttribution(
             clock,
             timers,
             settings.workers().reportMs(),
             core.ledger,
             core.workers,
-            new FaultAttributionEvents(core.events, planning::soon));
+            new FaultAttributionEvents(core.events, autoscaler::soon));
   }
 
   @Override
   public void close() {
     lanes.close();
     calendars.close();
-    weights.close();
-    blame.close();
-    planning.close();
+    imageLocations.close();
+    faultAttribution.close();
+    autoscaler.close();
     fleet.close();
   }
 }
--- a/src/main/java/dapplestair/placement/DecisionRecorder.java
+++ b/src/main/java/dapplestair/placement/DecisionRecorder.java
@@ -25,7 +25,7 @@
 final class DecisionRecorder {
   private final Clock clock;
   private final Ledger ledger;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final RuntimeEstimates estimates;
   private final Calendars calendars;
   private final Map<String, List<Consumer<Explanation>>> asked = new LinkedHashMap<>();
@@ -35,13 +35,13 @@
   DecisionRecorder(
       Clock clock,
       Ledger ledger,
-      WorkerManager desk,
+      WorkerManager workers,
       RuntimeEstimates estimates,
       Calendars calendars) {
     this.calendars = calendars;
     this.clock = clock;
     this.ledger = ledger;
-    this.desk = desk;
+    this.workers = workers;
     this.estimates = estimates;
     gangRoom.defaultReturnValue(-1);
   }
@@ -86,7 +86,7 @@
     }
     Map<PlacementVerdict, Integer> machines = new EnumMap<>(PlacementVerdict.class);
     double free = -1;
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       PlacementVerdict verdict = filter.apply(job, host);
       machines.merge(verdict, 1, Integer::sum);
       if (verdict == PlacementVerdict.FULL) {
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -34,9 +34,9 @@
   private final Clock clock;
   private final Settings settings;
   private final Ledger ledger;
-  private final WorkerManager desk;
-  private final DisruptionGate disruption;
-  private final StarvationGuard bound;
+  private final WorkerManager workers;
+  private final DisruptionGate disruptionGate;
+  private final StarvationGuard starvationGuard;
   private final PlacementFilter filter;
 
   // Of this turn: teams' use beyond their guarantees, machines whose coming room is spoken for.
@@ -50,16 +50,16 @@
       Clock clock,
       Settings settings,
       Ledger ledger,
-      WorkerManager desk,
-      DisruptionGate disruption,
-      StarvationGuard bound,
+      WorkerManager workers,
+      DisruptionGate disruptionGate,
+      StarvationGuard starvationGuard,
       PlacementFilter filter) {
     this.clock = clock;
     this.settings = settings;
     this.ledger = ledger;
-    this.desk = desk;
-    this.disruption = disruption;
-    this.bound = bound;
+    this.workers = workers;
+    this.disruptionGate = disruptionGate;
+    this.starvationGuard = starvationGuard;
     this.filter = filter;
   }
 
@@ -80,7 +80,7 @@
         excess.put(team.name(), ledger.teamCpus(team.name()) - team.cpus());
       }
     }
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       for (Attempt attempt : host.attempts()) {
         if (!attempt.exited()) {
           if (lowest.above(attempt.spec().rank())) {
@@ -151,17 +151,17 @@
   private List<EvictionCandidate> offers(Job job, boolean fromBorrowers, Predicate<Host> where) {
     Submission submission = job.spec();
     List<EvictionCandidate> offers = new ArrayList<>();
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       if (!host.closed()
           && !spokenFor.contains(host)
           && !filter.keptFrom(job, host)
           && host.allowed(submission)
           && where.test(host)
-          && desk.fresh(host)
+          && workers.fresh(host)
           && ledger.zoneAllows(job, host.zone())) {
-        EvictionCandidate offer = offer(submission, host, fromBorrowers);
-        if (offer != null) {
-          offers.add(offer);
+        EvictionCandidate candidate = offer(submission, host, fromBorrowers);
+        if (candidate != null) {
+          offers.add(candidate);
         }
       }
     }
@@ -173,7 +173,7 @@
       excess.addTo(attempt.spec().team(), -attempt.spec().cpus());
     }
     // Rank and guarantee cannot wait (PROTOCOL, Preemption): debited, never refused.
-    disruption.must(
+    disruptionGate.must(
         attempt, attempt.spec().saves() ? 2 * attempt.spec().saveS() : 0, StopReason.ROOM_NEEDED);
   }
 
@@ -214,7 +214,7 @@
 
   private boolean mayStop(Submission submission, Attempt attempt, boolean fromBorrowers) {
     Submission other = attempt.spec();
-    if (!StarvationGuard.critical(submission) && bound.shelters(attempt)) {
+    if (!StarvationGuard.critical(submission) && starvationGuard.shelters(attempt)) {
       // It has waited for long: stopped at once, it would not have begun at all.
       return false;
     }
--- a/src/main/java/dapplestair/placement/PlacementFilter.java
+++ b/src/main/java/dapplestair/placement/PlacementFilter.java
@@ -21,7 +21,7 @@
 
   private final Clock clock;
   private final Ledger ledger;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final RuntimeEstimates estimates;
   private final SteadyCapacity steady;
   private final Reservations reservations;
@@ -33,7 +33,7 @@
       Clock clock,
       long reportMs,
       Ledger ledger,
-      WorkerManager desk,
+      WorkerManager workers,
       RuntimeEstimates estimates,
       SteadyCapacity steady,
       Reservations reservations,
@@ -41,7 +41,7 @@
     this.clock = clock;
     this.avoidedMs = AVOIDED_REPORTS * reportMs;
     this.ledger = ledger;
-    this.desk = desk;
+    this.workers = workers;
     this.estimates = estimates;
     this.steady = steady;
     this.reservations = reservations;
@@ -100,7 +100,9 @@
 
   /** The same for any machine, also those that a turn does not look at. */
   PlacementVerdict judgeAny(Job job, Host host) {
-    return !host.closed() && !desk.fresh(host) ? PlacementVerdict.SILENT : filter(job, host, true);
+    return !host.closed() && !workers.fresh(host)
+        ? PlacementVerdict.SILENT
+        : filter(job, host, true);
   }
 
   private static PlacementVerdict obstacle(Submission submission, Host host, boolean kept) {
--- a/src/main/java/dapplestair/placement/Placer.java
+++ b/src/main/java/dapplestair/placement/Placer.java
@@ -25,7 +25,7 @@
   private final Timers timers;
   private final Settings settings;
   private final Ledger ledger;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final RuntimeEstimates estimates;
   private final Ranking ranking;
   private final long pauseMs;
@@ -34,10 +34,10 @@
   private final Lanes lanes;
   private final Calendars calendars;
   private final SteadyCapacity steady = new SteadyCapacity();
-  private final StarvationGuard bound;
+  private final StarvationGuard starvationGuard;
   private final Reservations reservations;
   private final PlacementFilter filter;
-  private final EarliestFinishSelector earliest;
+  private final EarliestFinishSelector earliestFinish;
   private boolean awaitsImage;
   private boolean due;
   private DecisionRecorder recorder;
@@ -48,9 +48,9 @@
       Timers timers,
       Settings settings,
       Ledger ledger,
-      WorkerManager desk,
+      WorkerManager workers,
       RuntimeEstimates estimates,
-      DisruptionGate disruption,
+      DisruptionGate disruptionGate,
       Lanes lanes,
       Calendars calendars,
       DoubleSupplier roomForServices,
@@ -61,23 +61,24 @@
     this.timers = timers;
     this.settings = settings;
     this.ledger = ledger;
-    this.desk = desk;
+    this.workers = workers;
     this.estimates = estimates;
-    this.bound = new StarvationGuard(clock, ledger, beginWithinMs);
-    this.reservations = new Reservations(ledger, desk);
+    this.starvationGuard = new StarvationGuard(clock, ledger, beginWithinMs);
+    this.reservations = new Reservations(ledger, workers);
     this.filter =
         new PlacementFilter(
             clock,
             settings.workers().reportMs(),
             ledger,
-            desk,
+            workers,
             estimates,
             steady,
             reservations,
             lanes);
-    this.earliest =
+    this.earliestFinish =
         new EarliestFinishSelector(clock, ledger, estimates, steady, filter, reservations);
-    this.evictions = new Evictions(clock, settings, ledger, desk, disruption, bound, filter);
+    this.evictions =
+        new Evictions(clock, settings, ledger, workers, disruptionGate, starvationGuard, filter);
     this.calendars = calendars;
     this.ranking = new Ranking(clock, settings, ledger, estimates, calendars);
     this.pauseMs = settings.workers().reportMs() / 60;
@@ -107,7 +108,7 @@
     }
     boolean first = recorder == null;
     if (first) {
-      recorder = new DecisionRecorder(clock, ledger, desk, estimates, calendars);
+      recorder = new DecisionRecorder(clock, ledger, workers, estimates, calendars);
     }
     recorder.ask(ref, answer);
     if (first) {
@@ -142,8 +143,8 @@
     List<Host> usable = new ArrayList<>();
     double cpus = 0;
     steady.clear();
-    for (Host host : desk.hosts()) {
-      if (!host.closed() && desk.fresh(host)) {
+    for (Host host : workers.hosts()) {
+      if (!host.closed() && workers.fresh(host)) {
         cpus += host.type().cpus();
         if (host.cpusFree() >= least - 1e-9) {
           usable.add(host);
@@ -152,9 +153,9 @@
       }
     }
     filter.begin(roomForServices.getAsDouble());
-    earliest.begin();
+    earliestFinish.begin();
     evictions.begin();
-    reservations.begin(bound);
+    reservations.begin(starvationGuard);
     lanes.begin(usable);
     List<Job> others = placeAhead(waiting, usable);
     placeFirst(others, usable, cpus);
@@ -184,12 +185,12 @@
 
   /** True for an attempt that has waited for long before it ran: it is stopped last. */
   public boolean shelters(Attempt attempt) {
-    return bound.shelters(attempt);
+    return starvationGuard.shelters(attempt);
   }
 
   /** Who has waited for long begins before the others, with a few tasks (docs/known.md). */
   private void placeFirst(List<Job> waiting, List<Host> usable, double cpus) {
-    Map<Job, Integer> first = bound.first(waiting, cpus);
+    Map<Job, Integer> first = starvationGuard.first(waiting, cpus);
     List<Job> order = new ArrayList<>(first.keySet());
     // Machines may be kept for it: found before anything else is looked for.
     order.sort(Comparator.comparing(j -> !reservations.holds(j)));
@@ -261,7 +262,7 @@
     int waited = job.waiting();
     int step = job.nextFree(0);
     while (step >= 0 && waited - job.waiting() < most) {
-      Host best = earliest.best(job, usable, recorder != null);
+      Host best = earliestFinish.best(job, usable, recorder != null);
       if (best == null || !lanes.rides(job.spec()) && awaitsImage(job, best)) {
         break;
       }
--- a/src/main/java/dapplestair/placement/Ranking.java
+++ b/src/main/java/dapplestair/placement/Ranking.java
@@ -18,7 +18,7 @@
   private final Settings settings;
   private final Ledger ledger;
   private final RuntimeEstimates estimates;
-  private final ServiceObjectives promises;
+  private final ServiceObjectives objectives;
   private final Calendars calendars;
 
   Ranking(
@@ -32,7 +32,7 @@
     this.settings = settings;
     this.ledger = ledger;
     this.estimates = estimates;
-    this.promises = new ServiceObjectives(settings.objectives());
+    this.objectives = new ServiceObjectives(settings.objectives());
   }
 
   private record Ranked(Job job, int urgency, boolean borrows, int broken, double order) {}
@@ -70,12 +70,12 @@
     Submission submission = job.spec();
     double age = (clock.wall() - job.askedWall()) / 1000.0;
     double run = estimates.runS(submission);
-    int broken = promises.broken(submission, age, run);
+    int broken = objectives.broken(submission, age, run);
     double order;
-    if (promises.allBroken(submission, broken)) {
+    if (objectives.allBroken(submission, broken)) {
       // Nobody else's promise is at stake here, and the largest have to begin in time as well.
       order = ledger.served().isLarge(job) ? -LARGE_BEFORE_S - age : -age;
-    } else if (broken > 0 || promises.promised(submission)) {
+    } else if (broken > 0 || objectives.promised(submission)) {
       order = job.waiting() * submission.cpus() * Math.max(1, run);
     } else {
       order = (Double.isFinite(submission.dueS()) ? submission.dueS() : 10 * run + 60) - age - run;
--- a/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
+++ b/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
@@ -16,13 +16,14 @@
   private static final double SURELY_LATE = 1.5;
 
   private final Clock clock;
-  private final DisruptionGate disruption;
+  private final DisruptionGate disruptionGate;
   private final RuntimeEstimates estimates;
 
   /** Judges by these estimates. */
-  public ReclaimNoticeHandler(Clock clock, DisruptionGate disruption, RuntimeEstimates estimates) {
+  public ReclaimNoticeHandler(
+      Clock clock, DisruptionGate disruptionGate, RuntimeEstimates estimates) {
     this.clock = clock;
-    this.disruption = disruption;
+    this.disruptionGate = disruptionGate;
     this.estimates = estimates;
   }
 
@@ -38,7 +39,7 @@
           attempt.spec().service() ? noticeS : estimates.leftS(attempt, host, clock.now());
       double most = attempt.spec().saves() ? noticeS - saveS : SURELY_LATE * noticeS;
       if (left > most) {
-        disruption.must(attempt, Math.max(0, Math.min(2 * saveS, noticeS)), StopReason.NOTICE);
+        disruptionGate.must(attempt, Math.max(0, Math.min(2 * saveS, noticeS)), StopReason.NOTICE);
       }
     }
   }
--- a/src/main/java/dapplestair/placement/Reservations.java
+++ b/src/main/java/dapplestair/placement/Reservations.java
@@ -25,13 +25,13 @@
   private static final double SHARE = 0.25;
 
   private final Ledger ledger;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final Map<String, List<Host>> byJob = new LinkedHashMap<>();
   private final Map<Host, String> kept = new LinkedHashMap<>();
 
-  Reservations(Ledger ledger, WorkerManager desk) {
+  Reservations(Ledger ledger, WorkerManager workers) {
     this.ledger = ledger;
-    this.desk = desk;
+    this.workers = workers;
   }
 
   /** True when this machine is kept for another job, and this one has to look elsewhere. */
@@ -49,7 +49,7 @@
   }
 
   /** Gives up what is kept for jobs that need it no more, and machines that are of no use. */
-  void begin(StarvationGuard bound) {
+  void begin(StarvationGuard starvationGuard) {
     if (byJob.isEmpty()) {
       return;
     }
@@ -58,9 +58,11 @@
         .removeIf(
             ref -> {
               Job job = ledger.job(ref);
-              return job == null || bound.quota(job) == 0 || !ledger.teamAllows(job.spec());
+              return job == null
+                  || starvationGuard.quota(job) == 0
+                  || !ledger.teamAllows(job.spec());
             });
-    byJob.values().forEach(hosts -> hosts.removeIf(h -> h.closed() || !desk.fresh(h)));
+    byJob.values().forEach(hosts -> hosts.removeIf(h -> h.closed() || !workers.fresh(h)));
     byJob.values().removeIf(List::isEmpty);
     kept.clear();
     byJob.forEach((ref, hosts) -> hosts.forEach(h -> kept.put(h, ref)));
@@ -91,9 +93,9 @@
   private List<Host> choose(Job job, int tasks) {
     Submission submission = job.spec();
     TreeMap<String, List<Host>> zones = new TreeMap<>();
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       if (!host.closed()
-          && desk.fresh(host)
+          && workers.fresh(host)
           && !kept.containsKey(host)
           && host.allowed(submission)
           && ledger.zoneAllows(job, host.zone())
--- a/src/main/java/dapplestair/planning/Autoscaler.java
+++ b/src/main/java/dapplestair/planning/Autoscaler.java
@@ -44,7 +44,7 @@
   private final TermTimers timers;
   private final BackgroundExecutor background;
   private final UniformRandomProvider random;
-  private final OperatorSettings operator;
+  private final OperatorSettings operatorSettings;
   private final Leadership leadership;
   private final StateClient state;
   private final Replica replica;
@@ -69,7 +69,7 @@
       TermTimers timers,
       BackgroundExecutor background,
       UniformRandomProvider random,
-      OperatorSettings operator,
+      OperatorSettings operatorSettings,
       Leadership leadership,
       StateClient state,
       Replica replica,
@@ -80,7 +80,7 @@
     this.timers = timers;
     this.background = background;
     this.random = random;
-    this.operator = operator;
+    this.operatorSettings = operatorSettings;
     this.leadership = leadership;
     this.state = state;
     this.replica = replica;
@@ -121,8 +121,8 @@
   }
 
   /** Machines of a slot that are or will be of use. */
-  public int holding(MachineKind slot) {
-    return fleet.holding(slot);
+  public int holding(MachineKind kind) {
+    return fleet.holding(kind);
   }
 
   /** Begins. */
@@ -136,7 +136,7 @@
    * and not when its turn would be.
    */
   public void soon() {
-    long early = operator.planIntervalMs() / 10;
+    long early = operatorSettings.planIntervalMs() / 10;
     if (leadership.leading() && roundAt - clock.now() > early) {
       timer.cancel();
       roundIn(early);
@@ -165,12 +165,12 @@
   private void round() {
     if (!demand.ready() || !types.known()) {
       // Nothing can be planned yet: look again soon rather than a whole round later.
-      roundIn(operator.planIntervalMs() / 10);
+      roundIn(operatorSettings.planIntervalMs() / 10);
       return;
     }
-    roundIn(operator.planIntervalMs());
-    FleetProblem problem = demand.problem(operator);
-    Nsga2 search = new Nsga2(random, operator.population(), operator.evaluations());
+    roundIn(operatorSettings.planIntervalMs());
+    FleetProblem problem = demand.problem(operatorSettings);
+    Nsga2 search = new Nsga2(random, operatorSettings.population(), operatorSettings.evaluations());
     List<double[]> seeds = new ArrayList<>(List.of(problem.lower(), held(problem)));
     addShares(problem, seeds);
     double[] last = last(problem);
@@ -180,7 +180,7 @@
     int planned = generation;
     boolean only = extra;
     extra = false;
-    PlanChoice choice = new PlanChoice(operator, demand.pressure());
+    PlanChoice choice = new PlanChoice(operatorSettings, demand.pressure());
     background.compute(
         () -> best(search, problem, seeds, last, choice),
         chosen -> {
@@ -210,8 +210,8 @@
     double[] x = problem.lower();
     double[] upper = problem.upper();
     for (int i = 0; i < x.length; i++) {
-      FleetProblem.MachineKindState slot = problem.slots().get(i);
-      int wanted = plan.getOrDefault(new MachineKind(slot.type().name(), slot.spot()), 0);
+      FleetProblem.MachineKindState kind = problem.slots().get(i);
+      int wanted = plan.getOrDefault(new MachineKind(kind.type().name(), kind.spot()), 0);
       x[i] = Math.max(x[i], Math.min(upper[i], wanted));
     }
     return x;
@@ -273,20 +273,20 @@
    * waited for ever beside machines that stood idle in the others (ZoneBoundTest).
    */
   private void rentInZone(ZoneDemand.Shortage lack) {
-    int wanted = plan.getOrDefault(lack.slot(), 0) - fleet.holding(lack.slot());
+    int wanted = plan.getOrDefault(lack.kind(), 0) - fleet.holding(lack.kind());
     int most = lack.overdue() ? lack.machines() : Math.min(lack.machines(), wanted);
-    fleet.rentIn(lack.slot(), lack.zone(), most);
+    fleet.rentIn(lack.kind(), lack.zone(), most);
   }
 
-  private void steer(MachineKind slot, int planned, boolean extraRound) {
+  private void steer(MachineKind kind, int planned, boolean extraRound) {
     // Machines that are being replaced: the plan's counts stay as they are.
-    int want = Math.max(0, planned + beyond.applyAsInt(slot));
-    int have = fleet.holding(slot);
+    int want = Math.max(0, planned + beyond.applyAsInt(kind));
+    int have = fleet.holding(kind);
     if (want >= have) {
-      fewer.remove(slot);
-      fleet.cordon(slot, 0, zoneDemand::waitsFor);
+      fewer.remove(kind);
+      fleet.cordon(kind, 0, zoneDemand::waitsFor);
       if (want > have) {
-        fleet.rent(slot, want - have);
+        fleet.rent(kind, want - have);
       }
       return;
     }
@@ -294,12 +294,12 @@
       // Delayed return counts rounds at a steady interval.
       return;
     }
-    int rounds = fewer.merge(slot, 1, Integer::sum);
-    if (rounds >= operator.returnAfterRounds() / 2) {
-      fleet.cordon(slot, have - want, zoneDemand::waitsFor);
+    int rounds = fewer.merge(kind, 1, Integer::sum);
+    if (rounds >= operatorSettings.returnAfterRounds() / 2) {
+      fleet.cordon(kind, have - want, zoneDemand::waitsFor);
     }
-    if (rounds >= timeouts(slot)) {
-      List<Host> idle = fleet.returnable(slot);
+    if (rounds >= timeouts(kind)) {
+      List<Host> idle = fleet.returnable(kind);
       idle.stream().limit(have - want).forEach(fleet::release);
     }
   }
@@ -309,10 +309,11 @@
    * as the next one would take to boot, since until then keeping it costs less than what replaces
    * it.
    */
-  private int timeouts(MachineKind slot) {
-    double bootMs = 1000 * types.get(slot.type()).bootS();
+  private int timeouts(MachineKind kind) {
+    double bootMs = 1000 * types.get(kind.type()).bootS();
     return Math.max(
-        operator.returnAfterRounds(), (int) Math.ceil(bootMs / operator.planIntervalMs()));
+        operatorSettings.returnAfterRounds(),
+        (int) Math.ceil(bootMs / operatorSettings.planIntervalMs()));
   }
 
   /** The plan is one value in the state service, written when it changes. */
@@ -335,7 +336,7 @@
     state.commit(
         txn,
         Priority.BOOKKEEPING,
-        operator.planIntervalMs(),
+        operatorSettings.planIntervalMs(),
         outcome -> {
           if (written != generation) {
             return;
--- a/src/main/java/dapplestair/planning/CapacityFloors.java
+++ b/src/main/java/dapplestair/planning/CapacityFloors.java
@@ -131,35 +131,35 @@
       double need = submission.cpus() * job.waiting();
       boolean zones = submission.together() && submission.zone() == null;
       for (int i = 0; i < out.size() && need > 0; i++) {
-        MachineKindState slot = out.get(i);
-        if (slot.type().suits(submission) && (submission.spot() || !slot.spot())) {
+        MachineKindState kind = out.get(i);
+        if (kind.type().suits(submission) && (submission.spot() || !kind.spot())) {
           double perMachine =
-              Math.floor(slot.type().cpus() / submission.cpus()) * submission.cpus();
+              Math.floor(kind.type().cpus() / submission.cpus()) * submission.cpus();
           int want = (int) Math.ceil(need / perMachine);
-          want *= zones ? Math.max(1, slot.type().zones().size()) : 1;
+          want *= zones ? Math.max(1, kind.type().zones().size()) : 1;
           // Beside what is busy: a gang needs its room all at once.
-          int least = Math.max(slot.least(), Math.min(slot.most(), slot.least() + want));
-          out.set(i, withLeast(slot, least));
-          need -= (least - slot.least()) * perMachine / (zones ? slot.type().zones().size() : 1);
+          int least = Math.max(kind.least(), Math.min(kind.most(), kind.least() + want));
+          out.set(i, withLeast(kind, least));
+          need -= (least - kind.least()) * perMachine / (zones ? kind.type().zones().size() : 1);
         }
       }
     }
     return out;
   }
 
-  private static MachineKindState withLeast(MachineKindState slot, int least) {
+  private static MachineKindState withLeast(MachineKindState kind, int least) {
     return new MachineKindState(
-        slot.type(),
-        slot.spot(),
+        kind.type(),
+        kind.spot(),
         least,
-        slot.most(),
-        slot.held(),
-        slot.up(),
-        slot.price(),
-        slot.takeBack());
+        kind.most(),
+        kind.held(),
+        kind.up(),
+        kind.price(),
+        kind.takeBack());
   }
 
-  static double perCpu(MachineKindState slot) {
-    return slot.price() / slot.type().cpus();
+  static double perCpu(MachineKindState kind) {
+    return kind.price() / kind.type().cpus();
   }
 }
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -28,11 +28,11 @@
 
   private final Clock clock;
   private final Ledger ledger;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final Fleet fleet;
   private final MachineTypes types;
   private final RuntimeEstimates estimates;
-  private final ArrivalForecast arrivals;
+  private final ArrivalForecast arrivalForecast;
   private final CapacityFloors floors;
   private final long windowMs;
 
@@ -41,29 +41,29 @@
       Clock clock,
       Settings settings,
       Ledger ledger,
-      WorkerManager desk,
+      WorkerManager workers,
       Fleet fleet,
       MachineTypes types,
       RuntimeEstimates estimates) {
     this.clock = clock;
     this.ledger = ledger;
-    this.desk = desk;
+    this.workers = workers;
     this.fleet = fleet;
     this.types = types;
     this.estimates = estimates;
     this.windowMs = 20 * settings.workers().reportMs();
-    this.arrivals = new ArrivalForecast(2 * windowMs);
+    this.arrivalForecast = new ArrivalForecast(2 * windowMs);
     this.floors = new CapacityFloors(clock, ledger);
   }
 
   /** What waits for room in one zone alone. */
   ZoneDemand inOneZone() {
-    return new ZoneDemand(clock, ledger, desk, fleet, types);
+    return new ZoneDemand(clock, ledger, workers, fleet, types);
   }
 
   /** A job was accepted just now. */
   public void arrived(Submission submission) {
-    arrivals.arrived(submission, clock.now());
+    arrivalForecast.arrived(submission, clock.now());
   }
 
   /** CPUs that services are expected to ask for while a machine boots, and one replica more. */
@@ -72,7 +72,7 @@
         Math.round(1000 * types.all().stream().mapToDouble(MachineType::bootS).max().orElse(0));
     double sum = 0;
     double largest = 0;
-    for (Submission submission : arrivals.expected(clock.now(), bootMs)) {
+    for (Submission submission : arrivalForecast.expected(clock.now(), bootMs)) {
       if (submission.service()) {
         sum += submission.cpus() * submission.steps();
         largest = Math.max(largest, submission.cpus());
@@ -94,7 +94,7 @@
       }
     }
     double held = 0;
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       held += host.type() == null ? 0 : host.type().cpus();
     }
     return held == 0 ? 1 : waiting / held;
@@ -105,7 +105,7 @@
    * rented for it, except where there is none at all, and for a gang, of which no task alone tells.
    */
   private int wanted(Job job) {
-    boolean onWhatThereIs = job.suspected() && !job.spec().gang() && !desk.hosts().isEmpty();
+    boolean onWhatThereIs = job.suspected() && !job.spec().gang() && !workers.hosts().isEmpty();
     return onWhatThereIs ? 0 : job.wanted(clock.now());
   }
 
@@ -123,10 +123,10 @@
     return ledger.armed();
   }
 
-  FleetProblem problem(OperatorSettings operator) {
+  FleetProblem problem(OperatorSettings operatorSettings) {
     List<MachineType> kinds = List.copyOf(types.all());
     double longestBootS = kinds.stream().mapToDouble(MachineType::bootS).max().orElse(0);
-    List<Submission> soon = arrivals.expected(clock.now(), Math.round(longestBootS * 1000));
+    List<Submission> soon = arrivalForecast.expected(clock.now(), Math.round(longestBootS * 1000));
     double laneCpus = laneCpus(soon);
     double need = needCpus(soon);
     List<MachineKindState> slots = new ArrayList<>();
@@ -136,7 +136,7 @@
     }
     slots = floors.forGangs(floors.forServices(slots, soon), windowMs / 4);
     List<DryTasks> tasks = tasks(slots, soon, laneCpus, longestBootS);
-    return new FleetProblem(slots, tasks, laneCpus, budget(operator, slots, soon));
+    return new FleetProblem(slots, tasks, laneCpus, budget(operatorSettings, slots, soon));
   }
 
   /** Half of a typical task: fine enough to pack, coarse enough to be quick. */
@@ -152,14 +152,14 @@
   }
 
   private MachineKindState slot(MachineType type, boolean spot, double laneCpus, double needCpus) {
-    MachineKind slot = new MachineKind(type.name(), spot);
+    MachineKind kind = new MachineKind(type.name(), spot);
     List<Host> up = new ArrayList<>();
     List<double[]> lanes = new ArrayList<>();
     int perMachine = Math.max(1, (int) Math.floor(type.cpus() / laneCpus + 1e-9));
     List<Double> booting = new ArrayList<>();
     int busy = 0;
-    for (Host host : desk.hosts()) {
-      if (!fleet.counts(host, slot)) {
+    for (Host host : workers.hosts()) {
+      if (!fleet.counts(host, kind)) {
         continue;
       }
       if (host.up()) {
@@ -200,7 +200,7 @@
     // All that waits may be rented for at once: a bound that grows with what is held would take
     // many rounds from nothing.
     int forAll = (int) Math.ceil(needCpus / type.cpus() / Math.max(1, type.zones().size()));
-    int most = Math.max(busy, fleet.capacity(slot, Math.max(2, forAll)));
+    int most = Math.max(busy, fleet.capacity(kind, Math.max(2, forAll)));
     return new MachineKindState(
         type,
         spot,
@@ -209,12 +209,12 @@
         new HeldTaskSlots(lanes, horizon),
         up.size(),
         fleet.market().price(type, spot),
-        fleet.market().takeBackChance(slot, windowMs, WINDOWS));
+        fleet.market().takeBackChance(kind, windowMs, WINDOWS));
   }
 
   /** What is silent and waited for is expected back after as long again as it has been so. */
   private double backS(Host host) {
-    return host.zoneSilentMs() > 0 || host.hanging() ? desk.silentMs(host) / 1000.0 : 0;
+    return host.zoneSilentMs() > 0 || host.hanging() ? workers.silentMs(host) / 1000.0 : 0;
   }
 
   /** When each lane of a machine is free, from now. */
@@ -282,9 +282,9 @@
 
   /** The operators' budget, or a ratio to what all present work costs where it is cheapest. */
   private double budget(
-      OperatorSettings operator, List<MachineKindState> slots, List<Submission> soon) {
-    if (operator.budgetPerHour() > 0) {
-      return operator.budgetPerHour();
+      OperatorSettings operatorSettings, List<MachineKindState> slots, List<Submission> soon) {
+    if (operatorSettings.budgetPerHour() > 0) {
+      return operatorSettings.budgetPerHour();
     }
     double floor = slots.stream().mapToDouble(s -> s.least() * s.price()).sum();
     double demand = 0;
@@ -297,7 +297,7 @@
       demand += cheapest(slots, s) * s.cpus() * s.steps();
     }
     double oneMore = slots.stream().mapToDouble(MachineKindState::price).max().orElse(0);
-    return Math.max(operator.budgetRatio() * demand, floor + oneMore);
+    return Math.max(operatorSettings.budgetRatio() * demand, floor + oneMore);
   }
 
   private static double cheapest(List<MachineKindState> slots, Submission job) {
--- a/src/main/java/dapplestair/planning/DryRunEntries.java
+++ b/src/main/java/dapplestair/planning/DryRunEntries.java
@@ -106,8 +106,8 @@
     Submission submission = of.first;
     boolean[] allowed = new boolean[slots.size()];
     for (int i = 0; i < allowed.length; i++) {
-      MachineKindState slot = slots.get(i);
-      allowed[i] = slot.type().suits(submission) && (submission.spot() || !slot.spot());
+      MachineKindState kind = slots.get(i);
+      allowed[i] = kind.type().suits(submission) && (submission.spot() || !kind.spot());
     }
     return new DryTasks(
         // Many small jobs alike do not outvote the large ones.
--- a/src/main/java/dapplestair/planning/FleetProblem.java
+++ b/src/main/java/dapplestair/planning/FleetProblem.java
@@ -97,11 +97,11 @@
     Arrays.setAll(order, i -> i);
     Arrays.sort(order, Comparator.comparingDouble(i -> CapacityFloors.perCpu(slots.get(i))));
     for (int i : order) {
-      MachineKindState slot = slots.get(i);
-      double more = Math.min(slot.most() - x[i], Math.ceil(need / slot.type().cpus()));
+      MachineKindState kind = slots.get(i);
+      double more = Math.min(kind.most() - x[i], Math.ceil(need / kind.type().cpus()));
       if (more > 0) {
         x[i] += more;
-        need -= more * slot.type().cpus();
+        need -= more * kind.type().cpus();
       }
     }
     return x;
@@ -119,11 +119,11 @@
     double risk = 0;
     int machines = 0;
     for (int i = 0; i < n.length; i++) {
-      MachineKindState slot = slots.get(i);
+      MachineKindState kind = slots.get(i);
       machines += n[i];
-      spend += n[i] * slot.price();
-      if (slot.spot()) {
-        risk += n[i] * slot.type().cpus() * slot.takeBack();
+      spend += n[i] * kind.price();
+      if (kind.spot()) {
+        risk += n[i] * kind.type().cpus() * kind.takeBack();
       }
     }
     if (machines == 0 || spend > budget) {
@@ -142,9 +142,9 @@
   double makespan(int[] n) {
     FreeTaskSlots[] free = new FreeTaskSlots[n.length];
     for (int i = 0; i < n.length; i++) {
-      MachineKindState slot = slots.get(i);
-      int perMachine = Math.max(1, (int) Math.floor(slot.type().cpus() / laneCpus + 1e-9));
-      free[i] = slot.held().free(n[i], perMachine, slot.type().bootS());
+      MachineKindState kind = slots.get(i);
+      int perMachine = Math.max(1, (int) Math.floor(kind.type().cpus() / laneCpus + 1e-9));
+      free[i] = kind.held().free(n[i], perMachine, kind.type().bootS());
     }
     double sum = 0;
     int jobs = 0;
@@ -188,7 +188,7 @@
     return dryTasks.jobs() == 1 ? longest : sum / dryTasks.count();
   }
 
-  private static double fetchS(DryTasks dryTasks, MachineKindState slot, double start) {
-    return start > 0 || slot.up() == 0 ? dryTasks.fetchGb() / slot.type().fetchGbPerS() : 0;
+  private static double fetchS(DryTasks dryTasks, MachineKindState kind, double start) {
+    return start > 0 || kind.up() == 0 ? dryTasks.fetchGb() / kind.type().fetchGbPerS() : 0;
   }
 }
--- a/src/main/java/dapplestair/planning/PlanChoice.java
+++ b/src/main/java/dapplestair/planning/PlanChoice.java
@@ -25,12 +25,12 @@
    *
    * @param pressure work that waits for long over what the fleet holds
    */
-  PlanChoice(OperatorSettings operator, double pressure) {
+  PlanChoice(OperatorSettings operatorSettings, double pressure) {
     weights =
         new double[] {
-          operator.makespanWeight() * (1 + 2 * Math.min(MOST_PRESSURE, pressure)),
-          operator.spendWeight(),
-          operator.riskWeight()
+          operatorSettings.makespanWeight() * (1 + 2 * Math.min(MOST_PRESSURE, pressure)),
+          operatorSettings.spendWeight(),
+          operatorSettings.riskWeight()
         };
   }
 
--- a/src/main/java/dapplestair/planning/ZoneDemand.java
+++ b/src/main/java/dapplestair/planning/ZoneDemand.java
@@ -29,7 +29,7 @@
    *
    * @param overdue the job has lacked them for longer than one boots
    */
-  record Shortage(MachineKind slot, String zone, int machines, boolean overdue) {}
+  record Shortage(MachineKind kind, String zone, int machines, boolean overdue) {}
 
   /** What a machine that is up, booting or being rented still has for the jobs looked at. */
   private static final class FreeCapacity {
@@ -82,16 +82,16 @@
 
   private final Clock clock;
   private final Ledger ledger;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final Fleet fleet;
   private final MachineTypes types;
   private final Map<String, Long> lackingSince = new HashMap<>();
   private final Set<String> waitedFor = new HashSet<>();
 
-  ZoneDemand(Clock clock, Ledger ledger, WorkerManager desk, Fleet fleet, MachineTypes types) {
+  ZoneDemand(Clock clock, Ledger ledger, WorkerManager workers, Fleet fleet, MachineTypes types) {
     this.clock = clock;
     this.ledger = ledger;
-    this.desk = desk;
+    this.workers = workers;
     this.fleet = fleet;
     this.types = types;
   }
@@ -109,13 +109,13 @@
       }
       waitedFor.add(job.spec().zone());
       rooms = rooms == null ? rooms() : rooms;
-      for (FreeCapacity room : rooms) {
-        tasks -= room.take(job.spec(), tasks);
+      for (FreeCapacity freeCapacity : rooms) {
+        tasks -= freeCapacity.take(job.spec(), tasks);
       }
-      MachineKind slot = tasks > 0 ? cheapest(job.spec()) : null;
-      if (slot != null) {
+      MachineKind kind = tasks > 0 ? cheapest(job.spec()) : null;
+      if (kind != null) {
         lacking.add(job.spec().ref());
-        out.add(shortage(job.spec(), slot, tasks, rooms));
+        out.add(shortage(job.spec(), kind, tasks, rooms));
       }
     }
     lackingSince.keySet().retainAll(lacking);
@@ -142,7 +142,7 @@
 
   private List<FreeCapacity> rooms() {
     List<FreeCapacity> out = new ArrayList<>();
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       boolean ofUse =
           host.type() != null
               && fleet.counts(host, new MachineKind(host.type().name(), host.spot()));
@@ -169,11 +169,11 @@
     double least = Double.POSITIVE_INFINITY;
     for (MachineType type : types.all()) {
       for (boolean spot : new boolean[] {true, false}) {
-        MachineKind slot = new MachineKind(type.name(), spot);
+        MachineKind kind = new MachineKind(type.name(), spot);
         double perCpu = fleet.market().price(type, spot) / type.cpus();
         boolean allowed = type.suits(submission) && (submission.spot() || !spot);
-        if (allowed && perCpu < least && fleet.mayRentIn(slot, submission.zone())) {
-          best = slot;
+        if (allowed && perCpu < least && fleet.mayRentIn(kind, submission.zone())) {
+          best = kind;
           least = perCpu;
         }
       }
@@ -183,16 +183,16 @@
 
   /** What machines would do for so many tasks; they are room for the jobs looked at next. */
   private Shortage shortage(
-      Submission submission, MachineKind slot, int tasks, List<FreeCapacity> rooms) {
-    MachineType type = types.get(slot.type());
+      Submission submission, MachineKind kind, int tasks, List<FreeCapacity> rooms) {
+    MachineType type = types.get(kind.type());
     int machines = 0;
     for (int left = tasks; left > 0; machines++) {
-      FreeCapacity room = FreeCapacity.empty(submission.zone(), type, slot.spot());
-      left -= Math.max(1, room.take(submission, left));
-      rooms.add(room);
+      FreeCapacity freeCapacity = FreeCapacity.empty(submission.zone(), type, kind.spot());
+      left -= Math.max(1, freeCapacity.take(submission, left));
+      rooms.add(freeCapacity);
     }
     long since = lackingSince.computeIfAbsent(submission.ref(), r -> clock.now());
     boolean overdue = clock.now() - since > 1000 * type.bootS();
-    return new Shortage(slot, submission.zone(), machines, overdue);
+    return new Shortage(kind, submission.zone(), machines, overdue);
   }
 }
--- a/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
+++ b/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
@@ -40,9 +40,9 @@
   private final MachineTypes types;
   private final Drains drains;
   private final Events events;
-  private final ReplacementTargets machines;
+  private final ReplacementTargets targets;
   private final StepHealthCheck healthCheck;
-  private final SurgeCapacity room;
+  private final SurgeCapacity surgeCapacity;
   private final Map<String, ReplacementState> orders;
   private final ToIntFunction<MachineKind> extra;
   private final Runnable changed;
@@ -58,9 +58,9 @@
       MachineTypes types,
       Drains drains,
       Events events,
-      ReplacementTargets machines,
+      ReplacementTargets targets,
       StepHealthCheck healthCheck,
-      SurgeCapacity room,
+      SurgeCapacity surgeCapacity,
       Map<String, ReplacementState> orders,
       ToIntFunction<MachineKind> extra,
       Runnable changed) {
@@ -71,9 +71,9 @@
     this.types = types;
     this.drains = drains;
     this.events = events;
-    this.machines = machines;
+    this.targets = targets;
     this.healthCheck = healthCheck;
-    this.room = room;
+    this.surgeCapacity = surgeCapacity;
     this.orders = orders;
     this.extra = extra;
     this.changed = changed;
@@ -86,28 +86,28 @@
   }
 
   /** Carries an order on as far as it can go now; nothing of it may be under way. */
-  void look(ReplacementState running, boolean lagging) {
+  void look(ReplacementState replacement, boolean lagging) {
     lags = lagging;
-    if (running.progress.paused() != null) {
-      resumeIfWell(running);
+    if (replacement.progress.paused() != null) {
+      resumeIfWell(replacement);
       return;
     }
-    if (running.progress.phase() == Phase.DONE) {
+    if (replacement.progress.phase() == Phase.DONE) {
       return;
     }
     String wrong = healthCheck.outside(lagging);
     String fault =
         wrong == null
-            ? healthCheck.newMachines(running.order, running.progress.judgedWall())
+            ? healthCheck.newMachines(replacement.order, replacement.progress.judgedWall())
             : null;
     if (wrong != null || fault != null) {
-      pause(running, wrong != null ? wrong : fault, fault != null);
+      pause(replacement, wrong != null ? wrong : fault, fault != null);
       return;
     }
-    switch (running.progress.phase()) {
-      case CHOOSE -> choose(running);
-      case RAISE -> raise(running);
-      case EMPTY -> empty(running);
+    switch (replacement.progress.phase()) {
+      case CHOOSE -> choose(replacement);
+      case RAISE -> raise(replacement);
+      case EMPTY -> empty(replacement);
       default -> {}
     }
   }
@@ -117,103 +117,104 @@
    * list can tell: what is there no more is not concluded before lists have had the time.
    */
   private boolean knowsAll() {
-    return clock.now() - leadingSince > room.longestListLag();
+    return clock.now() - leadingSince > surgeCapacity.longestListLag();
   }
 
-  private void choose(ReplacementState running) {
+  private void choose(ReplacementState replacement) {
     if (!knowsAll()) {
       return;
     }
-    List<Host> old = machines.old(running.order);
+    List<Host> old = targets.old(replacement.order);
     if (old.isEmpty()) {
-      write(running, running.progress.done(clock.wall()));
+      write(replacement, replacement.progress.done(clock.wall()));
       return;
     }
-    int most = Math.min(MOST_AT_ONCE, running.order.step());
-    Set<String> taken = taken(running);
-    Set<String> batch = machines.next(old, taken, running.progress.batch(), most);
+    int most = Math.min(MOST_AT_ONCE, replacement.order.step());
+    Set<String> taken = taken(replacement);
+    Set<String> batch = targets.next(old, taken, replacement.progress.batch(), most);
     if (batch.isEmpty()) {
       return;
     }
-    List<Host> hosts = machines.left(batch);
-    int beyond = room.affords(ReplacementTargets.bySlot(hosts), running.order.beyond());
+    List<Host> hosts = targets.left(batch);
+    int beyond =
+        surgeCapacity.affords(ReplacementTargets.bySlot(hosts), replacement.order.beyond());
     Phase phase = beyond > 0 ? Phase.RAISE : Phase.EMPTY;
-    ReplacementProgress next = running.progress.step(phase, batch, beyond, clock.wall());
-    if (running.order.beyond() > 0 && beyond == 0) {
+    ReplacementProgress next = replacement.progress.step(phase, batch, beyond, clock.wall());
+    if (replacement.order.beyond() > 0 && beyond == 0) {
       next = next.remark("the plan's budget pays for no machine beyond: none beyond in this step");
     }
-    write(running, next);
+    write(replacement, next);
   }
 
   /** Machines of the steps of other orders. */
-  private Set<String> taken(ReplacementState running) {
+  private Set<String> taken(ReplacementState replacement) {
     Set<String> taken = new HashSet<>();
     orders.values().stream()
-        .filter(o -> o != running && o.progress.phase() != Phase.DONE)
+        .filter(o -> o != replacement && o.progress.phase() != Phase.DONE)
         .forEach(o -> taken.addAll(o.progress.batch()));
     return taken;
   }
 
   /** Waits for new machines; without any to have it goes on machine by machine. */
-  private void raise(ReplacementState running) {
-    List<Host> left = machines.left(running.progress.batch());
-    if (left.isEmpty() || room.ready(ReplacementTargets.bySlot(left), extra)) {
-      write(running, running.progress.in(Phase.EMPTY, clock.wall()));
+  private void raise(ReplacementState replacement) {
+    List<Host> left = targets.left(replacement.progress.batch());
+    if (left.isEmpty() || surgeCapacity.ready(ReplacementTargets.bySlot(left), extra)) {
+      write(replacement, replacement.progress.in(Phase.EMPTY, clock.wall()));
       return;
     }
-    long since = clock.wall() - running.progress.stepWall();
+    long since = clock.wall() - replacement.progress.stepWall();
     double bootS = left.stream().mapToDouble(h -> types.bootS(h.type())).max().orElse(60);
     if (since < BOOT_OVERDUE * 1000 * bootS) {
       return;
     }
-    List<Host> fresh = machines.fresh(running.order, running.progress.judgedWall());
+    List<Host> fresh = targets.fresh(replacement.order, replacement.progress.judgedWall());
     int up = (int) fresh.stream().filter(Host::up).count();
     if (up == 0 && !fresh.isEmpty()) {
       // They are there, and not one of them boots: that is their fault, not the cloud's.
       if (since > 2 * BOOT_OVERDUE * 1000 * bootS) {
-        pause(running, "new machines do not come up", true);
+        pause(replacement, "new machines do not come up", true);
       }
       return;
     }
-    Set<String> fewer = machines.next(left, Set.of(), Set.of(), Math.max(1, up));
+    Set<String> fewer = targets.next(left, Set.of(), Set.of(), Math.max(1, up));
     if (!fewer.isEmpty()) {
       String why =
           "the cloud gave %d machines beyond for %d: %d at a time"
               .formatted(up, left.size(), fewer.size());
-      write(running, running.progress.only(fewer, clock.wall(), why));
+      write(replacement, replacement.progress.only(fewer, clock.wall(), why));
     }
   }
 
-  private void empty(ReplacementState running) {
-    List<Host> left = machines.left(running.progress.batch());
+  private void empty(ReplacementState replacement) {
+    List<Host> left = targets.left(replacement.progress.batch());
     if (!left.isEmpty() || !knowsAll()) {
-      running.emptiedAt = 0;
-      remarkIfStuck(running, left);
+      replacement.emptiedAt = 0;
+      remarkIfStuck(replacement, left);
       return;
     }
     long now = clock.now();
-    if (running.emptiedAt == 0) {
-      running.emptiedAt = now;
-      running.cramped = false;
-      running.badSince = 0;
-      running.passed.clear();
+    if (replacement.emptiedAt == 0) {
+      replacement.emptiedAt = now;
+      replacement.cramped = false;
+      replacement.badSince = 0;
+      replacement.passed.clear();
     }
-    if (now - running.emptiedAt < 1000 * running.order.watchS()) {
+    if (now - replacement.emptiedAt < 1000 * replacement.order.watchS()) {
       return;
     }
     String out = healthCheck.replicasOut();
     if (out == null) {
-      choose(running);
-    } else if (now - running.emptiedAt
-        > 1000 * running.order.watchS() + settings.workers().leaseMs()) {
-      pause(running, out, false);
+      choose(replacement);
+    } else if (now - replacement.emptiedAt
+        > 1000 * replacement.order.watchS() + settings.workers().leaseMs()) {
+      pause(replacement, out, false);
     }
   }
 
   /**
    * What stands still for longer than a lease says why, on record; seldom enough to cost little.
    */
-  private void remarkIfStuck(ReplacementState running, List<Host> left) {
+  private void remarkIfStuck(ReplacementState replacement, List<Host> left) {
     long now = clock.now();
     String why = null;
     for (Host h : left) {
@@ -224,51 +225,58 @@
       }
     }
     if (why == null) {
-      running.badSince = 0;
+      replacement.badSince = 0;
       return;
     }
     boolean noRoom = left.stream().anyMatch(h -> drains.progress(h).noPlace());
-    if (running.badSince == 0) {
-      running.badSince = now;
+    if (replacement.badSince == 0) {
+      replacement.badSince = now;
     }
-    running.cramped |= noRoom && now - running.badSince > settings.workers().reportMs();
-    swapIfCramped(running, left, now);
-    if (running.writing) {
+    replacement.cramped |= noRoom && now - replacement.badSince > settings.workers().reportMs();
+    swapIfCramped(replacement, left, now);
+    if (replacement.writing) {
       return;
     }
-    if (noRoom && left.size() > 1 && now - running.badSince > 2 * settings.workers().reportMs()) {
+    if (noRoom
+        && left.size() > 1
+        && now - replacement.badSince > 2 * settings.workers().reportMs()) {
       // The others go back into use, and their room with them.
-      String only = machines.next(left, Set.of(), Set.of(), 1).stream().findFirst().orElse(null);
+      String only = targets.next(left, Set.of(), Set.of(), 1).stream().findFirst().orElse(null);
       if (only != null) {
-        running.badSince = 0;
+        replacement.badSince = 0;
         String said = "no room for what runs on " + left.size() + " machines: one by one";
-        write(running, running.progress.only(Set.of(only), running.progress.stepWall(), said));
+        write(
+            replacement,
+            replacement.progress.only(Set.of(only), replacement.progress.stepWall(), said));
       }
-    } else if (now - running.badSince > settings.workers().leaseMs() && !why.equals(running.bad)) {
-      running.bad = why;
-      running.badSince = now;
-      write(running, running.progress.remark(why));
+    } else if (now - replacement.badSince > settings.workers().leaseMs()
+        && !why.equals(replacement.bad)) {
+      replacement.bad = why;
+      replacement.badSince = now;
+      write(replacement, replacement.progress.remark(why));
     }
   }
 
   /**
    * Once for each time that a machine may take to come: an empty one for one where it is needed.
    */
-  private void swapIfCramped(ReplacementState running, List<Host> left, long now) {
-    if (!running.cramped) {
-      running.swappedAt = 0;
+  private void swapIfCramped(ReplacementState replacement, List<Host> left, long now) {
+    if (!replacement.cramped) {
+      replacement.swappedAt = 0;
       return;
     }
     Host stuck = left.get(0);
-    if (running.swappedAt == 0) {
-      running.swappedAt = now;
-    } else if (now - running.swappedAt > BOOT_OVERDUE * 1000 * types.bootS(stuck.type())) {
-      if (room.swap(stuck)) {
+    if (replacement.swappedAt == 0) {
+      replacement.swappedAt = now;
+    } else if (now - replacement.swappedAt > BOOT_OVERDUE * 1000 * types.bootS(stuck.type())) {
+      if (surgeCapacity.swap(stuck)) {
         LOG.info(
-            "replacement {}: an empty machine is given for one in {}", running.name, stuck.zone());
-        running.swappedAt = now;
+            "replacement {}: an empty machine is given for one in {}",
+            replacement.name,
+            stuck.zone());
+        replacement.swappedAt = now;
       } else if (left.size() == 1) {
-        passOver(running, stuck);
+        passOver(replacement, stuck);
       }
     }
   }
@@ -278,60 +286,63 @@
    * here forbid: another old one goes first, whose replicas may take that room and what is free
    * here. Without this an order for a full fleet stood still for ever (ReplacementTest).
    */
-  private void passOver(ReplacementState running, Host stuck) {
-    Set<String> taken = taken(running);
-    running.passed.add(stuck.id());
-    taken.addAll(running.passed);
-    Set<String> other = machines.next(machines.old(running.order), taken, Set.of(), 1);
+  private void passOver(ReplacementState replacement, Host stuck) {
+    Set<String> taken = taken(replacement);
+    replacement.passed.add(stuck.id());
+    taken.addAll(replacement.passed);
+    Set<String> other = targets.next(targets.old(replacement.order), taken, Set.of(), 1);
     if (other.isEmpty()) {
       // All have had their turn: they have another one.
-      running.passed.clear();
+      replacement.passed.clear();
       return;
     }
-    running.cramped = false;
-    running.swappedAt = 0;
-    running.badSince = 0;
+    replacement.cramped = false;
+    replacement.swappedAt = 0;
+    replacement.badSince = 0;
     String said = "no room for what is left on " + stuck.id() + ": another one first";
-    write(running, running.progress.only(other, clock.wall(), said));
+    write(replacement, replacement.progress.only(other, clock.wall(), said));
   }
 
-  private void pause(ReplacementState running, String why, boolean untilTold) {
-    LOG.info("replacement {} pauses: {}", running.name, why);
-    write(running, running.progress.pause(why, untilTold), () -> note(running.name, "paused", why));
+  private void pause(ReplacementState replacement, String why, boolean untilTold) {
+    LOG.info("replacement {} pauses: {}", replacement.name, why);
+    write(
+        replacement,
+        replacement.progress.pause(why, untilTold),
+        () -> note(replacement.name, "paused", why));
   }
 
-  private void resumeIfWell(ReplacementState running) {
+  private void resumeIfWell(ReplacementState replacement) {
     boolean well =
-        !running.progress.byWord()
+        !replacement.progress.byWord()
             && healthCheck.outside(lags) == null
             && healthCheck.replicasOut() == null;
     if (!well) {
-      running.goodSince = 0;
-    } else if (running.goodSince == 0) {
-      running.goodSince = clock.now();
-    } else if (clock.now() - running.goodSince > 2 * settings.workers().reportMs()) {
+      replacement.goodSince = 0;
+    } else if (replacement.goodSince == 0) {
+      replacement.goodSince = clock.now();
+    } else if (clock.now() - replacement.goodSince > 2 * settings.workers().reportMs()) {
       write(
-          running,
-          running.progress.resume(clock.wall()),
-          () -> note(running.name, "resumed", null));
+          replacement,
+          replacement.progress.resume(clock.wall()),
+          () -> note(replacement.name, "resumed", null));
     }
   }
 
-  private void write(ReplacementState running, ReplacementProgress next) {
-    write(running, next, () -> {});
+  private void write(ReplacementState replacement, ReplacementProgress next) {
+    write(replacement, next, () -> {});
   }
 
   /** On record first; nothing of it is done before. */
-  private void write(ReplacementState running, ReplacementProgress next, Runnable then) {
-    running.writing = true;
-    String key = StateKeys.REPLACE + running.name;
+  private void write(ReplacementState replacement, ReplacementProgress next, Runnable then) {
+    replacement.writing = true;
+    String key = StateKeys.REPLACE + replacement.name;
     writer.put(
         key,
-        running.stamp,
-        running.record(next),
+        replacement.stamp,
+        replacement.record(next),
         Priority.BOOKKEEPING,
         outcome -> {
-          ReplacementState now = orders.get(running.name);
+          ReplacementState now = orders.get(replacement.name);
           if (now != null) {
             now.writing = false;
           }
@@ -342,7 +353,7 @@
             }
             changed.run();
             note(
-                running.name,
+                replacement.name,
                 next.phase().name().toLowerCase(java.util.Locale.ROOT),
                 next.remark());
             then.run();
--- a/src/main/java/dapplestair/replacement/ReplacementTargets.java
+++ b/src/main/java/dapplestair/replacement/ReplacementTargets.java
@@ -18,13 +18,13 @@
 /** Which machines an order is about. Old from new is told by the record of a machine's rental. */
 final class ReplacementTargets {
   private final Clock clock;
-  private final WorkerManager desk;
-  private final DisruptionGate disruption;
+  private final WorkerManager workers;
+  private final DisruptionGate disruptionGate;
 
-  ReplacementTargets(Clock clock, WorkerManager desk, DisruptionGate disruption) {
+  ReplacementTargets(Clock clock, WorkerManager workers, DisruptionGate disruptionGate) {
     this.clock = clock;
-    this.desk = desk;
-    this.disruption = disruption;
+    this.workers = workers;
+    this.disruptionGate = disruptionGate;
   }
 
   static MachineKind slot(Host host) {
@@ -46,7 +46,7 @@
   /** Machines that such an order is about if it is given now. */
   List<Host> selected(MachineSelector selection) {
     List<Host> out = new ArrayList<>();
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       if (!host.gone()
           && !host.releasing()
           && rentedWall(host) <= clock.wall()
@@ -60,7 +60,7 @@
   /** Machines that are still to be replaced, also those on their way back to the cloud. */
   List<Host> old(ReplacementOrder order) {
     List<Host> out = new ArrayList<>();
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       if (!host.gone() && rentedWall(host) < order.atWall() && covers(order.selection(), host)) {
         out.add(host);
       }
@@ -74,7 +74,7 @@
   List<Host> fresh(ReplacementOrder order, long since) {
     MachineSelector selection = order.selection();
     List<Host> out = new ArrayList<>();
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       if (!host.gone()
           && host.type() != null
           && rentedWall(host) >= Math.max(order.atWall(), since)
@@ -91,7 +91,7 @@
   List<Host> left(Set<String> batch) {
     List<Host> out = new ArrayList<>();
     for (String id : batch) {
-      Host host = desk.known(id);
+      Host host = workers.known(id);
       if (host != null && !host.gone()) {
         out.add(host);
       }
@@ -125,7 +125,10 @@
       return Set.of();
     }
     Set<String> lastZones = new HashSet<>();
-    before.stream().map(desk::known).filter(h -> h != null).forEach(h -> lastZones.add(h.zone()));
+    before.stream()
+        .map(workers::known)
+        .filter(h -> h != null)
+        .forEach(h -> lastZones.add(h.zone()));
     String zone =
         zones.keySet().stream()
             .min(
@@ -146,7 +149,7 @@
   private double loss(Host host) {
     return host.attempts().stream()
         .filter(a -> !a.exited())
-        .mapToDouble(disruption::lossCpuS)
+        .mapToDouble(disruptionGate::lossCpuS)
         .sum();
   }
 }
--- a/src/main/java/dapplestair/replacement/Replacements.java
+++ b/src/main/java/dapplestair/replacement/Replacements.java
@@ -41,8 +41,8 @@
   private final Settings settings;
   private final StateClient state;
   private final MachineTypes types;
-  private final ReplacementTargets machines;
-  private final SurgeCapacity room;
+  private final ReplacementTargets targets;
+  private final SurgeCapacity surgeCapacity;
   private final ReplacementStepRunner steps;
   private final Map<String, ReplacementState> orders = new TreeMap<>();
   private final Set<Host> leaving = new LinkedHashSet<>();
@@ -59,18 +59,18 @@
       StateClient state,
       Leadership leadership,
       MachineTypes types,
-      WorkerManager desk,
+      WorkerManager workers,
       Drains drains,
-      DisruptionGate disruption,
-      SurgeCapacity room,
+      DisruptionGate disruptionGate,
+      SurgeCapacity surgeCapacity,
       Events events) {
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
     this.state = state;
-    this.room = room;
+    this.surgeCapacity = surgeCapacity;
     this.types = types;
-    machines = new ReplacementTargets(clock, desk, disruption);
+    targets = new ReplacementTargets(clock, workers, disruptionGate);
     steps =
         new ReplacementStepRunner(
             clock,
@@ -80,9 +80,9 @@
             types,
             drains,
             events,
-            machines,
-            new StepHealthCheck(desk, disruption, machines),
-            room,
+            targets,
+            new StepHealthCheck(workers, disruptionGate, targets),
+            surgeCapacity,
             orders,
             this::extra,
             this::markLeaving);
@@ -138,9 +138,9 @@
     if (now - due > reportMs / 2) {
       lagUntil = now + 2 * reportMs;
     }
-    for (ReplacementState running : List.copyOf(orders.values())) {
-      if (!running.writing && state.unreachableMs() == 0) {
-        steps.look(running, now < lagUntil);
+    for (ReplacementState replacement : List.copyOf(orders.values())) {
+      if (!replacement.writing && state.unreachableMs() == 0) {
+        steps.look(replacement, now < lagUntil);
       }
     }
     markLeaving();
@@ -154,11 +154,11 @@
       return;
     }
     Set<Host> now = new LinkedHashSet<>();
-    for (ReplacementState running : orders.values()) {
-      if (running.active() && running.progress.phase() == Phase.RAISE) {
-        for (Host h : machines.left(running.progress.batch())) {
+    for (ReplacementState replacement : orders.values()) {
+      if (replacement.active() && replacement.progress.phase() == Phase.RAISE) {
+        for (Host h : targets.left(replacement.progress.batch())) {
           long bootMs = Math.round(1000 * types.bootS(h.type()));
-          h.setLeavesAt(clock.now() - (clock.wall() - running.progress.stepWall()) + bootMs);
+          h.setLeavesAt(clock.now() - (clock.wall() - replacement.progress.stepWall()) + bootMs);
           now.add(h);
         }
       }
@@ -177,16 +177,16 @@
 
   /** The order under which a machine is emptied now, or null. */
   private Drain drain(Host host) {
-    for (ReplacementState running : orders.values()) {
-      if (running.active()
-          && running.progress.phase() == Phase.EMPTY
-          && running.progress.batch().contains(host.id())) {
+    for (ReplacementState replacement : orders.values()) {
+      if (replacement.active()
+          && replacement.progress.phase() == Phase.EMPTY
+          && replacement.progress.batch().contains(host.id())) {
         return new Drain(
-            running.order.by(),
-            running.progress.stepWall(),
-            "replacement " + running.name,
+            replacement.order.by(),
+            replacement.progress.stepWall(),
+            "replacement " + replacement.name,
             true,
-            running.order.deadlineS());
+            replacement.order.deadlineS());
       }
     }
     return null;
@@ -197,30 +197,35 @@
    * that are being emptied are no room and not counted as held, but they are still there: what
    * takes their place must not come up before they are gone, but for as many as may be beyond.
    */
-  public int extra(MachineKind slot) {
+  public int extra(MachineKind kind) {
     int extra = 0;
-    for (ReplacementState running : orders.values()) {
-      if (running.progress.phase() == Phase.CHOOSE || running.progress.phase() == Phase.DONE) {
+    for (ReplacementState replacement : orders.values()) {
+      if (replacement.progress.phase() == Phase.CHOOSE
+          || replacement.progress.phase() == Phase.DONE) {
         continue;
       }
       Map<MachineKind, Integer> left =
-          ReplacementTargets.bySlot(machines.left(running.progress.batch()));
-      int mine = left.getOrDefault(slot, 0);
+          ReplacementTargets.bySlot(targets.left(replacement.progress.batch()));
+      int mine = left.getOrDefault(kind, 0);
       // Where a replica has no place to go, all that may be beyond is: the next comes in the zone
       // that has fewest.
       int beyond =
-          mine > 0 && running.cramped
-              ? room.affords(Map.of(slot, running.order.beyond()), running.order.beyond())
-              : room.share(left, slot, running.progress.beyond());
+          mine > 0 && replacement.cramped
+              ? surgeCapacity.affords(
+                  Map.of(kind, replacement.order.beyond()), replacement.order.beyond())
+              : surgeCapacity.share(left, kind, replacement.progress.beyond());
       // While it pauses the old are back in use, and the new are kept for when it goes on.
-      extra += running.active() && running.progress.phase() == Phase.EMPTY ? beyond - mine : beyond;
+      extra +=
+          replacement.active() && replacement.progress.phase() == Phase.EMPTY
+              ? beyond - mine
+              : beyond;
     }
     return extra;
   }
 
   /** How many machines an order like this would be about now. */
   public int covered(MachineSelector selection) {
-    return machines.selected(selection).size();
+    return targets.selected(selection).size();
   }
 
   // ---- views ----
@@ -250,33 +255,34 @@
 
   /** One order, or null. */
   public ReplacementView view(String name) {
-    ReplacementState running = orders.get(name);
-    return running == null ? null : view(running);
+    ReplacementState replacement = orders.get(name);
+    return replacement == null ? null : view(replacement);
   }
 
-  private ReplacementView view(ReplacementState running) {
-    int left = running.progress.phase() == Phase.DONE ? 0 : machines.old(running.order).size();
-    int done = running.order.total() - left;
-    double elapsedS = (clock.wall() - running.order.atWall()) / 1000.0;
+  private ReplacementView view(ReplacementState replacement) {
+    int left =
+        replacement.progress.phase() == Phase.DONE ? 0 : targets.old(replacement.order).size();
+    int done = replacement.order.total() - left;
+    double elapsedS = (clock.wall() - replacement.order.atWall()) / 1000.0;
     double endS =
         left == 0
             ? 0
-            : done <= 0 || running.progress.paused() != null ? -1 : elapsedS / done * left;
+            : done <= 0 || replacement.progress.paused() != null ? -1 : elapsedS / done * left;
     return new ReplacementView(
-        running.name,
-        running.order,
-        phase(running.progress),
-        running.progress.steps(),
-        new TreeSet<>(running.progress.batch()),
+        replacement.name,
+        replacement.order,
+        phase(replacement.progress),
+        replacement.progress.steps(),
+        new TreeSet<>(replacement.progress.batch()),
         left,
-        running.progress.paused(),
-        running.progress.byWord(),
-        running.progress.remark(),
+        replacement.progress.paused(),
+        replacement.progress.byWord(),
+        replacement.progress.remark(),
         endS);
   }
 
   private String phase(ReplacementProgress progress) {
-    boolean watched = progress.phase() == Phase.EMPTY && machines.left(progress.batch()).isEmpty();
+    boolean watched = progress.phase() == Phase.EMPTY && targets.left(progress.batch()).isEmpty();
     return watched ? "watch" : progress.phase().name().toLowerCase(java.util.Locale.ROOT);
   }
 
@@ -289,14 +295,14 @@
 
   /** The recorded form of an order that pauses by an operator's word, or goes on; null: no such. */
   public ObjectNode told(String name, String pause) {
-    ReplacementState running = orders.get(name);
-    if (running == null) {
+    ReplacementState replacement = orders.get(name);
+    if (replacement == null) {
       return null;
     }
-    return running.record(
+    return replacement.record(
         pause != null
-            ? running.progress.pause(pause, true)
-            : running.progress.resume(clock.wall()));
+            ? replacement.progress.pause(pause, true)
+            : replacement.progress.resume(clock.wall()));
   }
 
   @Override
--- a/src/main/java/dapplestair/replacement/StepHealthCheck.java
+++ b/src/main/java/dapplestair/replacement/StepHealthCheck.java
@@ -12,14 +12,15 @@
   // Of so few completions a machine's speed says little.
   private static final int ENOUGH = 2;
 
-  private final WorkerManager desk;
-  private final DisruptionGate disruption;
-  private final ReplacementTargets machines;
+  private final WorkerManager workers;
+  private final DisruptionGate disruptionGate;
+  private final ReplacementTargets targets;
 
-  StepHealthCheck(WorkerManager desk, DisruptionGate disruption, ReplacementTargets machines) {
-    this.desk = desk;
-    this.disruption = disruption;
-    this.machines = machines;
+  StepHealthCheck(
+      WorkerManager workers, DisruptionGate disruptionGate, ReplacementTargets targets) {
+    this.workers = workers;
+    this.disruptionGate = disruptionGate;
+    this.targets = targets;
   }
 
   /** What is wrong around the order, or null; such a pause ends by itself. */
@@ -27,7 +28,7 @@
     if (lagging) {
       return "the leader's own loop lags behind";
     }
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       if (host.zoneSilentMs() > 0) {
         return "zone " + host.zone() + " is silent";
       }
@@ -37,7 +38,7 @@
 
   /** Replicas that are out, for whatever reason, by team; or null. */
   String replicasOut() {
-    for (Map.Entry<String, BudgetStatus> entry : disruption.statuses().entrySet()) {
+    for (Map.Entry<String, BudgetStatus> entry : disruptionGate.statuses().entrySet()) {
       // Below half of its budget the next step may go on; what it moves is asked for anyway.
       if (2L * entry.getValue().out() > entry.getValue().allowed()) {
         return "%d replicas of team %s are not back"
@@ -49,7 +50,7 @@
 
   /** What is wrong with the new machines, or null; only an operator's word ends such a pause. */
   String newMachines(ReplacementOrder order, long since) {
-    List<Host> fresh = machines.fresh(order, since);
+    List<Host> fresh = targets.fresh(order, since);
     long up = fresh.stream().filter(Host::up).count();
     List<Host> failing = fresh.stream().filter(h -> h.draining() || h.failures() > ENOUGH).toList();
     // One bad machine in many is chance, and is given up as ever.
@@ -58,7 +59,7 @@
           .formatted(failing.size(), up, failing.get(0).id());
     }
     double now = slowness(fresh);
-    double before = slowness(machines.old(order));
+    double before = slowness(targets.old(order));
     if (now > order.slower() * before) {
       return "new machines take %.2f times as long as the old".formatted(now / before);
     }
--- a/src/main/java/dapplestair/replacement/SurgeCapacity.java
+++ b/src/main/java/dapplestair/replacement/SurgeCapacity.java
@@ -15,22 +15,23 @@
  * are up. The counts themselves stay the plan's.
  */
 public final class SurgeCapacity {
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final Fleet fleet;
   private final MachineTypes types;
-  private final Autoscaler planning;
+  private final Autoscaler autoscaler;
 
-  /** Beside what {@code planning} holds. */
-  public SurgeCapacity(WorkerManager desk, Fleet fleet, MachineTypes types, Autoscaler planning) {
-    this.desk = desk;
+  /** Beside what {@code autoscaler} holds. */
+  public SurgeCapacity(
+      WorkerManager workers, Fleet fleet, MachineTypes types, Autoscaler autoscaler) {
+    this.workers = workers;
     this.fleet = fleet;
     this.types = types;
-    this.planning = planning;
+    this.autoscaler = autoscaler;
   }
 
   /** How many of {@code beyond} machines the budget pays for beside the plan. */
   int affords(Map<MachineKind, Integer> batch, int beyond) {
-    Autoscaler.AppliedPlan plan = planning.applied();
+    Autoscaler.AppliedPlan plan = autoscaler.applied();
     if (plan == null) {
       return 0;
     }
@@ -51,11 +52,11 @@
   }
 
   /** How many of {@code beyond} fall to one kind: in order, as many as there are old ones of it. */
-  int share(Map<MachineKind, Integer> batch, MachineKind slot, int beyond) {
+  int share(Map<MachineKind, Integer> batch, MachineKind kind, int beyond) {
     int rest = beyond;
     for (Map.Entry<MachineKind, Integer> entry : batch.entrySet()) {
       int count = Math.min(rest, entry.getValue());
-      if (entry.getKey().equals(slot)) {
+      if (entry.getKey().equals(kind)) {
         return count;
       }
       rest -= count;
@@ -71,14 +72,14 @@
     if (stuck.type() == null) {
       return false;
     }
-    MachineKind slot = ReplacementTargets.slot(stuck);
-    for (Host host : desk.hosts()) {
+    MachineKind kind = ReplacementTargets.slot(stuck);
+    for (Host host : workers.hosts()) {
       if (host.up()
           && host.idle()
-          && fleet.counts(host, slot)
-          && desk.fresh(host)
+          && fleet.counts(host, kind)
+          && workers.fresh(host)
           && !stuck.zone().equals(host.zone())
-          && fleet.rentIn(slot, stuck.zone())) {
+          && fleet.rentIn(kind, stuck.zone())) {
         return fleet.release(host);
       }
     }
@@ -92,16 +93,16 @@
 
   /** True when all that plan and order want is up and heard. */
   boolean ready(Map<MachineKind, Integer> batch, ToIntFunction<MachineKind> extra) {
-    Autoscaler.AppliedPlan plan = planning.applied();
+    Autoscaler.AppliedPlan plan = autoscaler.applied();
     if (plan == null) {
       return false;
     }
-    for (MachineKind slot : batch.keySet()) {
+    for (MachineKind kind : batch.keySet()) {
       int up = 0;
-      for (Host host : desk.hosts()) {
-        up += fleet.counts(host, slot) && host.acknowledged() && desk.fresh(host) ? 1 : 0;
+      for (Host host : workers.hosts()) {
+        up += fleet.counts(host, kind) && host.acknowledged() && workers.fresh(host) ? 1 : 0;
       }
-      if (up < plan.counts().getOrDefault(slot, 0) + extra.applyAsInt(slot)) {
+      if (up < plan.counts().getOrDefault(kind, 0) + extra.applyAsInt(kind)) {
         return false;
       }
     }
--- a/src/main/java/dapplestair/settings/OperatorSettingsLoader.java
+++ b/src/main/java/dapplestair/settings/OperatorSettingsLoader.java
@@ -21,41 +21,41 @@
     } catch (IOException e) {
       throw new SettingsException(path + ": cannot be read");
     }
-    OperatorSettings operator = OperatorSettings.defaults();
+    OperatorSettings operatorSettings = OperatorSettings.defaults();
     return new OperatorSettings(
         in.hasPlanIntervalS()
             ? Math.round(1000 * within(path, "plan_interval_s", in.getPlanIntervalS(), 0.5, 3600))
-            : operator.planIntervalMs(),
+            : operatorSettings.planIntervalMs(),
         in.hasPopulation()
             ? (int) within(path, "population", in.getPopulation(), 4, 1000)
-            : operator.population(),
+            : operatorSettings.population(),
         in.hasEvaluations()
             ? (int) within(path, "evaluations", in.getEvaluations(), 4, 100_000)
-            : operator.evaluations(),
+            : operatorSettings.evaluations(),
         in.hasBudgetPerHour()
             ? within(path, "budget_per_hour", in.getBudgetPerHour(), 0.001, 1e9)
-            : operator.budgetPerHour(),
+            : operatorSettings.budgetPerHour(),
         in.hasBudgetRatio()
             ? within(path, "budget_ratio", in.getBudgetRatio(), 1, 100)
-            : operator.budgetRatio(),
+            : operatorSettings.budgetRatio(),
         in.hasReturnAfterRounds()
             ? (int) within(path, "return_after_rounds", in.getReturnAfterRounds(), 1, 1000)
-            : operator.returnAfterRounds(),
+            : operatorSettings.returnAfterRounds(),
         in.hasMakespanWeight()
             ? within(path, "makespan_weight", in.getMakespanWeight(), 0, 100)
-            : operator.makespanWeight(),
+            : operatorSettings.makespanWeight(),
         in.hasSpendWeight()
             ? within(path, "spend_weight", in.getSpendWeight(), 0, 100)
-            : operator.spendWeight(),
+            : operatorSettings.spendWeight(),
         in.hasRiskWeight()
             ? within(path, "risk_weight", in.getRiskWeight(), 0, 100)
-            : operator.riskWeight(),
+            : operatorSettings.riskWeight(),
         in.hasBeginWithinS()
             ? Math.round(1000 * within(path, "begin_within_s", in.getBeginWithinS(), 10, 86_400))
-            : operator.beginWithinMs(),
+            : operatorSettings.beginWithinMs(),
         in.hasRelayAbove()
             ? within(path, "relay_above", in.getRelayAbove(), 0, 100)
-            : operator.relayAbove(),
+            : operatorSettings.relayAbove(),
         LanesLoader.read(path, in.getLaneList()),
         CalendarsLoader.read(path, in.getCalendarList()),
         DisruptionBudgetsLoader.read(path, in.getDisruptionList()),
--- a/src/main/java/dapplestair/silence/LivenessReports.java
+++ b/src/main/java/dapplestair/silence/LivenessReports.java
@@ -20,22 +20,24 @@
   private long at = NEVER;
 
   /** An account arrived just now. */
-  public void said(LivenessReport account, long now) {
+  public void said(LivenessReport livenessReport, long now) {
     // How long the message took is not known: what it says lies further back than it seems here.
-    account.zones().forEach((zone, ago) -> zones.merge(zone, now - ago, Math::max));
-    boolean newer = account.term() > term || (account.term() == term && account.number() > number);
+    livenessReport.zones().forEach((zone, ago) -> zones.merge(zone, now - ago, Math::max));
+    boolean newer =
+        livenessReport.term() > term
+            || (livenessReport.term() == term && livenessReport.number() > number);
     // Of two accounts by leaders only the newer one counts: a machine that the older one calls
     // late may have been heard since. A term has one leader, so term and number order them all.
-    if (account.term() == 0 || !newer) {
+    if (livenessReport.term() == 0 || !newer) {
       return;
     }
-    term = account.term();
-    number = account.number();
+    term = livenessReport.term();
+    number = livenessReport.number();
     at = now;
     Map<String, Long> machines = new HashMap<>();
-    account.late().forEach((id, ago) -> machines.put(id, now - ago));
+    livenessReport.late().forEach((id, ago) -> machines.put(id, now - ago));
     late = machines;
-    gone = Set.copyOf(account.gone().keySet());
+    gone = Set.copyOf(livenessReport.gone().keySet());
   }
 
   /** When anybody said to have heard this zone, or long ago. */
--- a/src/main/java/dapplestair/state/CommitQueue.java
+++ b/src/main/java/dapplestair/state/CommitQueue.java
@@ -45,11 +45,11 @@
 
   private final Clock clock;
   private final Timers timers;
-  private final TxnSender link;
+  private final TxnSender sender;
   private final TokenBucket requests;
   private final TokenBucket writes;
   private final long longestMs;
-  private final ResponseTimeout answerTimeout;
+  private final ResponseTimeout responseTimeout;
   private final List<ArrayDeque<QueuedTxn>> queues =
       Arrays.stream(Priority.values()).map(p -> new ArrayDeque<QueuedTxn>()).toList();
   private final int[] puts = new int[Priority.values().length];
@@ -59,21 +59,21 @@
   private double usedBefore;
   private boolean pumping;
 
-  /** Sends by {@code link}; no answer is waited for longer than {@code longestMs}. */
+  /** Sends by {@code sender}; no answer is waited for longer than {@code longestMs}. */
   CommitQueue(
       Clock clock,
       Timers timers,
-      TxnSender link,
+      TxnSender sender,
       TokenBucket requests,
       TokenBucket writes,
       long longestMs) {
     this.clock = clock;
     this.timers = timers;
-    this.link = link;
+    this.sender = sender;
     this.requests = requests;
     this.writes = writes;
     this.longestMs = longestMs;
-    this.answerTimeout = new ResponseTimeout(longestMs / LEAST_TIMEOUT_PART, longestMs);
+    this.responseTimeout = new ResponseTimeout(longestMs / LEAST_TIMEOUT_PART, longestMs);
   }
 
   /** Puts a second that are made or would be made if they could. */
@@ -191,7 +191,7 @@
     void late(long repeatUntil) {
       late = true;
       inFlight--;
-      answerTimeout.unanswered();
+      responseTimeout.unanswered();
       if (queued.commit.repeatable()) {
         queued.commit.repeat();
         queues
@@ -208,7 +208,7 @@
       }
       boolean heard = reply.status() != HttpReply.UNKNOWN && reply.status() != HttpReply.NOT_SENT;
       if (heard) {
-        answerTimeout.answered(clock.now() - sentAt);
+        responseTimeout.answered(clock.now() - sentAt);
       }
       if (reply.status() == 429 && !late) {
         // Others used more than their share: not executed, so it may go again.
@@ -230,13 +230,13 @@
     // A candidate that does not know of its win would have nobody lead for as long as its hold
     // lasts, and no copy of it can be refused by another one: it waits for its answer.
     boolean waits = priority == Priority.ELECTION;
-    long lateMs = answerTimeout.ms();
+    long lateMs = responseTimeout.ms();
     long repeatUntil = queued.repeated ? queued.deadline : clock.now() + longestMs;
     if (!waits && lateMs < longestMs) {
       copy.timer = timers.after(lateMs, () -> copy.late(repeatUntil));
     }
     long timeoutMs = waits ? longestMs : Math.min(longestMs, LATE_TIMEOUTS * lateMs);
-    link.post(txn.bytes(), timeoutMs, copy::answered);
+    sender.post(txn.bytes(), timeoutMs, copy::answered);
   }
 
   private static TxnOutcome outcome(HttpReply reply) {
--- a/src/main/java/dapplestair/submissions/RequestRelay.java
+++ b/src/main/java/dapplestair/submissions/RequestRelay.java
@@ -65,11 +65,11 @@
   }
 
   private UserRequestCodec.Response read(byte[] reply) {
-    UserRequestCodec.Response answer = UserRequestCodec.answer(reply);
-    if (answer == null) {
+    UserRequestCodec.Response response = UserRequestCodec.answer(reply);
+    if (response == null) {
       peers.questions().refused();
     }
-    return answer;
+    return response;
   }
 
   private void asked(byte[] body, Consumer<byte[]> reply, Consumer<Exchange> handler) {
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -44,7 +44,7 @@
   private final long patienceMs;
   private final RetryAdvice retryAdvice;
   private final UnansweredRequests unanswered;
-  private final FirstSubmissionTimes firstAttempts;
+  private final FirstSubmissionTimes firstSubmissionTimes;
   private final JobFinder finder;
   private int pending;
 
@@ -71,7 +71,7 @@
     this.patienceMs = settings.workers().reportMs();
     this.finder = new JobFinder(state, replica, ledger);
     this.retryAdvice = new RetryAdvice(clock);
-    this.firstAttempts = new FirstSubmissionTimes(clock);
+    this.firstSubmissionTimes = new FirstSubmissionTimes(clock);
     this.unanswered = new UnansweredRequests(clock, settings.workers().leaseMs());
   }
 
@@ -96,16 +96,16 @@
         && relay.pass(exchange, answer -> relayed(exchange, ref, answer));
   }
 
-  private void relayed(Exchange exchange, String ref, UserRequestCodec.Response answer) {
-    if (answer == null) {
+  private void relayed(Exchange exchange, String ref, UserRequestCodec.Response response) {
+    if (response == null) {
       unanswered.inVain(ref);
       busy(exchange);
       return;
     }
-    if (answer.status() != 503) {
+    if (response.status() != 503) {
       unanswered.answered(ref);
     }
-    exchange.reply(answer.status(), answer.body(), answer.retryAfterS());
+    exchange.reply(response.status(), response.body(), response.retryAfterS());
   }
 
   // ---- POST /submissions ----
@@ -157,7 +157,7 @@
   }
 
   private void turnAway(Exchange exchange, Submission submission, int afterS) {
-    firstAttempts.turnedAway(submission.ref());
+    firstSubmissionTimes.turnedAway(submission.ref());
     busy(exchange, afterS);
   }
 
@@ -226,7 +226,7 @@
             .when(StateKeys.over(submission.ref()), 0)
             .put(
                 StateKeys.job(submission.ref()),
-                ledger.record(submission, firstAttempts.at(submission.ref())));
+                ledger.record(submission, firstSubmissionTimes.at(submission.ref())));
     state.commit(
         txn,
         Priority.USER,
@@ -234,7 +234,7 @@
         outcome -> {
           pending--;
           if (outcome instanceof TxnOutcome.Applied) {
-            firstAttempts.accepted(submission.ref());
+            firstSubmissionTimes.accepted(submission.ref());
             metrics.accepted(clock.now() - began);
             status(exchange, 201, submission.ref(), "queued", null);
           } else if (outcome instanceof TxnOutcome.Conflict) {
--- a/src/main/java/dapplestair/submissions/UserRequestCodec.java
+++ b/src/main/java/dapplestair/submissions/UserRequestCodec.java
@@ -38,15 +38,15 @@
   }
 
   /** Writes an answer, or gives null when it is too large. */
-  static byte[] encode(Response answer) {
-    if (answer.body().length > LARGEST_BODY) {
+  static byte[] encode(Response response) {
+    if (response.body().length > LARGEST_BODY) {
       return null;
     }
     Output out = new Output(256, LARGEST);
     out.writeByte(FORM);
-    out.writeVarInt(answer.status(), true);
-    out.writeVarInt(answer.retryAfterS(), true);
-    writeBody(out, answer.body());
+    out.writeVarInt(response.status(), true);
+    out.writeVarInt(response.retryAfterS(), true);
+    writeBody(out, response.body());
     return out.toBytes();
   }
 
@@ -82,14 +82,14 @@
     }
     try {
       Input in = new Input(bytes, 1, bytes.length - 1);
-      Response answer = new Response(in.readVarInt(true), in.readVarInt(true), readBody(in));
+      Response response = new Response(in.readVarInt(true), in.readVarInt(true), readBody(in));
       boolean valid =
           in.end()
-              && answer.status() >= 200
-              && answer.status() < 600
-              && answer.retryAfterS() >= 0
-              && answer.retryAfterS() <= LONGEST_RETRY_AFTER_S;
-      return valid ? answer : null;
+              && response.status() >= 200
+              && response.status() < 600
+              && response.retryAfterS() >= 0
+              && response.retryAfterS() <= LONGEST_RETRY_AFTER_S;
+      return valid ? response : null;
     } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
       return null;
     }
--- a/src/main/java/dapplestair/weights/ImageLocations.java
+++ b/src/main/java/dapplestair/weights/ImageLocations.java
@@ -43,7 +43,7 @@
   private final StateClient state;
   private final GuardedWriter writer;
   private final Leadership leadership;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
 
   // By key, what the records say, and for which image.
   private final Map<String, ImageHolders> records = new HashMap<>();
@@ -59,14 +59,14 @@
       Settings settings,
       StateClient state,
       Leadership leadership,
-      WorkerManager desk) {
+      WorkerManager workers) {
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
     this.state = state;
     this.writer = new GuardedWriter(state, leadership, settings.workers().reportMs());
     this.leadership = leadership;
-    this.desk = desk;
+    this.workers = workers;
   }
 
   // ---- what the replica says ----
@@ -111,7 +111,7 @@
   private void hint() {
     for (ImageHolders holders : records.values()) {
       for (String id : holders.machines()) {
-        Host host = desk.known(id);
+        Host host = workers.known(id);
         if (host != null) {
           host.images().hinted(holders.image(), holders.gb());
         }
@@ -152,7 +152,7 @@
   private Map<String, ImageHolders> now() {
     Map<String, ImageHolders> out = new TreeMap<>();
     long at = clock.now();
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       if (host.up() && !host.gone() && !host.releasing()) {
         host.images()
             .ready(at)
--- a/src/main/java/dapplestair/work/WorkerCommand.java
+++ b/src/main/java/dapplestair/work/WorkerCommand.java
@@ -58,7 +58,7 @@
     return message(token, orders).put("tenure", session);
   }
 
-  private static ObjectNode base(String verb, WorkerCommand order) {
-    return Json.object().put("verb", verb).put("step", order.key()).put("try", order.attempt());
+  private static ObjectNode base(String verb, WorkerCommand command) {
+    return Json.object().put("verb", verb).put("step", command.key()).put("try", command.attempt());
   }
 }
--- a/src/main/java/dapplestair/workers/CommandSender.java
+++ b/src/main/java/dapplestair/workers/CommandSender.java
@@ -41,7 +41,7 @@
   private final Relay relay;
   private final Leadership leadership;
   private final Cancellations cancellations;
-  private final HostRegistry roster;
+  private final HostRegistry hostRegistry;
   private final Listener listener;
   private final long reportMs;
   private final long callMs;
@@ -55,14 +55,14 @@
       Settings settings,
       Leadership leadership,
       Cancellations cancellations,
-      HostRegistry roster,
+      HostRegistry hostRegistry,
       Listener listener) {
     this.clock = clock;
     this.timers = timers;
     this.relay = relay;
     this.leadership = leadership;
     this.cancellations = cancellations;
-    this.roster = roster;
+    this.hostRegistry = hostRegistry;
     this.listener = listener;
     this.reportMs = settings.workers().reportMs();
     this.callMs = Math.min(reportMs / 2, settings.workers().leaseMs() / 16);
@@ -83,18 +83,18 @@
   }
 
   /** Sends an order with all others of this turn. */
-  void queue(String hostId, WorkerCommand order) {
-    Host host = roster.known(hostId);
+  void queue(String hostId, WorkerCommand command) {
+    Host host = hostRegistry.known(hostId);
     if (host == null || !leading) {
       return;
     }
-    host.outbox.put(order.id(), order);
+    host.outbox.put(command.id(), command);
     if (flushing.add(hostId)) {
       timers.after(
           0,
           () -> {
             flushing.remove(hostId);
-            Host h = roster.known(hostId);
+            Host h = hostRegistry.known(hostId);
             if (h != null) {
               send(h);
             }
@@ -163,19 +163,19 @@
   private void take(Host host, List<WorkerCommand> orders, List<Attempt> launches) {
     Iterator<WorkerCommand> it = host.outbox.values().iterator();
     while (it.hasNext() && orders.size() < MOST_ORDERS) {
-      WorkerCommand order = it.next();
-      if (order instanceof WorkerCommand.Launch && !mayLaunch(host)) {
+      WorkerCommand command = it.next();
+      if (command instanceof WorkerCommand.Launch && !mayLaunch(host)) {
         continue;
       }
       it.remove();
-      if (order instanceof WorkerCommand.Launch) {
-        Attempt attempt = Fencing.due(host, order);
+      if (command instanceof WorkerCommand.Launch) {
+        Attempt attempt = Fencing.due(host, command);
         if (attempt == null) {
           continue;
         }
         launches.add(attempt);
       }
-      orders.add(order);
+      orders.add(command);
     }
   }
 
@@ -226,8 +226,8 @@
 
   /** Stops may be repeated; a launch never is, nor a clear whose launch may still be on its way. */
   private static void requeue(Host host, List<WorkerCommand> orders) {
-    for (WorkerCommand order : orders) {
-      if (order instanceof WorkerCommand.Halt halt) {
+    for (WorkerCommand command : orders) {
+      if (command instanceof WorkerCommand.Halt halt) {
         host.outbox.putIfAbsent(halt.id(), halt);
       }
     }
--- a/src/main/java/dapplestair/workers/LivenessTracker.java
+++ b/src/main/java/dapplestair/workers/LivenessTracker.java
@@ -23,12 +23,12 @@
   private static final double DRIFT = 1.01;
 
   private final Clock clock;
-  private final HostRegistry roster;
+  private final HostRegistry hostRegistry;
   private final long reportMs;
   private final long leaseMs;
   private final ZoneContactTracker zones;
   private final Multiset<String> perZone = HashMultiset.create();
-  private final LivenessReports accounts = new LivenessReports();
+  private final LivenessReports livenessReports = new LivenessReports();
 
   // When a worker of each zone last reported by itself.
   private final Map<String, Long> zoneReportedAt = new HashMap<>();
@@ -40,9 +40,9 @@
   private long turnDue;
   private long judgeAgainAt;
 
-  LivenessTracker(Clock clock, Settings settings, HostRegistry roster) {
+  LivenessTracker(Clock clock, Settings settings, HostRegistry hostRegistry) {
     this.clock = clock;
-    this.roster = roster;
+    this.hostRegistry = hostRegistry;
     this.reportMs = settings.workers().reportMs();
     this.leaseMs = settings.workers().leaseMs();
     this.zones = new ZoneContactTracker(Math.round(OVERDUE * reportMs));
@@ -70,7 +70,7 @@
     }
     turnDue = now + everyMs;
     perZone.clear();
-    for (Host host : roster.all()) {
+    for (Host host : hostRegistry.all()) {
       if (host.up()) {
         perZone.add(host.zone());
       }
@@ -92,7 +92,7 @@
    */
   private void findSilentZones(long now) {
     Map<String, Heard> heard = new HashMap<>();
-    for (Host host : roster.all()) {
+    for (Host host : hostRegistry.all()) {
       if (host.expectedUp() && host.zone() != null && !ghost(host)) {
         Heard z = heard.computeIfAbsent(host.zone(), k -> new Heard());
         z.machines++;
@@ -114,9 +114,9 @@
     long newest = heard.values().stream().mapToLong(z -> z.last).max().orElse(now);
     for (Map.Entry<String, Heard> entry : heard.entrySet()) {
       Heard z = entry.getValue();
-      long last = Math.max(z.last, accounts.zoneHeardAt(entry.getKey()));
+      long last = Math.max(z.last, livenessReports.zoneHeardAt(entry.getKey()));
       long gap = zones.gapMs(z.machines);
-      boolean noticedBefore = succeeded() && accounts.at() - last > gap;
+      boolean noticedBefore = succeeded() && livenessReports.at() - last > gap;
       if (now - last <= gap) {
         anyHeard = true;
       } else if (z.machines > 1 && newest - last > gap && (now > judgeAgainAt || noticedBefore)) {
@@ -126,7 +126,7 @@
     if (!anyHeard) {
       silentZones.clear();
     }
-    for (Host host : roster.all()) {
+    for (Host host : hostRegistry.all()) {
       Long last = host.zone() == null ? null : silentZones.get(host.zone());
       host.setZoneSilentMs(last == null ? 0 : now - last);
     }
@@ -139,18 +139,19 @@
    */
   private boolean ghost(Host host) {
     return host.firstListedAt() == Long.MAX_VALUE
-        && (host.rentedAt() == Long.MAX_VALUE || succeeded() && accounts.saidGone(host.id()));
+        && (host.rentedAt() == Long.MAX_VALUE
+            || succeeded() && livenessReports.saidGone(host.id()));
   }
 
   /** True when a machine is held in this zone, heard or not. */
   boolean anyLeftIn(String zone) {
-    return roster.all().stream()
+    return hostRegistry.all().stream()
         .anyMatch(h -> zone.equals(h.zone()) && !h.releasing() && !ghost(h) && !saidGone(h));
   }
 
   /** True when the leader before knew for certain that this machine is gone. */
   boolean saidGone(Host host) {
-    return !host.up() && succeeded() && accounts.saidGone(host.id());
+    return !host.up() && succeeded() && livenessReports.saidGone(host.id());
   }
 
   /** How long nothing was heard of this zone; 0 when it is heard or nothing can be said. */
@@ -170,8 +171,8 @@
   // ---- shared with the other controllers ----
 
   /** What another controller heard. */
-  void said(LivenessReport account) {
-    accounts.said(account, clock.now());
+  void said(LivenessReport livenessReport) {
+    livenessReports.said(livenessReport, clock.now());
   }
 
   /** What to tell the other controllers; of single machines only a leader that can judge tells. */
@@ -184,13 +185,13 @@
     }
     boolean sure = leading && now > judgeAgainAt;
     if (sure) {
-      for (Host host : roster.all()) {
+      for (Host host : hostRegistry.all()) {
         if (host.expectedUp() && now - lastHeard(host) > OVERDUE * reportMs) {
           late.put(host.id(), now - lastHeard(host));
         }
       }
     }
-    Map<String, Long> gone = sure ? roster.goneWithin(leaseMs) : Map.of();
+    Map<String, Long> gone = sure ? hostRegistry.goneWithin(leaseMs) : Map.of();
     return new LivenessReport(sure ? term : 0, ++accountNumber, zoneAges, late, gone);
   }
 
@@ -203,13 +204,13 @@
       return mute(host) ? host.reportedAt : host.heardAt;
     }
     return succeeded()
-        ? Math.min(host.knownSince(), accounts.machineHeardAt(host.id()))
+        ? Math.min(host.knownSince(), livenessReports.machineHeardAt(host.id()))
         : host.knownSince();
   }
 
   /** True when the leader before spoke until shortly before this one began. */
   private boolean succeeded() {
-    return accounts.at() > leadingSince - 2 * reportMs;
+    return livenessReports.at() > leadingSince - 2 * reportMs;
   }
 
   /** A machine was reached: it reported by itself, or it answered a call. */
@@ -238,7 +239,7 @@
 
   /**
    * What a machine's sign of life says of its zone. While nobody reports there, the first answer of
-   * a new machine to a call says nothing: it would make a mute zone look heard (MuteMachinesTest).
+   * a new machine to a call says nothing: it would make a mute zone look heard (OutboundCutTest).
    */
   private long signOfZone(Host host) {
     Long reportedAt = zoneReportedAt.get(host.zone());
@@ -253,8 +254,8 @@
 
   /** What the leader before had noticed of a mute machine need not be noticed again. */
   private long firstReportedAt(Host host) {
-    long said = accounts.machineHeardAt(host.id());
-    return succeeded() && accounts.at() - said > muteMs() ? said : clock.now();
+    long said = livenessReports.machineHeardAt(host.id());
+    return succeeded() && livenessReports.at() - said > muteMs() ? said : clock.now();
   }
 
   /**
@@ -318,7 +319,7 @@
   private boolean missedBefore(Host host) {
     return !host.reached()
         && succeeded()
-        && accounts.at() - accounts.machineHeardAt(host.id()) > OVERDUE * reportMs;
+        && livenessReports.at() - livenessReports.machineHeardAt(host.id()) > OVERDUE * reportMs;
   }
 
   /**
@@ -328,7 +329,7 @@
   boolean nobody() {
     long now = clock.now();
     boolean any = false;
-    for (Host host : roster.all()) {
+    for (Host host : hostRegistry.all()) {
       if (now - host.reportedAt < SILENT * reportMs) {
         return false;
       }
--- a/src/main/java/dapplestair/workers/ReportHandler.java
+++ b/src/main/java/dapplestair/workers/ReportHandler.java
@@ -32,7 +32,7 @@
   private final Peers peers;
   private final StateClient state;
   private final Cancellations cancellations;
-  private final HostRegistry roster;
+  private final HostRegistry hostRegistry;
   private final LivenessTracker liveness;
   private final RecentRedirects redirects;
   private final LeaseRenewal renewal;
@@ -52,7 +52,7 @@
       Peers peers,
       StateClient state,
       Cancellations cancellations,
-      HostRegistry roster,
+      HostRegistry hostRegistry,
       LivenessTracker liveness,
       LeaseRenewal renewal,
       ReportApplier applier,
@@ -64,7 +64,7 @@
     this.peers = peers;
     this.state = state;
     this.cancellations = cancellations;
-    this.roster = roster;
+    this.hostRegistry = hostRegistry;
     this.liveness = liveness;
     this.redirects = new RecentRedirects(clock, settings.workers().leaseMs());
     this.renewal = renewal;
@@ -75,7 +75,7 @@
 
   /** Begins to count what comes. */
   void start() {
-    relay.start(this::beat, () -> roster.all().size());
+    relay.start(this::beat, () -> hostRegistry.all().size());
     countBeats();
   }
 
@@ -103,14 +103,14 @@
       sendTo(exchange, elsewhere);
       return;
     }
-    if (roster.isGone(report.host())) {
-      if (roster.sentSince(report)) {
+    if (hostRegistry.isGone(report.host())) {
+      if (hostRegistry.sentSince(report)) {
         liveness.heard(report.zone(), true);
       }
       keep(exchange, null);
       return;
     }
-    Host host = roster.host(report.host());
+    Host host = hostRegistry.host(report.host());
     host.relay = RelayedReport.relayOf(exchange);
     applier.apply(host, report, false);
     keep(exchange, leading.getAsBoolean() ? renewal.byLeader(host, report) : null);
--- a/src/main/java/dapplestair/workers/WorkerManager.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -40,7 +40,7 @@
   private final Ledger ledger;
   private final Listener listener;
   private final long reportMs;
-  private final HostRegistry roster;
+  private final HostRegistry hostRegistry;
   private final LivenessTracker liveness;
   private final CommandSender commandSender;
   private final ReportApplier applier;
@@ -74,11 +74,11 @@
     this.ledger = ledger;
     this.listener = listener;
     this.reportMs = settings.workers().reportMs();
-    this.roster = new HostRegistry(clock);
-    this.liveness = new LivenessTracker(clock, settings, roster);
+    this.hostRegistry = new HostRegistry(clock);
+    this.liveness = new LivenessTracker(clock, settings, hostRegistry);
     this.commandSender =
         new CommandSender(
-            clock, timers, relay, settings, leadership, cancellations, roster, new Answers());
+            clock, timers, relay, settings, leadership, cancellations, hostRegistry, new Answers());
     this.applier =
         new ReportApplier(
             clock, leadership, types, ledger, liveness, commandSender, listener, this::isLeading);
@@ -91,7 +91,7 @@
             peers,
             state,
             cancellations,
-            roster,
+            hostRegistry,
             liveness,
             new LeaseRenewal(clock, commandSender, ledger, cancellations, notOverWhenRead),
             applier,
@@ -107,16 +107,17 @@
   }
 
   private void heardByOthers(byte[] body) {
-    LivenessReport account = LivenessReport.decode(body);
-    if (account != null) {
-      liveness.said(account);
+    LivenessReport livenessReport = LivenessReport.decode(body);
+    if (livenessReport != null) {
+      liveness.said(livenessReport);
     }
   }
 
   private void share() {
-    LivenessReport account = liveness.account(leading && leadership.leading(), leadership.term());
-    if (account.term() > 0 || !account.zones().isEmpty()) {
-      peers.state(HEARD, account.encode());
+    LivenessReport livenessReport =
+        liveness.account(leading && leadership.leading(), leadership.term());
+    if (livenessReport.term() > 0 || !livenessReport.zones().isEmpty()) {
+      peers.state(HEARD, livenessReport.encode());
     }
     sharing = timers.after(reportMs / 8, this::share);
   }
@@ -125,22 +126,22 @@
 
   /** All machines not proved to be gone. */
   public Collection<Host> hosts() {
-    return roster.all();
+    return hostRegistry.all();
   }
 
   /** A machine by name, made known if it was not. */
   public Host host(String id) {
-    return roster.host(id);
+    return hostRegistry.host(id);
   }
 
   /** A machine by name, or null. */
   public Host known(String id) {
-    return roster.known(id);
+    return hostRegistry.known(id);
   }
 
   /** True when this machine was proved to be gone. */
   public boolean isGone(String id) {
-    return roster.isGone(id);
+    return hostRegistry.isGone(id);
   }
 
   /** The machine is proved to be gone, with everything on it. */
@@ -148,9 +149,9 @@
     if (host.gone()) {
       return;
     }
-    roster.markGone(host);
+    hostRegistry.markGone(host);
     ledger.allAbsent(host);
-    roster.remove(host);
+    hostRegistry.remove(host);
     listener.hostChanged(host);
   }
 
@@ -206,7 +207,7 @@
   public void lead() {
     leading = true;
     commandSender.lead();
-    for (Host host : roster.all()) {
+    for (Host host : hostRegistry.all()) {
       reach(host);
     }
     liveness.lead();
@@ -218,7 +219,7 @@
     leading = false;
     timer.cancel();
     commandSender.clear();
-    roster.clear();
+    hostRegistry.clear();
     liveness.clear();
   }
 
@@ -232,7 +233,7 @@
   private void tick() {
     long now = clock.now();
     liveness.turn(reportMs / 8);
-    for (Host host : List.copyOf(roster.all())) {
+    for (Host host : List.copyOf(hostRegistry.all())) {
       host.setOutOfReach(liveness.silent(host));
       host.setMute(liveness.mute(host));
       repeatHalts(host, now);
--- a/src/main/java/dapplestair/zones/ZoneProbes.java
+++ b/src/main/java/dapplestair/zones/ZoneProbes.java
@@ -44,9 +44,9 @@
   }
 
   /** The zone is cut or lost, and none of its machines is left. */
-  void emptied(String zone, ZoneStatus life) {
+  void emptied(String zone, ZoneStatus status) {
     long now = clock.wall();
-    if (now - life.cutWall() < timeouts.lostAfterMs(zone)) {
+    if (now - status.cutWall() < timeouts.lostAfterMs(zone)) {
       return;
     }
     Probe last = probes.getOrDefault(zone, NONE);
--- a/src/main/java/dapplestair/zones/Zones.java
+++ b/src/main/java/dapplestair/zones/Zones.java
@@ -51,7 +51,7 @@
   private final GuardedWriter writer;
   private final Replica replica;
   private final Leadership leadership;
-  private final WorkerManager desk;
+  private final WorkerManager workers;
   private final SilenceTimeouts timeouts;
   private final ZoneProbes probes;
   private final Events events;
@@ -72,7 +72,7 @@
       StateClient state,
       Replica replica,
       Leadership leadership,
-      WorkerManager desk,
+      WorkerManager workers,
       Predicate<String> rentOne,
       Events events) {
     this.clock = clock;
@@ -82,7 +82,7 @@
     this.writer = new GuardedWriter(state, leadership, settings.workers().reportMs());
     this.replica = replica;
     this.leadership = leadership;
-    this.desk = desk;
+    this.workers = workers;
     this.events = events;
     timeouts = new SilenceTimeouts(settings);
     probes = new ZoneProbes(clock, settings, timeouts, rentOne);
@@ -136,7 +136,7 @@
   private Set<String> known() {
     Set<String> out = new TreeSet<>(settings.zones());
     out.addAll(lives.keySet());
-    for (Host host : desk.hosts()) {
+    for (Host host : workers.hosts()) {
       if (host.zone() != null) {
         out.add(host.zone());
       }
@@ -144,35 +144,36 @@
     return out;
   }
 
-  private void look(String zone, ZoneStatus life) {
-    long silentMs = desk.zoneSilentMs(zone);
+  private void look(String zone, ZoneStatus status) {
+    long silentMs = workers.zoneSilentMs(zone);
     long wall = clock.wall();
     String me = settings.member();
-    switch (life.state()) {
-      case STEADY -> cutIfSilent(zone, life, silentMs);
+    switch (status.state()) {
+      case STEADY -> cutIfSilent(zone, status, silentMs);
       case CUT -> {
         if (silentMs > timeouts.lostAfterMs(zone)) {
-          write(zone, life.to(State.LOST, wall, me));
+          write(zone, status.to(State.LOST, wall, me));
         } else {
-          returnIfHeard(zone, life, silentMs);
+          returnIfHeard(zone, status, silentMs);
         }
       }
-      case LOST -> returnIfHeard(zone, life, silentMs);
+      case LOST -> returnIfHeard(zone, status, silentMs);
       case RETURNING -> {
         if (silentMs > 0) {
-          cutIfSilent(zone, life, silentMs);
-        } else if (wall - life.sinceWall() > heldMs(life)) {
-          write(zone, life.to(State.STEADY, wall, me));
+          cutIfSilent(zone, status, silentMs);
+        } else if (wall - status.sinceWall() > heldMs(status)) {
+          write(zone, status.to(State.STEADY, wall, me));
         }
       }
       default -> {}
     }
   }
 
-  private void cutIfSilent(String zone, ZoneStatus life, long silentMs) {
+  private void cutIfSilent(String zone, ZoneStatus status, long silentMs) {
     if (silentMs >= timeouts.prepareAfterMs()) {
       long wall = clock.wall() - silentMs;
-      write(zone, life.cut(wall, settings.member(), MEMORY_LEASES * settings.workers().leaseMs()));
+      write(
+          zone, status.cut(wall, settings.member(), MEMORY_LEASES * settings.workers().leaseMs()));
     }
   }
 
@@ -181,12 +182,12 @@
    * machine is left, one is rented that can be; if none is to be had, the zone is taken for back
    * after a while.
    */
-  private void returnIfHeard(String zone, ZoneStatus life, long silentMs) {
+  private void returnIfHeard(String zone, ZoneStatus status, long silentMs) {
     long now = clock.now();
-    boolean heard = silentMs == 0 && desk.zoneHeardNow(zone);
-    boolean none = !desk.anyLeftIn(zone);
+    boolean heard = silentMs == 0 && workers.zoneHeardNow(zone);
+    boolean none = !workers.anyLeftIn(zone);
     if (none) {
-      probes.emptied(zone, life);
+      probes.emptied(zone, status);
     } else if (heard) {
       probes.heard(zone);
     }
@@ -196,7 +197,7 @@
     }
     long since = empty ? triedAt.computeIfAbsent(zone, z -> now) : now;
     if (heard || now - since > TRIED_AGAIN_LEASES * settings.workers().leaseMs()) {
-      write(zone, life.to(State.RETURNING, clock.wall(), settings.member()));
+      write(zone, status.to(State.RETURNING, clock.wall(), settings.member()));
     }
   }
 
@@ -241,17 +242,17 @@
   }
 
   /** How long a zone has to be heard before it is steady again: doubling with each cut. */
-  long heldMs(ZoneStatus life) {
-    int leases = 1 << Math.min(30, Math.max(0, life.cuts() - 1));
+  long heldMs(ZoneStatus status) {
+    int leases = 1 << Math.min(30, Math.max(0, status.cuts() - 1));
     return Math.min(MOST_HELD_LEASES, leases) * settings.workers().leaseMs();
   }
 
   /** Seconds until a returning zone is steady, 0 for any other. */
   public double heldS(String zone) {
-    ZoneStatus life = life(zone);
-    return life.state() != State.RETURNING
+    ZoneStatus status = life(zone);
+    return status.state() != State.RETURNING
         ? 0
-        : Math.max(0, heldMs(life) - (clock.wall() - life.sinceWall())) / 1000.0;
+        : Math.max(0, heldMs(status) - (clock.wall() - status.sinceWall())) / 1000.0;
   }
 
   /**
@@ -259,9 +260,9 @@
    * steady yet.
    */
   public boolean closed(String zone) {
-    ZoneStatus life = life(zone);
-    boolean away = life.state() == State.CUT || life.state() == State.LOST;
-    return leading && (away || life.cuts() > 1 && life.state() != State.STEADY);
+    ZoneStatus status = life(zone);
+    boolean away = status.state() == State.CUT || status.state() == State.LOST;
+    return leading && (away || status.cuts() > 1 && status.state() != State.STEADY);
   }
 
   @Override
--- a/src/test/java/dapplestair/cancellations/CancellationCodecTest.java
+++ b/src/test/java/dapplestair/cancellations/CancellationCodecTest.java
@@ -24,10 +24,10 @@
 
   @Test
   void messagesComeBackAsTheyWere() {
-    CancellationCodec.LogRequest ask = new CancellationCodec.LogRequest(-77, 4, 99, 1000);
-    assertEquals(ask, CancellationCodec.ask(CancellationCodec.encode(ask)));
-    CancellationCodec.LogResponse answer = answer(5, 40);
-    assertEquals(answer, CancellationCodec.answer(CancellationCodec.encode(answer)));
+    CancellationCodec.LogRequest request = new CancellationCodec.LogRequest(-77, 4, 99, 1000);
+    assertEquals(request, CancellationCodec.ask(CancellationCodec.encode(request)));
+    CancellationCodec.LogResponse response = answer(5, 40);
+    assertEquals(response, CancellationCodec.answer(CancellationCodec.encode(response)));
   }
 
   /** Whatever comes, nothing is thrown; forms, terms and sizes that are not ours are refused. */
--- a/src/test/java/dapplestair/cancellations/CancellationWatermarkTest.java
+++ b/src/test/java/dapplestair/cancellations/CancellationWatermarkTest.java
@@ -24,15 +24,15 @@
           return now;
         }
       };
-  private final CancellationWatermark knownTo =
+  private final CancellationWatermark watermark =
       new CancellationWatermark(clock, () -> records, List.of("b", "c"));
 
   private void tells(String member, long log) {
-    CancellationWatermark.PeerLog p = knownTo.peer(member);
+    CancellationWatermark.PeerLog p = watermark.peer(member);
     if (p.log != log) {
-      knownTo.met(p, log);
+      watermark.met(p, log);
     }
-    knownTo.told(p, now);
+    watermark.told(p, now);
   }
 
   private void allTellAfterTheRecordsWereRead() {
@@ -48,7 +48,7 @@
   void nothingIsKnownBeforeTheRecordsWereRead() {
     tells("b", 1);
     tells("c", 1);
-    assertTrue(knownTo.ageMs() > Integer.MAX_VALUE);
+    assertTrue(watermark.ageMs() > Integer.MAX_VALUE);
   }
 
   /** In an outage of all it goes on as long as all tell, and stands still when one does not. */
@@ -57,9 +57,9 @@
     allTellAfterTheRecordsWereRead();
     now += 30_000;
     tells("b", 1);
-    assertEquals(30_000, knownTo.ageMs(), "one is dead or cut off, which cannot be told");
+    assertEquals(30_000, watermark.ageMs(), "one is dead or cut off, which cannot be told");
     tells("c", 1);
-    assertEquals(0, knownTo.ageMs());
+    assertEquals(0, watermark.ageMs());
   }
 
   /** Its new life does not know what the former one confirmed: only the records do. */
@@ -72,12 +72,12 @@
     now += 5000;
     tells("b", 2);
     tells("c", 1);
-    assertEquals(5500, knownTo.ageMs());
+    assertEquals(5500, watermark.ageMs());
     records = now;
     now += 7;
     tells("b", 2);
     tells("c", 1);
-    assertEquals(0, knownTo.ageMs());
+    assertEquals(0, watermark.ageMs());
   }
 
   @Test
--- a/src/test/java/dapplestair/fleet/CapacityEstimatorTest.java
+++ b/src/test/java/dapplestair/fleet/CapacityEstimatorTest.java
@@ -21,7 +21,7 @@
   private int held;
   private int pending;
   private final MachineTypes types = new MachineTypes();
-  private final CapacityEstimator supply =
+  private final CapacityEstimator capacityEstimator =
       new CapacityEstimator(
           new Clock() {
             @Override
@@ -55,8 +55,8 @@
   void whatIsOnlyAskedForIsNotGranted() {
     held = 60;
     pending = 50;
-    supply.refuse(POOL);
-    assertEquals(60, supply.capacity(POOL.slot(), 1000));
+    capacityEstimator.refuse(POOL);
+    assertEquals(60, capacityEstimator.capacity(POOL.kind(), 1000));
   }
 
   /** An answer that was on its way when another rental was refused shows more. */
@@ -64,20 +64,20 @@
   void whatArrivesAfterTheRefusalCounts() {
     held = 10;
     pending = 50;
-    supply.refuse(POOL);
+    capacityEstimator.refuse(POOL);
     held = 60;
     pending = 0;
-    assertEquals(60, supply.capacity(POOL.slot(), 1000));
+    assertEquals(60, capacityEstimator.capacity(POOL.kind(), 1000));
   }
 
   /** Machines that are returned could be had again. */
   @Test
   void whatWasGrantedStaysGranted() {
     held = 60;
-    supply.refuse(POOL);
+    capacityEstimator.refuse(POOL);
     held = 20;
-    assertEquals(60, supply.capacity(POOL.slot(), 1000));
+    assertEquals(60, capacityEstimator.capacity(POOL.kind(), 1000));
     now = BELIEVED_MS + 1;
-    assertEquals(1020, supply.capacity(POOL.slot(), 1000));
+    assertEquals(1020, capacityEstimator.capacity(POOL.kind(), 1000));
   }
 }
--- a/src/test/java/dapplestair/fleet/SpotHistoryTest.java
+++ b/src/test/java/dapplestair/fleet/SpotHistoryTest.java
@@ -9,7 +9,7 @@
 
 class SpotHistoryTest {
   private long now;
-  private final SpotHistory market =
+  private final SpotHistory spotHistory =
       new SpotHistory(
           new Clock() {
             @Override
@@ -29,18 +29,18 @@
 
   @Test
   void spotCostsTheHighestPriceOfTheLastMinute() {
-    market.notePrices(List.of(type(0.6)));
+    spotHistory.notePrices(List.of(type(0.6)));
     now = 30_000;
-    market.notePrices(List.of(type(0.4)));
-    assertEquals(0.6, market.price(type(0.4), true));
-    assertEquals(1.0, market.price(type(0.4), false));
+    spotHistory.notePrices(List.of(type(0.4)));
+    assertEquals(0.6, spotHistory.price(type(0.4), true));
+    assertEquals(1.0, spotHistory.price(type(0.4), false));
     now = 61_000;
-    market.notePrices(List.of(type(0.4)));
-    assertEquals(0.4, market.price(type(0.4), true));
+    spotHistory.notePrices(List.of(type(0.4)));
+    assertEquals(0.4, spotHistory.price(type(0.4), true));
   }
 
   @Test
   void nothingTakenNoChance() {
-    assertEquals(0, market.takeBackChance(new MachineKind("t8", true), 60_000, 10));
+    assertEquals(0, spotHistory.takeBackChance(new MachineKind("t8", true), 60_000, 10));
   }
 }
--- a/src/test/java/dapplestair/keys/TlsTrustTest.java
+++ b/src/test/java/dapplestair/keys/TlsTrustTest.java
@@ -32,7 +32,7 @@
   @TempDir private Path folder;
   private final ControllerEventLoop loop = new ControllerEventLoop();
   private Authority ca;
-  private CredentialStore tokens;
+  private CredentialStore credentials;
   private Processes processes;
 
   @BeforeEach
@@ -42,7 +42,7 @@
     write("anna", ca.client("anna", "operate", Instant.now(), DAY));
     Files.writeString(
         folder.resolve("tokens"), "# none\nvera view " + CredentialStore.hash("t0") + "\n");
-    tokens = CredentialStore.watch(folder.resolve("tokens"), loop, loop);
+    credentials = CredentialStore.watch(folder.resolve("tokens"), loop, loop);
     processes = new Processes(folder);
   }
 
@@ -73,7 +73,7 @@
   }
 
   private void answer(Exchange x) {
-    var who = tokens.who(x);
+    var who = credentials.who(x);
     if (who == null) {
       x.reply(401, Json.bytes(Json.object().put("error", "who are you?")), 0);
     } else {
@@ -158,7 +158,7 @@
     loop.executor()
         .execute(
             () -> {
-              var k = tokens.who(new Shown("Bearer " + token));
+              var k = credentials.who(new Shown("Bearer " + token));
               out.complete(k == null ? null : k.name());
             });
     return out.get();
--- a/src/test/java/dapplestair/model/Leader.java
+++ b/src/test/java/dapplestair/model/Leader.java
@@ -38,8 +38,8 @@
       outbox.putAll(other.outbox);
     }
 
-    private void queue(WorkerCommand order) {
-      outbox.put(order.id(), order);
+    private void queue(WorkerCommand command) {
+      outbox.put(command.id(), command);
     }
   }
 
@@ -172,14 +172,14 @@
     Machine m = machines[machine];
     List<WorkerCommand> orders = new ArrayList<>();
     List<Attempt> launches = new ArrayList<>();
-    for (WorkerCommand order : m.outbox.values()) {
-      if (order instanceof WorkerCommand.Launch) {
-        if (!FencingRules.due(m.session, isOn(machine) ? attempt : null, order)) {
+    for (WorkerCommand command : m.outbox.values()) {
+      if (command instanceof WorkerCommand.Launch) {
+        if (!FencingRules.due(m.session, isOn(machine) ? attempt : null, command)) {
           continue;
         }
         launches.add(attempt);
       }
-      orders.add(order);
+      orders.add(command);
     }
     m.outbox.clear();
     if (orders.isEmpty()) {
--- a/src/test/java/dapplestair/model/Worker.java
+++ b/src/test/java/dapplestair/model/Worker.java
@@ -77,14 +77,14 @@
     return true;
   }
 
-  private void execute(WorkerCommand order) {
-    int i = (int) order.attempt() - 1;
-    if (order instanceof WorkerCommand.Launch && tasks[i] == Task.UNKNOWN) {
+  private void execute(WorkerCommand command) {
+    int i = (int) command.attempt() - 1;
+    if (command instanceof WorkerCommand.Launch && tasks[i] == Task.UNKNOWN) {
       // One that is refused as busy is known as exited.
       tasks[i] = busy() ? Task.EXITED : Task.RUNNING;
-    } else if (order instanceof WorkerCommand.Halt && tasks[i] == Task.RUNNING) {
+    } else if (command instanceof WorkerCommand.Halt && tasks[i] == Task.RUNNING) {
       tasks[i] = Task.EXITED;
-    } else if (order instanceof WorkerCommand.Clear && tasks[i] == Task.EXITED) {
+    } else if (command instanceof WorkerCommand.Clear && tasks[i] == Task.EXITED) {
       tasks[i] = Task.UNKNOWN;
     }
   }
--- a/src/test/java/dapplestair/silence/LivenessReportsTest.java
+++ b/src/test/java/dapplestair/silence/LivenessReportsTest.java
@@ -27,10 +27,10 @@
     for (int i = 0; i < 700; i++) {
       late.put(String.format("n-%06d", 3 * i), 1000L + i);
     }
-    LivenessReport account =
+    LivenessReport livenessReport =
         new LivenessReport(7, 12, Map.of("a", 5L, "b", 70_000L), late, Map.of("n-000001", 400L));
-    byte[] bytes = account.encode();
-    assertEquals(account, LivenessReport.decode(bytes));
+    byte[] bytes = livenessReport.encode();
+    assertEquals(livenessReport, LivenessReport.decode(bytes));
     assertTrue(bytes.length < 10 * late.size(), bytes.length + " bytes for 700 machines");
   }
 
@@ -54,13 +54,13 @@
 
   @Test
   void anOlderAccountChangesNothing() {
-    LivenessReports accounts = new LivenessReports();
-    accounts.said(of(2, 10, Map.of("n-1", 4000L)), 100_000);
-    accounts.said(of(2, 11, Map.of()), 101_000);
+    LivenessReports livenessReports = new LivenessReports();
+    livenessReports.said(of(2, 10, Map.of("n-1", 4000L)), 100_000);
+    livenessReports.said(of(2, 11, Map.of()), 101_000);
     // Reordered, doubled, and from a former leader: each calls a machine late that was heard since.
-    accounts.said(of(2, 10, Map.of("n-1", 4000L)), 101_500);
-    accounts.said(of(1, 99, Map.of("n-1", 90_000L)), 101_600);
-    assertEquals(101_000, accounts.machineHeardAt("n-1"));
+    livenessReports.said(of(2, 10, Map.of("n-1", 4000L)), 101_500);
+    livenessReports.said(of(1, 99, Map.of("n-1", 90_000L)), 101_600);
+    assertEquals(101_000, livenessReports.machineHeardAt("n-1"));
   }
 
   /** Whatever the order and the delays: heard no earlier than the newest speaker knew it to be. */
@@ -68,7 +68,7 @@
   void silenceNeverLooksLongerThanItIs() {
     for (long seed = 1; seed <= 200; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      LivenessReports accounts = new LivenessReports();
+      LivenessReports livenessReports = new LivenessReports();
       List<Long> heardWhenSaid = new ArrayList<>(List.of(0L));
       PriorityQueue<long[]> underWay = new PriorityQueue<>(Comparator.comparingLong(m -> m[0]));
       long heard = 1000;
@@ -83,10 +83,10 @@
         while (!underWay.isEmpty() && underWay.peek()[0] <= now) {
           long[] m = underWay.poll();
           newest = Math.max(newest, (int) m[1]);
-          accounts.said(of(1, m[1], m[2] > 2000 ? Map.of("n-1", m[2]) : Map.of()), now);
+          livenessReports.said(of(1, m[1], m[2] > 2000 ? Map.of("n-1", m[2]) : Map.of()), now);
         }
         assertTrue(
-            newest == 0 || accounts.machineHeardAt("n-1") >= heardWhenSaid.get(newest),
+            newest == 0 || livenessReports.machineHeardAt("n-1") >= heardWhenSaid.get(newest),
             "seed " + seed + " at " + now);
       }
     }
@@ -94,11 +94,11 @@
 
   @Test
   void whoeverDoesNotLeadSaysNothingOfMachines() {
-    LivenessReports accounts = new LivenessReports();
-    accounts.said(
+    LivenessReports livenessReports = new LivenessReports();
+    livenessReports.said(
         new LivenessReport(0, 5, Map.of("b", 200L), Map.of("n-1", 9000L), Map.of()), 10_000);
-    assertEquals(9800, accounts.zoneHeardAt("b"));
-    assertTrue(accounts.at() < 0);
-    assertFalse(accounts.saidGone("n-1"));
+    assertEquals(9800, livenessReports.zoneHeardAt("b"));
+    assertTrue(livenessReports.at() < 0);
+    assertFalse(livenessReports.saidGone("n-1"));
   }
 }
--- a/src/test/java/dapplestair/submissions/UserRequestCodecTest.java
+++ b/src/test/java/dapplestair/submissions/UserRequestCodecTest.java
@@ -21,12 +21,12 @@
     assertEquals("GET", request.method());
     assertEquals("/submissions/wk-1", request.path());
     assertArrayEquals(BODY, request.body());
-    UserRequestCodec.Response answer =
+    UserRequestCodec.Response response =
         UserRequestCodec.answer(
             UserRequestCodec.encode(new UserRequestCodec.Response(503, 2, BODY)));
-    assertEquals(503, answer.status());
-    assertEquals(2, answer.retryAfterS());
-    assertArrayEquals(BODY, answer.body());
+    assertEquals(503, response.status());
+    assertEquals(2, response.retryAfterS());
+    assertArrayEquals(BODY, response.body());
   }
 
   /** Whatever comes, nothing is thrown; forms, sizes and methods that are not ours are refused. */
--- a/src/test/java/dapplestair/world/CalendarTest.java
+++ b/src/test/java/dapplestair/world/CalendarTest.java
@@ -51,7 +51,7 @@
     World w = new World(seed, World.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
-    w.operator = OperatorSettings.defaults().withCalendars(List.of(BASIN));
+    w.operatorSettings = OperatorSettings.defaults().withCalendars(List.of(BASIN));
     w.nodes.forEach(n -> n.crash(500));
     for (int i = 0; i < 3; i++) {
       w.users.service("two", 3);
--- a/src/test/java/dapplestair/world/CancellationOutageTest.java
+++ b/src/test/java/dapplestair/world/CancellationOutageTest.java
@@ -76,14 +76,14 @@
     }
 
     /** Every second machine that runs a task of a job that is to be cancelled. */
-    void troubleEverySecond(MachineFault trouble, long ms) {
+    void troubleEverySecond(MachineFault fault, long ms) {
       List<EmulatedWorker> machines =
           w.cloud.machines().stream()
               .filter(m -> !m.gone() && m.tasks().stream().anyMatch(this::toBeCancelled))
               .toList();
       assertTrue(machines.size() > 1, "hardly a machine runs what is to be cancelled");
       for (int i = 0; i < machines.size(); i += 2) {
-        trouble.happen(w, machines.get(i), ms);
+        fault.happen(w, machines.get(i), ms);
       }
     }
 
--- a/src/test/java/dapplestair/world/DisruptionTest.java
+++ b/src/test/java/dapplestair/world/DisruptionTest.java
@@ -42,7 +42,7 @@
   /** From the next start of each controller on; all of them start again now. */
   private static void allow(World w, int one, int two) {
     DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
-    w.operator =
+    w.operatorSettings =
         OperatorSettings.defaults()
             .withBudgets(
                 new DisruptionBudgets(Map.of("one", replicas(d, one), "two", replicas(d, two)), d));
@@ -233,7 +233,7 @@
   /** Operators allow so many CPU seconds of each team's work to be thrown away in an hour. */
   static void allowLoss(World w, double cpuS) {
     DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
-    w.operator =
+    w.operatorSettings =
         OperatorSettings.defaults()
             .withBudgets(
                 new DisruptionBudgets(
--- a/src/test/java/dapplestair/world/FaultCombinationTest.java
+++ b/src/test/java/dapplestair/world/FaultCombinationTest.java
@@ -44,14 +44,14 @@
   static void play(World w, long seed, Consumer<RandomFaults> trouble) {
     try {
       w.users.cancelledArrays = 0.5;
-      RandomFaults troubles = new RandomFaults(w);
+      RandomFaults faults = new RandomFaults(w);
       w.run(15_000);
       for (int i = 0; i < ROUNDS; i++) {
-        transition(w, troubles);
+        transition(w, faults);
         int more = (int) w.sim.between(1, 2);
         for (int k = 0; k < more; k++) {
           w.run(step(w));
-          trouble.accept(troubles);
+          trouble.accept(faults);
         }
         cancelSome(w);
         w.run(w.sim.between(8000, 40_000));
@@ -70,7 +70,7 @@
     return w.sim.between(0, spans[(int) w.sim.between(0, spans.length - 1)]);
   }
 
-  private static void transition(World w, RandomFaults troubles) {
+  private static void transition(World w, RandomFaults faults) {
     World.Node leader = w.leader() == null ? w.nodes.get(0) : w.leader();
     String name = "node-" + leader.index;
     long ms = w.sim.between(1500, RandomFaults.LONGEST_MS);
@@ -78,7 +78,7 @@
       case 0 -> leader.crash(w.sim.between(60, 900));
       case 1 -> leader.crash(w.sim.between(2000, 6000));
       case 2 -> w.nodes.forEach(n -> n.crash(w.sim.between(60, 4000)));
-      case 3 -> troubles.alone(leader, w.sim.chance(0.5), ms);
+      case 3 -> faults.alone(leader, w.sim.chance(0.5), ms);
       case 4 -> {
         // It alone is refused, and then all of them are, for longer than cancelled work may live.
         w.state.refuse(name, true);
--- a/src/test/java/dapplestair/world/InvalidRequestsTest.java
+++ b/src/test/java/dapplestair/world/InvalidRequestsTest.java
@@ -26,7 +26,7 @@
   /** The requests of one day. */
   private static final class Requests {
     final World w;
-    final ConcurrentReaders looks;
+    final ConcurrentReaders readers;
     final long until;
     int made;
     int refused;
@@ -35,7 +35,7 @@
 
     Requests(World w) {
       this.w = w;
-      looks = new ConcurrentReaders(w);
+      readers = new ConcurrentReaders(w);
       until = w.sim.now() + FOR_MS;
     }
 
@@ -45,7 +45,7 @@
       }
       switch ((int) w.sim.between(0, 3)) {
         case 0 -> cancelDone();
-        case 1 -> some(t -> t.accepted).forEach(t -> looks.repeat(t, someNode()));
+        case 1 -> some(t -> t.accepted).forEach(t -> readers.repeat(t, someNode()));
         case 2 -> some(t -> t.accepted).forEach(this::repeatWithoutField);
         default -> some(t -> true).forEach(t -> submitOdd(t.body));
       }
--- a/src/test/java/dapplestair/world/IsolatedControllerTest.java
+++ b/src/test/java/dapplestair/world/IsolatedControllerTest.java
@@ -67,9 +67,9 @@
   void twoAtOnce(long seed) {
     World w = begun(seed);
     World.Node leader = w.leader();
-    RandomFaults troubles = new RandomFaults(w);
-    troubles.alone(leader, false, LONG_MS);
-    troubles.alone(w.nodes.get((leader.index + 1) % 3), true, LONG_MS);
+    RandomFaults faults = new RandomFaults(w);
+    faults.alone(leader, false, LONG_MS);
+    faults.alone(w.nodes.get((leader.index + 1) % 3), true, LONG_MS);
     int killed = w.cloud.killedByLease();
     w.run(LONG_MS);
     assertEquals(w.nodes.get((leader.index + 2) % 3), w.leader());
--- a/src/test/java/dapplestair/world/LaneTest.java
+++ b/src/test/java/dapplestair/world/LaneTest.java
@@ -40,7 +40,8 @@
     World w = new World(seed, World.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
-    w.operator = OperatorSettings.defaults().withLanes(lane == null ? List.of() : List.of(lane));
+    w.operatorSettings =
+        OperatorSettings.defaults().withLanes(lane == null ? List.of() : List.of(lane));
     w.nodes.forEach(n -> n.crash(500));
     w.cloud.setCapacity(0.25);
     w.run(10_000);
@@ -232,7 +233,7 @@
     World w = new World(seed, World.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
-    w.operator = OperatorSettings.defaults().withLanes(List.of(lane));
+    w.operatorSettings = OperatorSettings.defaults().withLanes(List.of(lane));
     w.nodes.forEach(n -> n.crash(500));
     w.cloud.setCapacity(0.25);
     w.run(10_000);
@@ -258,7 +259,7 @@
     World w = begun(seed, GATE, 0);
     rider(w, 30);
     w.run(150);
-    w.operator = OperatorSettings.defaults();
+    w.operatorSettings = OperatorSettings.defaults();
     w.nodes.forEach(n -> n.crash(500));
     w.run(30_000);
     assertEquals(null, claims(w), "a claim without a lane");
--- a/src/test/java/dapplestair/world/LargestJobsTest.java
+++ b/src/test/java/dapplestair/world/LargestJobsTest.java
@@ -157,7 +157,7 @@
   void withoutTheBoundTheyDoNotBegin() {
     World w = new World(6003, World.Size.MIDDLE);
     OperatorSettings d = OperatorSettings.defaults();
-    w.operator = d.withBeginWithin(24 * 3600_000);
+    w.operatorSettings = d.withBeginWithin(24 * 3600_000);
     w.nodes.forEach(n -> n.crash(500));
     w.net.loss = 0;
     w.users.quiet = true;
--- a/src/test/java/dapplestair/world/LastTaskEndTest.java
+++ b/src/test/java/dapplestair/world/LastTaskEndTest.java
@@ -38,7 +38,7 @@
   /** Who sends what where. */
   private static final class Day {
     final World w;
-    final ConcurrentReaders looks;
+    final ConcurrentReaders readers;
     final Step step;
     final long moveMs;
     final Map<String, Users.KnownJob> jobs = new LinkedHashMap<>();
@@ -50,7 +50,7 @@
       w = new World(seed);
       w.net.loss = 0;
       w.users.cancelledArrays = 0;
-      looks = new ConcurrentReaders(w);
+      readers = new ConcurrentReaders(w);
       this.step = step;
       this.moveMs = moveMs;
       w.checker.alsoCompleted = this::completed;
@@ -107,17 +107,17 @@
       int leader = w.leader().index;
       int kind = met++ % 4;
       if (kind == 3) {
-        looks.around(job);
+        readers.around(job);
         return;
       }
       for (World.Node n : w.nodes) {
         if (kind == 2 || (n.index == leader) == (kind == 0)) {
           w.users.cancelAt(job, n);
-          looks.ask(job, n);
-          looks.repeat(job, n);
+          readers.ask(job, n);
+          readers.repeat(job, n);
         }
       }
-      looks.around(job);
+      readers.around(job);
     }
 
     String recorded(Users.KnownJob job) {
--- a/src/test/java/dapplestair/world/LatencyReport.java
+++ b/src/test/java/dapplestair/world/LatencyReport.java
@@ -44,11 +44,11 @@
         h.getMaxValue());
   }
 
-  private static World world(int seed, OperatorSettings operator) {
+  private static World world(int seed, OperatorSettings operatorSettings) {
     World w = new World(seed, World.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
-    w.operator = operator;
+    w.operatorSettings = operatorSettings;
     w.nodes.forEach(n -> n.crash(500));
     w.cloud.setCapacity(0.25);
     w.run(20_000);
--- a/src/test/java/dapplestair/world/LeaderChangeRunner.java
+++ b/src/test/java/dapplestair/world/LeaderChangeRunner.java
@@ -34,16 +34,16 @@
   }
 
   private void play(long seed) {
-    MachineFault trouble = pick(MachineFault.values(), seed);
+    MachineFault fault = pick(MachineFault.values(), seed);
     LeaderChange change = pick(LeaderChange.values(), seed / 7);
     long offset = OFFSETS_MS[(int) (seed / 3 % OFFSETS_MS.length)];
     RefusedThenOutageTest.Asked asked = pick(RefusedThenOutageTest.Asked.values(), seed / 10);
     long askedMs = Math.min(offset, 900);
-    play("limits", seed, s -> TeamLimitsTest.play(s, trouble, change, Math.max(-1500, offset)));
+    play("limits", seed, s -> TeamLimitsTest.play(s, fault, change, Math.max(-1500, offset)));
     play("handover", seed, s -> HandoverTest.play(s, change, Math.max(-400, offset)));
     play("refused", seed, s -> RefusedThenOutageTest.play(s, asked, askedMs, pick(LINKS, s), 1700));
     long outMs = seed % 2 * 8000;
-    play("leaders", seed, s -> ManyLeadersTest.play(s, trouble, (int) (s % 5), outMs));
+    play("leaders", seed, s -> ManyLeadersTest.play(s, fault, (int) (s % 5), outMs));
   }
 
   public static void main(String[] args) {
--- a/src/test/java/dapplestair/world/LostResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostResponsesTest.java
@@ -67,7 +67,7 @@
   private static final long NO_NEWS_MS = 5000;
 
   static void loseAnswers(World w, Predicate<JsonNode> writes, Sender sender) {
-    ConcurrentReaders looks = new ConcurrentReaders(w);
+    ConcurrentReaders readers = new ConcurrentReaders(w);
     long[] crashAgainAt = {0};
     w.net.commits.lostAnswersOf = writes;
     w.net.commits.lostAnswers = SHARE;
@@ -75,7 +75,7 @@
         (from, body) -> {
           Users.KnownJob job = w.users.told.get(String.valueOf(CommitInterceptor.job(body)));
           if (job != null) {
-            lookAt(w, looks, job);
+            lookAt(w, readers, job);
           }
           if (sender == Sender.HEARS_NO_NEWS) {
             w.net.commits.withoutNews(from, NO_NEWS_MS);
@@ -89,8 +89,8 @@
   }
 
   /** A job that nobody was told of yet may be asked for by whoever submitted it. */
-  private static void lookAt(World w, ConcurrentReaders looks, Users.KnownJob job) {
-    looks.around(job);
+  private static void lookAt(World w, ConcurrentReaders readers, Users.KnownJob job) {
+    readers.around(job);
     if (w.sim.chance(0.3)) {
       w.nodes.forEach(n -> w.sim.after(w.sim.between(0, 30), () -> w.users.cancelAt(job, n)));
     }
--- a/src/test/java/dapplestair/world/ManyLeadersTest.java
+++ b/src/test/java/dapplestair/world/ManyLeadersTest.java
@@ -35,16 +35,16 @@
     "11210,MUTE,1,60000",
     "11211,UNASKED,0,70000"
   })
-  void tenLeaders(long seed, MachineFault trouble, int outRound, long outMs) {
-    play(seed, trouble, outRound, outMs);
+  void tenLeaders(long seed, MachineFault fault, int outRound, long outMs) {
+    play(seed, fault, outRound, outMs);
   }
 
-  static World play(long seed, MachineFault trouble, int outRound, long outMs) {
+  static World play(long seed, MachineFault fault, int outRound, long outMs) {
     TeamLimitsTest.FullDay f = new TeamLimitsTest.FullDay(seed);
     World w = f.w;
     LeaderChange[] ways = LeaderChange.values();
     long first = term(w);
-    f.day.troubleEverySecond(trouble, World.CANCEL_MS * 3 / 2);
+    f.day.troubleEverySecond(fault, World.CANCEL_MS * 3 / 2);
     f.cancel();
     for (int i = 0; i < CHANGES; i++) {
       if (i == outRound) {
--- a/src/test/java/dapplestair/world/MonotonicReadsTest.java
+++ b/src/test/java/dapplestair/world/MonotonicReadsTest.java
@@ -37,7 +37,7 @@
   /** One day with its scripted jobs. */
   private static final class Day {
     final World w;
-    final ConcurrentReaders looks;
+    final ConcurrentReaders readers;
     final Behind behind;
     final long moveMs;
     final Map<String, Users.KnownJob> jobs = new HashMap<>();
@@ -45,7 +45,7 @@
 
     Day(long seed, Behind behind, long moveMs) {
       w = new World(seed);
-      looks = new ConcurrentReaders(w);
+      readers = new ConcurrentReaders(w);
       this.behind = behind;
       this.moveMs = moveMs;
       w.answers.firstHeard = this::firstHeard;
@@ -94,7 +94,7 @@
       }
       if (job.accepted) {
         // Nobody has been told yet that it is over; whoever is told first makes the others late.
-        looks.around(job);
+        readers.around(job);
       }
     }
 
@@ -116,7 +116,7 @@
         return;
       }
       moments.merge(state, 1, Integer::sum);
-      looks.around(job);
+      readers.around(job);
       boolean cancelled = ref.hashCode() % 2 == 0;
       if (cancelled || !state.equals("accepted")) {
         // At once, at two controllers; one that is done must be answered done.
@@ -156,6 +156,6 @@
     assertTrue(d.moments.getOrDefault("accepted", 0) >= JOBS - 1, d.moments.toString());
     assertTrue(d.moments.getOrDefault("done", 0) > 1, d.moments.toString());
     assertTrue(d.moments.getOrDefault("aborted", 0) > 1, d.moments.toString());
-    assertTrue(d.looks.told > 20 * JOBS, d.looks.told + " looks were answered");
+    assertTrue(d.readers.told > 20 * JOBS, d.readers.told + " looks were answered");
   }
 }
--- a/src/test/java/dapplestair/world/OperatorsTest.java
+++ b/src/test/java/dapplestair/world/OperatorsTest.java
@@ -66,15 +66,15 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void answersAreNeverOlderThanTheirQuestions(long seed) {
     World w = world(seed, World.Size.SMALL);
-    RandomFaults troubles = new RandomFaults(w);
+    RandomFaults faults = new RandomFaults(w);
     w.run(10_000);
-    troubles.begin(4000);
+    faults.begin(4000);
     try {
       for (int i = 0; i < 700; i++) {
         question(w);
         w.run(w.sim.between(200, 800));
       }
-      troubles.end();
+      faults.end();
       w.run(30_000);
       SeededDaysTest.settle(w);
     } catch (AssertionError e) {
--- a/src/test/java/dapplestair/world/QuickBootTest.java
+++ b/src/test/java/dapplestair/world/QuickBootTest.java
@@ -43,7 +43,7 @@
   }
 
   /** The request that marks the moment, for a machine that was not there before. */
-  private static Predicate<Network.Request> mark(World w, CrashPoint moment) {
+  private static Predicate<Network.Request> mark(World w, CrashPoint crashPoint) {
     Set<String> before = new HashSet<>();
     w.cloud.machines().forEach(m -> before.add(m.id()));
     Predicate<String> ofNew =
@@ -54,7 +54,7 @@
     return r -> {
       String body = r.body() == null ? "" : new String(r.body(), StandardCharsets.UTF_8);
       boolean toLeader = w.leader() != null && r.to().equals(World.client(w.leader().index));
-      return switch (moment) {
+      return switch (crashPoint) {
         case RENTAL_PUT -> r.puts("live/rental/") && !body.contains("\"hosts\"");
         case RENTAL_ASKED -> r.path().equals("/rentals") && r.method().equals("POST");
         case HOSTS_PUT -> r.puts("live/rental/") && ofNew.test(body);
@@ -91,13 +91,13 @@
     "5315,LAUNCH_SENT,3,0.5",
     "5317,LAUNCH_SENT,1700,0.5"
   })
-  void theLeaderEnds(long seed, CrashPoint moment, long afterMs, double late) {
+  void theLeaderEnds(long seed, CrashPoint crashPoint, long afterMs, double late) {
     World w = begun(seed);
     int[] met = {0};
     for (int i = 0; i < 2; i++) {
       w.net.lateWrites = late;
       w.net.when(
-          mark(w, moment),
+          mark(w, crashPoint),
           afterMs,
           () -> {
             if (w.leader() != null) {
--- a/src/test/java/dapplestair/world/RelayTest.java
+++ b/src/test/java/dapplestair/world/RelayTest.java
@@ -32,7 +32,7 @@
     Day(long seed) {
       w = DisruptionTest.begun(seed, 5, 5);
       w.checker.budget = null;
-      w.operator = w.operator.withRelayAbove(0);
+      w.operatorSettings = w.operatorSettings.withRelayAbove(0);
       w.nodes.forEach(n -> n.crash(1000));
       w.net.observe(
           r -> {
--- a/src/test/java/dapplestair/world/ReplacementCosts.java
+++ b/src/test/java/dapplestair/world/ReplacementCosts.java
@@ -82,7 +82,7 @@
     w.net.loss = 0;
     w.users.quiet = true;
     DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
-    w.operator =
+    w.operatorSettings =
         OperatorSettings.defaults()
             .withBudgets(
                 new DisruptionBudgets(
--- a/src/test/java/dapplestair/world/ReplacementTest.java
+++ b/src/test/java/dapplestair/world/ReplacementTest.java
@@ -85,15 +85,15 @@
   /** Whatever fails, budgets hold and the order goes on until the fleet is new. */
   @ParameterizedTest(name = "{0}")
   @EnumSource
-  void theOrderGoesOnThrough(ReplacementFault trouble) {
+  void theOrderGoesOnThrough(ReplacementFault fault) {
     for (long seed = 1; seed <= 2; seed++) {
-      World w = DisruptionTest.begun(100 * trouble.ordinal() + seed, 2, 3);
+      World w = DisruptionTest.begun(100 * fault.ordinal() + seed, 2, 3);
       try {
         Set<String> before = machines(w);
         OperatorsTest.order(w, NIGHT + "/start", all(3, 3));
         for (int i = 0; i < 7; i++) {
           w.run(w.sim.between(1500, 9000));
-          trouble.strike(w);
+          fault.strike(w);
         }
         w.run(10_000);
         w.cloud.setNeverBoots(0);
@@ -106,7 +106,7 @@
         assertReplaced(w, before, wanted);
         w.checker.checkServed();
       } catch (AssertionError e) {
-        throw new AssertionError(trouble + ", seed " + seed + ": " + e.getMessage(), e);
+        throw new AssertionError(fault + ", seed " + seed + ": " + e.getMessage(), e);
       }
     }
   }
@@ -128,11 +128,11 @@
       w.run(100_000);
       Set<String> before = machines(w);
       assertTrue(before.size() > 200, before.size() + " machines");
-      RandomFaults troubles = new RandomFaults(w);
+      RandomFaults faults = new RandomFaults(w);
       OperatorsTest.order(w, NIGHT + "/start", all(20, 20));
-      troubles.begin(9000);
+      faults.begin(9000);
       w.run(120_000);
-      troubles.end();
+      faults.end();
       busy[0] = false;
       w.run(30_000);
       untilDone(w, 1_500_000, seen -> goOn(w, seen));
@@ -227,8 +227,8 @@
     // What arrays needed is given back first.
     w.run(60_000);
     long held = steady(w);
-    OperatorSettings o = w.operator;
-    w.operator =
+    OperatorSettings o = w.operatorSettings;
+    w.operatorSettings =
         new OperatorSettings(
             o.planIntervalMs(),
             o.population(),
--- a/src/test/java/dapplestair/world/SeededDaysTest.java
+++ b/src/test/java/dapplestair/world/SeededDaysTest.java
@@ -246,11 +246,11 @@
   static void play(long seed, long troubleEveryMs) {
     World world = new World(seed);
     try {
-      RandomFaults troubles = new RandomFaults(world);
+      RandomFaults faults = new RandomFaults(world);
       world.run(10_000);
-      troubles.begin(troubleEveryMs);
+      faults.begin(troubleEveryMs);
       world.run(ROUGH_MS);
-      troubles.end();
+      faults.end();
       settle(world);
     } catch (AssertionError e) {
       throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
--- a/src/test/java/dapplestair/world/TeamLimitsTest.java
+++ b/src/test/java/dapplestair/world/TeamLimitsTest.java
@@ -86,15 +86,15 @@
     "11016,STALL,PLANNED,24000",
     "11017,STALL,FROZEN,400"
   })
-  void cancelledAtTheLimit(long seed, MachineFault trouble, LeaderChange change, long afterMs) {
-    play(seed, trouble, change, afterMs);
+  void cancelledAtTheLimit(long seed, MachineFault fault, LeaderChange change, long afterMs) {
+    play(seed, fault, change, afterMs);
   }
 
-  static World play(long seed, MachineFault trouble, LeaderChange change, long afterMs) {
+  static World play(long seed, MachineFault fault, LeaderChange change, long afterMs) {
     FullDay f = new FullDay(seed);
     int before = f.w.checker.started;
     f.w.sim.after(1500 + afterMs, () -> change.happen(f.w));
-    f.day.troubleEverySecond(trouble, World.CANCEL_MS * 3 / 2);
+    f.day.troubleEverySecond(fault, World.CANCEL_MS * 3 / 2);
     f.w.run(1500);
     f.cancel();
     f.w.run(World.CANCEL_MS);
--- a/src/test/java/dapplestair/world/World.java
+++ b/src/test/java/dapplestair/world/World.java
@@ -100,7 +100,7 @@
   Runnable also = () -> {};
 
   /** What controllers are told by their operators from their next start on. */
-  OperatorSettings operator;
+  OperatorSettings operatorSettings;
 
   /** Every world spreads its connections from this share on; less than 0: as the operators say. */
   private static final double RELAY_ABOVE =
@@ -140,9 +140,9 @@
     this(seed, size, operators, types, OperatorSettings.defaults());
   }
 
-  /** Controllers are told {@code operator} from their first start on. */
-  World(long seed, Size size, boolean operators, OperatorSettings operator) {
-    this(seed, size, operators, List.of(machineType(TYPE)), operator);
+  /** Controllers are told {@code operatorSettings} from their first start on. */
+  World(long seed, Size size, boolean operators, OperatorSettings operatorSettings) {
+    this(seed, size, operators, List.of(machineType(TYPE)), operatorSettings);
   }
 
   /** A type of machine like the usual one. */
@@ -155,15 +155,15 @@
       Size size,
       boolean operators,
       List<EmulatorSettings.MachineSpec> machineTypes,
-      OperatorSettings operator) {
-    this.operator = operator;
+      OperatorSettings operatorSettings) {
+    this.operatorSettings = operatorSettings;
     this.seed = seed;
     this.types = machineTypes.stream().map(EmulatorSettings.MachineSpec::name).toList();
     this.operators = operators;
     this.size = size;
     sim = new Sim(seed);
     net = new Network(sim);
-    EmulatorSettings shape =
+    EmulatorSettings emulatorSettings =
         new EmulatorSettings(
             machineTypes,
             ZONES,
@@ -178,7 +178,7 @@
             40,
             400,
             size.keptWriteRps());
-    state = new EmulatedState(new SimulatedEnvironment(), shape);
+    state = new EmulatedState(new SimulatedEnvironment(), emulatorSettings);
     net.place("state:1", state);
     for (int i = 0; i < 3; i++) {
       nodes.add(new Node(i));
@@ -189,7 +189,7 @@
     cloud =
         new EmulatedCloud(
             new SimulatedEnvironment(),
-            shape,
+            emulatorSettings,
             ref -> users().told.containsKey(ref) ? users().told.get(ref).body : null,
             new Members(),
             checker);
@@ -370,7 +370,7 @@
   final class Node implements RequestHandler {
     final int index;
     final Settings settings;
-    private ControllerProcess life;
+    private ControllerProcess process;
 
     /** Reports of workers that came to it. */
     int beats;
@@ -383,21 +383,21 @@
     }
 
     void start() {
-      life = new ControllerProcess(this);
-      life.begin();
+      process = new ControllerProcess(this);
+      process.begin();
     }
 
     boolean up() {
-      return life != null;
+      return process != null;
     }
 
     void crash(long backAfterMs) {
-      if (life != null) {
-        life.dead = true;
-        life = null;
+      if (process != null) {
+        process.dead = true;
+        process = null;
         for (Node n : nodes) {
-          if (n.life != null) {
-            n.life.listener.down("node-" + index);
+          if (n.process != null) {
+            n.process.listener.down("node-" + index);
           }
         }
         sim.after(backAfterMs, this::start);
@@ -406,8 +406,8 @@
 
     /** It hands over and ends, as for a new version. */
     void leave(long backAfterMs) {
-      if (life != null) {
-        life.controller.leave();
+      if (process != null) {
+        process.controller.leave();
         crash(backAfterMs);
       }
     }
@@ -417,8 +417,8 @@
      * waits until then. Its connections are taken as before.
      */
     void freeze(long ms) {
-      if (life != null) {
-        life.frozenUntil = Math.max(life.frozenUntil, sim.now() + ms);
+      if (process != null) {
+        process.frozenUntil = Math.max(process.frozenUntil, sim.now() + ms);
       }
     }
 
@@ -429,20 +429,20 @@
 
     private void operator(
         String from, String method, String path, byte[] body, Consumer<HttpReply> reply) {
-      if (life == null) {
+      if (process == null) {
         reply.accept(HttpReply.of(HttpReply.NOT_SENT));
       } else {
-        life.controller.operators(new Request(method, path, body, reply));
+        process.controller.operators(new Request(method, path, body, reply));
       }
     }
 
     @Override
     public void request(
         String from, String method, String path, byte[] body, Consumer<HttpReply> reply) {
-      if (life == null) {
+      if (process == null) {
         reply.accept(HttpReply.of(HttpReply.NOT_SENT));
       } else {
-        ControllerProcess now = life;
+        ControllerProcess now = process;
         beats += path.equals("/agent/beat") ? 1 : 0;
         now.run(() -> now.controller.handle(new Request(method, path, body, reply)));
       }
@@ -486,7 +486,7 @@
 
     ControllerProcess(Node node) {
       this.node = node;
-      ControllerEnvironment outside =
+      ControllerEnvironment environment =
           new ControllerEnvironment(
               this,
               this,
@@ -504,11 +504,12 @@
               RandomSource.XO_RO_SHI_RO_128_PP.create(sim.random.nextLong()),
               seed % 3 != 0);
       controller =
-          new Controller(node.settings, told(), outside, operators ? Authenticator.open() : null);
+          new Controller(
+              node.settings, told(), environment, operators ? Authenticator.open() : null);
     }
 
     private OperatorSettings told() {
-      return RELAY_ABOVE < 0 ? operator : operator.withRelayAbove(RELAY_ABOVE);
+      return RELAY_ABOVE < 0 ? operatorSettings : operatorSettings.withRelayAbove(RELAY_ABOVE);
     }
 
     void begin() {
@@ -569,8 +570,8 @@
           member,
           message instanceof PeerAnswer || message instanceof PeerAsk ask && ask.number() > 0,
           () -> {
-            if (to.life != null) {
-              ControllerProcess now = to.life;
+            if (to.process != null) {
+              ControllerProcess now = to.process;
               now.run(() -> now.listener.message("node-" + node.index, message));
             }
           });
@@ -589,7 +590,7 @@
     /** A dead process's port refuses, as its peers soon notice. */
     private void probe() {
       for (Node n : nodes) {
-        if (n != node && (n.life == null || peersRefuse)) {
+        if (n != node && (n.process == null || peersRefuse)) {
           listener.refused("node-" + n.index);
         }
       }
