--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -9,7 +9,7 @@
 import dapplestair.fleet.PendingCapacity;
 import dapplestair.ledger.Job;
 import dapplestair.ledger.Ledger;
-import dapplestair.placement.Explanation;
+import dapplestair.placement.PlacementExplanation;
 import dapplestair.placement.PlacementVerdict;
 import dapplestair.placement.Placer;
 import dapplestair.settings.Settings;
@@ -65,7 +65,7 @@
     return object;
   }
 
-  private ObjectNode explained(Job job, Explanation explanation) {
+  private ObjectNode explained(Job job, PlacementExplanation explanation) {
     String ref = job.spec().ref();
     int[] counts = ledger.counts(job);
     ObjectNode object = nothing(ref, JobViews.status(counts));
@@ -128,7 +128,7 @@
       String of,
       int count,
       Job job,
-      Explanation explanation) {
+      PlacementExplanation explanation) {
     ObjectNode object =
         to.addObject().put("reason", verdict.shown()).put(of, count).put("words", verdict.words());
     Settings.Team team = settings.teams().get(job.spec().team());
@@ -144,7 +144,7 @@
   }
 
   /** The earliest of what is on its way, but not before the job may start at all; -1: unknown. */
-  private double expected(Explanation explanation, PendingCapacity pendingCapacity) {
+  private double expected(PlacementExplanation explanation, PendingCapacity pendingCapacity) {
     double first = Double.POSITIVE_INFINITY;
     if (explanation.machines().containsKey(PlacementVerdict.FITS)
         || explanation.job().containsKey(PlacementVerdict.ROOM_ON_ITS_WAY)) {
--- a/src/main/java/dapplestair/calendar/Calendars.java
+++ b/src/main/java/dapplestair/calendar/Calendars.java
@@ -4,7 +4,7 @@
 import dapplestair.calendar.Cycle.ReleaseCause;
 import dapplestair.events.Events;
 import dapplestair.json.Json;
-import dapplestair.leadership.GuardedWriter;
+import dapplestair.leadership.FencedWriter;
 import dapplestair.leadership.Leadership;
 import dapplestair.leadership.TermTimers;
 import dapplestair.ledger.Job;
@@ -47,7 +47,7 @@
   private final Settings settings;
   private final Map<String, RunCalendar> calendars = new LinkedHashMap<>();
   private final StateClient state;
-  private final GuardedWriter writer;
+  private final FencedWriter writer;
   private final Replica replica;
   private final Leadership leadership;
   private final Ledger ledger;
@@ -81,7 +81,7 @@
     this.timers = timers;
     this.settings = settings;
     this.state = state;
-    this.writer = new GuardedWriter(state, leadership, settings.workers().reportMs());
+    this.writer = new FencedWriter(state, leadership, settings.workers().reportMs());
     this.replica = replica;
     this.leadership = leadership;
     this.ledger = ledger;
--- a/src/main/java/dapplestair/disruption/LostWork.java
+++ b/src/main/java/dapplestair/disruption/LostWork.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplestair.json.Json;
-import dapplestair.leadership.GuardedWriter;
+import dapplestair.leadership.FencedWriter;
 import dapplestair.leadership.Leadership;
 import dapplestair.ports.Clock;
 import dapplestair.settings.DisruptionBudgets;
@@ -32,7 +32,7 @@
 
   private final Clock clock;
   private final DisruptionBudgets budgets;
-  private final GuardedWriter writer;
+  private final FencedWriter writer;
   private final Replica replica;
   private final Leadership leadership;
   private final Map<String, TeamLostWork> accounts = new HashMap<>();
@@ -59,7 +59,7 @@
       Leadership leadership) {
     this.clock = clock;
     this.budgets = budgets;
-    this.writer = new GuardedWriter(state, leadership, settings.workers().reportMs());
+    this.writer = new FencedWriter(state, leadership, settings.workers().reportMs());
     this.replica = replica;
     this.leadership = leadership;
   }
--- a/src/main/java/dapplestair/keys/Authority.java
+++ b/src/main/java/dapplestair/keys/CertificateAuthority.java
@@ -37,14 +37,14 @@
 import org.bouncycastle.util.io.pem.PemReader;
 
 /** A small certificate authority, for the listeners of controllers and for their operators. */
-final class Authority {
+final class CertificateAuthority {
   // Clocks of operators' machines need not agree with this one.
   private static final Duration BEFORE = Duration.ofHours(1);
 
   private final X509Certificate certificate;
   private final PrivateKey key;
 
-  private Authority(X509Certificate certificate, PrivateKey key) {
+  private CertificateAuthority(X509Certificate certificate, PrivateKey key) {
     this.certificate = certificate;
     this.key = key;
   }
@@ -53,7 +53,7 @@
   record Issued(String certificate, String key) {}
 
   /** A new authority with its own certificate. */
-  static Authority create(String name, Instant now, Duration lasts)
+  static CertificateAuthority create(String name, Instant now, Duration lasts)
       throws GeneralSecurityException, IOException {
     KeyPair pair = pair();
     X500Name self = new X500NameBuilder().addRDN(BCStyle.CN, name).build();
@@ -61,11 +61,11 @@
     builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(0));
     builder.addExtension(
         Extension.keyUsage, true, new KeyUsage(KeyUsage.keyCertSign | KeyUsage.cRLSign));
-    return new Authority(signed(builder, pair.getPrivate()), pair.getPrivate());
+    return new CertificateAuthority(signed(builder, pair.getPrivate()), pair.getPrivate());
   }
 
   /** Reads one that was made earlier. */
-  static Authority read(String certificatePem, String keyPem)
+  static CertificateAuthority read(String certificatePem, String keyPem)
       throws GeneralSecurityException, IOException {
     X509Certificate x509Certificate =
         (X509Certificate)
@@ -77,7 +77,7 @@
       byte[] bytes = in.readPemObject().getContent();
       PrivateKey privateKey =
           KeyFactory.getInstance("EC").generatePrivate(new PKCS8EncodedKeySpec(bytes));
-      return new Authority(x509Certificate, privateKey);
+      return new CertificateAuthority(x509Certificate, privateKey);
     }
   }
 
--- a/src/main/java/dapplestair/keys/KeysCommand.java
+++ b/src/main/java/dapplestair/keys/KeysCommand.java
@@ -72,7 +72,8 @@
       Files.writeString(file, text, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
-    static void write(Path folder, String name, Authority.Issued issued) throws IOException {
+    static void write(Path folder, String name, CertificateAuthority.Issued issued)
+        throws IOException {
       write(folder.resolve(name + ".key"), issued.key(), true);
       write(folder.resolve(name + ".pem"), issued.certificate(), false);
     }
@@ -120,7 +121,8 @@
     @Override
     void make(Instant now) throws GeneralSecurityException, IOException {
       Files.createDirectories(folder);
-      Authority ca = Authority.create("dapplestair operators", now, lasts().multipliedBy(10));
+      CertificateAuthority ca =
+          CertificateAuthority.create("dapplestair operators", now, lasts().multipliedBy(10));
       write(folder, "authority", ca.own());
       write(folder, "server", ca.server(names, now, lasts()));
       StringBuilder tokens = new StringBuilder();
@@ -145,8 +147,8 @@
 
     @Override
     void make(Instant now) throws GeneralSecurityException, IOException {
-      Authority ca =
-          Authority.read(
+      CertificateAuthority ca =
+          CertificateAuthority.read(
               Files.readString(folder.resolve("authority.pem")),
               Files.readString(folder.resolve("authority.key")));
       write(folder, "client-" + name, ca.client(name, role(), now, lasts()));
--- a/src/main/java/dapplestair/lane/ClaimWriter.java
+++ b/src/main/java/dapplestair/lane/ClaimWriter.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplestair.json.Json;
-import dapplestair.leadership.GuardedWriter;
+import dapplestair.leadership.FencedWriter;
 import dapplestair.leadership.Leadership;
 import dapplestair.leadership.TermTimers;
 import dapplestair.settings.Settings;
@@ -37,7 +37,7 @@
   private final TermTimers timers;
   private final Settings settings;
   private final StateClient state;
-  private final GuardedWriter writer;
+  private final FencedWriter writer;
   private final Replica replica;
   private final Leadership leadership;
   private final Source source;
@@ -59,7 +59,7 @@
     this.timers = timers;
     this.settings = settings;
     this.state = state;
-    this.writer = new GuardedWriter(state, leadership, settings.workers().reportMs());
+    this.writer = new FencedWriter(state, leadership, settings.workers().reportMs());
     this.replica = replica;
     this.leadership = leadership;
     this.source = source;
--- a/src/main/java/dapplestair/leadership/GuardedWriter.java
+++ b/src/main/java/dapplestair/leadership/FencedWriter.java
@@ -11,14 +11,14 @@
  * Writes a duty's records on condition that this controller still leads. What became of a write is
  * told unless the duty was reset meanwhile: then the replica tells the next leader.
  */
-public final class GuardedWriter {
+public final class FencedWriter {
   private final StateClient state;
   private final Leadership leadership;
   private final long timeoutMs;
   private int generation;
 
   /** Writes that are not answered within {@code timeoutMs} have an unknown outcome. */
-  public GuardedWriter(StateClient state, Leadership leadership, long timeoutMs) {
+  public FencedWriter(StateClient state, Leadership leadership, long timeoutMs) {
     this.state = state;
     this.leadership = leadership;
     this.timeoutMs = timeoutMs;
--- a/src/main/java/dapplestair/ledger/JobFinalizer.java
+++ b/src/main/java/dapplestair/ledger/JobFinalizer.java
@@ -112,7 +112,7 @@
             .leadership
             .guard(new Txn())
             .when(StateKeys.job(ref), job.stamp)
-            .put(StateKeys.over(ref), JobRecord.over(job, "done", context.clock.wall()))
+            .put(StateKeys.over(ref), JobRecordCodec.over(job, "done", context.clock.wall()))
             .remove(StateKeys.job(ref));
     context.callbacks.finishing(job, txn);
     for (Chunk chunk : job.chunks.values()) {
--- a/src/main/java/dapplestair/ledger/JobRecord.java
+++ b/src/main/java/dapplestair/ledger/JobRecordCodec.java
@@ -8,10 +8,10 @@
 import org.slf4j.LoggerFactory;
 
 /** How jobs are written in the state service. */
-final class JobRecord {
-  private static final Logger LOG = LoggerFactory.getLogger(JobRecord.class);
+final class JobRecordCodec {
+  private static final Logger LOG = LoggerFactory.getLogger(JobRecordCodec.class);
 
-  private JobRecord() {}
+  private JobRecordCodec() {}
 
   /** A job as accepted at a time of day, its tasks recorded by so many. */
   static ObjectNode accepted(Submission submission, long wall, long askedWall, int chunkSize) {
--- a/src/main/java/dapplestair/ledger/Ledger.java
+++ b/src/main/java/dapplestair/ledger/Ledger.java
@@ -70,7 +70,7 @@
       known.stamp = stamp;
       return;
     }
-    Job job = JobRecord.read(value, stamp, chunkSize);
+    Job job = JobRecordCodec.read(value, stamp, chunkSize);
     if (job != null) {
       jobs.put(ref, job);
       // Followers count arrivals too, so that a new leader knows what to expect. What a listing
@@ -86,12 +86,12 @@
 
   /** The form in which an accepted job is recorded, whose user first asked at a time of day. */
   public ObjectNode record(Submission submission, long askedWall) {
-    return JobRecord.accepted(submission, context.clock.wall(), askedWall, chunkSize);
+    return JobRecordCodec.accepted(submission, context.clock.wall(), askedWall, chunkSize);
   }
 
   /** The form in which a job that is over is recorded. */
   public ObjectNode overRecord(Job job, String status) {
-    return JobRecord.over(job, status, context.clock.wall());
+    return JobRecordCodec.over(job, status, context.clock.wall());
   }
 
   /** A job's key is gone: it was cancelled or is done. */
--- a/src/main/java/dapplestair/ledger/Takeover.java
+++ b/src/main/java/dapplestair/ledger/Takeover.java
@@ -100,7 +100,7 @@
             return;
           }
           if (read.exists()) {
-            overFor(held, JobRecord.overForMs(read.value(), context.clock.wall()));
+            overFor(held, JobRecordCodec.overForMs(read.value(), context.clock.wall()));
           } else {
             endUnread.add(held);
           }
@@ -120,7 +120,7 @@
           if (!context.still(forTerm)) {
             return;
           }
-          Job job = read.exists() ? JobRecord.read(read.value(), 0, chunkSize) : null;
+          Job job = read.exists() ? JobRecordCodec.read(read.value(), 0, chunkSize) : null;
           if (job == null) {
             if (read.known()) {
               LOG.error("attempts of {} are recorded, but no such job", ref);
@@ -128,7 +128,7 @@
             context.timers.after(context.retryMs, () -> fetchOrphan(forTerm, ref));
             return;
           }
-          over(job, JobRecord.overForMs(read.value(), context.clock.wall()));
+          over(job, JobRecordCodec.overForMs(read.value(), context.clock.wall()));
           orphanFound();
         });
   }
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -32,7 +32,7 @@
   private final RoleChangeNotifier roleChanges;
   private final RecordDispatcher dispatcher;
   private final HttpRouter router;
-  private final LoopMonitor loopMonitor;
+  private final EventLoopMonitor loopMonitor;
   private final StatusReporter self;
 
   /** Wires the duties, without an operators' interface; nothing runs before {@link #start}. */
@@ -69,7 +69,7 @@
     self = new StatusReporter(core);
     long reportMs = settings.workers().reportMs();
     loopMonitor =
-        new LoopMonitor(
+        new EventLoopMonitor(
             environment.clock(),
             environment.timers(),
             core.metrics,
--- a/src/main/java/dapplestair/node/LoopMonitor.java
+++ b/src/main/java/dapplestair/node/EventLoopMonitor.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 
 /** Measures how late timers fire, and writes the summary line now and then. */
-final class LoopMonitor implements AutoCloseable {
+final class EventLoopMonitor implements AutoCloseable {
   private static final long LAG_EVERY_MS = 50;
 
   private final Clock clock;
@@ -19,7 +19,7 @@
   private Cancellable lag = () -> {};
 
   /** {@code standing} is what a summary says besides the figures. */
-  LoopMonitor(
+  EventLoopMonitor(
       Clock clock, Timers timers, Metrics metrics, long summaryEveryMs, Supplier<String> standing) {
     this.clock = clock;
     this.timers = timers;
--- a/src/main/java/dapplestair/placement/DecisionRecorder.java
+++ b/src/main/java/dapplestair/placement/DecisionRecorder.java
@@ -28,7 +28,7 @@
   private final WorkerManager workers;
   private final RuntimeEstimates estimates;
   private final Calendars calendars;
-  private final Map<String, List<Consumer<Explanation>>> asked = new LinkedHashMap<>();
+  private final Map<String, List<Consumer<PlacementExplanation>>> asked = new LinkedHashMap<>();
   private final Map<String, Map<PlacementVerdict, Integer>> found = new LinkedHashMap<>();
   private final Object2IntOpenHashMap<String> gangRoom = new Object2IntOpenHashMap<>();
 
@@ -46,7 +46,7 @@
     gangRoom.defaultReturnValue(-1);
   }
 
-  void ask(String ref, Consumer<Explanation> answer) {
+  void ask(String ref, Consumer<PlacementExplanation> answer) {
     asked.computeIfAbsent(ref, r -> new ArrayList<>()).add(answer);
   }
 
@@ -69,7 +69,7 @@
   void answer(BiFunction<Job, Host, PlacementVerdict> filter) {
     asked.forEach(
         (ref, answers) -> {
-          Explanation explanation = explain(ref, filter);
+          PlacementExplanation explanation = explain(ref, filter);
           answers.forEach(a -> a.accept(explanation));
         });
   }
@@ -79,10 +79,10 @@
     asked.values().forEach(answers -> answers.forEach(a -> a.accept(null)));
   }
 
-  private Explanation explain(String ref, BiFunction<Job, Host, PlacementVerdict> filter) {
+  private PlacementExplanation explain(String ref, BiFunction<Job, Host, PlacementVerdict> filter) {
     Job job = ledger.job(ref);
     if (job == null || job.waiting() == 0) {
-      return Explanation.nothingWaits();
+      return PlacementExplanation.nothingWaits();
     }
     Map<PlacementVerdict, Integer> machines = new EnumMap<>(PlacementVerdict.class);
     double free = -1;
@@ -111,7 +111,8 @@
     if (!ledger.teamAllows(job.spec())) {
       whole.put(PlacementVerdict.TEAM_LIMIT, Math.max(1, byLimit));
     }
-    return new Explanation(job.waiting(), machines, whole, free, heldBack, gangRoom.getInt(ref));
+    return new PlacementExplanation(
+        job.waiting(), machines, whole, free, heldBack, gangRoom.getInt(ref));
   }
 
   /** When enough is expected to have ended on a full machine, or -1. */
--- a/src/main/java/dapplestair/placement/Explanation.java
+++ b/src/main/java/dapplestair/placement/PlacementExplanation.java
@@ -13,7 +13,7 @@
  * @param heldBackS seconds for which the job is held back, 0 when it is not
  * @param gangRoom for a gang, how many of its tasks there is room for; else -1
  */
-public record Explanation(
+public record PlacementExplanation(
     int waiting,
     Map<PlacementVerdict, Integer> machines,
     Map<PlacementVerdict, Integer> job,
@@ -21,8 +21,8 @@
     double heldBackS,
     int gangRoom) {
 
-  static Explanation nothingWaits() {
-    return new Explanation(
+  static PlacementExplanation nothingWaits() {
+    return new PlacementExplanation(
         0, new EnumMap<>(PlacementVerdict.class), new EnumMap<>(PlacementVerdict.class), -1, 0, -1);
   }
 }
--- a/src/main/java/dapplestair/placement/Placer.java
+++ b/src/main/java/dapplestair/placement/Placer.java
@@ -101,7 +101,7 @@
    * Answers what the next turn, brought forward, finds in the way of a job; null when this
    * controller places nothing.
    */
-  public void explain(String ref, Consumer<Explanation> answer) {
+  public void explain(String ref, Consumer<PlacementExplanation> answer) {
     if (!ledger.armed()) {
       answer.accept(null);
       return;
--- a/src/main/java/dapplestair/planning/Autoscaler.java
+++ b/src/main/java/dapplestair/planning/Autoscaler.java
@@ -180,7 +180,7 @@
     int planned = generation;
     boolean only = extra;
     extra = false;
-    PlanChoice choice = new PlanChoice(operatorSettings, demand.pressure());
+    PlanSelector choice = new PlanSelector(operatorSettings, demand.pressure());
     background.compute(
         () -> best(search, problem, seeds, last, choice),
         chosen -> {
@@ -225,7 +225,11 @@
   private record ChosenPlan(int[] counts, double[] costs, int front) {}
 
   private static ChosenPlan best(
-      Nsga2 search, FleetProblem problem, List<double[]> seeds, double[] last, PlanChoice choice) {
+      Nsga2 search,
+      FleetProblem problem,
+      List<double[]> seeds,
+      double[] last,
+      PlanSelector choice) {
     List<Nsga2.Individual> front = search.search(problem, seeds);
     if (front.isEmpty()) {
       double[] unknown = {Double.NaN, Double.NaN, Double.NaN};
--- a/src/main/java/dapplestair/planning/PlanChoice.java
+++ b/src/main/java/dapplestair/planning/PlanSelector.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Which plan of a front is applied: the one nearest the origin among those that are in time. */
-final class PlanChoice {
+final class PlanSelector {
   // Which cost of a plan is its makespan.
   private static final int MAKESPAN = 0;
 
@@ -25,7 +25,7 @@
    *
    * @param pressure work that waits for long over what the fleet holds
    */
-  PlanChoice(OperatorSettings operatorSettings, double pressure) {
+  PlanSelector(OperatorSettings operatorSettings, double pressure) {
     weights =
         new double[] {
           operatorSettings.makespanWeight() * (1 + 2 * Math.min(MOST_PRESSURE, pressure)),
@@ -43,7 +43,7 @@
    * nobody would take are dropped first, like those over the budget.
    */
   Nsga2.Individual of(List<Nsga2.Individual> front, Nsga2.Individual standing) {
-    double fastest = front.stream().mapToDouble(PlanChoice::makespan).min().orElse(0);
+    double fastest = front.stream().mapToDouble(PlanSelector::makespan).min().orElse(0);
     double most = MOST_TIMES_FASTEST * fastest;
     List<Nsga2.Individual> inTime = front.stream().filter(i -> makespan(i) <= most).toList();
     return standing == null || makespan(standing) > most
--- a/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
+++ b/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
@@ -3,7 +3,7 @@
 import dapplestair.drain.Drains;
 import dapplestair.events.Events;
 import dapplestair.fleet.MachineKind;
-import dapplestair.leadership.GuardedWriter;
+import dapplestair.leadership.FencedWriter;
 import dapplestair.leadership.Leadership;
 import dapplestair.machines.MachineTypes;
 import dapplestair.ports.Clock;
@@ -35,7 +35,7 @@
 
   private final Clock clock;
   private final Settings settings;
-  private final GuardedWriter writer;
+  private final FencedWriter writer;
   private final Leadership leadership;
   private final MachineTypes types;
   private final Drains drains;
@@ -66,7 +66,7 @@
       Runnable changed) {
     this.clock = clock;
     this.settings = settings;
-    this.writer = new GuardedWriter(state, leadership, settings.workers().reportMs());
+    this.writer = new FencedWriter(state, leadership, settings.workers().reportMs());
     this.leadership = leadership;
     this.types = types;
     this.drains = drains;
--- a/src/main/java/dapplestair/submissions/UnansweredRequests.java
+++ b/src/main/java/dapplestair/submissions/UnansweredRequests.java
@@ -1,7 +1,7 @@
 package dapplestair.submissions;
 
 import dapplestair.ports.Clock;
-import dapplestair.work.RecentMap;
+import dapplestair.work.ExpiringLruMap;
 
 /**
  * Jobs about which this controller was asked in vain, and for how long. Users ask again every few
@@ -13,12 +13,12 @@
   private record Asked(long since, long last) {}
 
   private final Clock clock;
-  private final RecentMap<String, Asked> jobs;
+  private final ExpiringLruMap<String, Asked> jobs;
 
   /** One that was not asked again for {@code keptMs} does not count any more. */
   UnansweredRequests(Clock clock, long keptMs) {
     this.clock = clock;
-    this.jobs = new RecentMap<>(clock, keptMs, MOST_KEPT, Asked::last);
+    this.jobs = new ExpiringLruMap<>(clock, keptMs, MOST_KEPT, Asked::last);
   }
 
   /** A question about this job could not be answered. */
--- a/src/main/java/dapplestair/weights/ImageLocations.java
+++ b/src/main/java/dapplestair/weights/ImageLocations.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.google.common.collect.Sets;
 import com.google.common.hash.Hashing;
-import dapplestair.leadership.GuardedWriter;
+import dapplestair.leadership.FencedWriter;
 import dapplestair.leadership.Leadership;
 import dapplestair.leadership.TermTimers;
 import dapplestair.ports.Cancellable;
@@ -41,7 +41,7 @@
   private final TermTimers timers;
   private final Settings settings;
   private final StateClient state;
-  private final GuardedWriter writer;
+  private final FencedWriter writer;
   private final Leadership leadership;
   private final WorkerManager workers;
 
@@ -64,7 +64,7 @@
     this.timers = timers;
     this.settings = settings;
     this.state = state;
-    this.writer = new GuardedWriter(state, leadership, settings.workers().reportMs());
+    this.writer = new FencedWriter(state, leadership, settings.workers().reportMs());
     this.leadership = leadership;
     this.workers = workers;
   }
--- a/src/main/java/dapplestair/work/RecentMap.java
+++ b/src/main/java/dapplestair/work/ExpiringLruMap.java
@@ -8,7 +8,7 @@
 import java.util.function.ToLongFunction;
 
 /** Entries in the order of their last use, dropped once they are too old or too many. */
-public final class RecentMap<K, V> {
+public final class ExpiringLruMap<K, V> {
   private final Clock clock;
   private final long keptMs;
   private final int most;
@@ -16,7 +16,7 @@
   private final Map<K, V> entries = new LinkedHashMap<>();
 
   /** Keeps {@code most} entries at the most, each for {@code keptMs} after its last use. */
-  public RecentMap(Clock clock, long keptMs, int most, ToLongFunction<V> usedAt) {
+  public ExpiringLruMap(Clock clock, long keptMs, int most, ToLongFunction<V> usedAt) {
     this.clock = clock;
     this.keptMs = keptMs;
     this.most = most;
--- a/src/main/java/dapplestair/workers/RecentRedirects.java
+++ b/src/main/java/dapplestair/workers/RecentRedirects.java
@@ -1,7 +1,7 @@
 package dapplestair.workers;
 
 import dapplestair.ports.Clock;
-import dapplestair.work.RecentMap;
+import dapplestair.work.ExpiringLruMap;
 import dapplestair.work.Report;
 
 /**
@@ -16,12 +16,12 @@
 
   private final Clock clock;
   private final long keptMs;
-  private final RecentMap<String, Last> workers;
+  private final ExpiringLruMap<String, Last> workers;
 
   RecentRedirects(Clock clock, long keptMs) {
     this.clock = clock;
     this.keptMs = keptMs;
-    this.workers = new RecentMap<>(clock, keptMs, MOST_KEPT, Last::at);
+    this.workers = new ExpiringLruMap<>(clock, keptMs, MOST_KEPT, Last::at);
   }
 
   /** Notes a report that is not taken here; true when its worker was sent on within a lease. */
--- a/src/main/java/dapplestair/zones/Zones.java
+++ b/src/main/java/dapplestair/zones/Zones.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dapplestair.events.Events;
-import dapplestair.leadership.GuardedWriter;
+import dapplestair.leadership.FencedWriter;
 import dapplestair.leadership.Leadership;
 import dapplestair.leadership.TermTimers;
 import dapplestair.ports.Cancellable;
@@ -48,7 +48,7 @@
   private final TermTimers timers;
   private final Settings settings;
   private final StateClient state;
-  private final GuardedWriter writer;
+  private final FencedWriter writer;
   private final Replica replica;
   private final Leadership leadership;
   private final WorkerManager workers;
@@ -79,7 +79,7 @@
     this.timers = timers;
     this.settings = settings;
     this.state = state;
-    this.writer = new GuardedWriter(state, leadership, settings.workers().reportMs());
+    this.writer = new FencedWriter(state, leadership, settings.workers().reportMs());
     this.replica = replica;
     this.leadership = leadership;
     this.workers = workers;
--- a/src/test/java/dapplestair/keys/TlsTrustTest.java
+++ b/src/test/java/dapplestair/keys/TlsTrustTest.java
@@ -31,13 +31,13 @@
 
   @TempDir private Path folder;
   private final ControllerEventLoop loop = new ControllerEventLoop();
-  private Authority ca;
+  private CertificateAuthority ca;
   private CredentialStore credentials;
   private Processes processes;
 
   @BeforeEach
   void make() throws Exception {
-    ca = Authority.create("us", Instant.now(), DAY);
+    ca = CertificateAuthority.create("us", Instant.now(), DAY);
     write("ca", ca.own());
     write("anna", ca.client("anna", "operate", Instant.now(), DAY));
     Files.writeString(
@@ -52,13 +52,13 @@
     loop.close();
   }
 
-  private void write(String name, Authority.Issued issued) throws Exception {
+  private void write(String name, CertificateAuthority.Issued issued) throws Exception {
     Files.writeString(folder.resolve(name + ".pem"), issued.certificate());
     Files.writeString(folder.resolve(name + ".key"), issued.key());
   }
 
   /** Serves with this certificate; answers who the caller is. */
-  private int serve(String name, Authority.Issued issued) throws Exception {
+  private int serve(String name, CertificateAuthority.Issued issued) throws Exception {
     write(name, issued);
     TlsFiles tls =
         TlsFiles.watch(
@@ -115,7 +115,7 @@
             "ca",
             "token = \"t0\"\n"),
         "is for another name");
-    Authority other = Authority.create("them", Instant.now(), DAY);
+    CertificateAuthority other = CertificateAuthority.create("them", Instant.now(), DAY);
     write("them", other.own());
     int port = serve("good", ca.server(HERE, Instant.now(), DAY));
     refused(ask(port, "them", "token = \"t0\"\n"), "is from another authority");
@@ -132,7 +132,7 @@
             .formatted(folder.resolve("anna.pem"), folder.resolve("anna.key"));
     assertTrue(ask(port, "ca", anna).out().contains("\"anna\",\"operates\":true"));
     // A client certificate of somebody else's authority ends the connection.
-    Authority other = Authority.create("them", Instant.now(), DAY);
+    CertificateAuthority other = CertificateAuthority.create("them", Instant.now(), DAY);
     write("eve", other.client("eve", "operate", Instant.now(), DAY));
     Processes.Ended eve = ask(port, "ca", anna.replace("anna", "eve"));
     assertTrue(eve.code() != 0 && eve.out().isEmpty(), eve.toString());
--- a/src/test/java/dapplestair/planning/PlanChoiceTest.java
+++ b/src/test/java/dapplestair/planning/PlanSelectorTest.java
@@ -13,7 +13,7 @@
  * The front of the first plan after a burst from a cold start, as logged on seed 5016 of {@code
  * BurstTest}: machines held, makespan in seconds, spend per hour.
  */
-class PlanChoiceTest {
+class PlanSelectorTest {
   private static final double[][] LOGGED = {
     {1, 13725, 0.4},
     {2, 6867, 0.8},
@@ -45,7 +45,7 @@
     return plan.variables()[0];
   }
 
-  private final PlanChoice choice = new PlanChoice(OperatorSettings.defaults(), 0);
+  private final PlanSelector choice = new PlanSelector(OperatorSettings.defaults(), 0);
 
   @Test
   void aBurstIsNotAnsweredByDozensOfMachines() {
--- a/src/test/java/dapplestair/world/AcceptanceTest.java
+++ b/src/test/java/dapplestair/world/AcceptanceTest.java
@@ -13,16 +13,16 @@
   private static final int SUBMISSIONS = 60;
   private static final long SOON_MS = 1000;
 
-  private static World begun(long seed) {
-    World w = DisruptionTest.begun(seed, 5, 5);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
     w.checker.budget = null;
     w.users.quiet = true;
     return w;
   }
 
   /** Submits small jobs at a steady pace; returns the share that was accepted soon. */
-  private static double soonAccepted(World w) {
-    List<Users.KnownJob> jobs = new ArrayList<>();
+  private static double soonAccepted(SimulatedCluster w) {
+    List<SimulatedUsers.KnownJob> jobs = new ArrayList<>();
     for (int i = 0; i < SUBMISSIONS; i++) {
       jobs.add(w.users.array("one", "high", 1, 2));
       w.run(w.sim.between(200, 600));
@@ -37,7 +37,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {7101, 7102, 7103, 7104})
   void lostAnswersDelayNobodyForLong(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     w.net.lateWrites = 0.25;
     double soon = soonAccepted(w);
     w.net.lateWrites = 0;
@@ -52,14 +52,14 @@
   @ParameterizedTest(name = "seed {0}, the leader: {1}")
   @CsvSource({"7111,true", "7112,true", "7113,false", "7114,false"})
   void oneThatIsRefusedAloneHasAPeerAnswer(long seed, boolean leads) {
-    World w = begun(seed);
-    World.Node leader = w.leader();
-    World.Node refused = leads ? leader : w.nodes.get((leader.index + 1) % 3);
-    Users.KnownJob cancelled = w.users.array("two", "high", 10, 60);
+    SimulatedCluster w = begun(seed);
+    SimulatedCluster.ControllerNode leader = w.leader();
+    SimulatedCluster.ControllerNode refused = leads ? leader : w.nodes.get((leader.index + 1) % 3);
+    SimulatedUsers.KnownJob cancelled = w.users.array("two", "high", 10, 60);
     w.run(8000);
     w.state.refuse("node-" + refused.index, true);
     // The time in which nobody leads is not what is looked at here.
-    w.run(2 * World.REPORT_MS);
+    w.run(2 * SimulatedCluster.REPORT_MS);
     w.users.cancelAt(cancelled, refused);
     double soon = soonAccepted(w);
     assertTrue(soon >= 0.95, "accepted within a second: " + soon);
--- a/src/test/java/dapplestair/world/AllControllersUnavailableTest.java
+++ b/src/test/java/dapplestair/world/AllControllersUnavailableTest.java
@@ -14,13 +14,13 @@
  * worker. All tasks are killed; what was accepted runs again, what was cancelled does not.
  */
 class AllControllersUnavailableTest {
-  private static final long AWAY_MS = World.LEASE_MS * 5 / 4;
+  private static final long AWAY_MS = SimulatedCluster.LEASE_MS * 5 / 4;
 
-  private static List<Users.KnownJob> begun(World w) {
+  private static List<SimulatedUsers.KnownJob> begun(SimulatedCluster w) {
     w.net.loss = 0;
     w.users.quiet = true;
     w.run(5000);
-    List<Users.KnownJob> jobs = new ArrayList<>();
+    List<SimulatedUsers.KnownJob> jobs = new ArrayList<>();
     for (String team : List.of("one", "two")) {
       jobs.add(w.users.array(team, "high", 6, 40));
       jobs.add(
@@ -39,8 +39,8 @@
   }
 
   /** Their return is spread over {@code spreadMs}; the leader's place is free for all of them. */
-  private static void away(World w, String how, long spreadMs) {
-    for (World.Node node : w.nodes) {
+  private static void away(SimulatedCluster w, String how, long spreadMs) {
+    for (SimulatedCluster.ControllerNode node : w.nodes) {
       long ms = AWAY_MS + w.sim.between(0, spreadMs);
       if (how.equals("ended")) {
         node.crash(ms);
@@ -52,8 +52,9 @@
     }
   }
 
-  private static void cutFromWorkers(World w, World.Node node, boolean hold, long until) {
-    List<String> names = List.of("node-" + node.index, World.client(node.index));
+  private static void cutFromWorkers(
+      SimulatedCluster w, SimulatedCluster.ControllerNode node, boolean hold, long until) {
+    List<String> names = List.of("node-" + node.index, SimulatedCluster.client(node.index));
     for (EmulatedWorker m : w.cloud.machines()) {
       for (String name : names) {
         if (w.sim.now() < until) {
@@ -89,9 +90,9 @@
     "9312,lost,17000,-1000"
   })
   void allAreAwayForLongerThanALease(long seed, String how, long spreadMs, long cancelledMs) {
-    World w = new World(seed, World.Size.MIDDLE);
-    List<Users.KnownJob> jobs = begun(w);
-    List<Users.KnownJob> cancelled = jobs.subList(0, jobs.size() / 2);
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
+    List<SimulatedUsers.KnownJob> jobs = begun(w);
+    List<SimulatedUsers.KnownJob> cancelled = jobs.subList(0, jobs.size() / 2);
     if (cancelledMs >= 0) {
       cancelled.forEach(w.users::cancel);
       w.run(cancelledMs);
@@ -104,12 +105,12 @@
     }
     w.run(AWAY_MS + spreadMs);
     assertTrue(w.cloud.killedByLease() > byLease, "no lease ran out");
-    w.run(World.LEASE_MS);
+    w.run(SimulatedCluster.LEASE_MS);
     SeededDaysTest.settle(w);
     assertEquals(3, running(w, jobs.get(jobs.size() - 1)), "replicas of a service not cancelled");
   }
 
-  private static long running(World w, Users.KnownJob job) {
+  private static long running(SimulatedCluster w, SimulatedUsers.KnownJob job) {
     return w.cloud.machines().stream()
         .filter(m -> !m.gone())
         .flatMap(m -> m.tasks().stream())
--- a/src/test/java/dapplestair/world/BurstTest.java
+++ b/src/test/java/dapplestair/world/BurstTest.java
@@ -8,21 +8,21 @@
 
 /** Much work at once: how soon machines are rented for it. */
 class BurstTest {
-  private static World world(long seed) {
-    World w = new World(seed, World.Size.GROWN);
+  private static SimulatedCluster world(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN);
     w.net.loss = 0;
     w.users.quiet = true;
     w.run(4000);
     return w;
   }
 
-  private static void burst(World w) {
+  private static void burst(SimulatedCluster w) {
     for (int i = 0; i < 5; i++) {
       w.users.changed("guest", 600, 30, b -> b.put("rank", "high"));
     }
   }
 
-  private static long rented(World w) {
+  private static long rented(SimulatedCluster w) {
     return w.cloud.machines().stream().filter(m -> !m.gone()).count();
   }
 
@@ -30,7 +30,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5011, 5013, 5016})
   void aRefusalIsKnownAtOnce(long seed) {
-    World w = world(seed);
+    SimulatedCluster w = world(seed);
     burst(w);
     // The plans of two intervals; a refusal is believed for five reports, fifteen seconds.
     w.run(8000);
@@ -44,7 +44,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5004, 5014, 5016, 5019, 5031, 5119, 5193})
   void theFirstPlanIsForTheWholeBurst(long seed) {
-    World w = world(seed);
+    SimulatedCluster w = world(seed);
     burst(w);
     // One interval of plans, and the rental's record and answer.
     w.run(4000);
@@ -55,7 +55,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5201, 5202, 5203, 5204})
   void aNewLeaderRentsAsSoon(long seed) {
-    World w = world(seed);
+    SimulatedCluster w = world(seed);
     burst(w);
     w.run(1500);
     w.leader().crash(3000);
@@ -67,12 +67,12 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5301, 5313, 5325, 5331})
   void severalTypesRefusedAtOnce(long seed) {
-    World w =
-        new World(
+    SimulatedCluster w =
+        new SimulatedCluster(
             seed,
-            new World.Size(30, 1200, 500, 150),
+            new SimulatedCluster.Size(30, 1200, 500, 150),
             false,
-            List.of(World.machineType("t8"), World.machineType("t9")));
+            List.of(SimulatedCluster.machineType("t8"), SimulatedCluster.machineType("t9")));
     w.net.loss = 0;
     w.users.quiet = true;
     w.run(4000);
--- a/src/test/java/dapplestair/world/CalendarTest.java
+++ b/src/test/java/dapplestair/world/CalendarTest.java
@@ -42,13 +42,13 @@
           20_000,
           CUT_OFF_MS);
 
-  private static long wall(World w) {
+  private static long wall(SimulatedCluster w) {
     return 1_700_000_000_000L + w.sim.now();
   }
 
   /** At the beginning of a cycle. */
-  static World begun(long seed) {
-    World w = new World(seed, World.Size.MIDDLE);
+  static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
     w.operatorSettings = OperatorSettings.defaults().withCalendars(List.of(BASIN));
@@ -61,28 +61,28 @@
     return w;
   }
 
-  private static void toNextCycle(World w) {
+  private static void toNextCycle(SimulatedCluster w) {
     w.run(BASIN.next(BASIN.cycle(wall(w))) - wall(w) + 200);
   }
 
-  static Users.KnownJob model(World w) {
+  static SimulatedUsers.KnownJob model(SimulatedCluster w) {
     return w.users.changed("one", 10, 8, b -> b.put("jobclass", "model").put("rank", "high"));
   }
 
-  private static Users.KnownJob gauge(World w) {
+  private static SimulatedUsers.KnownJob gauge(SimulatedCluster w) {
     return w.users.changed("one", 1, 1, b -> b.put("jobclass", "gauge").put("rank", "standard"));
   }
 
-  static JsonNode record(World w) {
+  static JsonNode record(SimulatedCluster w) {
     return w.state.value("live/calendar/basin");
   }
 
-  private static int marks(World w) {
+  private static int marks(SimulatedCluster w) {
     return w.state.keys("live/calendar/basin/").size();
   }
 
-  static void deliver(World w, int gauges) {
-    List<Users.KnownJob> sent = new ArrayList<>();
+  static void deliver(SimulatedCluster w, int gauges) {
+    List<SimulatedUsers.KnownJob> sent = new ArrayList<>();
     for (int i = 0; i < gauges; i++) {
       sent.add(gauge(w));
     }
@@ -92,7 +92,7 @@
     }
   }
 
-  static void untilBegun(World w, Users.KnownJob job, long ms) {
+  static void untilBegun(SimulatedCluster w, SimulatedUsers.KnownJob job, long ms) {
     long until = w.sim.now() + ms;
     while (!job.started && w.sim.now() < until) {
       w.run(50);
@@ -104,8 +104,8 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6401, 6402, 6403})
   void completeReleases(long seed) {
-    World w = begun(seed);
-    Users.KnownJob model = model(w);
+    SimulatedCluster w = begun(seed);
+    SimulatedUsers.KnownJob model = model(w);
     deliver(w, COMPLETE - 1);
     assertFalse(model.started, "it did not wait");
     long before = w.state.putsTo("live/calendar/");
@@ -119,9 +119,9 @@
   @ParameterizedTest(name = "seed {0}, {1} deliveries: {2}")
   @CsvSource({"6411,2,quorum", "6412,3,quorum", "6413,1,cut-off", "6414,0,cut-off"})
   void fewerReleaseLater(long seed, int gauges, String by) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     long start = BASIN.cycle(wall(w));
-    Users.KnownJob model = model(w);
+    SimulatedUsers.KnownJob model = model(w);
     deliver(w, gauges);
     long due = by.equals("quorum") ? 20_000 : CUT_OFF_MS;
     w.run(Math.max(0, start + due - wall(w) - 500));
@@ -145,8 +145,8 @@
     "6430,2800"
   })
   void aCycleOutlivesItsLeaders(long seed, long afterMs) {
-    World w = begun(seed);
-    Users.KnownJob model = model(w);
+    SimulatedCluster w = begun(seed);
+    SimulatedUsers.KnownJob model = model(w);
     List<Long> released = new ArrayList<>();
     w.also =
         () -> {
@@ -156,7 +156,7 @@
           }
         };
     w.run(1000);
-    List<Users.KnownJob> gauges = new ArrayList<>();
+    List<SimulatedUsers.KnownJob> gauges = new ArrayList<>();
     for (int i = 0; i < COMPLETE; i++) {
       gauges.add(gauge(w));
     }
@@ -183,11 +183,11 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6441, 6442})
   void lateOnesBelongToTheirs(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     w.users.changed("one", 1, 70, b -> b.put("jobclass", "gauge").put("rank", "standard"));
     deliver(w, 1);
     toNextCycle(w);
-    Users.KnownJob model = model(w);
+    SimulatedUsers.KnownJob model = model(w);
     deliver(w, COMPLETE - 1);
     w.run(CUT_OFF_MS - 12_000);
     assertEquals(
@@ -206,8 +206,8 @@
   @ParameterizedTest(name = "seed {0}, all down: {1}")
   @CsvSource({"6451,false", "6452,true", "6453,false", "6454,true"})
   void nothingIsHeldPastTheCutOff(long seed, boolean down) {
-    World w = begun(seed);
-    Users.KnownJob model = model(w);
+    SimulatedCluster w = begun(seed);
+    SimulatedUsers.KnownJob model = model(w);
     w.run(8000);
     if (down) {
       w.nodes.forEach(n -> n.crash(CUT_OFF_MS + 2000));
@@ -217,7 +217,7 @@
     }
     w.run(CUT_OFF_MS);
     assertFalse(model.started, "nobody could have started it");
-    untilBegun(w, model, 2000 + 3 * World.REPORT_MS);
+    untilBegun(w, model, 2000 + 3 * SimulatedCluster.REPORT_MS);
     w.run(PERIOD_MS);
     assertTrue(record(w).path("cycle").asLong() > 0, "the schedule goes on");
   }
--- a/src/test/java/dapplestair/world/CancellationLatency.java
+++ b/src/test/java/dapplestair/world/CancellationLatency.java
@@ -48,7 +48,7 @@
         d ->
             d.w.cloud.machines().stream()
                 .filter(m -> d.w.sim.chance(0.1))
-                .forEach(m -> m.deafen(World.LEASE_MS)),
+                .forEach(m -> m.deafen(SimulatedCluster.LEASE_MS)),
         d -> {});
   }
 
@@ -57,23 +57,23 @@
       int seeds,
       Consumer<CancellationOutageTest.Day> before,
       Consumer<CancellationOutageTest.Day> after) {
-    Histogram ms = new Histogram(World.CANCEL_MS * 4, 3);
+    Histogram ms = new Histogram(SimulatedCluster.CANCEL_MS * 4, 3);
     for (int i = 0; i < seeds; i++) {
       CancellationOutageTest.Day d = new CancellationOutageTest.Day(8700 + i);
       before.accept(d);
       d.cancel(d.second);
       after.accept(d);
-      Map<Users.KnownJob, Long> goneAt = new HashMap<>();
-      long end = d.w.sim.now() + World.CANCEL_MS;
+      Map<SimulatedUsers.KnownJob, Long> goneAt = new HashMap<>();
+      long end = d.w.sim.now() + SimulatedCluster.CANCEL_MS;
       while (d.w.sim.now() < end && goneAt.size() < d.cancelled.size()) {
-        for (Users.KnownJob t : d.cancelled) {
+        for (SimulatedUsers.KnownJob t : d.cancelled) {
           if (d.running(t) == 0) {
             goneAt.putIfAbsent(t, d.w.sim.now());
           }
         }
         d.w.run(STEP_MS);
       }
-      for (Users.KnownJob t : d.cancelled) {
+      for (SimulatedUsers.KnownJob t : d.cancelled) {
         ms.recordValue(Math.max(0, goneAt.getOrDefault(t, end) - t.abortedAt));
       }
     }
--- a/src/test/java/dapplestair/world/CancellationOutageTest.java
+++ b/src/test/java/dapplestair/world/CancellationOutageTest.java
@@ -23,18 +23,18 @@
 
   /** Jobs of every kind that run for longer than the outage. */
   static final class Day {
-    final World w;
-    final World.Node old;
-    final World.Node second;
-    final World.Node third;
-    final List<Users.KnownJob> cancelled = new ArrayList<>();
-    final List<Users.KnownJob> kept = new ArrayList<>();
+    final SimulatedCluster w;
+    final SimulatedCluster.ControllerNode old;
+    final SimulatedCluster.ControllerNode second;
+    final SimulatedCluster.ControllerNode third;
+    final List<SimulatedUsers.KnownJob> cancelled = new ArrayList<>();
+    final List<SimulatedUsers.KnownJob> kept = new ArrayList<>();
 
     Day(long seed) {
       this(DisruptionTest.begun(seed, 5, 5));
     }
 
-    Day(World begun) {
+    Day(SimulatedCluster begun) {
       w = begun;
       w.checker.budget = null;
       w.run(20_000);
@@ -42,7 +42,7 @@
       second = w.nodes.get((old.index + 1) % 3);
       third = w.nodes.get((old.index + 2) % 3);
       for (int i = 0; i < 2; i++) {
-        List<Users.KnownJob> to = i == 0 ? cancelled : kept;
+        List<SimulatedUsers.KnownJob> to = i == 0 ? cancelled : kept;
         // First, so that it makes its room before the others have theirs.
         to.add(w.users.service("one", 3));
         w.run(4000);
@@ -63,7 +63,7 @@
       cancelled.forEach(t -> assertTrue(running(t) > 0, t.ref + " does not run"));
     }
 
-    long running(Users.KnownJob job) {
+    long running(SimulatedUsers.KnownJob job) {
       return w.cloud.machines().stream()
           .filter(m -> !m.gone())
           .flatMap(m -> m.tasks().stream())
@@ -71,7 +71,7 @@
           .count();
     }
 
-    long running(List<Users.KnownJob> jobs) {
+    long running(List<SimulatedUsers.KnownJob> jobs) {
       return jobs.stream().mapToLong(this::running).sum();
     }
 
@@ -96,12 +96,13 @@
       int i = 0;
       for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
         if (!m.gone() && i++ % 3 == 0) {
-          m.stall(World.CANCEL_MS * 3 / 2);
+          m.stall(SimulatedCluster.CANCEL_MS * 3 / 2);
         }
       }
     }
 
-    private void links(World.Node a, World.Node b, String how) {
+    private void links(
+        SimulatedCluster.ControllerNode a, SimulatedCluster.ControllerNode b, String how) {
       if (how.equals("refused") || how.equals("held")) {
         w.net.cut("node-" + a.index, "node-" + b.index, how.equals("held"));
       }
@@ -117,8 +118,8 @@
     }
 
     void healLinks() {
-      for (World.Node a : w.nodes) {
-        for (World.Node b : w.nodes) {
+      for (SimulatedCluster.ControllerNode a : w.nodes) {
+        for (SimulatedCluster.ControllerNode b : w.nodes) {
           if (a != b) {
             w.net.heal("node-" + a.index, "node-" + b.index);
           }
@@ -126,7 +127,7 @@
       }
     }
 
-    void cancel(World.Node at) {
+    void cancel(SimulatedCluster.ControllerNode at) {
       for (int i = 0; i < 55 && cancelled.stream().anyMatch(t -> !t.aborted); i++) {
         if (i % 20 == 0) {
           cancelled.stream().filter(t -> !t.aborted).forEach(t -> w.users.cancelAt(t, at));
@@ -144,9 +145,9 @@
     void outage(Consumer<Day> meanwhile) {
       w.state.fail();
       meanwhile.accept(this);
-      w.run(World.CANCEL_MS);
+      w.run(SimulatedCluster.CANCEL_MS);
       assertEquals(0, running(cancelled), "cancelled tasks");
-      w.run(World.CANCEL_MS);
+      w.run(SimulatedCluster.CANCEL_MS);
       w.state.refuse("node-" + old.index, false);
       w.state.recover();
       healLinks();
@@ -214,15 +215,15 @@
   void confirmedByTheNextLeader(long seed, String links, long ends) {
     Day d = new Day(seed);
     for (EmulatedWorker m : d.w.cloud.machines()) {
-      for (World.Node n : List.of(d.second, d.third)) {
+      for (SimulatedCluster.ControllerNode n : List.of(d.second, d.third)) {
         d.w.net.cut("node-" + n.index, m.endpoint(), true);
-        d.w.net.cut(World.client(n.index), m.endpoint(), true);
+        d.w.net.cut(SimulatedCluster.client(n.index), m.endpoint(), true);
       }
     }
     refuse(d);
     d.links(links, false);
     d.w.run(4000);
-    World.Node leader = d.w.leader();
+    SimulatedCluster.ControllerNode leader = d.w.leader();
     assertTrue(leader != null && leader != d.old, "nobody else leads");
     d.cancel(leader);
     d.outage(
@@ -231,12 +232,12 @@
             d.w.sim.after(ends, () -> leader.crash(800));
           }
           d.w.sim.after(
-              World.LEASE_MS,
+              SimulatedCluster.LEASE_MS,
               () -> {
                 for (EmulatedWorker m : d.w.cloud.machines()) {
-                  for (World.Node n : List.of(d.second, d.third)) {
+                  for (SimulatedCluster.ControllerNode n : List.of(d.second, d.third)) {
                     d.w.net.heal("node-" + n.index, m.endpoint());
-                    d.w.net.heal(World.client(n.index), m.endpoint());
+                    d.w.net.heal(SimulatedCluster.client(n.index), m.endpoint());
                   }
                 }
               });
@@ -251,7 +252,7 @@
     refuse(d);
     d.cancel(d.second);
     d.w.state.fail();
-    d.w.run(World.REPORT_MS);
+    d.w.run(SimulatedCluster.REPORT_MS);
     assertEquals(0, d.running(d.cancelled), "cancelled tasks");
   }
 
@@ -264,7 +265,7 @@
     d.links(links, true);
     d.cancel(d.second);
     d.w.state.fail();
-    d.w.run(World.CANCEL_MS / 2);
+    d.w.run(SimulatedCluster.CANCEL_MS / 2);
     assertEquals(0, d.running(d.cancelled), "cancelled tasks");
   }
 
@@ -287,7 +288,7 @@
         d.w.cloud.machines().stream().filter(m -> !m.gone()).map(m -> m.endpoint()).toList();
     machines.forEach(m -> d.w.net.cut("node-" + d.old.index, m, true));
     // As many as a follower's puts take in the time; the others are cancelled in the end.
-    List<Users.KnownJob> later = List.copyOf(d.cancelled);
+    List<SimulatedUsers.KnownJob> later = List.copyOf(d.cancelled);
     d.cancelled.clear();
     for (int i = 0; i < 4; i++) {
       d.cancelled.add(d.w.users.array("one", "high", 4, 150));
@@ -296,7 +297,7 @@
     refuse(d);
     d.links(links, false);
     d.cancel(d.second);
-    d.w.sim.after(5 * World.CANCEL_MS / 2, () -> later.forEach(d.w.users::cancel));
+    d.w.sim.after(5 * SimulatedCluster.CANCEL_MS / 2, () -> later.forEach(d.w.users::cancel));
     d.outage(
         x ->
             d.w.sim.after(
@@ -314,9 +315,9 @@
     for (EmulatedWorker m : d.w.cloud.machines()) {
       if (!m.gone() && m.tasks().stream().anyMatch(EmulatedTask::onMachine) && i++ % 2 == 0) {
         if (how.equals("hang") || how.equals("both") && i % 4 == 1) {
-          m.hang(World.LEASE_MS * 9 / 10);
+          m.hang(SimulatedCluster.LEASE_MS * 9 / 10);
         } else {
-          m.deafen(World.LEASE_MS * 9 / 10);
+          m.deafen(SimulatedCluster.LEASE_MS * 9 / 10);
         }
       }
     }
@@ -332,7 +333,9 @@
     d.w.run(200);
     d.cancel(d.second);
     d.outage(
-        x -> d.w.sim.after(World.CANCEL_MS, () -> d.w.net.heal("node-" + d.old.index, "state:1")));
+        x ->
+            d.w.sim.after(
+                SimulatedCluster.CANCEL_MS, () -> d.w.net.heal("node-" + d.old.index, "state:1")));
   }
 
   /** All controllers end in the outage: nobody remembers, so no lease is kept that must end. */
@@ -356,10 +359,10 @@
       refuse(d);
       d.cancel(d.second);
     }
-    List<Users.KnownJob> others = refused ? d.kept : d.cancelled;
+    List<SimulatedUsers.KnownJob> others = refused ? d.kept : d.cancelled;
     long before = d.running(others);
     d.w.state.fail();
-    d.w.run(2 * World.CANCEL_MS);
+    d.w.run(2 * SimulatedCluster.CANCEL_MS);
     assertEquals(before, d.running(others), "tasks of other jobs");
     assertEquals(byLease, d.w.cloud.killedByLease(), "tasks killed by the end of a lease");
     assertEquals(byRelease, d.w.cloud.killedByRelease(), "tasks killed by returns");
@@ -374,12 +377,12 @@
   void whoHearsNobodyLetsGo(long seed) {
     Day d = new Day(seed);
     d.w.state.fail();
-    new RandomFaults(d.w).alone(d.old, false, 2 * World.CANCEL_MS);
-    new RandomFaults(d.w).alone(d.second, false, 2 * World.CANCEL_MS);
-    d.w.run(World.CANCEL_MS * 11 / 10);
+    new RandomFaults(d.w).alone(d.old, false, 2 * SimulatedCluster.CANCEL_MS);
+    new RandomFaults(d.w).alone(d.second, false, 2 * SimulatedCluster.CANCEL_MS);
+    d.w.run(SimulatedCluster.CANCEL_MS * 11 / 10);
     assertEquals(0, d.running(d.cancelled) + d.running(d.kept), "tasks on kept leases");
     d.w.state.recover();
-    d.w.run(World.CANCEL_MS);
+    d.w.run(SimulatedCluster.CANCEL_MS);
     SeededDaysTest.settle(d.w);
   }
 }
--- a/src/test/java/dapplestair/world/CommitInterceptor.java
+++ b/src/test/java/dapplestair/world/CommitInterceptor.java
@@ -16,7 +16,7 @@
   static final String JOB = "live/job/";
   static final String OVER = "over/";
 
-  private final Sim sim;
+  private final EventSimulator sim;
 
   /** Share of the chosen transactions whose answer is lost. */
   double lostAnswers;
@@ -36,7 +36,7 @@
   // Until when these callers get no answer to their questions for changes.
   private final Map<String, Long> withoutNews = new HashMap<>();
 
-  CommitInterceptor(Sim sim) {
+  CommitInterceptor(EventSimulator sim) {
     this.sim = sim;
   }
 
--- a/src/test/java/dapplestair/world/ConcurrentReaders.java
+++ b/src/test/java/dapplestair/world/ConcurrentReaders.java
@@ -14,17 +14,17 @@
   private static final long POLL_MS = 2000;
   private static final long SUBMIT_MS = 5000;
 
-  private final World world;
+  private final SimulatedCluster world;
 
   /** Answers that told a state. */
   int told;
 
-  ConcurrentReaders(World world) {
+  ConcurrentReaders(SimulatedCluster world) {
     this.world = world;
   }
 
   /** From now on, for a moment: each controller is asked, and every other time told again. */
-  void around(Users.KnownJob job) {
+  void around(SimulatedUsers.KnownJob job) {
     for (int i = 0; i < MOMENTS.length; i++) {
       boolean again = i % 2 == 1;
       world.sim.after(
@@ -41,18 +41,18 @@
   }
 
   /** Asks for a job's state. */
-  void ask(Users.KnownJob job, World.Node node) {
+  void ask(SimulatedUsers.KnownJob job, SimulatedCluster.ControllerNode node) {
     call(job, node, "GET", "/submissions/" + job.ref, null, POLL_MS);
   }
 
   /** Submits a job again. */
-  void repeat(Users.KnownJob job, World.Node node) {
+  void repeat(SimulatedUsers.KnownJob job, SimulatedCluster.ControllerNode node) {
     call(job, node, "POST", "/submissions", Json.bytes(job.body), SUBMIT_MS);
   }
 
   private void call(
-      Users.KnownJob job,
-      World.Node node,
+      SimulatedUsers.KnownJob job,
+      SimulatedCluster.ControllerNode node,
       String method,
       String path,
       byte[] body,
@@ -60,7 +60,7 @@
     String before = job.finalState();
     world.net.call(
         "users",
-        World.client(node.index),
+        SimulatedCluster.client(node.index),
         method,
         path,
         body,
@@ -68,7 +68,7 @@
         reply -> heard(job, before, reply));
   }
 
-  private void heard(Users.KnownJob job, String before, HttpReply reply) {
+  private void heard(SimulatedUsers.KnownJob job, String before, HttpReply reply) {
     if (reply.status() == 200 || reply.status() == 201) {
       told++;
       world.checker.told(job, before, Json.parse(reply.body()).path("status").asText());
--- a/src/test/java/dapplestair/world/DelayedReports.java
+++ b/src/test/java/dapplestair/world/DelayedReports.java
@@ -15,22 +15,22 @@
     ACTED
   }
 
-  private record Kept(long at, Network.Request report) {}
+  private record Kept(long at, SimulatedNetwork.Request report) {}
 
-  private final World world;
+  private final SimulatedCluster world;
   private final long keptMs;
   private final double share;
   private final ArrayDeque<Kept> kept = new ArrayDeque<>();
 
   /** Keeps this share of the reports of the last {@code keptMs}. */
-  DelayedReports(World world, double share, long keptMs) {
+  DelayedReports(SimulatedCluster world, double share, long keptMs) {
     this.world = world;
     this.share = share;
     this.keptMs = keptMs;
     world.net.observe(this::keep);
   }
 
-  private void keep(Network.Request r) {
+  private void keep(SimulatedNetwork.Request r) {
     if (r.path().equals("/agent/beat") && (share >= 1 || world.sim.chance(share))) {
       kept.add(new Kept(world.sim.now(), r));
     }
@@ -46,7 +46,7 @@
   void arrive(Arrival arrival, boolean everywhere, long withinMs) {
     List<Kept> copies = new ArrayList<>(kept);
     long term = term();
-    Predicate<Network.Request> sign =
+    Predicate<SimulatedNetwork.Request> sign =
         r ->
             r.path().equals("/orders")
                 && term() > term
@@ -61,9 +61,9 @@
   }
 
   private void send(Kept copy, boolean everywhere, long withinMs) {
-    for (World.Node node : world.nodes) {
+    for (SimulatedCluster.ControllerNode node : world.nodes) {
       if (everywhere || node == world.leader()) {
-        String to = World.client(node.index);
+        String to = SimulatedCluster.client(node.index);
         world.sim.after(world.sim.between(0, withinMs), () -> world.net.late(copy.report(), to));
       }
     }
--- a/src/test/java/dapplestair/world/DisruptionTest.java
+++ b/src/test/java/dapplestair/world/DisruptionTest.java
@@ -24,8 +24,8 @@
   private static final int REPLICAS = 3 * SERVICES;
 
   /** Two teams' services of three replicas, and operators who allow so many out at once. */
-  static World begun(long seed, int one, int two) {
-    World w = new World(seed, World.Size.MIDDLE, true);
+  static SimulatedCluster begun(long seed, int one, int two) {
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, true);
     w.net.loss = 0;
     w.users.quiet = true;
     allow(w, one, two);
@@ -40,7 +40,7 @@
   }
 
   /** From the next start of each controller on; all of them start again now. */
-  private static void allow(World w, int one, int two) {
+  private static void allow(SimulatedCluster w, int one, int two) {
     DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
     w.operatorSettings =
         OperatorSettings.defaults()
@@ -57,7 +57,7 @@
         most, Double.POSITIVE_INFINITY, 1, Double.POSITIVE_INFINITY, d.arrayTasks(), d.lostCpuS());
   }
 
-  static int replicas(World w) {
+  static int replicas(SimulatedCluster w) {
     int n = 0;
     for (EmulatedWorker m : w.cloud.machines()) {
       n +=
@@ -66,7 +66,7 @@
     return n;
   }
 
-  static long tasksIn(World w, String zone) {
+  static long tasksIn(SimulatedCluster w, String zone) {
     return w.cloud.machines().stream()
         .filter(m -> !m.gone() && m.zone().equals(zone))
         .flatMap(m -> m.tasks().stream())
@@ -78,7 +78,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void budgetsOutliveLeaders(long seed) {
-    World w = begun(seed, 1, 3);
+    SimulatedCluster w = begun(seed, 1, 3);
     OperatorsTest.order(w, "/v1/zones/c/drain", Json.object().put("why", "power"));
     for (int i = 0; i < 8; i++) {
       // Held back, so that stops of the former leader arrive when the next one has begun.
@@ -111,9 +111,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {401, 402, 403, 404})
   void stopsOfTheFormerLeaderCount(long seed) {
-    World w = begun(seed, 1, 1);
+    SimulatedCluster w = begun(seed, 1, 1);
     for (int i = 0; i < 6; i++) {
-      World.Node leader = w.leader();
+      SimulatedCluster.ControllerNode leader = w.leader();
       if (leader == null) {
         w.run(2000);
         continue;
@@ -126,8 +126,8 @@
               .toList();
       for (EmulatedWorker m : some) {
         w.net.cut("node-" + leader.index, m.endpoint(), true);
-        for (World.Node n : w.nodes) {
-          w.net.cutOneWay(World.client(n.index), m.endpoint());
+        for (SimulatedCluster.ControllerNode n : w.nodes) {
+          w.net.cutOneWay(SimulatedCluster.client(n.index), m.endpoint());
           if (n != leader) {
             w.net.cutOneWay("node-" + n.index, m.endpoint());
           }
@@ -157,8 +157,8 @@
       }
       w.run(200);
       for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
-        for (World.Node n : w.nodes) {
-          w.net.healOneWay(World.client(n.index), m.endpoint());
+        for (SimulatedCluster.ControllerNode n : w.nodes) {
+          w.net.healOneWay(SimulatedCluster.client(n.index), m.endpoint());
           w.net.healOneWay("node-" + n.index, m.endpoint());
         }
         if (w.leader() != null) {
@@ -174,7 +174,7 @@
   /** Nothing is stopped, and why says that it never will be. */
   @Test
   void zeroMeansNever() {
-    World w = begun(7, 0, 3);
+    SimulatedCluster w = begun(7, 0, 3);
     OperatorsTest.order(w, "/v1/zones/c/drain", Json.object().put("deadline_s", 5));
     w.run(60_000);
     assertTrue(w.checker.mostStopped.getOrDefault("one", 0) == 0, "a replica of one was stopped");
@@ -186,7 +186,7 @@
             .count();
     assertTrue(left > 0, "no replica of one was in the zone");
     boolean said = false;
-    for (Users.KnownJob job : w.users.told.values()) {
+    for (SimulatedUsers.KnownJob job : w.users.told.values()) {
       if (job.team.equals("one") && job.service && !said) {
         JsonNode why = OperatorsTest.answer(w, "/v1/jobs/" + job.ref + "/why");
         said = why.path("not_moved").asText().contains("zero means never");
@@ -199,9 +199,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {11, 12, 13})
   void whatIsLostCounts(long seed) {
-    World w = begun(seed, 1, 2);
+    SimulatedCluster w = begun(seed, 1, 2);
     // These may run nowhere else, and there the cloud will have no more machines.
-    Users.KnownJob lost =
+    SimulatedUsers.KnownJob lost =
         w.users.changed(
             "one",
             3,
@@ -210,7 +210,7 @@
                 b.put("shape", "daemon")
                     .put("jobclass", "serve")
                     .put("rank", "critical")
-                    .put("vcpus", World.CPUS)
+                    .put("vcpus", SimulatedCluster.CPUS)
                     .put("basin", "a")
                     .put("loaners", false));
     w.run(20_000);
@@ -218,7 +218,7 @@
     List.copyOf(w.cloud.machines()).stream()
         .filter(m -> m.tasks().stream().anyMatch(t -> t.key().startsWith(lost.ref + "/")))
         .forEach(EmulatedWorker::end);
-    w.run(4 * World.REPORT_MS);
+    w.run(4 * SimulatedCluster.REPORT_MS);
     w.checker.mostStopped.clear();
     OperatorsTest.order(w, "/v1/zones/c/drain", Json.object());
     w.run(40_000);
@@ -231,7 +231,7 @@
   }
 
   /** Operators allow so many CPU seconds of each team's work to be thrown away in an hour. */
-  static void allowLoss(World w, double cpuS) {
+  static void allowLoss(SimulatedCluster w, double cpuS) {
     DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
     w.operatorSettings =
         OperatorSettings.defaults()
@@ -247,12 +247,12 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {21, 22, 23})
   void workThrownAwayIsBounded(long seed) {
-    World w = begun(seed, 1, 1);
+    SimulatedCluster w = begun(seed, 1, 1);
     double most = 2.0 * 60 * 8;
     allowLoss(w, most);
-    Users.KnownJob array = w.users.array("two", "standard", 60, 300);
+    SimulatedUsers.KnownJob array = w.users.array("two", "standard", 60, 300);
     w.run(40_000);
-    for (String zone : World.ZONES) {
+    for (String zone : SimulatedCluster.ZONES) {
       OperatorsTest.order(w, "/v1/zones/" + zone + "/drain", Json.object().put("deadline_s", 1));
     }
     for (int i = 0; i < 5; i++) {
@@ -274,7 +274,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {31, 32, 33})
   void aBudgetLoweredBelowWhatIsOut(long seed) {
-    World w = begun(seed, 6, 6);
+    SimulatedCluster w = begun(seed, 6, 6);
     OperatorsTest.order(w, "/v1/zones/c/drain", Json.object());
     for (int i = 0; i < 100 && w.checker.mostStopped.getOrDefault("one", 0) <= 1; i++) {
       w.run(200);
--- a/src/test/java/dapplestair/world/DrainTest.java
+++ b/src/test/java/dapplestair/world/DrainTest.java
@@ -14,7 +14,7 @@
 
 /** Machines and zones that operators empty, while leaders end and operators disagree. */
 class DrainTest {
-  static long running(World w, Users.KnownJob job) {
+  static long running(SimulatedCluster w, SimulatedUsers.KnownJob job) {
     return w.cloud.machines().stream()
         .filter(m -> !m.gone())
         .flatMap(m -> m.tasks().stream())
@@ -26,15 +26,15 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {11, 12, 13})
   void drainingAZoneKeepsServicesWhole(long seed) {
-    World w = OperatorsTest.quiet(seed, OperatorsTest.ROOMY);
-    List<Users.KnownJob> services =
+    SimulatedCluster w = OperatorsTest.quiet(seed, OperatorsTest.ROOMY);
+    List<SimulatedUsers.KnownJob> services =
         List.of(w.users.service("one", 4), w.users.service("two", 6), w.users.service("one", 3));
     w.run(60_000);
     services.forEach(s -> assertEquals(s.steps, running(w, s), s.ref + " runs before"));
     long[] least = {Long.MAX_VALUE};
     w.also =
         () -> {
-          for (Users.KnownJob s : services) {
+          for (SimulatedUsers.KnownJob s : services) {
             least[0] = Math.min(least[0], running(w, s) - s.steps);
           }
         };
@@ -48,8 +48,8 @@
   /** Two zones of three: the spread leaves no place for all, so those replicas stay. */
   @Test
   void replicasWithoutAPlaceStay() {
-    World w = OperatorsTest.quiet(21, OperatorsTest.ROOMY);
-    Users.KnownJob service = w.users.service("one", 4);
+    SimulatedCluster w = OperatorsTest.quiet(21, OperatorsTest.ROOMY);
+    SimulatedUsers.KnownJob service = w.users.service("one", 4);
     w.run(60_000);
     OperatorsTest.order(w, "/v1/zones/a/drain", Json.object().put("deadline_s", 5));
     OperatorsTest.order(w, "/v1/zones/b/drain", Json.object().put("deadline_s", 5));
@@ -62,7 +62,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {31, 32, 33, 34})
   void aDrainOutlivesItsLeader(long seed) {
-    World w = OperatorsTest.world(seed, World.Size.SMALL);
+    SimulatedCluster w = OperatorsTest.world(seed, SimulatedCluster.Size.SMALL);
     w.run(30_000);
     OperatorsTest.order(
         w, "/v1/zones/b/drain", Json.object().put("why", "cooling").put("deadline_s", 20));
@@ -94,7 +94,7 @@
   /** A drained machine gets nothing new, is not returned unless asked, and is taken back. */
   @Test
   void aDrainedMachineIsLeftAlone() {
-    World w = OperatorsTest.quiet(41, OperatorsTest.ROOMY);
+    SimulatedCluster w = OperatorsTest.quiet(41, OperatorsTest.ROOMY);
     w.users.array("one", "standard", 24, 4);
     w.run(25_000);
     EmulatedWorker m =
@@ -119,7 +119,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {51, 52, 53})
   void twoWhoDisagreeBothGetAnAnswer(long seed) {
-    World w = OperatorsTest.world(seed, World.Size.SMALL);
+    SimulatedCluster w = OperatorsTest.world(seed, SimulatedCluster.Size.SMALL);
     w.run(30_000);
     String id = w.cloud.machines().iterator().next().id();
     int[] answers = new int[2];
--- a/src/test/java/dapplestair/world/Sim.java
+++ b/src/test/java/dapplestair/world/EventSimulator.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 
 /** Virtual time: events in order, ties in the order of their making. */
-final class Sim {
+final class EventSimulator {
   private record Event(long at, long order, Runnable task) implements Comparable<Event> {
     @Override
     public int compareTo(Event o) {
@@ -22,7 +22,7 @@
   private long now;
   private long made;
 
-  Sim(long seed) {
+  EventSimulator(long seed) {
     random = new SplittableRandom(seed);
     amongControllers = new SplittableRandom(~seed);
   }
--- a/src/test/java/dapplestair/world/FailingJobsTest.java
+++ b/src/test/java/dapplestair/world/FailingJobsTest.java
@@ -24,8 +24,8 @@
   private static final int STEPS = 24;
 
   /** Operators are served, so that what the product says of machines can be read. */
-  private static World begun(long seed) {
-    World w = new World(seed, World.Size.MIDDLE, true);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, true);
     w.net.loss = 0;
     w.users.quiet = true;
     for (int i = 0; i < 6; i++) {
@@ -38,12 +38,12 @@
     return w;
   }
 
-  private static Users.KnownJob wrong(World w, int mistaken) {
+  private static SimulatedUsers.KnownJob wrong(SimulatedCluster w, int mistaken) {
     return w.users.changed("one", STEPS, 5, b -> b.put("mistakenSteps", mistaken));
   }
 
   /** Machines that the leader of now has blamed, by its own account; they may be gone by now. */
-  private static Set<String> faulty(World w) {
+  private static Set<String> faulty(SimulatedCluster w) {
     Set<String> out = new HashSet<>();
     JsonNode events = OperatorsTest.answer(w, "/v1/events?limit=500&where=kind%20%3D%20faulty");
     for (JsonNode e : events.path("rows")) {
@@ -52,7 +52,7 @@
     return out;
   }
 
-  private static Users.KnownJob good(World w, int i) {
+  private static SimulatedUsers.KnownJob good(SimulatedCluster w, int i) {
     return w.users.array(i % 2 == 0 ? "one" : "two", "high", 12, 6);
   }
 
@@ -60,9 +60,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2001, 2002, 2003, 2004})
   void noMachineIsBlamedForJobs(long seed) {
-    World w = begun(seed);
-    List<Users.KnownJob> wrong = new ArrayList<>();
-    List<Users.KnownJob> good = new ArrayList<>();
+    SimulatedCluster w = begun(seed);
+    List<SimulatedUsers.KnownJob> wrong = new ArrayList<>();
+    List<SimulatedUsers.KnownJob> good = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       wrong.add(wrong(w, STEPS));
       good.add(good(w, i));
@@ -72,13 +72,13 @@
     w.run(60_000);
     assertEquals(Set.of(), faulty(w), "machines emptied");
     good.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
-    for (Users.KnownJob j : wrong) {
+    for (SimulatedUsers.KnownJob j : wrong) {
       assertTrue(j.accepted && j.finalState() == null, j.ref + " is called " + j.finalState());
       // One wave, of which what failed first may have begun again, and then one task at a time.
       assertTrue(j.starts <= 2 * STEPS, j.ref + " was started " + j.starts + " times");
       w.users.cancel(j);
     }
-    w.run(World.CANCEL_MS);
+    w.run(SimulatedCluster.CANCEL_MS);
     wrong.forEach(j -> assertTrue(j.aborted, j.ref + " is not cancelled"));
   }
 
@@ -86,8 +86,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2011, 2012})
   void aWrongJobTakesNoRoom(long seed) {
-    World w = begun(seed);
-    Users.KnownJob wrong = w.users.changed("one", 120, 5, b -> b.put("mistakenSteps", 120));
+    SimulatedCluster w = begun(seed);
+    SimulatedUsers.KnownJob wrong =
+        w.users.changed("one", 120, 5, b -> b.put("mistakenSteps", 120));
     w.run(40_000);
     int starts = wrong.starts;
     Set<String> before = machines(w);
@@ -102,7 +103,7 @@
     assertEquals(1, OperatorsTest.answer(w, "/v1/status").path("jobs_suspected").asInt());
   }
 
-  private static Set<String> machines(World w) {
+  private static Set<String> machines(SimulatedCluster w) {
     return w.cloud.machines().stream().map(EmulatedWorker::id).collect(Collectors.toSet());
   }
 
@@ -110,8 +111,8 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2021, 2022, 2023, 2024})
   void itRunsOnceItWorks(long seed) {
-    World w = begun(seed);
-    Users.KnownJob wrong = wrong(w, STEPS);
+    SimulatedCluster w = begun(seed);
+    SimulatedUsers.KnownJob wrong = wrong(w, STEPS);
     w.run(45_000);
     assertFalse(wrong.done);
     ((ObjectNode) wrong.body).remove("mistakenSteps");
@@ -124,8 +125,8 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2031, 2032, 2033, 2034})
   void whatIsDoneStaysDone(long seed) {
-    World w = begun(seed);
-    Users.KnownJob some = wrong(w, 3);
+    SimulatedCluster w = begun(seed);
+    SimulatedUsers.KnownJob some = wrong(w, 3);
     w.run(40_000);
     int starts = some.starts;
     JsonNode job = OperatorsTest.answer(w, "/v1/jobs/" + some.ref);
@@ -142,7 +143,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2041, 2042, 2043, 2044, 2045, 2046, 2047, 2049})
   void machinesAreBlamedForTheirOwn(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     List<EmulatedWorker> up =
         w.cloud.machines().stream()
             .filter(m -> m.booted() && !m.gone() && m.tasks().stream().noneMatch(t -> t.service()))
@@ -155,7 +156,7 @@
     }
     Map<String, Integer> before = Map.copyOf(w.checker.startsOn);
     Set<String> emptied = new HashSet<>();
-    List<Users.KnownJob> good = new ArrayList<>();
+    List<SimulatedUsers.KnownJob> good = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       if (i % 2 == 0) {
         wrong(w, STEPS);
@@ -182,7 +183,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2082, 2083, 2084, 2086})
   void aMachineThatFailsReplicas(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     w.cloud.setSick(true);
     w.cloud.machines().stream()
         .filter(m -> m.tasks().stream().anyMatch(t -> t.service()))
@@ -200,7 +201,7 @@
     assertEquals(18, up, "replicas");
   }
 
-  private static void noneInUse(World w, Set<String> blamed) {
+  private static void noneInUse(SimulatedCluster w, Set<String> blamed) {
     for (JsonNode m : OperatorsTest.answer(w, "/v1/machines?limit=500").path("rows")) {
       if (blamed.contains(m.path("id").asText())) {
         assertTrue(
@@ -214,10 +215,10 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2051, 2052})
   void wrongServicesAndGangs(long seed) {
-    World w = begun(seed);
-    Users.KnownJob gang =
+    SimulatedCluster w = begun(seed);
+    SimulatedUsers.KnownJob gang =
         w.users.changed("one", 6, 4, b -> b.put("mistakenSteps", 6).put("shape", "gang"));
-    Users.KnownJob service =
+    SimulatedUsers.KnownJob service =
         w.users.changed(
             "two",
             6,
@@ -244,7 +245,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2071, 2072})
   void newMachinesAreNotBlamedForJobs(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     OperatorsTest.order(w, "/v1/replacements/night/start", ReplacementTest.all(6, 6));
     for (int i = 0; i < 20; i++) {
       wrong(w, STEPS);
@@ -258,8 +259,8 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2061, 2062, 2063, 2064})
   void itOutlivesALeader(long seed) {
-    World w = begun(seed);
-    Users.KnownJob wrong = wrong(w, STEPS);
+    SimulatedCluster w = begun(seed);
+    SimulatedUsers.KnownJob wrong = wrong(w, STEPS);
     w.run(40_000);
     int starts = wrong.starts;
     for (int i = 0; i < 3; i++) {
@@ -283,7 +284,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2311, 2312, 2313, 2314, 2315, 2316})
   void aJobDoesNotStartAgainWhereItFailed(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     EmulatedWorker sick =
         w.cloud.machines().stream()
             .filter(m -> m.booted() && !m.gone() && m.tasks().isEmpty())
--- a/src/test/java/dapplestair/world/FailureDetectionTimes.java
+++ b/src/test/java/dapplestair/world/FailureDetectionTimes.java
@@ -23,8 +23,8 @@
   /** Prints the tables of docs/results.md. */
   public static void main(String[] args) {
     if (args.length > 0 && args[0].equals("on-call")) {
-      silent("all stand still for 1.5 leases", n -> n.freeze(World.LEASE_MS * 3 / 2));
-      silent("all without power for 1.5 leases", n -> n.crash(World.LEASE_MS * 3 / 2));
+      silent("all stand still for 1.5 leases", n -> n.freeze(SimulatedCluster.LEASE_MS * 3 / 2));
+      silent("all without power for 1.5 leases", n -> n.crash(SimulatedCluster.LEASE_MS * 3 / 2));
       guests("none", 0, 0);
       guests("300 single tasks, 7.7 a second", 300, 0);
       guests("one array of 25,000 tasks", 0, 25_000);
@@ -39,8 +39,8 @@
     }
   }
 
-  private static World begun(long seed, World.Size size, int replicas) {
-    World world = new World(seed, size);
+  private static SimulatedCluster begun(long seed, SimulatedCluster.Size size, int replicas) {
+    SimulatedCluster world = new SimulatedCluster(seed, size);
     world.net.loss = 0;
     world.users.quiet = true;
     for (int i = 0; i < replicas / 6; i++) {
@@ -59,7 +59,7 @@
         .parallel()
         .forEach(
             seed -> {
-              World world = begun(seed, World.Size.MIDDLE, REPLICAS);
+              SimulatedCluster world = begun(seed, SimulatedCluster.Size.MIDDLE, REPLICAS);
               long at = world.sim.now();
               if (all) {
                 world.nodes.forEach(n -> n.crash(1500));
@@ -67,7 +67,7 @@
                 world.leader().crash(4000);
               }
               int before = world.checker.started;
-              Users.KnownJob job = world.users.array("one", "high", 4, 5);
+              SimulatedUsers.KnownJob job = world.users.array("one", "high", 4, 5);
               long acceptedAt = 0;
               while ((world.checker.started == before || !job.accepted)
                   && world.sim.now() - at < 60_000) {
@@ -86,7 +86,7 @@
   }
 
   /** From the return of all controllers to the first and the last replica that runs again. */
-  private static void silent(String what, Consumer<World.Node> how) {
+  private static void silent(String what, Consumer<SimulatedCluster.ControllerNode> how) {
     Histogram first = new Histogram(120_000, 3);
     Histogram last = new Histogram(120_000, 3);
     Histogram rented = new Histogram(1000, 3);
@@ -94,10 +94,10 @@
         .parallel()
         .forEach(
             seed -> {
-              World world = begun(seed, World.Size.MIDDLE, REPLICAS);
+              SimulatedCluster world = begun(seed, SimulatedCluster.Size.MIDDLE, REPLICAS);
               int before = world.cloud.machines().size();
               world.nodes.forEach(how);
-              world.run(World.LEASE_MS * 3 / 2);
+              world.run(SimulatedCluster.LEASE_MS * 3 / 2);
               long at = world.sim.now();
               long firstAt = 0;
               while (replicas(world) < REPLICAS && world.sim.now() - at < 120_000) {
@@ -117,7 +117,7 @@
 
   /** What guests cost in puts, and how long another team's arrays wait for their first task. */
   private static void guests(String what, int singles, int tasks) {
-    World world = new World(4, World.Size.GROWN);
+    SimulatedCluster world = new SimulatedCluster(4, SimulatedCluster.Size.GROWN);
     world.net.loss = 0;
     world.users.quiet = true;
     world.users.service("one", 3);
@@ -132,7 +132,7 @@
     Histogram waits = new Histogram(120_000, 3);
     int others = 0;
     for (int i = 0; i < 60; i++) {
-      Users.KnownJob job = world.users.array("one", "high", 12, 6);
+      SimulatedUsers.KnownJob job = world.users.array("one", "high", 12, 6);
       others++;
       long at = world.sim.now();
       while (!job.started && world.sim.now() - at < 60_000) {
@@ -150,7 +150,7 @@
         waits);
   }
 
-  private static void guest(World world, int steps, double runS) {
+  private static void guest(SimulatedCluster world, int steps, double runS) {
     world.users.changed(
         "guest", steps, runS, b -> b.put("rank", "low").put("vcpus", 0.25).put("memoryGb", 0.4));
   }
@@ -167,7 +167,7 @@
 
   /** So many machines with all that is on them end in one second. */
   private static void curve(int lost) {
-    World world = begun(17, new World.Size(260, 12_000, 3_600_000, 1), 7200);
+    SimulatedCluster world = begun(17, new SimulatedCluster.Size(260, 12_000, 3_600_000, 1), 7200);
     world.run(60_000);
     List<EmulatedWorker> up = new ArrayList<>();
     world.cloud.machines().stream().filter(m -> m.booted() && !m.gone()).forEach(up::add);
@@ -195,7 +195,7 @@
         chosen.size(), up.size(), missing, half / 1000.0, whole / 1000.0, sum);
   }
 
-  private static int replicas(World world) {
+  private static int replicas(SimulatedCluster world) {
     int n = 0;
     for (EmulatedWorker m : world.cloud.machines()) {
       if (!m.gone()) {
--- a/src/test/java/dapplestair/world/FaultCombinationTest.java
+++ b/src/test/java/dapplestair/world/FaultCombinationTest.java
@@ -18,7 +18,7 @@
   private static final int ROUNDS = 5;
 
   /** Jobs of at most three tasks. */
-  static final World.Size SHORT = new World.Size(4, 20, 1100, 3);
+  static final SimulatedCluster.Size SHORT = new SimulatedCluster.Size(4, 20, 1100, 3);
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9001, 9002, 9003, 9004, 9005, 9006, 9007, 9008, 9009, 9010, 9011, 9012})
@@ -34,14 +34,14 @@
   }
 
   static void play(long seed) {
-    play(new World(seed, SHORT), seed, RandomFaults::any);
+    play(new SimulatedCluster(seed, SHORT), seed, RandomFaults::any);
   }
 
   static void playMachines(long seed) {
-    play(new World(seed, SHORT), seed, RandomFaults::ofMachines);
+    play(new SimulatedCluster(seed, SHORT), seed, RandomFaults::ofMachines);
   }
 
-  static void play(World w, long seed, Consumer<RandomFaults> trouble) {
+  static void play(SimulatedCluster w, long seed, Consumer<RandomFaults> trouble) {
     try {
       w.users.cancelledArrays = 0.5;
       RandomFaults faults = new RandomFaults(w);
@@ -65,13 +65,15 @@
   }
 
   /** Within a message, a put, a hold, or a lease: each has its own moment in a change of leader. */
-  private static long step(World w) {
-    long[] spans = {30, 400, World.LEASE_MS / 10, World.REPORT_MS, World.LEASE_MS};
+  private static long step(SimulatedCluster w) {
+    long[] spans = {
+      30, 400, SimulatedCluster.LEASE_MS / 10, SimulatedCluster.REPORT_MS, SimulatedCluster.LEASE_MS
+    };
     return w.sim.between(0, spans[(int) w.sim.between(0, spans.length - 1)]);
   }
 
-  private static void transition(World w, RandomFaults faults) {
-    World.Node leader = w.leader() == null ? w.nodes.get(0) : w.leader();
+  private static void transition(SimulatedCluster w, RandomFaults faults) {
+    SimulatedCluster.ControllerNode leader = w.leader() == null ? w.nodes.get(0) : w.leader();
     String name = "node-" + leader.index;
     long ms = w.sim.between(1500, RandomFaults.LONGEST_MS);
     switch ((int) w.sim.between(0, 7)) {
@@ -83,7 +85,7 @@
         // It alone is refused, and then all of them are, for longer than cancelled work may live.
         w.state.refuse(name, true);
         w.sim.after(w.sim.between(200, 4000), w.state::fail);
-        long out = w.sim.chance(0.3) ? World.CANCEL_MS * 5 / 4 : ms;
+        long out = w.sim.chance(0.3) ? SimulatedCluster.CANCEL_MS * 5 / 4 : ms;
         w.sim.after(4000 + out, w.state::recover);
         w.sim.after(w.sim.between(2000, 4000 + out), () -> w.state.refuse(name, false));
       }
@@ -94,7 +96,7 @@
           if (w.sim.chance(0.3)) {
             m.deafen(ms);
           } else if (w.sim.chance(0.2)) {
-            m.hang(Math.min(ms, World.LEASE_MS * 9 / 10));
+            m.hang(Math.min(ms, SimulatedCluster.LEASE_MS * 9 / 10));
           }
         }
         w.run(w.sim.between(0, 2000));
@@ -111,8 +113,8 @@
   }
 
   /** A third of what its users still wait for. */
-  private static void cancelSome(World w) {
-    for (Users.KnownJob t : new ArrayList<>(w.users.told.values())) {
+  private static void cancelSome(SimulatedCluster w) {
+    for (SimulatedUsers.KnownJob t : new ArrayList<>(w.users.told.values())) {
       if (t.accepted && !t.done && !t.cancelAsked && w.sim.chance(0.33)) {
         w.users.cancel(t);
       }
--- a/src/test/java/dapplestair/world/ForgottenMachinesTest.java
+++ b/src/test/java/dapplestair/world/ForgottenMachinesTest.java
@@ -14,22 +14,22 @@
  * past their lease with cancelled tasks are returned in time, and others are kept.
  */
 class ForgottenMachinesTest {
-  private static final long LONG_MS = World.CANCEL_MS * 3 / 2;
+  private static final long LONG_MS = SimulatedCluster.CANCEL_MS * 3 / 2;
 
-  private static World allEndInAnOutage(long seed) {
-    World w = new CancellationOutageTest.Day(seed).w;
+  private static SimulatedCluster allEndInAnOutage(long seed) {
+    SimulatedCluster w = new CancellationOutageTest.Day(seed).w;
     w.state.fail();
     w.nodes.forEach(n -> n.crash(1000));
     return w;
   }
 
   /** The outage goes on, then all calms down; the checker looks at {@code ran_cancelled}. */
-  private static void outlast(World w) {
+  private static void outlast(SimulatedCluster w) {
     w.run(LONG_MS);
     calmDown(w);
   }
 
-  private static void calmDown(World w) {
+  private static void calmDown(SimulatedCluster w) {
     w.state.recover();
     w.run(90_000);
     SeededDaysTest.settle(w);
@@ -40,7 +40,7 @@
   @CsvSource({"12301,100", "12302,3000", "12303,9000", "12304,15000"})
   void oneControllerStaysAway(long seed, long endMs) {
     CancellationOutageTest.Day d = ManyLeadersTest.cancelledOnHangingMachines(seed);
-    World w = d.w;
+    SimulatedCluster w = d.w;
     w.run(endMs);
     w.nodes.forEach(n -> n.crash(n == d.third ? LONG_MS : 1000));
     outlast(w);
@@ -51,7 +51,7 @@
   @CsvSource({"12311,100", "12312,3000", "12313,9000", "12314,15000"})
   void oneControllerIsCutOff(long seed, long endMs) {
     CancellationOutageTest.Day d = ManyLeadersTest.cancelledOnHangingMachines(seed);
-    World w = d.w;
+    SimulatedCluster w = d.w;
     w.run(endMs);
     w.cutOff(d.third, m -> false, false, LONG_MS);
     w.nodes.forEach(n -> n.crash(1000));
@@ -63,7 +63,7 @@
   @CsvSource({"12321,100", "12322,3000", "12323,9000", "12324,15000"})
   void mostMachinesHang(long seed, long endMs) {
     CancellationOutageTest.Day d = ManyLeadersTest.cancelledOnHangingMachines(seed);
-    World w = d.w;
+    SimulatedCluster w = d.w;
     int i = 0;
     for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
       if (!m.gone() && i++ % 4 != 0) {
@@ -80,9 +80,9 @@
   @CsvSource({"12331,0", "12332,500", "12333,2000", "12334,4000"})
   void aMachineIsListedAsBooting(long seed, long endMs) {
     CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    World w = d.w;
+    SimulatedCluster w = d.w;
     // More than fits, so that machines are rented for it.
-    Users.KnownJob job = w.users.array("one", "high", 12, 150);
+    SimulatedUsers.KnownJob job = w.users.array("one", "high", 12, 150);
     for (int i = 0; i < 300 && d.running(job) < 3; i++) {
       w.run(100);
     }
@@ -104,7 +104,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {12341, 12342, 12343, 12344})
   void machinesThatReportAreKept(long seed) {
-    World w = allEndInAnOutage(seed);
+    SimulatedCluster w = allEndInAnOutage(seed);
     long before = held(w);
     w.run(LONG_MS);
     assertEquals(before, held(w), "machines");
@@ -115,16 +115,16 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {12351, 12352, 12353, 12354})
   void machinesSilentForAWhileAreKept(long seed) {
-    World w = allEndInAnOutage(seed);
-    w.run(World.LEASE_MS);
+    SimulatedCluster w = allEndInAnOutage(seed);
+    w.run(SimulatedCluster.LEASE_MS);
     long before = held(w);
     int i = 0;
     for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
       if (!m.gone() && i++ % 4 != 0) {
-        m.mute(World.LEASE_MS / 4);
+        m.mute(SimulatedCluster.LEASE_MS / 4);
       }
     }
-    w.run(World.LEASE_MS);
+    w.run(SimulatedCluster.LEASE_MS);
     long returned = before - held(w);
     assertTrue(10 * returned <= before, returned + " of " + before + " machines are returned");
     calmDown(w);
@@ -135,8 +135,8 @@
   @ValueSource(longs = {12361, 12362, 12363, 12364})
   void aZoneCutOffWithItsControllerIsKept(long seed) {
     CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    World w = d.w;
-    World.Node inside = w.nodes.get(1);
+    SimulatedCluster w = d.w;
+    SimulatedCluster.ControllerNode inside = w.nodes.get(1);
     String zone = inside.settings.zone();
     w.state.fail();
     w.cutZone(zone, false, LONG_MS);
@@ -148,11 +148,11 @@
     calmDown(w);
   }
 
-  private static long held(World w) {
+  private static long held(SimulatedCluster w) {
     return w.cloud.machines().stream().filter(m -> !m.gone()).count();
   }
 
-  private static long held(World w, String zone) {
+  private static long held(SimulatedCluster w, String zone) {
     return w.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals(zone)).count();
   }
 }
--- a/src/test/java/dapplestair/world/FullMachineTest.java
+++ b/src/test/java/dapplestair/world/FullMachineTest.java
@@ -11,8 +11,8 @@
   private static final long CROWDED_MS = 40_000;
   private static final long BEGIN_MS = 60_000;
 
-  private static World begun(long seed) {
-    World w = new World(seed, World.Size.MIDDLE, true);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, true);
     w.net.loss = 0;
     w.users.quiet = true;
     for (int i = 0; i < 4; i++) {
@@ -26,10 +26,10 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {16101, 16102, 16103})
   void aStartRefusedAsFullIsNotRepeatedWithoutPause(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     w.cloud.machines().forEach(m -> m.crowd(CROWDED_MS));
-    Users.KnownJob service = w.users.service("two", 3);
-    Users.KnownJob array = w.users.array("two", "high", 12, 5);
+    SimulatedUsers.KnownJob service = w.users.service("two", 3);
+    SimulatedUsers.KnownJob array = w.users.array("two", "high", 12, 5);
     w.run(CROWDED_MS);
     w.run(BEGIN_MS);
     assertTrue(service.begunAt() >= 0, "the service has not begun");
@@ -40,15 +40,16 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {16111, 16112, 16113})
   void workGoesElsewhereAndTheMachineComesBackIntoUse(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     EmulatedWorker crowded = w.cloud.machines().iterator().next();
     crowded.crowd(CROWDED_MS);
-    Users.KnownJob first = w.users.array("two", "high", 24, 5);
+    SimulatedUsers.KnownJob first = w.users.array("two", "high", 24, 5);
     w.run(CROWDED_MS);
     assertTrue(first.done, "the work of the crowded machine is not done elsewhere");
     int before = w.checker.startsOn.getOrDefault(crowded.id(), 0);
     // As many tasks as all machines have room for.
-    Users.KnownJob second = w.users.array("two", "high", (int) (w.size.teamLimit() / 2), 20);
+    SimulatedUsers.KnownJob second =
+        w.users.array("two", "high", (int) (w.size.teamLimit() / 2), 20);
     w.run(BEGIN_MS);
     int after = w.checker.startsOn.getOrDefault(crowded.id(), 0);
     assertTrue(crowded.gone() || after > before, "it got no work again");
--- a/src/test/java/dapplestair/world/GangTest.java
+++ b/src/test/java/dapplestair/world/GangTest.java
@@ -19,17 +19,17 @@
   /** Within which the others are stopped and saved, once it is known that one is missing. */
   private static final long STOPPED_MS = 10_000;
 
-  private static List<EmulatedWorker> machinesOf(World w, Users.KnownJob gang) {
+  private static List<EmulatedWorker> machinesOf(SimulatedCluster w, SimulatedUsers.KnownJob gang) {
     return w.cloud.machines().stream()
         .filter(m -> !m.gone() && m.tasks().stream().anyMatch(t -> member(gang, t)))
         .toList();
   }
 
-  private static boolean member(Users.KnownJob gang, EmulatedTask task) {
+  private static boolean member(SimulatedUsers.KnownJob gang, EmulatedTask task) {
     return task.onMachine() && task.key().startsWith(gang.ref + "/");
   }
 
-  private static long running(World w, Users.KnownJob gang) {
+  private static long running(SimulatedCluster w, SimulatedUsers.KnownJob gang) {
     return machinesOf(w, gang).stream()
         .flatMap(m -> m.tasks().stream())
         .filter(t -> member(gang, t))
@@ -37,7 +37,7 @@
   }
 
   /** For how long some of it, but not all, is on machines until it has begun anew as a whole. */
-  private static long incompleteMs(World w, Users.KnownJob gang) {
+  private static long incompleteMs(SimulatedCluster w, SimulatedUsers.KnownJob gang) {
     int starts = gang.starts;
     long sum = 0;
     for (long t = 0; t < LOOK_MS && (gang.starts == starts || running(w, gang) < MEMBERS); ) {
@@ -60,13 +60,13 @@
     "9606,true,stopped,true"
   })
   void theOthersDoNotRunOnWithoutIt(long seed, boolean saves, String how, boolean leaderEnds) {
-    World w = new World(seed, World.Size.MIDDLE);
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
     w.cloud.setCapacity(0.25);
     w.run(5000);
     w.users.array("two", "low", 60, 3);
-    Users.KnownJob gang =
+    SimulatedUsers.KnownJob gang =
         w.users.changed(
             "one",
             MEMBERS,
@@ -101,7 +101,7 @@
     }
     long incomplete = incompleteMs(w, gang);
     // A machine that ended is noticed after some reports.
-    long most = STOPPED_MS + (how.equals("lost") ? 3 * World.REPORT_MS : 0);
+    long most = STOPPED_MS + (how.equals("lost") ? 3 * SimulatedCluster.REPORT_MS : 0);
     assertTrue(incomplete <= most, "without a member for " + incomplete + " ms");
     SeededDaysTest.settle(w);
     assertTrue(gang.done, "the gang is not done");
--- a/src/test/java/dapplestair/world/GuaranteeTest.java
+++ b/src/test/java/dapplestair/world/GuaranteeTest.java
@@ -8,9 +8,9 @@
 /** What a team borrows goes back to its owner, whatever the rank. */
 class GuaranteeTest {
   // 96 CPUs in all; each of the two teams is guaranteed 40 and limited to 80.
-  private static final World.Size TIGHT = new World.Size(2, 40, 1_000_000, 1);
+  private static final SimulatedCluster.Size TIGHT = new SimulatedCluster.Size(2, 40, 1_000_000, 1);
 
-  private static long running(World world, Users.KnownJob job) {
+  private static long running(SimulatedCluster world, SimulatedUsers.KnownJob job) {
     return world.cloud.machines().stream()
         .filter(m -> !m.gone())
         .flatMap(m -> m.tasks().stream())
@@ -21,14 +21,14 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3})
   void borrowersOfEqualRankMakeRoom(long seed) {
-    World world = new World(seed, TIGHT);
+    SimulatedCluster world = new SimulatedCluster(seed, TIGHT);
     world.net.loss = 0;
     world.users.quiet = true;
     world.run(5000);
-    Users.KnownJob borrower = world.users.array("one", "standard", 40, 300);
+    SimulatedUsers.KnownJob borrower = world.users.array("one", "standard", 40, 300);
     world.run(60_000);
     assertTrue(running(world, borrower) >= 30, running(world, borrower) + " borrowers run");
-    Users.KnownJob owner = world.users.array("two", "standard", 20, 300);
+    SimulatedUsers.KnownJob owner = world.users.array("two", "standard", 20, 300);
     world.run(30_000);
     long owned = running(world, owner);
     long borrowed = running(world, borrower);
--- a/src/test/java/dapplestair/world/HandoverTest.java
+++ b/src/test/java/dapplestair/world/HandoverTest.java
@@ -48,11 +48,11 @@
     play(seed, change, cancelledMs);
   }
 
-  static World play(long seed, LeaderChange change, long cancelledMs) {
+  static SimulatedCluster play(long seed, LeaderChange change, long cancelledMs) {
     CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    World w = d.w;
+    SimulatedCluster w = d.w;
     long at = w.sim.now() + 6000;
-    List<Users.KnownJob> ending = new ArrayList<>();
+    List<SimulatedUsers.KnownJob> ending = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       // Tasks last a tenth more or less than their users guess, and begin about a second later.
       ending.add(w.users.array("one", "high", 1 + i % 3, 5));
@@ -68,7 +68,7 @@
     w.run(30_000);
     d.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
     ending.forEach(t -> assertTrue(t.aborted || t.done, t.ref + " is neither done nor cancelled"));
-    w.run(World.CANCEL_MS);
+    w.run(SimulatedCluster.CANCEL_MS);
     assertEquals(0, d.running(d.cancelled), "cancelled tasks");
     w.run(60_000);
     SeededDaysTest.settle(w);
@@ -83,7 +83,7 @@
   @ValueSource(ints = {3, 5, 9, 11})
   void outAsTheNextOneBegins(int ms) {
     CancellationOutageTest.Day d = new CancellationOutageTest.Day(12200 + ms);
-    World w = d.w;
+    SimulatedCluster w = d.w;
     d.stallEveryThird();
     d.old.crash(9000);
     d.cancelled.forEach(t -> w.users.cancelAt(t, d.second));
@@ -93,14 +93,14 @@
     }
     w.run(ms);
     w.state.fail();
-    w.run(World.CANCEL_MS * 3 / 2);
+    w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
     w.state.recover();
     w.run(90_000);
     SeededDaysTest.settle(w);
   }
 
   /** Arrays, a gang, a service and jobs of one task, whose launches are on their way. */
-  private static void launch(World w, List<Users.KnownJob> to) {
+  private static void launch(SimulatedCluster w, List<SimulatedUsers.KnownJob> to) {
     to.add(w.users.array("one", "high", 4, 150));
     to.add(w.users.changed("two", 3, 150, b -> b.put("shape", "gang")));
     to.add(w.users.service("two", 3));
--- a/src/test/java/dapplestair/world/IdleCapacity.java
+++ b/src/test/java/dapplestair/world/IdleCapacity.java
@@ -22,11 +22,11 @@
   private static final long SAMPLE_MS = 1000;
 
   /** Room counts as idle once it was there in so many samples: two report intervals. */
-  private static final int SETTLED_SAMPLES = (int) (2 * World.REPORT_MS / SAMPLE_MS);
+  private static final int SETTLED_SAMPLES = (int) (2 * SimulatedCluster.REPORT_MS / SAMPLE_MS);
 
-  private final World world;
+  private final SimulatedCluster world;
   private final Map<EmulatedWorker, Deque<Room>> samples = new HashMap<>();
-  private final Map<Users.KnownJob, Waiting> waiting = new HashMap<>();
+  private final Map<SimulatedUsers.KnownJob, Waiting> waiting = new HashMap<>();
 
   /** Free CPUs, memory and accelerators of one machine. */
   private record Room(List<Double> free) {
@@ -43,7 +43,7 @@
     }
 
     /** How many more tasks of a job it holds. */
-    int fitting(Users.KnownJob job) {
+    int fitting(SimulatedUsers.KnownJob job) {
       double tasks = job.steps;
       for (int i = 0; i < free.size(); i++) {
         double each = job.body.path(EmulatorSettings.MachineSpec.FIELDS.get(i)).asDouble();
@@ -63,7 +63,7 @@
     final Map<String, Double> teamCpus = new HashMap<>();
   }
 
-  IdleCapacity(World world) {
+  IdleCapacity(SimulatedCluster world) {
     this.world = world;
   }
 
@@ -81,7 +81,7 @@
   private void look() {
     Map<EmulatedWorker, Room> idle = idle();
     Occupancy occupied = occupied();
-    for (Users.KnownJob job : world.users.told.values()) {
+    for (SimulatedUsers.KnownJob job : world.users.told.values()) {
       boolean neglected =
           waits(job, occupied) && allowed(job, occupied) && fits(job, occupied, idle);
       Waiting before = waiting.get(job);
@@ -101,7 +101,7 @@
     samples.keySet().removeIf(EmulatedWorker::gone);
     for (EmulatedWorker machine : world.cloud.machines()) {
       Deque<Room> of = samples.computeIfAbsent(machine, m -> new ArrayDeque<>());
-      if (!machine.fit() || machine.unansweredMs() > 2 * World.REPORT_MS) {
+      if (!machine.fit() || machine.unansweredMs() > 2 * SimulatedCluster.REPORT_MS) {
         of.clear();
         continue;
       }
@@ -118,7 +118,7 @@
     Occupancy out = new Occupancy();
     for (EmulatedWorker machine : world.cloud.machines()) {
       for (EmulatedTask task : machine.tasks()) {
-        Users.KnownJob job = world.users.told.get(InvariantChecker.ref(task.key()));
+        SimulatedUsers.KnownJob job = world.users.told.get(InvariantChecker.ref(task.key()));
         if (machine.gone() || task.status().equals("exited")) {
           continue;
         }
@@ -133,7 +133,7 @@
   }
 
   /** True when it has a task that neither has completed nor is on a machine; of a gang all. */
-  private boolean waits(Users.KnownJob job, Occupancy occupied) {
+  private boolean waits(SimulatedUsers.KnownJob job, Occupancy occupied) {
     if (!job.accepted || job.cancelAsked || job.done || job.body.has("mistakenSteps")) {
       return false;
     }
@@ -149,20 +149,21 @@
     return false;
   }
 
-  private static boolean gang(Users.KnownJob job) {
+  private static boolean gang(SimulatedUsers.KnownJob job) {
     return job.body.path("shape").asText().equals("gang");
   }
 
-  private static int atOnce(Users.KnownJob job) {
+  private static int atOnce(SimulatedUsers.KnownJob job) {
     return gang(job) ? job.steps : 1;
   }
 
-  private boolean allowed(Users.KnownJob job, Occupancy occupied) {
+  private boolean allowed(SimulatedUsers.KnownJob job, Occupancy occupied) {
     double cpus = occupied.teamCpus.getOrDefault(job.team, 0.0) + atOnce(job) * job.cpus;
     return job.team.equals("guest") || cpus <= world.size.teamLimit() + 1e-6;
   }
 
-  private boolean fits(Users.KnownJob job, Occupancy occupied, Map<EmulatedWorker, Room> idle) {
+  private boolean fits(
+      SimulatedUsers.KnownJob job, Occupancy occupied, Map<EmulatedWorker, Room> idle) {
     Map<String, Integer> there = occupied.jobByZone.getOrDefault(job.ref, Map.of());
     Map<String, Integer> room = new HashMap<>();
     idle.forEach(
@@ -185,7 +186,7 @@
 
   /** What the job's user allows, given where its other tasks are. */
   private static boolean mayUse(
-      Users.KnownJob job, EmulatedWorker machine, Map<String, Integer> there) {
+      SimulatedUsers.KnownJob job, EmulatedWorker machine, Map<String, Integer> there) {
     boolean others = there.keySet().stream().anyMatch(z -> !z.equals(machine.zone()));
     return job.body.path("basin").asText(machine.zone()).equals(machine.zone())
         && job.allowsType(machine.type())
--- a/src/test/java/dapplestair/world/ImageLocationsTest.java
+++ b/src/test/java/dapplestair/world/ImageLocationsTest.java
@@ -12,7 +12,7 @@
   /** A model of four gigabytes: on one gigabyte a second its fetch takes four seconds. */
   private static final double GB = 4;
 
-  private static Users.KnownJob model(World w, int replicas) {
+  private static SimulatedUsers.KnownJob model(SimulatedCluster w, int replicas) {
     return w.users.changed(
         "one",
         replicas,
@@ -28,14 +28,14 @@
   }
 
   /** Some machines hold the weights, others not, and nothing runs that would tell which. */
-  private static World begun(long seed) {
-    World w = new World(seed, World.Size.MIDDLE);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
     // One on each machine, so that all of them stay and each has room for one replica more.
     w.users.changed("two", 14, 900, b -> b.put("vcpus", 5.0).put("loaners", false));
     w.run(25_000);
-    Users.KnownJob model = model(w, 6);
+    SimulatedUsers.KnownJob model = model(w, 6);
     w.run(60_000);
     assertTrue(model.starts >= 6, "the model does not run");
     w.users.cancel(model);
@@ -43,8 +43,8 @@
     return w;
   }
 
-  private static long firstStartMs(World w) {
-    Users.KnownJob again = model(w, 5);
+  private static long firstStartMs(SimulatedCluster w) {
+    SimulatedUsers.KnownJob again = model(w, 5);
     long at = w.sim.now();
     while (again.starts < 5 && w.sim.now() - at < 20_000) {
       w.run(50);
@@ -56,7 +56,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6501, 6502, 6503, 6504})
   void theNextLeaderKnows(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     w.leader().crash(4000);
     w.run(8000);
     long ms = firstStartMs(w);
@@ -67,7 +67,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6511, 6512})
   void wrongHintsCostAFetch(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     List.copyOf(w.cloud.machines()).stream()
         .filter(m -> !m.gone() && !m.spot() && w.sim.chance(0.5))
         .forEach(EmulatedWorker::end);
@@ -80,12 +80,12 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6521, 6522})
   void putsAreFew(long seed) {
-    World w = new World(seed, World.Size.MIDDLE);
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     long before = w.state.putsTo("live/weights/");
     w.run(180_000);
     long puts = w.state.putsTo("live/weights/") - before;
-    assertTrue(puts > 0 && puts <= 180_000 / (2 * World.REPORT_MS), puts + " puts");
+    assertTrue(puts > 0 && puts <= 180_000 / (2 * SimulatedCluster.REPORT_MS), puts + " puts");
     SeededDaysTest.settle(w);
   }
 }
--- a/src/test/java/dapplestair/world/InboundCutTest.java
+++ b/src/test/java/dapplestair/world/InboundCutTest.java
@@ -18,14 +18,14 @@
 class InboundCutTest {
   private static final int REPLICAS = 72;
 
-  private static World begun(long seed) {
-    World w = DisruptionTest.begun(seed, 5, 5);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
     // What is lost with a machine is no choice.
     w.checker.budget = null;
     return w;
   }
 
-  private static void end(World w, String who) {
+  private static void end(SimulatedCluster w, String who) {
     if (w.leader() != null) {
       switch (who) {
         case "leader" -> w.leader().crash(2000);
@@ -40,7 +40,7 @@
   }
 
   /** The machine with most replicas. */
-  private static EmulatedWorker withReplicas(World w) {
+  private static EmulatedWorker withReplicas(SimulatedCluster w) {
     return w.cloud.machines().stream()
         .filter(m -> !m.gone())
         .max(
@@ -58,19 +58,19 @@
     "6105,leader,14"
   })
   void aDeafMachineIsNotUsed(long seed, String who, int second) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     EmulatedWorker deaf = withReplicas(w);
     assertTrue(live(deaf) > 0, "nothing runs there");
-    deaf.deafen(3 * World.LEASE_MS);
+    deaf.deafen(3 * SimulatedCluster.LEASE_MS);
     w.users.array("two", "standard", 60, 15);
-    w.run(2 * World.REPORT_MS);
+    w.run(2 * SimulatedCluster.REPORT_MS);
     int before = w.checker.startsOn.getOrDefault(deaf.id(), 0);
     w.run(1000L * second);
     end(w, who);
-    w.run(World.LEASE_MS);
+    w.run(SimulatedCluster.LEASE_MS);
     assertEquals(
         before, w.checker.startsOn.getOrDefault(deaf.id(), 0), "starts where nothing arrives");
-    w.run(World.REPORT_MS);
+    w.run(SimulatedCluster.REPORT_MS);
     assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas a lease later");
     assertTrue(deaf.gone(), "it is still paid for, though it stays deaf");
   }
@@ -79,11 +79,12 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6111, 6112, 6113})
   void aMomentCostsNothing(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     EmulatedWorker deaf = withReplicas(w);
-    deaf.deafen(World.REPORT_MS);
-    w.run(World.LEASE_MS);
-    assertTrue(!deaf.gone() && deaf.unansweredMs() < 2 * World.REPORT_MS, "it was given up");
+    deaf.deafen(SimulatedCluster.REPORT_MS);
+    w.run(SimulatedCluster.LEASE_MS);
+    assertTrue(
+        !deaf.gone() && deaf.unansweredMs() < 2 * SimulatedCluster.REPORT_MS, "it was given up");
     assertEquals(0, w.cloud.killedByLease(), "tasks killed by the end of a lease");
   }
 
@@ -91,15 +92,15 @@
   @ParameterizedTest(name = "seed {0}, the {1} ends at second {2}")
   @CsvSource({"6121,nobody,0", "6122,leader,3", "6123,leader,10", "6124,follower,6"})
   void aDeafZoneIsASilentOne(long seed, String who, int second) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     List<EmulatedWorker> zone =
         w.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals("c")).toList();
-    zone.forEach(m -> m.deafen(World.LEASE_MS * 2 / 3));
+    zone.forEach(m -> m.deafen(SimulatedCluster.LEASE_MS * 2 / 3));
     w.run(1000L * second);
     end(w, who);
-    w.run(World.LEASE_MS * 2 / 3 - 1000L * second);
+    w.run(SimulatedCluster.LEASE_MS * 2 / 3 - 1000L * second);
     assertEquals(0, zone.stream().filter(EmulatedWorker::gone).count(), "returned one by one");
-    w.run(World.LEASE_MS);
+    w.run(SimulatedCluster.LEASE_MS);
     assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas once it hears again");
     SeededDaysTest.settle(w);
   }
@@ -111,14 +112,14 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6125, 6126, 6127})
   void aDeafZoneIsDecidedOnce(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     List<EmulatedWorker> zone =
         w.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals("c")).toList();
-    zone.forEach(m -> m.deafen(4 * World.LEASE_MS));
-    w.run(World.LEASE_MS * 9 / 10);
+    zone.forEach(m -> m.deafen(4 * SimulatedCluster.LEASE_MS));
+    w.run(SimulatedCluster.LEASE_MS * 9 / 10);
     assertEquals(0, zone.stream().filter(EmulatedWorker::gone).count(), "returned one by one");
     assertEquals("CUT", w.state.value("live/zone/c").path("state").asText());
-    w.run(World.LEASE_MS * 3 / 2);
+    w.run(SimulatedCluster.LEASE_MS * 3 / 2);
     assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas without the zone");
     assertEquals(1, w.state.value("live/zone/c").path("cuts").asInt(), "cuts on record");
   }
@@ -127,9 +128,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6131, 6132, 6133, 6134, 6135, 6136})
   void copiesComeLate(long seed) {
-    World w = new World(seed);
+    SimulatedCluster w = new SimulatedCluster(seed);
     w.net.copied = 0.3;
-    w.net.copyLateMs = 2 * World.LEASE_MS;
+    w.net.copyLateMs = 2 * SimulatedCluster.LEASE_MS;
     for (int i = 0; i < 8; i++) {
       w.run(12_000 + w.sim.between(0, 8000));
       if (w.leader() != null && i % 2 == 0) {
@@ -146,17 +147,17 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6141, 6142, 6143})
   void copiesAreNoSignOfLife(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     w.net.copied = 0.5;
-    w.net.copyLateMs = 2 * World.LEASE_MS;
-    w.run(World.LEASE_MS);
+    w.net.copyLateMs = 2 * SimulatedCluster.LEASE_MS;
+    w.run(SimulatedCluster.LEASE_MS);
     w.net.copied = 0;
     w.cloud.machines().stream().filter(m -> m.zone().equals("c")).forEach(EmulatedWorker::end);
     w.run(3000);
     w.leader().crash(2000);
     // As without copies: silence is judged after two reports, and the cloud needs its time.
     // As without copies: silence is judged, the cloud takes its time, and the last ones boot.
-    w.run(World.LEASE_MS * 5 / 4);
+    w.run(SimulatedCluster.LEASE_MS * 5 / 4);
     assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas without the zone");
     SeededDaysTest.settle(w);
   }
--- a/src/test/java/dapplestair/world/InvalidJob.java
+++ b/src/test/java/dapplestair/world/InvalidJob.java
@@ -38,7 +38,7 @@
   private InvalidJob() {}
 
   /** The same job without one field, or changed so that it can never run. */
-  static ObjectNode make(ObjectNode job, Sim sim) {
+  static ObjectNode make(ObjectNode job, EventSimulator sim) {
     if (sim.chance(0.5)) {
       List<List<String>> kinds = List.of(TEXTS, AMOUNTS, FLAGS, List.of("steps"));
       List<String> kind = kinds.get((int) sim.between(0, kinds.size() - 1));
@@ -48,7 +48,7 @@
       return job;
     }
     switch ((int) sim.between(1, IMPOSSIBLE_KINDS)) {
-      case 1 -> job.put("vcpus", World.CPUS + 0.5);
+      case 1 -> job.put("vcpus", SimulatedCluster.CPUS + 0.5);
       case 2 -> job.put("memoryGb", MEMORY_GB + 1);
       case 3 -> job.put("accelerators", 1.0);
       case 4 -> job.put("owner", "nobody");
@@ -60,7 +60,7 @@
   }
 
   /** What is wrong with it, or null. */
-  static Fault faultOf(JsonNode job, World world) {
+  static Fault faultOf(JsonNode job, SimulatedCluster world) {
     boolean whole =
         TEXTS.stream().allMatch(f -> job.path(f).isTextual())
             && AMOUNTS.stream().allMatch(f -> job.path(f).isNumber())
@@ -73,11 +73,12 @@
     return fitsMachine(job, world) && fitsTeam(job, world.size) ? null : Fault.CANNOT_RUN;
   }
 
-  private static boolean fitsMachine(JsonNode job, World world) {
-    return job.path("vcpus").asDouble() <= World.CPUS
+  private static boolean fitsMachine(JsonNode job, SimulatedCluster world) {
+    return job.path("vcpus").asDouble() <= SimulatedCluster.CPUS
         && job.path("memoryGb").asDouble() <= MEMORY_GB
         && job.path("accelerators").asDouble() == 0
-        && (!job.path("basin").isTextual() || World.ZONES.contains(job.path("basin").asText()))
+        && (!job.path("basin").isTextual()
+            || SimulatedCluster.ZONES.contains(job.path("basin").asText()))
         && (!job.path("hulls").isArray() || !Collections.disjoint(names(job), world.types));
   }
 
@@ -87,7 +88,7 @@
     return names;
   }
 
-  private static boolean fitsTeam(JsonNode job, World.Size size) {
+  private static boolean fitsTeam(JsonNode job, SimulatedCluster.Size size) {
     String team = job.path("owner").asText();
     if (team.equals("guest")) {
       return true;
--- a/src/test/java/dapplestair/world/InvalidRequestsTest.java
+++ b/src/test/java/dapplestair/world/InvalidRequestsTest.java
@@ -25,7 +25,7 @@
 
   /** The requests of one day. */
   private static final class Requests {
-    final World w;
+    final SimulatedCluster w;
     final ConcurrentReaders readers;
     final long until;
     int made;
@@ -33,7 +33,7 @@
     int repeated;
     int cancelledDone;
 
-    Requests(World w) {
+    Requests(SimulatedCluster w) {
       this.w = w;
       readers = new ConcurrentReaders(w);
       until = w.sim.now() + FOR_MS;
@@ -53,12 +53,12 @@
     }
 
     /** One of the jobs that pass, if there are any. */
-    private List<Users.KnownJob> some(Predicate<Users.KnownJob> wanted) {
-      List<Users.KnownJob> all = w.users.told.values().stream().filter(wanted).toList();
+    private List<SimulatedUsers.KnownJob> some(Predicate<SimulatedUsers.KnownJob> wanted) {
+      List<SimulatedUsers.KnownJob> all = w.users.told.values().stream().filter(wanted).toList();
       return all.isEmpty() ? all : List.of(all.get((int) w.sim.between(0, all.size() - 1)));
     }
 
-    private World.Node someNode() {
+    private SimulatedCluster.ControllerNode someNode() {
       return w.nodes.get((int) w.sim.between(0, w.nodes.size() - 1));
     }
 
@@ -71,7 +71,7 @@
               });
     }
 
-    private void repeatWithoutField(Users.KnownJob job) {
+    private void repeatWithoutField(SimulatedUsers.KnownJob job) {
       ObjectNode body = job.body.deepCopy();
       body.remove("imageGb");
       submit(body, r -> repeated += r.status() == 200 ? 1 : 0);
@@ -102,15 +102,19 @@
     }
 
     private void call(
-        World.Node node, String method, String path, byte[] body, Consumer<HttpReply> done) {
-      w.net.call("users", World.client(node.index), method, path, body, ANSWER_MS, done);
+        SimulatedCluster.ControllerNode node,
+        String method,
+        String path,
+        byte[] body,
+        Consumer<HttpReply> done) {
+      w.net.call("users", SimulatedCluster.client(node.index), method, path, body, ANSWER_MS, done);
     }
   }
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9151, 9152, 9153, 9154})
   void oddRequestsGetTheirAnswers(long seed) {
-    World w = new World(seed);
+    SimulatedCluster w = new SimulatedCluster(seed);
     Requests requests = new Requests(w);
     requests.next();
     for (long ms = 0; ms < FOR_MS; ms += RESTART_EVERY_MS) {
--- a/src/test/java/dapplestair/world/InvariantChecker.java
+++ b/src/test/java/dapplestair/world/InvariantChecker.java
@@ -17,10 +17,10 @@
 
 /** The rules of the protocol, checked on the world itself, knowing nothing of the product. */
 final class InvariantChecker implements TaskObserver {
-  private final World world;
+  private final SimulatedCluster world;
   private final Set<String> completed = new HashSet<>();
   // In the order in which their users were told.
-  private final ArrayDeque<Users.KnownJob> cancelled = new ArrayDeque<>();
+  private final ArrayDeque<SimulatedUsers.KnownJob> cancelled = new ArrayDeque<>();
   int started;
   final Map<String, Integer> startsOn = new HashMap<>();
 
@@ -49,7 +49,7 @@
   /** Commands with starts that one machine may refuse as full within four report intervals. */
   private static final int MOST_REFUSED = 10;
 
-  private static final long REFUSED_WITHIN_MS = 4 * World.REPORT_MS;
+  private static final long REFUSED_WITHIN_MS = 4 * SimulatedCluster.REPORT_MS;
 
   // When each machine has refused starts, as full.
   private final Map<String, ArrayDeque<Long>> refusals = new HashMap<>();
@@ -59,7 +59,7 @@
   /** Told of each task that completes, on its machine and at that moment. */
   Consumer<String> alsoCompleted = key -> {};
 
-  InvariantChecker(World world) {
+  InvariantChecker(SimulatedCluster world) {
     this.world = world;
   }
 
@@ -88,7 +88,7 @@
   @Override
   public void started(EmulatedWorker w, EmulatedTask task) {
     started++;
-    Users.KnownJob job = world.users.told.get(ref(task.key()));
+    SimulatedUsers.KnownJob job = world.users.told.get(ref(task.key()));
     job.started = true;
     job.starts++;
     job.taskStarted(task.key(), world.sim.now());
@@ -107,7 +107,7 @@
         if (m.gone() || !t.onMachine()) {
           continue;
         }
-        Users.KnownJob other = world.users.told.get(ref(t.key()));
+        SimulatedUsers.KnownJob other = world.users.told.get(ref(t.key()));
         if (other.body.path("owner").equals(job.body.path("owner"))) {
           teamCpus += other.cpus;
         }
@@ -143,8 +143,8 @@
     }
   }
 
-  private void lateAfterCancellation(Users.KnownJob job, EmulatedTask task, String what) {
-    if (world.sim.now() > job.abortedAt + World.CANCEL_MS) {
+  private void lateAfterCancellation(SimulatedUsers.KnownJob job, EmulatedTask task, String what) {
+    if (world.sim.now() > job.abortedAt + SimulatedCluster.CANCEL_MS) {
       broken("ran_cancelled: " + task.key() + " " + what);
     }
   }
@@ -152,7 +152,7 @@
   @Override
   public void resumed(EmulatedWorker w) {
     for (EmulatedTask t : w.tasks()) {
-      Users.KnownJob job = world.users.told.get(ref(t.key()));
+      SimulatedUsers.KnownJob job = world.users.told.get(ref(t.key()));
       if (!w.gone() && t.onMachine() && job.aborted) {
         resumedAfterCancellation++;
         lateAfterCancellation(job, t, "goes on after " + w.id() + " hung");
@@ -162,7 +162,8 @@
 
   /** After each step. What starts later than a job's last moment is caught by its start. */
   void check() {
-    while (!cancelled.isEmpty() && cancelled.peek().abortedAt + World.CANCEL_MS < world.sim.now()) {
+    while (!cancelled.isEmpty()
+        && cancelled.peek().abortedAt + SimulatedCluster.CANCEL_MS < world.sim.now()) {
       gone(cancelled.poll());
     }
     if (world.state.violation() != null) {
@@ -173,7 +174,7 @@
     }
   }
 
-  private void gone(Users.KnownJob job) {
+  private void gone(SimulatedUsers.KnownJob job) {
     for (EmulatedWorker m : world.cloud.machines()) {
       for (EmulatedTask t : m.tasks()) {
         if (!m.gone() && t.onMachine() && ref(t.key()).equals(job.ref)) {
@@ -186,7 +187,7 @@
   /** Budgets of disruption are checked on what machines did, not on what the product counts. */
   @Override
   public void stopped(EmulatedWorker w, EmulatedTask task) {
-    Users.KnownJob job = world.users.told.get(ref(task.key()));
+    SimulatedUsers.KnownJob job = world.users.told.get(ref(task.key()));
     if (job == null || job.cancelAsked) {
       return;
     }
@@ -229,7 +230,7 @@
   /** A machine that nobody has heard for a while is given up, not chosen. */
   @Override
   public void returned(EmulatedWorker w, EmulatedTask task) {
-    if (w.unansweredMs() < 3 * World.REPORT_MS / 2) {
+    if (w.unansweredMs() < 3 * SimulatedCluster.REPORT_MS / 2) {
       stopped(w, task);
     }
   }
@@ -242,7 +243,7 @@
     int due;
     int done;
 
-    private void add(Users.KnownJob job) {
+    private void add(SimulatedUsers.KnownJob job) {
       jobs++;
       if (!job.accepted) {
         return;
@@ -267,7 +268,7 @@
   /** By class and by team, from what users were told and what machines ran. */
   Map<String, JobTally> served() {
     Map<String, JobTally> out = new TreeMap<>();
-    for (Users.KnownJob job : world.users.told.values()) {
+    for (SimulatedUsers.KnownJob job : world.users.told.values()) {
       out.computeIfAbsent("class " + job.jobClass, k -> new JobTally()).add(job);
       out.computeIfAbsent("team " + job.team, k -> new JobTally()).add(job);
     }
@@ -278,16 +279,16 @@
   static final long BEGIN_MS = 240_000;
 
   /** The largest tenth of each class by tasks times CPUs, three at the least. */
-  Map<String, List<Users.KnownJob>> largest() {
-    Map<String, List<Users.KnownJob>> out = new TreeMap<>();
-    for (Users.KnownJob job : world.users.told.values()) {
+  Map<String, List<SimulatedUsers.KnownJob>> largest() {
+    Map<String, List<SimulatedUsers.KnownJob>> out = new TreeMap<>();
+    for (SimulatedUsers.KnownJob job : world.users.told.values()) {
       if (job.accepted && (!job.cancelAsked || job.begunAt() >= 0)) {
         out.computeIfAbsent(job.jobClass, k -> new ArrayList<>()).add(job);
       }
     }
     out.replaceAll(
         (c, jobs) -> {
-          jobs.sort(Comparator.comparingDouble(Users.KnownJob::size).reversed());
+          jobs.sort(Comparator.comparingDouble(SimulatedUsers.KnownJob::size).reversed());
           return jobs.subList(0, Math.min(jobs.size(), Math.max(3, (jobs.size() + 9) / 10)));
         });
     return out;
@@ -330,7 +331,7 @@
   }
 
   /** A user was told the state of a job, having been told {@code before} when it asked. */
-  void told(Users.KnownJob job, String before, String status) {
+  void told(SimulatedUsers.KnownJob job, String before, String status) {
     if (before != null && !before.equals(status)) {
       broken("went_back: " + job.ref + " is called " + status);
     }
--- a/src/test/java/dapplestair/world/InvariantCheckerTest.java
+++ b/src/test/java/dapplestair/world/InvariantCheckerTest.java
@@ -14,13 +14,13 @@
   @ValueSource(longs = {9101, 9102})
   void jobsRunOnTheirTypesAndInTheirZones(long seed) {
     List<EmulatorSettings.MachineSpec> types =
-        List.of(World.machineType("t8"), World.machineType("u8"));
-    World w = new World(seed, World.Size.MIDDLE, false, types);
+        List.of(SimulatedCluster.machineType("t8"), SimulatedCluster.machineType("u8"));
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, false, types);
     w.users.quiet = true;
     w.run(5000);
     for (String type : List.of("t8", "u8")) {
-      for (String zone : World.ZONES) {
-        Users.KnownJob job =
+      for (String zone : SimulatedCluster.ZONES) {
+        SimulatedUsers.KnownJob job =
             w.users.changed(
                 "one",
                 3,
--- a/src/test/java/dapplestair/world/IsolatedControllerTest.java
+++ b/src/test/java/dapplestair/world/IsolatedControllerTest.java
@@ -13,19 +13,19 @@
  * are back within a fraction of a second (docs/known.md).
  */
 class IsolatedControllerTest {
-  private static final long LONG_MS = 2 * World.LEASE_MS;
+  private static final long LONG_MS = 2 * SimulatedCluster.LEASE_MS;
 
-  private static World begun(long seed) {
-    World w = DisruptionTest.begun(seed, 5, 5);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
     w.checker.budget = null;
     return w;
   }
 
-  private static int up(World w, World.Node node) {
+  private static int up(SimulatedCluster w, SimulatedCluster.ControllerNode node) {
     int[] status = {0};
     w.net.call(
         "balancer",
-        World.client(node.index),
+        SimulatedCluster.client(node.index),
         "GET",
         "/up",
         null,
@@ -39,23 +39,23 @@
   @ParameterizedTest(name = "seed {0}, {1} of them led, held back: {2}")
   @CsvSource({"6201,1,false", "6202,1,true", "6203,0,false", "6204,0,true", "6205,1,false"})
   void aLoneControllerLetsGo(long seed, int led, boolean hold) {
-    World w = begun(seed);
-    World.Node leader = w.leader();
-    World.Node lone = led > 0 ? leader : w.nodes.get((leader.index + 1) % 3);
+    SimulatedCluster w = begun(seed);
+    SimulatedCluster.ControllerNode leader = w.leader();
+    SimulatedCluster.ControllerNode lone = led > 0 ? leader : w.nodes.get((leader.index + 1) % 3);
     int killed = w.cloud.killedByLease();
     new RandomFaults(w).alone(lone, hold, LONG_MS);
-    Users.KnownJob job = w.users.array("one", "high", 20, 5);
-    w.run(World.LEASE_MS / 2);
+    SimulatedUsers.KnownJob job = w.users.array("one", "high", 20, 5);
+    w.run(SimulatedCluster.LEASE_MS / 2);
     assertNotEquals(lone, w.leader(), "it cannot lead");
     assertEquals(503, up(w, lone), "users go on coming to it");
     int beats = lone.beats;
-    w.run(World.LEASE_MS);
+    w.run(SimulatedCluster.LEASE_MS);
     assertTrue(lone.beats - beats <= 5, lone.beats - beats + " reports went on coming to it");
-    w.run(LONG_MS - World.LEASE_MS);
+    w.run(LONG_MS - SimulatedCluster.LEASE_MS);
     assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
     assertTrue(job.done, "the array is not done");
-    World.Node leads = w.leader();
-    w.run(World.LEASE_MS);
+    SimulatedCluster.ControllerNode leads = w.leader();
+    w.run(SimulatedCluster.LEASE_MS);
     assertEquals(leads, w.leader(), "its return changes who leads");
     assertEquals(200, up(w, lone), "it is back");
     SeededDaysTest.settle(w);
@@ -65,8 +65,8 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6211, 6212, 6213})
   void twoAtOnce(long seed) {
-    World w = begun(seed);
-    World.Node leader = w.leader();
+    SimulatedCluster w = begun(seed);
+    SimulatedCluster.ControllerNode leader = w.leader();
     RandomFaults faults = new RandomFaults(w);
     faults.alone(leader, false, LONG_MS);
     faults.alone(w.nodes.get((leader.index + 1) % 3), true, LONG_MS);
@@ -81,9 +81,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6221, 6222})
   void anOutageOfAllIsNone(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     w.state.fail();
-    w.run(World.LEASE_MS / 2);
+    w.run(SimulatedCluster.LEASE_MS / 2);
     w.nodes.forEach(n -> assertEquals(200, up(w, n), "nobody is left to tell users"));
     w.state.recover();
     SeededDaysTest.settle(w);
@@ -95,7 +95,7 @@
     "6231,1", "6232,2", "6233,3", "6234,1", "6235,2", "6236,3", "6237,2", "6238,3", "6239,3"
   })
   void backAtOnce(long seed, int atOnce) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     int killed = w.cloud.killedByLease();
     for (int round = 0; round < 4; round++) {
       for (int twice = 0; twice < 2; twice++) {
@@ -110,7 +110,9 @@
         w.run(100);
         without += 100;
         // A hold and two report intervals.
-        assertTrue(without <= World.LEASE_MS / 10 + 2 * World.REPORT_MS, "nobody leads");
+        assertTrue(
+            without <= SimulatedCluster.LEASE_MS / 10 + 2 * SimulatedCluster.REPORT_MS,
+            "nobody leads");
       }
       w.run(4000);
     }
--- a/src/test/java/dapplestair/world/JobBeginTest.java
+++ b/src/test/java/dapplestair/world/JobBeginTest.java
@@ -11,7 +11,8 @@
   private static final long STOPPED_MS = 1500;
   private static final long LONG_MS = 60_000;
 
-  private final Users.KnownJob job = new Users.KnownJob(Json.object().put("ref", "wk-000001"));
+  private final SimulatedUsers.KnownJob job =
+      new SimulatedUsers.KnownJob(Json.object().put("ref", "wk-000001"));
 
   /** Guards against jobs counted as begun by starts that were taken back. */
   @Test
--- a/src/test/java/dapplestair/world/LaneTest.java
+++ b/src/test/java/dapplestair/world/LaneTest.java
@@ -30,14 +30,14 @@
   private static final long STEPS_MS = 1500;
 
   // Until somebody else leads, and its workers have shown the new token.
-  private static final long TAKEOVER_MS = World.REPORT_MS + World.REPORT_MS;
+  private static final long TAKEOVER_MS = SimulatedCluster.REPORT_MS + SimulatedCluster.REPORT_MS;
 
   static final Lane GATE =
       new Lane(
           "gate", Set.of("gate"), Set.of(), Set.of("settle"), Rank.HIGH, Rank.STANDARD, 0, LANE_MS);
 
-  static World begun(long seed, Lane lane, double saveS) {
-    World w = new World(seed, World.Size.MIDDLE);
+  static SimulatedCluster begun(long seed, Lane lane, double saveS) {
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
     w.operatorSettings =
@@ -57,29 +57,30 @@
                   .put("snapshotS", saveS));
     }
     w.run(40_000);
-    assertTrue(free(w) < World.CPUS, "machines are not full");
+    assertTrue(free(w) < SimulatedCluster.CPUS, "machines are not full");
     return w;
   }
 
-  private static double free(World w) {
+  private static double free(SimulatedCluster w) {
     double free = 0;
     for (EmulatedWorker m : w.cloud.machines()) {
       free +=
           m.gone() || !m.booted()
               ? 0
-              : World.CPUS - 2 * m.tasks().stream().filter(EmulatedTask::onMachine).count();
+              : SimulatedCluster.CPUS
+                  - 2 * m.tasks().stream().filter(EmulatedTask::onMachine).count();
     }
     return free;
   }
 
-  static Users.KnownJob rider(World w, int tasks) {
+  static SimulatedUsers.KnownJob rider(SimulatedCluster w, int tasks) {
     return w.users.changed(
         "two", tasks, 6, b -> b.put("jobclass", "gate").put("rank", "high").put("loaners", true));
   }
 
   /** How many of a job's tasks have started so far, each counted once. */
-  static void untilBegun(World w, List<Users.KnownJob> riders, long mostMs) {
-    for (Users.KnownJob r : riders) {
+  static void untilBegun(SimulatedCluster w, List<SimulatedUsers.KnownJob> riders, long mostMs) {
+    for (SimulatedUsers.KnownJob r : riders) {
       long until = r.submittedAt + mostMs;
       while (r.starts < r.steps && w.sim.now() < until) {
         w.run(50);
@@ -90,11 +91,11 @@
     }
   }
 
-  private static int stopped(World w) {
+  private static int stopped(SimulatedCluster w) {
     return w.checker.stopsOf.getOrDefault("settle", 0);
   }
 
-  private static JsonNode claims(World w) {
+  private static JsonNode claims(SimulatedCluster w) {
     return w.state.value("live/lane/gate");
   }
 
@@ -102,10 +103,10 @@
   @ParameterizedTest(name = "seed {0}, saving takes {1} s")
   @CsvSource({"6301,0", "6302,0.5", "6303,0", "6304,30", "8042,30"})
   void ridersDoNotWait(long seed, double saveS) {
-    World w = begun(seed, GATE, saveS);
+    SimulatedCluster w = begun(seed, GATE, saveS);
     int before = stopped(w);
     long laneBefore = w.state.putsTo("live/lane/");
-    List<Users.KnownJob> riders = new ArrayList<>();
+    List<SimulatedUsers.KnownJob> riders = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       riders.add(rider(w, 6));
     }
@@ -123,7 +124,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6321, 6322, 6323})
   void ridersAsLargeAsMachines(long seed) {
-    World w = begun(seed, GATE, 0);
+    SimulatedCluster w = begun(seed, GATE, 0);
     // Some save before they go, so that the room of those that don't is free before theirs.
     for (int i = 0; i < 12; i++) {
       w.users.changed(
@@ -134,12 +135,12 @@
     }
     w.cloud.machines().stream().limit(8).forEach(m -> w.sim.after(0, m::end));
     w.run(25_000);
-    Users.KnownJob rider =
+    SimulatedUsers.KnownJob rider =
         w.users.changed(
             "two",
             3,
             6,
-            b -> b.put("jobclass", "gate").put("rank", "high").put("vcpus", World.CPUS));
+            b -> b.put("jobclass", "gate").put("rank", "high").put("vcpus", SimulatedCluster.CPUS));
     int before = stopped(w);
     untilBegun(w, List.of(rider), LANE_MS + STEPS_MS);
     assertTrue(stopped(w) - before <= 3 * 4, stopped(w) - before + " stops for three machines");
@@ -159,9 +160,9 @@
     "6319,1000,false"
   })
   void claimsOutliveLeaders(long seed, long afterMs, boolean twice) {
-    World w = begun(seed, GATE, 0);
+    SimulatedCluster w = begun(seed, GATE, 0);
     int before = stopped(w);
-    Users.KnownJob rider = rider(w, 8);
+    SimulatedUsers.KnownJob rider = rider(w, 8);
     Map<String, Set<String>> claimed = new HashMap<>();
     w.also =
         () -> {
@@ -196,8 +197,8 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6331, 6332, 6333, 6334})
   void claimedMachinesFail(long seed) {
-    World w = begun(seed, GATE, 0);
-    Users.KnownJob rider = rider(w, 12);
+    SimulatedCluster w = begun(seed, GATE, 0);
+    SimulatedUsers.KnownJob rider = rider(w, 12);
     w.run(250);
     if (claims(w) != null) {
       int n = 0;
@@ -206,14 +207,14 @@
           if (m.id().equals(c.path("host").asText())) {
             switch (n++ % 3) {
               case 0 -> m.end();
-              case 1 -> m.hang(World.LEASE_MS / 2);
-              default -> m.deafen(World.LEASE_MS);
+              case 1 -> m.hang(SimulatedCluster.LEASE_MS / 2);
+              default -> m.deafen(SimulatedCluster.LEASE_MS);
             }
           }
         }
       }
     }
-    untilBegun(w, List.of(rider), World.LEASE_MS + LANE_MS);
+    untilBegun(w, List.of(rider), SimulatedCluster.LEASE_MS + LANE_MS);
   }
 
   /** What takes too long to save leaves the reserve to riders; what is gone at once may use it. */
@@ -230,7 +231,7 @@
             Rank.STANDARD,
             24,
             LANE_MS);
-    World w = new World(seed, World.Size.MIDDLE);
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
     w.operatorSettings = OperatorSettings.defaults().withLanes(List.of(lane));
@@ -247,7 +248,7 @@
     w.run(40_000);
     assertTrue(free(w) >= 24, free(w) + " CPUs are left of a reserve of 24");
     int before = stopped(w);
-    Users.KnownJob rider = rider(w, 10);
+    SimulatedUsers.KnownJob rider = rider(w, 10);
     untilBegun(w, List.of(rider), STEPS_MS);
     assertEquals(before, stopped(w), "stops, though the reserve was free");
   }
@@ -256,7 +257,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6351, 6352})
   void aLaneIsRemoved(long seed) {
-    World w = begun(seed, GATE, 0);
+    SimulatedCluster w = begun(seed, GATE, 0);
     rider(w, 30);
     w.run(150);
     w.operatorSettings = OperatorSettings.defaults();
--- a/src/test/java/dapplestair/world/LargeClusterDaysTest.java
+++ b/src/test/java/dapplestair/world/LargeClusterDaysTest.java
@@ -15,13 +15,13 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3})
   void rulesHoldAtTheGrownSize(long seed) {
-    World world = new World(seed, World.Size.GROWN);
+    SimulatedCluster world = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN);
     try {
       world.run(30_000);
       for (int i = 0; i < 50 && world.leader() == null; i++) {
         world.run(100);
       }
-      World.Node follower = world.nodes.get((world.leader().index + 1) % 3);
+      SimulatedCluster.ControllerNode follower = world.nodes.get((world.leader().index + 1) % 3);
       String zone = follower.settings.zone();
       world.cutOff(follower, m -> m.zone().equals(zone), false, 20_000);
       world.run(5000);
@@ -53,7 +53,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {11, 12})
   void putsPerStartAreFew(long seed) {
-    World world = new World(seed, World.Size.GROWN);
+    SimulatedCluster world = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN);
     world.net.loss = 0;
     world.run(60_000);
     double perStart = world.state.puts() / (double) world.checker.started;
--- a/src/test/java/dapplestair/world/LargestJobsTest.java
+++ b/src/test/java/dapplestair/world/LargestJobsTest.java
@@ -21,8 +21,8 @@
   private static final double SMALL_S = 8;
 
   /** A quarter of the machines that the cloud could have, and one service in each zone. */
-  private static World begun(long seed) {
-    World w = new World(seed, World.Size.MIDDLE);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
     w.cloud.setCapacity(0.25);
@@ -34,7 +34,7 @@
   }
 
   /** Small arrays of rank high, so often that they alone need this much of the cluster. */
-  private static void overload(World w, double factor, double cpus, long forMs) {
+  private static void overload(SimulatedCluster w, double factor, double cpus, long forMs) {
     double each = SMALL_STEPS * cpus * SMALL_S;
     long everyMs = Math.round(1000 * each / (CLUSTER_CPUS * factor));
     for (long at = 0; at < forMs; at += everyMs) {
@@ -51,7 +51,7 @@
   }
 
   /** Runs for so long; leaders end again and again. */
-  private static void runEnding(World w, long ms) {
+  private static void runEnding(SimulatedCluster w, long ms) {
     long end = w.sim.now() + ms;
     while (w.sim.now() < end) {
       w.run(Math.min(end - w.sim.now(), 30_000 + w.sim.between(0, 20_000)));
@@ -61,8 +61,8 @@
     }
   }
 
-  private static List<Users.KnownJob> large(World w) {
-    List<Users.KnownJob> out = new ArrayList<>();
+  private static List<SimulatedUsers.KnownJob> large(SimulatedCluster w) {
+    List<SimulatedUsers.KnownJob> out = new ArrayList<>();
     for (String team : List.of("one", "guest")) {
       out.add(
           w.users.changed(
@@ -87,12 +87,12 @@
     return out;
   }
 
-  private static long waitMs(World w, Users.KnownJob job) {
+  private static long waitMs(SimulatedCluster w, SimulatedUsers.KnownJob job) {
     return (job.begunAt() < 0 ? w.sim.now() : job.begunAt()) - job.submittedAt;
   }
 
-  private static void begunInTime(World w, List<Users.KnownJob> jobs) {
-    for (Users.KnownJob job : jobs) {
+  private static void begunInTime(SimulatedCluster w, List<SimulatedUsers.KnownJob> jobs) {
+    for (SimulatedUsers.KnownJob job : jobs) {
       assertTrue(
           job.begunAt() >= 0 && waitMs(w, job) <= InvariantChecker.BEGIN_MS,
           () -> job.ref + " of " + job.jobClass + " waits for " + waitMs(w, job) + " ms");
@@ -102,10 +102,10 @@
   @ParameterizedTest(name = "seed {0}, {1} times too much, tasks of {2} CPUs")
   @CsvSource({"6001,1.5,2", "6003,3,2", "6004,4,1"})
   void whoWaitsLongBegins(long seed, double factor, double cpus) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     overload(w, factor, cpus, 280_000);
     w.run(20_000);
-    List<Users.KnownJob> large = large(w);
+    List<SimulatedUsers.KnownJob> large = large(w);
     runEnding(w, 255_000);
     begunInTime(w, large);
     // No replica was lost for it.
@@ -118,12 +118,12 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6021, 6022, 6023})
   void aJobThatWasTurnedAwayIsAsOldAsItsFirstAttempt(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     overload(w, 3, 2, 300_000);
     w.run(20_000);
     long outageMs = 55_000;
     w.state.fail();
-    Users.KnownJob large = large(w).get(0);
+    SimulatedUsers.KnownJob large = large(w).get(0);
     w.run(outageMs);
     w.state.recover();
     w.run(InvariantChecker.BEGIN_MS - outageMs);
@@ -140,8 +140,8 @@
   @ParameterizedTest(name = "seed {0}, arrays of {1} tasks and more")
   @CsvSource({"6021,40", "6022,80", "6023,20"})
   void everyArrayBeginsThoughWindowsAreFull(long seed, int steps) {
-    World w = begun(seed);
-    List<Users.KnownJob> arrays = new ArrayList<>();
+    SimulatedCluster w = begun(seed);
+    List<SimulatedUsers.KnownJob> arrays = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
       int size = steps + (int) w.sim.between(0, 4 * steps);
       w.sim.after(
@@ -155,7 +155,7 @@
   /** The guard taken out: with no bound that is near, the same work does not begin. */
   @Test
   void withoutTheBoundTheyDoNotBegin() {
-    World w = new World(6003, World.Size.MIDDLE);
+    SimulatedCluster w = new SimulatedCluster(6003, SimulatedCluster.Size.MIDDLE);
     OperatorSettings d = OperatorSettings.defaults();
     w.operatorSettings = d.withBeginWithin(24 * 3600_000);
     w.nodes.forEach(n -> n.crash(500));
@@ -165,7 +165,7 @@
     w.run(20_000);
     overload(w, 3, 2, 280_000);
     w.run(20_000);
-    List<Users.KnownJob> large = large(w);
+    List<SimulatedUsers.KnownJob> large = large(w);
     w.run(255_000);
     assertFalse(
         large.stream().allMatch(j -> j.begunAt() >= 0 && waitMs(w, j) <= InvariantChecker.BEGIN_MS),
@@ -176,10 +176,10 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6011, 6012})
   void aGangAsWideAsAZoneBegins(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     overload(w, 2, 2, 280_000);
     w.run(20_000);
-    Users.KnownJob gang =
+    SimulatedUsers.KnownJob gang =
         w.users.changed(
             "one",
             28,
--- a/src/test/java/dapplestair/world/LastTaskEndTest.java
+++ b/src/test/java/dapplestair/world/LastTaskEndTest.java
@@ -37,17 +37,17 @@
 
   /** Who sends what where. */
   private static final class Day {
-    final World w;
+    final SimulatedCluster w;
     final ConcurrentReaders readers;
     final Step step;
     final long moveMs;
-    final Map<String, Users.KnownJob> jobs = new LinkedHashMap<>();
+    final Map<String, SimulatedUsers.KnownJob> jobs = new LinkedHashMap<>();
     final Map<String, Integer> completed = new LinkedHashMap<>();
     final Set<String> heldOnce = new HashSet<>();
     int met;
 
     Day(long seed, Step step, long moveMs) {
-      w = new World(seed);
+      w = new SimulatedCluster(seed);
       w.net.loss = 0;
       w.users.cancelledArrays = 0;
       readers = new ConcurrentReaders(w);
@@ -55,7 +55,7 @@
       this.moveMs = moveMs;
       w.checker.alsoCompleted = this::completed;
       w.net.commits.carriedOut = this::carriedOut;
-      Network.Tap others = w.net.tap;
+      SimulatedNetwork.Tap others = w.net.tap;
       w.net.tap =
           (from, method, path, body, done) -> {
             if (path.equals("/commit")) {
@@ -66,12 +66,13 @@
     }
 
     void submit(int i) {
-      Users.KnownJob job = w.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 3, RUN_S);
+      SimulatedUsers.KnownJob job =
+          w.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 3, RUN_S);
       jobs.put(job.ref, job);
     }
 
     private void completed(String task) {
-      Users.KnownJob job = jobs.get(task.substring(0, task.indexOf('/')));
+      SimulatedUsers.KnownJob job = jobs.get(task.substring(0, task.indexOf('/')));
       boolean last = job != null && completed.merge(job.ref, 1, Integer::sum) == job.steps;
       if (last && step == Step.TASK_EXITS) {
         w.sim.after(moveMs, () -> meet(job));
@@ -81,7 +82,7 @@
     }
 
     private void sent(String from, JsonNode body) {
-      Users.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
+      SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
       boolean held =
           step == Step.DONE_IS_SENT && CommitInterceptor.any(body, CommitInterceptor.ends("done"))
               || step == Step.CANCELLATION_IS_SENT
@@ -94,7 +95,7 @@
     }
 
     private void carriedOut(String from, JsonNode body) {
-      Users.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
+      SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
       if (job != null
           && step == Step.DONE_IS_PUT
           && CommitInterceptor.any(body, CommitInterceptor.ends("done"))) {
@@ -103,14 +104,14 @@
     }
 
     /** In turn: cancelled at the leader, at another, at all at once, asked for and repeated. */
-    private void meet(Users.KnownJob job) {
+    private void meet(SimulatedUsers.KnownJob job) {
       int leader = w.leader().index;
       int kind = met++ % 4;
       if (kind == 3) {
         readers.around(job);
         return;
       }
-      for (World.Node n : w.nodes) {
+      for (SimulatedCluster.ControllerNode n : w.nodes) {
         if (kind == 2 || (n.index == leader) == (kind == 0)) {
           w.users.cancelAt(job, n);
           readers.ask(job, n);
@@ -120,7 +121,7 @@
       readers.around(job);
     }
 
-    String recorded(Users.KnownJob job) {
+    String recorded(SimulatedUsers.KnownJob job) {
       JsonNode over = w.state.value(CommitInterceptor.OVER + job.ref);
       assertNotNull(over, job.ref + " is not over");
       return over.path("status").asText();
@@ -155,7 +156,7 @@
     d.w.run(20_000);
     SeededDaysTest.settle(d.w);
     assertTrue(2 * d.met >= JOBS, d.met + " of " + JOBS + " ends were met");
-    for (Users.KnownJob job : d.jobs.values()) {
+    for (SimulatedUsers.KnownJob job : d.jobs.values()) {
       assertEquals(d.recorded(job), job.finalState(), job.ref);
       if (step == Step.DONE_IS_PUT) {
         assertEquals("done", job.finalState(), job.ref);
--- a/src/test/java/dapplestair/world/LateCommandsTest.java
+++ b/src/test/java/dapplestair/world/LateCommandsTest.java
@@ -20,38 +20,39 @@
   private static final int HELD = 12;
 
   /** Teams at their limits: what starts once too often is seen. */
-  private static World begun(long seed) {
-    World w = new World(seed, new World.Size(6, 24, 700, 6));
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 24, 700, 6));
     w.net.loss = 0;
     w.users.cancelledArrays = 0.4;
     w.run(20_000);
     return w;
   }
 
-  private static void end(World w, World.Node old, String how) {
+  private static void end(SimulatedCluster w, SimulatedCluster.ControllerNode old, String how) {
     switch (how) {
       case "ends" -> old.crash(6000);
       case "hangs" -> old.freeze(12_000);
-      case "alone" -> new RandomFaults(w).alone(old, false, World.LEASE_MS);
+      case "alone" -> new RandomFaults(w).alone(old, false, SimulatedCluster.LEASE_MS);
       default -> throw new IllegalArgumentException(how);
     }
   }
 
   /** Nobody but the old leader gets to this zone's machines, and they get to nobody. */
-  private static void isolate(World w, World.Node old, String zone, long ms) {
+  private static void isolate(
+      SimulatedCluster w, SimulatedCluster.ControllerNode old, String zone, long ms) {
     for (EmulatedWorker m : w.cloud.machines()) {
-      for (World.Node n : w.nodes) {
+      for (SimulatedCluster.ControllerNode n : w.nodes) {
         if (n != old && m.zone().equals(zone)) {
           w.net.cut("node-" + n.index, m.endpoint(), true);
-          w.net.cut(World.client(n.index), m.endpoint(), true);
+          w.net.cut(SimulatedCluster.client(n.index), m.endpoint(), true);
           w.sim.after(ms, () -> w.net.heal("node-" + n.index, m.endpoint()));
-          w.sim.after(ms, () -> w.net.heal(World.client(n.index), m.endpoint()));
+          w.sim.after(ms, () -> w.net.heal(SimulatedCluster.client(n.index), m.endpoint()));
         }
       }
     }
   }
 
-  private static String zoneOf(World w, String endpoint) {
+  private static String zoneOf(SimulatedCluster w, String endpoint) {
     return w.cloud.machines().stream()
         .filter(m -> m.endpoint().equals(endpoint))
         .map(EmulatedWorker::zone)
@@ -59,13 +60,13 @@
         .orElse("");
   }
 
-  private static boolean sameZone(World w, String endpoint, String other) {
+  private static boolean sameZone(SimulatedCluster w, String endpoint, String other) {
     return zoneOf(w, endpoint).equals(zoneOf(w, other));
   }
 
   /** A third of what runs, or is about to, is cancelled through the new leader. */
-  private static void cancelSome(World w) {
-    for (Users.KnownJob t : new ArrayList<>(w.users.told.values())) {
+  private static void cancelSome(SimulatedCluster w) {
+    for (SimulatedUsers.KnownJob t : new ArrayList<>(w.users.told.values())) {
       if (t.accepted && !t.done && !t.cancelAsked && w.sim.chance(0.33)) {
         w.users.cancel(t);
       }
@@ -93,9 +94,9 @@
     "5113,clear,16000,ends,false"
   })
   void afterTheNextLeaders(long seed, String verb, long heldMs, String how, boolean reached) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     for (int i = 0; i < 3; i++) {
-      World.Node old = w.leader();
+      SimulatedCluster.ControllerNode old = w.leader();
       if (old == null) {
         w.run(4000);
         continue;
@@ -135,12 +136,12 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5121, 5122, 5123, 5124})
   void ofTwoLeadersAtOnce(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     for (int i = 0; i < 3; i++) {
       w.net.lateCommands = 0.7;
       for (int k = 0; k < 2; k++) {
         w.run(2500);
-        World.Node old = w.leader();
+        SimulatedCluster.ControllerNode old = w.leader();
         if (old != null) {
           end(w, old, w.sim.chance(0.5) ? "ends" : "alone");
         }
@@ -149,7 +150,7 @@
       }
       cancelSome(w);
       w.net.lateCommands = 0;
-      w.run(World.LEASE_MS);
+      w.run(SimulatedCluster.LEASE_MS);
     }
     SeededDaysTest.settle(w);
   }
@@ -161,22 +162,22 @@
   @ParameterizedTest(name = "seed {0}, held for {1} ms")
   @CsvSource({"5141,3500", "5142,4000", "5143,4500", "5144,5000"})
   void whileAnswersAreLost(long seed, long heldMs) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     for (int i = 0; i < 8; i++) {
-      World.Node leader = w.leader();
+      SimulatedCluster.ControllerNode leader = w.leader();
       List<String> stuck = new ArrayList<>();
       w.net.commandHeldMs =
           r -> {
             boolean first = stuck.size() < 3 && r.orders("launch") && !stuck.contains(r.to());
             if (first) {
               stuck.add(r.to());
-              w.net.cutOneWay(World.client(leader.index), r.to());
+              w.net.cutOneWay(SimulatedCluster.client(leader.index), r.to());
             }
             return first || stuck.contains(r.to()) ? heldMs : 0;
           };
       w.run(heldMs + 2000);
       w.net.commandHeldMs = r -> 0;
-      stuck.forEach(to -> w.net.healOneWay(World.client(leader.index), to));
+      stuck.forEach(to -> w.net.healOneWay(SimulatedCluster.client(leader.index), to));
       w.run(6000);
     }
     assertTrue(w.net.lateTaken.get() > 0, "none came late");
@@ -187,7 +188,7 @@
   @ParameterizedTest(name = "seed {0}, share {1}")
   @CsvSource({"5131,0.15", "5132,0.4", "5133,0.4", "5134,0.6"})
   void underOneLeader(long seed, double share) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     w.net.lateCommands = share;
     for (int i = 0; i < 6; i++) {
       w.run(10_000);
--- a/src/test/java/dapplestair/world/LatencyReport.java
+++ b/src/test/java/dapplestair/world/LatencyReport.java
@@ -44,8 +44,8 @@
         h.getMaxValue());
   }
 
-  private static World world(int seed, OperatorSettings operatorSettings) {
-    World w = new World(seed, World.Size.MIDDLE);
+  private static SimulatedCluster world(int seed, OperatorSettings operatorSettings) {
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
     w.operatorSettings = operatorSettings;
@@ -56,7 +56,7 @@
   }
 
   private static long election(int seed, int atOnce) {
-    World w = world(seed, OperatorSettings.defaults());
+    SimulatedCluster w = world(seed, OperatorSettings.defaults());
     for (int twice = 0; twice < 2; twice++) {
       int first = w.leader() == null ? 0 : w.leader().index;
       for (int i = 0; i < atOnce; i++) {
@@ -79,7 +79,7 @@
     Lane gate =
         new Lane(
             "gate", Set.of("gate"), Set.of(), Set.of("settle"), Rank.HIGH, Rank.STANDARD, 0, 2000);
-    World w =
+    SimulatedCluster w =
         world(
             seed,
             lane
@@ -93,7 +93,7 @@
           b -> b.put("jobclass", "settle").put("snapshotEveryS", 5.0).put("snapshotS", 0.5));
     }
     w.run(40_000);
-    Users.KnownJob rider =
+    SimulatedUsers.KnownJob rider =
         w.users.changed("two", 24, 60, b -> b.put("jobclass", "gate").put("rank", "high"));
     if (leaderEnds) {
       w.run(w.sim.between(20, 500));
--- a/src/test/java/dapplestair/world/LeaderChange.java
+++ b/src/test/java/dapplestair/world/LeaderChange.java
@@ -8,28 +8,28 @@
   /** The leader gives its hold back and ends, as for a new version. */
   PLANNED {
     @Override
-    void happen(World w, World.Node leader) {
+    void happen(SimulatedCluster w, SimulatedCluster.ControllerNode leader) {
       leader.leave(3000);
     }
   },
   /** Its process ends. */
   CRASH {
     @Override
-    void happen(World w, World.Node leader) {
+    void happen(SimulatedCluster w, SimulatedCluster.ControllerNode leader) {
       leader.crash(w.sim.between(2000, 6000));
     }
   },
   /** Its process ends and is back before anybody else may lead. */
   BACK_AT_ONCE {
     @Override
-    void happen(World w, World.Node leader) {
+    void happen(SimulatedCluster w, SimulatedCluster.ControllerNode leader) {
       leader.crash(w.sim.between(60, 900));
     }
   },
   /** It hands over, and whoever leads next hands over as well. */
   THERE_AND_BACK {
     @Override
-    void happen(World w, World.Node leader) {
+    void happen(SimulatedCluster w, SimulatedCluster.ControllerNode leader) {
       leader.leave(700);
       w.sim.after(
           2500,
@@ -43,38 +43,38 @@
   /** Its process stands still for so long that its hold ends. */
   FROZEN {
     @Override
-    void happen(World w, World.Node leader) {
+    void happen(SimulatedCluster w, SimulatedCluster.ControllerNode leader) {
       leader.freeze(5000);
     }
   },
   /** It loses the state service and the other controllers, but no worker and no user. */
   ALONE {
     @Override
-    void happen(World w, World.Node leader) {
+    void happen(SimulatedCluster w, SimulatedCluster.ControllerNode leader) {
       new RandomFaults(w).alone(leader, w.sim.chance(0.5), 8000);
     }
   },
   /** The state service refuses it alone. */
   REFUSED {
     @Override
-    void happen(World w, World.Node leader) {
+    void happen(SimulatedCluster w, SimulatedCluster.ControllerNode leader) {
       String name = "node-" + leader.index;
       w.state.refuse(name, true);
       w.sim.after(8000, () -> w.state.refuse(name, false));
     }
   };
 
-  abstract void happen(World w, World.Node leader);
+  abstract void happen(SimulatedCluster w, SimulatedCluster.ControllerNode leader);
 
   /** The leader's key is lost: whoever leads is deposed, and the key can be won again at once. */
-  static void loseKey(World w) {
+  static void loseKey(SimulatedCluster w) {
     ObjectNode body = Json.object();
     body.putArray("writes").addObject().put("remove", "live/leader");
     w.state.request("noise", "POST", "/commit", Json.bytes(body), r -> {});
   }
 
   /** Whoever leads now, if anybody does, leads no more. */
-  void happen(World w) {
+  void happen(SimulatedCluster w) {
     if (w.leader() != null) {
       happen(w, w.leader());
     }
--- a/src/test/java/dapplestair/world/LeaderChangeRunner.java
+++ b/src/test/java/dapplestair/world/LeaderChangeRunner.java
@@ -21,9 +21,9 @@
     return of[(int) (n % of.length)];
   }
 
-  private void play(String what, long seed, LongFunction<World> day) {
+  private void play(String what, long seed, LongFunction<SimulatedCluster> day) {
     try {
-      World w = day.apply(seed);
+      SimulatedCluster w = day.apply(seed);
       startsAfterCancellation += w.checker.startsAfterCancellation;
       resumedAfterCancellation += w.checker.resumedAfterCancellation;
     } catch (AssertionError e) {
--- a/src/test/java/dapplestair/world/LeaseResponsesTest.java
+++ b/src/test/java/dapplestair/world/LeaseResponsesTest.java
@@ -28,7 +28,7 @@
 class LeaseResponsesTest {
   /** For how long after a cancellation a leader that does not know of it may send launches. */
   private static final long LAUNCH_MS =
-      (World.CANCEL_MS - World.LEASE_MS - World.LEASE_MS / 16) / 4;
+      (SimulatedCluster.CANCEL_MS - SimulatedCluster.LEASE_MS - SimulatedCluster.LEASE_MS / 16) / 4;
 
   /** Sends a machine's report as it is now, or changed by the test. */
   private static final class Reporter {
@@ -44,7 +44,7 @@
       tick = report.path("tick").asLong();
     }
 
-    HttpReply to(World.Node node, JsonNode tasks, long token) {
+    HttpReply to(SimulatedCluster.ControllerNode node, JsonNode tasks, long token) {
       report.put("tick", tick++).put("baton", token).set("steps", tasks);
       HttpReply[] reply = new HttpReply[1];
       node.request(
@@ -88,7 +88,7 @@
   }
 
   /** The tasks of these jobs among {@code tasks}. */
-  private static Set<String> of(List<Users.KnownJob> jobs, JsonNode tasks) {
+  private static Set<String> of(List<SimulatedUsers.KnownJob> jobs, JsonNode tasks) {
     Set<String> keys = new HashSet<>();
     for (JsonNode t : tasks) {
       String key = t.path("step").asText();
@@ -116,9 +116,9 @@
     d.cancel(d.second);
     d.w.state.fail();
     // Its own reports must not meet those of the test, and who asks here is told here once more.
-    d.w.net.cut(World.client(d.third.index), r.machine.endpoint(), false);
-    d.w.net.cut(World.client(d.third.index), "users", false);
-    d.w.run(World.REPORT_MS);
+    d.w.net.cut(SimulatedCluster.client(d.third.index), r.machine.endpoint(), false);
+    d.w.net.cut(SimulatedCluster.client(d.third.index), "users", false);
+    d.w.run(SimulatedCluster.REPORT_MS);
     // The first is sent on to the leader; one that comes again was not taken there.
     assertEquals(421, r.to(d.third, r.tasks(), r.token()).status());
     return r;
@@ -151,10 +151,10 @@
     Reporter r = toldFollower(d);
     long first = token(r.to(d.third, r.tasks(), r.token()));
     assertTrue(first >= r.token() + 2 * FencingToken.MOST_AHEAD, "raised above any launch");
-    d.w.run(LAUNCH_MS + World.REPORT_MS);
+    d.w.run(LAUNCH_MS + SimulatedCluster.REPORT_MS);
     long second = token(r.to(d.third, r.tasks(), first));
     assertTrue(second > first, "a raise while launches could still be sent does not count");
-    d.w.run(World.REPORT_MS);
+    d.w.run(SimulatedCluster.REPORT_MS);
     assertEquals(second, token(r.to(d.third, r.tasks(), second)), "once is enough");
   }
 
@@ -177,7 +177,7 @@
   void aLeaderKeepsOutALaunchOnItsWay(long seed) {
     CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     refuseMachines(d, true);
-    Users.KnownJob job = d.w.users.array("one", "high", 4, 150);
+    SimulatedUsers.KnownJob job = d.w.users.array("one", "high", 4, 150);
     waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
     List<Reporter> reporters = hostsOnRecord(d, job).stream().map(Reporter::new).toList();
     d.w.users.cancelAt(job, d.second);
@@ -188,7 +188,7 @@
       assertTrue(halts(answer).stream().anyMatch(k -> k.startsWith(job.ref + "/")), "halted");
     }
     refuseMachines(d, false);
-    d.w.run(World.CANCEL_MS);
+    d.w.run(SimulatedCluster.CANCEL_MS);
   }
 
   /** Calls of the old leader get no answer; what was called is lost. Reports go on. */
@@ -204,7 +204,7 @@
   }
 
   private static List<EmulatedWorker> hostsOnRecord(
-      CancellationOutageTest.Day d, Users.KnownJob job) {
+      CancellationOutageTest.Day d, SimulatedUsers.KnownJob job) {
     String records = "";
     for (String key : d.w.state.keys("live/")) {
       if (key.startsWith("live/run/" + job.ref) || key.startsWith("live/sheet/")) {
@@ -228,18 +228,18 @@
     for (EmulatedWorker m : d.w.cloud.machines()) {
       d.w.net.place(m.endpoint(), refusing("node-" + d.old.index, refusing, m));
     }
-    Users.KnownJob job = d.w.users.array("two", "high", 4, 150);
+    SimulatedUsers.KnownJob job = d.w.users.array("two", "high", 4, 150);
     waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
     CancellationOutageTest.refuse(d);
     d.links("refused", true);
     d.w.users.cancelAt(job, d.second);
     waitUntil(d, () -> job.aborted);
-    d.second.crash(3 * World.CANCEL_MS);
+    d.second.crash(3 * SimulatedCluster.CANCEL_MS);
     d.w.state.fail();
     d.w.run(LAUNCH_MS);
     assertEquals(0, job.starts, "the launches wait");
     refusing[0] = false;
-    d.w.run(World.REPORT_MS);
+    d.w.run(SimulatedCluster.REPORT_MS);
     assertEquals(0, job.starts, "late launches");
   }
 
@@ -307,7 +307,7 @@
     HeldState state = new HeldState(d.w.state);
     d.w.net.place("state:1", state);
     state.blind.add("node-" + d.old.index);
-    Users.KnownJob job = d.w.users.array("one", "high", 4, 150);
+    SimulatedUsers.KnownJob job = d.w.users.array("one", "high", 4, 150);
     waitUntil(d, () -> job.accepted);
     d.w.users.cancelAt(job, d.second);
     waitUntil(d, () -> state.cancellation != null);
@@ -316,11 +316,11 @@
     waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
     List<Reporter> reporters = hostsOnRecord(d, job).stream().map(Reporter::new).toList();
     state.cancellation.run();
-    d.w.run(World.REPORT_MS / 4);
+    d.w.run(SimulatedCluster.REPORT_MS / 4);
     assertFalse(job.aborted, "told before the launches were read");
     state.letSee("node-" + d.second.index);
     waitUntil(d, () -> job.aborted);
-    d.w.run(World.CANCEL_MS);
+    d.w.run(SimulatedCluster.CANCEL_MS);
     assertEquals(0, d.running(job), "cancelled tasks");
     assertFalse(reporters.isEmpty());
   }
--- a/src/test/java/dapplestair/world/LostOperatorResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostOperatorResponsesTest.java
@@ -19,11 +19,12 @@
   private static final long LONG_MS = 180_000;
   private static final long REPLACED_MS = 900_000;
 
-  private static void begin(World w, Predicate<JsonNode> writes, LostResponsesTest.Sender sender) {
+  private static void begin(
+      SimulatedCluster w, Predicate<JsonNode> writes, LostResponsesTest.Sender sender) {
     LostResponsesTest.loseAnswers(w, writes, sender);
   }
 
-  private static void end(World w) {
+  private static void end(SimulatedCluster w) {
     assertTrue(w.net.commits.lost > 0, "no answer was lost");
     w.net.commits.lostAnswers = 0;
   }
@@ -32,7 +33,7 @@
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13101,GOES_ON", "13102,HEARS_NO_NEWS", "13105,ENDS_AT_ONCE", "13104,ENDS_LATER"})
   void drainsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
-    World w = DisruptionTest.begun(seed, 2, 3);
+    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
     int replicas = DisruptionTest.replicas(w);
     begin(
         w,
@@ -53,7 +54,7 @@
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13111,GOES_ON", "13112,HEARS_NO_NEWS", "13113,ENDS_AT_ONCE", "13114,ENDS_LATER"})
   void replacementsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
-    World w = DisruptionTest.begun(seed, 2, 3);
+    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
     Set<String> before = ReplacementTest.machines(w);
     int replicas = DisruptionTest.replicas(w);
     begin(w, CommitInterceptor.puts("live/replace/"), sender);
@@ -68,13 +69,13 @@
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13112,GOES_ON", "13222,HEARS_NO_NEWS", "13123,ENDS_AT_ONCE", "13124,ENDS_LATER"})
   void budgetsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
-    World w = DisruptionTest.begun(seed, 1, 1);
+    SimulatedCluster w = DisruptionTest.begun(seed, 1, 1);
     double most = 2.0 * 60 * 8;
     DisruptionTest.allowLoss(w, most);
     w.users.array("two", "standard", 60, 300);
     w.run(40_000);
     begin(w, CommitInterceptor.puts("live/disruption/"), sender);
-    for (String zone : World.ZONES) {
+    for (String zone : SimulatedCluster.ZONES) {
       OperatorsTest.order(w, "/v1/zones/" + zone + "/drain", Json.object().put("deadline_s", 1));
     }
     w.run(FOR_MS);
@@ -89,8 +90,8 @@
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13122,GOES_ON", "13116,HEARS_NO_NEWS", "13110,ENDS_AT_ONCE", "13134,ENDS_LATER"})
   void calendarMarksWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
-    World w = CalendarTest.begun(seed);
-    Users.KnownJob model = CalendarTest.model(w);
+    SimulatedCluster w = CalendarTest.begun(seed);
+    SimulatedUsers.KnownJob model = CalendarTest.model(w);
     begin(w, CommitInterceptor.puts("live/calendar/"), sender);
     CalendarTest.deliver(w, CalendarTest.COMPLETE);
     CalendarTest.untilBegun(w, model, CalendarTest.CUT_OFF_MS + CalendarTest.STEPS_MS);
--- a/src/test/java/dapplestair/world/LostResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostResponsesTest.java
@@ -66,14 +66,15 @@
 
   private static final long NO_NEWS_MS = 5000;
 
-  static void loseAnswers(World w, Predicate<JsonNode> writes, Sender sender) {
+  static void loseAnswers(SimulatedCluster w, Predicate<JsonNode> writes, Sender sender) {
     ConcurrentReaders readers = new ConcurrentReaders(w);
     long[] crashAgainAt = {0};
     w.net.commits.lostAnswersOf = writes;
     w.net.commits.lostAnswers = SHARE;
     w.net.commits.answerLost =
         (from, body) -> {
-          Users.KnownJob job = w.users.told.get(String.valueOf(CommitInterceptor.job(body)));
+          SimulatedUsers.KnownJob job =
+              w.users.told.get(String.valueOf(CommitInterceptor.job(body)));
           if (job != null) {
             lookAt(w, readers, job);
           }
@@ -82,21 +83,22 @@
           }
           if (sender.crashAfterMs >= 0 && w.sim.now() >= crashAgainAt[0]) {
             crashAgainAt[0] = w.sim.now() + CRASH_EVERY_MS;
-            World.Node node = w.nodes.get(w.index(from));
+            SimulatedCluster.ControllerNode node = w.nodes.get(w.index(from));
             w.sim.after(sender.crashAfterMs, () -> node.crash(w.sim.between(60, 2000)));
           }
         };
   }
 
   /** A job that nobody was told of yet may be asked for by whoever submitted it. */
-  private static void lookAt(World w, ConcurrentReaders readers, Users.KnownJob job) {
+  private static void lookAt(
+      SimulatedCluster w, ConcurrentReaders readers, SimulatedUsers.KnownJob job) {
     readers.around(job);
     if (w.sim.chance(0.3)) {
       w.nodes.forEach(n -> w.sim.after(w.sim.between(0, 30), () -> w.users.cancelAt(job, n)));
     }
   }
 
-  private static void depose(World w, long everyMs, long until) {
+  private static void depose(SimulatedCluster w, long everyMs, long until) {
     if (w.sim.now() < until) {
       LeaderChange.loseKey(w);
       w.sim.after(everyMs, () -> depose(w, everyMs, until));
@@ -104,7 +106,7 @@
   }
 
   /** Single tasks that share puts, besides the random jobs. */
-  private static void singles(World w, long until) {
+  private static void singles(SimulatedCluster w, long until) {
     if (w.sim.now() < until) {
       for (int i = 0; i < 3; i++) {
         w.users.changed("guest", 1, 3, b -> b.put("rank", "low").put("vcpus", 0.25));
@@ -143,7 +145,7 @@
     "9231,ALL,ENDS_LATER"
   })
   void onlyTheAnswerIsLost(long seed, Put put, Sender sender) {
-    World w = new World(seed);
+    SimulatedCluster w = new SimulatedCluster(seed);
     w.users.cancelledArrays = 0.4;
     // Types are recorded and machines rented at the beginning.
     w.run(put == Put.RENTAL || put == Put.PLAN_OR_TYPES ? 0 : 15_000);
@@ -178,9 +180,9 @@
     "9270,HEARS_NO_NEWS"
   })
   void claimsOfALane(long seed, Sender sender) {
-    World w = LaneTest.begun(seed, LaneTest.GATE, 0);
+    SimulatedCluster w = LaneTest.begun(seed, LaneTest.GATE, 0);
     loseAnswers(w, CommitInterceptor.puts("live/lane/"), sender);
-    List<Users.KnownJob> riders = new ArrayList<>();
+    List<SimulatedUsers.KnownJob> riders = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       riders.add(LaneTest.rider(w, 6));
       w.run(3000);
--- a/src/test/java/dapplestair/world/ManyLeadersTest.java
+++ b/src/test/java/dapplestair/world/ManyLeadersTest.java
@@ -13,7 +13,7 @@
   private static final int CHANGES = 10;
   private static final long EVERY_MS = 10_500;
 
-  private static long term(World w) {
+  private static long term(SimulatedCluster w) {
     return w.state.value("live/term").path("term").asLong();
   }
 
@@ -39,12 +39,12 @@
     play(seed, fault, outRound, outMs);
   }
 
-  static World play(long seed, MachineFault fault, int outRound, long outMs) {
+  static SimulatedCluster play(long seed, MachineFault fault, int outRound, long outMs) {
     TeamLimitsTest.FullDay f = new TeamLimitsTest.FullDay(seed);
-    World w = f.w;
+    SimulatedCluster w = f.w;
     LeaderChange[] ways = LeaderChange.values();
     long first = term(w);
-    f.day.troubleEverySecond(fault, World.CANCEL_MS * 3 / 2);
+    f.day.troubleEverySecond(fault, SimulatedCluster.CANCEL_MS * 3 / 2);
     f.cancel();
     for (int i = 0; i < CHANGES; i++) {
       if (i == outRound) {
@@ -85,7 +85,7 @@
   void aZoneHangsAndNoLeaderStays(long seed, String zone, long everyMs, boolean ofOneTask) {
     CancellationOutageTest.Day d =
         ofOneTask ? new CancellationOutageTest.Day(seed) : new TeamLimitsTest.FullDay(seed).day;
-    World w = d.w;
+    SimulatedCluster w = d.w;
     if (ofOneTask) {
       d.cancelled.clear();
       for (int i = 0; i < 24; i++) {
@@ -96,11 +96,11 @@
     }
     for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
       if (!m.gone() && m.zone().equals(zone)) {
-        m.stall(World.CANCEL_MS * 3 / 2);
+        m.stall(SimulatedCluster.CANCEL_MS * 3 / 2);
       }
     }
     d.cancelled.forEach(w.users::cancel);
-    long end = w.sim.now() + World.CANCEL_MS * 3 / 2;
+    long end = w.sim.now() + SimulatedCluster.CANCEL_MS * 3 / 2;
     for (int i = 0; w.sim.now() < end; i++) {
       (i % 2 == 0 ? LeaderChange.PLANNED : LeaderChange.CRASH).happen(w);
       w.run(everyMs);
@@ -126,9 +126,9 @@
   @CsvSource({"12101,100", "12102,3000", "12103,15000"})
   void whoToldEndsInAnOutage(long seed, long endsMs) {
     CancellationOutageTest.Day d = cancelledOnHangingMachines(seed);
-    World w = d.w;
+    SimulatedCluster w = d.w;
     w.sim.after(endsMs, () -> d.old.crash(4000));
-    w.run(World.CANCEL_MS * 3 / 2);
+    w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
     w.state.recover();
     w.run(90_000);
     SeededDaysTest.settle(w);
@@ -139,9 +139,9 @@
   @CsvSource({"12201,100", "12202,3000", "12203,15000"})
   void allEndInAnOutageWhileMachinesHang(long seed, long endMs) {
     CancellationOutageTest.Day d = cancelledOnHangingMachines(seed);
-    World w = d.w;
+    SimulatedCluster w = d.w;
     w.nodes.forEach(n -> w.sim.after(endMs, () -> n.crash(1000)));
-    w.run(World.CANCEL_MS * 3 / 2);
+    w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
     w.state.recover();
     w.run(90_000);
     SeededDaysTest.settle(w);
@@ -149,12 +149,12 @@
 
   /** Something small that is just being launched. */
   private static void cancelOne(TeamLimitsTest.FullDay f) {
-    Users.KnownJob job = f.w.users.array("two", "high", 2, 20);
+    SimulatedUsers.KnownJob job = f.w.users.array("two", "high", 2, 20);
     f.day.cancelled.add(job);
     cancelOnceAccepted(f.w, job);
   }
 
-  static void cancelOnceAccepted(World w, Users.KnownJob job) {
+  static void cancelOnceAccepted(SimulatedCluster w, SimulatedUsers.KnownJob job) {
     if (job.accepted) {
       w.users.cancel(job);
     } else {
@@ -167,18 +167,18 @@
   @CsvSource({"11221,20000,300", "11222,60000,300", "11223,75000,4000", "11224,120000,800"})
   void allEndInTurnInsideAnOutage(long seed, long outMs, long backMs) {
     CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    World w = d.w;
+    SimulatedCluster w = d.w;
     d.cancelled.forEach(w.users::cancel);
     w.run(w.sim.between(50, 400));
     w.state.fail();
     w.sim.after(outMs, w.state::recover);
     for (int i = 0; i < CHANGES; i++) {
-      World.Node node = w.nodes.get((d.old.index + i) % 3);
+      SimulatedCluster.ControllerNode node = w.nodes.get((d.old.index + i) % 3);
       w.sim.after(i * outMs / CHANGES, () -> node.crash(backMs));
     }
     w.run(outMs + 30_000);
     d.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
-    w.run(World.CANCEL_MS);
+    w.run(SimulatedCluster.CANCEL_MS);
     assertEquals(0, d.running(List.copyOf(d.cancelled)), "cancelled tasks");
     w.run(90_000);
     SeededDaysTest.settle(w);
--- a/src/test/java/dapplestair/world/MonotonicReadsChecker.java
+++ b/src/test/java/dapplestair/world/MonotonicReadsChecker.java
@@ -15,7 +15,7 @@
  * that job when the question was asked: no answer may be older. It sees requests and answers on the
  * wire and knows nothing of the product.
  */
-final class MonotonicReadsChecker implements Network.Tap {
+final class MonotonicReadsChecker implements SimulatedNetwork.Tap {
   private static final String SUBMISSIONS = "/submissions";
   private static final String CANCEL = "/withdraw";
 
@@ -40,7 +40,7 @@
     }
   }
 
-  private final World world;
+  private final SimulatedCluster world;
   private final Map<String, Known> known = new HashMap<>();
   // Jobs that were submitted without a fault.
   private final Set<String> acceptable = new HashSet<>();
@@ -51,7 +51,7 @@
   /** Answers held against what had been known. */
   int checked;
 
-  MonotonicReadsChecker(World world) {
+  MonotonicReadsChecker(SimulatedCluster world) {
     this.world = world;
   }
 
--- a/src/test/java/dapplestair/world/MonotonicReadsTest.java
+++ b/src/test/java/dapplestair/world/MonotonicReadsTest.java
@@ -36,15 +36,15 @@
 
   /** One day with its scripted jobs. */
   private static final class Day {
-    final World w;
+    final SimulatedCluster w;
     final ConcurrentReaders readers;
     final Behind behind;
     final long moveMs;
-    final Map<String, Users.KnownJob> jobs = new HashMap<>();
+    final Map<String, SimulatedUsers.KnownJob> jobs = new HashMap<>();
     final Map<String, Integer> moments = new HashMap<>();
 
     Day(long seed, Behind behind, long moveMs) {
-      w = new World(seed);
+      w = new SimulatedCluster(seed);
       readers = new ConcurrentReaders(w);
       this.behind = behind;
       this.moveMs = moveMs;
@@ -54,7 +54,7 @@
 
     /** Others are behind before the transaction, or fall behind right after it. */
     void submit(int i) {
-      World.Node other = w.nodes.get(i % w.nodes.size());
+      SimulatedCluster.ControllerNode other = w.nodes.get(i % w.nodes.size());
       if (behind == Behind.RESTARTED) {
         other.crash(500);
       } else if (behind == Behind.STREAM_LOST) {
@@ -65,7 +65,8 @@
       w.sim.after(
           ms,
           () -> {
-            Users.KnownJob job = w.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 2, 3);
+            SimulatedUsers.KnownJob job =
+                w.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 2, 3);
             jobs.put(job.ref, job);
           });
     }
@@ -80,7 +81,7 @@
     }
 
     private void carriedOut(String from, JsonNode body) {
-      Users.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
+      SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
       if (job == null) {
         return;
       }
@@ -110,7 +111,7 @@
     }
 
     private void firstHeard(String ref, String state) {
-      Users.KnownJob job = jobs.get(ref);
+      SimulatedUsers.KnownJob job = jobs.get(ref);
       // Jobs that are none of the script.
       if (job == null) {
         return;
--- a/src/test/java/dapplestair/world/NoGuaranteeTest.java
+++ b/src/test/java/dapplestair/world/NoGuaranteeTest.java
@@ -16,8 +16,8 @@
    */
   private static final double MOST_PUTS_PER_SINGLE = 3.6;
 
-  private static World begun(long seed) {
-    World w = new World(seed, World.Size.MIDDLE);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
     w.users.service("one", 3);
@@ -25,13 +25,14 @@
     return w;
   }
 
-  private static Users.KnownJob single(World w, double runS) {
+  private static SimulatedUsers.KnownJob single(SimulatedCluster w, double runS) {
     return w.users.changed(
         "guest", 1, runS, b -> b.put("rank", "low").put("vcpus", 0.25).put("jobclass", "swarm"));
   }
 
-  private static List<Users.KnownJob> swarm(World w, int jobs, long everyMs, double runS) {
-    List<Users.KnownJob> out = new ArrayList<>();
+  private static List<SimulatedUsers.KnownJob> swarm(
+      SimulatedCluster w, int jobs, long everyMs, double runS) {
+    List<SimulatedUsers.KnownJob> out = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
       w.sim.after(i * everyMs, () -> out.add(single(w, runS)));
     }
@@ -42,9 +43,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {4001, 4003, 4004})
   void aSwarmSharesPuts(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     long before = w.state.puts();
-    List<Users.KnownJob> swarm = swarm(w, 300, 130, 20);
+    List<SimulatedUsers.KnownJob> swarm = swarm(w, 300, 130, 20);
     w.run(300 * 130 + 40_000);
     swarm.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
     double each = (w.state.puts() - before) / 300.0;
@@ -57,9 +58,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {4041, 4042, 4043})
   void othersAreAcceptedInTime(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     swarm(w, 2400, 8, 5);
-    List<Users.KnownJob> others = new ArrayList<>();
+    List<SimulatedUsers.KnownJob> others = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       w.run(1000);
       others.add(w.users.array("one", "high", 2, 4));
@@ -74,8 +75,8 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {4011, 4012, 4013, 4014, 4015, 4016, 4017, 4018})
   void aSwarmOutlivesItsLeaders(long seed) {
-    World w = begun(seed);
-    List<Users.KnownJob> swarm = swarm(w, 250, 130, 12);
+    SimulatedCluster w = begun(seed);
+    List<SimulatedUsers.KnownJob> swarm = swarm(w, 250, 130, 12);
     for (int i = 0; i < 4; i++) {
       w.run(6000 + w.sim.between(0, 2000));
       if (i == 2) {
@@ -97,8 +98,8 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {4021, 4022, 4024, 4025})
   void aSwarmOutlivesItsMachines(long seed) {
-    World w = begun(seed);
-    List<Users.KnownJob> swarm = swarm(w, 150, 130, 25);
+    SimulatedCluster w = begun(seed);
+    List<SimulatedUsers.KnownJob> swarm = swarm(w, 150, 130, 25);
     w.run(20_000);
     w.cloud.machines().stream().filter(m -> m.booted() && w.sim.chance(0.4)).forEach(m -> m.end());
     w.run(2000);
@@ -106,7 +107,7 @@
     w.run(4000);
     w.cloud.machines().stream()
         .filter(m -> m.booted() && w.sim.chance(0.4))
-        .forEach(m -> m.hang(World.LEASE_MS + 2000));
+        .forEach(m -> m.hang(SimulatedCluster.LEASE_MS + 2000));
     w.run(120_000);
     swarm.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
     assertEquals(List.of(), w.state.keys("live/sheet/"), "launch batches once all is over");
@@ -116,14 +117,14 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {4031, 4032})
   void anArrayOfVeryManyTasks(long seed) {
-    World w = begun(seed);
-    Users.KnownJob[] of = new Users.KnownJob[2];
+    SimulatedCluster w = begun(seed);
+    SimulatedUsers.KnownJob[] of = new SimulatedUsers.KnownJob[2];
     for (int i = 0; i < 2; i++) {
       of[i] =
           w.users.changed(
               "guest", 2500, 3, b -> b.put("rank", "low").put("vcpus", 0.25).put("memoryGb", 0.4));
     }
-    Users.KnownJob other = w.users.array("one", "high", 20, 5);
+    SimulatedUsers.KnownJob other = w.users.array("one", "high", 20, 5);
     w.run(30_000);
     assertTrue(other.done, "the other team's array is not done");
     w.nodes.forEach(n -> n.crash(2000));
--- a/src/test/java/dapplestair/world/OperatorsTest.java
+++ b/src/test/java/dapplestair/world/OperatorsTest.java
@@ -19,22 +19,27 @@
 
 /** What operators are told and what they order, while everything else fails. */
 class OperatorsTest {
-  static final World.Size ROOMY = new World.Size(6, 60, 1_000_000, 1);
+  static final SimulatedCluster.Size ROOMY = new SimulatedCluster.Size(6, 60, 1_000_000, 1);
 
   private final Map<String, Integer> told = new HashMap<>();
 
-  static World world(long seed, World.Size size) {
-    return new World(seed, size, true);
+  static SimulatedCluster world(long seed, SimulatedCluster.Size size) {
+    return new SimulatedCluster(seed, size, true);
   }
 
   static void ask(
-      World w, int node, String method, String path, JsonNode body, Consumer<HttpReply> done) {
+      SimulatedCluster w,
+      int node,
+      String method,
+      String path,
+      JsonNode body,
+      Consumer<HttpReply> done) {
     byte[] bytes = body == null ? null : Json.bytes(body);
-    w.net.call("users", World.admin(node), method, path, bytes, 8000, done);
+    w.net.call("users", SimulatedCluster.admin(node), method, path, bytes, 8000, done);
   }
 
   /** Asks until somebody answers 200. */
-  static JsonNode answer(World w, String path) {
+  static JsonNode answer(SimulatedCluster w, String path) {
     JsonNode[] out = {null};
     for (int i = 0; i < 20 && out[0] == null; i++) {
       ask(
@@ -50,7 +55,7 @@
     return out[0];
   }
 
-  static void order(World w, String path, JsonNode body) {
+  static void order(SimulatedCluster w, String path, JsonNode body) {
     boolean[] done = {false};
     for (int i = 0; i < 20 && !done[0]; i++) {
       ask(w, i % 3, "POST", path, body, r -> done[0] |= r.status() == 200);
@@ -65,7 +70,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void answersAreNeverOlderThanTheirQuestions(long seed) {
-    World w = world(seed, World.Size.SMALL);
+    SimulatedCluster w = world(seed, SimulatedCluster.Size.SMALL);
     RandomFaults faults = new RandomFaults(w);
     w.run(10_000);
     faults.begin(4000);
@@ -84,7 +89,7 @@
     assertTrue(told.getOrDefault("waits", 0) > 3, "answers: " + told);
   }
 
-  private void question(World w) {
+  private void question(SimulatedCluster w) {
     List<String> refs =
         w.users.told.values().stream()
             .filter(j -> w.sim.chance(0.1) || j.finalState() == null)
@@ -140,7 +145,7 @@
   }
 
   /** Reasons of what waits are never empty, and name no rule that its job does not have. */
-  private void why(World w, Users.KnownJob job, JsonNode b) {
+  private void why(SimulatedCluster w, SimulatedUsers.KnownJob job, JsonNode b) {
     if (b.path("waiting_tasks").asInt() == 0) {
       return;
     }
@@ -168,14 +173,14 @@
   }
 
   /** CPUs that the team's jobs could use at most; nothing can bind that lies above. */
-  private static double demand(World w, Users.KnownJob job) {
+  private static double demand(SimulatedCluster w, SimulatedUsers.KnownJob job) {
     return w.users.told.values().stream()
         .filter(o -> o.body.path("owner").equals(job.body.path("owner")))
         .mapToDouble(o -> o.cpus * o.steps)
         .sum();
   }
 
-  static Set<String> reasons(World w, Users.KnownJob job) {
+  static Set<String> reasons(SimulatedCluster w, SimulatedUsers.KnownJob job) {
     Set<String> out = new HashSet<>();
     answer(w, "/v1/jobs/" + job.ref + "/why")
         .path("reasons")
@@ -183,8 +188,8 @@
     return out;
   }
 
-  static World quiet(long seed, World.Size size) {
-    World w = world(seed, size);
+  static SimulatedCluster quiet(long seed, SimulatedCluster.Size size) {
+    SimulatedCluster w = world(seed, size);
     w.net.loss = 0;
     w.users.quiet = true;
     w.run(6000);
@@ -196,7 +201,7 @@
   /** The leader counts what each team was served exactly as users and machines saw it. */
   @Test
   void whatTeamsWereServedIsSaidAsItIs() {
-    World w = world(16, World.Size.SMALL);
+    SimulatedCluster w = world(16, SimulatedCluster.Size.SMALL);
     w.net.loss = 0;
     w.run(60_000);
     w.users.quiet = true;
@@ -217,7 +222,7 @@
   /** A day on which one team gets nothing has failed, whatever the others got. */
   @Test
   void aTeamThatIsNotServedFailsTheDay() {
-    World w = quiet(17, new World.Size(2, 1000, 1_000_000, 1));
+    SimulatedCluster w = quiet(17, new SimulatedCluster.Size(2, 1000, 1_000_000, 1));
     w.users.array("one", "standard", 4, 5);
     w.run(30_000);
     w.checker.checkServed();
--- a/src/test/java/dapplestair/world/OutboundCutTest.java
+++ b/src/test/java/dapplestair/world/OutboundCutTest.java
@@ -19,14 +19,14 @@
 class OutboundCutTest {
   private static final int REPLICAS = 72;
 
-  private static World begun(long seed) {
-    World w = DisruptionTest.begun(seed, 5, 5);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
     // What is lost with a machine is no choice.
     w.checker.budget = null;
     return w;
   }
 
-  private static EmulatedWorker busiest(World w) {
+  private static EmulatedWorker busiest(SimulatedCluster w) {
     return w.cloud.machines().stream()
         .filter(m -> !m.gone())
         .max(
@@ -34,11 +34,11 @@
         .orElseThrow();
   }
 
-  private static List<EmulatedWorker> inZone(World w, String zone) {
+  private static List<EmulatedWorker> inZone(SimulatedCluster w, String zone) {
     return w.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals(zone)).toList();
   }
 
-  private static int starts(World w, EmulatedWorker m) {
+  private static int starts(SimulatedCluster w, EmulatedWorker m) {
     return w.checker.startsOn.getOrDefault(m.id(), 0);
   }
 
@@ -49,9 +49,9 @@
   @ParameterizedTest(name = "seed {0}, the leader ends at second {1}")
   @CsvSource({"5201,-1", "5202,1", "5203,7", "5204,10", "5205,16"})
   void oneMachine(long seed, int second) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     EmulatedWorker mute = busiest(w);
-    mute.mute(4 * World.LEASE_MS);
+    mute.mute(4 * SimulatedCluster.LEASE_MS);
     // A cancelled job's tasks end there like anywhere: commands reach it.
     w.users.told.values().stream()
         .filter(t -> mute.tasks().stream().anyMatch(k -> k.key().startsWith(t.ref + "/")))
@@ -61,12 +61,12 @@
     if (second >= 0) {
       w.sim.after(1000L * second, () -> w.leader().crash(2000));
     }
-    w.run(World.LEASE_MS * 3 / 4);
+    w.run(SimulatedCluster.LEASE_MS * 3 / 4);
     int before = starts(w, mute);
-    w.run(World.LEASE_MS);
+    w.run(SimulatedCluster.LEASE_MS);
     assertEquals(before, starts(w, mute), "starts on a machine that does not report");
     assertTrue(mute.gone(), "it is still paid for, though nothing can last there");
-    w.run(World.REPORT_MS);
+    w.run(SimulatedCluster.REPORT_MS);
     assertEquals(REPLICAS - 3, DisruptionTest.replicas(w), "replicas but the cancelled ones");
   }
 
@@ -74,14 +74,14 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5251, 5252, 5253})
   void roomIsThereInTime(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     int i = 0;
     for (EmulatedWorker m : w.cloud.machines()) {
       if (i++ % 2 == 0) {
-        m.mute(4 * World.LEASE_MS);
+        m.mute(4 * SimulatedCluster.LEASE_MS);
       }
     }
-    w.run(World.LEASE_MS + 2 * World.REPORT_MS);
+    w.run(SimulatedCluster.LEASE_MS + 2 * SimulatedCluster.REPORT_MS);
     assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas after a lease");
     SeededDaysTest.settle(w);
   }
@@ -90,11 +90,11 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5211, 5212, 5213})
   void aMomentCostsNothing(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     EmulatedWorker mute = busiest(w);
     int killed = w.cloud.killedByLease();
-    mute.mute(World.LEASE_MS / 3);
-    w.run(2 * World.LEASE_MS);
+    mute.mute(SimulatedCluster.LEASE_MS / 3);
+    w.run(2 * SimulatedCluster.LEASE_MS);
     assertTrue(!mute.gone(), "it was given up");
     assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
   }
@@ -103,9 +103,9 @@
   @ParameterizedTest(name = "seed {0}, the leader ends at second {1}")
   @CsvSource({"5221,-1", "5222,3", "5223,12"})
   void aZone(long seed, int second) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     int killed = w.cloud.killedByRelease();
-    for (long at = 0; at < 4 * World.LEASE_MS; at += 200) {
+    for (long at = 0; at < 4 * SimulatedCluster.LEASE_MS; at += 200) {
       // Machines that come up there meanwhile are mute as well, before they can report: none boots
       // within this time.
       w.sim.after(at, () -> inZone(w, "c").forEach(m -> m.mute(3000)));
@@ -113,18 +113,18 @@
     if (second >= 0) {
       w.sim.after(1000L * second, () -> w.leader().crash(2000));
     }
-    w.run(World.LEASE_MS * 9 / 10);
+    w.run(SimulatedCluster.LEASE_MS * 9 / 10);
     assertEquals(killed, w.cloud.killedByRelease(), "tasks lost with machines one by one");
     if (second < 0) {
       assertEquals("CUT", w.state.value("live/zone/c").path("state").asText());
     }
-    w.run(World.LEASE_MS * 6 / 5);
+    w.run(SimulatedCluster.LEASE_MS * 6 / 5);
     assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas without the zone");
     int starts = inZone(w, "c").stream().mapToInt(m -> starts(w, m)).sum();
-    w.run(World.LEASE_MS);
+    w.run(SimulatedCluster.LEASE_MS);
     assertEquals(
         starts, inZone(w, "c").stream().mapToInt(m -> starts(w, m)).sum(), "starts in the zone");
-    w.run(2 * World.LEASE_MS);
+    w.run(2 * SimulatedCluster.LEASE_MS);
     SeededDaysTest.settle(w);
   }
 
@@ -132,9 +132,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5231, 5232, 5233})
   void onlyTheLeaderHearsNothing(long seed) {
-    World w = begun(seed);
-    World.Node leader = w.leader();
-    String client = World.client(leader.index);
+    SimulatedCluster w = begun(seed);
+    SimulatedCluster.ControllerNode leader = w.leader();
+    String client = SimulatedCluster.client(leader.index);
     int killed = w.cloud.killedByLease();
     for (int i = 0; i < 200; i++) {
       w.cloud.machines().forEach(m -> w.net.cutOneWay(m.endpoint(), client));
@@ -153,24 +153,24 @@
   @ParameterizedTest(name = "seed {0}, share {1}, late commands {2}")
   @CsvSource({"5241,0.3,0", "5242,0.5,0.3", "5243,0.7,0.2", "5244,1,0", "5245,1,0.3"})
   void shares(long seed, double share, double late) {
-    World w = new World(seed, new World.Size(6, 24, 1000, 6));
+    SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 24, 1000, 6));
     w.users.cancelledArrays = 0.4;
     w.run(20_000);
     for (int i = 0; i < 3; i++) {
       w.net.lateCommands = late;
       for (EmulatedWorker m : w.cloud.machines()) {
         if (w.sim.chance(share)) {
-          m.mute(w.sim.between(World.LEASE_MS / 2, 3 * World.LEASE_MS));
+          m.mute(w.sim.between(SimulatedCluster.LEASE_MS / 2, 3 * SimulatedCluster.LEASE_MS));
         }
       }
-      w.run(w.sim.between(2000, 2 * World.LEASE_MS));
+      w.run(w.sim.between(2000, 2 * SimulatedCluster.LEASE_MS));
       if (w.leader() != null) {
         w.leader().crash(w.sim.between(500, 4000));
       }
-      w.run(World.LEASE_MS);
+      w.run(SimulatedCluster.LEASE_MS);
       w.net.lateCommands = 0;
     }
-    w.run(3 * World.LEASE_MS);
+    w.run(3 * SimulatedCluster.LEASE_MS);
     SeededDaysTest.settle(w);
   }
 }
--- a/src/test/java/dapplestair/world/OverloadTest.java
+++ b/src/test/java/dapplestair/world/OverloadTest.java
@@ -15,14 +15,14 @@
   private static final long OVERLOAD_MS = 90_000;
 
   /** Two teams at their limits leave a little of the cluster's 192 CPUs to guests. */
-  private static final World.Size LIMITED = new World.Size(16, 45, 2150, 12);
+  private static final SimulatedCluster.Size LIMITED = new SimulatedCluster.Size(16, 45, 2150, 12);
 
   /** Within what urgent work begins: a boot, a stop with its saving, and slow messages. */
   private static final long URGENT_MS = 40_000;
 
-  private final List<Users.KnownJob> urgent = new ArrayList<>();
+  private final List<SimulatedUsers.KnownJob> urgent = new ArrayList<>();
 
-  private void submit(World w, int number) {
+  private void submit(SimulatedCluster w, int number) {
     String team = number % 2 == 0 ? "one" : "two";
     switch (number % 4) {
       case 0 -> w.users.array(team, "low", 16, 6);
@@ -49,7 +49,7 @@
     "9508,1200,9000"
   })
   void urgentAndNotBeyondTheRoom(long seed, long slowMs, long endsMs) {
-    World w = new World(seed, LIMITED);
+    SimulatedCluster w = new SimulatedCluster(seed, LIMITED);
     w.net.loss = 0;
     w.users.quiet = true;
     w.cloud.setCapacity(0.25);
@@ -69,25 +69,25 @@
     }
     w.net.slowMs = 0;
     SeededDaysTest.settle(w);
-    for (Users.KnownJob job : urgent) {
+    for (SimulatedUsers.KnownJob job : urgent) {
       assertTrue(
           !job.accepted || job.cancelAsked || waitedMs(job) <= URGENT_MS,
           () -> job.ref + " waited for " + waitedMs(job) + " ms");
     }
   }
 
-  private static long waitedMs(Users.KnownJob job) {
+  private static long waitedMs(SimulatedUsers.KnownJob job) {
     return job.begunAt() - job.submittedAt;
   }
 
-  private static void endLeader(World w) {
+  private static void endLeader(SimulatedCluster w) {
     if (w.leader() != null) {
       w.leader().crash(w.sim.between(300, 4000));
     }
   }
 
-  private static void cancelSome(World w) {
-    for (Users.KnownJob job : List.copyOf(w.users.told.values())) {
+  private static void cancelSome(SimulatedCluster w) {
+    for (SimulatedUsers.KnownJob job : List.copyOf(w.users.told.values())) {
       if (job.accepted && !job.done && !job.cancelAsked && w.sim.chance(0.2)) {
         w.users.cancel(job);
       }
--- a/src/test/java/dapplestair/world/QuickBootTest.java
+++ b/src/test/java/dapplestair/world/QuickBootTest.java
@@ -34,8 +34,8 @@
     LAUNCH_SENT
   }
 
-  private static World begun(long seed) {
-    World w = new World(seed, new World.Size(12, 60, 2150, 6));
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(12, 60, 2150, 6));
     w.net.loss = 0;
     w.cloud.setQuickBoots(1);
     w.run(20_000);
@@ -43,7 +43,8 @@
   }
 
   /** The request that marks the moment, for a machine that was not there before. */
-  private static Predicate<Network.Request> mark(World w, CrashPoint crashPoint) {
+  private static Predicate<SimulatedNetwork.Request> mark(
+      SimulatedCluster w, CrashPoint crashPoint) {
     Set<String> before = new HashSet<>();
     w.cloud.machines().forEach(m -> before.add(m.id()));
     Predicate<String> ofNew =
@@ -53,7 +54,8 @@
                 .anyMatch(id -> !before.contains(id) && text.contains(id));
     return r -> {
       String body = r.body() == null ? "" : new String(r.body(), StandardCharsets.UTF_8);
-      boolean toLeader = w.leader() != null && r.to().equals(World.client(w.leader().index));
+      boolean toLeader =
+          w.leader() != null && r.to().equals(SimulatedCluster.client(w.leader().index));
       return switch (crashPoint) {
         case RENTAL_PUT -> r.puts("live/rental/") && !body.contains("\"hosts\"");
         case RENTAL_ASKED -> r.path().equals("/rentals") && r.method().equals("POST");
@@ -67,7 +69,7 @@
   }
 
   /** Arrays of both teams, for which there is no room yet. */
-  private static void burst(World w) {
+  private static void burst(SimulatedCluster w) {
     for (String team : List.of("one", "two")) {
       for (int i = 0; i < 3; i++) {
         w.users.array(team, "high", 12, 6);
@@ -92,7 +94,7 @@
     "5317,LAUNCH_SENT,1700,0.5"
   })
   void theLeaderEnds(long seed, CrashPoint crashPoint, long afterMs, double late) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     int[] met = {0};
     for (int i = 0; i < 2; i++) {
       w.net.lateWrites = late;
@@ -106,7 +108,7 @@
             }
           });
       burst(w);
-      w.run(World.LEASE_MS + w.sim.between(0, 8000));
+      w.run(SimulatedCluster.LEASE_MS + w.sim.between(0, 8000));
       w.net.lateWrites = 0;
       // Machines are returned again, so that the next burst needs new ones.
       w.run(60_000);
@@ -122,7 +124,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5331, 5332, 5333})
   void aRentalOnRecordTooLateIsNoMachine(long seed) {
-    World w = new World(seed);
+    SimulatedCluster w = new SimulatedCluster(seed);
     w.net.loss = 0;
     w.cloud.setQuickBoots(1);
     w.net.lateWrite = r -> r.puts("live/rental/") && w.sim.now() < 20_000;
