--- a/src/test/java/dapplestair/world/RandomFaults.java
+++ b/src/test/java/dapplestair/world/RandomFaults.java
@@ -6,10 +6,10 @@
 /** Troubles of every kind at random times, alone and overlapping. */
 final class RandomFaults {
   static final long LONGEST_MS = 25_000;
-  private final World w;
+  private final SimulatedCluster w;
   private boolean over;
 
-  RandomFaults(World w) {
+  RandomFaults(SimulatedCluster w) {
     this.w = w;
   }
 
@@ -67,13 +67,14 @@
         DelayedReports.Arrival[] all = DelayedReports.Arrival.values();
         DelayedReports reports = new DelayedReports(w, 0.3, ms);
         DelayedReports.Arrival arrival = all[(int) w.sim.between(0, all.length - 1)];
-        w.sim.after(ms, () -> reports.arrive(arrival, w.sim.chance(0.5), World.REPORT_MS));
+        w.sim.after(
+            ms, () -> reports.arrive(arrival, w.sim.chance(0.5), SimulatedCluster.REPORT_MS));
       }
     }
   }
 
   private void one(int kind) {
-    World.Node node = w.nodes.get((int) w.sim.between(0, 2));
+    SimulatedCluster.ControllerNode node = w.nodes.get((int) w.sim.between(0, 2));
     String name = "node-" + node.index;
     long ms = w.sim.between(2000, LONGEST_MS);
     EmulatedWorker m = someMachine();
@@ -94,12 +95,12 @@
         for (EmulatedWorker each : List.copyOf(w.cloud.machines())) {
           if (w.sim.chance(0.5)) {
             cut(name, each.endpoint(), hold, ms);
-            cut(World.client(node.index), each.endpoint(), hold, ms);
+            cut(SimulatedCluster.client(node.index), each.endpoint(), hold, ms);
           }
         }
       }
       case 8 -> {
-        for (World.Node other : w.nodes) {
+        for (SimulatedCluster.ControllerNode other : w.nodes) {
           if (other != node) {
             cut(name, "node-" + other.index, hold, ms);
           }
@@ -178,10 +179,10 @@
   }
 
   /** It loses the state service and the other controllers, but neither workers nor users. */
-  void alone(World.Node node, boolean hold, long ms) {
+  void alone(SimulatedCluster.ControllerNode node, boolean hold, long ms) {
     String name = "node-" + node.index;
     cut(name, "state:1", hold, ms);
-    for (World.Node other : w.nodes) {
+    for (SimulatedCluster.ControllerNode other : w.nodes) {
       if (other != node) {
         cut(name, "node-" + other.index, hold, ms);
       }
--- a/src/test/java/dapplestair/world/RefusedThenOutageTest.java
+++ b/src/test/java/dapplestair/world/RefusedThenOutageTest.java
@@ -20,7 +20,7 @@
   }
 
   private static void cancel(CancellationOutageTest.Day d, Asked asked) {
-    for (Users.KnownJob job : d.cancelled) {
+    for (SimulatedUsers.KnownJob job : d.cancelled) {
       switch (asked) {
         case LEADER -> d.w.users.cancelAt(job, d.old);
         case OTHER -> d.w.users.cancelAt(job, d.second);
@@ -59,9 +59,9 @@
     play(seed, asked, askedMs, links, outMs);
   }
 
-  static World play(long seed, Asked asked, long askedMs, String links, long outMs) {
+  static SimulatedCluster play(long seed, Asked asked, long askedMs, String links, long outMs) {
     CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    World w = d.w;
+    SimulatedCluster w = d.w;
     long at = w.sim.now() + 100;
     w.sim.after(100, () -> w.state.refuse("node-" + d.old.index, true));
     w.sim.after(100 + Math.max(0, askedMs), () -> d.links(links, true));
@@ -71,7 +71,7 @@
       assertTrue(d.cancelled.stream().anyMatch(t -> t.aborted), "nothing is confirmed in time");
     }
     w.state.fail();
-    w.run(2 * World.CANCEL_MS);
+    w.run(2 * SimulatedCluster.CANCEL_MS);
     w.state.refuse("node-" + d.old.index, false);
     w.state.recover();
     d.healLinks();
--- a/src/test/java/dapplestair/world/RelayTest.java
+++ b/src/test/java/dapplestair/world/RelayTest.java
@@ -22,11 +22,12 @@
  */
 class RelayTest {
   /** Controllers are candidates after a quarter of a lease; then each worker reports once. */
-  private static final long SETTLED_MS = World.LEASE_MS / 4 + 3 * World.REPORT_MS;
+  private static final long SETTLED_MS =
+      SimulatedCluster.LEASE_MS / 4 + 3 * SimulatedCluster.REPORT_MS;
 
   /** To which controller each worker sent its last report. */
   private static final class Day {
-    final World w;
+    final SimulatedCluster w;
     final Map<String, String> reportsTo = new HashMap<>();
 
     Day(long seed) {
@@ -54,19 +55,20 @@
     }
 
     /** Machines whose worker reports to a node. */
-    long at(World.Node node) {
-      return living().values().stream().filter(World.client(node.index)::equals).count();
+    long at(SimulatedCluster.ControllerNode node) {
+      return living().values().stream().filter(SimulatedCluster.client(node.index)::equals).count();
     }
 
-    World.Node follower() {
+    SimulatedCluster.ControllerNode follower() {
       return w.nodes.get((w.leader().index + 1) % 3);
     }
   }
 
   private static String assigned(EmulatedWorker machine) {
     List<RelayAssignment.Candidate> candidates = new ArrayList<>();
-    for (int i = 0; i < World.NODE_ZONES.size(); i++) {
-      candidates.add(new RelayAssignment.Candidate("node-" + i, World.NODE_ZONES.get(i)));
+    for (int i = 0; i < SimulatedCluster.NODE_ZONES.size(); i++) {
+      candidates.add(
+          new RelayAssignment.Candidate("node-" + i, SimulatedCluster.NODE_ZONES.get(i)));
     }
     return RelayAssignment.of(machine.id(), machine.zone(), candidates) + ":8080";
   }
@@ -84,7 +86,7 @@
       }
     }
     assertTrue(3 * d.at(d.w.leader()) < 2 * d.living().size(), "the leader takes most");
-    Users.KnownJob array = d.w.users.array("one", "high", 30, 5);
+    SimulatedUsers.KnownJob array = d.w.users.array("one", "high", 30, 5);
     d.w.run(30_000);
     assertTrue(array.done, "an array is not done");
     assertEquals(0, d.w.cloud.killedByLease(), "tasks killed by the end of a lease");
@@ -96,19 +98,19 @@
   @CsvSource({"9711,60", "9712,600", "9713,3000", "9714,20000"})
   void theLeadersEndMovesOnlyItsOwn(long seed, long backAfterMs) {
     Day d = new Day(seed);
-    World.Node leader = d.w.leader();
+    SimulatedCluster.ControllerNode leader = d.w.leader();
     Map<String, String> before = d.living();
     int lost = d.w.cloud.killedByLease() + d.w.cloud.killedByRelease();
     leader.crash(backAfterMs);
-    d.w.run(2 * World.REPORT_MS);
+    d.w.run(2 * SimulatedCluster.REPORT_MS);
     Map<String, String> after = d.living();
     before.forEach(
         (machine, node) -> {
-          if (!node.equals(World.client(leader.index))) {
+          if (!node.equals(SimulatedCluster.client(leader.index))) {
             assertEquals(node, after.get(machine), machine + " was sent away");
           }
         });
-    d.w.run(World.LEASE_MS);
+    d.w.run(SimulatedCluster.LEASE_MS);
     assertEquals(lost, d.w.cloud.killedByLease() + d.w.cloud.killedByRelease(), "tasks killed");
     SeededDaysTest.settle(d.w);
   }
@@ -126,9 +128,9 @@
   })
   void aRelayInTroubleCostsNoTask(long seed, String trouble) {
     Day d = new Day(seed);
-    World.Node relay = d.follower();
+    SimulatedCluster.ControllerNode relay = d.follower();
     int lost = d.w.cloud.killedByLease() + d.w.cloud.killedByRelease();
-    long ms = 2 * World.LEASE_MS;
+    long ms = 2 * SimulatedCluster.LEASE_MS;
     switch (trouble) {
       case "ends" -> relay.crash(ms);
       case "ends and returns at once" -> relay.crash(80);
@@ -138,7 +140,7 @@
         List<String> machines =
             d.w.cloud.machines().stream().map(EmulatedWorker::endpoint).toList();
         for (String m : machines) {
-          for (String own : List.of("node-" + relay.index, World.client(relay.index))) {
+          for (String own : List.of("node-" + relay.index, SimulatedCluster.client(relay.index))) {
             d.w.net.cut(own, m, true);
             d.w.sim.after(ms, () -> d.w.net.heal(own, m));
           }
@@ -154,7 +156,7 @@
         relay.crash(2000);
       }
     }
-    Users.KnownJob array = d.w.users.array("one", "high", 20, 5);
+    SimulatedUsers.KnownJob array = d.w.users.array("one", "high", 20, 5);
     d.w.run(ms);
     assertEquals(lost, d.w.cloud.killedByLease() + d.w.cloud.killedByRelease(), "tasks killed");
     assertTrue(array.done, "an array is not done meanwhile");
@@ -171,20 +173,20 @@
   @CsvSource({"9731,1500", "9732,4000", "9733,9000", "9734,16000", "9735,40000"})
   void commandsAreDeliveredLate(long seed, long ms) {
     Day d = new Day(seed);
-    World.Node leader = d.w.leader();
-    World.Node relay = d.follower();
-    List<Users.KnownJob> jobs =
+    SimulatedCluster.ControllerNode leader = d.w.leader();
+    SimulatedCluster.ControllerNode relay = d.follower();
+    List<SimulatedUsers.KnownJob> jobs =
         List.of(
             d.w.users.array("one", "high", 30, 60),
             d.w.users.array("two", "high", 30, 60),
             d.w.users.service("one", 3));
-    d.w.run(World.REPORT_MS / 2);
+    d.w.run(SimulatedCluster.REPORT_MS / 2);
     relay.freeze(ms);
-    d.w.run(World.REPORT_MS / 2);
+    d.w.run(SimulatedCluster.REPORT_MS / 2);
     jobs.forEach(d.w.users::cancel);
     d.w.run(200);
     leader.crash(3000);
-    d.w.run(ms + World.CANCEL_MS);
+    d.w.run(ms + SimulatedCluster.CANCEL_MS);
     assertNotEquals(null, d.w.leader(), "nobody leads");
     SeededDaysTest.settle(d.w);
   }
@@ -195,7 +197,7 @@
   void troublesMeet(long seed) {
     OperatorSettings spread = OperatorSettings.defaults().withRelayAbove(0);
     FaultCombinationTest.play(
-        new World(seed, FaultCombinationTest.SHORT, true, spread),
+        new SimulatedCluster(seed, FaultCombinationTest.SHORT, true, spread),
         seed,
         seed % 2 == 0 ? RandomFaults::any : RandomFaults::ofMachines);
   }
--- a/src/test/java/dapplestair/world/ReplacementCosts.java
+++ b/src/test/java/dapplestair/world/ReplacementCosts.java
@@ -61,7 +61,7 @@
 
   /** Processor time of one scrape of the metrics, which looks at all attempts several times. */
   private static void look(int perPlace, int services) {
-    World w = begun(new Way(0.05, 0.1, true), perPlace, services);
+    SimulatedCluster w = begun(new Way(0.05, 0.1, true), perPlace, services);
     int attempts = w.cloud.machines().stream().mapToInt(m -> m.gone() ? 0 : m.tasks().size()).sum();
     Histogram micros = new Histogram(60_000_000, 3);
     for (int i = 0; i < 400; i++) {
@@ -77,8 +77,10 @@
         attempts, micros.getValueAtPercentile(50), micros.getValueAtPercentile(99));
   }
 
-  private static World begun(Way way, int perPlace, int services) {
-    World w = new World(4711, new World.Size(perPlace, 8.0 * perPlace * 3, 1_000_000, 1), true);
+  private static SimulatedCluster begun(Way way, int perPlace, int services) {
+    SimulatedCluster w =
+        new SimulatedCluster(
+            4711, new SimulatedCluster.Size(perPlace, 8.0 * perPlace * 3, 1_000_000, 1), true);
     w.net.loss = 0;
     w.users.quiet = true;
     DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
@@ -103,7 +105,7 @@
   }
 
   /** Arrays that save and arrays that do not, as long as the day lasts. */
-  static void load(World w, boolean[] busy) {
+  static void load(SimulatedCluster w, boolean[] busy) {
     if (!busy[0]) {
       return;
     }
@@ -117,12 +119,12 @@
   }
 
   private static String play(Way way, int perPlace, int services) {
-    World w = begun(way, perPlace, services);
+    SimulatedCluster w = begun(way, perPlace, services);
     Set<String> old = ReplacementTest.machines(w);
     long puts = w.state.puts();
     double thrown = thrown(w);
     if (way.step == 0) {
-      for (String zone : World.ZONES) {
+      for (String zone : SimulatedCluster.ZONES) {
         for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
           if (m.zone().equals(zone) && old.contains(m.id())) {
             OperatorsTest.ask(
@@ -150,7 +152,7 @@
   }
 
   private static String measured(
-      Way way, World w, Set<String> old, int wanted, long puts, double thrown) {
+      Way way, SimulatedCluster w, Set<String> old, int wanted, long puts, double thrown) {
     long began = w.sim.now();
     double out = 0;
     double worst = 0;
@@ -188,11 +190,11 @@
         w.state.puts() - puts);
   }
 
-  private static double thrown(World w) {
+  private static double thrown(SimulatedCluster w) {
     return w.checker.thrownAwayCpuS.values().stream().mapToDouble(d -> d).sum();
   }
 
-  private static int running(World w) {
+  private static int running(SimulatedCluster w) {
     int n = 0;
     for (EmulatedWorker m : w.cloud.machines()) {
       if (!m.gone()) {
--- a/src/test/java/dapplestair/world/ReplacementTest.java
+++ b/src/test/java/dapplestair/world/ReplacementTest.java
@@ -20,7 +20,7 @@
 class ReplacementTest {
   private static final String NIGHT = "/v1/replacements/night";
 
-  static Set<String> machines(World w) {
+  static Set<String> machines(SimulatedCluster w) {
     return w.cloud.machines().stream()
         .filter(m -> !m.gone())
         .map(EmulatedWorker::id)
@@ -32,11 +32,11 @@
   }
 
   /** Waits until the order is done; its last view. */
-  static JsonNode untilDone(World w, long mostMs) {
+  static JsonNode untilDone(SimulatedCluster w, long mostMs) {
     return untilDone(w, mostMs, seen -> {});
   }
 
-  private static JsonNode untilDone(World w, long mostMs, Consumer<JsonNode> each) {
+  private static JsonNode untilDone(SimulatedCluster w, long mostMs, Consumer<JsonNode> each) {
     JsonNode seen = null;
     for (long t = 0; t < mostMs; t += 3000) {
       seen = OperatorsTest.answer(w, NIGHT);
@@ -53,13 +53,13 @@
    * Operators let an order go on each time it stands still until it is told to: how often new
    * machines look slower than the old ones is luck.
    */
-  private static void goOn(World w, JsonNode seen) {
+  private static void goOn(SimulatedCluster w, JsonNode seen) {
     if (seen.path("goes_on").asText().equals("when told to")) {
       OperatorsTest.order(w, NIGHT + "/resume", Json.object());
     }
   }
 
-  static void assertReplaced(World w, Set<String> before, int replicas) {
+  static void assertReplaced(SimulatedCluster w, Set<String> before, int replicas) {
     Set<String> left = machines(w);
     left.retainAll(before);
     assertEquals(Set.of(), left, "old machines are left");
@@ -71,7 +71,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
   void aFleetIsNewInTheMorning(long seed) {
-    World w = DisruptionTest.begun(seed, 2, 3);
+    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
     Set<String> before = machines(w);
     int replicas = DisruptionTest.replicas(w);
     OperatorsTest.order(w, NIGHT + "/start", all(3, 3));
@@ -87,7 +87,7 @@
   @EnumSource
   void theOrderGoesOnThrough(ReplacementFault fault) {
     for (long seed = 1; seed <= 2; seed++) {
-      World w = DisruptionTest.begun(100 * fault.ordinal() + seed, 2, 3);
+      SimulatedCluster w = DisruptionTest.begun(100 * fault.ordinal() + seed, 2, 3);
       try {
         Set<String> before = machines(w);
         OperatorsTest.order(w, NIGHT + "/start", all(3, 3));
@@ -115,7 +115,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {504, 511})
   void aLargeFleetIsNewThroughAMixOfTroubles(long seed) {
-    World w = new World(seed, World.Size.GROWN, true);
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN, true);
     w.checker.budget = team -> Math.max(1, (int) Math.ceil(0.1 * wanted(w, team)));
     try {
       w.users.quiet = true;
@@ -146,7 +146,7 @@
   }
 
   /** As users see it; services that just came or went are the product's to know a moment later. */
-  private static int wanted(World w, String team) {
+  private static int wanted(SimulatedCluster w, String team) {
     return w.users.told.values().stream()
         .filter(j -> j.service && j.team.equals(team) && j.accepted && !j.aborted)
         .mapToInt(j -> j.steps)
@@ -157,7 +157,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {61, 62, 63})
   void badNewMachinesPauseTheOrder(long seed) {
-    World w = DisruptionTest.begun(seed, 2, 3);
+    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
     Set<String> before = machines(w);
     int replicas = DisruptionTest.replicas(w);
     w.cloud.setSick(true);
@@ -186,7 +186,7 @@
   @ParameterizedTest(name = "{0} beyond")
   @ValueSource(ints = {0, 1})
   void twoPutsForAMachineAtMost(int beyond) {
-    World w = DisruptionTest.begun(93 + beyond, 3, 3);
+    SimulatedCluster w = DisruptionTest.begun(93 + beyond, 3, 3);
     int before = machines(w).size();
     String[] last = {""};
     int[] writes = {0};
@@ -211,7 +211,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {90, 91, 92, 95, 96, 97, 99})
   void anOrderForAFullFleetDoesNotStandStill(long seed) {
-    World w = DisruptionTest.begun(seed, 3, 3);
+    SimulatedCluster w = DisruptionTest.begun(seed, 3, 3);
     Set<String> before = machines(w);
     int replicas = DisruptionTest.replicas(w);
     OperatorsTest.order(w, NIGHT + "/start", all(1, 0));
@@ -223,7 +223,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {96, 97, 98})
   void theBudgetBoundsWhatIsBeyond(long seed) {
-    World w = DisruptionTest.begun(seed, 3, 3);
+    SimulatedCluster w = DisruptionTest.begun(seed, 3, 3);
     // What arrays needed is given back first.
     w.run(60_000);
     long held = steady(w);
@@ -255,7 +255,7 @@
     assertTrue(most[0] > held, "none beyond, though two are paid for");
   }
 
-  private static long steady(World w) {
+  private static long steady(SimulatedCluster w) {
     return w.cloud.machines().stream().filter(m -> !m.gone() && !m.spot()).count();
   }
 
@@ -263,7 +263,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {71, 72})
   void abortTakesTheOldBackIntoUse(long seed) {
-    World w = DisruptionTest.begun(seed, 2, 3);
+    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
     Set<String> before = machines(w);
     OperatorsTest.order(w, NIGHT + "/start", all(2, 2));
     for (int i = 0; i < 200 && before.equals(intersection(machines(w), before)); i++) {
@@ -283,11 +283,11 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {75, 76, 77, 78})
   void aLateWriteDoesNotRevive(long seed) {
-    World w = DisruptionTest.begun(seed, 2, 3);
+    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
     for (int i = 0; i < 5; i++) {
       OperatorsTest.order(w, NIGHT + "/start", all(1, i % 2).put("watch_s", 0));
       w.run(w.sim.between(1000, 9000));
-      World.Node leader = w.leader();
+      SimulatedCluster.ControllerNode leader = w.leader();
       w.net.cut("node-" + leader.index, "state:1", true);
       for (int k = 0; k < 60 && (w.leader() == null || w.leader() == leader); k++) {
         w.run(500);
@@ -308,7 +308,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {81, 82, 83})
   void ordersThatOverlapAllEnd(long seed) {
-    World w = DisruptionTest.begun(seed, 1, 2);
+    SimulatedCluster w = DisruptionTest.begun(seed, 1, 2);
     Set<String> before = machines(w);
     String some = before.stream().sorted().findFirst().orElseThrow();
     OperatorsTest.order(w, NIGHT + "/start", all(2, 2));
@@ -330,7 +330,7 @@
   /** What cannot be meant is refused with field and value, and nothing is recorded. */
   @Test
   void badInputIsRefused() {
-    World w = DisruptionTest.begun(91, 1, 1);
+    SimulatedCluster w = DisruptionTest.begun(91, 1, 1);
     String[][] bad = {
       {"{\"zone\":\"x\"}", "zone = \"x\": no such zone"},
       {"{\"type\":\"huge\"}", "type = \"huge\": no such type"},
@@ -365,7 +365,7 @@
   /** The same order is the same order, also when no old machine is left. */
   @Test
   void anOrderRepeatedIsTheSame() {
-    World w = DisruptionTest.begun(92, 3, 3);
+    SimulatedCluster w = DisruptionTest.begun(92, 3, 3);
     ObjectNode order = Json.object().put("zone", "a").put("step", 4).put("beyond", 4);
     OperatorsTest.order(w, NIGHT + "/start", order);
     long at = w.state.value("live/replace/night").path("at").asLong();
--- a/src/test/java/dapplestair/world/SeededDaysTest.java
+++ b/src/test/java/dapplestair/world/SeededDaysTest.java
@@ -33,7 +33,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {201, 202, 203, 204})
   void aNewLeaderKeepsTheMachinesThatRun(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.net.loss = 0;
     world.run(60_000);
     for (int i = 0; i < 3; i++) {
@@ -48,7 +48,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {401, 402, 403, 404})
   void aZoneCutOffKeepsItsWork(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.net.loss = 0;
     world.run(60_000);
     // Of a job accepted just before the cut the zone's controller may not know, and then it keeps
@@ -56,7 +56,7 @@
     // lease of a machine that runs it (docs/cancellations.md).
     world.users.pausedUntil = world.sim.now() + 2000;
     world.run(2000);
-    World.Node follower = world.nodes.get((world.leader().index + 1) % 3);
+    SimulatedCluster.ControllerNode follower = world.nodes.get((world.leader().index + 1) % 3);
     String zone = follower.settings.zone();
     long tasks =
         world.cloud.machines().stream()
@@ -71,17 +71,17 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {401, 402, 403, 404})
   void aZoneCutOffAtAnyMomentKeepsItsWork(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.net.loss = 0;
     world.run(60_000);
     cutOffForLongerThanALease(world);
   }
 
-  private static void cutOffForLongerThanALease(World world) {
-    World.Node follower = world.nodes.get((world.leader().index + 1) % 3);
+  private static void cutOffForLongerThanALease(SimulatedCluster world) {
+    SimulatedCluster.ControllerNode follower = world.nodes.get((world.leader().index + 1) % 3);
     String zone = follower.settings.zone();
-    world.cutOff(follower, m -> m.zone().equals(zone), false, World.LEASE_MS * 4 / 3);
-    world.run(2 * World.LEASE_MS);
+    world.cutOff(follower, m -> m.zone().equals(zone), false, SimulatedCluster.LEASE_MS * 4 / 3);
+    world.run(2 * SimulatedCluster.LEASE_MS);
     assertEquals(0, world.cloud.killedByLease(), "tasks killed by the end of a lease");
     settle(world);
   }
@@ -92,14 +92,14 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {451, 452, 453, 454})
   void aSilentZoneIsNotReturned(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.net.loss = 0;
     world.run(60_000);
-    World.Node follower = world.nodes.get((world.leader().index + 1) % 3);
+    SimulatedCluster.ControllerNode follower = world.nodes.get((world.leader().index + 1) % 3);
     String zone = follower.settings.zone();
     int before = world.cloud.killedByRelease();
-    world.cutOff(follower, m -> m.zone().equals(zone), false, World.LEASE_MS * 2 / 3);
-    world.run(World.LEASE_MS);
+    world.cutOff(follower, m -> m.zone().equals(zone), false, SimulatedCluster.LEASE_MS * 2 / 3);
+    world.run(SimulatedCluster.LEASE_MS);
     assertEquals(before, world.cloud.killedByRelease(), "tasks killed by returning their machines");
   }
 
@@ -110,14 +110,14 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {471, 472, 473, 474, 475, 476})
   void aLeaderCutOffReturnsNothing(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.net.loss = 0;
     world.run(60_000);
-    World.Node leader = world.leader();
+    SimulatedCluster.ControllerNode leader = world.leader();
     String zone = leader.settings.zone();
     int before = world.cloud.killedByRelease();
-    world.cutOff(leader, m -> m.zone().equals(zone), true, World.CANCEL_MS * 15 / 32);
-    world.run(World.CANCEL_MS * 5 / 8);
+    world.cutOff(leader, m -> m.zone().equals(zone), true, SimulatedCluster.CANCEL_MS * 15 / 32);
+    world.run(SimulatedCluster.CANCEL_MS * 5 / 8);
     assertEquals(before, world.cloud.killedByRelease(), "tasks killed by returning their machines");
     settle(world);
   }
@@ -126,7 +126,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {701, 702, 703, 704})
   void refusedLinksDoNotDeposeForEver(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.run(40_000);
     long term = world.state.value("live/term").path("term").asLong();
     world.peersRefuse = true;
@@ -141,21 +141,21 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {501, 502, 503, 504})
   void aLeaderThatHearsNoWorkerGivesWay(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.net.loss = 0;
     world.run(60_000);
-    World.Node leader = world.leader();
+    SimulatedCluster.ControllerNode leader = world.leader();
     for (int i = 0; i < 400; i++) {
       // Machines that come up meanwhile are out of its reach as well.
       for (EmulatedWorker m : world.cloud.machines()) {
         world.net.cut("node-" + leader.index, m.endpoint(), false);
-        world.net.cut(World.client(leader.index), m.endpoint(), false);
+        world.net.cut(SimulatedCluster.client(leader.index), m.endpoint(), false);
       }
       world.run(100);
     }
     for (EmulatedWorker m : world.cloud.machines()) {
       world.net.heal("node-" + leader.index, m.endpoint());
-      world.net.heal(World.client(leader.index), m.endpoint());
+      world.net.heal(SimulatedCluster.client(leader.index), m.endpoint());
     }
     assertEquals(0, world.cloud.killedByLease(), "tasks killed by the end of a lease");
     assertNotEquals(leader, world.leader());
@@ -163,12 +163,12 @@
   }
 
   /** No troubles and no new jobs from now on: everything accepted ends. */
-  static void settle(World world) {
+  static void settle(SimulatedCluster world) {
     world.users.quiet = true;
     // The last troubles end by themselves.
     world.users.calmFrom = world.sim.now() + RandomFaults.LONGEST_MS;
     world.run(CALM_MS);
-    for (Users.KnownJob job : world.users.told.values()) {
+    for (SimulatedUsers.KnownJob job : world.users.told.values()) {
       assertTrue(
           !job.accepted || job.service || job.done || job.aborted,
           () -> job.ref + " was accepted but never ended: " + job.body);
@@ -184,11 +184,11 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {601, 602, 603, 604, 605, 606})
   void aNewLeaderTrustsNoReportOfAnOlderTerm(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.net.loss = 0;
     world.run(15_000);
     for (int i = 0; i < 6; i++) {
-      World.Node leader = world.leader();
+      SimulatedCluster.ControllerNode leader = world.leader();
       if (leader == null) {
         world.run(5000);
         continue;
@@ -196,7 +196,7 @@
       List<String> machines = world.cloud.machines().stream().map(m -> m.endpoint()).toList();
       for (String m : machines) {
         world.nodes.forEach(n -> world.net.cut("node-" + n.index, m, true));
-        world.nodes.forEach(n -> world.net.cut(World.client(n.index), m, true));
+        world.nodes.forEach(n -> world.net.cut(SimulatedCluster.client(n.index), m, true));
       }
       // Launches leave the leader and are held back; so are the reports to the next one.
       world.run(900);
@@ -206,7 +206,7 @@
       machines.forEach(m -> world.net.heal("node-" + leader.index, m));
       world.run(60);
       for (String m : machines) {
-        world.nodes.forEach(n -> world.net.heal(World.client(n.index), m));
+        world.nodes.forEach(n -> world.net.heal(SimulatedCluster.client(n.index), m));
         if (world.sim.chance(0.5)) {
           // Orders reach this one again, so work taken for lost on others would start here.
           world.nodes.forEach(n -> world.net.heal("node-" + n.index, m));
@@ -225,12 +225,12 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {301, 302, 303, 304, 305, 306})
   void aReportDoesNotOvertakeALaunch(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.run(20_000);
     for (int i = 0; i < 80; i++) {
       for (EmulatedWorker machine : world.cloud.machines()) {
         if (world.sim.chance(0.5)) {
-          for (World.Node node : world.nodes) {
+          for (SimulatedCluster.ControllerNode node : world.nodes) {
             String name = "node-" + node.index;
             world.net.cut(name, machine.endpoint(), true);
             // Shorter than the time after which a call counts as unanswered.
@@ -244,7 +244,7 @@
   }
 
   static void play(long seed, long troubleEveryMs) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     try {
       RandomFaults faults = new RandomFaults(world);
       world.run(10_000);
--- a/src/test/java/dapplestair/world/SilenceTest.java
+++ b/src/test/java/dapplestair/world/SilenceTest.java
@@ -21,13 +21,13 @@
   /** The one zone without a controller. */
   private static final String ZONE = "c";
 
-  private static final long CUT_MS = World.LEASE_MS * 8 / 5;
+  private static final long CUT_MS = SimulatedCluster.LEASE_MS * 8 / 5;
 
   private static final int REPLICAS = 120;
 
   /** Services of three replicas, one in each zone, and an array that goes on beside them. */
-  private static World begun(long seed) {
-    World world = new World(seed, World.Size.MIDDLE);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster world = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     world.net.loss = 0;
     world.users.quiet = true;
     for (int i = 0; i < REPLICAS / 6; i++) {
@@ -40,7 +40,7 @@
     return world;
   }
 
-  private static int replicas(World world, Predicate<EmulatedWorker> where) {
+  private static int replicas(SimulatedCluster world, Predicate<EmulatedWorker> where) {
     int n = 0;
     for (EmulatedWorker m : world.cloud.machines()) {
       if (!m.gone() && where.test(m)) {
@@ -55,7 +55,7 @@
   }
 
   /** Seconds times replicas that were missing while this time passed. */
-  private static double missing(World world, long ms) {
+  private static double missing(SimulatedCluster world, long ms) {
     double sum = 0;
     for (long t = 0; t < ms; t += 500) {
       world.run(500);
@@ -72,14 +72,14 @@
   @ValueSource(
       longs = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22})
   void aLeadersEndDoesNotMakeItForgetASilence(long second) {
-    World world = begun(800 + second);
+    SimulatedCluster world = begun(800 + second);
     int inside = replicas(world, m -> m.zone().equals(ZONE));
     world.cutZone(ZONE, second % 2 == 0, CUT_MS);
     world.run(1000 * second);
     world.leader().crash(4000);
     double missed = missing(world, CUT_MS - 1000 * second);
     // They are lost at the end of the lease, and the cut goes on for three fifths of one.
-    double all = inside * (CUT_MS - World.LEASE_MS) / 1000.0;
+    double all = inside * (CUT_MS - SimulatedCluster.LEASE_MS) / 1000.0;
     assertTrue(
         missed < 0.75 * all || inside == 0, "missing " + missed + " replica seconds of " + all);
     world.run(30_000);
@@ -90,9 +90,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {831, 832, 833, 834})
   void nothingIsRentedInASilentZone(long seed) {
-    World world = begun(seed);
+    SimulatedCluster world = begun(seed);
     world.cutZone(ZONE, false, CUT_MS);
-    world.run(World.REPORT_MS * 2);
+    world.run(SimulatedCluster.REPORT_MS * 2);
     Set<String> before = names(world);
     for (int i = 0; i < 4; i++) {
       world.users.array("one", "high", 8, 6);
@@ -105,7 +105,7 @@
     world.run(40_000);
   }
 
-  private static Set<String> names(World world) {
+  private static Set<String> names(SimulatedCluster world) {
     return world.cloud.machines().stream().map(EmulatedWorker::id).collect(Collectors.toSet());
   }
 
@@ -113,15 +113,15 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {841, 842, 843, 844, 845, 846})
   void aCutInOneDirection(long seed) {
-    World world = begun(seed);
+    SimulatedCluster world = begun(seed);
     boolean deafWorkers = seed % 2 == 0;
     Set<EmulatedWorker> cut =
         world.cloud.machines().stream()
             .filter(m -> m.zone().equals(ZONE))
             .collect(Collectors.toSet());
     for (EmulatedWorker m : cut) {
-      for (World.Node n : world.nodes) {
-        for (String node : List.of("node-" + n.index, World.client(n.index))) {
+      for (SimulatedCluster.ControllerNode n : world.nodes) {
+        for (String node : List.of("node-" + n.index, SimulatedCluster.client(n.index))) {
           if (deafWorkers) {
             world.net.cutOneWay(node, m.endpoint());
           } else {
@@ -130,12 +130,12 @@
         }
       }
     }
-    world.run(World.LEASE_MS / 2);
+    world.run(SimulatedCluster.LEASE_MS / 2);
     world.leader().crash(3000);
-    world.run(World.LEASE_MS);
+    world.run(SimulatedCluster.LEASE_MS);
     for (EmulatedWorker m : cut) {
-      for (World.Node n : world.nodes) {
-        for (String node : List.of("node-" + n.index, World.client(n.index))) {
+      for (SimulatedCluster.ControllerNode n : world.nodes) {
+        for (String node : List.of("node-" + n.index, SimulatedCluster.client(n.index))) {
           world.net.healOneWay(node, m.endpoint());
           world.net.healOneWay(m.endpoint(), node);
         }
@@ -149,16 +149,16 @@
   @ParameterizedTest(name = "hang of a lease and {0} ms")
   @ValueSource(longs = {-2500, -700, -100, 100, 700, 2500})
   void aHangAroundALease(long more) {
-    World world = begun(860 + more);
+    SimulatedCluster world = begun(860 + more);
     long hanging = 0;
     for (EmulatedWorker m : world.cloud.machines()) {
       if (m.zone().equals(ZONE) || world.sim.chance(0.3)) {
-        m.hang(World.LEASE_MS + more);
+        m.hang(SimulatedCluster.LEASE_MS + more);
         hanging++;
       }
     }
     assertTrue(hanging > 0);
-    world.run(World.LEASE_MS + 40_000);
+    world.run(SimulatedCluster.LEASE_MS + 40_000);
     assertEquals(REPLICAS, replicas(world, m -> true), "replicas once all is over");
   }
 
@@ -166,19 +166,19 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {881, 882, 883, 884})
   void cutOutageAndCutAgain(long seed) {
-    World world = begun(seed);
-    world.cutZone(ZONE, true, World.LEASE_MS * 2 / 3);
-    world.run(World.LEASE_MS / 2);
+    SimulatedCluster world = begun(seed);
+    world.cutZone(ZONE, true, SimulatedCluster.LEASE_MS * 2 / 3);
+    world.run(SimulatedCluster.LEASE_MS / 2);
     world.state.fail();
-    world.run(World.LEASE_MS / 2);
+    world.run(SimulatedCluster.LEASE_MS / 2);
     world.state.recover();
     world.run(1000);
-    world.cutZone(ZONE, seed % 2 == 0, World.LEASE_MS * 4 / 3);
-    world.run(World.LEASE_MS / 2);
+    world.cutZone(ZONE, seed % 2 == 0, SimulatedCluster.LEASE_MS * 4 / 3);
+    world.run(SimulatedCluster.LEASE_MS / 2);
     if (world.leader() != null) {
       world.leader().crash(2000);
     }
-    world.run(World.LEASE_MS + 40_000);
+    world.run(SimulatedCluster.LEASE_MS + 40_000);
     assertEquals(REPLICAS, replicas(world, m -> true), "replicas once all is over");
   }
 
@@ -186,9 +186,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {891, 892, 893, 894})
   void allEndWhileRoomIsRented(long seed) {
-    World world = begun(seed);
+    SimulatedCluster world = begun(seed);
     world.cutZone(ZONE, false, 2 * CUT_MS);
-    world.run(World.REPORT_MS);
+    world.run(SimulatedCluster.REPORT_MS);
     world.nodes.forEach(n -> world.net.cut("node-" + n.index, "cloud:1", true));
     world.run(4000 + 500 * (seed % 4));
     world.nodes.forEach(n -> n.crash(1500));
@@ -205,7 +205,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {901, 902, 904, 905, 907, 908})
   void aLeaderEndsWhileOnlyLaunchBatchesKnow(long seed) {
-    World world = begun(seed);
+    SimulatedCluster world = begun(seed);
     int stood = 0;
     for (int round = 0; round < 3; round++) {
       for (EmulatedWorker m : List.copyOf(world.cloud.machines())) {
@@ -227,7 +227,7 @@
       if (world.leader() != null) {
         world.leader().crash(3000);
       }
-      world.run(World.REPORT_MS * 2);
+      world.run(SimulatedCluster.REPORT_MS * 2);
       cut.forEach(m -> link(world, m, false));
       world.run(45_000);
     }
@@ -236,9 +236,9 @@
     assertEquals(List.of(), world.state.keys("live/sheet/"), "launch batches once all is over");
   }
 
-  private static void link(World world, EmulatedWorker m, boolean cut) {
-    for (World.Node n : world.nodes) {
-      for (String node : List.of("node-" + n.index, World.client(n.index))) {
+  private static void link(SimulatedCluster world, EmulatedWorker m, boolean cut) {
+    for (SimulatedCluster.ControllerNode n : world.nodes) {
+      for (String node : List.of("node-" + n.index, SimulatedCluster.client(n.index))) {
         if (cut) {
           world.net.cut(node, m.endpoint(), false);
         } else {
@@ -251,10 +251,10 @@
   /** Idle machines of a zone that is back before the wait is over are still there. */
   @Test
   void aZoneThatComesBackInTimeKeepsItsMachines() {
-    World world = begun(899);
+    SimulatedCluster world = begun(899);
     int released = world.cloud.killedByRelease();
-    world.cutZone(ZONE, false, World.LEASE_MS / 2);
-    world.run(World.LEASE_MS);
+    world.cutZone(ZONE, false, SimulatedCluster.LEASE_MS / 2);
+    world.run(SimulatedCluster.LEASE_MS);
     assertEquals(0, world.cloud.killedByLease(), "tasks killed by the end of a lease");
     assertEquals(released, world.cloud.killedByRelease(), "tasks killed by returning machines");
   }
--- a/src/test/java/dapplestair/world/SilentControllersTest.java
+++ b/src/test/java/dapplestair/world/SilentControllersTest.java
@@ -19,10 +19,10 @@
  */
 class SilentControllersTest {
   private static final int REPLICAS = 60;
-  private static final long LONG_MS = World.LEASE_MS * 3 / 2;
+  private static final long LONG_MS = SimulatedCluster.LEASE_MS * 3 / 2;
 
-  private static World begun(long seed) {
-    World w = new World(seed, World.Size.MIDDLE);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
     for (int i = 0; i < REPLICAS / 6; i++) {
@@ -35,7 +35,7 @@
     return w;
   }
 
-  private static int replicas(World w) {
+  private static int replicas(SimulatedCluster w) {
     int n = 0;
     for (EmulatedWorker m : w.cloud.machines()) {
       if (!m.gone()) {
@@ -50,27 +50,27 @@
   }
 
   /** Single tasks of a guest, one each {@code everyMs} for a while. */
-  private static List<Users.KnownJob> swarm(World w, int jobs, long everyMs) {
-    List<Users.KnownJob> out = new ArrayList<>();
+  private static List<SimulatedUsers.KnownJob> swarm(SimulatedCluster w, int jobs, long everyMs) {
+    List<SimulatedUsers.KnownJob> out = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
       w.sim.after(i * everyMs, () -> out.add(single(w)));
     }
     return out;
   }
 
-  private static Users.KnownJob single(World w) {
+  private static SimulatedUsers.KnownJob single(SimulatedCluster w) {
     return w.users.changed(
         "guest", 1, 6, b -> b.put("rank", "low").put("vcpus", 0.25).put("jobclass", "swarm"));
   }
 
-  private static void untilReplicas(World w, long ms, String when) {
+  private static void untilReplicas(SimulatedCluster w, long ms, String when) {
     for (long t = 0; t < ms && replicas(w) < REPLICAS; t += 250) {
       w.run(250);
     }
     assertEquals(REPLICAS, replicas(w), "replicas " + ms + " ms after " + when);
   }
 
-  private static void settled(World w, List<Users.KnownJob> jobs) {
+  private static void settled(SimulatedCluster w, List<SimulatedUsers.KnownJob> jobs) {
     w.run(60_000);
     jobs.forEach(j -> assertTrue(j.done || j.aborted, j.ref + " is not over"));
     w.checker.checkServed();
@@ -80,12 +80,12 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {3001, 3002, 3003, 3004, 3005, 3006})
   void aLeaderStandsStill(long seed) {
-    World w = begun(seed);
-    List<Users.KnownJob> swarm = swarm(w, 60, 250);
+    SimulatedCluster w = begun(seed);
+    List<SimulatedUsers.KnownJob> swarm = swarm(w, 60, 250);
     w.run(2000);
-    World.Node still = w.leader();
+    SimulatedCluster.ControllerNode still = w.leader();
     still.freeze(LONG_MS);
-    w.run(World.LEASE_MS * 2 / 3);
+    w.run(SimulatedCluster.LEASE_MS * 2 / 3);
     assertTrue(w.leader() != null && w.leader() != still, "nobody else leads");
     int killed = w.cloud.killedByLease();
     w.run(LONG_MS);
@@ -98,8 +98,8 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {3011, 3012, 3013, 3014, 3015, 3016})
   void allStandStillPastTheLease(long seed) {
-    World w = begun(seed);
-    List<Users.KnownJob> swarm = swarm(w, 40, 250);
+    SimulatedCluster w = begun(seed);
+    List<SimulatedUsers.KnownJob> swarm = swarm(w, 40, 250);
     w.run(3000);
     Set<String> before = withReplicas(w);
     Set<String> all = up(w);
@@ -119,7 +119,7 @@
     settled(w, swarm);
   }
 
-  private static Set<String> withReplicas(World w) {
+  private static Set<String> withReplicas(SimulatedCluster w) {
     Set<String> out = new HashSet<>();
     w.cloud.machines().stream()
         .filter(m -> !m.gone() && m.tasks().stream().anyMatch(t -> t.service()))
@@ -127,7 +127,7 @@
     return out;
   }
 
-  private static Set<String> up(World w) {
+  private static Set<String> up(SimulatedCluster w) {
     Set<String> out = new HashSet<>();
     w.cloud.machines().stream().filter(m -> !m.gone()).forEach(m -> out.add(m.id()));
     return out;
@@ -137,9 +137,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {3021, 3022, 3023, 3024, 3025, 3026, 3027, 3028, 3029, 3030})
   void oneAfterTheOther(long seed) {
-    World w = begun(seed);
-    List<Users.KnownJob> jobs = swarm(w, 80, 500);
-    Users.KnownJob wrong = w.users.changed("two", 20, 5, b -> b.put("mistakenSteps", 20));
+    SimulatedCluster w = begun(seed);
+    List<SimulatedUsers.KnownJob> jobs = swarm(w, 80, 500);
+    SimulatedUsers.KnownJob wrong = w.users.changed("two", 20, 5, b -> b.put("mistakenSteps", 20));
     jobs.add(
         w.users.changed(
             "guest",
@@ -148,7 +148,7 @@
             b -> b.put("rank", "low").put("vcpus", 0.25).put("jobclass", "giant")));
     for (int i = 0; i < 5; i++) {
       silence(w, w.nodes.get(i % 3), (int) w.sim.between(0, 6), LONG_MS);
-      w.run(World.LEASE_MS * 2 / 3);
+      w.run(SimulatedCluster.LEASE_MS * 2 / 3);
     }
     w.run(LONG_MS);
     untilReplicas(w, 30_000, "the last one returned");
@@ -157,7 +157,8 @@
     settled(w, jobs);
   }
 
-  private static void silence(World w, World.Node node, int how, long ms) {
+  private static void silence(
+      SimulatedCluster w, SimulatedCluster.ControllerNode node, int how, long ms) {
     boolean hold = w.sim.chance(0.5);
     String name = "node-" + node.index;
     switch (how) {
@@ -172,7 +173,7 @@
       case 5 -> {
         for (EmulatedWorker m : w.cloud.machines()) {
           cut(w, name, m.endpoint(), hold, ms);
-          cut(w, World.client(node.index), m.endpoint(), hold, ms);
+          cut(w, SimulatedCluster.client(node.index), m.endpoint(), hold, ms);
         }
       }
       default -> {
@@ -182,7 +183,7 @@
     }
   }
 
-  private static void cut(World w, String a, String b, boolean hold, long ms) {
+  private static void cut(SimulatedCluster w, String a, String b, boolean hold, long ms) {
     w.net.cut(a, b, hold);
     w.sim.after(ms, () -> w.net.heal(a, b));
   }
@@ -191,9 +192,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {3041, 3042, 3043, 3044})
   void theLastOneIsCutFromTheWorkers(long seed) {
-    World w = begun(seed);
-    World.Node last = w.nodes.get((int) (seed % 3));
-    for (World.Node n : w.nodes) {
+    SimulatedCluster w = begun(seed);
+    SimulatedCluster.ControllerNode last = w.nodes.get((int) (seed % 3));
+    for (SimulatedCluster.ControllerNode n : w.nodes) {
       if (n != last) {
         n.freeze(LONG_MS);
       }
@@ -201,6 +202,6 @@
     w.run(1000);
     silence(w, last, 5, LONG_MS / 2);
     w.run(LONG_MS + 3000);
-    untilReplicas(w, World.LEASE_MS, "the return of all");
+    untilReplicas(w, SimulatedCluster.LEASE_MS, "the return of all");
   }
 }
--- a/src/test/java/dapplestair/world/World.java
+++ b/src/test/java/dapplestair/world/SimulatedCluster.java
@@ -33,7 +33,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** Controllers, as they are, in a world of stand-ins on virtual time. */
-final class World {
+final class SimulatedCluster {
   static final List<String> ZONES = List.of("a", "b", "c");
 
   /** One zone has no controller. */
@@ -114,34 +114,35 @@
   static final long CANCEL_MS = 47_000;
   static final long LAG_MS = 4000;
 
-  final Sim sim;
-  final Network net;
+  final EventSimulator sim;
+  final SimulatedNetwork net;
   final EmulatedState state;
   final EmulatedCloud cloud;
-  final Users users;
+  final SimulatedUsers users;
   final InvariantChecker checker;
   final MonotonicReadsChecker answers;
-  final List<Node> nodes = new ArrayList<>();
+  final List<ControllerNode> nodes = new ArrayList<>();
 
-  World(long seed) {
+  SimulatedCluster(long seed) {
     this(seed, Size.SMALL);
   }
 
-  World(long seed, Size size) {
+  SimulatedCluster(long seed, Size size) {
     // Operators are served on half of all days, so that both ways are played.
     this(seed, size, seed % 2 == 0);
   }
 
-  World(long seed, Size size, boolean operators) {
+  SimulatedCluster(long seed, Size size, boolean operators) {
     this(seed, size, operators, List.of(machineType(TYPE)), OperatorSettings.defaults());
   }
 
-  World(long seed, Size size, boolean operators, List<EmulatorSettings.MachineSpec> types) {
+  SimulatedCluster(
+      long seed, Size size, boolean operators, List<EmulatorSettings.MachineSpec> types) {
     this(seed, size, operators, types, OperatorSettings.defaults());
   }
 
   /** Controllers are told {@code operatorSettings} from their first start on. */
-  World(long seed, Size size, boolean operators, OperatorSettings operatorSettings) {
+  SimulatedCluster(long seed, Size size, boolean operators, OperatorSettings operatorSettings) {
     this(seed, size, operators, List.of(machineType(TYPE)), operatorSettings);
   }
 
@@ -150,7 +151,7 @@
     return new EmulatorSettings.MachineSpec(name, CPUS, 0, 64, 50, 1, 1, 0.4, 4);
   }
 
-  private World(
+  private SimulatedCluster(
       long seed,
       Size size,
       boolean operators,
@@ -161,8 +162,8 @@
     this.types = machineTypes.stream().map(EmulatorSettings.MachineSpec::name).toList();
     this.operators = operators;
     this.size = size;
-    sim = new Sim(seed);
-    net = new Network(sim);
+    sim = new EventSimulator(seed);
+    net = new SimulatedNetwork(sim);
     EmulatorSettings emulatorSettings =
         new EmulatorSettings(
             machineTypes,
@@ -181,7 +182,7 @@
     state = new EmulatedState(new SimulatedEnvironment(), emulatorSettings);
     net.place("state:1", state);
     for (int i = 0; i < 3; i++) {
-      nodes.add(new Node(i));
+      nodes.add(new ControllerNode(i));
     }
     checker = new InvariantChecker(this);
     answers = new MonotonicReadsChecker(this);
@@ -194,12 +195,12 @@
             new Members(),
             checker);
     net.place("cloud:1", cloud);
-    users = new Users(this);
+    users = new SimulatedUsers(this);
     new IdleCapacity(this).watch();
-    nodes.forEach(Node::start);
+    nodes.forEach(ControllerNode::start);
   }
 
-  private Users users() {
+  private SimulatedUsers users() {
     return users;
   }
 
@@ -246,24 +247,24 @@
   }
 
   /** The node that leads by the state service's word, or null. */
-  Node leader() {
+  ControllerNode leader() {
     var value = state.value("live/leader");
     return value == null ? null : nodes.get(index(value.path("member").asText()));
   }
 
   /** Cuts a node and some machines off from everything else, for a while. */
-  void cutOff(Node node, Predicate<EmulatedWorker> with, boolean hold, long ms) {
+  void cutOff(ControllerNode node, Predicate<EmulatedWorker> with, boolean hold, long ms) {
     cutOff(List.of(node), with, hold, sim.now() + ms, new HashSet<>());
   }
 
   /** Cuts a zone off from everything else, for a while. */
   void cutZone(String zone, boolean hold, long ms) {
-    List<Node> with = nodes.stream().filter(n -> n.settings.zone().equals(zone)).toList();
+    List<ControllerNode> with = nodes.stream().filter(n -> n.settings.zone().equals(zone)).toList();
     cutOff(with, m -> m.zone().equals(zone), hold, sim.now() + ms, new HashSet<>());
   }
 
   private void cutOff(
-      List<Node> with,
+      List<ControllerNode> with,
       Predicate<EmulatedWorker> machines,
       boolean hold,
       long end,
@@ -274,7 +275,7 @@
     }
     Set<String> inside = new LinkedHashSet<>();
     Set<String> outside = new LinkedHashSet<>(List.of("state:1", "cloud:1", "users"));
-    for (Node n : nodes) {
+    for (ControllerNode n : nodes) {
       (with.contains(n) ? inside : outside).addAll(List.of("node-" + n.index, client(n.index)));
     }
     cloud.machines().forEach(m -> (machines.test(m) ? inside : outside).add(m.endpoint()));
@@ -367,7 +368,7 @@
   }
 
   /** A controller's machine: its process may end and begin again. */
-  final class Node implements RequestHandler {
+  final class ControllerNode implements RequestHandler {
     final int index;
     final Settings settings;
     private ControllerProcess process;
@@ -375,9 +376,9 @@
     /** Reports of workers that came to it. */
     int beats;
 
-    Node(int index) {
+    ControllerNode(int index) {
       this.index = index;
-      this.settings = World.this.settings(index);
+      this.settings = SimulatedCluster.this.settings(index);
       net.place(client(index), this);
       net.place(admin(index), this::operator);
     }
@@ -395,7 +396,7 @@
       if (process != null) {
         process.dead = true;
         process = null;
-        for (Node n : nodes) {
+        for (ControllerNode n : nodes) {
           if (n.process != null) {
             n.process.listener.down("node-" + index);
           }
@@ -476,7 +477,7 @@
 
   /** One process: everything it set in motion ends with it, except what has left it. */
   private final class ControllerProcess implements Clock, Timers, BackgroundExecutor, PeerNetwork {
-    final Node node;
+    final ControllerNode node;
     final Controller controller;
     final double drift = 1 + sim.random.nextDouble() * 0.0005;
     final long zero = sim.now();
@@ -484,7 +485,7 @@
     long frozenUntil;
     PeerNetwork.Listener listener;
 
-    ControllerProcess(Node node) {
+    ControllerProcess(ControllerNode node) {
       this.node = node;
       ControllerEnvironment environment =
           new ControllerEnvironment(
@@ -561,7 +562,7 @@
 
     @Override
     public void send(String member, Object message) {
-      Node to = nodes.get(index(member));
+      ControllerNode to = nodes.get(index(member));
       if (peersRefuse) {
         return;
       }
@@ -589,7 +590,7 @@
 
     /** A dead process's port refuses, as its peers soon notice. */
     private void probe() {
-      for (Node n : nodes) {
+      for (ControllerNode n : nodes) {
         if (n != node && (n.process == null || peersRefuse)) {
           listener.refused("node-" + n.index);
         }
--- a/src/test/java/dapplestair/world/Network.java
+++ b/src/test/java/dapplestair/world/SimulatedNetwork.java
@@ -21,7 +21,7 @@
  * Carries requests between named places, with delay, and through cuts that drop or hold back. What
  * is held back arrives once the cut ends, even if nobody waits for an answer any more.
  */
-final class Network {
+final class SimulatedNetwork {
   private record Pair(String a, String b) {}
 
   /** A request as it leaves its sender. */
@@ -46,7 +46,7 @@
 
   static final long MOST_HELD_MS = 16_000;
 
-  private final Sim sim;
+  private final EventSimulator sim;
   private final Map<String, RequestHandler> places = new HashMap<>();
   private final Map<Pair, List<Runnable>> held = new HashMap<>();
   private final Set<Pair> dropping = new HashSet<>();
@@ -101,7 +101,7 @@
 
   private final List<Consumer<Request>> observers = new ArrayList<>();
 
-  Network(Sim sim) {
+  SimulatedNetwork(EventSimulator sim) {
     this.sim = sim;
     commits = new CommitInterceptor(sim);
   }
@@ -271,7 +271,7 @@
   /** The same once more, much later and perhaps to another controller; nobody hears the answer. */
   private void copy(String from, String to, String method, String path, byte[] body) {
     boolean report = path.equals("/agent/beat") && sim.chance(0.5);
-    String where = report ? World.client((int) sim.between(0, 2)) : to;
+    String where = report ? SimulatedCluster.client((int) sim.between(0, 2)) : to;
     sim.after(
         sim.between(1000, copyLateMs),
         () -> {
--- a/src/test/java/dapplestair/world/Users.java
+++ b/src/test/java/dapplestair/world/SimulatedUsers.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 
 /** Users who submit, poll and cancel, repeat what failed, and remember what they were told. */
-final class Users {
+final class SimulatedUsers {
   /** A job with all that any user was told of it. */
   static final class KnownJob {
     final String ref;
@@ -122,7 +122,7 @@
   }
 
   final Map<String, KnownJob> told = new LinkedHashMap<>();
-  private final World world;
+  private final SimulatedCluster world;
   private int made;
   boolean quiet;
 
@@ -140,7 +140,7 @@
   /** Since when there have been no troubles. */
   long calmFrom = Long.MAX_VALUE / 2;
 
-  Users(World world) {
+  SimulatedUsers(SimulatedCluster world) {
     this.world = world;
     world.sim.after(500, this::next);
     world.sim.after(3000, this::askForUnknown);
@@ -249,7 +249,7 @@
   }
 
   private String someNode() {
-    return World.client((int) world.sim.between(0, world.nodes.size() - 1));
+    return SimulatedCluster.client((int) world.sim.between(0, world.nodes.size() - 1));
   }
 
   private void submit(KnownJob t, long until) {
@@ -311,8 +311,8 @@
   }
 
   /** Cancels through one controller, once; what it answers counts like any other answer. */
-  void cancelAt(KnownJob t, World.Node node) {
-    cancelAt(t, World.client(node.index), () -> {});
+  void cancelAt(KnownJob t, SimulatedCluster.ControllerNode node) {
+    cancelAt(t, SimulatedCluster.client(node.index), () -> {});
   }
 
   private void cancelAt(KnownJob t, String client, Runnable otherwise) {
--- a/src/test/java/dapplestair/world/SingleTaskJobsTest.java
+++ b/src/test/java/dapplestair/world/SingleTaskJobsTest.java
@@ -26,13 +26,13 @@
 
   /** One play. */
   private static final class Swarm {
-    final World w;
-    final List<Users.KnownJob> jobs = new ArrayList<>();
+    final SimulatedCluster w;
+    final List<SimulatedUsers.KnownJob> jobs = new ArrayList<>();
     final Set<String> cancelledAtOnce = new HashSet<>();
     final Set<String> cancelledAtEnd = new HashSet<>();
 
     Swarm(long seed) {
-      w = new World(seed, World.Size.MIDDLE.withWriteRps(WRITE_RPS));
+      w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE.withWriteRps(WRITE_RPS));
       w.users.quiet = true;
       w.answers.firstHeard =
           (ref, state) -> {
@@ -51,7 +51,7 @@
 
     void submit() {
       double runS = w.sim.between(2, 20);
-      Users.KnownJob job =
+      SimulatedUsers.KnownJob job =
           w.users.changed(
               "guest",
               1,
@@ -83,7 +83,7 @@
   @CsvSource({"9401,0,false", "9403,0,true", "9406,14,true", "9407,25,false"})
   void allEndWithinThePuts(long seed, int others, boolean leaderEnds) {
     Swarm s = new Swarm(seed);
-    World w = s.w;
+    SimulatedCluster w = s.w;
     w.run(15_000);
     long until = w.sim.now() + JOBS * EVERY_MS;
     s.others(others, until);
--- a/src/test/java/dapplestair/world/StaleReportsTest.java
+++ b/src/test/java/dapplestair/world/StaleReportsTest.java
@@ -13,8 +13,8 @@
   private static final int CHANGES = 5;
 
   /** Tasks end and begin all the time, so that each report is soon out of date. */
-  private static World begun(long seed) {
-    World w = new World(seed, new World.Size(6, 30, 900, 8));
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 30, 900, 8));
     w.net.loss = 0;
     w.run(20_000);
     return w;
@@ -39,19 +39,19 @@
   })
   void theyMeetTheNextLeader(
       long seed, long afterMs, DelayedReports.Arrival arrival, boolean everywhere) {
-    World w = begun(seed);
-    DelayedReports reports = new DelayedReports(w, 1, 2 * World.LEASE_MS);
+    SimulatedCluster w = begun(seed);
+    DelayedReports reports = new DelayedReports(w, 1, 2 * SimulatedCluster.LEASE_MS);
     for (int i = 0; i < CHANGES; i++) {
       w.net.when(
           r -> r.orders("launch"),
           afterMs,
           () -> {
-            reports.arrive(arrival, everywhere, World.REPORT_MS);
+            reports.arrive(arrival, everywhere, SimulatedCluster.REPORT_MS);
             if (w.leader() != null) {
               w.leader().crash(w.sim.between(500, 5000));
             }
           });
-      w.run(World.LEASE_MS + w.sim.between(0, 3000));
+      w.run(SimulatedCluster.LEASE_MS + w.sim.between(0, 3000));
     }
     assertTrue(w.net.lateTaken.get() > 100, "hardly any copy was taken: " + w.net.lateTaken);
     SeededDaysTest.settle(w);
@@ -61,21 +61,21 @@
   @ParameterizedTest(name = "seed {0}, {1} ms after a launch, the next has {2}")
   @CsvSource({"5021,1,BEGUN", "5022,400,BEGUN", "5023,1700,BEGUN", "5024,1,ACTED"})
   void theyAreOfAnEarlierSession(long seed, long afterMs, DelayedReports.Arrival arrival) {
-    World w = begun(seed);
-    DelayedReports reports = new DelayedReports(w, 1, 4 * World.LEASE_MS);
-    w.run(World.REPORT_MS);
-    reports.arrive(arrival, true, World.REPORT_MS);
-    w.nodes.forEach(n -> n.crash(World.LEASE_MS * 5 / 4));
-    w.run(World.LEASE_MS * 5 / 4 + 4000);
+    SimulatedCluster w = begun(seed);
+    DelayedReports reports = new DelayedReports(w, 1, 4 * SimulatedCluster.LEASE_MS);
+    w.run(SimulatedCluster.REPORT_MS);
+    reports.arrive(arrival, true, SimulatedCluster.REPORT_MS);
+    w.nodes.forEach(n -> n.crash(SimulatedCluster.LEASE_MS * 5 / 4));
+    w.run(SimulatedCluster.LEASE_MS * 5 / 4 + 4000);
     assertTrue(w.cloud.killedByLease() > 0, "no session has ended");
     w.net.when(
         r -> r.orders("launch"),
         afterMs,
         () -> {
-          reports.arrive(arrival, true, World.REPORT_MS);
+          reports.arrive(arrival, true, SimulatedCluster.REPORT_MS);
           w.leader().crash(2000);
         });
-    w.run(World.LEASE_MS);
+    w.run(SimulatedCluster.LEASE_MS);
     assertTrue(w.net.lateTaken.get() > 50, "hardly any copy was taken: " + w.net.lateTaken);
     SeededDaysTest.settle(w);
   }
--- a/src/test/java/dapplestair/world/TeamLimitsTest.java
+++ b/src/test/java/dapplestair/world/TeamLimitsTest.java
@@ -14,12 +14,12 @@
  */
 class TeamLimitsTest {
   private static final List<String> TEAMS = List.of("one", "two");
-  private static final World.Size TIGHT = new World.Size(16, 50, 2150, 12);
+  private static final SimulatedCluster.Size TIGHT = new SimulatedCluster.Size(16, 50, 2150, 12);
 
   /** Jobs to be cancelled and jobs to be kept, and more work than the teams' limits allow. */
   static final class FullDay {
     final CancellationOutageTest.Day day;
-    final World w;
+    final SimulatedCluster w;
 
     FullDay(long seed) {
       day = new CancellationOutageTest.Day(begun(seed));
@@ -31,8 +31,8 @@
       }
     }
 
-    private static World begun(long seed) {
-      World w = new World(seed, TIGHT, true);
+    private static SimulatedCluster begun(long seed) {
+      SimulatedCluster w = new SimulatedCluster(seed, TIGHT, true);
       w.net.loss = 0;
       w.users.quiet = true;
       for (int i = 0; i < 8; i++) {
@@ -44,7 +44,7 @@
 
     double cpus(String team) {
       double sum = 0;
-      for (Users.KnownJob job : w.users.told.values()) {
+      for (SimulatedUsers.KnownJob job : w.users.told.values()) {
         sum += job.team.equals(team) ? job.cpus * day.running(job) : 0;
       }
       return sum;
@@ -58,7 +58,7 @@
     /** The spell is over: what was cancelled is gone, and all else ends. */
     void settle() {
       day.cancelled.forEach(t -> assertTrue(t.aborted || !t.accepted, t.ref + " is not cancelled"));
-      w.run(World.CANCEL_MS);
+      w.run(SimulatedCluster.CANCEL_MS);
       assertEquals(0, day.running(day.cancelled), "cancelled tasks");
       w.run(30_000);
       SeededDaysTest.settle(w);
@@ -90,16 +90,16 @@
     play(seed, fault, change, afterMs);
   }
 
-  static World play(long seed, MachineFault fault, LeaderChange change, long afterMs) {
+  static SimulatedCluster play(long seed, MachineFault fault, LeaderChange change, long afterMs) {
     FullDay f = new FullDay(seed);
     int before = f.w.checker.started;
     f.w.sim.after(1500 + afterMs, () -> change.happen(f.w));
-    f.day.troubleEverySecond(fault, World.CANCEL_MS * 3 / 2);
+    f.day.troubleEverySecond(fault, SimulatedCluster.CANCEL_MS * 3 / 2);
     f.w.run(1500);
     f.cancel();
-    f.w.run(World.CANCEL_MS);
+    f.w.run(SimulatedCluster.CANCEL_MS);
     assertTrue(f.w.checker.started > before + 5, "what waits does not go on");
-    f.w.run(World.CANCEL_MS);
+    f.w.run(SimulatedCluster.CANCEL_MS);
     f.settle();
     return f.w;
   }
--- a/src/test/java/dapplestair/world/UnevenTaskDurationsTest.java
+++ b/src/test/java/dapplestair/world/UnevenTaskDurationsTest.java
@@ -15,8 +15,8 @@
 class UnevenTaskDurationsTest {
   private static final double SHORT_S = 4;
 
-  private static World begun(long seed) {
-    World w = new World(seed, World.Size.MIDDLE);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
     w.run(5000);
@@ -26,7 +26,7 @@
   }
 
   /** A job whose tasks last so many times the shortest. */
-  private static Users.KnownJob job(World w, double... factors) {
+  private static SimulatedUsers.KnownJob job(SimulatedCluster w, double... factors) {
     return w.users.changed(
         "one",
         factors.length,
@@ -39,8 +39,8 @@
         });
   }
 
-  private static List<Users.KnownJob> jobs(World w) {
-    List<Users.KnownJob> out = new ArrayList<>();
+  private static List<SimulatedUsers.KnownJob> jobs(SimulatedCluster w) {
+    List<SimulatedUsers.KnownJob> out = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       out.add(job(w, 1, 6 + i));
       out.add(job(w, 5 + i, 1, 2));
@@ -48,11 +48,11 @@
     return out;
   }
 
-  private static boolean completed(World w, Users.KnownJob job, int step) {
+  private static boolean completed(SimulatedCluster w, SimulatedUsers.KnownJob job, int step) {
     return w.checker.hasCompleted(job.ref + "/" + step);
   }
 
-  private static void runUntilCompleted(World w, Users.KnownJob job, int step) {
+  private static void runUntilCompleted(SimulatedCluster w, SimulatedUsers.KnownJob job, int step) {
     for (int i = 0; i < 400 && !completed(w, job, step); i++) {
       w.run(50);
     }
@@ -60,7 +60,7 @@
   }
 
   /** Each of its tasks ran once, and it is done. */
-  private static void doneOnce(Users.KnownJob job) {
+  private static void doneOnce(SimulatedUsers.KnownJob job) {
     assertTrue(job.done, () -> job.ref + " is not done");
     assertEquals(job.steps, job.starts, () -> "starts of " + job.ref);
   }
@@ -80,8 +80,8 @@
     "9410,3000,9000"
   })
   void doneIsSaidOnceAndOnlyWhenAllAre(long seed, long endsMs, long nextEndsMs) {
-    World w = begun(seed);
-    List<Users.KnownJob> jobs = jobs(w);
+    SimulatedCluster w = begun(seed);
+    List<SimulatedUsers.KnownJob> jobs = jobs(w);
     runUntilCompleted(w, jobs.get(0), 0);
     w.run(endsMs);
     w.leader().crash(w.sim.between(100, 3000));
@@ -104,9 +104,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9421, 9422, 9423, 9424})
   void anEndKnownOnlyToTheFormerLeader(long seed) {
-    World w = begun(seed);
-    List<Users.KnownJob> jobs = jobs(w);
-    World.Node leader = w.leader();
+    SimulatedCluster w = begun(seed);
+    List<SimulatedUsers.KnownJob> jobs = jobs(w);
+    SimulatedCluster.ControllerNode leader = w.leader();
     runUntilCompleted(w, jobs.get(0), 0);
     w.net.cut("node-" + leader.index, "state:1", seed % 2 == 0);
     // Its worker reports the end after half a second, and hears an answer.
--- a/src/test/java/dapplestair/world/UnreadJobsTest.java
+++ b/src/test/java/dapplestair/world/UnreadJobsTest.java
@@ -17,8 +17,8 @@
   private static final int JOBS = 6;
   private static final double RUN_S = 60;
 
-  private static World begun(long seed) {
-    World w = new World(seed);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed);
     w.net.loss = 0;
     w.users.cancelledArrays = 0;
     w.run(60_000);
@@ -26,7 +26,7 @@
   }
 
   /** How many tasks of these jobs are on machines of a zone. */
-  private static long running(World w, String zone, List<Users.KnownJob> jobs) {
+  private static long running(SimulatedCluster w, String zone, List<SimulatedUsers.KnownJob> jobs) {
     return w.cloud.machines().stream()
         .filter(m -> !m.gone() && m.zone().equals(zone))
         .flatMap(m -> m.tasks().stream())
@@ -36,9 +36,10 @@
   }
 
   /** Jobs of the follower's zone that are accepted while it does not hear the state service. */
-  private static List<Users.KnownJob> unreadJobs(World w, World.Node follower, long unreadMs) {
+  private static List<SimulatedUsers.KnownJob> unreadJobs(
+      SimulatedCluster w, SimulatedCluster.ControllerNode follower, long unreadMs) {
     w.net.cut("node-" + follower.index, "state:1", false);
-    List<Users.KnownJob> jobs = new ArrayList<>();
+    List<SimulatedUsers.KnownJob> jobs = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
       jobs.add(w.users.changed("two", 2, RUN_S, b -> b.put("basin", follower.settings.zone())));
     }
@@ -50,13 +51,13 @@
   @ParameterizedTest(name = "seed {0}, records unread for {1} ms before the cut")
   @CsvSource({"13001,200", "13002,500", "13003,1000", "13004,2000", "13005,4000", "13006,8000"})
   void jobsNotReadBeforeACutKeepTheirLeases(long seed, long unreadMs) {
-    World w = begun(seed);
-    World.Node follower = w.nodes.get((w.leader().index + 1) % 3);
+    SimulatedCluster w = begun(seed);
+    SimulatedCluster.ControllerNode follower = w.nodes.get((w.leader().index + 1) % 3);
     String zone = follower.settings.zone();
-    List<Users.KnownJob> jobs = unreadJobs(w, follower, unreadMs);
-    w.cutOff(follower, m -> m.zone().equals(zone), false, World.LEASE_MS * 4 / 3);
+    List<SimulatedUsers.KnownJob> jobs = unreadJobs(w, follower, unreadMs);
+    w.cutOff(follower, m -> m.zone().equals(zone), false, SimulatedCluster.LEASE_MS * 4 / 3);
     long unread = running(w, zone, jobs);
-    w.run(2 * World.LEASE_MS);
+    w.run(2 * SimulatedCluster.LEASE_MS);
     w.net.heal("node-" + follower.index, "state:1");
     assertEquals(0, w.cloud.killedByLease(), "tasks killed by the end of a lease");
     SeededDaysTest.settle(w);
@@ -67,11 +68,11 @@
   @ParameterizedTest(name = "seed {0}, cancelled {1} ms after the cut began")
   @CsvSource({"13011,0", "13012,400", "13013,3000", "13014,17000", "13015,30000"})
   void unreadJobsCancelledOutsideACutEndInTime(long seed, long cancelledMs) {
-    World w = begun(seed);
-    World.Node follower = w.nodes.get((w.leader().index + 1) % 3);
-    List<Users.KnownJob> jobs = unreadJobs(w, follower, World.REPORT_MS);
+    SimulatedCluster w = begun(seed);
+    SimulatedCluster.ControllerNode follower = w.nodes.get((w.leader().index + 1) % 3);
+    List<SimulatedUsers.KnownJob> jobs = unreadJobs(w, follower, SimulatedCluster.REPORT_MS);
     String zone = follower.settings.zone();
-    long cutMs = 2 * World.CANCEL_MS;
+    long cutMs = 2 * SimulatedCluster.CANCEL_MS;
     w.cutOff(follower, m -> m.zone().equals(zone), false, cutMs);
     w.run(cancelledMs);
     assertTrue(running(w, zone, jobs) > 0, "none of the jobs runs in the zone");
@@ -79,9 +80,9 @@
     jobs.removeIf(job -> !job.accepted);
     assertTrue(running(w, zone, jobs) > 0, "none that runs in the zone can be cancelled");
     jobs.forEach(job -> w.users.cancelAt(job, w.leader()));
-    w.run(World.REPORT_MS);
+    w.run(SimulatedCluster.REPORT_MS);
     jobs.forEach(job -> assertTrue(job.aborted, job.ref + " is not cancelled"));
-    w.run(World.CANCEL_MS);
+    w.run(SimulatedCluster.CANCEL_MS);
     assertEquals(0, running(w, zone, jobs), "cancelled tasks");
     w.run(cutMs - cancelledMs);
     w.net.heal("node-" + follower.index, "state:1");
@@ -92,16 +93,16 @@
   @ParameterizedTest(name = "seed {0}, deposed {1} ms before the cut")
   @CsvSource({"13021,400", "13022,1000", "13023,2000", "13024,4000"})
   void aFormerLeaderBehindACutKeepsItsLeases(long seed, long deposedMs) {
-    World w = begun(seed);
-    World.Node former = w.leader();
+    SimulatedCluster w = begun(seed);
+    SimulatedCluster.ControllerNode former = w.leader();
     String zone = former.settings.zone();
     w.net.cut("node-" + former.index, "state:1", false);
     while (w.leader() == null || w.leader() == former) {
       w.run(100);
     }
     w.run(deposedMs);
-    w.cutOff(former, m -> m.zone().equals(zone), false, World.LEASE_MS * 4 / 3);
-    w.run(2 * World.LEASE_MS);
+    w.cutOff(former, m -> m.zone().equals(zone), false, SimulatedCluster.LEASE_MS * 4 / 3);
+    w.run(2 * SimulatedCluster.LEASE_MS);
     w.net.heal("node-" + former.index, "state:1");
     assertEquals(0, w.cloud.killedByLease(), "tasks killed by the end of a lease");
     SeededDaysTest.settle(w);
--- a/src/test/java/dapplestair/world/WaitingReasonsTest.java
+++ b/src/test/java/dapplestair/world/WaitingReasonsTest.java
@@ -25,16 +25,16 @@
 class WaitingReasonsTest {
   @Test
   void theTeamsLimitIsNamed() {
-    World w = quiet(1, new World.Size(40, 20, 1_000_000, 1));
-    Users.KnownJob job = w.users.array("one", "standard", 60, 300);
+    SimulatedCluster w = quiet(1, new SimulatedCluster.Size(40, 20, 1_000_000, 1));
+    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 60, 300);
     w.run(40_000);
     assertTrue(reasons(w, job).contains("team-limit"), reasons(w, job).toString());
   }
 
   @Test
   void aCloudWithNothingToGiveIsNamed() {
-    World w = quiet(2, new World.Size(1, 1000, 1_000_000, 1));
-    Users.KnownJob job = w.users.array("one", "standard", 100, 300);
+    SimulatedCluster w = quiet(2, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
+    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 100, 300);
     w.run(40_000);
     Set<String> all = reasons(w, job);
     assertTrue(all.contains("cloud-refused") && all.contains("full"), all.toString());
@@ -42,8 +42,8 @@
 
   @Test
   void machinesOnTheirWayAreNamed() {
-    World w = quiet(3, OperatorsTest.ROOMY);
-    Users.KnownJob job = w.users.array("one", "standard", 60, 300);
+    SimulatedCluster w = quiet(3, OperatorsTest.ROOMY);
+    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 60, 300);
     w.run(4500);
     JsonNode why = answer(w, "/v1/jobs/" + job.ref + "/why");
     boolean booting = false;
@@ -56,17 +56,17 @@
 
   @Test
   void drainedMachinesAreNamed() {
-    World w = quiet(4, new World.Size(1, 1000, 1_000_000, 1));
+    SimulatedCluster w = quiet(4, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
     w.users.array("one", "standard", 10, 5);
     w.run(30_000);
-    for (String zone : World.ZONES) {
+    for (String zone : SimulatedCluster.ZONES) {
       order(w, "/v1/zones/" + zone + "/drain", Json.object());
     }
-    Users.KnownJob job = w.users.array("one", "standard", 4, 300);
+    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 4, 300);
     w.run(10_000);
     Set<String> all = reasons(w, job);
     assertTrue(all.contains("drained"), all.toString());
-    for (String zone : World.ZONES) {
+    for (String zone : SimulatedCluster.ZONES) {
       order(w, "/v1/zones/" + zone + "/undrain", null);
     }
     w.run(20_000);
@@ -75,9 +75,9 @@
 
   @Test
   void aJobThatFailsEverywhereIsBackedOff() {
-    World w = quiet(5, OperatorsTest.ROOMY);
+    SimulatedCluster w = quiet(5, OperatorsTest.ROOMY);
     w.also = () -> w.cloud.machines().forEach(EmulatedWorker::sicken);
-    Users.KnownJob job = w.users.array("one", "standard", 6, 5);
+    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 6, 5);
     w.run(25_000);
     boolean named = false;
     for (int i = 0; i < 10 && !named; i++) {
@@ -88,12 +88,12 @@
   }
 
   /** Machines of both kinds are up in all zones, and the cloud has no more to give. */
-  private static World full(long seed, int perPlace) {
+  private static SimulatedCluster full(long seed, int perPlace) {
     return full(seed, perPlace, 15);
   }
 
-  private static World full(long seed, int perPlace, double runS) {
-    World w = quiet(seed, new World.Size(perPlace, 1000, 1_000_000, 1));
+  private static SimulatedCluster full(long seed, int perPlace, double runS) {
+    SimulatedCluster w = quiet(seed, new SimulatedCluster.Size(perPlace, 1000, 1_000_000, 1));
     w.users.array("one", "standard", 60, runS);
     w.users.changed("one", 60, 15, b -> b.put("loaners", false));
     w.run(60_000);
@@ -104,8 +104,8 @@
   @Test
   void spotMachinesThatAJobDoesNotWantAreNamed() {
     // Long enough that no spot machine has been returned as idle when the question comes.
-    World w = full(6, 1, 60);
-    Users.KnownJob job = w.users.changed("one", 40, 300, b -> b.put("loaners", false));
+    SimulatedCluster w = full(6, 1, 60);
+    SimulatedUsers.KnownJob job = w.users.changed("one", 40, 300, b -> b.put("loaners", false));
     w.run(12_000);
     JsonNode why = answer(w, "/v1/jobs/" + job.ref + "/why");
     assertEquals(Set.of(), difference(Set.of("spot", "full"), reasons(w, job)), why.toString());
@@ -114,7 +114,7 @@
   /** Room on ordinary machines that work which may run on spot ones leaves to the next replicas. */
   @Test
   void roomHeldForServicesIsNamed() {
-    World w = quiet(8, new World.Size(1, 1000, 1_000_000, 1));
+    SimulatedCluster w = quiet(8, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
     // Services that lately arrived are what is expected to arrive again.
     for (int i = 0; i < 40; i++) {
       w.users.changed(
@@ -130,7 +130,7 @@
     }
     w.run(30_000);
     w.cloud.setCapacity(0);
-    Users.KnownJob job = w.users.array("one", "standard", 40, 300);
+    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 40, 300);
     boolean named = false;
     for (int i = 0; i < 20 && !named; i++) {
       w.run(1000);
@@ -143,7 +143,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6, 8, 9, 10, 13, 18})
   void aReplicaThatAwaitsItsImageSaysSo(long seed) {
-    World w = quiet(seed, new World.Size(1, 1000, 1_000_000, 1));
+    SimulatedCluster w = quiet(seed, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
     Consumer<ObjectNode> service =
         b ->
             b.put("shape", "daemon")
@@ -153,7 +153,7 @@
                 .put("bundle", "img-large")
                 .put("vcpus", 2.0)
                 .put("imageGb", 8.0);
-    Users.KnownJob first = w.users.changed("one", 1, 0, service);
+    SimulatedUsers.KnownJob first = w.users.changed("one", 1, 0, service);
     w.run(25_000);
     EmulatedWorker holder = null;
     for (EmulatedWorker m : w.cloud.machines()) {
@@ -177,13 +177,13 @@
     assertTrue(others >= 2, "no room elsewhere");
     // It waits for as long as a stop takes, less than one answer is waited for: this one takes a
     // second, and the question is asked all the time.
-    for (World.Node n : w.nodes) {
+    for (SimulatedCluster.ControllerNode n : w.nodes) {
       String from = "node-" + n.index;
       String to = holder.endpoint();
       w.net.cut(from, to, true);
       w.sim.after(1000, () -> w.net.heal(from, to));
     }
-    Users.KnownJob second = w.users.changed("one", 1, 0, service);
+    SimulatedUsers.KnownJob second = w.users.changed("one", 1, 0, service);
     Set<String> all = new LinkedHashSet<>();
     String why = "/v1/jobs/" + second.ref + "/why";
     for (int i = 0; i < 100 && all.stream().noneMatch(x -> x.contains("awaits-image")); i++) {
@@ -201,8 +201,8 @@
 
   @Test
   void theOnlyZoneAllowedIsNamed() {
-    World w = full(7, 1);
-    Users.KnownJob job = w.users.changed("one", 40, 300, b -> b.put("basin", "b"));
+    SimulatedCluster w = full(7, 1);
+    SimulatedUsers.KnownJob job = w.users.changed("one", 40, 300, b -> b.put("basin", "b"));
     w.run(12_000);
     Set<String> all = reasons(w, job);
     assertEquals(Set.of(), difference(Set.of("not-allowed", "full"), all), all.toString());
@@ -210,11 +210,11 @@
 
   @Test
   void theZoneOfTheOtherTasksIsNamed() {
-    World w = quiet(8, new World.Size(1, 1000, 1_000_000, 1));
+    SimulatedCluster w = quiet(8, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
     w.users.array("one", "standard", 12, 8);
     w.run(24_000);
     w.cloud.setCapacity(0);
-    Users.KnownJob job = w.users.changed("one", 14, 300, b -> b.put("together", true));
+    SimulatedUsers.KnownJob job = w.users.changed("one", 14, 300, b -> b.put("together", true));
     w.run(3000);
     Set<String> all = reasons(w, job);
     assertTrue(all.contains("together"), all + " " + answer(w, "/v1/machines"));
@@ -222,10 +222,10 @@
 
   @Test
   void aCrowdedZoneIsNamed() {
-    World w = quiet(9, new World.Size(2, 1000, 1_000_000, 1));
+    SimulatedCluster w = quiet(9, new SimulatedCluster.Size(2, 1000, 1_000_000, 1));
     order(w, "/v1/zones/b/drain", Json.object());
     order(w, "/v1/zones/c/drain", Json.object());
-    Users.KnownJob job = w.users.service("one", 6);
+    SimulatedUsers.KnownJob job = w.users.service("one", 6);
     w.run(40_000);
     Set<String> all = reasons(w, job);
     assertTrue(all.contains("spread"), all.toString());
@@ -234,8 +234,8 @@
 
   @Test
   void aGangThatNeedsMoreRoomIsNamed() {
-    World w = full(10, 1);
-    Users.KnownJob job = w.users.changed("one", 60, 300, b -> b.put("shape", "gang"));
+    SimulatedCluster w = full(10, 1);
+    SimulatedUsers.KnownJob job = w.users.changed("one", 60, 300, b -> b.put("shape", "gang"));
     // What ran there before has ended by then.
     w.run(20_000);
     JsonNode why = answer(w, "/v1/jobs/" + job.ref + "/why");
@@ -249,10 +249,10 @@
 
   @Test
   void aGangThatHasWaitedLongIsNamedToThoseBehindIt() {
-    World w = full(15, 1);
+    SimulatedCluster w = full(15, 1);
     w.users.changed("one", 60, 10, b -> b.put("shape", "gang"));
     w.run(45_000);
-    Users.KnownJob behind = w.users.array("one", "standard", 6, 300);
+    SimulatedUsers.KnownJob behind = w.users.array("one", "standard", 6, 300);
     w.run(4000);
     Set<String> all = reasons(w, behind);
     assertTrue(all.contains("behind-gang"), all.toString());
@@ -260,7 +260,7 @@
 
   @Test
   void machinesThatFailEverythingAreNamed() {
-    World w = full(14, 1);
+    SimulatedCluster w = full(14, 1);
     // What was empty has gone back meanwhile; some are up again for this.
     w.cloud.setCapacity(1);
     w.users.array("one", "standard", 20, 10);
@@ -270,7 +270,7 @@
     w.users.array("two", "standard", 6, 10);
     w.run(10_000);
     w.cloud.setDown(true);
-    Users.KnownJob job = w.users.array("one", "standard", 6, 10);
+    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 6, 10);
     w.run(20_000);
     Set<String> all = reasons(w, job);
     assertTrue(all.contains("faulty") || all.contains("returning"), all.toString());
--- a/src/test/java/dapplestair/world/ZoneBoundTest.java
+++ b/src/test/java/dapplestair/world/ZoneBoundTest.java
@@ -14,16 +14,16 @@
  * off, or has none to begin with.
  */
 class ZoneBoundTest {
-  private static World quiet(long seed) {
-    World w = new World(seed, World.Size.MIDDLE);
+  private static SimulatedCluster quiet(long seed) {
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
     return w;
   }
 
   /** Jobs of each shape that run in this zone alone; they last for half a minute. */
-  private static List<Users.KnownJob> bound(World w, String zone) {
-    List<Users.KnownJob> out = new ArrayList<>();
+  private static List<SimulatedUsers.KnownJob> bound(SimulatedCluster w, String zone) {
+    List<SimulatedUsers.KnownJob> out = new ArrayList<>();
     double runS = 30;
     out.add(w.users.changed("one", 12, runS, b -> b.put("basin", zone)));
     out.add(w.users.changed("two", 1, runS, b -> b.put("basin", zone).put("loaners", false)));
@@ -52,7 +52,7 @@
     return out;
   }
 
-  private static void eachMachine(World w, String zone, Consumer<EmulatedWorker> act) {
+  private static void eachMachine(SimulatedCluster w, String zone, Consumer<EmulatedWorker> act) {
     for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
       if (m.zone().equals(zone) && m.booted() && !m.gone()) {
         act.accept(m);
@@ -64,13 +64,13 @@
   @ParameterizedTest(name = "zone {0}, seed {1}, others at work: {2}")
   @CsvSource({"a,9201,false", "b,9202,false", "c,9203,false", "b,9204,true", "c,9205,true"})
   void machinesComeWhereTheJobIsBound(String zone, long seed, boolean others) {
-    World w = quiet(seed);
+    SimulatedCluster w = quiet(seed);
     w.run(5000);
     if (others) {
       w.users.array("one", "high", 12, 200);
       w.run(20_000);
     }
-    List<Users.KnownJob> jobs = bound(w, zone);
+    List<SimulatedUsers.KnownJob> jobs = bound(w, zone);
     w.run(90_000);
     jobs.forEach(
         job -> assertTrue(job.service ? job.started : job.done, () -> job.body + " waits"));
@@ -94,10 +94,10 @@
     "9220,c,recall,3000"
   })
   void theZoneLosesMachines(long seed, String zone, String how, long leaderEndsMs) {
-    World w = quiet(seed);
+    SimulatedCluster w = quiet(seed);
     w.run(5000);
     w.users.array("two", "standard", 40, 15);
-    List<Users.KnownJob> jobs = bound(w, zone);
+    List<SimulatedUsers.KnownJob> jobs = bound(w, zone);
     w.run(30_000);
     for (int round = 0; round < 2; round++) {
       eachMachine(
@@ -115,15 +115,15 @@
           w.leader().crash(w.sim.between(100, 4000));
         }
       }
-      w.run(World.LEASE_MS);
+      w.run(SimulatedCluster.LEASE_MS);
     }
     SeededDaysTest.settle(w);
   }
 
-  private static void lose(World w, EmulatedWorker m, String how) {
+  private static void lose(SimulatedCluster w, EmulatedWorker m, String how) {
     switch (how) {
       case "end" -> m.end();
-      case "hang" -> m.hang(World.LEASE_MS * w.sim.between(8, 12) / 10);
+      case "hang" -> m.hang(SimulatedCluster.LEASE_MS * w.sim.between(8, 12) / 10);
       default -> m.recall(w.sim.between(0, 15_000));
     }
   }
@@ -144,12 +144,12 @@
     "9238,b,35,1700"
   })
   void theZoneIsCutOff(long seed, String zone, int tenths, long cancelMs) {
-    World w = quiet(seed);
+    SimulatedCluster w = quiet(seed);
     w.run(5000);
     w.users.array("two", "standard", 40, 15);
-    List<Users.KnownJob> jobs = bound(w, zone);
+    List<SimulatedUsers.KnownJob> jobs = bound(w, zone);
     w.run(30_000);
-    long cutMs = World.LEASE_MS * tenths / 10;
+    long cutMs = SimulatedCluster.LEASE_MS * tenths / 10;
     w.cutZone(zone, seed % 2 == 0, cutMs);
     w.run(cancelMs);
     jobs.subList(0, 3).forEach(w.users::cancel);
--- a/src/test/java/dapplestair/world/ZonesTest.java
+++ b/src/test/java/dapplestair/world/ZonesTest.java
@@ -25,7 +25,7 @@
           "RETURNING", Set.of("STEADY", "CUT"));
 
   /** Every state that the record of a zone takes, in order; fails on one that may not follow. */
-  private static List<String> watch(World w, String zone) {
+  private static List<String> watch(SimulatedCluster w, String zone) {
     List<String> seen = new ArrayList<>(List.of("STEADY"));
     w.also =
         () -> {
@@ -40,8 +40,8 @@
     return seen;
   }
 
-  private static World begun(long seed) {
-    World w = DisruptionTest.begun(seed, 5, 5);
+  private static SimulatedCluster begun(long seed) {
+    SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
     // What is lost with a zone is no choice; other tests look at that.
     w.checker.budget = null;
     return w;
@@ -79,9 +79,9 @@
   }
 
   private static void cutOnce(int tenths, int leaderEndsAt, long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     List<String> seen = watch(w, "c");
-    long cutMs = World.LEASE_MS * tenths / 10;
+    long cutMs = SimulatedCluster.LEASE_MS * tenths / 10;
     long began = w.sim.now();
     w.cutZone("c", tenths % 2 == 0, cutMs);
     if (leaderEndsAt >= 0) {
@@ -91,7 +91,7 @@
       }
     }
     w.run(Math.max(0, cutMs - (w.sim.now() - began)));
-    w.run(3 * World.LEASE_MS);
+    w.run(3 * SimulatedCluster.LEASE_MS);
     // Zone c has no controller, so what runs there is lost with its leases.
     boolean lost = tenths >= 20;
     boolean maybe = tenths == 9 || tenths == 11;
@@ -107,7 +107,8 @@
     JsonNode life = w.state.value("live/zone/c");
     assertEquals(1, life.path("cuts").asInt(), "one cut, whoever led");
     long late = life.path("cutAt").asLong() - (1_700_000_000_000L + began);
-    assertTrue(Math.abs(late) < 2 * World.REPORT_MS, "cut " + late + " ms late by the record");
+    assertTrue(
+        Math.abs(late) < 2 * SimulatedCluster.REPORT_MS, "cut " + late + " ms late by the record");
     assertEquals(72, DisruptionTest.replicas(w), "replicas once all is over");
   }
 
@@ -115,31 +116,31 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {21, 22, 23})
   void aZoneThatFlapsIsHeldDown(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     // So that the fleet stays as it is.
     w.users.array("one", "high", 60, 600);
     w.run(15_000);
     List<String> seen = watch(w, "c");
     for (int i = 1; i <= 5; i++) {
-      w.cutZone("c", i % 2 == 0, World.LEASE_MS * 2 / 3);
-      w.run(World.LEASE_MS * 2 / 3 + 1500);
+      w.cutZone("c", i % 2 == 0, SimulatedCluster.LEASE_MS * 2 / 3);
+      w.run(SimulatedCluster.LEASE_MS * 2 / 3 + 1500);
       if (i == 3 && w.leader() != null) {
         w.leader().crash(3000);
       }
-      w.run(World.LEASE_MS / 2);
+      w.run(SimulatedCluster.LEASE_MS / 2);
       assertEquals(i, w.state.value("live/zone/c").path("cuts").asInt(), seen.toString());
     }
     Set<String> before = ReplacementTest.machines(w);
     for (int i = 0; i < 4; i++) {
       w.users.array("one", "high", 60, 10);
-      w.run(World.LEASE_MS);
+      w.run(SimulatedCluster.LEASE_MS);
     }
     assertEquals("RETURNING", seen.get(seen.size() - 1), "held for eight leases by now");
     for (EmulatedWorker m : w.cloud.machines()) {
       assertTrue(
           before.contains(m.id()) || !m.zone().equals("c"), m.id() + " was rented in a held zone");
     }
-    w.run(8 * World.LEASE_MS);
+    w.run(8 * SimulatedCluster.LEASE_MS);
     assertEquals("STEADY", seen.get(seen.size() - 1));
     assertEquals(72, DisruptionTest.replicas(w), "replicas once all is over");
   }
@@ -148,13 +149,13 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {31, 32})
   void whoHearsNobodyConcludesNothing(long seed) {
-    World w = begun(seed);
+    SimulatedCluster w = begun(seed);
     for (int i = 0; i < 85; i++) {
       // Machines that come up meanwhile are out of reach as well.
-      for (World.Node n : w.nodes) {
+      for (SimulatedCluster.ControllerNode n : w.nodes) {
         for (EmulatedWorker m : w.cloud.machines()) {
           w.net.cut("node-" + n.index, m.endpoint(), false);
-          w.net.cut(World.client(n.index), m.endpoint(), false);
+          w.net.cut(SimulatedCluster.client(n.index), m.endpoint(), false);
         }
       }
       w.run(100);
@@ -165,14 +166,14 @@
   /** A zone whose machines have all been given up is tried again after a while. */
   @Test
   void anEmptiedZoneIsTriedAgain() {
-    World w = begun(41);
+    SimulatedCluster w = begun(41);
     List<String> seen = watch(w, "c");
     for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
       if (m.zone().equals("c")) {
         m.end();
       }
     }
-    w.run(12 * World.LEASE_MS);
+    w.run(12 * SimulatedCluster.LEASE_MS);
     assertEquals("STEADY", seen.get(seen.size() - 1), seen.toString());
     assertTrue(seen.contains("CUT"), seen.toString());
   }
@@ -180,13 +181,13 @@
   /** A second zone is lost while the first one returns; both are said as they are. */
   @Test
   void aSecondZoneWhileTheFirstReturns() {
-    World w = begun(51);
-    w.cutZone("c", false, World.LEASE_MS * 3 / 2);
-    w.run(World.LEASE_MS * 3 / 2 + 3000);
+    SimulatedCluster w = begun(51);
+    w.cutZone("c", false, SimulatedCluster.LEASE_MS * 3 / 2);
+    w.run(SimulatedCluster.LEASE_MS * 3 / 2 + 3000);
     // Its machines were given up, so that nobody can be heard there yet.
     assertEquals("LOST", state(w, "c"));
-    w.cutZone("b", false, World.LEASE_MS);
-    w.run(World.REPORT_MS * 5 / 2);
+    w.cutZone("b", false, SimulatedCluster.LEASE_MS);
+    w.run(SimulatedCluster.REPORT_MS * 5 / 2);
     assertEquals("CUT", state(w, "b"));
     JsonNode rows = OperatorsTest.answer(w, "/v1/zones").path("rows");
     assertEquals("steady", rows.path(0).path("state").asText(), rows.toString());
@@ -195,13 +196,13 @@
     // Late reports of machines that were returned may be all that is heard of it.
     String third = rows.path(2).path("state").asText();
     assertTrue(Set.of("lost", "returning").contains(third), rows.toString());
-    w.run(6 * World.LEASE_MS);
+    w.run(6 * SimulatedCluster.LEASE_MS);
     assertEquals("STEADY", state(w, "b"));
     assertEquals("STEADY", state(w, "c"));
     assertEquals(72, DisruptionTest.replicas(w), "replicas once all is over");
   }
 
-  private static String state(World w, String zone) {
+  private static String state(SimulatedCluster w, String zone) {
     JsonNode life = w.state.value("live/zone/" + zone);
     return life == null ? "STEADY" : life.path("state").asText();
   }
