--- a/src/main/java/dapplestair/admin/AdminHandler.java
+++ b/src/main/java/dapplestair/admin/AdminHandler.java
@@ -174,7 +174,7 @@
       serve(request, route, this::able, done);
       return;
     }
-    String leader = leadership.leading() ? null : leadership.leader();
+    String leader = leadership.isLeading() ? null : leadership.currentLeader();
     if (leader == null || !peers.alive(leader)) {
       again(
           request, route, deadline, done, leader == null ? "nobody leads" : leader + " is silent");
@@ -202,7 +202,7 @@
   }
 
   private boolean able() {
-    return leadership.leading() && ledger.armed();
+    return leadership.isLeading() && ledger.armed();
   }
 
   private void again(
@@ -239,7 +239,7 @@
       Routes.Route route,
       java.util.function.BooleanSupplier still,
       Consumer<AdminResponse> done) {
-    if (!replica.ready() || !state.reachable()) {
+    if (!replica.isReady() || !state.isReachable()) {
       done.accept(AdminResponse.later(unready()));
       return;
     }
@@ -256,7 +256,7 @@
   }
 
   private String unready() {
-    return state.reachable()
+    return state.isReachable()
         ? "this controller is still reading the records"
         : "the state service does not answer";
   }
--- a/src/main/java/dapplestair/admin/AsOfStamp.java
+++ b/src/main/java/dapplestair/admin/AsOfStamp.java
@@ -21,14 +21,14 @@
   }
 
   private long term() {
-    return leadership.leading() ? leadership.term() : leadership.termSeen();
+    return leadership.isLeading() ? leadership.term() : leadership.highestTermSeen();
   }
 
   void write(JsonGenerator out) throws IOException {
     out.writeObjectFieldStart("asOf");
     out.writeNumberField("term", term());
-    out.writeNumberField("epoch", replica.position());
-    out.writeStringField("leader", leadership.leader());
+    out.writeNumberField("epoch", replica.appliedEpoch());
+    out.writeStringField("leader", leadership.currentLeader());
     out.writeStringField("by", settings.member());
     out.writeEndObject();
   }
@@ -39,8 +39,8 @@
     object
         .putObject("asOf")
         .put("term", term())
-        .put("epoch", replica.position())
-        .put("leader", leadership.leader())
+        .put("epoch", replica.appliedEpoch())
+        .put("leader", leadership.currentLeader())
         .put("by", settings.member());
     return object;
   }
--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -73,7 +73,7 @@
   ObjectNode status() {
     ObjectNode object =
         asOf.object()
-            .put("leader", leadership.leader())
+            .put("leader", leadership.currentLeader())
             .put("term", leadership.term())
             .put("jobs", ledger.jobs().size())
             .put("attempts", ledger.attemptCount())
@@ -114,14 +114,14 @@
     ObjectNode s =
         object
             .putObject("state")
-            .put("reachable", state.reachable())
+            .put("reachable", state.isReachable())
             .put("unreachable_s", state.unreachableMs() / 1000.0)
-            .put("puts_allowed", state.putsAllowed())
-            .put("puts_wanted", state.wanted())
+            .put("puts_allowed", state.maxPutsPerSecond())
+            .put("puts_wanted", state.demandPutsPerSecond())
             .put("sheets", ledger.launchBatchCount());
     ObjectNode q = s.putObject("queued");
     for (StateClient.Priority p : StateClient.Priority.values()) {
-      q.put(p.name().toLowerCase(Locale.ROOT), state.queued(p));
+      q.put(p.name().toLowerCase(Locale.ROOT), state.queuedCount(p));
     }
     return object;
   }
--- a/src/main/java/dapplestair/admin/JobViews.java
+++ b/src/main/java/dapplestair/admin/JobViews.java
@@ -86,8 +86,8 @@
   /** Jobs that are over are not replicated: the state service is asked for a page of them. */
   void listOver(Filter filter, String after, int limit, Consumer<AdminResponse> done) {
     state.list(
-        StateKeys.OVER,
-        after == null ? null : StateKeys.over(after),
+        StateKeys.FINISHED_JOB,
+        after == null ? null : StateKeys.finishedJob(after),
         limit,
         page -> {
           if (!page.path("rows").isArray()) {
@@ -97,7 +97,7 @@
           List<byte[]> rows = new ArrayList<>();
           String last = null;
           for (JsonNode node : page.get("rows")) {
-            last = node.path("k").asText().substring(StateKeys.OVER.length());
+            last = node.path("k").asText().substring(StateKeys.FINISHED_JOB.length());
             PagedListing.WritableRow written = overRow(node.path("value"));
             if (written != null && filter.test(written)) {
               rows.add(Json.written(written::write));
@@ -201,7 +201,7 @@
     // All of it may be done though that is not on record yet, or only a moment after it was read.
     boolean ending = ledger.job(ref) != null;
     state.get(
-        StateKeys.over(ref),
+        StateKeys.finishedJob(ref),
         read -> {
           if (!read.known()) {
             done.accept(AdminResponse.later("the state service did not answer"));
--- a/src/main/java/dapplestair/admin/ReplacementHandler.java
+++ b/src/main/java/dapplestair/admin/ReplacementHandler.java
@@ -174,8 +174,8 @@
       String state,
       long deadline,
       Consumer<AdminResponse> done) {
-    conditionalWriter.record(
-        StateKeys.REPLACE + name,
+    conditionalWriter.write(
+        StateKeys.REPLACEMENT + name,
         value.get(),
         deadline,
         result -> {
--- a/src/main/java/dapplestair/calendar/Calendars.java
+++ b/src/main/java/dapplestair/calendar/Calendars.java
@@ -187,7 +187,7 @@
         next.toJson(),
         Priority.REPLICA,
         outcome -> {
-          if (leadership.deposedBy(outcome)) {
+          if (leadership.stepDownIfDeposed(outcome)) {
             return;
           }
           if (outcome instanceof TxnOutcome.Applied) {
@@ -237,7 +237,7 @@
           txn,
           Priority.BOOKKEEPING,
           outcome -> {
-            if (!leadership.deposedBy(outcome)) {
+            if (!leadership.stepDownIfDeposed(outcome)) {
               timers.after(
                   settings.workers().reportMs() / 3, () -> writing.remove(calendar.name()));
             }
--- a/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
+++ b/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
@@ -145,7 +145,7 @@
   }
 
   private void halt(String endpoint, Report report, List<RemainingTask> tasks) {
-    long token = FencingToken.raisedByOther(report.token());
+    long token = FencingToken.raisedByNonLeader(report.token());
     if (token < 0) {
       calling.remove(report.host());
       return;
--- a/src/main/java/dapplestair/cancellations/CancellationLogSync.java
+++ b/src/main/java/dapplestair/cancellations/CancellationLogSync.java
@@ -89,7 +89,7 @@
     if (response == null || response.asker() != process || response.number() != number) {
       return;
     }
-    leadership.termShown(response.term());
+    leadership.observeTerm(response.term());
     if (response.log() != peer.log) {
       watermark.met(peer, response.log());
     }
@@ -118,7 +118,7 @@
             request.asker(),
             request.number(),
             process,
-            leadership.termSeen(),
+            leadership.highestTermSeen(),
             whole && !known.forgotTooEarly(),
             entries);
     byte[] bytes = CancellationCodec.encode(response);
--- a/src/main/java/dapplestair/cancellations/Cancellations.java
+++ b/src/main/java/dapplestair/cancellations/Cancellations.java
@@ -85,7 +85,7 @@
     this.settings = settings;
     this.peers = peers;
     this.leadership = leadership;
-    this.process = leadership.process() | 1;
+    this.process = leadership.processId() | 1;
     this.stateAsOf = stateAsOf;
     this.listener = listener;
     this.reportMs = settings.workers().reportMs();
@@ -263,7 +263,7 @@
     byte[] body =
         CancellationCodec.encode(
             new CancellationCodec.LogResponse(
-                0, 0, process, leadership.termSeen(), false, entries));
+                0, 0, process, leadership.highestTermSeen(), false, entries));
     if (body == null) {
       // Too much for one message: it is asked for, part by part.
       timers.after(0, then);
@@ -308,7 +308,7 @@
       peers.questions().refused();
       return;
     }
-    leadership.termShown(told.term());
+    leadership.observeTerm(told.term());
     byte[] how = new byte[told.entries().size()];
     int i = 0;
     for (CancellationCodec.LogEntry entry : told.entries()) {
@@ -359,7 +359,7 @@
         }
       }
       // Whoever leads by records that are new has read of the cancellation there.
-      if (!leadership.leading() && !(recordsAreNew && leadership.leader() != null)) {
+      if (!leadership.isLeading() && !(recordsAreNew && leadership.currentLeader() != null)) {
         enforcer.enforce();
       }
     }
--- a/src/main/java/dapplestair/daemon/Emulation.java
+++ b/src/main/java/dapplestair/daemon/Emulation.java
@@ -80,7 +80,7 @@
   private JsonNode job(String ref) {
     JsonNode record = state.value(StateKeys.job(ref));
     if (record == null) {
-      record = state.value(StateKeys.over(ref));
+      record = state.value(StateKeys.finishedJob(ref));
     }
     return record == null ? null : record.path("job");
   }
--- a/src/main/java/dapplestair/disruption/LostWork.java
+++ b/src/main/java/dapplestair/disruption/LostWork.java
@@ -211,7 +211,7 @@
           if (outcome instanceof TxnOutcome.Applied) {
             recorded(key, value);
           } else {
-            leadership.deposedBy(outcome);
+            leadership.stepDownIfDeposed(outcome);
           }
         });
   }
--- a/src/main/java/dapplestair/drain/Drains.java
+++ b/src/main/java/dapplestair/drain/Drains.java
@@ -160,7 +160,7 @@
    */
   public void order(
       String key, Drain drain, long deadline, Consumer<ConditionalWriter.Result> done) {
-    conditionalWriter.record(key, drain == null ? null : drain.toJson(), deadline, done);
+    conditionalWriter.write(key, drain == null ? null : drain.toJson(), deadline, done);
   }
 
   // ---- leading ----
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -225,8 +225,8 @@
         settings.workers().reportMs(),
         outcome -> {
           // What was refused to a former term says nothing of this one.
-          if (leadership.leads(term)) {
-            leadership.deposedBy(outcome);
+          if (leadership.isLeadingTerm(term)) {
+            leadership.stepDownIfDeposed(outcome);
           }
         });
   }
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -190,7 +190,8 @@
     boolean replicas = silent.serviceCpus() > 0;
     double bootS = types.bootS(silent.type());
     if (workers.zoneHeard(silent)) {
-      return !silent.hanging() || timeouts.hangsTooLong(workers.silentMs(silent), replicas, bootS);
+      return !silent.hanging()
+          || timeouts.shouldGiveUpHanging(workers.silentMs(silent), replicas, bootS);
     }
     if (!anyFresh) {
       return false;
@@ -200,7 +201,7 @@
     }
     boolean room = !replicas && silent.cpusUsed() > 0 && silent.cpusUsed() <= freeCpus;
     boolean givenUp =
-        timeouts.givenUp(
+        timeouts.shouldGiveUp(
             silent.zone(),
             workers.silentMs(silent),
             replicas,
--- a/src/main/java/dapplestair/fleet/Rentals.java
+++ b/src/main/java/dapplestair/fleet/Rentals.java
@@ -209,7 +209,7 @@
 
   private void guarded(TxnOutcome outcome) {
     if (leading) {
-      leadership.deposedBy(outcome);
+      leadership.stepDownIfDeposed(outcome);
     }
   }
 
--- a/src/main/java/dapplestair/lane/ClaimWriter.java
+++ b/src/main/java/dapplestair/lane/ClaimWriter.java
@@ -105,7 +105,7 @@
   }
 
   private void written(String lane, List<OpenClaim> claims, TxnOutcome outcome) {
-    if (leadership.deposedBy(outcome)) {
+    if (leadership.stepDownIfDeposed(outcome)) {
       return;
     }
     if (outcome instanceof TxnOutcome.Applied applied) {
@@ -161,7 +161,7 @@
     timers.after(
         ms,
         () -> {
-          if (leadership.leading() && source.has(lane)) {
+          if (leadership.isLeading() && source.has(lane)) {
             write(lane, Priority.REPLICA);
           }
         });
--- a/src/main/java/dapplestair/leadership/FencedWriter.java
+++ b/src/main/java/dapplestair/leadership/FencedWriter.java
@@ -42,13 +42,13 @@
 
   /** Commits a transaction that was made by {@link #transaction}. */
   public void commit(Txn txn, Priority priority, Consumer<TxnOutcome> done) {
-    int writtenIn = generation;
+    int startGeneration = generation;
     state.commit(
         txn,
         priority,
         timeoutMs,
         outcome -> {
-          if (writtenIn == generation) {
+          if (startGeneration == generation) {
             done.accept(outcome);
           }
         });
--- a/src/main/java/dapplestair/leadership/Leadership.java
+++ b/src/main/java/dapplestair/leadership/Leadership.java
@@ -36,7 +36,7 @@
     void follow();
   }
 
-  private static final int MOST_TERMS_KEPT = 16;
+  private static final int MAX_TERMS_KEPT = 16;
 
   private final Clock clock;
   private final Timers timers;
@@ -46,25 +46,25 @@
   private final Peers peers;
   private final Listener listener;
   private final String incarnation;
-  private final long ttlMs;
+  private final long holdTtlMs;
   private Replica replica;
 
-  private long termSeen;
-  private long termRecorded;
-  private String leaderSeen;
-  private String leaderIncarnation;
-  private long leaderSeenAt;
-  private long leaderActiveAt;
-  private long refusalsDoubtedUntil = Long.MIN_VALUE;
-  private final Map<String, Long> termsWon = new HashMap<>();
+  private long highestTermSeen;
+  private long highestTermRecorded;
+  private String recordedLeader;
+  private String recordedLeaderIncarnation;
+  private long leaderRecordSeenAtMs;
+  private long leaderActiveAtMs;
+  private long ignoreRefusalsUntilMs = Long.MIN_VALUE;
+  private final Map<String, Long> lastTermByIncarnation = new HashMap<>();
   private long hold;
-  private long ahead;
-  private long heldAheadAt = Long.MIN_VALUE / 2;
+  private long preparedHold;
+  private long preparedHoldRequestedAtMs = Long.MIN_VALUE / 2;
   private long leaderStamp;
   private long term;
   private boolean leading;
-  private boolean busy;
-  private long campaignAgainAt = Long.MIN_VALUE;
+  private boolean requestPending;
+  private long campaignAllowedAtMs = Long.MIN_VALUE;
   private Cancellable timer = () -> {};
 
   /** Not yet taking part; see {@link #start}. */
@@ -85,28 +85,28 @@
     this.listener = listener;
     this.incarnation = new UUID(random.nextLong(), random.nextLong()).toString();
     // Short against the leases that a new leader must find alive, whatever the report interval.
-    this.ttlMs = Math.min(settings.workers().reportMs(), settings.workers().leaseMs() / 10);
+    this.holdTtlMs = Math.min(settings.workers().reportMs(), settings.workers().leaseMs() / 10);
   }
 
   /** A number that tells this process from its earlier lives. */
-  public long process() {
+  public long processId() {
     return UUID.fromString(incarnation).getMostSignificantBits();
   }
 
   /** Takes part from now on. */
-  public void start(Replica r) {
-    replica = r;
+  public void start(Replica followedReplica) {
+    replica = followedReplica;
     tick();
   }
 
   /** True while this controller may act as leader, as far as it knows. */
-  public boolean leading() {
+  public boolean isLeading() {
     return leading;
   }
 
   /** True while this controller may act as the leader of that term, as far as it knows. */
-  public boolean leads(long thatTerm) {
-    return leading && term == thatTerm;
+  public boolean isLeadingTerm(long queriedTerm) {
+    return leading && term == queriedTerm;
   }
 
   /** Term of this leader. */
@@ -115,21 +115,21 @@
   }
 
   /** Highest term known. */
-  public long termSeen() {
-    return termSeen;
+  public long highestTermSeen() {
+    return highestTermSeen;
   }
 
   /**
    * True when somebody has won a term of which this controller's records do not know yet: it was
    * shown by a worker or told by a peer.
    */
-  public boolean succeeded() {
-    return termSeen > Math.max(term, termRecorded);
+  public boolean hasUnrecordedSuccessor() {
+    return highestTermSeen > Math.max(term, highestTermRecorded);
   }
 
   /** Who leads as far as known, or null. */
-  public String leader() {
-    return leading ? settings.member() : leaderSeen;
+  public String currentLeader() {
+    return leading ? settings.member() : recordedLeader;
   }
 
   /** Adds the condition that makes a write of a former leader fail. */
@@ -138,26 +138,26 @@
   }
 
   /** Told by the replica. */
-  public void leaderKey(JsonNode value, long stamp) {
+  public void leaderKeyChanged(JsonNode value, long stamp) {
     if (value == null) {
-      leaderSeen = null;
-      leaderIncarnation = null;
+      recordedLeader = null;
+      recordedLeaderIncarnation = null;
       if (leading) {
         stepDown("the hold has ended");
       }
       return;
     }
     String member = Json.text(value, "member");
-    long seenTerm = Json.number(value, "term", 0);
-    termSeen = Math.max(termSeen, seenTerm);
-    termRecorded = Math.max(termRecorded, seenTerm);
-    leaderSeen = member;
-    leaderIncarnation = Json.text(value, "incarnation");
-    leaderSeenAt = clock.now();
-    leaderActiveAt = leaderSeenAt;
-    noteWinner(seenTerm);
+    long recordedTerm = Json.number(value, "term", 0);
+    highestTermSeen = Math.max(highestTermSeen, recordedTerm);
+    highestTermRecorded = Math.max(highestTermRecorded, recordedTerm);
+    recordedLeader = member;
+    recordedLeaderIncarnation = Json.text(value, "incarnation");
+    leaderRecordSeenAtMs = clock.now();
+    leaderActiveAtMs = leaderRecordSeenAtMs;
+    recordWinner(recordedTerm);
     if (leading && stamp > leaderStamp) {
-      stepDown("term " + seenTerm + " belongs to " + member);
+      stepDown("term " + recordedTerm + " belongs to " + member);
     }
   }
 
@@ -166,24 +166,27 @@
    * port refuses though it lives, and so may others'. Without this, controllers whose links are
    * filtered depose each other every few seconds.
    */
-  private void noteWinner(long wonTerm) {
-    Long before = leaderIncarnation == null ? null : termsWon.put(leaderIncarnation, wonTerm);
-    if (before != null && before < wonTerm - 1) {
-      refusalsDoubtedUntil = clock.now() + settings.workers().leaseMs();
+  private void recordWinner(long wonTerm) {
+    Long previousTerm =
+        recordedLeaderIncarnation == null
+            ? null
+            : lastTermByIncarnation.put(recordedLeaderIncarnation, wonTerm);
+    if (previousTerm != null && previousTerm < wonTerm - 1) {
+      ignoreRefusalsUntilMs = clock.now() + settings.workers().leaseMs();
     }
-    termsWon.values().removeIf(t -> t < wonTerm - MOST_TERMS_KEPT);
+    lastTermByIncarnation.values().removeIf(oldTerm -> oldTerm < wonTerm - MAX_TERMS_KEPT);
   }
 
   /** Told by the replica of a write that only a leader makes. */
-  public void leaderWrote() {
-    leaderActiveAt = clock.now();
+  public void leaderWriteSeen() {
+    leaderActiveAtMs = clock.now();
   }
 
   /** A higher term shown by anyone ends ours at once. */
-  public void termShown(long shown) {
-    termSeen = Math.max(termSeen, shown);
-    if (leading && shown > term) {
-      stepDown("somebody knows of term " + shown);
+  public void observeTerm(long observedTerm) {
+    highestTermSeen = Math.max(highestTermSeen, observedTerm);
+    if (leading && observedTerm > term) {
+      stepDown("somebody knows of term " + observedTerm);
     }
   }
 
@@ -191,36 +194,36 @@
    * True when a write was refused since the leader's key was not as expected: somebody else leads,
    * and this controller steps down if it still believed to lead itself.
    */
-  public boolean deposedBy(TxnOutcome outcome) {
+  public boolean stepDownIfDeposed(TxnOutcome outcome) {
     if (outcome instanceof TxnOutcome.Conflict conflict
-        && conflict.failed().contains(StateKeys.LEADER)) {
-      guardFailed();
+        && conflict.failedKeys().contains(StateKeys.LEADER)) {
+      stepDownAfterRefusedWrite();
       return true;
     }
     return false;
   }
 
-  private void guardFailed() {
+  private void stepDownAfterRefusedWrite() {
     if (leading) {
       stepDown("a guarded write was refused");
     }
   }
 
   /** Gives the lead away for a while, since another controller can do better. */
-  public void resign(String why) {
+  public void resign(String reason) {
     if (leading) {
       state.endHold(hold);
       hold = 0;
-      campaignAgainAt = clock.now() + settings.workers().leaseMs();
-      stepDown(why);
+      campaignAllowedAtMs = clock.now() + settings.workers().leaseMs();
+      stepDown(reason);
     }
   }
 
-  private void stepDown(String why) {
-    LOG.info("leading no more: {} (term {})", why, term);
+  private void stepDown(String reason) {
+    LOG.info("leading no more: {} (term {})", reason, term);
     leading = false;
-    if (settings.member().equals(leaderSeen)) {
-      leaderSeen = null;
+    if (settings.member().equals(recordedLeader)) {
+      recordedLeader = null;
     }
     listener.follow();
   }
@@ -235,48 +238,49 @@
 
   private void tick() {
     if (leading) {
-      extend();
-    } else if (!busy && !replica.ready()) {
-      holdAhead();
-    } else if (state.reachable() && !busy && vacant() && mayCampaign()) {
+      extendHold();
+    } else if (!requestPending && !replica.isReady()) {
+      prepareHold();
+    } else if (state.isReachable() && !requestPending && isLeaderVacant() && mayCampaign()) {
       campaign();
     }
-    long every = leading ? ttlMs / 4 : ttlMs / 40;
-    timer = timers.after(every / 2 + random.nextLong(Math.max(1, every)), this::tick);
+    long intervalMs = leading ? holdTtlMs / 4 : holdTtlMs / 40;
+    timer = timers.after(intervalMs / 2 + random.nextLong(Math.max(1, intervalMs)), this::tick);
   }
 
   private boolean mayCampaign() {
-    return clock.now() >= campaignAgainAt || peers.alone();
+    return clock.now() >= campaignAllowedAtMs || peers.alone();
   }
 
-  private boolean vacant() {
+  private boolean isLeaderVacant() {
     if (replica.stamp(StateKeys.LEADER) == 0) {
       return true;
     }
-    if (settings.member().equals(leaderSeen) && !incarnation.equals(leaderIncarnation)) {
+    if (settings.member().equals(recordedLeader)
+        && !incarnation.equals(recordedLeaderIncarnation)) {
       // Our own earlier life.
       return true;
     }
     // A port that refuses is no proof: whoever still writes has not ended.
-    long now = clock.now();
-    return leaderSeen != null
-        && now - leaderSeenAt > ttlMs
-        && now - leaderActiveAt > ttlMs / 4
-        && now > refusalsDoubtedUntil
-        && peers.seemsEnded(leaderSeen);
+    long nowMs = clock.now();
+    return recordedLeader != null
+        && nowMs - leaderRecordSeenAtMs > holdTtlMs
+        && nowMs - leaderActiveAtMs > holdTtlMs / 4
+        && nowMs > ignoreRefusalsUntilMs
+        && peers.seemsEnded(recordedLeader);
   }
 
-  private void extend() {
-    if (busy) {
+  private void extendHold() {
+    if (requestPending) {
       return;
     }
-    busy = true;
-    long extending = hold;
-    state.extend(
-        extending,
+    requestPending = true;
+    long extendedHold = hold;
+    state.extendHold(
+        extendedHold,
         status -> {
-          busy = false;
-          if (status == 404 && leading && hold == extending) {
+          requestPending = false;
+          if (status == 404 && leading && hold == extendedHold) {
             hold = 0;
             stepDown("the hold was not extended in time");
           }
@@ -287,89 +291,89 @@
    * While the records are still being read, the hold that a campaign needs is opened already: after
    * the end of all controllers each exchange less is time in which nobody leads.
    */
-  private void holdAhead() {
-    if (clock.now() - heldAheadAt < ttlMs / 3) {
+  private void prepareHold() {
+    if (clock.now() - preparedHoldRequestedAtMs < holdTtlMs / 3) {
       return;
     }
-    heldAheadAt = clock.now();
-    state.hold(ttlMs, opened -> ahead = opened);
+    preparedHoldRequestedAtMs = clock.now();
+    state.openHold(holdTtlMs, openedHold -> preparedHold = openedHold);
   }
 
   private void campaign() {
-    busy = true;
-    if (ahead != 0 && clock.now() - heldAheadAt < ttlMs / 3) {
-      hold = ahead;
-      ahead = 0;
-      run(hold);
+    requestPending = true;
+    if (preparedHold != 0 && clock.now() - preparedHoldRequestedAtMs < holdTtlMs / 3) {
+      hold = preparedHold;
+      preparedHold = 0;
+      commitCampaign(hold);
       return;
     }
-    state.hold(
-        ttlMs,
-        opened -> {
-          if (opened == 0) {
-            busy = false;
+    state.openHold(
+        holdTtlMs,
+        openedHold -> {
+          if (openedHold == 0) {
+            requestPending = false;
             return;
           }
-          hold = opened;
-          run(opened);
+          hold = openedHold;
+          commitCampaign(openedHold);
         });
   }
 
-  private void run(long withHold) {
-    if (!vacant()) {
+  private void commitCampaign(long campaignHold) {
+    if (!isLeaderVacant()) {
       // Somebody won while the hold was being opened: the stamps below would let us depose it.
-      busy = false;
+      requestPending = false;
       return;
     }
-    long next = termSeen + 1;
+    long nextTerm = highestTermSeen + 1;
     var leaderValue =
         Json.object()
             .put("member", settings.member())
             .put("incarnation", incarnation)
-            .put("term", next);
+            .put("term", nextTerm);
     Txn txn =
         new Txn()
             .when(StateKeys.LEADER, replica.stamp(StateKeys.LEADER))
             .when(StateKeys.TERM, replica.stamp(StateKeys.TERM))
-            .put(StateKeys.LEADER, leaderValue, withHold)
-            .put(StateKeys.TERM, Json.object().put("term", next));
+            .put(StateKeys.LEADER, leaderValue, campaignHold)
+            .put(StateKeys.TERM, Json.object().put("term", nextTerm));
     state.commit(
         txn,
         StateClient.Priority.ELECTION,
-        ttlMs / 3,
+        holdTtlMs / 3,
         outcome -> {
           if (outcome instanceof TxnOutcome.Applied applied) {
-            won(next, applied.stamp());
+            passBarrierAndLead(nextTerm, applied.stamp());
           } else if (outcome instanceof TxnOutcome.Unknown) {
-            state.get(StateKeys.LEADER, read -> settle(next, read));
+            state.get(StateKeys.LEADER, read -> settleUnknownOutcome(nextTerm, read));
           } else {
             // Somebody else was quicker, or the replica is behind: the next tick sees.
-            busy = false;
+            requestPending = false;
           }
         });
   }
 
-  private void settle(long next, StateClient.ReadResult read) {
-    boolean ours =
+  private void settleUnknownOutcome(long campaignTerm, StateClient.ReadResult read) {
+    boolean wonByThisProcess =
         read.exists()
             && incarnation.equals(Json.text(read.value(), "incarnation"))
-            && Json.number(read.value(), "term", 0) == next;
-    if (ours) {
-      won(next, read.stamp());
+            && Json.number(read.value(), "term", 0) == campaignTerm;
+    if (wonByThisProcess) {
+      passBarrierAndLead(campaignTerm, read.stamp());
     } else {
-      busy = false;
+      requestPending = false;
     }
   }
 
-  private void won(long wonTerm, long stamp) {
+  private void passBarrierAndLead(long wonTerm, long stamp) {
     term = wonTerm;
-    termSeen = Math.max(termSeen, wonTerm);
+    highestTermSeen = Math.max(highestTermSeen, wonTerm);
     leaderStamp = stamp;
     // Everything that earlier terms wrote was written before our key: pass a barrier, then act.
     replica.barrier(
         passed -> {
-          busy = false;
-          if (!passed || replica.stamp(StateKeys.LEADER) != stamp || termSeen > wonTerm) {
+          requestPending = false;
+          if (!passed || replica.stamp(StateKeys.LEADER) != stamp || highestTermSeen > wonTerm) {
             LOG.info("term {} won but lost again before it began", wonTerm);
             return;
           }
@@ -380,10 +384,10 @@
   }
 
   /** Told by the replica. */
-  public void termKey(JsonNode value) {
+  public void termKeyChanged(JsonNode value) {
     if (value != null) {
-      termRecorded = Math.max(termRecorded, Json.number(value, "term", 0));
-      termSeen = Math.max(termSeen, termRecorded);
+      highestTermRecorded = Math.max(highestTermRecorded, Json.number(value, "term", 0));
+      highestTermSeen = Math.max(highestTermSeen, highestTermRecorded);
     }
   }
 
--- a/src/main/java/dapplestair/leadership/TermTimers.java
+++ b/src/main/java/dapplestair/leadership/TermTimers.java
@@ -19,11 +19,11 @@
 
   @Override
   public Cancellable after(long delayMs, Runnable task) {
-    long armedIn = leadership.term();
+    long armedTerm = leadership.term();
     return timers.after(
         delayMs,
         () -> {
-          if (leadership.leads(armedIn)) {
+          if (leadership.isLeadingTerm(armedTerm)) {
             task.run();
           }
         });
--- a/src/main/java/dapplestair/ledger/ChunkWriter.java
+++ b/src/main/java/dapplestair/ledger/ChunkWriter.java
@@ -177,7 +177,7 @@
         || chunk.inFlight
         || !chunk.dirty
         || job.over()
-        || !context.leadership.leading()) {
+        || !context.leadership.isLeading()) {
       return null;
     }
     flush.built = true;
@@ -196,7 +196,7 @@
     }
     // The job's own stamp: nothing starts for a job that was cancelled meanwhile.
     String ref = job.spec().ref();
-    String key = StateKeys.run(ref, chunk.index);
+    String key = StateKeys.attemptChunk(ref, chunk.index);
     return context
         .leadership
         .guard(new Txn())
@@ -225,10 +225,10 @@
     chunk.ends = true;
     chunk.urgent |= !flush.planned.isEmpty();
     if (outcome instanceof TxnOutcome.Conflict conflict) {
-      if (context.leadership.deposedBy(outcome)) {
+      if (context.leadership.stepDownIfDeposed(outcome)) {
         return;
       }
-      if (conflict.failed().contains(StateKeys.job(job.spec().ref()))) {
+      if (conflict.failedKeys().contains(StateKeys.job(job.spec().ref()))) {
         // Cancelled: the replica will say so; what was not sent never will be.
         for (Attempt a : flush.planned) {
           if (chunk.live.get(a.step) == a && !a.sent()) {
@@ -243,9 +243,9 @@
         // A leader is the only one who writes it, and none of its own copies is open any more.
         LOG.warn(
             "{} is not as this leader left it at {}: {}",
-            StateKeys.run(job.spec().ref(), chunk.index),
+            StateKeys.attemptChunk(job.spec().ref(), chunk.index),
             chunk.stamp,
-            conflict.failed());
+            conflict.failedKeys());
       }
       readBack(job, chunk);
     } else {
@@ -255,7 +255,7 @@
 
   private void launch(Chunk chunk, Attempt attempt, long revision) {
     if (chunk.live.get(attempt.step) == attempt && attempt.phase == Attempt.Phase.PLANNED) {
-      context.launch(attempt, StateKeys.run(attempt.spec().ref(), chunk.index), revision);
+      context.launch(attempt, StateKeys.attemptChunk(attempt.spec().ref(), chunk.index), revision);
     }
   }
 
@@ -277,7 +277,7 @@
     long term = context.term();
     chunk.inFlight = true;
     context.state.get(
-        StateKeys.run(job.spec().ref(), chunk.index),
+        StateKeys.attemptChunk(job.spec().ref(), chunk.index),
         read -> {
           if (!context.still(term)) {
             return;
--- a/src/main/java/dapplestair/ledger/JobFinalizer.java
+++ b/src/main/java/dapplestair/ledger/JobFinalizer.java
@@ -78,7 +78,7 @@
   }
 
   private void finish(Job job) {
-    if (!context.held() || job.over || !context.leadership.leading()) {
+    if (!context.held() || job.over || !context.leadership.isLeading()) {
       return;
     }
     List<Chunk> removed = new ArrayList<>();
@@ -112,13 +112,13 @@
             .leadership
             .guard(new Txn())
             .when(StateKeys.job(ref), job.stamp)
-            .put(StateKeys.over(ref), JobRecordCodec.over(job, "done", context.clock.wall()))
+            .put(StateKeys.finishedJob(ref), JobRecordCodec.over(job, "done", context.clock.wall()))
             .remove(StateKeys.job(ref));
     context.callbacks.finishing(job, txn);
     for (Chunk chunk : job.chunks.values()) {
       if (chunk.stamp != 0 && !chunk.inFlight && txn.size() < context.settings.state().txnOps()) {
-        txn.when(StateKeys.run(ref, chunk.index), chunk.stamp)
-            .remove(StateKeys.run(ref, chunk.index));
+        txn.when(StateKeys.attemptChunk(ref, chunk.index), chunk.stamp)
+            .remove(StateKeys.attemptChunk(ref, chunk.index));
         removed.add(chunk);
       }
     }
@@ -133,16 +133,16 @@
       return;
     }
     if (outcome instanceof TxnOutcome.Conflict conflict) {
-      if (context.leadership.deposedBy(outcome)) {
+      if (context.leadership.stepDownIfDeposed(outcome)) {
         return;
       }
-      if (conflict.failed().contains(StateKeys.job(ref))) {
+      if (conflict.failedKeys().contains(StateKeys.job(ref))) {
         // Cancelled before, or our own unanswered write was applied: over/ tells which.
         end(job);
         return;
       }
       for (Chunk c : removed) {
-        if (conflict.failed().contains(StateKeys.run(ref, c.index))) {
+        if (conflict.failedKeys().contains(StateKeys.attemptChunk(ref, c.index))) {
           writer.readBack(job, c);
         }
       }
@@ -173,7 +173,7 @@
 
   private void removeRecord(Job job, Chunk chunk) {
     chunk.inFlight = true;
-    String key = StateKeys.run(job.spec().ref(), chunk.index);
+    String key = StateKeys.attemptChunk(job.spec().ref(), chunk.index);
     Txn txn = context.leadership.guard(new Txn()).when(key, chunk.stamp).remove(key);
     long term = context.term();
     context.state.commit(
@@ -188,7 +188,7 @@
           if (outcome instanceof TxnOutcome.Applied) {
             chunk.stamp = 0;
             over(job);
-          } else if (context.leadership.deposedBy(outcome)) {
+          } else if (context.leadership.stepDownIfDeposed(outcome)) {
             return;
           } else if (outcome instanceof TxnOutcome.Refused) {
             context.timers.after(4 * context.retryMs, () -> over(job));
--- a/src/main/java/dapplestair/ledger/LaunchBatches.java
+++ b/src/main/java/dapplestair/ledger/LaunchBatches.java
@@ -136,7 +136,7 @@
   private Txn build(Group group, InFlightPut flight) {
     group.queued = false;
     group.sentAt = context.clock.now();
-    if (!context.leadership.leading()) {
+    if (!context.leadership.isLeading()) {
       return null;
     }
     List<PendingLaunch> ready = new ArrayList<>();
@@ -226,7 +226,7 @@
       }
     } else if (outcome instanceof TxnOutcome.Conflict conflict) {
       launchBatches.remove(flight.launchBatch.key);
-      if (context.leadership.deposedBy(outcome)) {
+      if (context.leadership.stepDownIfDeposed(outcome)) {
         return;
       }
       dropCancelled(flight, conflict);
@@ -238,7 +238,7 @@
 
   private void dropCancelled(InFlightPut flight, TxnOutcome.Conflict conflict) {
     for (Attempt attempt : flight.planned) {
-      if (conflict.failed().contains(StateKeys.job(attempt.job.spec().ref()))
+      if (conflict.failedKeys().contains(StateKeys.job(attempt.job.spec().ref()))
           && attempt.job.chunkOf(attempt.step).live.get(attempt.step) == attempt
           && !attempt.sent()) {
         chunks.dropped(attempt);
@@ -293,7 +293,7 @@
           launchBatch.removing = false;
           if (outcome instanceof TxnOutcome.Applied) {
             launchBatches.remove(launchBatch.key);
-          } else if (context.leadership.deposedBy(outcome)) {
+          } else if (context.leadership.stepDownIfDeposed(outcome)) {
             return;
           } else if (outcome instanceof TxnOutcome.Conflict) {
             launchBatches.remove(launchBatch.key);
--- a/src/main/java/dapplestair/ledger/LaunchGate.java
+++ b/src/main/java/dapplestair/ledger/LaunchGate.java
@@ -17,7 +17,7 @@
   }
 
   boolean open() {
-    return context.armed() && context.leadership.leading();
+    return context.armed() && context.leadership.isLeading();
   }
 
   /** True when the job's other attempts leave room for one more in this zone. */
--- a/src/main/java/dapplestair/ledger/Takeover.java
+++ b/src/main/java/dapplestair/ledger/Takeover.java
@@ -94,7 +94,7 @@
     }
     Job held = job;
     context.state.get(
-        StateKeys.over(held.spec().ref()),
+        StateKeys.finishedJob(held.spec().ref()),
         read -> {
           if (!context.still(forTerm)) {
             return;
@@ -115,7 +115,7 @@
   /** Attempts of a job that is over still use its team's share: its description is needed. */
   private void fetchOrphan(long forTerm, String ref) {
     context.state.get(
-        StateKeys.over(ref),
+        StateKeys.finishedJob(ref),
         read -> {
           if (!context.still(forTerm)) {
             return;
--- a/src/main/java/dapplestair/netty/PeerLinks.java
+++ b/src/main/java/dapplestair/netty/PeerLinks.java
@@ -101,7 +101,7 @@
                     linked(peer, f.channel());
                   } else {
                     if (f.cause() instanceof ConnectException && isRefusal(f.cause())) {
-                      listener.refused(peer.member());
+                      listener.connectionRefused(peer.member());
                     }
                     reconnect(peer);
                   }
@@ -116,13 +116,13 @@
   private void linked(Settings.Peer peer, Channel channel) {
     outgoing.put(peer.member(), channel);
     channel.writeAndFlush(Unpooled.wrappedBuffer(codec.encode(new PeerHello(settings.member()))));
-    listener.up(peer.member());
+    listener.linkUp(peer.member());
     channel
         .closeFuture()
         .addListener(
             c -> {
               outgoing.remove(peer.member(), channel);
-              listener.down(peer.member());
+              listener.linkDown(peer.member());
               connect(peer);
             });
   }
@@ -171,10 +171,10 @@
           && peers.containsKey(peerHello.member())) {
         member = peerHello.member();
       } else if (member != null && message != null) {
-        listener.message(member, message);
+        listener.messageReceived(member, message);
       } else {
         LOG.debug("garbled frame from {}", ctx.channel().remoteAddress());
-        listener.garbled();
+        listener.malformedMessageReceived();
         ctx.close();
       }
     }
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -163,9 +163,9 @@
   }
 
   private void peerStatus(PeerStatus status) {
-    core.leadership.termShown(status.term());
-    if (core.leadership.leading()) {
-      core.state.othersUse(core.peers.puts());
+    core.leadership.observeTerm(status.term());
+    if (core.leadership.isLeading()) {
+      core.state.setPeerDemand(core.peers.puts());
     }
   }
 
@@ -210,7 +210,7 @@
 
     @Override
     public boolean proved(String ref) {
-      return core.leadership.leading() && core.ledger.nothingLeft(ref);
+      return core.leadership.isLeading() && core.ledger.nothingLeft(ref);
     }
   }
 
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -37,12 +37,12 @@
         .gauge(
             "leading",
             "1 while this controller leads.",
-            () -> components.leadership().leading() ? 1 : 0)
-        .gauge("term", "The highest term known.", () -> components.leadership().termSeen())
+            () -> components.leadership().isLeading() ? 1 : 0)
+        .gauge("term", "The highest term known.", () -> components.leadership().highestTermSeen())
         .gauge(
             "epoch",
             "Up to which change the replica is complete.",
-            () -> components.replica().position())
+            () -> components.replica().appliedEpoch())
         .gauge("jobs", "Jobs that are not over.", () -> components.ledger().jobs().size())
         .gauge(
             "attempts",
@@ -99,8 +99,11 @@
         .gauge(
             "puts_allowed",
             "Puts a second that may be made.",
-            () -> components.state().putsAllowed())
-        .gauge("puts_wanted", "Puts a second made or waiting.", () -> components.state().wanted())
+            () -> components.state().maxPutsPerSecond())
+        .gauge(
+            "puts_wanted",
+            "Puts a second made or waiting.",
+            () -> components.state().demandPutsPerSecond())
         .gauges(
             "transactions_queued", "Transactions that wait.", "priority", () -> queued(components));
   }
@@ -223,13 +226,13 @@
   }
 
   private static double reachable(ControllerComponents components) {
-    return components.state().reachable() ? 1 : 0;
+    return components.state().isReachable() ? 1 : 0;
   }
 
   private static Map<String, Integer> queued(ControllerComponents components) {
     Map<String, Integer> out = new TreeMap<>();
     for (StateClient.Priority priority : StateClient.Priority.values()) {
-      out.put(priority.name().toLowerCase(Locale.ROOT), components.state().queued(priority));
+      out.put(priority.name().toLowerCase(Locale.ROOT), components.state().queuedCount(priority));
     }
     return out;
   }
--- a/src/main/java/dapplestair/node/CoreComponents.java
+++ b/src/main/java/dapplestair/node/CoreComponents.java
@@ -105,7 +105,7 @@
             this::recordsAsOf,
             listeners.cancellations);
     accepted =
-        new AcceptedJobs(timers, settings, peers, leadership::leading, this::recordsPosition);
+        new AcceptedJobs(timers, settings, peers, leadership::isLeading, this::recordsPosition);
     relay =
         new Relay(
             clock,
@@ -132,7 +132,7 @@
     log = logsEvents ? new EventLog(clock) : null;
     events = logsEvents ? log : Events.OFF;
     replica =
-        new Replica(state, timers, environment.random(), leadership::leading, listeners.replica);
+        new Replica(state, timers, environment.random(), leadership::isLeading, listeners.replica);
     requestRelay = new RequestRelay(peers, settings.workers().reportMs() / 4);
     submissions =
         new SubmissionHandler(
@@ -140,11 +140,11 @@
   }
 
   private long recordsAsOf() {
-    return replica.asOf();
+    return replica.asOfMs();
   }
 
   private long recordsPosition() {
-    return replica.position();
+    return replica.appliedEpoch();
   }
 
   /**
@@ -153,7 +153,7 @@
    * that can read of them, and its leader would take them for silent if they stayed here.
    */
   private boolean notOverWhenRead(String job) {
-    return !peers.anyServed() && (accepted.unread(job) || replica.heldBefore(job));
+    return !peers.anyServed() && (accepted.unread(job) || replica.heldBeforeRestart(job));
   }
 
   @Override
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -59,15 +59,15 @@
 
   @Override
   public void put(String key, JsonNode value, long stamp) {
-    if (key.startsWith(StateKeys.RUN)
+    if (key.startsWith(StateKeys.ATTEMPTS)
         || key.startsWith(StateKeys.RENTAL)
         || key.startsWith(StateKeys.LAUNCH_BATCH)) {
-      leadership.leaderWrote();
+      leadership.leaderWriteSeen();
     }
-    if (key.startsWith(StateKeys.RUN)) {
+    if (key.startsWith(StateKeys.ATTEMPTS)) {
       int slash = key.lastIndexOf('/');
       ledger.runPut(
-          key.substring(StateKeys.RUN.length(), slash),
+          key.substring(StateKeys.ATTEMPTS.length(), slash),
           Integer.parseInt(key.substring(slash + 1)),
           value,
           stamp);
@@ -82,9 +82,9 @@
     } else if (key.startsWith(StateKeys.RENTAL)) {
       fleet.rentalPut(key.substring(StateKeys.RENTAL.length()), value, stamp);
     } else if (key.equals(StateKeys.LEADER)) {
-      leadership.leaderKey(value, stamp);
+      leadership.leaderKeyChanged(value, stamp);
     } else if (key.equals(StateKeys.TERM)) {
-      leadership.termKey(value);
+      leadership.termKeyChanged(value);
     } else if (key.equals(StateKeys.TYPES)) {
       fleet.typesKey(value, stamp);
     } else if (key.startsWith(StateKeys.DRAIN) || key.startsWith(StateKeys.DRAIN_ZONE)) {
@@ -95,9 +95,9 @@
       lanes.recorded(key, value);
     } else if (key.startsWith(StateKeys.CALENDAR)) {
       calendars.recorded(key, value);
-    } else if (key.startsWith(StateKeys.WEIGHTS)) {
+    } else if (key.startsWith(StateKeys.IMAGE_LOCATIONS)) {
       imageLocations.recorded(key, value);
-    } else if (key.startsWith(StateKeys.REPLACE)) {
+    } else if (key.startsWith(StateKeys.REPLACEMENT)) {
       replacements.recorded(key, value, stamp);
     } else if (key.startsWith(StateKeys.DISRUPTION)) {
       lostWork.recorded(key, value);
@@ -106,10 +106,11 @@
 
   @Override
   public void removed(String key) {
-    if (key.startsWith(StateKeys.RUN)) {
+    if (key.startsWith(StateKeys.ATTEMPTS)) {
       int slash = key.lastIndexOf('/');
       ledger.runRemoved(
-          key.substring(StateKeys.RUN.length(), slash), Integer.parseInt(key.substring(slash + 1)));
+          key.substring(StateKeys.ATTEMPTS.length(), slash),
+          Integer.parseInt(key.substring(slash + 1)));
     } else if (key.startsWith(StateKeys.LAUNCH_BATCH)) {
       ledger.launchBatchRemoved(key);
     } else if (key.startsWith(StateKeys.JOB)) {
@@ -122,7 +123,7 @@
     } else if (key.startsWith(StateKeys.RENTAL)) {
       fleet.rentalRemoved(key.substring(StateKeys.RENTAL.length()));
     } else if (key.equals(StateKeys.LEADER)) {
-      leadership.leaderKey(null, 0);
+      leadership.leaderKeyChanged(null, 0);
     } else if (key.equals(StateKeys.TYPES)) {
       fleet.typesKey(null, 0);
     } else if (key.startsWith(StateKeys.DRAIN) || key.startsWith(StateKeys.DRAIN_ZONE)) {
@@ -134,9 +135,9 @@
       lanes.recorded(key, null);
     } else if (key.startsWith(StateKeys.CALENDAR)) {
       calendars.recorded(key, null);
-    } else if (key.startsWith(StateKeys.WEIGHTS)) {
+    } else if (key.startsWith(StateKeys.IMAGE_LOCATIONS)) {
       imageLocations.recorded(key, null);
-    } else if (key.startsWith(StateKeys.REPLACE)) {
+    } else if (key.startsWith(StateKeys.REPLACEMENT)) {
       replacements.recorded(key, null, 0);
     } else if (key.startsWith(StateKeys.DISRUPTION)) {
       lostWork.recorded(key, null);
--- a/src/main/java/dapplestair/node/RoleChangeNotifier.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -28,7 +28,7 @@
 
   @Override
   public void lead(long term) {
-    core.state.leading(true);
+    core.state.setLeading(true);
     scheduling.fleet.lead();
     core.ledger.lead(term);
     core.accepted.lead();
@@ -52,7 +52,7 @@
 
   @Override
   public void follow() {
-    core.state.leading(false);
+    core.state.setLeading(false);
     scheduling.autoscaler.clear();
     operations.drains.clear();
     operations.replacements.clear();
--- a/src/main/java/dapplestair/node/StatusReporter.java
+++ b/src/main/java/dapplestair/node/StatusReporter.java
@@ -41,17 +41,17 @@
   }
 
   private boolean ready() {
-    return replica.ready() && types.known();
+    return replica.isReady() && types.known();
   }
 
   PeerStatus toPeers() {
     return new PeerStatus(
-        leadership.leading() ? leadership.term() : leadership.termSeen(),
-        leadership.leader(),
-        state.reachable(),
+        leadership.isLeading() ? leadership.term() : leadership.highestTermSeen(),
+        leadership.currentLeader(),
+        state.isReachable(),
         ready(),
         workers.beatsLately(),
-        (float) state.wanted());
+        (float) state.demandPutsPerSecond());
   }
 
   /** Before the records were read once nothing is known at all. */
@@ -65,12 +65,12 @@
         ("%s, %d jobs, %d attempts, %d machines, %d transactions waiting; puts: %s; longest without an answer: %.0f s; "
                 + "cancellations known to %s ago, %d told here not proved done, the oldest for %.0f s")
             .formatted(
-                leadership.leading() ? "leading" : "following " + leadership.leader(),
+                leadership.isLeading() ? "leading" : "following " + leadership.currentLeader(),
                 ledger.jobs().size(),
                 ledger.attemptCount(),
                 workers.hosts().size(),
-                state.queued(),
-                state.putsSent(),
+                state.queuedCount(),
+                state.takePutCounts(),
                 submissions.unansweredMs() / 1000.0,
                 knownTo(),
                 cancellations.open(),
@@ -78,7 +78,7 @@
     if (relay.on()) {
       line += "; connections spread, %d reports relayed".formatted(relay.relayed());
     }
-    return leadership.leading()
+    return leadership.isLeading()
         ? "%s; starts refused: %s, tasks unaccounted for: %d; served least: %s; largest: %s"
             .formatted(
                 line,
--- a/src/main/java/dapplestair/peers/Peers.java
+++ b/src/main/java/dapplestair/peers/Peers.java
@@ -90,7 +90,7 @@
   }
 
   @Override
-  public void message(String member, Object message) {
+  public void messageReceived(String member, Object message) {
     PeerState peer = peers.get(member);
     if (peer != null && message instanceof PeerStatus status) {
       peer.heardAt = clock.now();
@@ -106,7 +106,7 @@
   }
 
   @Override
-  public void up(String member) {
+  public void linkUp(String member) {
     PeerState peer = peers.get(member);
     if (peer != null) {
       peer.up = true;
@@ -115,7 +115,7 @@
   }
 
   @Override
-  public void down(String member) {
+  public void linkDown(String member) {
     PeerState peer = peers.get(member);
     if (peer != null) {
       peer.up = false;
@@ -123,12 +123,12 @@
   }
 
   @Override
-  public void garbled() {
+  public void malformedMessageReceived() {
     questions.refused();
   }
 
   @Override
-  public void refused(String member) {
+  public void connectionRefused(String member) {
     PeerState peer = peers.get(member);
     // A link that broke and a port that refuses: the process has ended. Were it only filtered away,
     // taking over from it would still be harmless, so there is no need to wait for its silence.
--- a/src/main/java/dapplestair/planning/Autoscaler.java
+++ b/src/main/java/dapplestair/planning/Autoscaler.java
@@ -137,7 +137,7 @@
    */
   public void soon() {
     long early = operatorSettings.planIntervalMs() / 10;
-    if (leadership.leading() && roundAt - clock.now() > early) {
+    if (leadership.isLeading() && roundAt - clock.now() > early) {
       timer.cancel();
       roundIn(early);
       extra = true;
@@ -184,7 +184,7 @@
     background.compute(
         () -> best(search, problem, seeds, last, choice),
         chosen -> {
-          if (planned == generation && leadership.leading()) {
+          if (planned == generation && leadership.isLeading()) {
             apply(problem, chosen, only);
           }
         });
@@ -349,7 +349,7 @@
           if (outcome instanceof TxnOutcome.Applied) {
             lastWritten = value;
           } else {
-            leadership.deposedBy(outcome);
+            leadership.stepDownIfDeposed(outcome);
           }
         });
   }
--- a/src/main/java/dapplestair/ports/PeerNetwork.java
+++ b/src/main/java/dapplestair/ports/PeerNetwork.java
@@ -14,18 +14,18 @@
   /** What happens on the links. */
   interface Listener {
     /** A message arrived. */
-    void message(String member, Object message);
+    void messageReceived(String member, Object message);
 
     /** The link to this peer came up. */
-    void up(String member);
+    void linkUp(String member);
 
     /** The link to this peer broke. */
-    void down(String member);
+    void linkDown(String member);
 
     /** Something came that is no message of ours: it was dropped, and its link closed. */
-    void garbled();
+    void malformedMessageReceived();
 
     /** The peer's machine answered that nobody listens there. */
-    void refused(String member);
+    void connectionRefused(String member);
   }
 }
--- a/src/main/java/dapplestair/relay/Relay.java
+++ b/src/main/java/dapplestair/relay/Relay.java
@@ -86,7 +86,7 @@
     this.leaseMs = settings.workers().leaseMs();
     this.tickMs = settings.workers().reportMs() / 32;
     long gatherMs = settings.workers().reportMs() / 1000;
-    this.links = new RelayLinks(timers, peers, leadership.process(), gatherMs, this::handle);
+    this.links = new RelayLinks(timers, peers, leadership.processId(), gatherMs, this::handle);
     double most = socketShare * settings.resources().maxConnections() / SOCKETS_OF_MACHINE;
     this.mode = new RelayMode(clock, most, leaseMs);
     this.held = new HeldReports(clock);
@@ -124,7 +124,7 @@
         aliveSince.remove(member);
       }
     }
-    if (leadership.leading()) {
+    if (leadership.isLeading()) {
       if (mode.decide(leadership.term(), machines.getAsInt())) {
         LOG.info(
             "connections of {} machines are {}",
@@ -201,7 +201,7 @@
 
   /** Passes it on, or holds it until there is a leader: one that ends sends no worker away. */
   private void pass(HeldReport report) {
-    String leader = leadership.leader();
+    String leader = leadership.currentLeader();
     long left = report.deadline() - clock.now();
     if (leader != null && !leader.equals(settings.member()) && peers.alive(leader) && left > 0) {
       relayed++;
@@ -227,7 +227,7 @@
 
   private void retryHeld() {
     held.takeExpired().forEach(report -> report.otherwise().run());
-    if (leadership.leading()) {
+    if (leadership.isLeading()) {
       // Elected meanwhile: these are its own now.
       held.takeAll().forEach(report -> reports.accept(report.exchange()));
     } else {
@@ -261,7 +261,7 @@
   private void handle(String member, Request request, Consumer<HttpReply> done) {
     switch (request.kind()) {
       case REPORT -> {
-        if (leadership.leading()) {
+        if (leadership.isLeading()) {
           reports.accept(new RelayedReport(member, request.body(), done));
         } else {
           done.accept(HttpReply.of(HttpReply.NOT_SENT));
@@ -269,7 +269,7 @@
       }
       case COMMAND -> deliver(request.endpoint(), request.body(), request.timeoutMs(), done);
       case MODE -> {
-        if (!leadership.leading() && !mode.heard(request.body())) {
+        if (!leadership.isLeading() && !mode.heard(request.body())) {
           peers.questions().refused();
         }
       }
--- a/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
+++ b/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
@@ -335,7 +335,7 @@
   /** On record first; nothing of it is done before. */
   private void write(ReplacementState replacement, ReplacementProgress next, Runnable then) {
     replacement.writing = true;
-    String key = StateKeys.REPLACE + replacement.name;
+    String key = StateKeys.REPLACEMENT + replacement.name;
     writer.put(
         key,
         replacement.stamp,
@@ -358,7 +358,7 @@
                 next.remark());
             then.run();
           } else {
-            leadership.deposedBy(outcome);
+            leadership.stepDownIfDeposed(outcome);
           }
           // Without an answer the replica shows what is on record, and the next look goes on from
           // there.
--- a/src/main/java/dapplestair/replacement/Replacements.java
+++ b/src/main/java/dapplestair/replacement/Replacements.java
@@ -93,7 +93,7 @@
 
   /** An order's key has this value, or is gone. */
   public void recorded(String key, JsonNode value, long stamp) {
-    String name = key.substring(StateKeys.REPLACE.length());
+    String name = key.substring(StateKeys.REPLACEMENT.length());
     ReplacementState known = orders.get(name);
     if (value == null) {
       orders.remove(name);
--- a/src/main/java/dapplestair/silence/LivenessReport.java
+++ b/src/main/java/dapplestair/silence/LivenessReport.java
@@ -13,41 +13,42 @@
  *
  * @param term the term in which the speaker leads, or 0 when it leads none
  * @param number rises with each account of a term
- * @param zones how many milliseconds ago each zone was heard
- * @param late how many milliseconds ago each machine was heard whose report is overdue; all others
- *     were heard as they should be. Empty unless the speaker leads.
- * @param gone how many milliseconds ago each machine was proved to be gone, for those of late
+ * @param zoneAgesMs how many milliseconds ago each zone was heard
+ * @param overdueMachineAgesMs how many milliseconds ago each machine was heard whose report is
+ *     overdue; all others were heard as they should be. Empty unless the speaker leads.
+ * @param goneMachineAgesMs how many milliseconds ago each machine was proved to be gone, for those
+ *     of late
  */
 public record LivenessReport(
     long term,
     long number,
-    Map<String, Long> zones,
-    Map<String, Long> late,
-    Map<String, Long> gone) {
+    Map<String, Long> zoneAgesMs,
+    Map<String, Long> overdueMachineAgesMs,
+    Map<String, Long> goneMachineAgesMs) {
   /** Raised whenever the form changes; other forms are not understood, and so say nothing. */
   static final int FORM = 1;
 
-  private static final int MOST_ENTRIES = 4000;
-  private static final int LARGEST = 256 * 1024;
+  private static final int MAX_ENTRIES = 4000;
+  private static final int MAX_BYTES = 256 * 1024;
 
   /** In name order, each name written as what it shares with the one before and its rest. */
   public byte[] encode() {
-    Output out = new Output(256, LARGEST);
+    Output out = new Output(256, MAX_BYTES);
     out.writeByte(FORM);
     out.writeVarLong(term, true);
     out.writeVarLong(number, true);
-    write(out, zones);
-    write(out, late);
-    write(out, gone);
+    write(out, zoneAgesMs);
+    write(out, overdueMachineAgesMs);
+    write(out, goneMachineAgesMs);
     return out.toBytes();
   }
 
-  private static void write(Output out, Map<String, Long> ages) {
-    out.writeVarInt(Math.min(MOST_ENTRIES, ages.size()), true);
+  private static void write(Output out, Map<String, Long> agesMs) {
+    out.writeVarInt(Math.min(MAX_ENTRIES, agesMs.size()), true);
     FrontCodedNames names = new FrontCodedNames();
-    int left = MOST_ENTRIES;
-    for (Map.Entry<String, Long> entry : new TreeMap<>(ages).entrySet()) {
-      if (left-- == 0) {
+    int remaining = MAX_ENTRIES;
+    for (Map.Entry<String, Long> entry : new TreeMap<>(agesMs).entrySet()) {
+      if (remaining-- == 0) {
         return;
       }
       names.write(out, entry.getKey());
@@ -57,7 +58,7 @@
 
   /** Reads an account, or gives null when it is garbled or of another form. */
   public static LivenessReport decode(byte[] bytes) {
-    if (bytes.length == 0 || bytes.length > LARGEST || bytes[0] != FORM) {
+    if (bytes.length == 0 || bytes.length > MAX_BYTES || bytes[0] != FORM) {
       return null;
     }
     try {
@@ -71,19 +72,19 @@
 
   private static Map<String, Long> read(Input in) {
     int count = in.readVarInt(true);
-    if (count < 0 || count > MOST_ENTRIES) {
+    if (count < 0 || count > MAX_ENTRIES) {
       throw new IllegalArgumentException("too many entries: " + count);
     }
-    Map<String, Long> out = new TreeMap<>();
+    Map<String, Long> agesMs = new TreeMap<>();
     FrontCodedNames names = new FrontCodedNames();
     for (int i = 0; i < count; i++) {
       String name = names.read(in);
-      long ago = in.readVarLong(true);
-      if (ago < 0) {
+      long ageMs = in.readVarLong(true);
+      if (ageMs < 0) {
         throw new IllegalArgumentException("heard in the future");
       }
-      out.put(name, ago);
+      agesMs.put(name, ageMs);
     }
-    return out;
+    return agesMs;
   }
 }
--- a/src/main/java/dapplestair/silence/LivenessReports.java
+++ b/src/main/java/dapplestair/silence/LivenessReports.java
@@ -12,54 +12,59 @@
 public final class LivenessReports {
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  private final Map<String, Long> zones = new HashMap<>();
-  private Map<String, Long> late = Map.of();
-  private Set<String> gone = Set.of();
-  private long term;
-  private long number;
-  private long at = NEVER;
+  private final Map<String, Long> zoneHeardAtMs = new HashMap<>();
+  private Map<String, Long> overdueMachineHeardAtMs = Map.of();
+  private Set<String> reportedGoneMachines = Set.of();
+  private long leaderTerm;
+  private long leaderReportNumber;
+  private long leaderReportAtMs = NEVER;
 
   /** An account arrived just now. */
-  public void said(LivenessReport livenessReport, long now) {
+  public void add(LivenessReport livenessReport, long nowMs) {
     // How long the message took is not known: what it says lies further back than it seems here.
-    livenessReport.zones().forEach((zone, ago) -> zones.merge(zone, now - ago, Math::max));
-    boolean newer =
-        livenessReport.term() > term
-            || (livenessReport.term() == term && livenessReport.number() > number);
+    livenessReport
+        .zoneAgesMs()
+        .forEach((zone, ageMs) -> zoneHeardAtMs.merge(zone, nowMs - ageMs, Math::max));
+    boolean isNewer =
+        livenessReport.term() > leaderTerm
+            || (livenessReport.term() == leaderTerm
+                && livenessReport.number() > leaderReportNumber);
     // Of two accounts by leaders only the newer one counts: a machine that the older one calls
     // late may have been heard since. A term has one leader, so term and number order them all.
-    if (livenessReport.term() == 0 || !newer) {
+    if (livenessReport.term() == 0 || !isNewer) {
       return;
     }
-    term = livenessReport.term();
-    number = livenessReport.number();
-    at = now;
-    Map<String, Long> machines = new HashMap<>();
-    livenessReport.late().forEach((id, ago) -> machines.put(id, now - ago));
-    late = machines;
-    gone = Set.copyOf(livenessReport.gone().keySet());
+    leaderTerm = livenessReport.term();
+    leaderReportNumber = livenessReport.number();
+    leaderReportAtMs = nowMs;
+    Map<String, Long> machineHeardAtMs = new HashMap<>();
+    livenessReport
+        .overdueMachineAgesMs()
+        .forEach((id, ageMs) -> machineHeardAtMs.put(id, nowMs - ageMs));
+    overdueMachineHeardAtMs = machineHeardAtMs;
+    reportedGoneMachines = Set.copyOf(livenessReport.goneMachineAgesMs().keySet());
   }
 
   /** When anybody said to have heard this zone, or long ago. */
-  public long zoneHeardAt(String zone) {
-    return zones.getOrDefault(zone, NEVER);
+  public long zoneHeardAtMs(String zone) {
+    return zoneHeardAtMs.getOrDefault(zone, NEVER);
   }
 
   /**
    * The latest moment at which the leader that spoke last can have heard this machine, or long ago
    * when none spoke.
    */
-  public long machineHeardAt(String id) {
-    return late.getOrDefault(id, at);
+  public long machineHeardAtMs(String id) {
+    return overdueMachineHeardAtMs.getOrDefault(id, leaderReportAtMs);
   }
 
   /** True when the leader that spoke last had a proof that this machine is gone. */
-  public boolean saidGone(String id) {
-    return gone.contains(id);
+  public boolean isReportedGone(String id) {
+    return reportedGoneMachines.contains(id);
   }
 
   /** When the last leader's account came, or long ago. */
-  public long at() {
-    return at;
+  public long leaderReportAtMs() {
+    return leaderReportAtMs;
   }
 }
--- a/src/main/java/dapplestair/silence/SilenceTimeouts.java
+++ b/src/main/java/dapplestair/silence/SilenceTimeouts.java
@@ -8,10 +8,10 @@
  */
 public final class SilenceTimeouts {
   // Clocks drift by less than this, and a report is heard later than it was sent.
-  private static final double DRIFT = 1.01;
+  private static final double CLOCK_DRIFT_FACTOR = 1.01;
 
   // A controller behind the same cut keeps the leases of its zone's machines.
-  private static final int LEASES_BEHIND_A_KEEPER = 3;
+  private static final int LEASES_WITH_CONTROLLER = 3;
 
   private final Settings settings;
 
@@ -21,14 +21,14 @@
   }
 
   /** True when a controller lives in the zone, which may keep its leases behind a cut. */
-  private boolean keeper(String zone) {
+  private boolean hasController(String zone) {
     return settings.peers().stream().anyMatch(p -> p.zone().equals(zone));
   }
 
   /** When what runs in a silent zone is lost, counted from when the zone was last heard. */
   public long lostAfterMs(String zone) {
-    int leases = keeper(zone) ? LEASES_BEHIND_A_KEEPER : 1;
-    return Math.round(DRIFT * leases * settings.workers().leaseMs());
+    int leases = hasController(zone) ? LEASES_WITH_CONTROLLER : 1;
+    return Math.round(CLOCK_DRIFT_FACTOR * leases * settings.workers().leaseMs());
   }
 
   /**
@@ -44,9 +44,9 @@
    * nobody, so one with replicas at once. Any other may go on with its work until its lease has run
    * out; it is waited for no longer than the next one would take to boot.
    */
-  public boolean hangsTooLong(long silentMs, boolean replicas, double bootS) {
-    double worthMs = Math.min(DRIFT * settings.workers().leaseMs(), 1000 * bootS);
-    return replicas || silentMs > worthMs;
+  public boolean shouldGiveUpHanging(long silentMs, boolean hasReplicas, double bootS) {
+    double maxSilentMs = Math.min(CLOCK_DRIFT_FACTOR * settings.workers().leaseMs(), 1000 * bootS);
+    return hasReplicas || silentMs > maxSilentMs;
   }
 
   /**
@@ -60,25 +60,25 @@
    * place.
    *
    * @param silentMs how long nothing was heard of the machine
-   * @param replicas whether replicas run on it
-   * @param room whether what runs on it has free room elsewhere
-   * @param replaceable whether the cloud has such machines elsewhere
+   * @param hasReplicas whether replicas run on it
+   * @param hasRoomElsewhere whether what runs on it has free room elsewhere
+   * @param isReplaceable whether the cloud has such machines elsewhere
    * @param bootS how long the next one would take to boot
    */
-  public boolean givenUp(
+  public boolean shouldGiveUp(
       String zone,
       long silentMs,
-      boolean replicas,
-      boolean room,
-      boolean replaceable,
+      boolean hasReplicas,
+      boolean hasRoomElsewhere,
+      boolean isReplaceable,
       double bootS) {
-    long lost = lostAfterMs(zone);
-    if (silentMs <= lost) {
+    long lostAfterMs = lostAfterMs(zone);
+    if (silentMs <= lostAfterMs) {
       return false;
     }
-    return replicas
-        || room
-        || (replaceable && silentMs > lost + Math.round(2000 * bootS))
-        || silentMs > LEASES_BEHIND_A_KEEPER * settings.workers().leaseMs();
+    return hasReplicas
+        || hasRoomElsewhere
+        || (isReplaceable && silentMs > lostAfterMs + Math.round(2000 * bootS))
+        || silentMs > LEASES_WITH_CONTROLLER * settings.workers().leaseMs();
   }
 }
--- a/src/main/java/dapplestair/silence/ZoneContactTracker.java
+++ b/src/main/java/dapplestair/silence/ZoneContactTracker.java
@@ -9,12 +9,12 @@
  */
 public final class ZoneContactTracker {
   // In a zone of many machines some report at any moment, so that a break shows sooner.
-  private static final double FEW = 5;
-  private static final double LEAST_GAP = 0.15;
+  private static final double FULL_INTERVAL_MACHINES = 5;
+  private static final double MIN_GAP_FRACTION = 0.15;
 
   private static final class ZoneContact {
-    long since;
-    long last = Long.MIN_VALUE / 2;
+    long heardSinceMs;
+    long lastHeardMs = Long.MIN_VALUE / 2;
   }
 
   private final long intervalMs;
@@ -26,29 +26,34 @@
   }
 
   /** One of the zone's machines was heard. */
-  public void heard(String zone, long now, int machines) {
-    ZoneContact z = zones.computeIfAbsent(zone, n -> new ZoneContact());
-    if (now - z.last > gapMs(machines)) {
-      z.since = now;
+  public void recordHeard(String zone, long nowMs, int machines) {
+    ZoneContact contact = zones.computeIfAbsent(zone, n -> new ZoneContact());
+    if (nowMs - contact.lastHeardMs > maxGapMs(machines)) {
+      contact.heardSinceMs = nowMs;
     }
-    z.last = now;
+    contact.lastHeardMs = nowMs;
   }
 
   /** A longer time without any of so many machines is a break. */
-  public long gapMs(int machines) {
-    return Math.round(intervalMs * Math.max(LEAST_GAP, Math.min(1, FEW / Math.max(1, machines))));
+  public long maxGapMs(int machines) {
+    return Math.round(
+        intervalMs
+            * Math.max(
+                MIN_GAP_FRACTION, Math.min(1, FULL_INTERVAL_MACHINES / Math.max(1, machines))));
   }
 
   /** How long the zone has been heard without a break until just now; 0 when it is not heard. */
-  public long heardForMs(String zone, long now, int machines) {
-    ZoneContact z = zones.get(zone);
-    return z == null || now - z.last > gapMs(machines) ? 0 : now - z.since;
+  public long heardForMs(String zone, long nowMs, int machines) {
+    ZoneContact contact = zones.get(zone);
+    return contact == null || nowMs - contact.lastHeardMs > maxGapMs(machines)
+        ? 0
+        : nowMs - contact.heardSinceMs;
   }
 
   /** When the zone was last heard, or {@link Long#MIN_VALUE} / 2. */
-  public long lastHeard(String zone) {
-    ZoneContact z = zones.get(zone);
-    return z == null ? Long.MIN_VALUE / 2 : z.last;
+  public long lastHeardMs(String zone) {
+    ZoneContact contact = zones.get(zone);
+    return contact == null ? Long.MIN_VALUE / 2 : contact.lastHeardMs;
   }
 
   /** Forgets all. */
--- a/src/main/java/dapplestair/state/CommitQueue.java
+++ b/src/main/java/dapplestair/state/CommitQueue.java
@@ -32,72 +32,73 @@
     void post(byte[] transaction, long timeoutMs, Consumer<HttpReply> done);
   }
 
-  private static final int MOST_QUEUED = 2000;
-  private static final int MOST_IN_FLIGHT = 6;
-  private static final long USE_WINDOW_MS = 1000;
+  private static final int MAX_QUEUED_PER_PRIORITY = 2000;
+  private static final int MAX_IN_FLIGHT = 6;
+  private static final long RATE_WINDOW_MS = 1000;
   // No answer is taken for late within this part of the longest time that one may take.
-  private static final int LEAST_TIMEOUT_PART = 15;
+  private static final int MIN_TIMEOUT_DIVISOR = 15;
   // A late answer is listened for as long: what is on its way holds connections.
-  private static final int LATE_TIMEOUTS = 4;
+  private static final int MAX_WAIT_TIMEOUTS = 4;
 
   private record QueuedTxn(
-      int size, Supplier<Txn> txn, long deadline, boolean repeated, PendingCommit commit) {}
+      int size, Supplier<Txn> txn, long deadlineMs, boolean resent, PendingCommit commit) {}
 
   private final Clock clock;
   private final Timers timers;
   private final TxnSender sender;
-  private final TokenBucket requests;
-  private final TokenBucket writes;
-  private final long longestMs;
+  private final TokenBucket requestBucket;
+  private final TokenBucket writeBucket;
+  private final long maxTimeoutMs;
   private final ResponseTimeout responseTimeout;
   private final List<ArrayDeque<QueuedTxn>> queues =
       Arrays.stream(Priority.values()).map(p -> new ArrayDeque<QueuedTxn>()).toList();
-  private final int[] puts = new int[Priority.values().length];
+  private final int[] putsByPriority = new int[Priority.values().length];
   private int inFlight;
-  private int used;
-  private long usedSince;
-  private double usedBefore;
-  private boolean pumping;
+  private int putsInWindow;
+  private long windowStartMs;
+  private double previousPutsPerSecond;
+  private boolean sendScheduled;
 
-  /** Sends by {@code sender}; no answer is waited for longer than {@code longestMs}. */
+  /** Sends by {@code sender}; no answer is waited for longer than {@code maxTimeoutMs}. */
   CommitQueue(
       Clock clock,
       Timers timers,
       TxnSender sender,
-      TokenBucket requests,
-      TokenBucket writes,
-      long longestMs) {
+      TokenBucket requestBucket,
+      TokenBucket writeBucket,
+      long maxTimeoutMs) {
     this.clock = clock;
     this.timers = timers;
     this.sender = sender;
-    this.requests = requests;
-    this.writes = writes;
-    this.longestMs = longestMs;
-    this.responseTimeout = new ResponseTimeout(longestMs / LEAST_TIMEOUT_PART, longestMs);
+    this.requestBucket = requestBucket;
+    this.writeBucket = writeBucket;
+    this.maxTimeoutMs = maxTimeoutMs;
+    this.responseTimeout = new ResponseTimeout(maxTimeoutMs / MIN_TIMEOUT_DIVISOR, maxTimeoutMs);
   }
 
   /** Puts a second that are made or would be made if they could. */
-  double wanted() {
+  double demandPutsPerSecond() {
     long now = clock.now();
-    if (now - usedSince > USE_WINDOW_MS) {
-      usedBefore = 1000.0 * used / (now - usedSince);
-      used = 0;
-      usedSince = now;
+    if (now - windowStartMs > RATE_WINDOW_MS) {
+      previousPutsPerSecond = 1000.0 * putsInWindow / (now - windowStartMs);
+      putsInWindow = 0;
+      windowStartMs = now;
     }
-    return usedBefore + queued();
+    return previousPutsPerSecond + queued();
   }
 
   /** Puts sent since last asked, by priority. */
-  String putsSent() {
-    StringBuilder out = new StringBuilder();
+  String takePutCounts() {
+    StringBuilder counts = new StringBuilder();
     for (Priority priority : Priority.values()) {
-      out.append(out.length() == 0 ? "" : ", ")
-          .append(puts[priority.ordinal()])
+      counts
+          .append(counts.length() == 0 ? "" : ", ")
+          .append(putsByPriority[priority.ordinal()])
           .append(' ')
           .append(priority.name().toLowerCase(Locale.ROOT));
     }
-    Arrays.fill(puts, 0);
-    return out.toString();
+    Arrays.fill(putsByPriority, 0);
+    return counts.toString();
   }
 
   /** How many transactions of a priority wait. */
@@ -111,132 +112,135 @@
   }
 
   /** Queues a transaction, as {@link StateClient#commit} says. */
-  void add(int size, Supplier<Txn> txn, Priority priority, long waitMs, Consumer<TxnOutcome> done) {
+  void add(
+      int size, Supplier<Txn> txn, Priority priority, long maxWaitMs, Consumer<TxnOutcome> done) {
     ArrayDeque<QueuedTxn> queue = queues.get(priority.ordinal());
-    if (queue.size() >= MOST_QUEUED) {
+    if (queue.size() >= MAX_QUEUED_PER_PRIORITY) {
       timers.after(0, () -> done.accept(new TxnOutcome.Refused()));
       return;
     }
-    queue.add(new QueuedTxn(size, txn, clock.now() + waitMs, false, new PendingCommit(done)));
-    pump();
+    queue.add(new QueuedTxn(size, txn, clock.now() + maxWaitMs, false, new PendingCommit(done)));
+    sendQueued();
   }
 
-  private void pump() {
-    if (pumping) {
+  private void sendQueued() {
+    if (sendScheduled) {
       return;
     }
     for (Priority priority : Priority.values()) {
       ArrayDeque<QueuedTxn> queue = queues.get(priority.ordinal());
       while (!queue.isEmpty()) {
         QueuedTxn queued = queue.peek();
-        if (queued.commit.settled()) {
+        if (queued.commit.isSettled()) {
           queue.poll();
           continue;
         }
-        if (clock.now() > queued.deadline) {
+        if (clock.now() > queued.deadlineMs) {
           queue.poll();
-          queued.commit.notSent();
+          queued.commit.resendExpired();
           continue;
         }
-        if (inFlight >= MOST_IN_FLIGHT) {
+        if (inFlight >= MAX_IN_FLIGHT) {
           return;
         }
-        long wait = Math.max(writes.waitMs(queued.size), requests.waitMs(1));
-        if (wait > 0) {
-          pumpLater(wait);
+        long delayMs = Math.max(writeBucket.waitMs(queued.size), requestBucket.waitMs(1));
+        if (delayMs > 0) {
+          sendQueuedLater(delayMs);
           return;
         }
         queue.poll();
         Txn txn = queued.txn.get();
         if (txn != null) {
-          count(txn, priority);
-          QueuedTxn built =
-              new QueuedTxn(txn.size(), () -> txn, queued.deadline, queued.repeated, queued.commit);
-          send(built, txn, priority);
+          countSent(txn, priority);
+          QueuedTxn builtTxn =
+              new QueuedTxn(txn.size(), () -> txn, queued.deadlineMs, queued.resent, queued.commit);
+          send(builtTxn, txn, priority);
         }
       }
     }
   }
 
-  private void pumpLater(long waitMs) {
-    pumping = true;
+  private void sendQueuedLater(long delayMs) {
+    sendScheduled = true;
     timers.after(
-        waitMs,
+        delayMs,
         () -> {
-          pumping = false;
-          pump();
+          sendScheduled = false;
+          sendQueued();
         });
   }
 
-  private void count(Txn txn, Priority priority) {
-    writes.take(txn.size());
-    requests.take(1);
-    used += txn.size();
-    puts[priority.ordinal()] += txn.size();
+  private void countSent(Txn txn, Priority priority) {
+    writeBucket.take(txn.size());
+    requestBucket.take(1);
+    putsInWindow += txn.size();
+    putsByPriority[priority.ordinal()] += txn.size();
   }
 
   /** One copy on its way: it holds a place in flight until it is answered or late. */
-  private final class Copy {
+  private final class SentCopy {
     private final QueuedTxn queued;
     private final Priority priority;
-    private final long sentAt = clock.now();
-    private Cancellable timer = () -> {};
+    private final long sentAtMs = clock.now();
+    private Cancellable resendTimer = () -> {};
     private boolean late;
 
-    Copy(QueuedTxn queued, Priority priority) {
+    SentCopy(QueuedTxn queued, Priority priority) {
       this.queued = queued;
       this.priority = priority;
     }
 
-    void late(long repeatUntil) {
+    void onTimeout(long resendUntilMs) {
       late = true;
       inFlight--;
-      responseTimeout.unanswered();
-      if (queued.commit.repeatable()) {
-        queued.commit.repeat();
+      responseTimeout.recordTimeout();
+      if (queued.commit.mayResend()) {
+        queued.commit.queueResend();
         queues
             .get(priority.ordinal())
-            .addFirst(new QueuedTxn(queued.size, queued.txn, repeatUntil, true, queued.commit));
+            .addFirst(new QueuedTxn(queued.size, queued.txn, resendUntilMs, true, queued.commit));
       }
-      pump();
+      sendQueued();
     }
 
-    void answered(HttpReply reply) {
-      timer.cancel();
+    void onReply(HttpReply reply) {
+      resendTimer.cancel();
       if (!late) {
         inFlight--;
       }
-      boolean heard = reply.status() != HttpReply.UNKNOWN && reply.status() != HttpReply.NOT_SENT;
-      if (heard) {
-        responseTimeout.answered(clock.now() - sentAt);
+      boolean hasResponse =
+          reply.status() != HttpReply.UNKNOWN && reply.status() != HttpReply.NOT_SENT;
+      if (hasResponse) {
+        responseTimeout.recordResponse(clock.now() - sentAtMs);
       }
       if (reply.status() == 429 && !late) {
         // Others used more than their share: not executed, so it may go again.
-        writes.drain();
-        queued.commit.repeat();
+        writeBucket.drain();
+        queued.commit.queueResend();
         queues.get(priority.ordinal()).addFirst(queued);
-        queued.commit.unsent();
+        queued.commit.copyRejected();
       } else {
-        queued.commit.answered(outcome(reply));
+        queued.commit.copyEnded(outcome(reply));
       }
-      pump();
+      sendQueued();
     }
   }
 
   private void send(QueuedTxn queued, Txn txn, Priority priority) {
     inFlight++;
-    queued.commit.sent();
-    Copy copy = new Copy(queued, priority);
+    queued.commit.copySent();
+    SentCopy copy = new SentCopy(queued, priority);
     // A candidate that does not know of its win would have nobody lead for as long as its hold
     // lasts, and no copy of it can be refused by another one: it waits for its answer.
-    boolean waits = priority == Priority.ELECTION;
-    long lateMs = responseTimeout.ms();
-    long repeatUntil = queued.repeated ? queued.deadline : clock.now() + longestMs;
-    if (!waits && lateMs < longestMs) {
-      copy.timer = timers.after(lateMs, () -> copy.late(repeatUntil));
+    boolean waitsForReply = priority == Priority.ELECTION;
+    long resendAfterMs = responseTimeout.timeoutMs();
+    long resendUntilMs = queued.resent ? queued.deadlineMs : clock.now() + maxTimeoutMs;
+    if (!waitsForReply && resendAfterMs < maxTimeoutMs) {
+      copy.resendTimer = timers.after(resendAfterMs, () -> copy.onTimeout(resendUntilMs));
     }
-    long timeoutMs = waits ? longestMs : Math.min(longestMs, LATE_TIMEOUTS * lateMs);
-    sender.post(txn.bytes(), timeoutMs, copy::answered);
+    long timeoutMs =
+        waitsForReply ? maxTimeoutMs : Math.min(maxTimeoutMs, MAX_WAIT_TIMEOUTS * resendAfterMs);
+    sender.post(txn.toBytes(), timeoutMs, copy::onReply);
   }
 
   private static TxnOutcome outcome(HttpReply reply) {
--- a/src/main/java/dapplestair/state/ConditionalWriter.java
+++ b/src/main/java/dapplestair/state/ConditionalWriter.java
@@ -31,7 +31,7 @@
   }
 
   /** Gives a key this value, or removes it if there is none. */
-  public void record(String key, ObjectNode value, long deadline, Consumer<Result> done) {
+  public void write(String key, ObjectNode value, long deadlineMs, Consumer<Result> done) {
     long stamp = replica.stamp(key);
     if (value == null && stamp == 0) {
       done.accept(Result.DONE);
@@ -46,15 +46,15 @@
     state.commit(
         txn,
         Priority.USER,
-        Math.max(0, deadline - clock.now()),
+        Math.max(0, deadlineMs - clock.now()),
         outcome -> {
           if (outcome instanceof TxnOutcome.Applied) {
             done.accept(Result.DONE);
           } else if (outcome instanceof TxnOutcome.Conflict) {
             // Somebody else's change, or our own write that went unanswered before.
-            settle(key, value, -1, deadline, done);
+            settleByReading(key, value, -1, deadlineMs, done);
           } else if (outcome instanceof TxnOutcome.Unknown) {
-            settle(key, value, stamp, deadline, done);
+            settleByReading(key, value, stamp, deadlineMs, done);
           } else {
             done.accept(Result.REFUSED);
           }
@@ -62,18 +62,18 @@
   }
 
   /** No answer: what is recorded now tells, unless the write is still to come. */
-  private void settle(
-      String key, ObjectNode value, long stampBefore, long deadline, Consumer<Result> done) {
+  private void settleByReading(
+      String key, ObjectNode value, long stampBefore, long deadlineMs, Consumer<Result> done) {
     state.get(
         key,
         read -> {
-          boolean asWanted =
+          boolean isAsRequested =
               read.known() && (value == null ? !read.exists() : value.equals(read.value()));
-          if (asWanted) {
+          if (isAsRequested) {
             done.accept(Result.DONE);
-          } else if (read.known() && read.stamp() == stampBefore && clock.now() < deadline) {
+          } else if (read.known() && read.stamp() == stampBefore && clock.now() < deadlineMs) {
             // The same condition again: only one of the two can ever be applied.
-            record(key, value, deadline, done);
+            write(key, value, deadlineMs, done);
           } else {
             done.accept(read.known() ? Result.CHANGED : Result.UNKNOWN);
           }
--- a/src/main/java/dapplestair/state/PendingCommit.java
+++ b/src/main/java/dapplestair/state/PendingCommit.java
@@ -8,10 +8,10 @@
  */
 final class PendingCommit {
   private final Consumer<TxnOutcome> done;
-  private int unanswered;
-  private boolean waitsToRepeat;
-  private boolean lost;
-  private TxnOutcome notApplied;
+  private int unansweredCopies;
+  private boolean resendQueued;
+  private boolean hasUnknownCopy;
+  private TxnOutcome notAppliedOutcome;
   private boolean settled;
 
   /** {@code done} hears once how it ended. */
@@ -20,54 +20,54 @@
   }
 
   /** True when it is known how it ended. */
-  boolean settled() {
+  boolean isSettled() {
     return settled;
   }
 
   /** True while another copy may help: none has been answered yet. */
-  boolean repeatable() {
-    return !settled && notApplied == null;
+  boolean mayResend() {
+    return !settled && notAppliedOutcome == null;
   }
 
   /** Another copy is to be sent. */
-  void repeat() {
-    waitsToRepeat = true;
+  void queueResend() {
+    resendQueued = true;
   }
 
   /** A copy is on its way. */
-  void sent() {
-    waitsToRepeat = false;
-    unanswered++;
+  void copySent() {
+    resendQueued = false;
+    unansweredCopies++;
   }
 
   /** The copy that was to be sent never will be. */
-  void notSent() {
-    waitsToRepeat = false;
-    note(new TxnOutcome.Refused());
+  void resendExpired() {
+    resendQueued = false;
+    recordOutcome(new TxnOutcome.Refused());
   }
 
   /** The copy on its way was not executed, and waits to be sent again. */
-  void unsent() {
-    unanswered--;
+  void copyRejected() {
+    unansweredCopies--;
   }
 
   /** A copy ended. */
-  void answered(TxnOutcome outcome) {
-    unanswered--;
-    note(outcome);
+  void copyEnded(TxnOutcome outcome) {
+    unansweredCopies--;
+    recordOutcome(outcome);
   }
 
-  private void note(TxnOutcome outcome) {
+  private void recordOutcome(TxnOutcome outcome) {
     if (outcome instanceof TxnOutcome.Applied) {
       settle(outcome);
     } else if (outcome instanceof TxnOutcome.Unknown) {
-      lost = true;
-    } else if (!(notApplied instanceof TxnOutcome.Conflict)) {
-      notApplied = outcome;
+      hasUnknownCopy = true;
+    } else if (!(notAppliedOutcome instanceof TxnOutcome.Conflict)) {
+      notAppliedOutcome = outcome;
     }
     // A conflict may be with another copy of its own, as long as that one is unanswered.
-    if (unanswered == 0 && (!waitsToRepeat || notApplied != null)) {
-      settle(lost ? new TxnOutcome.Unknown() : notApplied);
+    if (unansweredCopies == 0 && (!resendQueued || notAppliedOutcome != null)) {
+      settle(hasUnknownCopy ? new TxnOutcome.Unknown() : notAppliedOutcome);
     }
   }
 
--- a/src/main/java/dapplestair/state/Replica.java
+++ b/src/main/java/dapplestair/state/Replica.java
@@ -36,35 +36,35 @@
     void loaded();
   }
 
-  private static final long BLOCK_MS = 1000;
+  private static final long LONG_POLL_MS = 1000;
 
   private final StateClient state;
   private final Timers timers;
   private final UniformRandomProvider random;
   private final Listener listener;
-  private final BooleanSupplier eager;
-  private final Object2LongOpenHashMap<String> stamps = new Object2LongOpenHashMap<>();
-  private final List<Consumer<Boolean>> nextBarrier = new ArrayList<>();
+  private final BooleanSupplier needsLowLatency;
+  private final Object2LongOpenHashMap<String> stampsByKey = new Object2LongOpenHashMap<>();
+  private final List<Consumer<Boolean>> pendingBarriers = new ArrayList<>();
   // Jobs that were held before all was forgotten, and whose end nobody has been told.
-  private final Set<String> jobsBefore = new HashSet<>();
-  private long asOf = Long.MIN_VALUE / 2;
-  private long position;
+  private final Set<String> jobsBeforeRestart = new HashSet<>();
+  private long asOfMs = Long.MIN_VALUE / 2;
+  private long appliedEpoch;
   private boolean ready;
   private boolean barrierRunning;
   private int generation;
   private long backoffMs;
 
-  /** {@code eager} says whether changes matter at once, as they do to a leader. */
+  /** {@code needsLowLatency} says whether changes matter at once, as they do to a leader. */
   public Replica(
       StateClient state,
       Timers timers,
       UniformRandomProvider random,
-      BooleanSupplier eager,
+      BooleanSupplier needsLowLatency,
       Listener listener) {
     this.state = state;
     this.timers = timers;
     this.random = random;
-    this.eager = eager;
+    this.needsLowLatency = needsLowLatency;
     this.listener = listener;
   }
 
@@ -78,8 +78,10 @@
   /** Forgets everything without telling anybody, and begins again. */
   public void restart() {
     // A job that ends while nothing is held has ended for those who knew it all the same.
-    stamps.keySet().stream().filter(k -> k.startsWith(StateKeys.JOB)).forEach(jobsBefore::add);
-    stamps.clear();
+    stampsByKey.keySet().stream()
+        .filter(k -> k.startsWith(StateKeys.JOB))
+        .forEach(jobsBeforeRestart::add);
+    stampsByKey.clear();
     reload();
   }
 
@@ -87,97 +89,98 @@
    * True when a job was held as not over when everything was forgotten, and the listing that tells
    * what became of it has not been read yet.
    */
-  public boolean heldBefore(String job) {
-    return jobsBefore.contains(StateKeys.job(job));
+  public boolean heldBeforeRestart(String job) {
+    return jobsBeforeRestart.contains(StateKeys.job(job));
   }
 
   /** True once complete. */
-  public boolean ready() {
+  public boolean isReady() {
     return ready;
   }
 
   /** The epoch up to which it holds all changes. */
-  public long position() {
-    return position;
+  public long appliedEpoch() {
+    return appliedEpoch;
   }
 
   /**
    * All that was in the state service at this moment, steady time, has been told to the listener;
    * far in the past before the first time.
    */
-  public long asOf() {
-    return asOf;
+  public long asOfMs() {
+    return asOfMs;
   }
 
   /** Stamp of a key, 0 when it does not exist. */
   public long stamp(String key) {
-    return stamps.getLong(key);
+    return stampsByKey.getLong(key);
   }
 
   /** All keys there are. */
   public Set<String> keys() {
-    return stamps.keySet();
+    return stampsByKey.keySet();
   }
 
   private record VersionedValue(JsonNode value, long stamp) {}
 
-  private void list(int gen, String from, long epoch, Map<String, VersionedValue> rows) {
+  private void list(
+      int gen, String fromKey, long firstPageEpoch, Map<String, VersionedValue> rows) {
     state.list(
         StateKeys.LIVE,
-        from,
+        fromKey,
         page -> {
           if (gen != generation) {
             return;
           }
           if (!page.path("rows").isArray() || !page.has("epoch")) {
-            retry(() -> list(gen, from, epoch, rows));
+            retry(() -> list(gen, fromKey, firstPageEpoch, rows));
             return;
           }
           backoffMs = 0;
-          String last = from;
+          String lastKey = fromKey;
           for (JsonNode row : page.get("rows")) {
-            last = row.path("k").asText();
-            rows.put(last, new VersionedValue(row.get("value"), Json.number(row, "stamp", 0)));
+            lastKey = row.path("k").asText();
+            rows.put(lastKey, new VersionedValue(row.get("value"), Json.number(row, "stamp", 0)));
           }
           // Pages are not one moment: changes since the first page are replayed over them.
-          long start = epoch < 0 ? Json.number(page, "epoch", 0) : epoch;
+          long startEpoch = firstPageEpoch < 0 ? Json.number(page, "epoch", 0) : firstPageEpoch;
           if (Json.flag(page, "more")) {
-            list(gen, last, start, rows);
+            list(gen, lastKey, startEpoch, rows);
           } else {
-            adopt(rows);
-            position = start;
-            catchUp(gen, Json.number(page, "epoch", start));
+            replaceContents(rows);
+            appliedEpoch = startEpoch;
+            catchUp(gen, Json.number(page, "epoch", startEpoch));
           }
         });
   }
 
-  private void adopt(Map<String, VersionedValue> rows) {
-    for (String key : List.copyOf(stamps.keySet())) {
+  private void replaceContents(Map<String, VersionedValue> rows) {
+    for (String key : List.copyOf(stampsByKey.keySet())) {
       if (!rows.containsKey(key)) {
-        stamps.removeLong(key);
+        stampsByKey.removeLong(key);
         listener.removed(key);
       }
     }
-    jobsBefore.removeAll(rows.keySet());
-    jobsBefore.forEach(listener::removed);
-    jobsBefore.clear();
+    jobsBeforeRestart.removeAll(rows.keySet());
+    jobsBeforeRestart.forEach(listener::removed);
+    jobsBeforeRestart.clear();
     rows.forEach(
         (key, row) -> {
-          if (stamps.getLong(key) != row.stamp) {
-            stamps.put(key, row.stamp);
+          if (stampsByKey.getLong(key) != row.stamp) {
+            stampsByKey.put(key, row.stamp);
             listener.put(key, row.value, row.stamp);
           }
         });
   }
 
-  private void catchUp(int gen, long target) {
+  private void catchUp(int gen, long targetEpoch) {
     if (gen != generation) {
       return;
     }
-    long askedAt = state.now();
-    state.changes(
+    long askedAtMs = state.now();
+    state.fetchChanges(
         StateKeys.LIVE,
-        position,
+        appliedEpoch,
         0,
         reply -> {
           if (gen != generation) {
@@ -187,12 +190,12 @@
           if (gen != generation) {
             return;
           }
-          if (!applied || position < target) {
-            retry(() -> catchUp(gen, target));
+          if (!applied || appliedEpoch < targetEpoch) {
+            retry(() -> catchUp(gen, targetEpoch));
           } else {
             ready = true;
-            asOf = Math.max(asOf, askedAt);
-            LOG.info("replica complete: {} keys at {}", stamps.size(), position);
+            asOfMs = Math.max(asOfMs, askedAtMs);
+            LOG.info("replica complete: {} keys at {}", stampsByKey.size(), appliedEpoch);
             listener.loaded();
             follow(gen);
             runBarrier();
@@ -204,11 +207,11 @@
     if (gen != generation) {
       return;
     }
-    long askedAt = state.now();
-    state.changes(
+    long askedAtMs = state.now();
+    state.fetchChanges(
         StateKeys.LIVE,
-        position,
-        BLOCK_MS,
+        appliedEpoch,
+        LONG_POLL_MS,
         reply -> {
           if (gen != generation) {
             return;
@@ -219,8 +222,10 @@
           }
           if (applied) {
             backoffMs = 0;
-            asOf = Math.max(asOf, askedAt);
-            timers.after(state.spacingMs(eager.getAsBoolean() ? 0.5 : 0.2), () -> follow(gen));
+            asOfMs = Math.max(asOfMs, askedAtMs);
+            timers.after(
+                state.repeatIntervalMs(needsLowLatency.getAsBoolean() ? 0.5 : 0.2),
+                () -> follow(gen));
           } else {
             retry(() -> follow(gen));
           }
@@ -230,7 +235,7 @@
   /** Applies a reply of changes. False when there was none to apply. */
   private boolean apply(HttpReply reply) {
     if (reply.status() == 410) {
-      LOG.info("the stream of changes was lost at {}, listing again", position);
+      LOG.info("the stream of changes was lost at {}, listing again", appliedEpoch);
       reload();
       return false;
     }
@@ -246,25 +251,25 @@
         return false;
       }
       long stamp = Json.number(node, "stamp", 0);
-      String removed = Json.text(node, "remove");
-      String key = removed != null ? removed : Json.text(node, "put");
+      String removedKey = Json.text(node, "remove");
+      String key = removedKey != null ? removedKey : Json.text(node, "put");
       // Two streams (follower and barrier) may bring the same change, or an older one late.
-      if (key == null || stamp <= position) {
+      if (key == null || stamp <= appliedEpoch) {
         continue;
       }
-      if (removed != null) {
-        if (stamps.removeLong(key) != 0) {
+      if (removedKey != null) {
+        if (stampsByKey.removeLong(key) != 0) {
           listener.removed(key);
         }
       } else {
-        stamps.put(key, stamp);
+        stampsByKey.put(key, stamp);
         listener.put(key, node.get("value"), stamp);
       }
     }
     if (gen != generation) {
       return false;
     }
-    position = Math.max(position, Json.number(body, "epoch", position));
+    appliedEpoch = Math.max(appliedEpoch, Json.number(body, "epoch", appliedEpoch));
     return true;
   }
 
@@ -273,7 +278,7 @@
    * this moment, or with false when that could not be learnt.
    */
   public void barrier(Consumer<Boolean> done) {
-    nextBarrier.add(done);
+    pendingBarriers.add(done);
     if (!barrierRunning) {
       barrierRunning = true;
       // All that come in the same turn share one request.
@@ -282,40 +287,40 @@
   }
 
   private void runBarrier() {
-    if (nextBarrier.isEmpty()) {
+    if (pendingBarriers.isEmpty()) {
       barrierRunning = false;
       return;
     }
     barrierRunning = true;
-    List<Consumer<Boolean>> waiting = List.copyOf(nextBarrier);
-    nextBarrier.clear();
+    List<Consumer<Boolean>> callbacks = List.copyOf(pendingBarriers);
+    pendingBarriers.clear();
     if (!ready) {
-      waiting.forEach(w -> w.accept(false));
+      callbacks.forEach(callback -> callback.accept(false));
       barrierRunning = false;
       return;
     }
     int gen = generation;
-    long askedAt = state.now();
-    state.changes(
+    long askedAtMs = state.now();
+    state.fetchChanges(
         StateKeys.LIVE,
-        position,
+        appliedEpoch,
         0,
         reply -> {
           boolean passed = gen == generation && apply(reply);
-          asOf = passed ? Math.max(asOf, askedAt) : asOf;
+          asOfMs = passed ? Math.max(asOfMs, askedAtMs) : asOfMs;
           // One that waits may make the replica begin again, as by a change of role: those after it
           // must not find it emptied and take that for what the state service holds.
-          waiting.forEach(w -> w.accept(passed && gen == generation));
-          if (nextBarrier.isEmpty()) {
+          callbacks.forEach(callback -> callback.accept(passed && gen == generation));
+          if (pendingBarriers.isEmpty()) {
             barrierRunning = false;
           } else {
-            timers.after(state.spacingMs(0.15), this::runBarrier);
+            timers.after(state.repeatIntervalMs(0.15), this::runBarrier);
           }
         });
   }
 
-  private void retry(Runnable again) {
+  private void retry(Runnable action) {
     backoffMs = Math.min(1000, backoffMs == 0 ? 60 : backoffMs * 2);
-    timers.after(backoffMs / 2 + random.nextLong(backoffMs), again);
+    timers.after(backoffMs / 2 + random.nextLong(backoffMs), action);
   }
 }
--- a/src/main/java/dapplestair/state/StateClient.java
+++ b/src/main/java/dapplestair/state/StateClient.java
@@ -50,8 +50,8 @@
   // The leader writes attempts, the others only what users ask of them: shares of the limits.
   private static final double LEADER_SHARE = 0.6;
   // What the others leave unused is the leader's too, less what they may need before it hears.
-  private static final double HELD_BACK = 0.1;
-  private static final double SAFETY = 0.92;
+  private static final double RESERVED_SHARE = 0.1;
+  private static final double SAFETY_FACTOR = 0.92;
 
   private final Clock clock;
   private final HttpCaller http;
@@ -59,12 +59,12 @@
   private final Settings.State limits;
   private final int controllers;
   private final long timeoutMs;
-  private final TokenBucket requests;
-  private final TokenBucket writes;
+  private final TokenBucket requestBucket;
+  private final TokenBucket writeBucket;
   private final CommitQueue commits;
   private boolean reachable;
-  private long unreachableSince;
-  private long answeredAt = Long.MIN_VALUE / 2;
+  private long unreachableSinceMs;
+  private long lastResponseAtMs = Long.MIN_VALUE / 2;
 
   /** Talks to the state service named in the settings. */
   public StateClient(Clock clock, Timers timers, HttpCaller http, Settings settings) {
@@ -74,34 +74,38 @@
     this.limits = settings.state();
     this.controllers = settings.controllers();
     this.timeoutMs = settings.workers().reportMs() / 2;
-    this.requests = new TokenBucket(clock, limits.rps() * SAFETY / controllers, 0.5);
-    this.writes = new TokenBucket(clock, limits.writeRps() * SAFETY / controllers, 0.5);
-    this.commits = new CommitQueue(clock, timers, this::post, requests, writes, timeoutMs);
-    this.unreachableSince = clock.now();
+    this.requestBucket = new TokenBucket(clock, limits.rps() * SAFETY_FACTOR / controllers, 0.5);
+    this.writeBucket = new TokenBucket(clock, limits.writeRps() * SAFETY_FACTOR / controllers, 0.5);
+    this.commits =
+        new CommitQueue(clock, timers, this::post, requestBucket, writeBucket, timeoutMs);
+    this.unreachableSinceMs = clock.now();
   }
 
   /** Adjusts this controller's share of the limits. */
-  public void leading(boolean leader) {
+  public void setLeading(boolean isLeader) {
     double share =
-        controllers == 1 ? 1 : leader ? LEADER_SHARE : (1 - LEADER_SHARE) / (controllers - 1);
-    writes.rate(limits.writeRps() * SAFETY * share);
-    requests.rate(limits.rps() * SAFETY * share);
+        controllers == 1 ? 1 : isLeader ? LEADER_SHARE : (1 - LEADER_SHARE) / (controllers - 1);
+    writeBucket.setRate(limits.writeRps() * SAFETY_FACTOR * share);
+    requestBucket.setRate(limits.rps() * SAFETY_FACTOR * share);
   }
 
-  /** A leader may use what its peers say they do not: {@code othersUse} is in puts a second. */
-  public void othersUse(double othersUse) {
-    double left = 1 - HELD_BACK - 1.3 * othersUse / limits.writeRps();
-    writes.rate(limits.writeRps() * SAFETY * Math.max(controllers == 1 ? 1 : LEADER_SHARE, left));
+  /** A leader may use what its peers say they do not: {@code setPeerDemand} is in puts a second. */
+  public void setPeerDemand(double peerPutsPerSecond) {
+    double availableShare = 1 - RESERVED_SHARE - 1.3 * peerPutsPerSecond / limits.writeRps();
+    writeBucket.setRate(
+        limits.writeRps()
+            * SAFETY_FACTOR
+            * Math.max(controllers == 1 ? 1 : LEADER_SHARE, availableShare));
   }
 
   /** False from a refusal or silence until the next answer. */
-  public boolean reachable() {
+  public boolean isReachable() {
     return reachable;
   }
 
   /** How long it has not answered, 0 while it does. */
   public long unreachableMs() {
-    return reachable ? 0 : clock.now() - unreachableSince;
+    return reachable ? 0 : clock.now() - unreachableSinceMs;
   }
 
   /** Steady time, as this client counts it. */
@@ -118,38 +122,40 @@
    * Pause between repeated requests that may take this part of a controller's share of the limit:
    * hundreds of polls and changes a second must not use up what launches need.
    */
-  long spacingMs(double part) {
-    return Math.round(1000 / Math.max(1, part * limits.rps() / controllers));
+  long repeatIntervalMs(double shareFraction) {
+    return Math.round(1000 / Math.max(1, shareFraction * limits.rps() / controllers));
   }
 
   /** Puts a second that this controller makes or would make if it could. */
-  public double wanted() {
-    return commits.wanted();
+  public double demandPutsPerSecond() {
+    return commits.demandPutsPerSecond();
   }
 
   /** Puts sent since last asked, by priority. */
-  public String putsSent() {
-    return commits.putsSent();
+  public String takePutCounts() {
+    return commits.takePutCounts();
   }
 
   /** How many transactions of a priority wait. */
-  public int queued(Priority priority) {
+  public int queuedCount(Priority priority) {
     return commits.queued(priority);
   }
 
   /** Puts a second that this controller may make now. */
-  public double putsAllowed() {
-    return writes.rate();
+  public double maxPutsPerSecond() {
+    return writeBucket.ratePerSecond();
   }
 
   /** How many transactions wait. */
-  public int queued() {
+  public int queuedCount() {
     return commits.queued();
   }
 
-  /** Queues a transaction; it ends as refused when it could not be sent within {@code waitMs}. */
-  public void commit(Txn txn, Priority priority, long waitMs, Consumer<TxnOutcome> done) {
-    commit(txn.size(), () -> txn, priority, waitMs, done);
+  /**
+   * Queues a transaction; it ends as refused when it could not be sent within {@code maxWaitMs}.
+   */
+  public void commit(Txn txn, Priority priority, long maxWaitMs, Consumer<TxnOutcome> done) {
+    commit(txn.size(), () -> txn, priority, maxWaitMs, done);
   }
 
   /**
@@ -158,18 +164,23 @@
    * write, of which {@code done} does not hear.
    */
   public void commit(
-      int size, Supplier<Txn> txn, Priority priority, long waitMs, Consumer<TxnOutcome> done) {
-    commits.add(size, txn, priority, waitMs, done);
+      int size, Supplier<Txn> txn, Priority priority, long maxWaitMs, Consumer<TxnOutcome> done) {
+    commits.add(size, txn, priority, maxWaitMs, done);
   }
 
-  private void post(byte[] transaction, long withinMs, Consumer<HttpReply> done) {
+  private void post(byte[] transaction, long postTimeoutMs, Consumer<HttpReply> done) {
     http.call(
-        endpoint, "POST", "/commit", transaction, withinMs, reply -> done.accept(note(reply)));
+        endpoint,
+        "POST",
+        "/commit",
+        transaction,
+        postTimeoutMs,
+        reply -> done.accept(updateReachability(reply)));
   }
 
   /** Reads one key. */
   public void get(String key, Consumer<ReadResult> done) {
-    requests.take(1);
+    requestBucket.take(1);
     http.call(
         endpoint,
         "GET",
@@ -177,7 +188,7 @@
         null,
         timeoutMs,
         reply -> {
-          JsonNode body = Json.parse(note(reply).body());
+          JsonNode body = Json.parse(updateReachability(reply).body());
           if (reply.status() == 200 && body.has("value")) {
             done.accept(new ReadResult(true, body.get("value"), Json.number(body, "stamp", 0)));
           } else {
@@ -187,33 +198,39 @@
   }
 
   /** One page of keys; a missing node when it could not be read. */
-  void list(String prefix, String from, Consumer<JsonNode> done) {
-    list(prefix, from, 1000, done);
+  void list(String prefix, String fromKey, Consumer<JsonNode> done) {
+    list(prefix, fromKey, 1000, done);
   }
 
   /** One page of at most {@code limit} keys; a missing node when it could not be read. */
-  public void list(String prefix, String from, int limit, Consumer<JsonNode> done) {
-    requests.take(1);
+  public void list(String prefix, String fromKey, int limit, Consumer<JsonNode> done) {
+    requestBucket.take(1);
     String path =
-        "/kv?prefix=" + prefix + (from == null ? "" : "&from=" + from) + "&limit=" + limit;
-    http.call(endpoint, "GET", path, null, 2 * timeoutMs, reply -> done.accept(body(note(reply))));
+        "/kv?prefix=" + prefix + (fromKey == null ? "" : "&from=" + fromKey) + "&limit=" + limit;
+    http.call(
+        endpoint,
+        "GET",
+        path,
+        null,
+        2 * timeoutMs,
+        reply -> done.accept(parseBody(updateReachability(reply))));
   }
 
   /** Waits for changes; the whole reply, since 410 matters. */
-  void changes(String prefix, long from, long blockMs, Consumer<HttpReply> done) {
-    requests.take(1);
+  void fetchChanges(String prefix, long fromEpoch, long blockMs, Consumer<HttpReply> done) {
+    requestBucket.take(1);
     http.call(
         endpoint,
         "GET",
-        "/changes?prefix=" + prefix + "&from=" + from + "&blockMs=" + blockMs,
+        "/changes?prefix=" + prefix + "&from=" + fromEpoch + "&blockMs=" + blockMs,
         null,
         blockMs + timeoutMs,
-        reply -> done.accept(note(reply)));
+        reply -> done.accept(updateReachability(reply)));
   }
 
   /** Opens a hold; 0 when that failed. */
-  public void hold(long ttlMs, Consumer<Long> done) {
-    requests.take(1);
+  public void openHold(long ttlMs, Consumer<Long> done) {
+    requestBucket.take(1);
     byte[] body = Json.bytes(Json.object().put("ttlMs", ttlMs));
     http.call(
         endpoint,
@@ -221,46 +238,46 @@
         "/holds",
         body,
         timeoutMs,
-        reply -> done.accept(Json.number(body(note(reply)), "hold", 0)));
+        reply -> done.accept(Json.number(parseBody(updateReachability(reply)), "hold", 0)));
   }
 
   /** Extends a hold; the status says what became of it. */
-  public void extend(long hold, Consumer<Integer> done) {
-    requests.take(1);
+  public void extendHold(long hold, Consumer<Integer> done) {
+    requestBucket.take(1);
     http.call(
         endpoint,
         "POST",
         "/holds/" + hold + "/extend",
         null,
         timeoutMs,
-        reply -> done.accept(note(reply).status()));
+        reply -> done.accept(updateReachability(reply).status()));
   }
 
   /** Ends a hold at once, if the request gets through. */
   public void endHold(long hold) {
-    requests.take(1);
-    http.call(endpoint, "DELETE", "/holds/" + hold, null, timeoutMs, this::note);
+    requestBucket.take(1);
+    http.call(endpoint, "DELETE", "/holds/" + hold, null, timeoutMs, this::updateReachability);
   }
 
-  private static JsonNode body(HttpReply reply) {
+  private static JsonNode parseBody(HttpReply reply) {
     return Json.parse(reply.ok() ? reply.body() : new byte[0]);
   }
 
-  private HttpReply note(HttpReply reply) {
-    boolean answered = reply.status() >= 200 && reply.status() != 503;
-    if (answered) {
-      answeredAt = clock.now();
-    } else if (reply.status() == HttpReply.UNKNOWN && clock.now() - answeredAt < timeoutMs) {
+  private HttpReply updateReachability(HttpReply reply) {
+    boolean served = reply.status() >= 200 && reply.status() != 503;
+    if (served) {
+      lastResponseAtMs = clock.now();
+    } else if (reply.status() == HttpReply.UNKNOWN && clock.now() - lastResponseAtMs < timeoutMs) {
       // One answer was lost while others came: that is no outage.
       return reply;
     }
-    if (reachable && !answered) {
-      unreachableSince = clock.now();
+    if (reachable && !served) {
+      unreachableSinceMs = clock.now();
       LOG.info("the state service does not serve us (status {})", reply.status());
-    } else if (!reachable && answered) {
+    } else if (!reachable && served) {
       LOG.info("the state service serves us again");
     }
-    reachable = answered;
+    reachable = served;
     return reply;
   }
 }
--- a/src/main/java/dapplestair/state/StateKeys.java
+++ b/src/main/java/dapplestair/state/StateKeys.java
@@ -24,7 +24,7 @@
   public static final String JOB = LIVE + "job/";
 
   /** Prefix of attempts. */
-  public static final String RUN = LIVE + "run/";
+  public static final String ATTEMPTS = LIVE + "run/";
 
   /** Prefix of launch batches, each with attempts of many jobs. */
   public static final String LAUNCH_BATCH = LIVE + "sheet/";
@@ -42,13 +42,13 @@
   public static final String CALENDAR = LIVE + "calendar/";
 
   /** Prefix of what is known of machines' images. */
-  public static final String WEIGHTS = LIVE + "weights/";
+  public static final String IMAGE_LOCATIONS = LIVE + "weights/";
 
   /** Prefix of lanes' claims. */
   public static final String LANE = LIVE + "lane/";
 
   /** Prefix of orders to replace machines. */
-  public static final String REPLACE = LIVE + "replace/";
+  public static final String REPLACEMENT = LIVE + "replace/";
 
   /** Prefix of machines that operators have emptied. */
   public static final String DRAIN = LIVE + "drain/";
@@ -57,7 +57,7 @@
   public static final String DRAIN_ZONE = LIVE + "drain-zone/";
 
   /** Prefix of jobs that are over. */
-  public static final String OVER = "over/";
+  public static final String FINISHED_JOB = "over/";
 
   private StateKeys() {}
 
@@ -67,13 +67,13 @@
   }
 
   /** A job that is over. */
-  public static String over(String ref) {
-    return OVER + ref;
+  public static String finishedJob(String ref) {
+    return FINISHED_JOB + ref;
   }
 
   /** One chunk of a job's attempts. */
-  public static String run(String ref, int chunk) {
-    return RUN + ref + "/" + chunk;
+  public static String attemptChunk(String ref, int chunk) {
+    return ATTEMPTS + ref + "/" + chunk;
   }
 
   /** One launch batch; the term makes its name the leader's own. */
--- a/src/main/java/dapplestair/state/TokenBucket.java
+++ b/src/main/java/dapplestair/state/TokenBucket.java
@@ -6,46 +6,46 @@
 public final class TokenBucket {
   private final Clock clock;
   private final double burstS;
-  private double perSecond;
+  private double ratePerSecond;
   private double tokens;
-  private long at;
+  private long refilledAtMs;
 
   /** Starts full. */
-  public TokenBucket(Clock clock, double perSecond, double burstS) {
+  public TokenBucket(Clock clock, double ratePerSecond, double burstS) {
     this.clock = clock;
-    this.perSecond = perSecond;
+    this.ratePerSecond = ratePerSecond;
     this.burstS = burstS;
-    this.tokens = perSecond * burstS;
-    this.at = clock.now();
+    this.tokens = ratePerSecond * burstS;
+    this.refilledAtMs = clock.now();
   }
 
   /** Changes the rate from now on. */
-  public void rate(double newPerSecond) {
+  public void setRate(double newRatePerSecond) {
     refill();
-    perSecond = newPerSecond;
+    ratePerSecond = newRatePerSecond;
   }
 
   /** How many a second. */
-  public double rate() {
-    return perSecond;
+  public double ratePerSecond() {
+    return ratePerSecond;
   }
 
-  /** Takes {@code n} if there are that many, or if the bucket is as full as it gets. */
-  public boolean take(double n) {
+  /** Takes {@code count} if there are that many, or if the bucket is as full as it gets. */
+  public boolean take(double count) {
     refill();
-    double full = Math.max(1, perSecond * burstS);
-    if (tokens < Math.min(n, full) - 1e-9) {
+    double capacity = Math.max(1, ratePerSecond * burstS);
+    if (tokens < Math.min(count, capacity) - 1e-9) {
       return false;
     }
-    tokens -= n;
+    tokens -= count;
     return true;
   }
 
-  /** Milliseconds until {@code n} can be taken. */
-  public long waitMs(double n) {
+  /** Milliseconds until {@code count} can be taken. */
+  public long waitMs(double count) {
     refill();
-    double want = Math.min(n, Math.max(1, perSecond * burstS));
-    return tokens >= want ? 0 : (long) Math.ceil((want - tokens) / perSecond * 1000);
+    double required = Math.min(count, Math.max(1, ratePerSecond * burstS));
+    return tokens >= required ? 0 : (long) Math.ceil((required - tokens) / ratePerSecond * 1000);
   }
 
   /** Empties the bucket, after the other side said that it was too much. */
@@ -55,8 +55,11 @@
   }
 
   private void refill() {
-    long now = clock.now();
-    tokens = Math.min(Math.max(1, perSecond * burstS), tokens + (now - at) / 1000.0 * perSecond);
-    at = now;
+    long nowMs = clock.now();
+    tokens =
+        Math.min(
+            Math.max(1, ratePerSecond * burstS),
+            tokens + (nowMs - refilledAtMs) / 1000.0 * ratePerSecond);
+    refilledAtMs = nowMs;
   }
 }
--- a/src/main/java/dapplestair/state/Txn.java
+++ b/src/main/java/dapplestair/state/Txn.java
@@ -7,12 +7,12 @@
 
 /** A transaction being put together. */
 public final class Txn {
-  private final ArrayNode when = Json.array();
+  private final ArrayNode conditions = Json.array();
   private final ArrayNode writes = Json.array();
 
   /** Only if {@code key} has this stamp; 0: does not exist. */
   public Txn when(String key, long stamp) {
-    when.addObject().put("k", key).put("stamp", stamp);
+    conditions.addObject().put("k", key).put("stamp", stamp);
     return this;
   }
 
@@ -41,9 +41,9 @@
     return writes.size();
   }
 
-  byte[] bytes() {
+  byte[] toBytes() {
     ObjectNode body = Json.object();
-    body.set("when", when);
+    body.set("when", conditions);
     body.set("writes", writes);
     return Json.bytes(body);
   }
--- a/src/main/java/dapplestair/state/TxnOutcome.java
+++ b/src/main/java/dapplestair/state/TxnOutcome.java
@@ -8,7 +8,7 @@
   record Applied(long stamp) implements TxnOutcome {}
 
   /** Not applied, since these keys had other stamps. */
-  record Conflict(Set<String> failed) implements TxnOutcome {}
+  record Conflict(Set<String> failedKeys) implements TxnOutcome {}
 
   /** Surely not applied: refused, shed or never sent. */
   record Refused() implements TxnOutcome {}
--- a/src/main/java/dapplestair/submissions/JobFinder.java
+++ b/src/main/java/dapplestair/submissions/JobFinder.java
@@ -74,7 +74,7 @@
   private void findOver(String ref, BiConsumer<Boolean, Found> done) {
     // Not live as of the barrier: over before now, or never accepted before now.
     state.get(
-        StateKeys.over(ref),
+        StateKeys.finishedJob(ref),
         read -> {
           if (!read.known()) {
             done.accept(false, null);
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -90,7 +90,7 @@
    * which any controller may say at any time.
    */
   private boolean passedOn(Exchange exchange, String ref) {
-    boolean served = replica.ready() && types.known() && state.reachable();
+    boolean served = replica.isReady() && types.known() && state.isReachable();
     return !served
         && !finder.over(ref)
         && relay.pass(exchange, answer -> relayed(exchange, ref, answer));
@@ -139,7 +139,7 @@
       refuseUnlessKnown(exchange, 400, e.getMessage());
       return;
     }
-    if (!replica.ready() || !types.known() || !state.reachable() || pending > MOST_PENDING) {
+    if (!replica.isReady() || !types.known() || !state.isReachable() || pending > MOST_PENDING) {
       turnAway(exchange, submission, 1);
       return;
     }
@@ -150,7 +150,7 @@
     }
     if (submission.rank() == Rank.LOW && pending >= mostPendingLow()) {
       // A swarm of the lowest rank is put off before anybody else waits behind it.
-      turnAway(exchange, submission, retryAdvice.retryAfterS(state.putsAllowed()));
+      turnAway(exchange, submission, retryAdvice.retryAfterS(state.maxPutsPerSecond()));
       return;
     }
     accept(exchange, submission, clock.now() + patienceMs, clock.now());
@@ -163,7 +163,7 @@
 
   /** As many as this controller's puts take within a small part of what a user waits. */
   private int mostPendingLow() {
-    return (int) Math.max(LEAST_PENDING_LOW, state.putsAllowed() * patienceMs / 1000 / 16);
+    return (int) Math.max(LEAST_PENDING_LOW, state.maxPutsPerSecond() * patienceMs / 1000 / 16);
   }
 
   /** A repeated submission of an accepted job is never told 400 or 422. */
@@ -223,7 +223,7 @@
     Txn txn =
         new Txn()
             .when(StateKeys.job(submission.ref()), 0)
-            .when(StateKeys.over(submission.ref()), 0)
+            .when(StateKeys.finishedJob(submission.ref()), 0)
             .put(
                 StateKeys.job(submission.ref()),
                 ledger.record(submission, firstSubmissionTimes.at(submission.ref())));
@@ -304,7 +304,7 @@
     Txn txn =
         new Txn()
             .when(StateKeys.job(ref), replica.stamp(StateKeys.job(ref)))
-            .put(StateKeys.over(ref), value)
+            .put(StateKeys.finishedJob(ref), value)
             .remove(StateKeys.job(ref));
     state.commit(
         txn,
--- a/src/main/java/dapplestair/weights/ImageLocations.java
+++ b/src/main/java/dapplestair/weights/ImageLocations.java
@@ -123,7 +123,7 @@
     // Until all have been heard what is known of them is less than what is on record.
     if (clock.now() - ledSince < 2 * settings.workers().reportMs()) {
       hint();
-    } else if (!writing && state.reachable()) {
+    } else if (!writing && state.isReachable()) {
       writeMostChanged();
     }
     timer = timers.after(REPORTS_APART * settings.workers().reportMs(), this::tick);
@@ -168,7 +168,8 @@
   }
 
   private static String key(String image) {
-    return StateKeys.WEIGHTS + Hashing.murmur3_128().hashString(image, StandardCharsets.UTF_8);
+    return StateKeys.IMAGE_LOCATIONS
+        + Hashing.murmur3_128().hashString(image, StandardCharsets.UTF_8);
   }
 
   private void write(String key, ImageHolders holders) {
@@ -183,7 +184,7 @@
         txn,
         Priority.BOOKKEEPING,
         outcome -> {
-          if (leadership.deposedBy(outcome)) {
+          if (leadership.stepDownIfDeposed(outcome)) {
             return;
           }
           writing = false;
--- a/src/main/java/dapplestair/workers/CommandSender.java
+++ b/src/main/java/dapplestair/workers/CommandSender.java
@@ -116,7 +116,7 @@
 
   private void call(Host host, boolean evenEmpty) {
     if (!leading
-        || !leadership.leading()
+        || !leadership.isLeading()
         || host.calling
         || host.endpoint == null
         || clock.now() < host.callAgainAt) {
--- a/src/main/java/dapplestair/workers/Fencing.java
+++ b/src/main/java/dapplestair/workers/Fencing.java
@@ -31,7 +31,7 @@
    */
   static boolean launchesMayLeave(Host host, long term) {
     long shown = FencingToken.term(host.tokenSeen) == term ? FencingToken.fence(host.tokenSeen) : 0;
-    return host.fence - shown < FencingToken.MOST_AHEAD;
+    return host.fence - shown < FencingToken.MAX_FENCE_LEAD;
   }
 
   /** A message with these orders is about to leave; its token is read after this. */
--- a/src/main/java/dapplestair/workers/LeaseRenewal.java
+++ b/src/main/java/dapplestair/workers/LeaseRenewal.java
@@ -126,7 +126,7 @@
     if (shown || clock.now() - cancellations.newestAt() > cancellations.keptMs()) {
       return report.token();
     }
-    long token = FencingToken.raisedByOther(report.token());
+    long token = FencingToken.raisedByNonLeader(report.token());
     raised.remove(report.host());
     raised.put(report.host(), new Raised(token, clock.now()));
     return token;
--- a/src/main/java/dapplestair/workers/LivenessTracker.java
+++ b/src/main/java/dapplestair/workers/LivenessTracker.java
@@ -105,7 +105,7 @@
     silentZones.clear();
     before.forEach(
         (zone, last) -> {
-          boolean heardAgain = zones.lastHeard(zone) > last;
+          boolean heardAgain = zones.lastHeardMs(zone) > last;
           if (!heard.containsKey(zone) && !heardAgain && now - last < 3 * leaseMs) {
             silentZones.put(zone, last);
           }
@@ -114,9 +114,9 @@
     long newest = heard.values().stream().mapToLong(z -> z.last).max().orElse(now);
     for (Map.Entry<String, Heard> entry : heard.entrySet()) {
       Heard z = entry.getValue();
-      long last = Math.max(z.last, livenessReports.zoneHeardAt(entry.getKey()));
-      long gap = zones.gapMs(z.machines);
-      boolean noticedBefore = succeeded() && livenessReports.at() - last > gap;
+      long last = Math.max(z.last, livenessReports.zoneHeardAtMs(entry.getKey()));
+      long gap = zones.maxGapMs(z.machines);
+      boolean noticedBefore = succeeded() && livenessReports.leaderReportAtMs() - last > gap;
       if (now - last <= gap) {
         anyHeard = true;
       } else if (z.machines > 1 && newest - last > gap && (now > judgeAgainAt || noticedBefore)) {
@@ -140,7 +140,7 @@
   private boolean ghost(Host host) {
     return host.firstListedAt() == Long.MAX_VALUE
         && (host.rentedAt() == Long.MAX_VALUE
-            || succeeded() && livenessReports.saidGone(host.id()));
+            || succeeded() && livenessReports.isReportedGone(host.id()));
   }
 
   /** True when a machine is held in this zone, heard or not. */
@@ -151,7 +151,7 @@
 
   /** True when the leader before knew for certain that this machine is gone. */
   boolean saidGone(Host host) {
-    return !host.up() && succeeded() && livenessReports.saidGone(host.id());
+    return !host.up() && succeeded() && livenessReports.isReportedGone(host.id());
   }
 
   /** How long nothing was heard of this zone; 0 when it is heard or nothing can be said. */
@@ -165,14 +165,14 @@
    * reports.
    */
   boolean zoneHeardNow(String zone) {
-    return clock.now() - zones.lastHeard(zone) < Math.round(OVERDUE * reportMs);
+    return clock.now() - zones.lastHeardMs(zone) < Math.round(OVERDUE * reportMs);
   }
 
   // ---- shared with the other controllers ----
 
   /** What another controller heard. */
   void said(LivenessReport livenessReport) {
-    livenessReports.said(livenessReport, clock.now());
+    livenessReports.add(livenessReport, clock.now());
   }
 
   /** What to tell the other controllers; of single machines only a leader that can judge tells. */
@@ -181,7 +181,7 @@
     Map<String, Long> zoneAges = new HashMap<>();
     Map<String, Long> late = new HashMap<>();
     for (String zone : perZone.elementSet()) {
-      zoneAges.merge(zone, now - zones.lastHeard(zone), Math::min);
+      zoneAges.merge(zone, now - zones.lastHeardMs(zone), Math::min);
     }
     boolean sure = leading && now > judgeAgainAt;
     if (sure) {
@@ -204,13 +204,13 @@
       return mute(host) ? host.reportedAt : host.heardAt;
     }
     return succeeded()
-        ? Math.min(host.knownSince(), livenessReports.machineHeardAt(host.id()))
+        ? Math.min(host.knownSince(), livenessReports.machineHeardAtMs(host.id()))
         : host.knownSince();
   }
 
   /** True when the leader before spoke until shortly before this one began. */
   private boolean succeeded() {
-    return livenessReports.at() > leadingSince - 2 * reportMs;
+    return livenessReports.leaderReportAtMs() > leadingSince - 2 * reportMs;
   }
 
   /** A machine was reached: it reported by itself, or it answered a call. */
@@ -234,7 +234,7 @@
       // Nobody there reports: that its machines answer keeps none of their leases.
       return;
     }
-    zones.heard(zone, now, perZone.count(zone));
+    zones.recordHeard(zone, now, perZone.count(zone));
   }
 
   /**
@@ -254,8 +254,8 @@
 
   /** What the leader before had noticed of a mute machine need not be noticed again. */
   private long firstReportedAt(Host host) {
-    long said = livenessReports.machineHeardAt(host.id());
-    return succeeded() && livenessReports.at() - said > muteMs() ? said : clock.now();
+    long said = livenessReports.machineHeardAtMs(host.id());
+    return succeeded() && livenessReports.leaderReportAtMs() - said > muteMs() ? said : clock.now();
   }
 
   /**
@@ -319,7 +319,8 @@
   private boolean missedBefore(Host host) {
     return !host.reached()
         && succeeded()
-        && livenessReports.at() - livenessReports.machineHeardAt(host.id()) > OVERDUE * reportMs;
+        && livenessReports.leaderReportAtMs() - livenessReports.machineHeardAtMs(host.id())
+            > OVERDUE * reportMs;
   }
 
   /**
--- a/src/main/java/dapplestair/workers/ReportApplier.java
+++ b/src/main/java/dapplestair/workers/ReportApplier.java
@@ -54,8 +54,8 @@
    * that comes late. Facts in it are facts all the same, and proofs have their own conditions.
    */
   void apply(Host host, Report report, boolean answer) {
-    leadership.termShown(FencingToken.term(report.token()));
-    if (!leading.getAsBoolean() || !leadership.leading()) {
+    leadership.observeTerm(FencingToken.term(report.token()));
+    if (!leading.getAsBoolean() || !leadership.isLeading()) {
       return;
     }
     Fencing.shown(host, leadership.term(), report.token());
--- a/src/main/java/dapplestair/workers/ReportHandler.java
+++ b/src/main/java/dapplestair/workers/ReportHandler.java
@@ -89,10 +89,10 @@
     }
     // A higher token means that somebody else leads by now. To be looked at before any 200: a
     // worker that has to drop a 200 stays here while its lease runs out.
-    leadership.termShown(FencingToken.term(report.token()));
+    leadership.observeTerm(FencingToken.term(report.token()));
     cancellations.addressed(report.host(), report.endpoint());
     beats++;
-    if (!leading.getAsBoolean() || !leadership.leading()) {
+    if (!leading.getAsBoolean() || !leadership.isLeading()) {
       if (!relay.take(exchange, report, () -> redirect(exchange, report))) {
         redirect(exchange, report);
       }
@@ -134,20 +134,20 @@
    */
   private void redirect(Exchange exchange, Report report) {
     boolean again = redirects.again(report);
-    String leader = leadership.leader();
+    String leader = leadership.currentLeader();
     boolean known = leader != null && !leader.equals(settings.member());
     // One that comes back from a living leader was not taken there. In an outage of all the reason
     // may be that this leader may not keep leases any more, since it does not hear all others.
     boolean notTaken = again && !peers.anyServed();
-    boolean alone = !state.reachable() && (notTaken || !(known && peers.alive(leader)));
-    if (alone && !again && (leadership.succeeded() || relay.on())) {
+    boolean alone = !state.isReachable() && (notTaken || !(known && peers.alive(leader)));
+    if (alone && !again && (leadership.hasUnrecordedSuccessor() || relay.on())) {
       // Somebody leads whom we cannot ask, and reaches this worker: it had better report there.
       // Where reports are relayed, a relay that is cut off cannot tell whether somebody does.
       // One that comes back was not taken; it is kept as below.
       keep(exchange, null);
       return;
     }
-    if (alone && FencingToken.term(report.token()) >= leadership.termSeen()) {
+    if (alone && FencingToken.term(report.token()) >= leadership.highestTermSeen()) {
       keep(exchange, renewal.byOther(report));
       return;
     }
--- a/src/main/java/dapplestair/workers/WorkerManager.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -115,8 +115,8 @@
 
   private void share() {
     LivenessReport livenessReport =
-        liveness.account(leading && leadership.leading(), leadership.term());
-    if (livenessReport.term() > 0 || !livenessReport.zones().isEmpty()) {
+        liveness.account(leading && leadership.isLeading(), leadership.term());
+    if (livenessReport.term() > 0 || !livenessReport.zoneAgesMs().isEmpty()) {
       peers.state(HEARD, livenessReport.encode());
     }
     sharing = timers.after(reportMs / 8, this::share);
--- a/src/main/java/dapplestair/zones/Zones.java
+++ b/src/main/java/dapplestair/zones/Zones.java
@@ -222,7 +222,7 @@
                         .put("state", next.state().shown())
                         .put("cuts", next.cuts()));
           } else {
-            leadership.deposedBy(outcome);
+            leadership.stepDownIfDeposed(outcome);
           }
         });
   }
--- a/src/test/java/dapplestair/model/Leader.java
+++ b/src/test/java/dapplestair/model/Leader.java
@@ -164,7 +164,7 @@
 
   /** True while it has raised the token less often, whoever else raised it by whole steps. */
   boolean mayRaise(int machine, int most) {
-    return (machines[machine].fence & (FencingToken.MOST_AHEAD - 1)) < most;
+    return (machines[machine].fence & (FencingToken.MAX_FENCE_LEAD - 1)) < most;
   }
 
   /** Sends what waits for a machine; null when nothing of it is due any more. */
--- a/src/test/java/dapplestair/model/TaskProtocol.java
+++ b/src/test/java/dapplestair/model/TaskProtocol.java
@@ -160,7 +160,8 @@
       if (bounds.raisedByOthers() && !c.raisedByOther) {
         Cluster after = new Cluster(c);
         after.raisedByOther = true;
-        Message raised = new Message(FencingToken.raisedByOther(r.token()), r.session(), List.of());
+        Message raised =
+            new Message(FencingToken.raisedByNonLeader(r.token()), r.session(), List.of());
         addMessage(after, machine, raised, () -> "another controller raises the token", next);
       }
     }
--- a/src/test/java/dapplestair/state/ReplicaTest.java
+++ b/src/test/java/dapplestair/state/ReplicaTest.java
@@ -18,28 +18,28 @@
 import org.junit.jupiter.api.Test;
 
 class ReplicaTest {
-  private final ArrayDeque<Runnable> due = new ArrayDeque<>();
-  private final List<Consumer<HttpReply>> barriers = new ArrayList<>();
-  private final List<Boolean> passed = new ArrayList<>();
-  private boolean listed;
-  private boolean forgets;
+  private final ArrayDeque<Runnable> scheduledTasks = new ArrayDeque<>();
+  private final List<Consumer<HttpReply>> pendingBarrierCalls = new ArrayList<>();
+  private final List<Boolean> barrierResults = new ArrayList<>();
+  private boolean listingAnswered;
+  private boolean restartOnLeaderChange;
   private Replica replica;
 
-  private static HttpReply json(String text) {
+  private static HttpReply jsonReply(String text) {
     return new HttpReply(200, text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
   }
 
   /** The first listing and its catching up are answered; what follows waits for the test. */
-  private void call(String path, Consumer<HttpReply> done) {
-    if (path.startsWith("/kv?") && !listed) {
-      listed = true;
+  private void answerCall(String path, Consumer<HttpReply> done) {
+    if (path.startsWith("/kv?") && !listingAnswered) {
+      listingAnswered = true;
       done.accept(
-          json("{'rows':[{'k':'live/job/a-1','value':{},'stamp':3}],'more':false,'epoch':5}"));
+          jsonReply("{'rows':[{'k':'live/job/a-1','value':{},'stamp':3}],'more':false,'epoch':5}"));
     } else if (path.startsWith("/changes") && path.endsWith("blockMs=0")) {
-      if (replica.ready()) {
-        barriers.add(done);
-      } else if (passed.isEmpty()) {
-        done.accept(json("{'epoch':5,'news':[]}"));
+      if (replica.isReady()) {
+        pendingBarrierCalls.add(done);
+      } else if (barrierResults.isEmpty()) {
+        done.accept(jsonReply("{'epoch':5,'news':[]}"));
       }
     }
   }
@@ -59,9 +59,9 @@
         };
     Timers timers =
         (ms, task) -> {
-          due.add(task);
-          Cancellable none = () -> {};
-          return none;
+          scheduledTasks.add(task);
+          Cancellable noop = () -> {};
+          return noop;
         };
     Settings settings =
         new Settings(
@@ -80,7 +80,8 @@
             new Settings.Cloud(5, 4000),
             new Settings.Resources(0.4, 263, 1000));
     StateClient state =
-        new StateClient(clock, timers, (e, m, path, b, t, done) -> call(path, done), settings);
+        new StateClient(
+            clock, timers, (e, m, path, b, t, done) -> answerCall(path, done), settings);
     replica =
         new Replica(
             state,
@@ -90,7 +91,7 @@
             new Replica.Listener() {
               @Override
               public void put(String key, JsonNode value, long stamp) {
-                if (key.equals(StateKeys.LEADER) && forgets) {
+                if (key.equals(StateKeys.LEADER) && restartOnLeaderChange) {
                   // As when somebody else leads from now on.
                   replica.restart();
                 }
@@ -105,23 +106,23 @@
     replica.reload();
   }
 
-  private void runDue() {
-    for (int n = due.size(); n > 0; n--) {
-      due.poll().run();
+  private void runScheduledTasks() {
+    for (int remaining = scheduledTasks.size(); remaining > 0; remaining--) {
+      scheduledTasks.poll().run();
     }
   }
 
-  private void barrierWith(String reply) {
-    replica.barrier(passed::add);
-    runDue();
-    barriers.remove(barriers.size() - 1).accept(json(reply));
+  private void runBarrierWithReply(String reply) {
+    replica.barrier(barrierResults::add);
+    runScheduledTasks();
+    pendingBarrierCalls.remove(pendingBarrierCalls.size() - 1).accept(jsonReply(reply));
   }
 
   @Test
-  void aBarrierPassesOnAFullReplica() {
+  void barrierPassesOnCompleteReplica() {
     start();
-    barrierWith("{'epoch':7,'news':[{'put':'live/leader','value':{'term':2},'stamp':7}]}");
-    assertEquals(List.of(true), passed);
+    runBarrierWithReply("{'epoch':7,'news':[{'put':'live/leader','value':{'term':2},'stamp':7}]}");
+    assertEquals(List.of(true), barrierResults);
     assertEquals(3, replica.stamp("live/job/a-1"));
   }
 
@@ -129,22 +130,22 @@
    * Seed 10 once answered 404 for an accepted job: the replica had been emptied under a barrier.
    */
   @Test
-  void aBarrierDoesNotPassOnAReplicaEmptiedUnderIt() {
+  void barrierFailsWhenReplicaRestartsDuringIt() {
     start();
-    forgets = true;
-    barrierWith(
+    restartOnLeaderChange = true;
+    runBarrierWithReply(
         "{'epoch':8,'news':[{'put':'live/leader','value':{'term':2},'stamp':7},"
             + "{'put':'live/job/a-2','value':{},'stamp':8}]}");
-    assertEquals(List.of(false), passed);
+    assertEquals(List.of(false), barrierResults);
     assertEquals(0, replica.stamp("live/job/a-2"));
   }
 
   @Test
-  void aBarrierDoesNotPassAfterAnotherOneHasEmptiedTheReplica() {
+  void barrierFailsWhenEarlierCallbackRestartsReplica() {
     start();
     replica.barrier(p -> replica.restart());
-    barrierWith("{'epoch':5,'news':[]}");
-    assertEquals(List.of(false), passed);
+    runBarrierWithReply("{'epoch':5,'news':[]}");
+    assertEquals(List.of(false), barrierResults);
     assertEquals(0, replica.stamp("live/job/a-1"));
   }
 }
--- a/src/test/java/dapplestair/workers/CancellationCosts.java
+++ b/src/test/java/dapplestair/workers/CancellationCosts.java
@@ -210,7 +210,7 @@
       int size = message instanceof PeerStatus ? 0 : codec.encode(message).length;
       count(size);
       to.count(size);
-      time.after(1, () -> to.timed(() -> to.listener.message(name, message)));
+      time.after(1, () -> to.timed(() -> to.listener.messageReceived(name, message)));
     }
 
     private void count(int size) {
@@ -225,7 +225,7 @@
 
     @Override
     public void start() {
-      members.keySet().stream().filter(m -> !m.equals(name)).forEach(listener::up);
+      members.keySet().stream().filter(m -> !m.equals(name)).forEach(listener::linkUp);
     }
 
     private final class Places implements Cancellations.Listener {
--- a/src/test/java/dapplestair/workers/FencingTest.java
+++ b/src/test/java/dapplestair/workers/FencingTest.java
@@ -23,13 +23,13 @@
   void noLaunchLeavesUnderATokenThatOthersDoNotRaiseAbove() {
     for (long shown = 0; shown < MOST_SHOWN; shown++) {
       long token = FencingToken.of(TERM, shown);
-      long raised = FencingToken.raisedByOther(token);
+      long raised = FencingToken.raisedByNonLeader(token);
       long fence = shown;
       while (Fencing.launchesMayLeave(host(token, fence), TERM)) {
-        fence += 1 + FencingToken.MOST_AHEAD / 16;
+        fence += 1 + FencingToken.MAX_FENCE_LEAD / 16;
         assertTrue(FencingToken.of(TERM, fence) < raised, "shown " + shown + ", fence " + fence);
       }
-      long last = shown + FencingToken.MOST_AHEAD - 1;
+      long last = shown + FencingToken.MAX_FENCE_LEAD - 1;
       assertTrue(Fencing.launchesMayLeave(host(token, last), TERM), "shown " + shown);
       assertFalse(Fencing.launchesMayLeave(host(token, last + 1), TERM), "shown " + shown);
     }
@@ -40,6 +40,6 @@
   void aTokenOfAnotherTermCountsAsNone() {
     long earlier = FencingToken.of(TERM - 1, MOST_SHOWN);
     assertTrue(Fencing.launchesMayLeave(host(earlier, 0), TERM));
-    assertFalse(Fencing.launchesMayLeave(host(earlier, FencingToken.MOST_AHEAD), TERM));
+    assertFalse(Fencing.launchesMayLeave(host(earlier, FencingToken.MAX_FENCE_LEAD), TERM));
   }
 }
--- a/src/test/java/dapplestair/world/LeaseResponsesTest.java
+++ b/src/test/java/dapplestair/world/LeaseResponsesTest.java
@@ -150,7 +150,7 @@
     CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     Reporter r = toldFollower(d);
     long first = token(r.to(d.third, r.tasks(), r.token()));
-    assertTrue(first >= r.token() + 2 * FencingToken.MOST_AHEAD, "raised above any launch");
+    assertTrue(first >= r.token() + 2 * FencingToken.MAX_FENCE_LEAD, "raised above any launch");
     d.w.run(LAUNCH_MS + SimulatedCluster.REPORT_MS);
     long second = token(r.to(d.third, r.tasks(), first));
     assertTrue(second > first, "a raise while launches could still be sent does not count");
--- a/src/test/java/dapplestair/world/SimulatedCluster.java
+++ b/src/test/java/dapplestair/world/SimulatedCluster.java
@@ -398,7 +398,7 @@
         process = null;
         for (ControllerNode n : nodes) {
           if (n.process != null) {
-            n.process.listener.down("node-" + index);
+            n.process.listener.linkDown("node-" + index);
           }
         }
         sim.after(backAfterMs, this::start);
@@ -573,7 +573,7 @@
           () -> {
             if (to.process != null) {
               ControllerProcess now = to.process;
-              now.run(() -> now.listener.message("node-" + node.index, message));
+              now.run(() -> now.listener.messageReceived("node-" + node.index, message));
             }
           });
     }
@@ -592,7 +592,7 @@
     private void probe() {
       for (ControllerNode n : nodes) {
         if (n != node && (n.process == null || peersRefuse)) {
-          listener.refused("node-" + n.index);
+          listener.connectionRefused("node-" + n.index);
         }
       }
       after(200, this::probe);
