--- a/src/main/java/dapplestair/leadership/FencedWriter.java
+++ b/src/main/java/dapplestair/leadership/FencedWriter.java
@@ -8,8 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * Writes a duty's records on condition that this controller still leads. What became of a write is
- * told unless the duty was reset meanwhile: then the replica tells the next leader.
+ * Writes the records of one component on condition that this controller still leads. The outcome of
+ * a write is reported unless the component was reset meanwhile; the next leader then learns it from
+ * the replica.
  */
 public final class FencedWriter {
   private final StateClient state;
@@ -17,30 +18,30 @@
   private final long timeoutMs;
   private int generation;
 
-  /** Writes that are not answered within {@code timeoutMs} have an unknown outcome. */
+  /** Creates a writer whose transactions are refused if not sent within {@code timeoutMs}. */
   public FencedWriter(StateClient state, Leadership leadership, long timeoutMs) {
     this.state = state;
     this.leadership = leadership;
     this.timeoutMs = timeoutMs;
   }
 
-  /** The duty begins or ceases to lead: outcomes of earlier writes are not told any more. */
+  /** Drops the outcomes of earlier writes, since this controller begins or ceases to lead. */
   public void reset() {
     generation++;
   }
 
-  /** A transaction that fails unless this controller leads. */
+  /** Returns a transaction that fails unless this controller leads. */
   public Txn transaction() {
     return leadership.guard(new Txn());
   }
 
-  /** Puts a record, on condition that it still has this stamp. */
+  /** Puts a record on condition that it still has the given stamp. */
   public void put(
       String key, long stamp, JsonNode value, Priority priority, Consumer<TxnOutcome> done) {
     commit(transaction().when(key, stamp).put(key, value), priority, done);
   }
 
-  /** Commits a transaction that was made by {@link #transaction}. */
+  /** Commits a transaction created by {@link #transaction}. */
   public void commit(Txn txn, Priority priority, Consumer<TxnOutcome> done) {
     int startGeneration = generation;
     state.commit(
--- a/src/main/java/dapplestair/leadership/Leadership.java
+++ b/src/main/java/dapplestair/leadership/Leadership.java
@@ -20,19 +20,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One leader a term. Winning is a transaction that raises the term and attaches the leader key to
- * the winner's hold; every write of a leader is conditional on that key's stamp, so taking over
- * from a leader that still lives is harmless to the rules: its late writes fail.
+ * Elects one leader per term. A candidate wins with a transaction that raises the term and attaches
+ * the leader key to the candidate's hold. Every write of a leader is conditional on the stamp of
+ * that key, so deposing a leader whose process is still running is safe: its late writes fail.
  */
 public final class Leadership implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
-  /** Told on the loop when this controller's role changes. */
+  /** Receives this controller's role changes, on the event loop. */
   public interface Listener {
-    /** This controller leads; the replica holds all that earlier terms wrote. */
+    /** Called when this controller leads and the replica holds all writes of earlier terms. */
     void lead(long term);
 
-    /** This controller leads no more. */
+    /** Called when this controller has stopped leading. */
     void follow();
   }
 
@@ -67,7 +67,7 @@
   private long campaignAllowedAtMs = Long.MIN_VALUE;
   private Cancellable timer = () -> {};
 
-  /** Not yet taking part; see {@link #start}. */
+  /** Creates an instance that takes part in elections only after {@link #start}. */
   public Leadership(
       Clock clock,
       Timers timers,
@@ -84,60 +84,60 @@
     this.peers = peers;
     this.listener = listener;
     this.incarnation = new UUID(random.nextLong(), random.nextLong()).toString();
-    // Short against the leases that a new leader must find alive, whatever the report interval.
+    // Short relative to workers' leases, which a new leader must find valid at any report interval.
     this.holdTtlMs = Math.min(settings.workers().reportMs(), settings.workers().leaseMs() / 10);
   }
 
-  /** A number that tells this process from its earlier lives. */
+  /** Returns a number that distinguishes this process from earlier ones of the same member. */
   public long processId() {
     return UUID.fromString(incarnation).getMostSignificantBits();
   }
 
-  /** Takes part from now on. */
+  /** Starts to take part in elections, based on the records of {@code followedReplica}. */
   public void start(Replica followedReplica) {
     replica = followedReplica;
     tick();
   }
 
-  /** True while this controller may act as leader, as far as it knows. */
+  /** Returns whether this controller may act as leader, as far as it knows. */
   public boolean isLeading() {
     return leading;
   }
 
-  /** True while this controller may act as the leader of that term, as far as it knows. */
+  /** Returns whether this controller may act as leader of the given term, as far as it knows. */
   public boolean isLeadingTerm(long queriedTerm) {
     return leading && term == queriedTerm;
   }
 
-  /** Term of this leader. */
+  /** Returns the term that this controller won last, 0 before it has won any. */
   public long term() {
     return term;
   }
 
-  /** Highest term known. */
+  /** Returns the highest term known, whether won here, recorded, or shown by others. */
   public long highestTermSeen() {
     return highestTermSeen;
   }
 
   /**
-   * True when somebody has won a term of which this controller's records do not know yet: it was
-   * shown by a worker or told by a peer.
+   * Returns whether another controller has won a term that this controller's records do not show
+   * yet; a worker or a peer has shown that term.
    */
   public boolean hasUnrecordedSuccessor() {
     return highestTermSeen > Math.max(term, highestTermRecorded);
   }
 
-  /** Who leads as far as known, or null. */
+  /** Returns the member that leads as far as this controller knows, or null. */
   public String currentLeader() {
     return leading ? settings.member() : recordedLeader;
   }
 
-  /** Adds the condition that makes a write of a former leader fail. */
+  /** Adds the condition on the leader key, which makes the writes of a former leader fail. */
   public Txn guard(Txn txn) {
     return txn.when(StateKeys.LEADER, leaderStamp);
   }
 
-  /** Told by the replica. */
+  /** Handles a change of the leader key in the replica; {@code value} is null once removed. */
   public void leaderKeyChanged(JsonNode value, long stamp) {
     if (value == null) {
       recordedLeader = null;
@@ -162,9 +162,10 @@
   }
 
   /**
-   * A process that wins again after somebody else has led had not ended when it was deposed: its
-   * port refuses though it lives, and so may others'. Without this, controllers whose links are
-   * filtered depose each other every few seconds.
+   * Notes who won a term. A process that wins again after another one has led was still running
+   * when it was deposed: its port refuses connections although it runs, and the ports of others may
+   * do so, too. Refused connections are then ignored for one lease; otherwise controllers whose
+   * links are filtered would depose each other every few seconds.
    */
   private void recordWinner(long wonTerm) {
     Long previousTerm =
@@ -177,12 +178,12 @@
     lastTermByIncarnation.values().removeIf(oldTerm -> oldTerm < wonTerm - MAX_TERMS_KEPT);
   }
 
-  /** Told by the replica of a write that only a leader makes. */
+  /** Notes that the replica received a write that only a leader makes. */
   public void leaderWriteSeen() {
     leaderActiveAtMs = clock.now();
   }
 
-  /** A higher term shown by anyone ends ours at once. */
+  /** Steps down at once if the term that a worker or peer has shown is higher than ours. */
   public void observeTerm(long observedTerm) {
     highestTermSeen = Math.max(highestTermSeen, observedTerm);
     if (leading && observedTerm > term) {
@@ -191,8 +192,8 @@
   }
 
   /**
-   * True when a write was refused since the leader's key was not as expected: somebody else leads,
-   * and this controller steps down if it still believed to lead itself.
+   * Returns whether a write failed because the leader key had another stamp than expected. Another
+   * controller leads then, and this one steps down if it is still leading.
    */
   public boolean stepDownIfDeposed(TxnOutcome outcome) {
     if (outcome instanceof TxnOutcome.Conflict conflict
@@ -209,7 +210,7 @@
     }
   }
 
-  /** Gives the lead away for a while, since another controller can do better. */
+  /** Ends the lead and does not campaign for one lease, since another controller can do better. */
   public void resign(String reason) {
     if (leading) {
       state.endHold(hold);
@@ -220,7 +221,7 @@
   }
 
   private void stepDown(String reason) {
-    LOG.info("leading no more: {} (term {})", reason, term);
+    LOG.info("{} no longer leads term {}: {}", settings.member(), term, reason);
     leading = false;
     if (settings.member().equals(recordedLeader)) {
       recordedLeader = null;
@@ -228,7 +229,7 @@
     listener.follow();
   }
 
-  /** The replica is complete: whoever can lead begins at once. */
+  /** Campaigns at once if possible, now that the replica is complete. */
   public void replicaReady() {
     if (replica != null && !leading) {
       timer.cancel();
@@ -258,10 +259,10 @@
     }
     if (settings.member().equals(recordedLeader)
         && !incarnation.equals(recordedLeaderIncarnation)) {
-      // Our own earlier life.
+      // An earlier process of this member holds the leader key, and it has ended.
       return true;
     }
-    // A port that refuses is no proof: whoever still writes has not ended.
+    // A refused connection does not prove that the leader has ended: one that still writes has not.
     long nowMs = clock.now();
     return recordedLeader != null
         && nowMs - leaderRecordSeenAtMs > holdTtlMs
@@ -288,8 +289,8 @@
   }
 
   /**
-   * While the records are still being read, the hold that a campaign needs is opened already: after
-   * the end of all controllers each exchange less is time in which nobody leads.
+   * Opens the hold that a campaign needs while the records are still being read. After an outage of
+   * all controllers, each round trip saved shortens the time without a leader.
    */
   private void prepareHold() {
     if (clock.now() - preparedHoldRequestedAtMs < holdTtlMs / 3) {
@@ -321,7 +322,7 @@
 
   private void commitCampaign(long campaignHold) {
     if (!isLeaderVacant()) {
-      // Somebody won while the hold was being opened: the stamps below would let us depose it.
+      // Another controller won while the hold was opened; the stamps read below would depose it.
       requestPending = false;
       return;
     }
@@ -347,7 +348,7 @@
           } else if (outcome instanceof TxnOutcome.Unknown) {
             state.get(StateKeys.LEADER, read -> settleUnknownOutcome(nextTerm, read));
           } else {
-            // Somebody else was quicker, or the replica is behind: the next tick sees.
+            // Another candidate won, or the replica lags behind: the next tick checks again.
             requestPending = false;
           }
         });
@@ -369,21 +370,21 @@
     term = wonTerm;
     highestTermSeen = Math.max(highestTermSeen, wonTerm);
     leaderStamp = stamp;
-    // Everything that earlier terms wrote was written before our key: pass a barrier, then act.
+    // All writes of earlier terms precede that of our leader key: a barrier waits for them.
     replica.barrier(
         passed -> {
           requestPending = false;
           if (!passed || replica.stamp(StateKeys.LEADER) != stamp || highestTermSeen > wonTerm) {
-            LOG.info("term {} won but lost again before it began", wonTerm);
+            LOG.info("{} won term {} but lost it before leading", settings.member(), wonTerm);
             return;
           }
           leading = true;
-          LOG.info("leading term {}, won at revision {}", wonTerm, stamp);
+          LOG.info("{} leads term {}, won at revision {}", settings.member(), wonTerm, stamp);
           listener.lead(wonTerm);
         });
   }
 
-  /** Told by the replica. */
+  /** Handles a change of the term key in the replica. */
   public void termKeyChanged(JsonNode value) {
     if (value != null) {
       highestTermRecorded = Math.max(highestTermRecorded, Json.number(value, "term", 0));
--- a/src/main/java/dapplestair/leadership/TermTimers.java
+++ b/src/main/java/dapplestair/leadership/TermTimers.java
@@ -4,14 +4,14 @@
 import dapplestair.ports.Timers;
 
 /**
- * Timers of a leader's duties. A task armed in one term never runs in another: what it holds is a
- * former term's view, which the records read since then have replaced.
+ * Timers of the leader's components. A task scheduled in one term never runs in another, since it
+ * holds the former term's view, which the records read since then have replaced.
  */
 public final class TermTimers implements Timers {
   private final Timers timers;
   private final Leadership leadership;
 
-  /** Timers that run for as long as the term of {@code leadership} in which they are armed. */
+  /** Creates timers whose tasks run only in the term of {@code leadership} that scheduled them. */
   public TermTimers(Timers timers, Leadership leadership) {
     this.timers = timers;
     this.leadership = leadership;
--- a/src/main/java/dapplestair/leadership/package-info.java
+++ b/src/main/java/dapplestair/leadership/package-info.java
@@ -1,2 +1,2 @@
-/** Who leads: terms won in the state service, kept by a hold, and the token workers are shown. */
+/** Leader election: terms won in the state service, kept by a hold, and workers' fencing tokens. */
 package dapplestair.leadership;
--- a/src/main/java/dapplestair/ports/Cancellable.java
+++ b/src/main/java/dapplestair/ports/Cancellable.java
@@ -1,8 +1,8 @@
 package dapplestair.ports;
 
-/** Something running or pending that can be called off. */
+/** A running or pending operation that can be cancelled. */
 @FunctionalInterface
 public interface Cancellable {
-  /** Calls it off; calling again has no effect. */
+  /** Cancels the operation; further calls have no effect. */
   void cancel();
 }
--- a/src/main/java/dapplestair/ports/Clock.java
+++ b/src/main/java/dapplestair/ports/Clock.java
@@ -1,10 +1,10 @@
 package dapplestair.ports;
 
-/** Time as this controller sees it. */
+/** The clocks of this controller. */
 public interface Clock {
-  /** Milliseconds of the steady clock. */
+  /** Returns the time of the steady (monotonic) clock, in milliseconds. */
   long now();
 
-  /** Milliseconds of the time of day. */
+  /** Returns the time of the wall clock, in milliseconds. */
   long wall();
 }
--- a/src/main/java/dapplestair/ports/Exchange.java
+++ b/src/main/java/dapplestair/ports/Exchange.java
@@ -1,39 +1,39 @@
 package dapplestair.ports;
 
-/** One request that reached this controller, to be answered exactly once. */
+/** A request received by this controller, which must be answered exactly once. */
 public interface Exchange {
-  /** GET, POST and so on. */
+  /** Returns the HTTP method, such as GET or POST. */
   String method();
 
-  /** The path without its query. */
+  /** Returns the path without the query. */
   String path();
 
-  /** What follows the question mark, still encoded; empty when there is none. */
+  /** Returns the query after the question mark, still encoded, or an empty string. */
   default String query() {
     return "";
   }
 
-  /** A header's value, or null. */
+  /** Returns the value of a header, or null. */
   default String header(String name) {
     return null;
   }
 
-  /** Subject of the certificate that the caller showed and that was verified, or null. */
+  /** Returns the subject of the caller's verified certificate, or null. */
   default String subject() {
     return null;
   }
 
-  /** The body, possibly empty. */
+  /** Returns the body, possibly empty. */
   byte[] body();
 
   /**
-   * Answers.
+   * Sends the response.
    *
    * @param retryAfterS value of {@code Retry-After}, or 0 for none
    */
   void reply(int status, byte[] body, int retryAfterS);
 
-  /** Answers with something other than JSON. */
+  /** Sends a response of status 200 whose body is of another type than JSON. */
   default void reply(String contentType, byte[] body) {
     reply(200, body, 0);
   }
--- a/src/main/java/dapplestair/ports/HttpCaller.java
+++ b/src/main/java/dapplestair/ports/HttpCaller.java
@@ -2,9 +2,9 @@
 
 import java.util.function.Consumer;
 
-/** Requests to the outside. Every call ends with exactly one reply, on the loop. */
+/** Sends HTTP requests to other processes. Every call ends with exactly one reply, on the loop. */
 public interface HttpCaller {
-  /** Sends one request; {@code body} may be null. */
+  /** Sends a request; {@code body} may be null. */
   void call(
       String endpoint,
       String method,
--- a/src/main/java/dapplestair/ports/PeerNetwork.java
+++ b/src/main/java/dapplestair/ports/PeerNetwork.java
@@ -1,31 +1,33 @@
 package dapplestair.ports;
 
-/** Messages between controllers: ordered while a link lasts, lost when it breaks. */
+/**
+ * Sends messages between controllers, in order while a link is up; a broken link loses messages.
+ */
 public interface PeerNetwork {
-  /** Sends if a link is up; otherwise the message is dropped. */
+  /** Sends a message if the link to the member is up; otherwise drops it. */
   void send(String member, Object message);
 
-  /** Sets who is told; called once, before {@link #start}. */
+  /** Sets the listener; called once, before {@link #start}. */
   void listen(Listener listener);
 
-  /** Begins to connect and accept. */
+  /** Starts to open and accept links. */
   void start();
 
-  /** What happens on the links. */
+  /** Receives the events of the links. */
   interface Listener {
-    /** A message arrived. */
+    /** Called when a message arrived from a member. */
     void messageReceived(String member, Object message);
 
-    /** The link to this peer came up. */
+    /** Called when the link to a member came up. */
     void linkUp(String member);
 
-    /** The link to this peer broke. */
+    /** Called when the link to a member broke. */
     void linkDown(String member);
 
-    /** Something came that is no message of ours: it was dropped, and its link closed. */
+    /** Called when malformed data arrived: it was dropped, and its link closed. */
     void malformedMessageReceived();
 
-    /** The peer's machine answered that nobody listens there. */
+    /** Called when a member's machine refused a connection, since nothing listens on its port. */
     void connectionRefused(String member);
   }
 }
--- a/src/main/java/dapplestair/ports/Timers.java
+++ b/src/main/java/dapplestair/ports/Timers.java
@@ -1,7 +1,7 @@
 package dapplestair.ports;
 
-/** Work to be done later on the controller's own loop. */
+/** Schedules tasks on the controller's event loop. */
 public interface Timers {
-  /** Runs {@code task} once, {@code delayMs} from now. */
+  /** Runs {@code task} once, after {@code delayMs}. */
   Cancellable after(long delayMs, Runnable task);
 }
--- a/src/main/java/dapplestair/ports/package-info.java
+++ b/src/main/java/dapplestair/ports/package-info.java
@@ -1,2 +1,2 @@
-/** The small ports through which duties meet time, other processes and other threads. */
+/** Interfaces through which components use time, other processes and other threads. */
 package dapplestair.ports;
--- a/src/main/java/dapplestair/silence/LivenessReport.java
+++ b/src/main/java/dapplestair/silence/LivenessReport.java
@@ -8,16 +8,16 @@
 import java.util.TreeMap;
 
 /**
- * What a controller says of whom it heard. It proves nothing: it only lets another controller count
- * silence from where this one began to.
+ * Report of a controller on which machines and zones it heard, and when. It proves nothing; it only
+ * lets another controller count silence from the time at which this one began to count it.
  *
- * @param term the term in which the speaker leads, or 0 when it leads none
- * @param number rises with each account of a term
- * @param zoneAgesMs how many milliseconds ago each zone was heard
- * @param overdueMachineAgesMs how many milliseconds ago each machine was heard whose report is
- *     overdue; all others were heard as they should be. Empty unless the speaker leads.
- * @param goneMachineAgesMs how many milliseconds ago each machine was proved to be gone, for those
- *     of late
+ * @param term the term in which the sender leads, or 0 when it does not lead
+ * @param number increases with each report of a term
+ * @param zoneAgesMs how many milliseconds ago each zone was last heard
+ * @param overdueMachineAgesMs how many milliseconds ago each machine whose report is overdue was
+ *     last heard; all other machines reported in time. Empty unless the sender leads.
+ * @param goneMachineAgesMs how many milliseconds ago each of the overdue machines that are proved
+ *     to be gone was proved so
  */
 public record LivenessReport(
     long term,
@@ -25,13 +25,13 @@
     Map<String, Long> zoneAgesMs,
     Map<String, Long> overdueMachineAgesMs,
     Map<String, Long> goneMachineAgesMs) {
-  /** Raised whenever the form changes; other forms are not understood, and so say nothing. */
+  /** Version of the encoding, raised whenever it changes; reports of other versions are ignored. */
   static final int FORM = 1;
 
   private static final int MAX_ENTRIES = 4000;
   private static final int MAX_BYTES = 256 * 1024;
 
-  /** In name order, each name written as what it shares with the one before and its rest. */
+  /** Encodes this report, with sorted names that are front-coded (see {@link FrontCodedNames}). */
   public byte[] encode() {
     Output out = new Output(256, MAX_BYTES);
     out.writeByte(FORM);
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Reads an account, or gives null when it is garbled or of another form. */
+  /** Decodes a report; returns null when it is malformed or of another version. */
   public static LivenessReport decode(byte[] bytes) {
     if (bytes.length == 0 || bytes.length > MAX_BYTES || bytes[0] != FORM) {
       return null;
@@ -73,7 +73,8 @@
   private static Map<String, Long> read(Input in) {
     int count = in.readVarInt(true);
     if (count < 0 || count > MAX_ENTRIES) {
-      throw new IllegalArgumentException("too many entries: " + count);
+      throw new IllegalArgumentException(
+          "liveness report has " + count + " entries, more than " + MAX_ENTRIES);
     }
     Map<String, Long> agesMs = new TreeMap<>();
     FrontCodedNames names = new FrontCodedNames();
@@ -81,7 +82,7 @@
       String name = names.read(in);
       long ageMs = in.readVarLong(true);
       if (ageMs < 0) {
-        throw new IllegalArgumentException("heard in the future");
+        throw new IllegalArgumentException(name + " was heard in the future: " + ageMs + " ms ago");
       }
       agesMs.put(name, ageMs);
     }
--- a/src/main/java/dapplestair/silence/LivenessReports.java
+++ b/src/main/java/dapplestair/silence/LivenessReports.java
@@ -5,9 +5,10 @@
 import java.util.Set;
 
 /**
- * What all controllers said of whom they heard, so that a new leader need not begin to count
- * silence at its own beginning. Each entry is the latest moment at which anybody can have heard: an
- * account that comes late, twice or out of order makes a silence look shorter, never longer.
+ * Collects the liveness reports of all controllers, so that a new leader need not count silence
+ * from the start of its own term. Each entry is the latest time at which a controller can have
+ * heard the zone or machine: a report that arrives late, twice or out of order makes a silence look
+ * shorter, never longer.
  */
 public final class LivenessReports {
   private static final long NEVER = Long.MIN_VALUE / 2;
@@ -19,9 +20,10 @@
   private long leaderReportNumber;
   private long leaderReportAtMs = NEVER;
 
-  /** An account arrived just now. */
+  /** Adds a report that arrived at {@code nowMs}. */
   public void add(LivenessReport livenessReport, long nowMs) {
-    // How long the message took is not known: what it says lies further back than it seems here.
+    // The transit time is not known: all that the report states happened earlier than computed
+    // here.
     livenessReport
         .zoneAgesMs()
         .forEach((zone, ageMs) -> zoneHeardAtMs.merge(zone, nowMs - ageMs, Math::max));
@@ -29,8 +31,8 @@
         livenessReport.term() > leaderTerm
             || (livenessReport.term() == leaderTerm
                 && livenessReport.number() > leaderReportNumber);
-    // Of two accounts by leaders only the newer one counts: a machine that the older one calls
-    // late may have been heard since. A term has one leader, so term and number order them all.
+    // Of two reports of leaders only the newer one counts: a machine that is overdue in the older
+    // one may have been heard since. A term has one leader, so term and number order all reports.
     if (livenessReport.term() == 0 || !isNewer) {
       return;
     }
@@ -45,25 +47,25 @@
     reportedGoneMachines = Set.copyOf(livenessReport.goneMachineAgesMs().keySet());
   }
 
-  /** When anybody said to have heard this zone, or long ago. */
+  /** Returns the latest time at which a controller reported to have heard a zone, or long ago. */
   public long zoneHeardAtMs(String zone) {
     return zoneHeardAtMs.getOrDefault(zone, NEVER);
   }
 
   /**
-   * The latest moment at which the leader that spoke last can have heard this machine, or long ago
-   * when none spoke.
+   * Returns the latest time at which the leader that reported last can have heard this machine, or
+   * a time long ago when no leader has reported.
    */
   public long machineHeardAtMs(String id) {
     return overdueMachineHeardAtMs.getOrDefault(id, leaderReportAtMs);
   }
 
-  /** True when the leader that spoke last had a proof that this machine is gone. */
+  /** Returns whether the leader that reported last had a proof that this machine is gone. */
   public boolean isReportedGone(String id) {
     return reportedGoneMachines.contains(id);
   }
 
-  /** When the last leader's account came, or long ago. */
+  /** Returns when the latest report of a leader arrived, or a time long ago. */
   public long leaderReportAtMs() {
     return leaderReportAtMs;
   }
--- a/src/main/java/dapplestair/silence/SilenceTimeouts.java
+++ b/src/main/java/dapplestair/silence/SilenceTimeouts.java
@@ -3,46 +3,50 @@
 import dapplestair.settings.Settings;
 
 /**
- * How long a silent machine is waited for, as a decision with its costs (docs/silence.md). Nothing
- * here is a proof: what is given up is returned to the cloud, and the cloud's answer proves.
+ * Decides how long to wait for a silent machine, by the costs of waiting and of giving up
+ * (docs/silence.md). Nothing here proves that a machine is gone: a machine that is given up is
+ * returned to the cloud, and the cloud's response is the proof.
  */
 public final class SilenceTimeouts {
-  // Clocks drift by less than this, and a report is heard later than it was sent.
+  // Clocks drift by less than this factor, and a report arrives later than it was sent.
   private static final double CLOCK_DRIFT_FACTOR = 1.01;
 
-  // A controller behind the same cut keeps the leases of its zone's machines.
+  // Number of leases after which work is lost in a zone with a controller: a controller behind the
+  // same cut renews the leases of its zone's machines.
   private static final int LEASES_WITH_CONTROLLER = 3;
 
   private final Settings settings;
 
-  /** Ratios to these settings. */
+  /** Creates timeouts that are multiples of the intervals in {@code settings}. */
   public SilenceTimeouts(Settings settings) {
     this.settings = settings;
   }
 
-  /** True when a controller lives in the zone, which may keep its leases behind a cut. */
+  /** Returns whether a controller runs in the zone; it may renew leases there behind a cut. */
   private boolean hasController(String zone) {
     return settings.peers().stream().anyMatch(p -> p.zone().equals(zone));
   }
 
-  /** When what runs in a silent zone is lost, counted from when the zone was last heard. */
+  /** Returns how long after a zone was last heard the work that runs in it is lost. */
   public long lostAfterMs(String zone) {
     int leases = hasController(zone) ? LEASES_WITH_CONTROLLER : 1;
     return Math.round(CLOCK_DRIFT_FACTOR * leases * settings.workers().leaseMs());
   }
 
   /**
-   * When room is made elsewhere for replicas that run in a silent zone: as soon as every machine
-   * has missed a report. It is a few machines, and they have to boot before the leases end.
+   * Returns after which silence of a zone to rent capacity elsewhere for the replicas that run in
+   * it: as soon as every machine of the zone has missed a report. It takes only a few machines, and
+   * they must boot before the leases end.
    */
   public long prepareAfterMs() {
     return Math.round(1.35 * settings.workers().reportMs());
   }
 
   /**
-   * Whether a machine is given up that hangs while its zone is heard. A replica that hangs serves
-   * nobody, so one with replicas at once. Any other may go on with its work until its lease has run
-   * out; it is waited for no longer than the next one would take to boot.
+   * Returns whether to give up a machine that is silent while its zone is heard. A machine with
+   * replicas is given up at once, since replicas on a hanging machine serve nobody. Any other
+   * machine may continue its work until its lease expires, and is waited for no longer than its
+   * successor would take to boot.
    */
   public boolean shouldGiveUpHanging(long silentMs, boolean hasReplicas, double bootS) {
     double maxSilentMs = Math.min(CLOCK_DRIFT_FACTOR * settings.workers().leaseMs(), 1000 * bootS);
@@ -50,20 +54,21 @@
   }
 
   /**
-   * Whether a machine in a silent zone is given up.
+   * Returns whether to give up a machine in a silent zone. No machine is given up before the work
+   * in its zone is lost.
    *
-   * <p>With replicas: once they are lost, since each second counts and its release is the proof
-   * that lets them start. With other work: at once while there is free room for what is lost, since
-   * then it completes earlier elsewhere. Without such room its release would bring nothing but a
-   * boot and the shortest charge; so it is waited for as long as the next one would take to boot
-   * and to become as useful, twice its boot, and for longer while the cloud has none to give in its
-   * place.
+   * <p>A machine with replicas is then given up, since each second counts and its release is the
+   * proof that lets the replicas start elsewhere. A machine with other work is then given up if
+   * there is free room for that work, since it completes earlier elsewhere. Without such room, the
+   * release would bring only another boot and the minimum charge. The machine is then waited for as
+   * long as its successor would take to boot and to become as useful, which is twice the boot time,
+   * and longer while the cloud has no such machine to replace it.
    *
-   * @param silentMs how long nothing was heard of the machine
+   * @param silentMs how long the machine has not been heard
    * @param hasReplicas whether replicas run on it
-   * @param hasRoomElsewhere whether what runs on it has free room elsewhere
+   * @param hasRoomElsewhere whether there is free room elsewhere for what runs on it
    * @param isReplaceable whether the cloud has such machines elsewhere
-   * @param bootS how long the next one would take to boot
+   * @param bootS how many seconds its successor would take to boot
    */
   public boolean shouldGiveUp(
       String zone,
--- a/src/main/java/dapplestair/silence/ZoneContactTracker.java
+++ b/src/main/java/dapplestair/silence/ZoneContactTracker.java
@@ -4,12 +4,15 @@
 import java.util.Map;
 
 /**
- * Since when each zone has been heard without a break. Silence of one machine means something only
- * while others of its zone are heard, and not at once after a cut: then all have to be heard anew.
+ * Tracks since when each zone has been heard without a break. The silence of one machine is
+ * meaningful only while other machines of its zone are heard, and not immediately after a cut, when
+ * all machines of the zone have yet to be heard again.
  */
 public final class ZoneContactTracker {
-  // In a zone of many machines some report at any moment, so that a break shows sooner.
+  // Up to this number of machines, a break is a whole interval without a report. In a zone of more
+  // machines some report at any moment, so that a shorter gap shows a break.
   private static final double FULL_INTERVAL_MACHINES = 5;
+  // Lower limit of that gap, as a fraction of the interval.
   private static final double MIN_GAP_FRACTION = 0.15;
 
   private static final class ZoneContact {
@@ -20,12 +23,12 @@
   private final long intervalMs;
   private final Map<String, ZoneContact> zones = new HashMap<>();
 
-  /** {@code intervalMs} is the longest time between two reports of a machine. */
+  /** Creates a tracker; {@code intervalMs} is the longest time between two reports of a machine. */
   public ZoneContactTracker(long intervalMs) {
     this.intervalMs = intervalMs;
   }
 
-  /** One of the zone's machines was heard. */
+  /** Records that one of the zone's machines was heard. */
   public void recordHeard(String zone, long nowMs, int machines) {
     ZoneContact contact = zones.computeIfAbsent(zone, n -> new ZoneContact());
     if (nowMs - contact.lastHeardMs > maxGapMs(machines)) {
@@ -34,7 +37,7 @@
     contact.lastHeardMs = nowMs;
   }
 
-  /** A longer time without any of so many machines is a break. */
+  /** Returns the longest time without a report that is no break in a zone of so many machines. */
   public long maxGapMs(int machines) {
     return Math.round(
         intervalMs
@@ -42,7 +45,7 @@
                 MIN_GAP_FRACTION, Math.min(1, FULL_INTERVAL_MACHINES / Math.max(1, machines))));
   }
 
-  /** How long the zone has been heard without a break until just now; 0 when it is not heard. */
+  /** Returns how long the zone has been heard without a break, or 0 when it is not heard now. */
   public long heardForMs(String zone, long nowMs, int machines) {
     ZoneContact contact = zones.get(zone);
     return contact == null || nowMs - contact.lastHeardMs > maxGapMs(machines)
@@ -50,13 +53,13 @@
         : nowMs - contact.heardSinceMs;
   }
 
-  /** When the zone was last heard, or {@link Long#MIN_VALUE} / 2. */
+  /** Returns when the zone was last heard, or {@link Long#MIN_VALUE} / 2 if it never was. */
   public long lastHeardMs(String zone) {
     ZoneContact contact = zones.get(zone);
     return contact == null ? Long.MIN_VALUE / 2 : contact.lastHeardMs;
   }
 
-  /** Forgets all. */
+  /** Removes all zones. */
   public void clear() {
     zones.clear();
   }
--- a/src/main/java/dapplestair/silence/package-info.java
+++ b/src/main/java/dapplestair/silence/package-info.java
@@ -1,2 +1,2 @@
-/** What silence of machines and zones means: who was last heard when, and how long to wait. */
+/** Tracks when machines and zones were last heard, and decides how long to wait for silent ones. */
 package dapplestair.silence;
--- a/src/main/java/dapplestair/state/CommitQueue.java
+++ b/src/main/java/dapplestair/state/CommitQueue.java
@@ -19,25 +19,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Transactions in bounded queues by their priority, sent within this controller's share of the
- * limits. One whose answer does not come in the usual time is sent again: its conditions let one
- * copy alone succeed, and neither its caller nor those behind it wait for an answer that is lost.
+ * Queues transactions by priority, in bounded queues, and sends them within this controller's share
+ * of the limits. A transaction that is not answered in the usual time is sent again, so that
+ * neither its caller nor the transactions queued behind it wait for a lost response. Its conditions
+ * let only one copy succeed.
  */
 final class CommitQueue {
   private static final Logger LOG = LoggerFactory.getLogger(CommitQueue.class);
 
   /** Sends one transaction to the state service. */
   interface TxnSender {
-    /** {@code done} gets the answer, or none within {@code timeoutMs}. */
+    /** Sends a transaction; {@code done} gets the reply, or an unknown one after the timeout. */
     void post(byte[] transaction, long timeoutMs, Consumer<HttpReply> done);
   }
 
   private static final int MAX_QUEUED_PER_PRIORITY = 2000;
   private static final int MAX_IN_FLIGHT = 6;
   private static final long RATE_WINDOW_MS = 1000;
-  // No answer is taken for late within this part of the longest time that one may take.
+  // A response is never considered late before maxTimeoutMs divided by this.
   private static final int MIN_TIMEOUT_DIVISOR = 15;
-  // A late answer is listened for as long: what is on its way holds connections.
+  // A late response is awaited for this many response timeouts, and no longer, since each pending
+  // request occupies a connection.
   private static final int MAX_WAIT_TIMEOUTS = 4;
 
   private record QueuedTxn(
@@ -59,7 +61,7 @@
   private double previousPutsPerSecond;
   private boolean sendScheduled;
 
-  /** Sends by {@code sender}; no answer is waited for longer than {@code maxTimeoutMs}. */
+  /** Creates a queue that sends by {@code sender} and awaits no response beyond the maximum. */
   CommitQueue(
       Clock clock,
       Timers timers,
@@ -76,7 +78,7 @@
     this.responseTimeout = new ResponseTimeout(maxTimeoutMs / MIN_TIMEOUT_DIVISOR, maxTimeoutMs);
   }
 
-  /** Puts a second that are made or would be made if they could. */
+  /** Returns the demand in puts per second: those sent lately, plus the queued transactions. */
   double demandPutsPerSecond() {
     long now = clock.now();
     if (now - windowStartMs > RATE_WINDOW_MS) {
@@ -87,7 +89,7 @@
     return previousPutsPerSecond + queued();
   }
 
-  /** Puts sent since last asked, by priority. */
+  /** Returns the puts sent since the last call, by priority, and resets the counts. */
   String takePutCounts() {
     StringBuilder counts = new StringBuilder();
     for (Priority priority : Priority.values()) {
@@ -101,17 +103,17 @@
     return counts.toString();
   }
 
-  /** How many transactions of a priority wait. */
+  /** Returns the number of transactions of a priority that are queued. */
   int queued(Priority priority) {
     return queues.get(priority.ordinal()).size();
   }
 
-  /** How many transactions wait. */
+  /** Returns the number of transactions that are queued. */
   int queued() {
     return queues.stream().mapToInt(ArrayDeque::size).sum();
   }
 
-  /** Queues a transaction, as {@link StateClient#commit} says. */
+  /** Queues a transaction as specified by {@link StateClient#commit}. */
   void add(
       int size, Supplier<Txn> txn, Priority priority, long maxWaitMs, Consumer<TxnOutcome> done) {
     ArrayDeque<QueuedTxn> queue = queues.get(priority.ordinal());
@@ -177,7 +179,7 @@
     putsByPriority[priority.ordinal()] += txn.size();
   }
 
-  /** One copy on its way: it holds a place in flight until it is answered or late. */
+  /** A copy that was sent: it counts as in flight until it is answered or late. */
   private final class SentCopy {
     private final QueuedTxn queued;
     private final Priority priority;
@@ -214,7 +216,8 @@
         responseTimeout.recordResponse(clock.now() - sentAtMs);
       }
       if (reply.status() == 429 && !late) {
-        // Others used more than their share: not executed, so it may go again.
+        // Other controllers used more than their share. This copy was not executed, so that it may
+        // be sent again.
         writeBucket.drain();
         queued.commit.queueResend();
         queues.get(priority.ordinal()).addFirst(queued);
@@ -230,8 +233,9 @@
     inFlight++;
     queued.commit.copySent();
     SentCopy copy = new SentCopy(queued, priority);
-    // A candidate that does not know of its win would have nobody lead for as long as its hold
-    // lasts, and no copy of it can be refused by another one: it waits for its answer.
+    // An election transaction is not sent again when its response is late, so that no copy can be
+    // refused because of another one. Its response is awaited for the maximum time: a candidate
+    // that does not learn of its win leaves the cluster without a leader until its hold ends.
     boolean waitsForReply = priority == Priority.ELECTION;
     long resendAfterMs = responseTimeout.timeoutMs();
     long resendUntilMs = queued.resent ? queued.deadlineMs : clock.now() + maxTimeoutMs;
@@ -258,7 +262,7 @@
         if (error != null && error.contains("lease")) {
           return new TxnOutcome.NoHold();
         }
-        LOG.error("the state service calls a transaction malformed: {}", error);
+        LOG.error("the state service rejected a transaction as malformed: {}", error);
         return new TxnOutcome.Refused();
       case HttpReply.NOT_SENT, 503, 429:
         return new TxnOutcome.Refused();
--- a/src/main/java/dapplestair/state/ConditionalWriter.java
+++ b/src/main/java/dapplestair/state/ConditionalWriter.java
@@ -5,17 +5,17 @@
 import dapplestair.state.StateClient.Priority;
 import java.util.function.Consumer;
 
-/** Records what operators wish, each wish conditional on the record that they were shown. */
+/** Writes operators' orders, each on condition that the record it is based on is unchanged. */
 public final class ConditionalWriter {
-  /** How a wish ended. */
+  /** Result of a write. */
   public enum Result {
-    /** Recorded, or recorded already. */
+    /** The value is recorded, by this write or already before it. */
     DONE,
-    /** Somebody else changed it at the same moment: look again. */
+    /** Another writer changed the record meanwhile: the caller should read it again. */
     CHANGED,
-    /** It cannot be told whether it is recorded. */
+    /** It is not known whether the value is recorded. */
     UNKNOWN,
-    /** Surely not recorded: the state service is busy or out. */
+    /** The value is certainly not recorded: the state service is busy or unreachable. */
     REFUSED
   }
 
@@ -23,14 +23,14 @@
   private final StateClient state;
   private final Replica replica;
 
-  /** Writes by this client, on what this replica shows. */
+  /** Creates a writer that sends by {@code state}, on condition of stamps in {@code replica}. */
   public ConditionalWriter(Clock clock, StateClient state, Replica replica) {
     this.clock = clock;
     this.state = state;
     this.replica = replica;
   }
 
-  /** Gives a key this value, or removes it if there is none. */
+  /** Writes a value to a key, or removes the key when {@code value} is null. */
   public void write(String key, ObjectNode value, long deadlineMs, Consumer<Result> done) {
     long stamp = replica.stamp(key);
     if (value == null && stamp == 0) {
@@ -51,7 +51,8 @@
           if (outcome instanceof TxnOutcome.Applied) {
             done.accept(Result.DONE);
           } else if (outcome instanceof TxnOutcome.Conflict) {
-            // Somebody else's change, or our own write that went unanswered before.
+            // The key was changed by another writer, or by an earlier write of ours whose response
+            // was lost.
             settleByReading(key, value, -1, deadlineMs, done);
           } else if (outcome instanceof TxnOutcome.Unknown) {
             settleByReading(key, value, stamp, deadlineMs, done);
@@ -61,7 +62,7 @@
         });
   }
 
-  /** No answer: what is recorded now tells, unless the write is still to come. */
+  /** Reads the key to determine the outcome, and writes again if the write may still arrive. */
   private void settleByReading(
       String key, ObjectNode value, long stampBefore, long deadlineMs, Consumer<Result> done) {
     state.get(
@@ -72,7 +73,7 @@
           if (isAsRequested) {
             done.accept(Result.DONE);
           } else if (read.known() && read.stamp() == stampBefore && clock.now() < deadlineMs) {
-            // The same condition again: only one of the two can ever be applied.
+            // Both writes have the same condition, so at most one of them can be applied.
             write(key, value, deadlineMs, done);
           } else {
             done.accept(read.known() ? Result.CHANGED : Result.UNKNOWN);
--- a/src/main/java/dapplestair/state/PendingCommit.java
+++ b/src/main/java/dapplestair/state/PendingCommit.java
@@ -3,8 +3,9 @@
 import java.util.function.Consumer;
 
 /**
- * One transaction that may be sent several times, since its answer may be lost. Its conditions name
- * the keys that it writes, so at most one copy is applied; how it ended follows from all answers.
+ * A transaction that may be sent several times, since its response may be lost. Its conditions name
+ * the keys that it writes, so at most one copy is applied. Its outcome follows from the responses
+ * to all copies.
  */
 final class PendingCommit {
   private final Consumer<TxnOutcome> done;
@@ -14,44 +15,44 @@
   private TxnOutcome notAppliedOutcome;
   private boolean settled;
 
-  /** {@code done} hears once how it ended. */
+  /** Creates a transaction whose outcome is passed to {@code done} once. */
   PendingCommit(Consumer<TxnOutcome> done) {
     this.done = done;
   }
 
-  /** True when it is known how it ended. */
+  /** Returns whether the outcome has been determined. */
   boolean isSettled() {
     return settled;
   }
 
-  /** True while another copy may help: none has been answered yet. */
+  /** Returns whether another copy may help: the outcome is open and no copy has failed. */
   boolean mayResend() {
     return !settled && notAppliedOutcome == null;
   }
 
-  /** Another copy is to be sent. */
+  /** Notes that another copy is queued to be sent. */
   void queueResend() {
     resendQueued = true;
   }
 
-  /** A copy is on its way. */
+  /** Notes that a copy was sent. */
   void copySent() {
     resendQueued = false;
     unansweredCopies++;
   }
 
-  /** The copy that was to be sent never will be. */
+  /** Notes that the deadline of the queued copy passed before it could be sent. */
   void resendExpired() {
     resendQueued = false;
     recordOutcome(new TxnOutcome.Refused());
   }
 
-  /** The copy on its way was not executed, and waits to be sent again. */
+  /** Notes that a sent copy was not executed and is queued to be sent again. */
   void copyRejected() {
     unansweredCopies--;
   }
 
-  /** A copy ended. */
+  /** Notes the outcome of a sent copy. */
   void copyEnded(TxnOutcome outcome) {
     unansweredCopies--;
     recordOutcome(outcome);
@@ -65,7 +66,7 @@
     } else if (!(notAppliedOutcome instanceof TxnOutcome.Conflict)) {
       notAppliedOutcome = outcome;
     }
-    // A conflict may be with another copy of its own, as long as that one is unanswered.
+    // A conflict may be with another copy of this transaction, as long as that copy is unanswered.
     if (unansweredCopies == 0 && (!resendQueued || notAppliedOutcome != null)) {
       settle(hasUnknownCopy ? new TxnOutcome.Unknown() : notAppliedOutcome);
     }
--- a/src/main/java/dapplestair/state/Replica.java
+++ b/src/main/java/dapplestair/state/Replica.java
@@ -18,21 +18,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows all keys under one prefix: a listing, then the stream of changes. The read barrier shares
- * the same stream, so passing it means that the replica holds all that was there when it was asked.
+ * Replicates all keys under {@link StateKeys#LIVE}: a listing first, then the stream of changes.
+ * The read barrier reads the same stream, so once it has passed, the replica holds everything that
+ * was in the state service when the barrier was requested.
  */
 public final class Replica {
   private static final Logger LOG = LoggerFactory.getLogger(Replica.class);
 
-  /** Told of every change, in order. */
+  /** Receives every change, in order. */
   public interface Listener {
-    /** A key has this value now. */
+    /** Called when a key was written with this value. */
     void put(String key, JsonNode value, long stamp);
 
-    /** A key is gone. */
+    /** Called when a key was removed. */
     void removed(String key);
 
-    /** The replica is complete, for the first time or again. */
+    /** Called when the replica is complete, for the first time or after a new listing. */
     void loaded();
   }
 
@@ -45,7 +46,8 @@
   private final BooleanSupplier needsLowLatency;
   private final Object2LongOpenHashMap<String> stampsByKey = new Object2LongOpenHashMap<>();
   private final List<Consumer<Boolean>> pendingBarriers = new ArrayList<>();
-  // Jobs that were held before all was forgotten, and whose end nobody has been told.
+  // Keys of jobs that were held before the last restart and that no listing has covered since; the
+  // listener has not been told if they ended.
   private final Set<String> jobsBeforeRestart = new HashSet<>();
   private long asOfMs = Long.MIN_VALUE / 2;
   private long appliedEpoch;
@@ -54,7 +56,12 @@
   private int generation;
   private long backoffMs;
 
-  /** {@code needsLowLatency} says whether changes matter at once, as they do to a leader. */
+  /**
+   * Creates an empty replica.
+   *
+   * @param needsLowLatency returns whether changes are needed at once, as by a leader; the stream
+   *     is then read more often
+   */
   public Replica(
       StateClient state,
       Timers timers,
@@ -68,16 +75,16 @@
     this.listener = listener;
   }
 
-  /** Begins, or begins again from a listing. */
+  /** Starts to replicate, or starts again from a listing. */
   public void reload() {
     generation++;
     ready = false;
     list(generation, null, -1, new HashMap<>());
   }
 
-  /** Forgets everything without telling anybody, and begins again. */
+  /** Drops all keys without calling the listener, and starts again from a listing. */
   public void restart() {
-    // A job that ends while nothing is held has ended for those who knew it all the same.
+    // A job may end before the next listing: its removal must still be reported to the listener.
     stampsByKey.keySet().stream()
         .filter(k -> k.startsWith(StateKeys.JOB))
         .forEach(jobsBeforeRestart::add);
@@ -86,37 +93,37 @@
   }
 
   /**
-   * True when a job was held as not over when everything was forgotten, and the listing that tells
-   * what became of it has not been read yet.
+   * Returns whether the replica held a job as unfinished before it was restarted, and the listing
+   * that shows whether it still exists has not been read yet.
    */
   public boolean heldBeforeRestart(String job) {
     return jobsBeforeRestart.contains(StateKeys.job(job));
   }
 
-  /** True once complete. */
+  /** Returns whether the replica is complete. */
   public boolean isReady() {
     return ready;
   }
 
-  /** The epoch up to which it holds all changes. */
+  /** Returns the epoch up to which all changes are applied. */
   public long appliedEpoch() {
     return appliedEpoch;
   }
 
   /**
-   * All that was in the state service at this moment, steady time, has been told to the listener;
-   * far in the past before the first time.
+   * Returns the latest time, on the steady clock, for which the listener has received everything
+   * that was in the state service; a time far in the past before the first complete listing.
    */
   public long asOfMs() {
     return asOfMs;
   }
 
-  /** Stamp of a key, 0 when it does not exist. */
+  /** Returns the stamp of a key, or 0 when it does not exist. */
   public long stamp(String key) {
     return stampsByKey.getLong(key);
   }
 
-  /** All keys there are. */
+  /** Returns all keys. */
   public Set<String> keys() {
     return stampsByKey.keySet();
   }
@@ -142,7 +149,7 @@
             lastKey = row.path("k").asText();
             rows.put(lastKey, new VersionedValue(row.get("value"), Json.number(row, "stamp", 0)));
           }
-          // Pages are not one moment: changes since the first page are replayed over them.
+          // Pages are read at different epochs: all changes since the first page's are replayed.
           long startEpoch = firstPageEpoch < 0 ? Json.number(page, "epoch", 0) : firstPageEpoch;
           if (Json.flag(page, "more")) {
             list(gen, lastKey, startEpoch, rows);
@@ -195,7 +202,7 @@
           } else {
             ready = true;
             asOfMs = Math.max(asOfMs, askedAtMs);
-            LOG.info("replica complete: {} keys at {}", stampsByKey.size(), appliedEpoch);
+            LOG.info("replica complete: {} keys at epoch {}", stampsByKey.size(), appliedEpoch);
             listener.loaded();
             follow(gen);
             runBarrier();
@@ -232,10 +239,10 @@
         });
   }
 
-  /** Applies a reply of changes. False when there was none to apply. */
+  /** Applies the changes of a reply. Returns false when the reply could not be applied whole. */
   private boolean apply(HttpReply reply) {
     if (reply.status() == 410) {
-      LOG.info("the stream of changes was lost at {}, listing again", appliedEpoch);
+      LOG.info("changes after epoch {} no longer available, listing all keys again", appliedEpoch);
       reload();
       return false;
     }
@@ -245,15 +252,15 @@
     }
     int gen = generation;
     for (JsonNode node : body.path("news")) {
-      // A change can make this controller lead no more and the replica begin again: what follows
-      // must not be applied to the emptied replica, nor a barrier pass on it.
+      // A change can end this controller's lead, which restarts the replica. The remaining changes
+      // must not be applied to the emptied replica, nor may a barrier pass on it.
       if (gen != generation) {
         return false;
       }
       long stamp = Json.number(node, "stamp", 0);
       String removedKey = Json.text(node, "remove");
       String key = removedKey != null ? removedKey : Json.text(node, "put");
-      // Two streams (follower and barrier) may bring the same change, or an older one late.
+      // The follower's and the barrier's requests may both return a change, or an older one late.
       if (key == null || stamp <= appliedEpoch) {
         continue;
       }
@@ -274,14 +281,14 @@
   }
 
   /**
-   * Calls {@code done} with true once the replica holds everything that was in the state service at
-   * this moment, or with false when that could not be learnt.
+   * Calls {@code done} with true once the replica holds everything that is in the state service at
+   * the time of this call, or with false when that could not be established.
    */
   public void barrier(Consumer<Boolean> done) {
     pendingBarriers.add(done);
     if (!barrierRunning) {
       barrierRunning = true;
-      // All that come in the same turn share one request.
+      // Barriers requested in the same turn of the event loop share one request.
       timers.after(0, this::runBarrier);
     }
   }
@@ -308,8 +315,8 @@
         reply -> {
           boolean passed = gen == generation && apply(reply);
           asOfMs = passed ? Math.max(asOfMs, askedAtMs) : asOfMs;
-          // One that waits may make the replica begin again, as by a change of role: those after it
-          // must not find it emptied and take that for what the state service holds.
+          // A callback may restart the replica, as by a change of role. The callbacks after it must
+          // not take the emptied replica for the contents of the state service.
           callbacks.forEach(callback -> callback.accept(passed && gen == generation));
           if (pendingBarriers.isEmpty()) {
             barrierRunning = false;
--- a/src/main/java/dapplestair/state/ResponseTimeout.java
+++ b/src/main/java/dapplestair/state/ResponseTimeout.java
@@ -1,12 +1,12 @@
 package dapplestair.state;
 
 /**
- * How long to wait for an answer before it is taken for lost, estimated from the time that answers
- * took lately, as TCP estimates its retransmission time-out (RFC 6298).
+ * Estimates how long to wait for a response before it is considered lost. The estimate is based on
+ * recent response times, as TCP computes its retransmission timeout (RFC 6298).
  */
 final class ResponseTimeout {
-  // Weights of the newest sample in the smoothed time and in its variation, and the variations
-  // added to the smoothed time, all by RFC 6298.
+  // Weights of the newest sample in the smoothed time and in its variation, and the multiple of the
+  // variation that is added to the smoothed time, all as in RFC 6298.
   private static final double SMOOTHING_WEIGHT = 1.0 / 8;
   private static final double VARIATION_WEIGHT = 1.0 / 4;
   private static final int VARIATION_FACTOR = 4;
@@ -17,13 +17,13 @@
   private double variationMs;
   private int backoffFactor = 1;
 
-  /** Never less than {@code minMs} nor more than {@code maxMs}. */
+  /** Creates an estimate that stays between {@code minMs} and {@code maxMs}. */
   ResponseTimeout(long minMs, long maxMs) {
     this.minMs = minMs;
     this.maxMs = maxMs;
   }
 
-  /** An answer took this long. */
+  /** Records the duration of a response and ends the backoff. */
   void recordResponse(long durationMs) {
     backoffFactor = 1;
     if (smoothedMs < 0) {
@@ -36,12 +36,12 @@
     smoothedMs += SMOOTHING_WEIGHT * (durationMs - smoothedMs);
   }
 
-  /** No answer came within the time-out: the next one may take twice as long, and so on. */
+  /** Doubles the timeout, since no response came within it. */
   void recordTimeout() {
     backoffFactor = Math.min(2 * backoffFactor, (int) (maxMs / minMs) + 1);
   }
 
-  /** How long to wait for the next answer; the longest time before any answer has come. */
+  /** Returns how long to wait for the next response: the maximum until a first one has come. */
   long timeoutMs() {
     if (smoothedMs < 0) {
       return maxMs;
--- a/src/main/java/dapplestair/state/StateClient.java
+++ b/src/main/java/dapplestair/state/StateClient.java
@@ -13,43 +13,45 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests to the state service within this controller's share of its limits. Transactions wait in
- * bounded queues by their priority.
+ * Sends requests to the state service within this controller's share of its limits. Transactions
+ * wait in bounded queues, one per priority.
  */
 public final class StateClient {
   private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
 
-  /** Which transactions go first. */
+  /** Order in which queued transactions are sent, the most urgent first. */
   public enum Priority {
-    /** Somebody wants to lead, and everything else waits for a leader. */
+    /** Campaigns for the lead, since all other work waits for a leader. */
     ELECTION,
-    /** Few, and everything else waits for the machines they bring. */
+    /** Records of rentals: few writes, and all else waits for the machines that they bring. */
     FLEET,
-    /** A user waits for it. */
+    /** Writes for which a user waits. */
     USER,
-    /** Replicas wait for it. */
+    /** Writes for which service replicas wait. */
     REPLICA,
-    /** A task waits for it. */
+    /** Launches, for which tasks wait. */
     LAUNCH,
-    /** Somebody waits to hear that all is done. */
+    /** Ends of jobs, of which users wait to be told. */
     FINISH,
-    /** Nobody waits for it, and it is paced by whoever asks. */
+    /** Writes for which nobody waits; their callers limit the rate. */
     BOOKKEEPING,
-    /** A job of the lowest rank is done: its user may wait while others' puts are made. */
+    /** Ends of jobs of the lowest rank: their users may wait while the puts of others are made. */
     FINISH_LOW
   }
 
-  /** What a read found: {@code known} false when it could not be read. */
+  /** Result of a read; {@code known} is false when the key could not be read. */
   public record ReadResult(boolean known, JsonNode value, long stamp) {
-    /** True when the key exists. */
+    /** Returns whether the key is known to exist. */
     public boolean exists() {
       return known && value != null;
     }
   }
 
-  // The leader writes attempts, the others only what users ask of them: shares of the limits.
+  // The leader's share of the limits: it writes attempts, while the other controllers write only
+  // what users request of them.
   private static final double LEADER_SHARE = 0.6;
-  // What the others leave unused is the leader's too, less what they may need before it hears.
+  // The leader may also use what the other controllers leave unused, less this share: they may need
+  // it before the leader learns of their higher demand.
   private static final double RESERVED_SHARE = 0.1;
   private static final double SAFETY_FACTOR = 0.92;
 
@@ -66,7 +68,7 @@
   private long unreachableSinceMs;
   private long lastResponseAtMs = Long.MIN_VALUE / 2;
 
-  /** Talks to the state service named in the settings. */
+  /** Creates a client of the state service named in the settings. */
   public StateClient(Clock clock, Timers timers, HttpCaller http, Settings settings) {
     this.clock = clock;
     this.http = http;
@@ -81,7 +83,7 @@
     this.unreachableSinceMs = clock.now();
   }
 
-  /** Adjusts this controller's share of the limits. */
+  /** Sets this controller's share of the limits to that of the leader or of another controller. */
   public void setLeading(boolean isLeader) {
     double share =
         controllers == 1 ? 1 : isLeader ? LEADER_SHARE : (1 - LEADER_SHARE) / (controllers - 1);
@@ -89,7 +91,11 @@
     requestBucket.setRate(limits.rps() * SAFETY_FACTOR * share);
   }
 
-  /** A leader may use what its peers say they do not: {@code setPeerDemand} is in puts a second. */
+  /**
+   * Sets a leader's write rate to what the other controllers leave unused, but at least its share.
+   *
+   * @param peerPutsPerSecond the demand that the other controllers report, in puts per second
+   */
   public void setPeerDemand(double peerPutsPerSecond) {
     double availableShare = 1 - RESERVED_SHARE - 1.3 * peerPutsPerSecond / limits.writeRps();
     writeBucket.setRate(
@@ -98,55 +104,56 @@
             * Math.max(controllers == 1 ? 1 : LEADER_SHARE, availableShare));
   }
 
-  /** False from a refusal or silence until the next answer. */
+  /** Returns false from a refused or unanswered request until the next answered one. */
   public boolean isReachable() {
     return reachable;
   }
 
-  /** How long it has not answered, 0 while it does. */
+  /** Returns how long the state service has not answered, or 0 while it answers. */
   public long unreachableMs() {
     return reachable ? 0 : clock.now() - unreachableSinceMs;
   }
 
-  /** Steady time, as this client counts it. */
+  /** Returns the time of this client's steady clock, in milliseconds. */
   long now() {
     return clock.now();
   }
 
-  /** How long requests may take before they count as unanswered. */
+  /** Returns how long requests may take before they count as unanswered. */
   public long timeoutMs() {
     return timeoutMs;
   }
 
   /**
-   * Pause between repeated requests that may take this part of a controller's share of the limit:
-   * hundreds of polls and changes a second must not use up what launches need.
+   * Returns the pause between repeated requests that may use the given fraction of one controller's
+   * equal share of the request limit. Without it, hundreds of polls and changes per second would
+   * use up the requests that launches need.
    */
   long repeatIntervalMs(double shareFraction) {
     return Math.round(1000 / Math.max(1, shareFraction * limits.rps() / controllers));
   }
 
-  /** Puts a second that this controller makes or would make if it could. */
+  /** Returns the demand in puts per second: those sent lately, plus the queued transactions. */
   public double demandPutsPerSecond() {
     return commits.demandPutsPerSecond();
   }
 
-  /** Puts sent since last asked, by priority. */
+  /** Returns the puts sent since the last call, by priority, and resets the counts. */
   public String takePutCounts() {
     return commits.takePutCounts();
   }
 
-  /** How many transactions of a priority wait. */
+  /** Returns the number of transactions of a priority that are queued. */
   public int queuedCount(Priority priority) {
     return commits.queued(priority);
   }
 
-  /** Puts a second that this controller may make now. */
+  /** Returns the puts per second that this controller may make now. */
   public double maxPutsPerSecond() {
     return writeBucket.ratePerSecond();
   }
 
-  /** How many transactions wait. */
+  /** Returns the number of transactions that are queued. */
   public int queuedCount() {
     return commits.queued();
   }
@@ -159,9 +166,9 @@
   }
 
   /**
-   * Queues a transaction of about {@code size} puts that is put together only when its turn has
-   * come, so that it holds all that has changed until then; null when there is nothing left to
-   * write, of which {@code done} does not hear.
+   * Queues a transaction of about {@code size} puts that is built only when it is about to be sent,
+   * so that it includes all changes up to then. When {@code txn} returns null, there is nothing
+   * left to write, and {@code done} is not called.
    */
   public void commit(
       int size, Supplier<Txn> txn, Priority priority, long maxWaitMs, Consumer<TxnOutcome> done) {
@@ -197,12 +204,12 @@
         });
   }
 
-  /** One page of keys; a missing node when it could not be read. */
+  /** Reads one page of keys; {@code done} gets a missing node when that failed. */
   void list(String prefix, String fromKey, Consumer<JsonNode> done) {
     list(prefix, fromKey, 1000, done);
   }
 
-  /** One page of at most {@code limit} keys; a missing node when it could not be read. */
+  /** Reads at most {@code limit} keys; {@code done} gets a missing node when that failed. */
   public void list(String prefix, String fromKey, int limit, Consumer<JsonNode> done) {
     requestBucket.take(1);
     String path =
@@ -216,7 +223,7 @@
         reply -> done.accept(parseBody(updateReachability(reply))));
   }
 
-  /** Waits for changes; the whole reply, since 410 matters. */
+  /** Waits for changes; {@code done} gets the whole reply, since 410 means a lost stream. */
   void fetchChanges(String prefix, long fromEpoch, long blockMs, Consumer<HttpReply> done) {
     requestBucket.take(1);
     http.call(
@@ -228,7 +235,7 @@
         reply -> done.accept(updateReachability(reply)));
   }
 
-  /** Opens a hold; 0 when that failed. */
+  /** Opens a hold; {@code done} gets its number, or 0 when that failed. */
   public void openHold(long ttlMs, Consumer<Long> done) {
     requestBucket.take(1);
     byte[] body = Json.bytes(Json.object().put("ttlMs", ttlMs));
@@ -241,7 +248,7 @@
         reply -> done.accept(Json.number(parseBody(updateReachability(reply)), "hold", 0)));
   }
 
-  /** Extends a hold; the status says what became of it. */
+  /** Extends a hold; {@code done} gets the status of the reply. */
   public void extendHold(long hold, Consumer<Integer> done) {
     requestBucket.take(1);
     http.call(
@@ -268,14 +275,14 @@
     if (served) {
       lastResponseAtMs = clock.now();
     } else if (reply.status() == HttpReply.UNKNOWN && clock.now() - lastResponseAtMs < timeoutMs) {
-      // One answer was lost while others came: that is no outage.
+      // One response was lost while others arrived within the timeout: that is not an outage.
       return reply;
     }
     if (reachable && !served) {
       unreachableSinceMs = clock.now();
-      LOG.info("the state service does not serve us (status {})", reply.status());
+      LOG.info("the state service is not reachable (last status {})", reply.status());
     } else if (!reachable && served) {
-      LOG.info("the state service serves us again");
+      LOG.info("the state service is reachable again");
     }
     reachable = served;
     return reply;
--- a/src/main/java/dapplestair/state/TokenBucket.java
+++ b/src/main/java/dapplestair/state/TokenBucket.java
@@ -2,7 +2,7 @@
 
 import dapplestair.ports.Clock;
 
-/** Paces something to a rate, with bursts worth {@code burstS} seconds. */
+/** Token bucket that limits a rate, with bursts of up to {@code burstS} seconds' worth. */
 public final class TokenBucket {
   private final Clock clock;
   private final double burstS;
@@ -10,7 +10,7 @@
   private double tokens;
   private long refilledAtMs;
 
-  /** Starts full. */
+  /** Creates a full bucket. */
   public TokenBucket(Clock clock, double ratePerSecond, double burstS) {
     this.clock = clock;
     this.ratePerSecond = ratePerSecond;
@@ -19,18 +19,18 @@
     this.refilledAtMs = clock.now();
   }
 
-  /** Changes the rate from now on. */
+  /** Sets the rate from now on. */
   public void setRate(double newRatePerSecond) {
     refill();
     ratePerSecond = newRatePerSecond;
   }
 
-  /** How many a second. */
+  /** Returns the rate in tokens per second. */
   public double ratePerSecond() {
     return ratePerSecond;
   }
 
-  /** Takes {@code count} if there are that many, or if the bucket is as full as it gets. */
+  /** Takes {@code count} tokens if available, or if the bucket is full; returns whether it did. */
   public boolean take(double count) {
     refill();
     double capacity = Math.max(1, ratePerSecond * burstS);
@@ -41,14 +41,14 @@
     return true;
   }
 
-  /** Milliseconds until {@code count} can be taken. */
+  /** Returns the milliseconds until {@code count} tokens can be taken. */
   public long waitMs(double count) {
     refill();
     double required = Math.min(count, Math.max(1, ratePerSecond * burstS));
     return tokens >= required ? 0 : (long) Math.ceil((required - tokens) / ratePerSecond * 1000);
   }
 
-  /** Empties the bucket, after the other side said that it was too much. */
+  /** Empties the bucket, after the server has reported too many requests. */
   public void drain() {
     refill();
     tokens = Math.min(tokens, 0);
--- a/src/main/java/dapplestair/state/Txn.java
+++ b/src/main/java/dapplestair/state/Txn.java
@@ -5,24 +5,24 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplestair.json.Json;
 
-/** A transaction being put together. */
+/** Builds a transaction for the state service. */
 public final class Txn {
   private final ArrayNode conditions = Json.array();
   private final ArrayNode writes = Json.array();
 
-  /** Only if {@code key} has this stamp; 0: does not exist. */
+  /** Adds the condition that {@code key} has this stamp; 0 means that it does not exist. */
   public Txn when(String key, long stamp) {
     conditions.addObject().put("k", key).put("stamp", stamp);
     return this;
   }
 
-  /** Writes a value. */
+  /** Adds a write of a value. */
   public Txn put(String key, JsonNode value) {
     writes.addObject().put("put", key).set("value", value);
     return this;
   }
 
-  /** Writes a value that lasts as long as the hold. */
+  /** Adds a write of a value that exists as long as the hold. */
   public Txn put(String key, JsonNode value, long hold) {
     ObjectNode object = writes.addObject().put("put", key);
     object.set("value", value);
@@ -30,13 +30,13 @@
     return this;
   }
 
-  /** Deletes a key. */
+  /** Adds the removal of a key. */
   public Txn remove(String key) {
     writes.addObject().put("remove", key);
     return this;
   }
 
-  /** Number of puts and deletes. */
+  /** Returns the number of puts and removals. */
   public int size() {
     return writes.size();
   }
--- a/src/main/java/dapplestair/state/TxnOutcome.java
+++ b/src/main/java/dapplestair/state/TxnOutcome.java
@@ -2,20 +2,20 @@
 
 import java.util.Set;
 
-/** How a transaction ended. */
+/** Outcome of a transaction. */
 public sealed interface TxnOutcome {
-  /** Applied; every key it wrote has this stamp. */
+  /** The transaction was applied; every key that it wrote has this stamp. */
   record Applied(long stamp) implements TxnOutcome {}
 
-  /** Not applied, since these keys had other stamps. */
+  /** The transaction was not applied, since these keys had other stamps. */
   record Conflict(Set<String> failedKeys) implements TxnOutcome {}
 
-  /** Surely not applied: refused, shed or never sent. */
+  /** The transaction was certainly not applied: it was refused, shed or never sent. */
   record Refused() implements TxnOutcome {}
 
-  /** May have been applied, or may yet be. */
+  /** The transaction may have been applied, or may still be applied. */
   record Unknown() implements TxnOutcome {}
 
-  /** Not applied: the hold it names has ended. */
+  /** The transaction was not applied, since the hold that it names has ended. */
   record NoHold() implements TxnOutcome {}
 }
--- a/src/main/java/dapplestair/state/package-info.java
+++ b/src/main/java/dapplestair/state/package-info.java
@@ -1,2 +1,2 @@
-/** The state service: requests within its limits, transactions, and a replica that follows it. */
+/** Client of the state service: rate-limited requests, transactions, and a replica of its keys. */
 package dapplestair.state;
--- a/src/test/java/dapplestair/leadership/FencingTokenTest.java
+++ b/src/test/java/dapplestair/leadership/FencingTokenTest.java
@@ -6,7 +6,10 @@
 import org.junit.jupiter.api.Test;
 
 class FencingTokenTest {
-  /** Found by reading: the next multiple of the step alone can lie one above the worker's token. */
+  /**
+   * Guards against raised tokens that the leader may already use: the next multiple of the step
+   * alone can lie only one above the worker's token.
+   */
   @Test
   void raisedTokenExceedsAllTokensTheLeaderMayUse() {
     for (long fence = 0; fence < 40_000; fence++) {
--- a/src/test/java/dapplestair/silence/LivenessReportsTest.java
+++ b/src/test/java/dapplestair/silence/LivenessReportsTest.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** An account that comes late, twice or out of order never makes a silence look longer. */
+/** A report that arrives late, twice or out of order must never make a silence look longer. */
 class LivenessReportsTest {
   private static LivenessReport reportOf(long term, long number, Map<String, Long> late) {
     return new LivenessReport(term, number, Map.of("a", 100L), late, Map.of());
@@ -34,7 +34,7 @@
     assertTrue(bytes.length < 10 * late.size(), bytes.length + " bytes for 700 machines");
   }
 
-  /** Another form says nothing, and whatever comes, nothing is thrown. */
+  /** Reports of another version are ignored, and no malformed report makes the decoder throw. */
   @Test
   void malformedOrOtherFormIsIgnored() {
     byte[] validBytes = reportOf(3, 4, Map.of("n-1", 5L, "n-2", 6L)).encode();
@@ -57,13 +57,14 @@
     LivenessReports livenessReports = new LivenessReports();
     livenessReports.add(reportOf(2, 10, Map.of("n-1", 4000L)), 100_000);
     livenessReports.add(reportOf(2, 11, Map.of()), 101_000);
-    // Reordered, doubled, and from a former leader: each calls a machine late that was heard since.
+    // Reordered, duplicated, and from a former leader: in each report, the machine is overdue
+    // although it was heard since.
     livenessReports.add(reportOf(2, 10, Map.of("n-1", 4000L)), 101_500);
     livenessReports.add(reportOf(1, 99, Map.of("n-1", 90_000L)), 101_600);
     assertEquals(101_000, livenessReports.machineHeardAtMs("n-1"));
   }
 
-  /** Whatever the order and the delays: heard no earlier than the newest speaker knew it to be. */
+  /** With any order and delay, a machine was heard no earlier than the newest report states. */
   @Test
   void silenceIsNeverOverestimated() {
     for (long seed = 1; seed <= 200; seed++) {
--- a/src/test/java/dapplestair/state/ReplicaTest.java
+++ b/src/test/java/dapplestair/state/ReplicaTest.java
@@ -29,7 +29,7 @@
     return new HttpReply(200, text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
   }
 
-  /** The first listing and its catching up are answered; what follows waits for the test. */
+  /** Answers the first listing and the changes read after it; keeps later barriers for the test. */
   private void answerCall(String path, Consumer<HttpReply> done) {
     if (path.startsWith("/kv?") && !listingAnswered) {
       listingAnswered = true;
@@ -92,7 +92,7 @@
               @Override
               public void put(String key, JsonNode value, long stamp) {
                 if (key.equals(StateKeys.LEADER) && restartOnLeaderChange) {
-                  // As when somebody else leads from now on.
+                  // As when another controller has become leader.
                   replica.restart();
                 }
               }
@@ -127,7 +127,8 @@
   }
 
   /**
-   * Seed 10 once answered 404 for an accepted job: the replica had been emptied under a barrier.
+   * Guards against a 404 for an accepted job, as once seen with seed 10: a change in the barrier's
+   * reply restarted the replica, and the barrier passed on the emptied replica.
    */
   @Test
   void barrierFailsWhenReplicaRestartsDuringIt() {
