--- a/src/main/java/dapplestair/leadership/Leadership.java
+++ b/src/main/java/dapplestair/leadership/Leadership.java
@@ -20,23 +20,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One leader a term. Winning is a transaction that raises the term and attaches the leader key to
- * the winner's hold; every write of a leader is conditional on that key's stamp, so taking over
- * from a leader that still lives is harmless to the rules: its late writes fail.
+ * Elects one leader per term. A candidate wins with a transaction that raises the term and attaches
+ * the leader key to the candidate's hold. Every write of a leader is conditional on the stamp of
+ * that key, so deposing a leader whose process is still running is safe: its late writes fail.
  */
 public final class Leadership implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
-  /** Told on the loop when this controller's role changes. */
+  /** Receives this controller's role changes, on the event loop. */
   public interface Listener {
-    /** This controller leads; the replica holds all that earlier terms wrote. */
+    /** Called when this controller leads and the replica holds all writes of earlier terms. */
     void lead(long term);
 
-    /** This controller leads no more. */
+    /** Called when this controller has stopped leading. */
     void follow();
   }
 
-  private static final int MOST_TERMS_KEPT = 16;
+  private static final int MAX_TERMS_KEPT = 16;
 
   private final Clock clock;
   private final Timers timers;
@@ -46,28 +46,28 @@
   private final Peers peers;
   private final Listener listener;
   private final String incarnation;
-  private final long ttlMs;
+  private final long holdTtlMs;
   private Replica replica;
 
-  private long termSeen;
-  private long termRecorded;
-  private String leaderSeen;
-  private String leaderIncarnation;
-  private long leaderSeenAt;
-  private long leaderActiveAt;
-  private long refusalsDoubtedUntil = Long.MIN_VALUE;
-  private final Map<String, Long> termsWon = new HashMap<>();
+  private long highestTermSeen;
+  private long highestTermRecorded;
+  private String recordedLeader;
+  private String recordedLeaderIncarnation;
+  private long leaderRecordSeenAtMs;
+  private long leaderActiveAtMs;
+  private long ignoreRefusalsUntilMs = Long.MIN_VALUE;
+  private final Map<String, Long> lastTermByIncarnation = new HashMap<>();
   private long hold;
-  private long ahead;
-  private long heldAheadAt = Long.MIN_VALUE / 2;
+  private long preparedHold;
+  private long preparedHoldRequestedAtMs = Long.MIN_VALUE / 2;
   private long leaderStamp;
   private long term;
   private boolean leading;
-  private boolean busy;
-  private long campaignAgainAt = Long.MIN_VALUE;
+  private boolean requestPending;
+  private long campaignAllowedAtMs = Long.MIN_VALUE;
   private Cancellable timer = () -> {};
 
-  /** Not yet taking part; see {@link #start}. */
+  /** Creates an instance that takes part in elections only after {@link #start}. */
   public Leadership(
       Clock clock,
       Timers timers,
@@ -84,148 +84,152 @@
     this.peers = peers;
     this.listener = listener;
     this.incarnation = new UUID(random.nextLong(), random.nextLong()).toString();
-    // Short against the leases that a new leader must find alive, whatever the report interval.
-    this.ttlMs = Math.min(settings.workers().reportMs(), settings.workers().leaseMs() / 10);
+    // Short relative to workers' leases, which a new leader must find valid at any report interval.
+    this.holdTtlMs = Math.min(settings.workers().reportMs(), settings.workers().leaseMs() / 10);
   }
 
-  /** A number that tells this process from its earlier lives. */
-  public long process() {
+  /** Returns a number that distinguishes this process from earlier ones of the same member. */
+  public long processId() {
     return UUID.fromString(incarnation).getMostSignificantBits();
   }
 
-  /** Takes part from now on. */
-  public void start(Replica r) {
-    replica = r;
+  /** Starts to take part in elections, based on the records of {@code followedReplica}. */
+  public void start(Replica followedReplica) {
+    replica = followedReplica;
     tick();
   }
 
-  /** True while this controller may act as leader, as far as it knows. */
-  public boolean leading() {
+  /** Returns whether this controller may act as leader, as far as it knows. */
+  public boolean isLeading() {
     return leading;
   }
 
-  /** True while this controller may act as the leader of that term, as far as it knows. */
-  public boolean leads(long thatTerm) {
-    return leading && term == thatTerm;
+  /** Returns whether this controller may act as leader of the given term, as far as it knows. */
+  public boolean isLeadingTerm(long queriedTerm) {
+    return leading && term == queriedTerm;
   }
 
-  /** Term of this leader. */
+  /** Returns the term that this controller won last, 0 before it has won any. */
   public long term() {
     return term;
   }
 
-  /** Highest term known. */
-  public long termSeen() {
-    return termSeen;
+  /** Returns the highest term known, whether won here, recorded, or shown by others. */
+  public long highestTermSeen() {
+    return highestTermSeen;
   }
 
   /**
-   * True when somebody has won a term of which this controller's records do not know yet: it was
-   * shown by a worker or told by a peer.
+   * Returns whether another controller has won a term that this controller's records do not show
+   * yet; a worker or a peer has shown that term.
    */
-  public boolean succeeded() {
-    return termSeen > Math.max(term, termRecorded);
+  public boolean hasUnrecordedSuccessor() {
+    return highestTermSeen > Math.max(term, highestTermRecorded);
   }
 
-  /** Who leads as far as known, or null. */
-  public String leader() {
-    return leading ? settings.member() : leaderSeen;
+  /** Returns the member that leads as far as this controller knows, or null. */
+  public String currentLeader() {
+    return leading ? settings.member() : recordedLeader;
   }
 
-  /** Adds the condition that makes a write of a former leader fail. */
+  /** Adds the condition on the leader key, which makes the writes of a former leader fail. */
   public Txn guard(Txn txn) {
     return txn.when(StateKeys.LEADER, leaderStamp);
   }
 
-  /** Told by the replica. */
-  public void leaderKey(JsonNode value, long stamp) {
+  /** Handles a change of the leader key in the replica; {@code value} is null once removed. */
+  public void leaderKeyChanged(JsonNode value, long stamp) {
     if (value == null) {
-      leaderSeen = null;
-      leaderIncarnation = null;
+      recordedLeader = null;
+      recordedLeaderIncarnation = null;
       if (leading) {
         stepDown("the hold has ended");
       }
       return;
     }
     String member = Json.text(value, "member");
-    long seenTerm = Json.number(value, "term", 0);
-    termSeen = Math.max(termSeen, seenTerm);
-    termRecorded = Math.max(termRecorded, seenTerm);
-    leaderSeen = member;
-    leaderIncarnation = Json.text(value, "incarnation");
-    leaderSeenAt = clock.now();
-    leaderActiveAt = leaderSeenAt;
-    noteWinner(seenTerm);
+    long recordedTerm = Json.number(value, "term", 0);
+    highestTermSeen = Math.max(highestTermSeen, recordedTerm);
+    highestTermRecorded = Math.max(highestTermRecorded, recordedTerm);
+    recordedLeader = member;
+    recordedLeaderIncarnation = Json.text(value, "incarnation");
+    leaderRecordSeenAtMs = clock.now();
+    leaderActiveAtMs = leaderRecordSeenAtMs;
+    recordWinner(recordedTerm);
     if (leading && stamp > leaderStamp) {
-      stepDown("term " + seenTerm + " belongs to " + member);
+      stepDown("term " + recordedTerm + " belongs to " + member);
     }
   }
 
   /**
-   * A process that wins again after somebody else has led had not ended when it was deposed: its
-   * port refuses though it lives, and so may others'. Without this, controllers whose links are
-   * filtered depose each other every few seconds.
+   * Notes who won a term. A process that wins again after another one has led was still running
+   * when it was deposed: its port refuses connections although it runs, and the ports of others may
+   * do so, too. Refused connections are then ignored for one lease; otherwise controllers whose
+   * links are filtered would depose each other every few seconds.
    */
-  private void noteWinner(long wonTerm) {
-    Long before = leaderIncarnation == null ? null : termsWon.put(leaderIncarnation, wonTerm);
-    if (before != null && before < wonTerm - 1) {
-      refusalsDoubtedUntil = clock.now() + settings.workers().leaseMs();
+  private void recordWinner(long wonTerm) {
+    Long previousTerm =
+        recordedLeaderIncarnation == null
+            ? null
+            : lastTermByIncarnation.put(recordedLeaderIncarnation, wonTerm);
+    if (previousTerm != null && previousTerm < wonTerm - 1) {
+      ignoreRefusalsUntilMs = clock.now() + settings.workers().leaseMs();
     }
-    termsWon.values().removeIf(t -> t < wonTerm - MOST_TERMS_KEPT);
+    lastTermByIncarnation.values().removeIf(oldTerm -> oldTerm < wonTerm - MAX_TERMS_KEPT);
   }
 
-  /** Told by the replica of a write that only a leader makes. */
-  public void leaderWrote() {
-    leaderActiveAt = clock.now();
+  /** Notes that the replica received a write that only a leader makes. */
+  public void leaderWriteSeen() {
+    leaderActiveAtMs = clock.now();
   }
 
-  /** A higher term shown by anyone ends ours at once. */
-  public void termShown(long shown) {
-    termSeen = Math.max(termSeen, shown);
-    if (leading && shown > term) {
-      stepDown("somebody knows of term " + shown);
+  /** Steps down at once if the term that a worker or peer has shown is higher than ours. */
+  public void observeTerm(long observedTerm) {
+    highestTermSeen = Math.max(highestTermSeen, observedTerm);
+    if (leading && observedTerm > term) {
+      stepDown("somebody knows of term " + observedTerm);
     }
   }
 
   /**
-   * True when a write was refused since the leader's key was not as expected: somebody else leads,
-   * and this controller steps down if it still believed to lead itself.
+   * Returns whether a write failed because the leader key had another stamp than expected. Another
+   * controller leads then, and this one steps down if it is still leading.
    */
-  public boolean deposedBy(TxnOutcome outcome) {
+  public boolean stepDownIfDeposed(TxnOutcome outcome) {
     if (outcome instanceof TxnOutcome.Conflict conflict
-        && conflict.failed().contains(StateKeys.LEADER)) {
-      guardFailed();
+        && conflict.failedKeys().contains(StateKeys.LEADER)) {
+      stepDownAfterRefusedWrite();
       return true;
     }
     return false;
   }
 
-  private void guardFailed() {
+  private void stepDownAfterRefusedWrite() {
     if (leading) {
       stepDown("a guarded write was refused");
     }
   }
 
-  /** Gives the lead away for a while, since another controller can do better. */
-  public void resign(String why) {
+  /** Ends the lead and does not campaign for one lease, since another controller can do better. */
+  public void resign(String reason) {
     if (leading) {
       state.endHold(hold);
       hold = 0;
-      campaignAgainAt = clock.now() + settings.workers().leaseMs();
-      stepDown(why);
+      campaignAllowedAtMs = clock.now() + settings.workers().leaseMs();
+      stepDown(reason);
     }
   }
 
-  private void stepDown(String why) {
-    LOG.info("leading no more: {} (term {})", why, term);
+  private void stepDown(String reason) {
+    LOG.info("{} no longer leads term {}: {}", settings.member(), term, reason);
     leading = false;
-    if (settings.member().equals(leaderSeen)) {
-      leaderSeen = null;
+    if (settings.member().equals(recordedLeader)) {
+      recordedLeader = null;
     }
     listener.follow();
   }
 
-  /** The replica is complete: whoever can lead begins at once. */
+  /** Campaigns at once if possible, now that the replica is complete. */
   public void replicaReady() {
     if (replica != null && !leading) {
       timer.cancel();
@@ -235,48 +239,49 @@
 
   private void tick() {
     if (leading) {
-      extend();
-    } else if (!busy && !replica.ready()) {
-      holdAhead();
-    } else if (state.reachable() && !busy && vacant() && mayCampaign()) {
+      extendHold();
+    } else if (!requestPending && !replica.isReady()) {
+      prepareHold();
+    } else if (state.isReachable() && !requestPending && isLeaderVacant() && mayCampaign()) {
       campaign();
     }
-    long every = leading ? ttlMs / 4 : ttlMs / 40;
-    timer = timers.after(every / 2 + random.nextLong(Math.max(1, every)), this::tick);
+    long intervalMs = leading ? holdTtlMs / 4 : holdTtlMs / 40;
+    timer = timers.after(intervalMs / 2 + random.nextLong(Math.max(1, intervalMs)), this::tick);
   }
 
   private boolean mayCampaign() {
-    return clock.now() >= campaignAgainAt || peers.alone();
+    return clock.now() >= campaignAllowedAtMs || peers.alone();
   }
 
-  private boolean vacant() {
+  private boolean isLeaderVacant() {
     if (replica.stamp(StateKeys.LEADER) == 0) {
       return true;
     }
-    if (settings.member().equals(leaderSeen) && !incarnation.equals(leaderIncarnation)) {
-      // Our own earlier life.
+    if (settings.member().equals(recordedLeader)
+        && !incarnation.equals(recordedLeaderIncarnation)) {
+      // An earlier process of this member holds the leader key, and it has ended.
       return true;
     }
-    // A port that refuses is no proof: whoever still writes has not ended.
-    long now = clock.now();
-    return leaderSeen != null
-        && now - leaderSeenAt > ttlMs
-        && now - leaderActiveAt > ttlMs / 4
-        && now > refusalsDoubtedUntil
-        && peers.seemsEnded(leaderSeen);
+    // A refused connection does not prove that the leader has ended: one that still writes has not.
+    long nowMs = clock.now();
+    return recordedLeader != null
+        && nowMs - leaderRecordSeenAtMs > holdTtlMs
+        && nowMs - leaderActiveAtMs > holdTtlMs / 4
+        && nowMs > ignoreRefusalsUntilMs
+        && peers.seemsEnded(recordedLeader);
   }
 
-  private void extend() {
-    if (busy) {
+  private void extendHold() {
+    if (requestPending) {
       return;
     }
-    busy = true;
-    long extending = hold;
-    state.extend(
-        extending,
+    requestPending = true;
+    long extendedHold = hold;
+    state.extendHold(
+        extendedHold,
         status -> {
-          busy = false;
-          if (status == 404 && leading && hold == extending) {
+          requestPending = false;
+          if (status == 404 && leading && hold == extendedHold) {
             hold = 0;
             stepDown("the hold was not extended in time");
           }
@@ -284,106 +289,106 @@
   }
 
   /**
-   * While the records are still being read, the hold that a campaign needs is opened already: after
-   * the end of all controllers each exchange less is time in which nobody leads.
+   * Opens the hold that a campaign needs while the records are still being read. After an outage of
+   * all controllers, each round trip saved shortens the time without a leader.
    */
-  private void holdAhead() {
-    if (clock.now() - heldAheadAt < ttlMs / 3) {
+  private void prepareHold() {
+    if (clock.now() - preparedHoldRequestedAtMs < holdTtlMs / 3) {
       return;
     }
-    heldAheadAt = clock.now();
-    state.hold(ttlMs, opened -> ahead = opened);
+    preparedHoldRequestedAtMs = clock.now();
+    state.openHold(holdTtlMs, openedHold -> preparedHold = openedHold);
   }
 
   private void campaign() {
-    busy = true;
-    if (ahead != 0 && clock.now() - heldAheadAt < ttlMs / 3) {
-      hold = ahead;
-      ahead = 0;
-      run(hold);
+    requestPending = true;
+    if (preparedHold != 0 && clock.now() - preparedHoldRequestedAtMs < holdTtlMs / 3) {
+      hold = preparedHold;
+      preparedHold = 0;
+      commitCampaign(hold);
       return;
     }
-    state.hold(
-        ttlMs,
-        opened -> {
-          if (opened == 0) {
-            busy = false;
+    state.openHold(
+        holdTtlMs,
+        openedHold -> {
+          if (openedHold == 0) {
+            requestPending = false;
             return;
           }
-          hold = opened;
-          run(opened);
+          hold = openedHold;
+          commitCampaign(openedHold);
         });
   }
 
-  private void run(long withHold) {
-    if (!vacant()) {
-      // Somebody won while the hold was being opened: the stamps below would let us depose it.
-      busy = false;
+  private void commitCampaign(long campaignHold) {
+    if (!isLeaderVacant()) {
+      // Another controller won while the hold was opened; the stamps read below would depose it.
+      requestPending = false;
       return;
     }
-    long next = termSeen + 1;
+    long nextTerm = highestTermSeen + 1;
     var leaderValue =
         Json.object()
             .put("member", settings.member())
             .put("incarnation", incarnation)
-            .put("term", next);
+            .put("term", nextTerm);
     Txn txn =
         new Txn()
             .when(StateKeys.LEADER, replica.stamp(StateKeys.LEADER))
             .when(StateKeys.TERM, replica.stamp(StateKeys.TERM))
-            .put(StateKeys.LEADER, leaderValue, withHold)
-            .put(StateKeys.TERM, Json.object().put("term", next));
+            .put(StateKeys.LEADER, leaderValue, campaignHold)
+            .put(StateKeys.TERM, Json.object().put("term", nextTerm));
     state.commit(
         txn,
         StateClient.Priority.ELECTION,
-        ttlMs / 3,
+        holdTtlMs / 3,
         outcome -> {
           if (outcome instanceof TxnOutcome.Applied applied) {
-            won(next, applied.stamp());
+            passBarrierAndLead(nextTerm, applied.stamp());
           } else if (outcome instanceof TxnOutcome.Unknown) {
-            state.get(StateKeys.LEADER, read -> settle(next, read));
+            state.get(StateKeys.LEADER, read -> settleUnknownOutcome(nextTerm, read));
           } else {
-            // Somebody else was quicker, or the replica is behind: the next tick sees.
-            busy = false;
+            // Another candidate won, or the replica lags behind: the next tick checks again.
+            requestPending = false;
           }
         });
   }
 
-  private void settle(long next, StateClient.ReadResult read) {
-    boolean ours =
+  private void settleUnknownOutcome(long campaignTerm, StateClient.ReadResult read) {
+    boolean wonByThisProcess =
         read.exists()
             && incarnation.equals(Json.text(read.value(), "incarnation"))
-            && Json.number(read.value(), "term", 0) == next;
-    if (ours) {
-      won(next, read.stamp());
+            && Json.number(read.value(), "term", 0) == campaignTerm;
+    if (wonByThisProcess) {
+      passBarrierAndLead(campaignTerm, read.stamp());
     } else {
-      busy = false;
+      requestPending = false;
     }
   }
 
-  private void won(long wonTerm, long stamp) {
+  private void passBarrierAndLead(long wonTerm, long stamp) {
     term = wonTerm;
-    termSeen = Math.max(termSeen, wonTerm);
+    highestTermSeen = Math.max(highestTermSeen, wonTerm);
     leaderStamp = stamp;
-    // Everything that earlier terms wrote was written before our key: pass a barrier, then act.
+    // All writes of earlier terms precede that of our leader key: a barrier waits for them.
     replica.barrier(
         passed -> {
-          busy = false;
-          if (!passed || replica.stamp(StateKeys.LEADER) != stamp || termSeen > wonTerm) {
-            LOG.info("term {} won but lost again before it began", wonTerm);
+          requestPending = false;
+          if (!passed || replica.stamp(StateKeys.LEADER) != stamp || highestTermSeen > wonTerm) {
+            LOG.info("{} won term {} but lost it before leading", settings.member(), wonTerm);
             return;
           }
           leading = true;
-          LOG.info("leading term {}, won at revision {}", wonTerm, stamp);
+          LOG.info("{} leads term {}, won at revision {}", settings.member(), wonTerm, stamp);
           listener.lead(wonTerm);
         });
   }
 
-  /** Told by the replica. */
-  public void termKey(JsonNode value) {
+  /** Handles a change of the term key in the replica. */
+  public void termKeyChanged(JsonNode value) {
     if (value != null) {
-      termRecorded = Math.max(termRecorded, Json.number(value, "term", 0));
-      termSeen = Math.max(termSeen, termRecorded);
+      highestTermRecorded = Math.max(highestTermRecorded, Json.number(value, "term", 0));
+      highestTermSeen = Math.max(highestTermSeen, highestTermRecorded);
     }
   }
 
--- a/src/main/java/dapplestair/silence/ZoneContactTracker.java
+++ b/src/main/java/dapplestair/silence/ZoneContactTracker.java
@@ -4,54 +4,62 @@
 import java.util.Map;
 
 /**
- * Since when each zone has been heard without a break. Silence of one machine means something only
- * while others of its zone are heard, and not at once after a cut: then all have to be heard anew.
+ * Tracks since when each zone has been heard without a break. The silence of one machine is
+ * meaningful only while other machines of its zone are heard, and not immediately after a cut, when
+ * all machines of the zone have yet to be heard again.
  */
 public final class ZoneContactTracker {
-  // In a zone of many machines some report at any moment, so that a break shows sooner.
-  private static final double FEW = 5;
-  private static final double LEAST_GAP = 0.15;
+  // Up to this number of machines, a break is a whole interval without a report. In a zone of more
+  // machines some report at any moment, so that a shorter gap shows a break.
+  private static final double FULL_INTERVAL_MACHINES = 5;
+  // Lower limit of that gap, as a fraction of the interval.
+  private static final double MIN_GAP_FRACTION = 0.15;
 
   private static final class ZoneContact {
-    long since;
-    long last = Long.MIN_VALUE / 2;
+    long heardSinceMs;
+    long lastHeardMs = Long.MIN_VALUE / 2;
   }
 
   private final long intervalMs;
   private final Map<String, ZoneContact> zones = new HashMap<>();
 
-  /** {@code intervalMs} is the longest time between two reports of a machine. */
+  /** Creates a tracker; {@code intervalMs} is the longest time between two reports of a machine. */
   public ZoneContactTracker(long intervalMs) {
     this.intervalMs = intervalMs;
   }
 
-  /** One of the zone's machines was heard. */
-  public void heard(String zone, long now, int machines) {
-    ZoneContact z = zones.computeIfAbsent(zone, n -> new ZoneContact());
-    if (now - z.last > gapMs(machines)) {
-      z.since = now;
+  /** Records that one of the zone's machines was heard. */
+  public void recordHeard(String zone, long nowMs, int machines) {
+    ZoneContact contact = zones.computeIfAbsent(zone, n -> new ZoneContact());
+    if (nowMs - contact.lastHeardMs > maxGapMs(machines)) {
+      contact.heardSinceMs = nowMs;
     }
-    z.last = now;
+    contact.lastHeardMs = nowMs;
   }
 
-  /** A longer time without any of so many machines is a break. */
-  public long gapMs(int machines) {
-    return Math.round(intervalMs * Math.max(LEAST_GAP, Math.min(1, FEW / Math.max(1, machines))));
+  /** Returns the longest time without a report that is no break in a zone of so many machines. */
+  public long maxGapMs(int machines) {
+    return Math.round(
+        intervalMs
+            * Math.max(
+                MIN_GAP_FRACTION, Math.min(1, FULL_INTERVAL_MACHINES / Math.max(1, machines))));
   }
 
-  /** How long the zone has been heard without a break until just now; 0 when it is not heard. */
-  public long heardForMs(String zone, long now, int machines) {
-    ZoneContact z = zones.get(zone);
-    return z == null || now - z.last > gapMs(machines) ? 0 : now - z.since;
+  /** Returns how long the zone has been heard without a break, or 0 when it is not heard now. */
+  public long heardForMs(String zone, long nowMs, int machines) {
+    ZoneContact contact = zones.get(zone);
+    return contact == null || nowMs - contact.lastHeardMs > maxGapMs(machines)
+        ? 0
+        : nowMs - contact.heardSinceMs;
   }
 
-  /** When the zone was last heard, or {@link Long#MIN_VALUE} / 2. */
-  public long lastHeard(String zone) {
-    ZoneContact z = zones.get(zone);
-    return z == null ? Long.MIN_VALUE / 2 : z.last;
+  /** Returns when the zone was last heard, or {@link Long#MIN_VALUE} / 2 if it never was. */
+  public long lastHeardMs(String zone) {
+    ZoneContact contact = zones.get(zone);
+    return contact == null ? Long.MIN_VALUE / 2 : contact.lastHeardMs;
   }
 
-  /** Forgets all. */
+  /** Removes all zones. */
   public void clear() {
     zones.clear();
   }
