--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -133,9 +133,9 @@
         .put("cycle", Instant.ofEpochMilli(calendarStatus.cycle()).toString())
         .put("delivered", calendarStatus.delivered())
         .put("complete", calendarStatus.complete())
-        .put("jobs_held", calendarStatus.held())
+        .put("jobs_held", calendarStatus.heldRuns())
         .put("next_in_s", calendarStatus.nextMs() / 1000.0)
-        .put("last_released_by", calendarStatus.lastBy())
+        .put("last_released_by", calendarStatus.lastCause())
         .put("last_lag_s", calendarStatus.lastLagS());
   }
 
@@ -215,7 +215,7 @@
     ObjectNode object = asOf.object();
     ArrayNode rows = object.putArray("rows");
     zones
-        .lives()
+        .statuses()
         .forEach(
             (zone, life) -> {
               int there = 0;
@@ -240,17 +240,17 @@
               }
               rows.addObject()
                   .put("zone", zone)
-                  .put("state", life.state().shown())
-                  .put("since", life.sinceWall())
+                  .put("state", life.state().label())
+                  .put("since", life.sinceWallMs())
                   .put("cuts", life.cuts())
-                  .put("steady_in_s", zones.heldS(zone))
+                  .put("steady_in_s", zones.remainingStabilizationS(zone))
                   .put("silent_s", workers.zoneSilentMs(zone) / 1000.0)
                   .put("machines", there)
                   .put("unheard", unheard)
                   .put("replicas", replicas)
                   .put("tasks", tasks)
                   .put("not_proved", unproved)
-                  .put("by", life.by());
+                  .put("by", life.member());
             });
     return object;
   }
--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -86,7 +86,7 @@
     if (explanation.waiting() == 0) {
       return object;
     }
-    PendingCapacity pendingCapacity = fleet.prospects(job.spec());
+    PendingCapacity pendingCapacity = fleet.pendingCapacity(job.spec());
     ArrayNode reasons = object.putArray("reasons");
     explanation.job().forEach((v, n) -> add(reasons, v, "tasks", n, job, explanation));
     explanation.machines().forEach((v, n) -> add(reasons, v, "machines", n, job, explanation));
@@ -106,7 +106,7 @@
           .put("zone", r.zone())
           .put("spot", r.spot())
           .put("words", "the cloud had none to give")
-          .put("in_s", r.againS());
+          .put("in_s", r.retryInS());
     }
     if (reasons.isEmpty()) {
       reasons
@@ -157,7 +157,7 @@
       first = Math.min(first, pendingCapacity.nextS());
     }
     for (PendingCapacity.CapacityRefusal refusal : pendingCapacity.refusals()) {
-      first = Math.min(first, refusal.againS());
+      first = Math.min(first, refusal.retryInS());
     }
     boolean limited = explanation.job().containsKey(PlacementVerdict.TEAM_LIMIT);
     if (limited && explanation.freeInS() < 0 || Double.isInfinite(first)) {
--- a/src/main/java/dapplestair/calendar/Calendars.java
+++ b/src/main/java/dapplestair/calendar/Calendars.java
@@ -55,14 +55,14 @@
 
   // From the records.
   private final Map<String, Cycle> cycles = new HashMap<>();
-  private final Map<String, Map<Long, Set<String>>> marks = new HashMap<>();
+  private final Map<String, Map<Long, Set<String>>> deliveryMarks = new HashMap<>();
 
-  private final Set<String> writing = new HashSet<>();
+  private final Set<String> calendarsBeingWritten = new HashSet<>();
 
   /** Runs that were held at the last tick, by reference. */
-  private Set<String> heldBefore = Set.of();
+  private Set<String> previouslyHeldRefs = Set.of();
 
-  private Runnable changed = () -> {};
+  private Runnable onRelease = () -> {};
   private DoubleSupplier bootS = () -> 0;
   private Cancellable timer = () -> {};
 
@@ -89,24 +89,29 @@
     calendars.forEach(c -> this.calendars.put(c.name(), c));
   }
 
-  /** {@code change} hears of releases; {@code boot} says for how many seconds a machine boots. */
-  public void wire(Runnable change, DoubleSupplier boot) {
-    changed = change;
-    bootS = boot;
+  /**
+   * {@code newOnRelease} hears of releases; {@code newBootS} says for how many seconds a machine
+   * boots.
+   */
+  public void setCallbacks(Runnable newOnRelease, DoubleSupplier newBootS) {
+    onRelease = newOnRelease;
+    bootS = newBootS;
   }
 
   // ---- what the replica says ----
 
   /** A calendar's key, or one of its marks, has this value, or is gone. */
-  public void recorded(String key, JsonNode value) {
+  public void applyRecord(String key, JsonNode value) {
     String[] parts = key.substring(StateKeys.CALENDAR.length()).split("/", 3);
     if (parts.length == 3) {
-      Map<Long, Set<String>> of = marks.computeIfAbsent(parts[0], n -> new TreeMap<>());
-      Set<String> refs = of.computeIfAbsent(Long.parseLong(parts[1]), c -> new TreeSet<>());
+      Map<Long, Set<String>> refsByCycle =
+          deliveryMarks.computeIfAbsent(parts[0], n -> new TreeMap<>());
+      Set<String> refs =
+          refsByCycle.computeIfAbsent(Long.parseLong(parts[1]), c -> new TreeSet<>());
       if (value != null) {
         refs.add(parts[2]);
       } else if (refs.remove(parts[2]) && refs.isEmpty()) {
-        of.remove(Long.parseLong(parts[1]));
+        refsByCycle.remove(Long.parseLong(parts[1]));
       }
     } else if (value != null) {
       cycles.put(parts[0], Cycle.parse(value));
@@ -120,9 +125,9 @@
     writer.reset();
     timer.cancel();
     cycles.clear();
-    marks.clear();
-    writing.clear();
-    heldBefore = Set.of();
+    deliveryMarks.clear();
+    calendarsBeingWritten.clear();
+    previouslyHeldRefs = Set.of();
   }
 
   // ---- leading ----
@@ -137,36 +142,38 @@
 
   private void tick() {
     for (RunCalendar calendar : calendars.values()) {
-      if (!writing.contains(calendar.name()) && state.unreachableMs() == 0) {
-        look(calendar);
+      if (!calendarsBeingWritten.contains(calendar.name()) && state.unreachableMs() == 0) {
+        releaseIfDue(calendar);
       }
     }
-    rest();
+    updateHeldRuns();
     timer = timers.after(settings.workers().reportMs() / 12, this::tick);
   }
 
   /** Releases the newest cycle that can be; what lies further back was missed. */
-  private void look(RunCalendar calendar) {
+  private void releaseIfDue(RunCalendar calendar) {
     long wall = clock.wall();
     long current = calendar.cycle(wall);
-    Cycle last = cycle(calendar.name());
-    ReleaseCause by = current > last.start() ? due(calendar, current, wall) : null;
-    if (by != null) {
-      release(calendar, last.released(current, by, wall, delivered(calendar, current)));
+    Cycle last = lastReleasedCycle(calendar.name());
+    ReleaseCause cause = current > last.startMs() ? dueCause(calendar, current, wall) : null;
+    if (cause != null) {
+      release(calendar, last.withRelease(current, cause, wall, deliveredCount(calendar, current)));
       return;
     }
-    long before = last.start() == 0 ? current : calendar.next(last.start());
-    if (before < current) {
+    long nextUnreleased = last.startMs() == 0 ? current : calendar.next(last.startMs());
+    if (nextUnreleased < current) {
       // Nobody led, or nobody could write, until it was over; its runs are long on their way.
       release(
-          calendar, last.released(before, ReleaseCause.MISSED, wall, delivered(calendar, before)));
+          calendar,
+          last.withRelease(
+              nextUnreleased, ReleaseCause.MISSED, wall, deliveredCount(calendar, nextUnreleased)));
       return;
     }
-    compact(calendar, last);
+    removeOldMarks(calendar, last);
   }
 
-  private ReleaseCause due(RunCalendar calendar, long start, long wall) {
-    int delivered = delivered(calendar, start);
+  private ReleaseCause dueCause(RunCalendar calendar, long start, long wall) {
+    int delivered = deliveredCount(calendar, start);
     if (delivered >= calendar.complete()) {
       return ReleaseCause.COMPLETE;
     }
@@ -179,7 +186,7 @@
   }
 
   private void release(RunCalendar calendar, Cycle next) {
-    writing.add(calendar.name());
+    calendarsBeingWritten.add(calendar.name());
     String key = StateKeys.CALENDAR + calendar.name();
     writer.put(
         key,
@@ -192,54 +199,57 @@
           }
           if (outcome instanceof TxnOutcome.Applied) {
             cycles.put(calendar.name(), next);
-            told(calendar, next);
-            changed.run();
+            announceRelease(calendar, next);
+            onRelease.run();
           }
           // The replica shows it a moment later; without an answer it tells what became of it.
-          timers.after(settings.workers().reportMs() / 12, () -> writing.remove(calendar.name()));
+          timers.after(
+              settings.workers().reportMs() / 12,
+              () -> calendarsBeingWritten.remove(calendar.name()));
         });
   }
 
-  private void told(RunCalendar calendar, Cycle cycle) {
+  private void announceRelease(RunCalendar calendar, Cycle cycle) {
     LOG.info(
         "{}: the cycle of {} is released ({}, {} of {} deliveries)",
         calendar.name(),
-        cycle.start(),
-        cycle.by().shown(),
-        cycle.delivered(),
+        cycle.startMs(),
+        cycle.cause().label(),
+        cycle.deliveredCount(),
         calendar.complete());
     events.note(
         Events.Kind.CYCLE,
         o ->
             o.put("calendar", calendar.name())
-                .put("cycle", cycle.start())
-                .put("state", cycle.by().shown())
-                .put("delivered", cycle.delivered())
-                .put("lag_s", (cycle.at() - cycle.start()) / 1000.0));
+                .put("cycle", cycle.startMs())
+                .put("state", cycle.cause().label())
+                .put("delivered", cycle.deliveredCount())
+                .put("lag_s", (cycle.releasedAtMs() - cycle.startMs()) / 1000.0));
   }
 
   /** Marks of cycles that are over are taken out, a few at a time, one period after their end. */
-  private void compact(RunCalendar calendar, Cycle last) {
+  private void removeOldMarks(RunCalendar calendar, Cycle last) {
     Txn txn = writer.transaction();
-    marks
+    deliveryMarks
         .getOrDefault(calendar.name(), Map.of())
         .forEach(
             (start, refs) -> {
-              if (start < last.start() - calendar.periodMs()) {
+              if (start < last.startMs() - calendar.periodMs()) {
                 refs.stream()
                     .limit(Math.max(0, settings.state().txnOps() - txn.size()))
-                    .forEach(ref -> txn.remove(mark(calendar.name(), start, ref)));
+                    .forEach(ref -> txn.remove(markKey(calendar.name(), start, ref)));
               }
             });
     if (txn.size() > 0) {
-      writing.add(calendar.name());
+      calendarsBeingWritten.add(calendar.name());
       writer.commit(
           txn,
           Priority.BOOKKEEPING,
           outcome -> {
             if (!leadership.deposedBy(outcome)) {
               timers.after(
-                  settings.workers().reportMs() / 3, () -> writing.remove(calendar.name()));
+                  settings.workers().reportMs() / 3,
+                  () -> calendarsBeingWritten.remove(calendar.name()));
             }
           });
     }
@@ -250,35 +260,35 @@
    * more is placed now, whatever ended it: an answer, the record of a release whose answer was
    * lost, or the clock.
    */
-  private void rest() {
-    Set<String> held = new HashSet<>();
+  private void updateHeldRuns() {
+    Set<String> heldRefs = new HashSet<>();
     for (Job job : ledger.jobs()) {
-      RunCalendar calendar = of(job.spec());
+      RunCalendar calendar = calendarFor(job.spec());
       if (calendar != null) {
-        boolean holds = holds(job);
-        ledger.rest(job, holds && !soon(calendar, job));
-        if (holds) {
-          held.add(job.spec().ref());
+        boolean isHeld = isHeld(job);
+        ledger.rest(job, isHeld && !isReleaseNear(calendar, job));
+        if (isHeld) {
+          heldRefs.add(job.spec().ref());
         }
       }
     }
-    boolean released = !held.containsAll(heldBefore);
-    heldBefore = held;
-    if (released) {
-      changed.run();
+    boolean anyReleased = !heldRefs.containsAll(previouslyHeldRefs);
+    previouslyHeldRefs = heldRefs;
+    if (anyReleased) {
+      onRelease.run();
     }
   }
 
   /** True from a boot before the usual release on. */
-  private boolean soon(RunCalendar calendar, Job job) {
+  private boolean isReleaseNear(RunCalendar calendar, Job job) {
     long start = calendar.cycle(job.acceptedWall());
-    double usual = cycle(calendar.name()).usualLagMs(calendar.cutOffMs());
-    return clock.wall() >= start + usual - 1000 * bootS.getAsDouble();
+    double usualLagMs = lastReleasedCycle(calendar.name()).usualLagMs(calendar.cutOffMs());
+    return clock.wall() >= start + usualLagMs - 1000 * bootS.getAsDouble();
   }
 
   // ---- asked by the others ----
 
-  private RunCalendar of(Submission submission) {
+  private RunCalendar calendarFor(Submission submission) {
     for (RunCalendar calendar : calendars.values()) {
       if (calendar.isRun(submission)) {
         return calendar;
@@ -288,48 +298,53 @@
   }
 
   /** True while a job has to wait for its cycle. */
-  public boolean holds(Job job) {
-    RunCalendar calendar = calendars.isEmpty() ? null : of(job.spec());
+  public boolean isHeld(Job job) {
+    RunCalendar calendar = calendars.isEmpty() ? null : calendarFor(job.spec());
     if (calendar == null) {
       return false;
     }
     long start = calendar.cycle(job.acceptedWall());
-    return cycle(calendar.name()).start() < start && clock.wall() - start < calendar.cutOffMs();
+    return lastReleasedCycle(calendar.name()).startMs() < start
+        && clock.wall() - start < calendar.cutOffMs();
   }
 
   /** True for a run of the cycle released last: it goes first of its rank. */
-  public boolean goesFirst(Job job) {
-    RunCalendar calendar = calendars.isEmpty() ? null : of(job.spec());
-    return calendar != null && cycle(calendar.name()).start() == calendar.cycle(job.acceptedWall());
+  public boolean isRunOfLastReleasedCycle(Job job) {
+    RunCalendar calendar = calendars.isEmpty() ? null : calendarFor(job.spec());
+    return calendar != null
+        && lastReleasedCycle(calendar.name()).startMs() == calendar.cycle(job.acceptedWall());
   }
 
   /** A job is about to be recorded as done: if it is a delivery, it is marked with the same put. */
-  public void finishing(Job job, Txn txn) {
+  public void addDeliveryMarks(Job job, Txn txn) {
     for (RunCalendar calendar : calendars.values()) {
       if (calendar.isDelivery(job.spec())) {
         long start = calendar.cycle(job.acceptedWall());
-        if (delivered(calendar, start) < calendar.complete()
-            && start > cycle(calendar.name()).start()) {
-          txn.put(mark(calendar.name(), start, job.spec().ref()), Json.object());
+        if (deliveredCount(calendar, start) < calendar.complete()
+            && start > lastReleasedCycle(calendar.name()).startMs()) {
+          txn.put(markKey(calendar.name(), start, job.spec().ref()), Json.object());
         }
       }
     }
   }
 
-  /** How many marks {@link #finishing} may add to a transaction. */
-  public int mostMarks() {
+  /** How many marks {@link #addDeliveryMarks} may add to a transaction. */
+  public int maxDeliveryMarks() {
     return calendars.size();
   }
 
-  private static String mark(String name, long start, String ref) {
+  private static String markKey(String name, long start, String ref) {
     return StateKeys.CALENDAR + name + "/" + start + "/" + ref;
   }
 
-  private int delivered(RunCalendar calendar, long start) {
-    return marks.getOrDefault(calendar.name(), Map.of()).getOrDefault(start, Set.of()).size();
+  private int deliveredCount(RunCalendar calendar, long start) {
+    return deliveryMarks
+        .getOrDefault(calendar.name(), Map.of())
+        .getOrDefault(start, Set.of())
+        .size();
   }
 
-  private Cycle cycle(String name) {
+  private Cycle lastReleasedCycle(String name) {
     return cycles.getOrDefault(name, Cycle.NONE);
   }
 
@@ -343,34 +358,35 @@
       int delivered,
       int complete,
       long nextMs,
-      String lastBy,
+      String lastCause,
       double lastLagS,
-      int held) {}
+      int heldRuns) {}
 
   /** All calendars, in the order of the file. */
   public List<CalendarStatus> statuses() {
-    List<CalendarStatus> out = new ArrayList<>();
+    List<CalendarStatus> statuses = new ArrayList<>();
     long wall = clock.wall();
     for (RunCalendar calendar : calendars.values()) {
       long current = calendar.cycle(wall);
-      Cycle last = cycle(calendar.name());
-      int delivered = delivered(calendar, current);
-      String stands =
-          last.start() >= current ? "released" : delivered > 0 ? "gathering" : "waiting";
-      long held = ledger.jobs().stream().filter(j -> calendar.isRun(j.spec()) && holds(j)).count();
-      out.add(
+      Cycle last = lastReleasedCycle(calendar.name());
+      int delivered = deliveredCount(calendar, current);
+      String state =
+          last.startMs() >= current ? "released" : delivered > 0 ? "gathering" : "waiting";
+      long heldRuns =
+          ledger.jobs().stream().filter(j -> calendar.isRun(j.spec()) && isHeld(j)).count();
+      statuses.add(
           new CalendarStatus(
               calendar.name(),
-              stands,
+              state,
               current,
-              Math.max(delivered, last.start() == current ? last.delivered() : 0),
+              Math.max(delivered, last.startMs() == current ? last.deliveredCount() : 0),
               calendar.complete(),
               calendar.next(current) - wall,
-              last.start() == 0 ? null : last.by().shown(),
-              (last.at() - last.start()) / 1000.0,
-              (int) held));
+              last.startMs() == 0 ? null : last.cause().label(),
+              (last.releasedAtMs() - last.startMs()) / 1000.0,
+              (int) heldRuns));
     }
-    return out;
+    return statuses;
   }
 
   @Override
--- a/src/main/java/dapplestair/calendar/Cycle.java
+++ b/src/main/java/dapplestair/calendar/Cycle.java
@@ -11,14 +11,15 @@
 /**
  * Where a calendar stands: its newest cycle that was released, and how the ones before went.
  *
- * @param start of the cycle, time of day in milliseconds; 0 before the first
- * @param by what released it
- * @param at when it was released
- * @param delivered how many deliveries were there then
+ * @param startMs of the cycle, time of day in milliseconds; 0 before the first
+ * @param cause what released it
+ * @param releasedAtMs when it was released
+ * @param deliveredCount how many deliveries were there then
  * @param past releases before it, the newest first
  */
-record Cycle(long start, ReleaseCause by, long at, int delivered, List<PastCycle> past) {
-  private static final int MOST_PAST = 16;
+record Cycle(
+    long startMs, ReleaseCause cause, long releasedAtMs, int deliveredCount, List<PastCycle> past) {
+  private static final int MAX_PAST_CYCLES = 16;
 
   /** What released a cycle. */
   enum ReleaseCause {
@@ -31,32 +32,32 @@
     /** Nobody led until the next one had begun. */
     MISSED;
 
-    String shown() {
+    String label() {
       return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
   }
 
   /** How long after its start a cycle was released, and by what. */
-  record PastCycle(long start, ReleaseCause by, long lagMs) {}
+  record PastCycle(long startMs, ReleaseCause cause, long lagMs) {}
 
   static final Cycle NONE = new Cycle(0, ReleaseCause.MISSED, 0, 0, List.of());
 
   /** The next release. */
-  Cycle released(long newStart, ReleaseCause newBy, long newAt, int newDelivered) {
-    List<PastCycle> list = new ArrayList<>();
-    if (start > 0) {
-      list.add(new PastCycle(start, by, at - start));
-      list.addAll(past.subList(0, Math.min(past.size(), MOST_PAST - 1)));
+  Cycle withRelease(long newStart, ReleaseCause newCause, long newAt, int newDelivered) {
+    List<PastCycle> newPast = new ArrayList<>();
+    if (startMs > 0) {
+      newPast.add(new PastCycle(startMs, cause, releasedAtMs - startMs));
+      newPast.addAll(past.subList(0, Math.min(past.size(), MAX_PAST_CYCLES - 1)));
     }
-    return new Cycle(newStart, newBy, newAt, newDelivered, list);
+    return new Cycle(newStart, newCause, newAt, newDelivered, newPast);
   }
 
   /** How long after its start a cycle is usually released: the mean of those on record. */
-  double usualLagMs(double otherwise) {
-    if (start == 0) {
-      return otherwise;
+  double usualLagMs(double defaultMs) {
+    if (startMs == 0) {
+      return defaultMs;
     }
-    double sum = at - start;
+    double sum = releasedAtMs - startMs;
     for (PastCycle p : past) {
       sum += p.lagMs();
     }
@@ -66,16 +67,16 @@
   ObjectNode toJson() {
     ObjectNode object =
         Json.object()
-            .put("cycle", start)
-            .put("by", by.shown())
-            .put("at", at)
-            .put("delivered", delivered);
+            .put("cycle", startMs)
+            .put("by", cause.label())
+            .put("at", releasedAtMs)
+            .put("delivered", deliveredCount);
     ArrayNode list = object.putArray("past");
     past.forEach(
         p ->
             list.addObject()
-                .put("cycle", p.start())
-                .put("by", p.by().shown())
+                .put("cycle", p.startMs())
+                .put("by", p.cause().label())
                 .put("lag_ms", p.lagMs()));
     return object;
   }
@@ -87,19 +88,21 @@
             p ->
                 past.add(
                     new PastCycle(
-                        p.path("cycle").asLong(), by(p.path("by")), p.path("lag_ms").asLong())));
+                        p.path("cycle").asLong(),
+                        parseCause(p.path("by")),
+                        p.path("lag_ms").asLong())));
     return new Cycle(
         in.path("cycle").asLong(),
-        by(in.path("by")),
+        parseCause(in.path("by")),
         in.path("at").asLong(),
         in.path("delivered").asInt(),
         past);
   }
 
-  private static ReleaseCause by(JsonNode word) {
-    for (ReleaseCause by : ReleaseCause.values()) {
-      if (by.shown().equals(word.asText())) {
-        return by;
+  private static ReleaseCause parseCause(JsonNode word) {
+    for (ReleaseCause cause : ReleaseCause.values()) {
+      if (cause.label().equals(word.asText())) {
+        return cause;
       }
     }
     // A later version's: released all the same.
--- a/src/main/java/dapplestair/fleet/CapacityEstimator.java
+++ b/src/main/java/dapplestair/fleet/CapacityEstimator.java
@@ -24,95 +24,95 @@
   private final MachineTypes types;
   private final Events events;
   private final long refusalMs;
-  private final ToIntFunction<CapacityPool> given;
-  private final ToIntFunction<CapacityPool> holding;
-  private final ToIntFunction<CapacityPool> staying;
-  private final Map<CapacityPool, Long> refusedUntil = new HashMap<>();
-  private final Map<CapacityPool, Integer> granted = new HashMap<>();
-  private Predicate<String> closed = z -> false;
+  private final ToIntFunction<CapacityPool> heldCount;
+  private final ToIntFunction<CapacityPool> heldOrPendingCount;
+  private final ToIntFunction<CapacityPool> stayingCount;
+  private final Map<CapacityPool, Long> refusedUntilMs = new HashMap<>();
+  private final Map<CapacityPool, Integer> grantedCounts = new HashMap<>();
+  private Predicate<String> isZoneClosed = z -> false;
 
   /**
    * A refusal is believed for {@code refusalMs}.
    *
-   * @param given machines that the cloud has given and that are still held
-   * @param holding the same and what is asked for
-   * @param staying the same without machines that are about to be replaced
+   * @param heldCount machines that the cloud has given and that are still held
+   * @param heldOrPendingCount the same and what is asked for
+   * @param stayingCount the same without machines that are about to be replaced
    */
   CapacityEstimator(
       Clock clock,
       MachineTypes types,
       Events events,
       long refusalMs,
-      ToIntFunction<CapacityPool> given,
-      ToIntFunction<CapacityPool> holding,
-      ToIntFunction<CapacityPool> staying) {
+      ToIntFunction<CapacityPool> heldCount,
+      ToIntFunction<CapacityPool> heldOrPendingCount,
+      ToIntFunction<CapacityPool> stayingCount) {
     this.clock = clock;
     this.types = types;
     this.events = events;
     this.refusalMs = refusalMs;
-    this.given = given;
-    this.holding = holding;
-    this.staying = staying;
+    this.heldCount = heldCount;
+    this.heldOrPendingCount = heldOrPendingCount;
+    this.stayingCount = stayingCount;
   }
 
-  void closeZones(Predicate<String> newClosed) {
-    closed = newClosed;
+  void setZoneClosedTest(Predicate<String> newIsZoneClosed) {
+    isZoneClosed = newIsZoneClosed;
   }
 
   /** The cloud has no more there. True when it was thought to. */
-  boolean refuse(CapacityPool pool) {
-    boolean news = open(pool);
-    if (news) {
+  boolean recordRefusal(CapacityPool pool) {
+    boolean newlyRefused = mayHaveCapacity(pool);
+    if (newlyRefused) {
       LOG.info("no more {} in {}", pool.kind(), pool.zone());
       events.note(Events.Kind.REFUSED, pool::describe);
     }
-    refusedUntil.put(pool, clock.now() + refusalMs);
+    refusedUntilMs.put(pool, clock.now() + refusalMs);
     // What other rentals there have asked for is not granted: a plan that counts on it wants
     // nothing
     // of another kind instead.
-    granted.put(pool, given.applyAsInt(pool));
-    return news;
+    grantedCounts.put(pool, heldCount.applyAsInt(pool));
+    return newlyRefused;
   }
 
   /** True when the cloud may have more there. */
-  boolean open(CapacityPool pool) {
-    return refusedUntil.getOrDefault(pool, Long.MIN_VALUE) <= clock.now();
+  boolean mayHaveCapacity(CapacityPool pool) {
+    return refusedUntilMs.getOrDefault(pool, Long.MIN_VALUE) <= clock.now();
   }
 
   /** True when the cloud once had no more there. */
-  boolean refusedBefore(CapacityPool pool) {
-    return granted.containsKey(pool);
+  boolean wasEverRefused(CapacityPool pool) {
+    return grantedCounts.containsKey(pool);
   }
 
   /** True when there may be more, and something may be rented there. */
   boolean mayRent(CapacityPool pool) {
-    return open(pool) && !closed.test(pool.zone());
+    return mayHaveCapacity(pool) && !isZoneClosed.test(pool.zone());
   }
 
   /** True when some zone may have more of this slot. */
-  boolean open(MachineKind kind) {
+  boolean mayHaveCapacity(MachineKind kind) {
     MachineType type = types.get(kind.type());
     return type != null && type.zones().stream().anyMatch(z -> mayRent(new CapacityPool(kind, z)));
   }
 
-  /** Most machines of a slot that the cloud has shown to give, or {@code otherwise}. */
-  int capacity(MachineKind kind, int otherwise) {
+  /** Most machines of a slot that the cloud has shown to give, or {@code headroomPerZone}. */
+  int capacity(MachineKind kind, int headroomPerZone) {
     MachineType type = types.get(kind.type());
     if (type == null) {
       return 0;
     }
     int sum = 0;
-    for (String z : type.zones()) {
-      CapacityPool capacityPool = new CapacityPool(kind, z);
-      if (closed.test(z)) {
+    for (String zone : type.zones()) {
+      CapacityPool pool = new CapacityPool(kind, zone);
+      if (isZoneClosed.test(zone)) {
         // What is held there stays; nothing more is rented.
-        sum += holding.applyAsInt(capacityPool);
+        sum += heldOrPendingCount.applyAsInt(pool);
       } else {
         sum +=
-            open(capacityPool)
-                ? holding.applyAsInt(capacityPool) + otherwise
+            mayHaveCapacity(pool)
+                ? heldOrPendingCount.applyAsInt(pool) + headroomPerZone
                 // An answer that was on its way then may have shown more.
-                : Math.max(granted.getOrDefault(capacityPool, 0), given.applyAsInt(capacityPool));
+                : Math.max(grantedCounts.getOrDefault(pool, 0), heldCount.applyAsInt(pool));
       }
     }
     return sum;
@@ -121,14 +121,14 @@
   /** What costs least of all that the cloud may have in this zone, or null. */
   CapacityPool cheapestIn(String zone, SpotHistory spotHistory) {
     CapacityPool cheapest = null;
-    double least = Double.POSITIVE_INFINITY;
+    double lowestPrice = Double.POSITIVE_INFINITY;
     for (MachineType type : types.all()) {
       for (boolean spot : new boolean[] {true, false}) {
         CapacityPool pool = new CapacityPool(new MachineKind(type.name(), spot), zone);
         double price = spotHistory.price(type, spot);
-        if (type.zones().contains(zone) && open(pool) && price < least) {
+        if (type.zones().contains(zone) && mayHaveCapacity(pool) && price < lowestPrice) {
           cheapest = pool;
-          least = price;
+          lowestPrice = price;
         }
       }
     }
@@ -137,32 +137,32 @@
 
   /** Spreads {@code count} more of a type over the zones that still have some, the fewest first. */
   Map<CapacityPool, Integer> spread(MachineKind kind, MachineType type, int count) {
-    Map<CapacityPool, Integer> share = new LinkedHashMap<>();
-    Map<CapacityPool, Integer> have = new HashMap<>();
-    for (String z : type.zones()) {
-      CapacityPool p = new CapacityPool(kind, z);
-      if (mayRent(p)) {
-        share.put(p, 0);
-        have.put(p, staying.applyAsInt(p));
+    Map<CapacityPool, Integer> sharesByPool = new LinkedHashMap<>();
+    Map<CapacityPool, Integer> countsByPool = new HashMap<>();
+    for (String zone : type.zones()) {
+      CapacityPool pool = new CapacityPool(kind, zone);
+      if (mayRent(pool)) {
+        sharesByPool.put(pool, 0);
+        countsByPool.put(pool, stayingCount.applyAsInt(pool));
       }
     }
-    for (int i = 0; i < count && !share.isEmpty(); i++) {
-      CapacityPool least =
-          share.keySet().stream()
-              .min(Comparator.comparingInt(p -> have.get(p) + share.get(p)))
+    for (int i = 0; i < count && !sharesByPool.isEmpty(); i++) {
+      CapacityPool smallest =
+          sharesByPool.keySet().stream()
+              .min(Comparator.comparingInt(p -> countsByPool.get(p) + sharesByPool.get(p)))
               .orElseThrow();
-      share.merge(least, 1, Integer::sum);
+      sharesByPool.merge(smallest, 1, Integer::sum);
     }
-    return share;
+    return sharesByPool;
   }
 
   /** Where the cloud refuses now, and for how many more seconds that is believed. */
-  void refusals(BiConsumer<CapacityPool, Double> each) {
+  void forEachRefusal(BiConsumer<CapacityPool, Double> consumer) {
     long now = clock.now();
-    List<Map.Entry<CapacityPool, Long>> all = new ArrayList<>(refusedUntil.entrySet());
-    for (Map.Entry<CapacityPool, Long> entry : all) {
+    List<Map.Entry<CapacityPool, Long>> entries = new ArrayList<>(refusedUntilMs.entrySet());
+    for (Map.Entry<CapacityPool, Long> entry : entries) {
       if (entry.getValue() > now) {
-        each.accept(entry.getKey(), (entry.getValue() - now) / 1000.0);
+        consumer.accept(entry.getKey(), (entry.getValue() - now) / 1000.0);
       }
     }
   }
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -27,7 +27,7 @@
 
 /** Rents and returns machines, and learns from the cloud which exist. Acts only for a leader. */
 public final class Fleet implements AutoCloseable {
-  private static final int MOST_PER_RENTAL = 50;
+  private static final int MAX_MACHINES_PER_RENTAL = 50;
 
   private final Clock clock;
   private final TermTimers timers;
@@ -42,12 +42,12 @@
   private final FleetCapacity capacity;
   private final CapacityEstimator capacityEstimator;
   private final Releases releases;
-  private final MachineList list;
+  private final MachineList machineList;
   private final MachineHealthMonitor healthMonitor;
   private boolean leading;
   private long typesStamp;
-  private long typesAt = Long.MIN_VALUE / 2;
-  private boolean typing;
+  private long typesFetchedAtMs = Long.MIN_VALUE / 2;
+  private boolean fetchingTypes;
   private Cancellable timer = () -> {};
 
   /** A fleet without machines. */
@@ -83,8 +83,8 @@
             workers,
             cloud,
             events,
-            this::open,
-            this::refused);
+            this::mayHaveCapacity,
+            this::onCapacityRefused);
     capacity = new FleetCapacity(clock, workers, rentals, timeouts);
     capacityEstimator =
         new CapacityEstimator(
@@ -92,10 +92,10 @@
             types,
             events,
             5 * settings.workers().reportMs(),
-            capacity::given,
-            capacity::holding,
-            capacity::staying);
-    capacityEstimator.closeZones(z -> workers.zoneSilentMs(z) > 0);
+            capacity::heldCount,
+            capacity::heldOrPendingCount,
+            capacity::stayingCount);
+    capacityEstimator.setZoneClosedTest(z -> workers.zoneSilentMs(z) > 0);
     releases = new Releases(workers, cloud, events);
     healthMonitor =
         new MachineHealthMonitor(
@@ -110,38 +110,38 @@
             capacityEstimator,
             disruptionGate::givenUp,
             events);
-    list = new MachineList(clock, settings, types, workers, cloud, healthMonitor);
+    machineList = new MachineList(clock, settings, types, workers, cloud, healthMonitor);
   }
 
-  private boolean open(CapacityPool pool) {
-    return capacityEstimator.open(pool);
+  private boolean mayHaveCapacity(CapacityPool pool) {
+    return capacityEstimator.mayHaveCapacity(pool);
   }
 
-  private void refused(CapacityPool pool) {
-    if (capacityEstimator.refuse(pool)) {
+  private void onCapacityRefused(CapacityPool pool) {
+    if (capacityEstimator.recordRefusal(pool)) {
       // What is wanted must come from elsewhere: a plan that knows, not the next one in its turn.
-      healthMonitor.roomLost();
+      healthMonitor.notifyCapacityLost();
     }
   }
 
   /** Zones in which nothing is to be rented, since operators have them emptied. */
-  public void closeZones(Predicate<String> closed) {
+  public void setZoneClosedTest(Predicate<String> isZoneClosed) {
     // Nothing is rented in a silent zone either: what boots there cannot be reached.
-    capacityEstimator.closeZones(z -> closed.test(z) || workers.zoneSilentMs(z) > 0);
+    capacityEstimator.setZoneClosedTest(z -> isZoneClosed.test(z) || workers.zoneSilentMs(z) > 0);
   }
 
   /**
    * How much work waits for room, for the decision which silent machines to give up, and who hears
    * of room that is lost.
    */
-  public void weigh(DoubleSupplier waitingCpus, Runnable roomLost) {
-    healthMonitor.weigh(waitingCpus, roomLost);
+  public void setCapacityCallbacks(DoubleSupplier waitingCpus, Runnable onCapacityLost) {
+    healthMonitor.setCapacityCallbacks(waitingCpus, onCapacityLost);
   }
 
   // ---- what the replica says ----
 
   /** The recorded types have this value. */
-  public void typesKey(JsonNode value, long stamp) {
+  public void applyTypesRecord(JsonNode value, long stamp) {
     typesStamp = stamp;
     if (value != null && !types.known()) {
       types.read(value);
@@ -149,13 +149,13 @@
   }
 
   /** A rental's record has this value. */
-  public void rentalPut(String name, JsonNode value, long stamp) {
-    rentals.recorded(name, value, stamp);
+  public void applyRentalRecord(String name, JsonNode value, long stamp) {
+    rentals.applyRecord(name, value, stamp);
   }
 
   /** A rental's record is gone. */
-  public void rentalRemoved(String name) {
-    rentals.removed(name);
+  public void applyRentalRemoval(String name) {
+    rentals.applyRemoval(name);
   }
 
   // ---- leading ----
@@ -163,7 +163,7 @@
   /** Takes over the machines that earlier terms rented. */
   public void lead() {
     leading = true;
-    healthMonitor.lead(list);
+    healthMonitor.lead(machineList);
     releases.lead();
     rentals.lead();
     tick();
@@ -176,36 +176,36 @@
     cloud.clear();
     rentals.clear();
     releases.clear();
-    list.clear();
-    typing = false;
-    typesAt = Long.MIN_VALUE / 2;
+    machineList.clear();
+    fetchingTypes = false;
+    typesFetchedAtMs = Long.MIN_VALUE / 2;
   }
 
   private void tick() {
-    long every = types.known() ? 5 * settings.workers().reportMs() : 500;
-    if (clock.now() - typesAt > every && !typing) {
-      askTypes();
+    long intervalMs = types.known() ? 5 * settings.workers().reportMs() : 500;
+    if (clock.now() - typesFetchedAtMs > intervalMs && !fetchingTypes) {
+      fetchTypes();
     }
-    list.refresh();
-    healthMonitor.look();
-    releases.send();
-    rentals.forget();
+    machineList.refresh();
+    healthMonitor.inspectAll();
+    releases.sendNextBatch();
+    rentals.cleanUp();
     timer = timers.after(settings.workers().reportMs() / 8, this::tick);
   }
 
-  private void askTypes() {
-    typing = true;
+  private void fetchTypes() {
+    fetchingTypes = true;
     cloud.types(
         reply -> {
-          typing = false;
-          typesAt = clock.now();
+          fetchingTypes = false;
+          typesFetchedAtMs = clock.now();
           if (!leading || !reply.ok()) {
             return;
           }
-          boolean knewNone = !types.known() || typesStamp == 0;
+          boolean hadNoTypes = !types.known() || typesStamp == 0;
           if (types.read(Json.parse(reply.body()))) {
             spotHistory.notePrices(types.all());
-            if (knewNone) {
+            if (hadNoTypes) {
               recordTypes();
             }
           }
@@ -232,7 +232,7 @@
   }
 
   /** What the cloud's machines cost and how often it takes them. */
-  public SpotHistory market() {
+  public SpotHistory spotHistory() {
     return spotHistory;
   }
 
@@ -240,7 +240,7 @@
 
   /** Returns an idle machine; false when something holds room on it. */
   public boolean release(Host host) {
-    if (!host.idle() || host.releasing() || !healthMonitor.mayJudge()) {
+    if (!host.idle() || host.releasing() || !healthMonitor.mayReturnMachines()) {
       return false;
     }
     releases.add(host);
@@ -256,12 +256,15 @@
     capacityEstimator
         .spread(kind, type, count)
         .forEach(
-            (pool, n) -> {
+            (pool, share) -> {
               // Where the cloud has refused lately one lot tells whether it has more again: each
               // is a put before the cloud is asked.
-              int most = capacityEstimator.refusedBefore(pool) ? Math.min(n, MOST_PER_RENTAL) : n;
-              for (int left = most; left > 0; left -= MOST_PER_RENTAL) {
-                rentals.begin(pool, Math.min(left, MOST_PER_RENTAL));
+              int total =
+                  capacityEstimator.wasEverRefused(pool)
+                      ? Math.min(share, MAX_MACHINES_PER_RENTAL)
+                      : share;
+              for (int remaining = total; remaining > 0; remaining -= MAX_MACHINES_PER_RENTAL) {
+                rentals.startRental(pool, Math.min(remaining, MAX_MACHINES_PER_RENTAL));
               }
             });
   }
@@ -271,14 +274,14 @@
     if (!leading || !mayRentIn(kind, zone)) {
       return false;
     }
-    rentals.begin(new CapacityPool(kind, zone), 1);
+    rentals.startRental(new CapacityPool(kind, zone), 1);
     return true;
   }
 
   /** Rents up to {@code count} more in this zone, at most one lot. */
   public void rentIn(MachineKind kind, String zone, int count) {
     if (leading && count > 0 && mayRentIn(kind, zone)) {
-      rentals.begin(new CapacityPool(kind, zone), Math.min(count, MOST_PER_RENTAL));
+      rentals.startRental(new CapacityPool(kind, zone), Math.min(count, MAX_MACHINES_PER_RENTAL));
     }
   }
 
@@ -286,12 +289,12 @@
    * Rents one machine in this zone though it may be closed, of the kind that costs least; false
    * when none is to be had there now.
    */
-  public boolean rentAnyIn(String zone) {
+  public boolean rentCheapestIn(String zone) {
     CapacityPool cheapest = leading ? capacityEstimator.cheapestIn(zone, spotHistory) : null;
-    if (cheapest == null || rentals.pending(cheapest) > 0) {
+    if (cheapest == null || rentals.pendingCount(cheapest) > 0) {
       return false;
     }
-    rentals.begin(cheapest, 1);
+    rentals.startRental(cheapest, 1);
     return true;
   }
 
@@ -302,37 +305,37 @@
 
   /** Machines asked for in this zone of which the cloud has not told yet. */
   public int pendingIn(MachineKind kind, String zone) {
-    return rentals.pending(new CapacityPool(kind, zone));
+    return rentals.pendingCount(new CapacityPool(kind, zone));
   }
 
   /** A machine that no list has shown for so long is not there; milliseconds. */
-  public long longestListLag() {
-    return list.longestLag();
+  public long maxListLagMs() {
+    return machineList.maxLagMs();
   }
 
   // ---- views ----
 
   /** Machines of a slot that are or will be of use. */
-  public int holding(MachineKind kind) {
-    return capacity.holding(kind);
+  public int heldOrPendingCount(MachineKind kind) {
+    return capacity.heldOrPendingCount(kind);
   }
 
   /** True when a machine is, or will be, of use in this slot. */
-  public boolean counts(Host host, MachineKind kind) {
-    return capacity.counts(host, kind);
+  public boolean isUsableAs(Host host, MachineKind kind) {
+    return capacity.isUsableAs(host, kind);
   }
 
-  /** Most machines of a slot that the cloud has shown to give, or {@code otherwise}. */
-  public int capacity(MachineKind kind, int otherwise) {
-    return capacityEstimator.capacity(kind, otherwise);
+  /** Most machines of a slot that the cloud has shown to give, or {@code headroomPerZone}. */
+  public int capacity(MachineKind kind, int headroomPerZone) {
+    return capacityEstimator.capacity(kind, headroomPerZone);
   }
 
   /**
    * Keeps new work from so many steady machines of a slot, those that empty soonest, none of them
    * in the zones that are spared.
    */
-  public void cordon(MachineKind kind, int count, Predicate<String> spared) {
-    capacity.cordon(kind, count, spared);
+  public void cordon(MachineKind kind, int count, Predicate<String> isZoneSpared) {
+    capacity.cordon(kind, count, isZoneSpared);
   }
 
   /** Idle machines of a slot that may be returned now, those idle longest first. */
@@ -341,10 +344,10 @@
   }
 
   /** What is on its way for a job, and what the cloud refused. */
-  public PendingCapacity prospects(Submission submission) {
+  public PendingCapacity pendingCapacity(Submission submission) {
     long now = clock.now();
     int booting = 0;
-    double next = -1;
+    double nextDueS = -1;
     for (Host host : workers.hosts()) {
       if (!host.up()
           && !host.gone()
@@ -352,35 +355,36 @@
           && !host.drained()
           && host.allowed(submission)) {
         booting++;
-        double due = Math.max(0, host.type().bootS() - Math.max(0, now - host.rentedAt()) / 1000.0);
-        next = next < 0 ? due : Math.min(next, due);
+        double dueS =
+            Math.max(0, host.type().bootS() - Math.max(0, now - host.rentedAt()) / 1000.0);
+        nextDueS = nextDueS < 0 ? dueS : Math.min(nextDueS, dueS);
       }
     }
     for (Rental rental : rentals.all()) {
-      if (rental.pending() && suits(submission, rental.pool)) {
+      if (rental.isPending() && suits(submission, rental.pool)) {
         booting += rental.count;
-        double due = types.get(rental.pool.kind().type()).bootS();
-        next = next < 0 ? due : Math.min(next, due);
+        double dueS = types.get(rental.pool.kind().type()).bootS();
+        nextDueS = nextDueS < 0 ? dueS : Math.min(nextDueS, dueS);
       }
     }
     List<PendingCapacity.CapacityRefusal> refusals = new ArrayList<>();
-    capacityEstimator.refusals(
-        (p, againS) -> {
-          if (suits(submission, p)) {
+    capacityEstimator.forEachRefusal(
+        (pool, retryInS) -> {
+          if (suits(submission, pool)) {
             refusals.add(
                 new PendingCapacity.CapacityRefusal(
-                    p.kind().type(), p.zone(), p.kind().spot(), againS));
+                    pool.kind().type(), pool.zone(), pool.kind().spot(), retryInS));
           }
         });
-    return new PendingCapacity(booting, next, refusals);
+    return new PendingCapacity(booting, nextDueS, refusals);
   }
 
-  private boolean suits(Submission submission, CapacityPool capacityPool) {
-    MachineType type = types.get(capacityPool.kind().type());
+  private boolean suits(Submission submission, CapacityPool pool) {
+    MachineType type = types.get(pool.kind().type());
     return type != null
         && type.suits(submission)
-        && (submission.spot() || !capacityPool.kind().spot())
-        && (submission.zone() == null || submission.zone().equals(capacityPool.zone()));
+        && (submission.spot() || !pool.kind().spot())
+        && (submission.zone() == null || submission.zone().equals(pool.zone()));
   }
 
   @Override
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -26,7 +26,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(MachineHealthMonitor.class);
 
   // Usual boots take up to 1.5 times the stated time, and a bad day nearly doubles that.
-  private static final double BOOT_OVERDUE = 3.0;
+  private static final double BOOT_OVERDUE_FACTOR = 3.0;
 
   private final Clock clock;
   private final Settings settings;
@@ -37,18 +37,18 @@
   private final SpotHistory spotHistory;
   private final SilenceTimeouts timeouts;
   private final CapacityEstimator capacityEstimator;
-  private final Consumer<Host> debit;
+  private final Consumer<Host> chargeBudgets;
   private DoubleSupplier waitingCpus = () -> 0;
-  private Runnable roomLost = () -> {};
+  private Runnable onCapacityLost = () -> {};
 
   // Zones for whose replicas room was asked for already.
-  private final Set<String> prepared = new HashSet<>();
+  private final Set<String> preparedZones = new HashSet<>();
   private final Events events;
-  private MachineList list;
-  private final Multiset<String> expectedUp = HashMultiset.create();
-  private boolean anyFresh;
+  private MachineList machineList;
+  private final Multiset<String> expectedUpByZone = HashMultiset.create();
+  private boolean anyHostFresh;
   private double freeCpus;
-  private long leadingSince;
+  private long leadingSinceMs;
 
   MachineHealthMonitor(
       Clock clock,
@@ -60,7 +60,7 @@
       SpotHistory spotHistory,
       SilenceTimeouts timeouts,
       CapacityEstimator capacityEstimator,
-      Consumer<Host> debit,
+      Consumer<Host> chargeBudgets,
       Events events) {
     this.clock = clock;
     this.settings = settings;
@@ -71,59 +71,62 @@
     this.spotHistory = spotHistory;
     this.timeouts = timeouts;
     this.capacityEstimator = capacityEstimator;
-    this.debit = debit;
+    this.chargeBudgets = chargeBudgets;
     this.events = events;
   }
 
-  /** {@code waiting} says how much work waits for room; {@code lost} hears of room that is lost. */
-  void weigh(DoubleSupplier waiting, Runnable lost) {
-    waitingCpus = waiting;
-    roomLost = lost;
+  /**
+   * {@code newWaitingCpus} says how much work waits for room; {@code newOnCapacityLost} hears of
+   * room that is lost.
+   */
+  void setCapacityCallbacks(DoubleSupplier newWaitingCpus, Runnable newOnCapacityLost) {
+    waitingCpus = newWaitingCpus;
+    onCapacityLost = newOnCapacityLost;
   }
 
   void lead(MachineList machines) {
-    list = machines;
-    leadingSince = clock.now();
+    machineList = machines;
+    leadingSinceMs = clock.now();
   }
 
   /** Room that was counted on is not to be had. */
-  void roomLost() {
-    roomLost.run();
+  void notifyCapacityLost() {
+    onCapacityLost.run();
   }
 
   /** Looks at every machine. */
-  void look() {
+  void inspectAll() {
     long now = clock.now();
-    anyFresh = false;
-    boolean anyAwaited = false;
-    expectedUp.clear();
+    anyHostFresh = false;
+    boolean anyZoneSilent = false;
+    expectedUpByZone.clear();
     for (Host host : workers.hosts()) {
-      anyFresh |= workers.fresh(host);
-      anyAwaited |= host.zoneSilentMs() > 0;
-      prepare(host);
+      anyHostFresh |= workers.fresh(host);
+      anyZoneSilent |= host.zoneSilentMs() > 0;
+      prepareForZoneLoss(host);
       if (host.expectedUp()) {
-        expectedUp.add(String.valueOf(host.zone()));
+        expectedUpByZone.add(String.valueOf(host.zone()));
       }
     }
-    freeCpus = anyAwaited ? freeCpus() : 0;
+    freeCpus = anyZoneSilent ? computeFreeCpus() : 0;
     for (Host host : List.copyOf(workers.hosts())) {
       inspect(host, now);
     }
   }
 
   @Override
-  public void failed(Host host) {
+  public void onFailed(Host host) {
     LOG.info("{} has failed", host.id());
-    lost(host, "failed");
+    reportLost(host, "failed");
     workers.gone(host);
     releases.addGone(host.id());
   }
 
   @Override
-  public void taken(Host host) {
+  public void onReclaimed(Host host) {
     LOG.info("{} was taken", host.id());
-    lost(host, "taken by the cloud");
-    spotHistory.noteTaken(host);
+    reportLost(host, "taken by the cloud");
+    spotHistory.noteReclaimed(host);
     workers.gone(host);
   }
 
@@ -131,11 +134,11 @@
     if (host.releasing()) {
       return;
     }
-    if (unstoppable(host, now)) {
+    if (hasOverdueHalt(host, now)) {
       LOG.info("{} still holds cancelled work: returning it", host.id());
       giveUp(host);
-    } else if (mayJudge()) {
-      judge(host, now);
+    } else if (mayReturnMachines()) {
+      returnIfUnusable(host, now);
     }
   }
 
@@ -144,15 +147,15 @@
    * the cut ends and another one leads. So it returns nothing that it need not, while the state
    * service does not tell it that it leads.
    */
-  boolean mayJudge() {
+  boolean mayReturnMachines() {
     return state.unreachableMs() == 0;
   }
 
-  private void judge(Host host, long now) {
+  private void returnIfUnusable(Host host, long now) {
     if (workers.saidGone(host)) {
       LOG.info("{} was returned by the leader before: once more", host.id());
       releases.add(host);
-    } else if (host.outOfReach() && givenUp(host)) {
+    } else if (host.outOfReach() && shouldGiveUp(host)) {
       LOG.info("{} is silent: returning it", host.id());
       LOG.debug(
           "{} in {}: silent for {} ms, its zone for {} ms, hangs {}, mute {}, "
@@ -165,18 +168,18 @@
           host.mute(),
           host.attempts().size(),
           host.serviceCpus());
-      lost(host, "silent");
-      spotHistory.noteTaken(host);
+      reportLost(host, "silent");
+      spotHistory.noteReclaimed(host);
       giveUp(host);
-    } else if (!host.expectedUp() && bootOverdue(host, now)) {
+    } else if (!host.expectedUp() && isBootOverdue(host, now)) {
       LOG.info("{} does not come up: returning it", host.id());
-      lost(host, "does not come up");
+      reportLost(host, "does not come up");
       releases.add(host);
-    } else if (neverListed(host, now)) {
+    } else if (isMissingFromLists(host, now)) {
       LOG.info("{} is recorded but not listed: returning it", host.id());
       releases.add(host);
     } else if ((host.draining() || host.recalled()) && host.idle() && host.attempts().isEmpty()) {
-      spotHistory.noteTaken(host);
+      spotHistory.noteReclaimed(host);
       releases.add(host);
     }
   }
@@ -186,46 +189,47 @@
    * within its lease. If a whole zone is silent, it is rather the way there that is cut, and its
    * tasks run on. Both are waited for as {@link SilenceTimeouts} says.
    */
-  private boolean givenUp(Host silent) {
-    boolean replicas = silent.serviceCpus() > 0;
-    double bootS = types.bootS(silent.type());
-    if (workers.zoneHeard(silent)) {
-      return !silent.hanging() || timeouts.hangsTooLong(workers.silentMs(silent), replicas, bootS);
+  private boolean shouldGiveUp(Host host) {
+    boolean runsReplicas = host.serviceCpus() > 0;
+    double bootS = types.bootS(host.type());
+    if (workers.zoneHeard(host)) {
+      return !host.hanging() || timeouts.hangsTooLong(workers.silentMs(host), runsReplicas, bootS);
     }
-    if (!anyFresh) {
+    if (!anyHostFresh) {
       return false;
     }
-    if (expectedUp.count(String.valueOf(silent.zone())) <= 1) {
+    if (expectedUpByZone.count(String.valueOf(host.zone())) <= 1) {
       return true;
     }
-    boolean room = !replicas && silent.cpusUsed() > 0 && silent.cpusUsed() <= freeCpus;
-    boolean givenUp =
+    boolean fitsElsewhere = !runsReplicas && host.cpusUsed() > 0 && host.cpusUsed() <= freeCpus;
+    boolean timedOut =
         timeouts.givenUp(
-            silent.zone(),
-            workers.silentMs(silent),
-            replicas,
-            room,
-            silent.type() != null
-                && capacityEstimator.open(new MachineKind(silent.type().name(), silent.spot())),
+            host.zone(),
+            workers.silentMs(host),
+            runsReplicas,
+            fitsElsewhere,
+            host.type() != null
+                && capacityEstimator.mayHaveCapacity(
+                    new MachineKind(host.type().name(), host.spot())),
             bootS);
-    if (givenUp) {
-      freeCpus -= silent.cpusUsed();
+    if (timedOut) {
+      freeCpus -= host.cpusUsed();
     }
-    return givenUp;
+    return timedOut;
   }
 
   /** Once for each silence of a zone, as soon as its machines with replicas count as lost. */
-  private void prepare(Host host) {
+  private void prepareForZoneLoss(Host host) {
     if (host.zoneSilentMs() == 0) {
-      prepared.remove(String.valueOf(host.zone()));
+      preparedZones.remove(String.valueOf(host.zone()));
     } else if (host.zoneSilentMs() >= timeouts.prepareAfterMs()
-        && prepared.add(String.valueOf(host.zone()))) {
-      roomLost.run();
+        && preparedZones.add(String.valueOf(host.zone()))) {
+      onCapacityLost.run();
     }
   }
 
   /** Room that is free now and that nothing waits for. */
-  private double freeCpus() {
+  private double computeFreeCpus() {
     double free = -waitingCpus.getAsDouble();
     for (Host host : workers.hosts()) {
       free += !host.closed() && workers.fresh(host) ? Math.max(0, host.cpusFree()) : 0;
@@ -237,20 +241,20 @@
    * Only for machines that no list calls running. To a leader that has just begun, every machine is
    * one that it has not heard yet: those that run must not be taken for late ones.
    */
-  private boolean bootOverdue(Host host, long now) {
+  private boolean isBootOverdue(Host host, long now) {
     // In a silent zone it may be up, and cannot say so.
     if (host.firstListedAt() == Long.MAX_VALUE
-        || now - leadingSince < list.longestLag()
+        || now - leadingSinceMs < machineList.maxLagMs()
         || host.zoneSilentMs() > 0) {
       return false;
     }
-    double boot = types.bootS(host.type());
-    return now - host.rentedAt() > BOOT_OVERDUE * boot * 1000;
+    double bootS = types.bootS(host.type());
+    return now - host.rentedAt() > BOOT_OVERDUE_FACTOR * bootS * 1000;
   }
 
   /** What runs there ends with it: that cannot wait, and counts against its teams' budgets. */
   private void giveUp(Host host) {
-    debit.accept(host);
+    chargeBudgets.accept(host);
     releases.add(host);
   }
 
@@ -261,27 +265,28 @@
    * <p>Such a machine may have been heard all the same: a report that a cut held back arrives when
    * the machine has long been returned. Then it must not make its zone look silent for long.
    */
-  private boolean neverListed(Host host, long now) {
-    boolean ghost = host.up() && workers.silentMs(host) > 2 * settings.workers().reportMs();
-    return (!host.up() || ghost)
+  private boolean isMissingFromLists(Host host, long now) {
+    boolean heardLate = host.up() && workers.silentMs(host) > 2 * settings.workers().reportMs();
+    return (!host.up() || heardLate)
         && host.firstListedAt() == Long.MAX_VALUE
-        && list.listedAt() - host.knownSince() > list.longestLag()
-        && now - Math.min(host.rentedAt(), host.knownSince()) > list.longestLag();
+        && machineList.lastListedAtMs() - host.knownSince() > machineList.maxLagMs()
+        && now - Math.min(host.rentedAt(), host.knownSince()) > machineList.maxLagMs();
   }
 
   /** Cancelled work must be gone in time, reachable or not: a release is always a proof. */
-  private boolean unstoppable(Host host, long now) {
+  private boolean hasOverdueHalt(Host host, long now) {
     // Behind a cut it may yet be proved otherwise, and a release would end all else there: half of
     // the time is left for the cloud's own troubles.
     long cancelMs = settings.workers().cancelMs();
-    long timeouts = cancelMs / (host.outOfReach() ? 2 : 4);
+    long haltTimeoutMs = cancelMs / (host.outOfReach() ? 2 : 4);
     for (Attempt attempt : host.attempts()) {
       if (attempt.job().over() && attempt.halting() && !attempt.exited()) {
         long haltedMs = now - attempt.haltAt();
         // The time allowed does not begin anew with each leader: of what an earlier one could not
         // stop either, this one only waits for an answer.
-        boolean late = now - attempt.job().overAt() > cancelMs / 2 && haltedMs > cancelMs / 16;
-        if (haltedMs > timeouts || late) {
+        boolean overdueSinceJobEnd =
+            now - attempt.job().overAt() > cancelMs / 2 && haltedMs > cancelMs / 16;
+        if (haltedMs > haltTimeoutMs || overdueSinceJobEnd) {
           return true;
         }
       }
@@ -289,10 +294,10 @@
     return false;
   }
 
-  private void lost(Host host, String why) {
-    roomLost.run();
+  private void reportLost(Host host, String reason) {
+    onCapacityLost.run();
     events.note(
         Events.Kind.MACHINE_LOST,
-        o -> o.put("machine", host.id()).put("zone", host.zone()).put("reason", why));
+        o -> o.put("machine", host.id()).put("zone", host.zone()).put("reason", reason));
   }
 }
--- a/src/main/java/dapplestair/fleet/MachineList.java
+++ b/src/main/java/dapplestair/fleet/MachineList.java
@@ -17,10 +17,10 @@
   /** Told of machines that the list proves to be gone; everything on them is gone, too. */
   interface Listener {
     /** It has stopped on its own; it stays listed until it is returned. */
-    void failed(Host host);
+    void onFailed(Host host);
 
     /** The cloud has taken it. */
-    void taken(Host host);
+    void onReclaimed(Host host);
   }
 
   private final Clock clock;
@@ -29,9 +29,9 @@
   private final WorkerManager workers;
   private final CloudClient cloud;
   private final Listener listener;
-  private long listedAt = Long.MIN_VALUE / 2;
-  private boolean listing;
-  private int generation;
+  private long lastListedAtMs = Long.MIN_VALUE / 2;
+  private boolean fetching;
+  private int fetchGeneration;
 
   MachineList(
       Clock clock,
@@ -49,69 +49,69 @@
   }
 
   void clear() {
-    generation++;
-    listing = false;
-    listedAt = Long.MIN_VALUE / 2;
+    fetchGeneration++;
+    fetching = false;
+    lastListedAtMs = Long.MIN_VALUE / 2;
   }
 
   /** When the last list was complete. */
-  long listedAt() {
-    return listedAt;
+  long lastListedAtMs() {
+    return lastListedAtMs;
   }
 
   /** Lists lag by up to twice the stated time; a margin is added. */
-  long longestLag() {
+  long maxLagMs() {
     return Math.round(2.2 * settings.cloud().listLagMs()) + 1000;
   }
 
   /** Asks for a list when one is due. */
   void refresh() {
     long now = clock.now();
-    if (!listing && now - listedAt > Math.max(settings.cloud().listLagMs() / 2, 1000)) {
-      listing = true;
-      ask(null, now, new HashSet<>(), generation);
+    if (!fetching && now - lastListedAtMs > Math.max(settings.cloud().listLagMs() / 2, 1000)) {
+      fetching = true;
+      fetchPage(null, now, new HashSet<>(), fetchGeneration);
     }
   }
 
-  private void ask(String from, long askedAt, Set<String> seen, int gen) {
+  private void fetchPage(String afterId, long requestedAtMs, Set<String> seenIds, int generation) {
     cloud.list(
-        from,
+        afterId,
         reply -> {
-          if (gen != generation) {
+          if (generation != fetchGeneration) {
             return;
           }
           JsonNode body = Json.parse(reply.body());
           if (!reply.ok() || !body.path("hosts").isArray()) {
-            ended();
+            finishFetch();
             return;
           }
-          String last = from;
+          String lastId = afterId;
           for (JsonNode node : body.get("hosts")) {
-            last = node.path("ref").asText();
-            seen.add(last);
-            listed(last, node);
+            lastId = node.path("ref").asText();
+            seenIds.add(lastId);
+            applyEntry(lastId, node);
           }
-          if (Json.flag(body, "more") && last != null) {
-            ask(last, askedAt, seen, gen);
+          if (Json.flag(body, "more") && lastId != null) {
+            fetchPage(lastId, requestedAtMs, seenIds, generation);
           } else {
-            ended();
-            missing(askedAt, seen);
+            finishFetch();
+            reportMissing(requestedAtMs, seenIds);
           }
         });
   }
 
-  private void ended() {
-    listing = false;
-    listedAt = clock.now();
+  private void finishFetch() {
+    fetching = false;
+    lastListedAtMs = clock.now();
   }
 
-  private void listed(String id, JsonNode node) {
+  private void applyEntry(String id, JsonNode node) {
     if (workers.isGone(id)) {
       return;
     }
     long now = clock.now();
     Host host = workers.host(id);
-    boolean addressed = host.addressed();
+    boolean hadAddress = host.addressed();
     host.describe(
         Json.text(node, "endpoint"),
         types.get(node.path("hull").asText()),
@@ -121,10 +121,10 @@
     host.listed(now);
     String status = node.path("status").asText();
     if (status.equals("failed")) {
-      listener.failed(host);
+      listener.onFailed(host);
     } else if (status.equals("running")) {
       host.saidUp();
-      if (!addressed) {
+      if (!hadAddress) {
         workers.reach(host);
       }
     }
@@ -134,13 +134,13 @@
    * Machines that the list lacks. A list may be older than the one before it, so a machine counts
    * as gone only once it has been listed for longer than any list can lag.
    */
-  private void missing(long askedAt, Set<String> seen) {
-    long longestLag = longestLag();
+  private void reportMissing(long requestedAtMs, Set<String> seenIds) {
+    long maxLagMs = maxLagMs();
     for (Host host : List.copyOf(workers.hosts())) {
-      if (!seen.contains(host.id())
+      if (!seenIds.contains(host.id())
           && host.firstListedAt() != Long.MAX_VALUE
-          && askedAt - host.firstListedAt() > longestLag) {
-        listener.taken(host);
+          && requestedAtMs - host.firstListedAt() > maxLagMs) {
+        listener.onReclaimed(host);
       }
     }
   }
--- a/src/main/java/dapplestair/fleet/PendingCapacity.java
+++ b/src/main/java/dapplestair/fleet/PendingCapacity.java
@@ -12,5 +12,5 @@
 public record PendingCapacity(int booting, double nextS, List<CapacityRefusal> refusals) {
 
   /** The cloud had none; it is asked again after so many seconds. */
-  public record CapacityRefusal(String type, String zone, boolean spot, double againS) {}
+  public record CapacityRefusal(String type, String zone, boolean spot, double retryInS) {}
 }
--- a/src/main/java/dapplestair/fleet/Releases.java
+++ b/src/main/java/dapplestair/fleet/Releases.java
@@ -14,16 +14,16 @@
 /** Machines on their way back to the cloud, in lots as large as one call takes. */
 final class Releases {
   private static final Logger LOG = LoggerFactory.getLogger(Releases.class);
-  private static final int MOST_PER_RELEASE = 100;
+  private static final int MAX_MACHINES_PER_RELEASE = 100;
 
   private final WorkerManager workers;
   private final CloudClient cloud;
   private final Events events;
   // Replicas wait for the release of their former machine, so those go first.
-  private final Set<String> urgent = new LinkedHashSet<>();
-  private final Set<String> waiting = new LinkedHashSet<>();
+  private final Set<String> urgentIds = new LinkedHashSet<>();
+  private final Set<String> waitingIds = new LinkedHashSet<>();
   private boolean leading;
-  private boolean asking;
+  private boolean requestInFlight;
 
   Releases(WorkerManager workers, CloudClient cloud, Events events) {
     this.workers = workers;
@@ -37,44 +37,46 @@
 
   void clear() {
     leading = false;
-    urgent.clear();
-    waiting.clear();
-    asking = false;
+    urgentIds.clear();
+    waitingIds.clear();
+    requestInFlight = false;
   }
 
   /** Returns a machine, whatever is on it. */
   void add(Host host) {
     host.setReleasing(true);
-    (host.serviceCpus() > 0 ? urgent : waiting).add(host.id());
+    (host.serviceCpus() > 0 ? urgentIds : waitingIds).add(host.id());
   }
 
   /** Takes a machine that is gone already off the cloud's list. */
   void addGone(String id) {
-    waiting.add(id);
+    waitingIds.add(id);
   }
 
-  void send() {
+  void sendNextBatch() {
     List<String> batch =
-        Stream.concat(urgent.stream(), waiting.stream()).limit(MOST_PER_RELEASE).toList();
-    if (asking || batch.isEmpty()) {
+        Stream.concat(urgentIds.stream(), waitingIds.stream())
+            .limit(MAX_MACHINES_PER_RELEASE)
+            .toList();
+    if (requestInFlight || batch.isEmpty()) {
       return;
     }
-    asking = true;
+    requestInFlight = true;
     cloud.release(
         batch,
         reply -> {
-          asking = false;
+          requestInFlight = false;
           if (leading && reply.status() == 200) {
-            batch.forEach(this::returned);
-            send();
+            batch.forEach(this::onReturned);
+            sendNextBatch();
           }
         });
   }
 
   /** The cloud has confirmed it: nothing is left on the machine. */
-  private void returned(String id) {
-    urgent.remove(id);
-    waiting.remove(id);
+  private void onReturned(String id) {
+    urgentIds.remove(id);
+    waitingIds.remove(id);
     Host host = workers.known(id);
     if (host != null) {
       LOG.debug("{} is returned", id);
--- a/src/main/java/dapplestair/fleet/Rental.java
+++ b/src/main/java/dapplestair/fleet/Rental.java
@@ -14,45 +14,46 @@
   final int count;
 
   /** Time of day at which it was asked for. */
-  final long wall;
+  final long requestedWallMs;
 
   /** Null until the cloud has answered. */
-  List<String> hosts;
+  List<String> hostIds;
 
   long stamp;
-  boolean writing;
-  boolean asking;
+  boolean writeInFlight;
+  boolean requestInFlight;
   boolean refused;
 
   /** The cloud was, or may have been, asked for it. */
-  boolean asked;
+  boolean maybeRequested;
 
-  long writtenAt = Long.MIN_VALUE / 2;
+  long writtenAtMs = Long.MIN_VALUE / 2;
 
-  Rental(String name, CapacityPool pool, int count, long wall) {
+  Rental(String name, CapacityPool pool, int count, long requestedWallMs) {
     this.name = name;
     this.pool = pool;
     this.count = count;
-    this.wall = wall;
+    this.requestedWallMs = requestedWallMs;
   }
 
-  /** The rental of a record; {@code now} is the time of day where it names none. */
-  static Rental read(String name, JsonNode value, long now) {
+  /** The rental of a record; {@code defaultWallMs} is the time of day where it names none. */
+  static Rental parse(String name, JsonNode value, long defaultWallMs) {
     MachineKind kind = new MachineKind(value.path("hull").asText(), Json.flag(value, "loaners"));
     CapacityPool pool = new CapacityPool(kind, value.path("basin").asText());
-    return new Rental(name, pool, value.path("howMany").asInt(), Json.number(value, "at", now));
+    return new Rental(
+        name, pool, value.path("howMany").asInt(), Json.number(value, "at", defaultWallMs));
   }
 
-  void readHosts(JsonNode value) {
+  void parseHosts(JsonNode value) {
     if (value.path("hosts").isArray()) {
-      hosts = new ArrayList<>();
-      value.get("hosts").forEach(h -> hosts.add(h.asText()));
+      hostIds = new ArrayList<>();
+      value.get("hosts").forEach(h -> hostIds.add(h.asText()));
     }
   }
 
   /** True while its machines are on their way or it is not known whether any are. */
-  boolean pending() {
-    return hosts == null && !refused;
+  boolean isPending() {
+    return hostIds == null && !refused;
   }
 
   ObjectNode toJson() {
@@ -62,10 +63,10 @@
             .put("basin", pool.zone())
             .put("loaners", pool.kind().spot())
             .put("howMany", count)
-            .put("at", wall);
-    if (hosts != null) {
+            .put("at", requestedWallMs);
+    if (hostIds != null) {
       ArrayNode names = object.putArray("hosts");
-      hosts.forEach(names::add);
+      hostIds.forEach(names::add);
     }
     return object;
   }
--- a/src/main/java/dapplestair/fleet/Rentals.java
+++ b/src/main/java/dapplestair/fleet/Rentals.java
@@ -41,15 +41,15 @@
   private final WorkerManager workers;
   private final CloudClient cloud;
   private final Events events;
-  private final Predicate<CapacityPool> open;
-  private final Consumer<CapacityPool> refused;
+  private final Predicate<CapacityPool> mayHaveCapacity;
+  private final Consumer<CapacityPool> onRefused;
   private final Map<String, Rental> rentals = new LinkedHashMap<>();
   private boolean leading;
-  private long counter;
+  private long lastRentalNumber;
 
   /**
-   * {@code open} tells where the cloud may have more; {@code refused} is told where it had none, or
-   * too few.
+   * {@code mayHaveCapacity} tells where the cloud may have more; {@code onRefused} is told where it
+   * had none, or too few.
    */
   Rentals(
       Clock clock,
@@ -61,8 +61,8 @@
       WorkerManager workers,
       CloudClient cloud,
       Events events,
-      Predicate<CapacityPool> open,
-      Consumer<CapacityPool> refused) {
+      Predicate<CapacityPool> mayHaveCapacity,
+      Consumer<CapacityPool> onRefused) {
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
@@ -72,18 +72,18 @@
     this.workers = workers;
     this.cloud = cloud;
     this.events = events;
-    this.open = open;
-    this.refused = refused;
+    this.mayHaveCapacity = mayHaveCapacity;
+    this.onRefused = onRefused;
   }
 
-  void recorded(String name, JsonNode value, long stamp) {
+  void applyRecord(String name, JsonNode value, long stamp) {
     if (leading) {
-      recordedLate(name, value, stamp);
+      handleLateRecord(name, value, stamp);
       return;
     }
-    Rental rental = rentals.computeIfAbsent(name, n -> Rental.read(n, value, clock.wall()));
+    Rental rental = rentals.computeIfAbsent(name, n -> Rental.parse(n, value, clock.wall()));
     rental.stamp = stamp;
-    rental.readHosts(value);
+    rental.parseHosts(value);
   }
 
   /**
@@ -91,23 +91,23 @@
    * of any more got no answer, was given up, and was carried out late. It is taken away: the next
    * leader would ask the cloud for all such machines at once.
    */
-  private void recordedLate(String name, JsonNode value, long stamp) {
+  private void handleLateRecord(String name, JsonNode value, long stamp) {
     if (value.path("hosts").isArray()) {
       return;
     }
-    Rental known = rentals.get(name);
-    if (known == null) {
-      Rental rental = Rental.read(name, value, clock.wall());
+    Rental knownRental = rentals.get(name);
+    if (knownRental == null) {
+      Rental rental = Rental.parse(name, value, clock.wall());
       rental.refused = true;
       rental.stamp = stamp;
       rentals.put(name, rental);
-    } else if (known.refused) {
+    } else if (knownRental.refused) {
       // Another copy of the transaction, carried out while the record of the first is taken away.
-      known.stamp = Math.max(known.stamp, stamp);
+      knownRental.stamp = Math.max(knownRental.stamp, stamp);
     }
   }
 
-  void removed(String name) {
+  void applyRemoval(String name) {
     if (!leading) {
       rentals.remove(name);
     }
@@ -116,14 +116,14 @@
   /** Takes over what earlier terms rented. */
   void lead() {
     leading = true;
-    counter = 0;
+    lastRentalNumber = 0;
     for (Rental rental : List.copyOf(rentals.values())) {
-      if (rental.hosts == null) {
+      if (rental.hostIds == null) {
         // An earlier leader asked, and the answer is not recorded: asking again rents nothing new.
-        rental.asked = true;
-        ask(rental);
+        rental.maybeRequested = true;
+        requestMachines(rental);
       } else {
-        adopt(rental);
+        registerHosts(rental);
       }
     }
   }
@@ -138,10 +138,10 @@
   }
 
   /** Machines of a slot that are asked for. */
-  int pending(MachineKind kind) {
+  int pendingCount(MachineKind kind) {
     int count = 0;
     for (Rental rental : rentals.values()) {
-      if (rental.pending() && rental.pool.kind().equals(kind)) {
+      if (rental.isPending() && rental.pool.kind().equals(kind)) {
         count += rental.count;
       }
     }
@@ -149,10 +149,10 @@
   }
 
   /** Machines of a slot that are asked for in one zone. */
-  int pending(CapacityPool pool) {
+  int pendingCount(CapacityPool pool) {
     int count = 0;
     for (Rental rental : rentals.values()) {
-      if (rental.pending() && rental.pool.equals(pool)) {
+      if (rental.isPending() && rental.pool.equals(pool)) {
         count += rental.count;
       }
     }
@@ -160,17 +160,17 @@
   }
 
   /** Asks the cloud for machines, once that is on record. */
-  void begin(CapacityPool pool, int count) {
+  void startRental(CapacityPool pool, int count) {
     // Names hold the term, so that no other controller ever uses the same one.
-    String name = "r-" + leadership.term() + "-" + ++counter;
+    String name = "r-" + leadership.term() + "-" + ++lastRentalNumber;
     Rental rental = new Rental(name, pool, count, clock.wall());
     rentals.put(name, rental);
     write(rental, true);
   }
 
-  private void write(Rental rental, boolean thenAsk) {
-    rental.writing = true;
-    rental.writtenAt = clock.now();
+  private void write(Rental rental, boolean requestWhenRecorded) {
+    rental.writeInFlight = true;
+    rental.writtenAtMs = clock.now();
     String key = StateKeys.rental(rental.name);
     Txn txn = leadership.guard(new Txn()).when(key, rental.stamp).put(key, rental.toJson());
     long term = leadership.term();
@@ -179,17 +179,17 @@
         Priority.FLEET,
         settings.workers().reportMs(),
         outcome -> {
-          rental.writing = false;
-          if (!leads(term)) {
+          rental.writeInFlight = false;
+          if (!isLeadingTerm(term)) {
             return;
           }
-          guarded(outcome);
+          resignIfDeposed(outcome);
           if (outcome instanceof TxnOutcome.Applied applied) {
             rental.stamp = applied.stamp();
-            if (thenAsk) {
-              ask(rental);
+            if (requestWhenRecorded) {
+              requestMachines(rental);
             }
-          } else if (thenAsk) {
+          } else if (requestWhenRecorded) {
             // Nothing was asked of the cloud: the plan will ask again under another name.
             rentals.remove(rental.name);
             if (outcome instanceof TxnOutcome.Unknown) {
@@ -203,69 +203,69 @@
         });
   }
 
-  private boolean leads(long term) {
+  private boolean isLeadingTerm(long term) {
     return leading && leadership.term() == term;
   }
 
-  private void guarded(TxnOutcome outcome) {
+  private void resignIfDeposed(TxnOutcome outcome) {
     if (leading) {
       leadership.deposedBy(outcome);
     }
   }
 
   private void readBack(Rental rental) {
-    rental.writing = true;
+    rental.writeInFlight = true;
     long term = leadership.term();
     state.get(
         StateKeys.rental(rental.name),
         read -> {
-          if (!leads(term)) {
+          if (!isLeadingTerm(term)) {
             return;
           }
           if (!read.known()) {
             timers.after(settings.workers().reportMs() / 6, () -> readBack(rental));
             return;
           }
-          rental.writing = false;
+          rental.writeInFlight = false;
           rental.stamp = read.stamp();
-          if (!rental.refused && rental.hosts != null) {
+          if (!rental.refused && rental.hostIds != null) {
             write(rental, false);
           }
         });
   }
 
-  private void ask(Rental rental) {
-    if (rental.asking || !leading) {
+  private void requestMachines(Rental rental) {
+    if (rental.requestInFlight || !leading) {
       return;
     }
-    rental.asking = true;
+    rental.requestInFlight = true;
     cloud.rent(
         rental.name,
         rental.pool.kind().type(),
         rental.pool.kind().spot(),
         rental.pool.zone(),
         rental.count,
-        () -> wanted(rental),
+        () -> shouldRequest(rental),
         reply -> {
-          rental.asking = false;
+          rental.requestInFlight = false;
           if (!leading || rentals.get(rental.name) != rental) {
             return;
           }
           if (reply == null) {
             rental.refused = true;
-            refused.accept(rental.pool);
+            onRefused.accept(rental.pool);
             return;
           }
           JsonNode body = Json.parse(reply.body());
           if (reply.status() == 200 && body.path("hosts").isArray()) {
-            rented(rental, body);
+            onRented(rental, body);
           } else if (CloudClient.noCapacity(reply) || reply.status() == 400) {
             // First, or it would itself count as held where the cloud has no more.
             rental.refused = true;
-            refused.accept(rental.pool);
+            onRefused.accept(rental.pool);
           } else {
             // No answer: it may have rented. The same name again tells, and rents nothing twice.
-            timers.after(settings.workers().reportMs() / 4, () -> ask(rental));
+            timers.after(settings.workers().reportMs() / 4, () -> requestMachines(rental));
           }
         });
   }
@@ -274,17 +274,17 @@
    * What the cloud has just refused to one rental it need not refuse to the next. Not so when it
    * may have been asked before: then only its answer tells what was rented.
    */
-  private boolean wanted(Rental rental) {
-    boolean ask = rental.asked || open.test(rental.pool);
-    rental.asked |= ask;
-    return ask;
+  private boolean shouldRequest(Rental rental) {
+    boolean shouldRequest = rental.maybeRequested || mayHaveCapacity.test(rental.pool);
+    rental.maybeRequested |= shouldRequest;
+    return shouldRequest;
   }
 
-  private void rented(Rental rental, JsonNode body) {
-    rental.readHosts(body);
+  private void onRented(Rental rental, JsonNode body) {
+    rental.parseHosts(body);
     LOG.info(
         "rented {} of {} {} {} in {}",
-        rental.hosts.size(),
+        rental.hostIds.size(),
         rental.count,
         rental.pool.kind().type(),
         rental.pool.kind().spot() ? "spot" : "steady",
@@ -293,19 +293,21 @@
         Events.Kind.RENTED,
         o -> {
           rental.pool.describe(o);
-          o.put("count", rental.hosts.size()).put("asked", rental.count).put("rental", rental.name);
+          o.put("count", rental.hostIds.size())
+              .put("asked", rental.count)
+              .put("rental", rental.name);
         });
-    adopt(rental);
-    if (rental.hosts.size() < rental.count) {
-      refused.accept(rental.pool);
+    registerHosts(rental);
+    if (rental.hostIds.size() < rental.count) {
+      onRefused.accept(rental.pool);
     }
-    if (!rental.writing) {
+    if (!rental.writeInFlight) {
       write(rental, false);
     }
   }
 
-  private void adopt(Rental rental) {
-    for (String id : rental.hosts) {
+  private void registerHosts(Rental rental) {
+    for (String id : rental.hostIds) {
       if (!workers.isGone(id)) {
         Host host = workers.host(id);
         host.describe(
@@ -313,27 +315,27 @@
             types.get(rental.pool.kind().type()),
             rental.pool.zone(),
             rental.pool.kind().spot());
-        host.setRentedAt(clock.now() - Math.max(0, clock.wall() - rental.wall));
+        host.setRentedAt(clock.now() - Math.max(0, clock.wall() - rental.requestedWallMs));
       }
     }
   }
 
   /** Removes the records of rentals whose machines are all gone. */
-  void forget() {
+  void cleanUp() {
     for (Rental rental : List.copyOf(rentals.values())) {
-      if (rental.writing || rental.asking) {
+      if (rental.writeInFlight || rental.requestInFlight) {
         continue;
       }
-      boolean over =
+      boolean finished =
           rental.refused
-              || (rental.hosts != null
-                  && rental.hosts.stream().allMatch(h -> workers.known(h) == null));
-      if (!over) {
-        shorten(rental);
+              || (rental.hostIds != null
+                  && rental.hostIds.stream().allMatch(h -> workers.known(h) == null));
+      if (!finished) {
+        dropGoneHosts(rental);
       } else if (rental.stamp == 0) {
         rentals.remove(rental.name);
       } else {
-        remove(rental);
+        deleteRecord(rental);
       }
     }
   }
@@ -342,32 +344,32 @@
    * Kept exact, so that a new leader does not count on machines that are gone; seldom enough that a
    * wave of losses does not use up the puts that launches need.
    */
-  private void shorten(Rental rental) {
-    if (rental.hosts != null
-        && clock.now() - rental.writtenAt > settings.workers().leaseMs()
-        && rental.hosts.removeIf(h -> workers.known(h) == null)) {
+  private void dropGoneHosts(Rental rental) {
+    if (rental.hostIds != null
+        && clock.now() - rental.writtenAtMs > settings.workers().leaseMs()
+        && rental.hostIds.removeIf(h -> workers.known(h) == null)) {
       write(rental, false);
     }
   }
 
-  private void remove(Rental rental) {
-    rental.writing = true;
+  private void deleteRecord(Rental rental) {
+    rental.writeInFlight = true;
     String key = StateKeys.rental(rental.name);
-    long removed = rental.stamp;
-    Txn txn = leadership.guard(new Txn()).when(key, removed).remove(key);
+    long deletedStamp = rental.stamp;
+    Txn txn = leadership.guard(new Txn()).when(key, deletedStamp).remove(key);
     long term = leadership.term();
     state.commit(
         txn,
         Priority.BOOKKEEPING,
         settings.workers().leaseMs(),
         outcome -> {
-          if (!leads(term)) {
+          if (!isLeadingTerm(term)) {
             return;
           }
-          rental.writing = false;
-          guarded(outcome);
+          rental.writeInFlight = false;
+          resignIfDeposed(outcome);
           if (outcome instanceof TxnOutcome.Applied) {
-            if (rental.stamp == removed) {
+            if (rental.stamp == deletedStamp) {
               rentals.remove(rental.name);
             }
           } else if (!(outcome instanceof TxnOutcome.Refused)) {
--- a/src/main/java/dapplestair/fleet/SpotHistory.java
+++ b/src/main/java/dapplestair/fleet/SpotHistory.java
@@ -13,10 +13,10 @@
   // As the users' design says: spot is priced at the highest price of the last minute.
   private static final long PRICE_WINDOW_MS = 60_000;
 
-  private record Price(long at, double perHour) {}
+  private record Price(long atMs, double perHour) {}
 
   private final Clock clock;
-  private final Map<MachineKind, ArrayDeque<Long>> takenAt = new HashMap<>();
+  private final Map<MachineKind, ArrayDeque<Long>> reclaimedAtMs = new HashMap<>();
   private final Map<MachineKind, ArrayDeque<Price>> prices = new HashMap<>();
 
   SpotHistory(Clock clock) {
@@ -29,7 +29,7 @@
       ArrayDeque<Price> seen =
           prices.computeIfAbsent(new MachineKind(type.name(), true), s -> new ArrayDeque<>());
       seen.addLast(new Price(now, type.spotPrice()));
-      while (seen.size() > 1 && seen.peekFirst().at() < now - PRICE_WINDOW_MS) {
+      while (seen.size() > 1 && seen.peekFirst().atMs() < now - PRICE_WINDOW_MS) {
         seen.removeFirst();
       }
     }
@@ -49,17 +49,17 @@
   }
 
   /** A machine that may be taken was taken, or has been given notice. */
-  void noteTaken(Host host) {
+  void noteReclaimed(Host host) {
     if (host.spot() && host.type() != null) {
-      takenAt
+      reclaimedAtMs
           .computeIfAbsent(new MachineKind(host.type().name(), true), s -> new ArrayDeque<>())
           .addLast(clock.now());
     }
   }
 
   /** Share of the last {@code windows} windows of {@code windowMs} with a take-back. */
-  public double takeBackChance(MachineKind kind, long windowMs, int windows) {
-    ArrayDeque<Long> times = takenAt.get(kind);
+  public double reclaimProbability(MachineKind kind, long windowMs, int windows) {
+    ArrayDeque<Long> times = reclaimedAtMs.get(kind);
     if (times == null) {
       return 0;
     }
--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -92,12 +92,12 @@
 
   @Override
   public void finishing(Job job, Txn txn) {
-    calendars.finishing(job, txn);
+    calendars.addDeliveryMarks(job, txn);
   }
 
   @Override
   public int mostWithFinish() {
-    return calendars.mostMarks();
+    return calendars.maxDeliveryMarks();
   }
 
   @Override
--- a/src/main/java/dapplestair/node/OperationsComponents.java
+++ b/src/main/java/dapplestair/node/OperationsComponents.java
@@ -61,9 +61,9 @@
             core.replica,
             core.leadership,
             core.workers,
-            z -> !drains.zones().containsKey(z) && scheduling.fleet.rentAnyIn(z),
+            z -> !drains.zones().containsKey(z) && scheduling.fleet.rentCheapestIn(z),
             core.events);
-    scheduling.fleet.closeZones(z -> drains.zones().containsKey(z) || zones.closed(z));
+    scheduling.fleet.setZoneClosedTest(z -> drains.zones().containsKey(z) || zones.isClosed(z));
   }
 
   @Override
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -80,23 +80,23 @@
         admin.jobPut(key.substring(StateKeys.JOB.length()));
       }
     } else if (key.startsWith(StateKeys.RENTAL)) {
-      fleet.rentalPut(key.substring(StateKeys.RENTAL.length()), value, stamp);
+      fleet.applyRentalRecord(key.substring(StateKeys.RENTAL.length()), value, stamp);
     } else if (key.equals(StateKeys.LEADER)) {
       leadership.leaderKey(value, stamp);
     } else if (key.equals(StateKeys.TERM)) {
       leadership.termKey(value);
     } else if (key.equals(StateKeys.TYPES)) {
-      fleet.typesKey(value, stamp);
+      fleet.applyTypesRecord(value, stamp);
     } else if (key.startsWith(StateKeys.DRAIN) || key.startsWith(StateKeys.DRAIN_ZONE)) {
       drains.recorded(key, value);
     } else if (key.startsWith(StateKeys.ZONE)) {
-      zones.recorded(key, value);
+      zones.applyRecord(key, value);
     } else if (key.startsWith(StateKeys.LANE)) {
       lanes.recorded(key, value);
     } else if (key.startsWith(StateKeys.CALENDAR)) {
-      calendars.recorded(key, value);
+      calendars.applyRecord(key, value);
     } else if (key.startsWith(StateKeys.WEIGHTS)) {
-      imageLocations.recorded(key, value);
+      imageLocations.applyRecord(key, value);
     } else if (key.startsWith(StateKeys.REPLACE)) {
       replacements.recorded(key, value, stamp);
     } else if (key.startsWith(StateKeys.DISRUPTION)) {
@@ -120,22 +120,22 @@
         admin.jobRemoved(key.substring(StateKeys.JOB.length()));
       }
     } else if (key.startsWith(StateKeys.RENTAL)) {
-      fleet.rentalRemoved(key.substring(StateKeys.RENTAL.length()));
+      fleet.applyRentalRemoval(key.substring(StateKeys.RENTAL.length()));
     } else if (key.equals(StateKeys.LEADER)) {
       leadership.leaderKey(null, 0);
     } else if (key.equals(StateKeys.TYPES)) {
-      fleet.typesKey(null, 0);
+      fleet.applyTypesRecord(null, 0);
     } else if (key.startsWith(StateKeys.DRAIN) || key.startsWith(StateKeys.DRAIN_ZONE)) {
       drains.recorded(key, null);
       placer.nudge();
     } else if (key.startsWith(StateKeys.ZONE)) {
-      zones.recorded(key, null);
+      zones.applyRecord(key, null);
     } else if (key.startsWith(StateKeys.LANE)) {
       lanes.recorded(key, null);
     } else if (key.startsWith(StateKeys.CALENDAR)) {
-      calendars.recorded(key, null);
+      calendars.applyRecord(key, null);
     } else if (key.startsWith(StateKeys.WEIGHTS)) {
-      imageLocations.recorded(key, null);
+      imageLocations.applyRecord(key, null);
     } else if (key.startsWith(StateKeys.REPLACE)) {
       replacements.recorded(key, null, 0);
     } else if (key.startsWith(StateKeys.DISRUPTION)) {
--- a/src/main/java/dapplestair/node/SchedulingComponents.java
+++ b/src/main/java/dapplestair/node/SchedulingComponents.java
@@ -110,8 +110,8 @@
             fleet,
             core.types,
             demand);
-    fleet.weigh(demand::waitingCpus, autoscaler::soon);
-    calendars.wire(
+    fleet.setCapacityCallbacks(demand::waitingCpus, autoscaler::soon);
+    calendars.setCallbacks(
         () -> {
           placer.nudge();
           autoscaler.soon();
--- a/src/main/java/dapplestair/placement/DecisionRecorder.java
+++ b/src/main/java/dapplestair/placement/DecisionRecorder.java
@@ -97,7 +97,7 @@
     Map<PlacementVerdict, Integer> whole = new EnumMap<>(PlacementVerdict.class);
     whole.putAll(found.getOrDefault(ref, Map.of()));
     double heldBack = Math.max(0, job.heldBackUntil() - clock.now()) / 1000.0;
-    if (calendars.holds(job)) {
+    if (calendars.isHeld(job)) {
       whole.put(PlacementVerdict.CYCLE, job.waiting());
     }
     if (heldBack > 0) {
--- a/src/main/java/dapplestair/placement/Ranking.java
+++ b/src/main/java/dapplestair/placement/Ranking.java
@@ -52,13 +52,13 @@
           && !probing
           && job.heldBackUntil() <= now
           && job.nextFree(0) >= 0
-          && !calendars.holds(job)) {
+          && !calendars.isHeld(job)) {
         waiting.add(ranked(job));
       }
     }
     waiting.sort(
         Comparator.comparingInt(Ranked::urgency)
-            .thenComparing(r -> !calendars.goesFirst(r.job()))
+            .thenComparing(r -> !calendars.isRunOfLastReleasedCycle(r.job()))
             .thenComparing(Ranked::borrows)
             .thenComparingInt(Ranked::broken)
             .thenComparingDouble(Ranked::order)
--- a/src/main/java/dapplestair/planning/Autoscaler.java
+++ b/src/main/java/dapplestair/planning/Autoscaler.java
@@ -122,7 +122,7 @@
 
   /** Machines of a slot that are or will be of use. */
   public int holding(MachineKind kind) {
-    return fleet.holding(kind);
+    return fleet.heldOrPendingCount(kind);
   }
 
   /** Begins. */
@@ -192,7 +192,7 @@
 
   private double[] held(FleetProblem problem) {
     return problem.slots().stream()
-        .mapToDouble(s -> fleet.holding(new MachineKind(s.type().name(), s.spot())))
+        .mapToDouble(s -> fleet.heldOrPendingCount(new MachineKind(s.type().name(), s.spot())))
         .toArray();
   }
 
@@ -277,7 +277,7 @@
    * waited for ever beside machines that stood idle in the others (ZoneBoundTest).
    */
   private void rentInZone(ZoneDemand.Shortage lack) {
-    int wanted = plan.getOrDefault(lack.kind(), 0) - fleet.holding(lack.kind());
+    int wanted = plan.getOrDefault(lack.kind(), 0) - fleet.heldOrPendingCount(lack.kind());
     int most = lack.overdue() ? lack.machines() : Math.min(lack.machines(), wanted);
     fleet.rentIn(lack.kind(), lack.zone(), most);
   }
@@ -285,7 +285,7 @@
   private void steer(MachineKind kind, int planned, boolean extraRound) {
     // Machines that are being replaced: the plan's counts stay as they are.
     int want = Math.max(0, planned + beyond.applyAsInt(kind));
-    int have = fleet.holding(kind);
+    int have = fleet.heldOrPendingCount(kind);
     if (want >= have) {
       fewer.remove(kind);
       fleet.cordon(kind, 0, zoneDemand::waitsFor);
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -159,7 +159,7 @@
     List<Double> booting = new ArrayList<>();
     int busy = 0;
     for (Host host : workers.hosts()) {
-      if (!fleet.counts(host, kind)) {
+      if (!fleet.isUsableAs(host, kind)) {
         continue;
       }
       if (host.up()) {
@@ -208,8 +208,8 @@
         most,
         new HeldTaskSlots(lanes, horizon),
         up.size(),
-        fleet.market().price(type, spot),
-        fleet.market().takeBackChance(kind, windowMs, WINDOWS));
+        fleet.spotHistory().price(type, spot),
+        fleet.spotHistory().reclaimProbability(kind, windowMs, WINDOWS));
   }
 
   /** What is silent and waited for is expected back after as long again as it has been so. */
--- a/src/main/java/dapplestair/planning/ZoneDemand.java
+++ b/src/main/java/dapplestair/planning/ZoneDemand.java
@@ -145,7 +145,7 @@
     for (Host host : workers.hosts()) {
       boolean ofUse =
           host.type() != null
-              && fleet.counts(host, new MachineKind(host.type().name(), host.spot()));
+              && fleet.isUsableAs(host, new MachineKind(host.type().name(), host.spot()));
       if (ofUse && (!host.up() || !host.closed())) {
         out.add(FreeCapacity.of(host));
       }
@@ -170,7 +170,7 @@
     for (MachineType type : types.all()) {
       for (boolean spot : new boolean[] {true, false}) {
         MachineKind kind = new MachineKind(type.name(), spot);
-        double perCpu = fleet.market().price(type, spot) / type.cpus();
+        double perCpu = fleet.spotHistory().price(type, spot) / type.cpus();
         boolean allowed = type.suits(submission) && (submission.spot() || !spot);
         if (allowed && perCpu < least && fleet.mayRentIn(kind, submission.zone())) {
           best = kind;
--- a/src/main/java/dapplestair/replacement/SurgeCapacity.java
+++ b/src/main/java/dapplestair/replacement/SurgeCapacity.java
@@ -76,7 +76,7 @@
     for (Host host : workers.hosts()) {
       if (host.up()
           && host.idle()
-          && fleet.counts(host, kind)
+          && fleet.isUsableAs(host, kind)
           && workers.fresh(host)
           && !stuck.zone().equals(host.zone())
           && fleet.rentIn(kind, stuck.zone())) {
@@ -88,7 +88,7 @@
 
   /** Within this time lists show whatever there is; milliseconds. */
   long longestListLag() {
-    return fleet.longestListLag();
+    return fleet.maxListLagMs();
   }
 
   /** True when all that plan and order want is up and heard. */
@@ -100,7 +100,7 @@
     for (MachineKind kind : batch.keySet()) {
       int up = 0;
       for (Host host : workers.hosts()) {
-        up += fleet.counts(host, kind) && host.acknowledged() && workers.fresh(host) ? 1 : 0;
+        up += fleet.isUsableAs(host, kind) && host.acknowledged() && workers.fresh(host) ? 1 : 0;
       }
       if (up < plan.counts().getOrDefault(kind, 0) + extra.applyAsInt(kind)) {
         return false;
--- a/src/main/java/dapplestair/weights/ImageHolders.java
+++ b/src/main/java/dapplestair/weights/ImageHolders.java
@@ -12,24 +12,24 @@
 import java.util.TreeSet;
 
 /** The machines that hold an image, as a record: two to five bytes for a machine. */
-record ImageHolders(String image, double gb, SortedSet<String> machines) {
+record ImageHolders(String image, double sizeGb, SortedSet<String> machineIds) {
   // Base64 and the rest of the record come on top.
-  private static final double SHARE = 0.6;
+  private static final double MAX_ENCODED_SHARE = 0.6;
 
   /** As many machines as a value takes, in name order. */
   ObjectNode toJson(int valueBytes) {
-    int most = (int) (valueBytes * SHARE) - image.length();
+    int maxBytes = (int) (valueBytes * MAX_ENCODED_SHARE) - image.length();
     Output out = new Output(256, 2 * valueBytes);
     FrontCodedNames names = new FrontCodedNames();
-    for (String m : machines) {
-      if (out.position() + m.length() + 4 > most) {
+    for (String machineId : machineIds) {
+      if (out.position() + machineId.length() + 4 > maxBytes) {
         break;
       }
-      names.write(out, m);
+      names.write(out, machineId);
     }
     return Json.object()
         .put("image", image)
-        .put("gb", gb)
+        .put("gb", sizeGb)
         .put("on", BaseEncoding.base64().encode(out.toBytes()));
   }
 
--- a/src/main/java/dapplestair/weights/ImageLocations.java
+++ b/src/main/java/dapplestair/weights/ImageLocations.java
@@ -31,11 +31,11 @@
  */
 public final class ImageLocations implements AutoCloseable {
   // A put at a time, so many reports apart: a part in a hundred of what a busy day writes.
-  private static final int REPORTS_APART = 2;
+  private static final int WRITE_INTERVAL_REPORTS = 2;
 
   // An image's record is written again once so much of it has changed.
-  private static final double CHANGED = 0.1;
-  private static final int CHANGED_LEAST = 2;
+  private static final double MIN_CHANGED_SHARE = 0.1;
+  private static final int MIN_CHANGED_MACHINES = 2;
 
   private final Clock clock;
   private final TermTimers timers;
@@ -46,11 +46,11 @@
   private final WorkerManager workers;
 
   // By key, what the records say, and for which image.
-  private final Map<String, ImageHolders> records = new HashMap<>();
+  private final Map<String, ImageHolders> recordsByKey = new HashMap<>();
   private Cancellable timer = () -> {};
-  private long ledSince;
+  private long leadingSinceMs;
   private boolean leading;
-  private boolean writing;
+  private boolean writeInFlight;
 
   /** Nothing is known. */
   public ImageLocations(
@@ -76,14 +76,14 @@
    * meant to write counts: a value that did not take all machines is not to be written again and
    * again, before all others.
    */
-  public void recorded(String key, JsonNode value) {
+  public void applyRecord(String key, JsonNode value) {
     if (leading) {
       return;
     }
     if (value == null) {
-      records.remove(key);
+      recordsByKey.remove(key);
     } else {
-      records.put(key, ImageHolders.parse(value));
+      recordsByKey.put(key, ImageHolders.parse(value));
     }
   }
 
@@ -91,9 +91,9 @@
   public void clear() {
     writer.reset();
     timer.cancel();
-    records.clear();
+    recordsByKey.clear();
     leading = false;
-    writing = false;
+    writeInFlight = false;
   }
 
   // ---- leading ----
@@ -102,18 +102,18 @@
   public void lead() {
     writer.reset();
     leading = true;
-    ledSince = clock.now();
-    hint();
+    leadingSinceMs = clock.now();
+    applyHints();
     timer = timers.after(settings.workers().reportMs(), this::tick);
   }
 
   /** Machines become known one after the other, for a while after a leader's beginning. */
-  private void hint() {
-    for (ImageHolders holders : records.values()) {
-      for (String id : holders.machines()) {
+  private void applyHints() {
+    for (ImageHolders holders : recordsByKey.values()) {
+      for (String id : holders.machineIds()) {
         Host host = workers.known(id);
         if (host != null) {
-          host.images().hinted(holders.image(), holders.gb());
+          host.images().hinted(holders.image(), holders.sizeGb());
         }
       }
     }
@@ -121,50 +121,54 @@
 
   private void tick() {
     // Until all have been heard what is known of them is less than what is on record.
-    if (clock.now() - ledSince < 2 * settings.workers().reportMs()) {
-      hint();
-    } else if (!writing && state.reachable()) {
+    if (clock.now() - leadingSinceMs < 2 * settings.workers().reportMs()) {
+      applyHints();
+    } else if (!writeInFlight && state.reachable()) {
       writeMostChanged();
     }
-    timer = timers.after(REPORTS_APART * settings.workers().reportMs(), this::tick);
+    timer = timers.after(WRITE_INTERVAL_REPORTS * settings.workers().reportMs(), this::tick);
   }
 
   private void writeMostChanged() {
-    String worst = null;
-    double most = 0;
-    Map<String, ImageHolders> now = now();
-    for (String key : Sets.union(now.keySet(), records.keySet())) {
-      SortedSet<String> is = now.containsKey(key) ? now.get(key).machines() : new TreeSet<>();
-      SortedSet<String> was =
-          records.containsKey(key) ? records.get(key).machines() : new TreeSet<>();
-      int changed = Sets.symmetricDifference(is, was).size();
-      if (changed > most
-          && (is.isEmpty() || changed >= Math.max(CHANGED_LEAST, CHANGED * was.size()))) {
-        most = changed;
-        worst = key;
+    String mostChangedKey = null;
+    double maxChanged = 0;
+    Map<String, ImageHolders> current = currentHolders();
+    for (String key : Sets.union(current.keySet(), recordsByKey.keySet())) {
+      SortedSet<String> currentIds =
+          current.containsKey(key) ? current.get(key).machineIds() : new TreeSet<>();
+      SortedSet<String> recordedIds =
+          recordsByKey.containsKey(key) ? recordsByKey.get(key).machineIds() : new TreeSet<>();
+      int changed = Sets.symmetricDifference(currentIds, recordedIds).size();
+      if (changed > maxChanged
+          && (currentIds.isEmpty()
+              || changed
+                  >= Math.max(MIN_CHANGED_MACHINES, MIN_CHANGED_SHARE * recordedIds.size()))) {
+        maxChanged = changed;
+        mostChangedKey = key;
       }
     }
-    if (worst != null) {
-      write(worst, now.get(worst));
+    if (mostChangedKey != null) {
+      write(mostChangedKey, current.get(mostChangedKey));
     }
   }
 
-  private Map<String, ImageHolders> now() {
-    Map<String, ImageHolders> out = new TreeMap<>();
-    long at = clock.now();
+  private Map<String, ImageHolders> currentHolders() {
+    Map<String, ImageHolders> holdersByKey = new TreeMap<>();
+    long nowMs = clock.now();
     for (Host host : workers.hosts()) {
       if (host.up() && !host.gone() && !host.releasing()) {
         host.images()
-            .ready(at)
+            .ready(nowMs)
             .forEach(
                 (image, gb) ->
-                    out.computeIfAbsent(
+                    holdersByKey
+                        .computeIfAbsent(
                             key(image), k -> new ImageHolders(image, gb, new TreeSet<>()))
-                        .machines()
+                        .machineIds()
                         .add(host.id()));
       }
     }
-    return out;
+    return holdersByKey;
   }
 
   private static String key(String image) {
@@ -172,7 +176,7 @@
   }
 
   private void write(String key, ImageHolders holders) {
-    writing = true;
+    writeInFlight = true;
     Txn txn = writer.transaction();
     if (holders == null) {
       txn.remove(key);
@@ -186,12 +190,12 @@
           if (leadership.deposedBy(outcome)) {
             return;
           }
-          writing = false;
+          writeInFlight = false;
           if (outcome instanceof TxnOutcome.Applied) {
             if (holders == null) {
-              records.remove(key);
+              recordsByKey.remove(key);
             } else {
-              records.put(key, holders);
+              recordsByKey.put(key, holders);
             }
           }
         });
--- a/src/main/java/dapplestair/zones/ZoneProbes.java
+++ b/src/main/java/dapplestair/zones/ZoneProbes.java
@@ -18,10 +18,10 @@
 
   // The first one as soon as the zone is lost, and the next one half a lease after it if that was
   // given up, since some never boot. Each further one after twice as long: the zone is still cut.
-  private static final int FIRST_PAUSES_PER_LEASE = 2;
-  private static final int MOST_PAUSE_LEASES = 8;
+  private static final int FIRST_PAUSE_LEASE_DIVISOR = 2;
+  private static final int MAX_PAUSE_LEASES = 8;
 
-  private record Probe(long rentedWall, int number) {}
+  private record Probe(long rentedWallMs, int number) {}
 
   private static final Probe NONE = new Probe(0, 0);
 
@@ -44,13 +44,13 @@
   }
 
   /** The zone is cut or lost, and none of its machines is left. */
-  void emptied(String zone, ZoneStatus status) {
+  void probeIfLost(String zone, ZoneStatus status) {
     long now = clock.wall();
-    if (now - status.cutWall() < timeouts.lostAfterMs(zone)) {
+    if (now - status.lastCutWallMs() < timeouts.lostAfterMs(zone)) {
       return;
     }
     Probe last = probes.getOrDefault(zone, NONE);
-    if (now - last.rentedWall() < pauseMs(last.number())) {
+    if (now - last.rentedWallMs() < pauseMs(last.number())) {
       return;
     }
     if (rentOne.test(zone)) {
@@ -60,17 +60,17 @@
   }
 
   /** How long after so many the next one is rented. */
-  private long pauseMs(int rented) {
+  private long pauseMs(int probeCount) {
     long leaseMs = settings.workers().leaseMs();
-    if (rented == 0) {
+    if (probeCount == 0) {
       return 0;
     }
-    int doublings = Math.min(30, rented - 1);
-    return Math.min(MOST_PAUSE_LEASES * leaseMs, (leaseMs << doublings) / FIRST_PAUSES_PER_LEASE);
+    int doublings = Math.min(30, probeCount - 1);
+    return Math.min(MAX_PAUSE_LEASES * leaseMs, (leaseMs << doublings) / FIRST_PAUSE_LEASE_DIVISOR);
   }
 
   /** The zone is heard again. */
-  void heard(String zone) {
+  void onHeard(String zone) {
     probes.remove(zone);
   }
 }
--- a/src/main/java/dapplestair/zones/ZoneStatus.java
+++ b/src/main/java/dapplestair/zones/ZoneStatus.java
@@ -9,12 +9,13 @@
  * Where a zone stands in its life.
  *
  * @param state what it is
- * @param sinceWall since when, time of day
- * @param by whose word it is
+ * @param sinceWallMs since when, time of day
+ * @param member whose word it is
  * @param cuts how often it was cut of late, this time included
- * @param cutWall when it was last cut
+ * @param lastCutWallMs when it was last cut
  */
-public record ZoneStatus(State state, long sinceWall, String by, int cuts, long cutWall) {
+public record ZoneStatus(
+    State state, long sinceWallMs, String member, int cuts, long lastCutWallMs) {
   /** What a zone can be. */
   public enum State {
     /** Heard, and steady for as long as its past asks. */
@@ -27,7 +28,7 @@
     RETURNING;
 
     /** The form shown to people. */
-    public String shown() {
+    public String label() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
@@ -35,23 +36,23 @@
   /** A zone of which nothing bad is known. */
   static final ZoneStatus NEW = new ZoneStatus(State.STEADY, 0, "", 0, 0);
 
-  ZoneStatus to(State next, long wall, String who) {
-    return new ZoneStatus(next, wall, who, cuts, cutWall);
+  ZoneStatus withState(State next, long nowWallMs, String newMember) {
+    return new ZoneStatus(next, nowWallMs, newMember, cuts, lastCutWallMs);
   }
 
   /** Cut once more; what lies further back than {@code memoryMs} is forgotten. */
-  ZoneStatus cut(long wall, String who, long memoryMs) {
-    int before = wall - cutWall < memoryMs ? cuts : 0;
-    return new ZoneStatus(State.CUT, wall, who, before + 1, wall);
+  ZoneStatus withCut(long newCutWallMs, String newMember, long memoryMs) {
+    int recentCuts = newCutWallMs - lastCutWallMs < memoryMs ? cuts : 0;
+    return new ZoneStatus(State.CUT, newCutWallMs, newMember, recentCuts + 1, newCutWallMs);
   }
 
   ObjectNode toJson() {
     return Json.object()
         .put("state", state.name())
-        .put("since", sinceWall)
-        .put("by", by)
+        .put("since", sinceWallMs)
+        .put("by", member)
         .put("cuts", cuts)
-        .put("cutAt", cutWall);
+        .put("cutAt", lastCutWallMs);
   }
 
   static ZoneStatus parse(JsonNode node) {
--- a/src/main/java/dapplestair/zones/Zones.java
+++ b/src/main/java/dapplestair/zones/Zones.java
@@ -37,12 +37,12 @@
 
   // A zone that was cut again within so many leases flaps; each time it is held down for twice as
   // long as the time before, up to the most.
-  private static final int MEMORY_LEASES = 16;
-  private static final int MOST_HELD_LEASES = 8;
+  private static final int CUT_MEMORY_LEASES = 16;
+  private static final int MAX_STABILIZATION_LEASES = 8;
 
   // For so long a zone without any machine left is not tried again: nothing can be heard there, and
   // renting in one that is cut off still costs a boot.
-  private static final int TRIED_AGAIN_LEASES = 2;
+  private static final int EMPTY_ZONE_RETRY_LEASES = 2;
 
   private final Clock clock;
   private final TermTimers timers;
@@ -55,9 +55,9 @@
   private final SilenceTimeouts timeouts;
   private final ZoneProbes probes;
   private final Events events;
-  private final Map<String, ZoneStatus> lives = new TreeMap<>();
-  private final Set<String> writing = new HashSet<>();
-  private final Map<String, Long> triedAt = new HashMap<>();
+  private final Map<String, ZoneStatus> statuses = new TreeMap<>();
+  private final Set<String> zonesBeingWritten = new HashSet<>();
+  private final Map<String, Long> emptySinceMsByZone = new HashMap<>();
   private boolean leading;
   private Cancellable timer = () -> {};
 
@@ -91,12 +91,12 @@
   // ---- what the replica says ----
 
   /** A zone's key has this value, or is gone. */
-  public void recorded(String key, JsonNode value) {
+  public void applyRecord(String key, JsonNode value) {
     String zone = key.substring(StateKeys.ZONE.length());
     if (value == null) {
-      lives.remove(zone);
+      statuses.remove(zone);
     } else {
-      lives.put(zone, ZoneStatus.parse(value));
+      statuses.put(zone, ZoneStatus.parse(value));
     }
   }
 
@@ -105,9 +105,9 @@
     leading = false;
     writer.reset();
     timer.cancel();
-    lives.clear();
-    writing.clear();
-    triedAt.clear();
+    statuses.clear();
+    zonesBeingWritten.clear();
+    emptySinceMsByZone.clear();
     probes.clear();
   }
 
@@ -117,15 +117,15 @@
   public void lead() {
     leading = true;
     writer.reset();
-    writing.clear();
+    zonesBeingWritten.clear();
     tick();
   }
 
   private void tick() {
     if (state.unreachableMs() == 0) {
-      for (String zone : known()) {
-        if (!writing.contains(zone)) {
-          look(zone, life(zone));
+      for (String zone : knownZones()) {
+        if (!zonesBeingWritten.contains(zone)) {
+          updateStatus(zone, status(zone));
         }
       }
     }
@@ -133,47 +133,49 @@
   }
 
   /** Zones of the settings, and those of which there are, or were, machines. */
-  private Set<String> known() {
-    Set<String> out = new TreeSet<>(settings.zones());
-    out.addAll(lives.keySet());
+  private Set<String> knownZones() {
+    Set<String> zones = new TreeSet<>(settings.zones());
+    zones.addAll(statuses.keySet());
     for (Host host : workers.hosts()) {
       if (host.zone() != null) {
-        out.add(host.zone());
+        zones.add(host.zone());
       }
     }
-    return out;
+    return zones;
   }
 
-  private void look(String zone, ZoneStatus status) {
+  private void updateStatus(String zone, ZoneStatus status) {
     long silentMs = workers.zoneSilentMs(zone);
-    long wall = clock.wall();
-    String me = settings.member();
+    long nowWallMs = clock.wall();
+    String member = settings.member();
     switch (status.state()) {
-      case STEADY -> cutIfSilent(zone, status, silentMs);
+      case STEADY -> markCutIfSilent(zone, status, silentMs);
       case CUT -> {
         if (silentMs > timeouts.lostAfterMs(zone)) {
-          write(zone, status.to(State.LOST, wall, me));
+          write(zone, status.withState(State.LOST, nowWallMs, member));
         } else {
-          returnIfHeard(zone, status, silentMs);
+          markReturningIfHeard(zone, status, silentMs);
         }
       }
-      case LOST -> returnIfHeard(zone, status, silentMs);
+      case LOST -> markReturningIfHeard(zone, status, silentMs);
       case RETURNING -> {
         if (silentMs > 0) {
-          cutIfSilent(zone, status, silentMs);
-        } else if (wall - status.sinceWall() > heldMs(status)) {
-          write(zone, status.to(State.STEADY, wall, me));
+          markCutIfSilent(zone, status, silentMs);
+        } else if (nowWallMs - status.sinceWallMs() > stabilizationMs(status)) {
+          write(zone, status.withState(State.STEADY, nowWallMs, member));
         }
       }
       default -> {}
     }
   }
 
-  private void cutIfSilent(String zone, ZoneStatus status, long silentMs) {
+  private void markCutIfSilent(String zone, ZoneStatus status, long silentMs) {
     if (silentMs >= timeouts.prepareAfterMs()) {
-      long wall = clock.wall() - silentMs;
+      long cutWallMs = clock.wall() - silentMs;
       write(
-          zone, status.cut(wall, settings.member(), MEMORY_LEASES * settings.workers().leaseMs()));
+          zone,
+          status.withCut(
+              cutWallMs, settings.member(), CUT_MEMORY_LEASES * settings.workers().leaseMs()));
     }
   }
 
@@ -182,27 +184,27 @@
    * machine is left, one is rented that can be; if none is to be had, the zone is taken for back
    * after a while.
    */
-  private void returnIfHeard(String zone, ZoneStatus status, long silentMs) {
+  private void markReturningIfHeard(String zone, ZoneStatus status, long silentMs) {
     long now = clock.now();
     boolean heard = silentMs == 0 && workers.zoneHeardNow(zone);
-    boolean none = !workers.anyLeftIn(zone);
-    if (none) {
-      probes.emptied(zone, status);
+    boolean noMachineLeft = !workers.anyLeftIn(zone);
+    if (noMachineLeft) {
+      probes.probeIfLost(zone, status);
     } else if (heard) {
-      probes.heard(zone);
+      probes.onHeard(zone);
     }
-    boolean empty = silentMs == 0 && none;
+    boolean empty = silentMs == 0 && noMachineLeft;
     if (!empty) {
-      triedAt.remove(zone);
+      emptySinceMsByZone.remove(zone);
     }
-    long since = empty ? triedAt.computeIfAbsent(zone, z -> now) : now;
-    if (heard || now - since > TRIED_AGAIN_LEASES * settings.workers().leaseMs()) {
-      write(zone, status.to(State.RETURNING, clock.wall(), settings.member()));
+    long emptySinceMs = empty ? emptySinceMsByZone.computeIfAbsent(zone, z -> now) : now;
+    if (heard || now - emptySinceMs > EMPTY_ZONE_RETRY_LEASES * settings.workers().leaseMs()) {
+      write(zone, status.withState(State.RETURNING, clock.wall(), settings.member()));
     }
   }
 
   private void write(String zone, ZoneStatus next) {
-    writing.add(zone);
+    zonesBeingWritten.add(zone);
     String key = StateKeys.ZONE + zone;
     writer.put(
         key,
@@ -211,15 +213,15 @@
         Priority.BOOKKEEPING,
         outcome -> {
           // Without an answer the replica tells; the next look goes on from there.
-          timers.after(settings.workers().reportMs() / 4, () -> writing.remove(zone));
+          timers.after(settings.workers().reportMs() / 4, () -> zonesBeingWritten.remove(zone));
           if (outcome instanceof TxnOutcome.Applied) {
-            lives.put(zone, next);
-            LOG.info("zone {} is {}", zone, next.state().shown());
+            statuses.put(zone, next);
+            LOG.info("zone {} is {}", zone, next.state().label());
             events.note(
                 Events.Kind.ZONE,
                 o ->
                     o.put("zone", zone)
-                        .put("state", next.state().shown())
+                        .put("state", next.state().label())
                         .put("cuts", next.cuts()));
           } else {
             leadership.deposedBy(outcome);
@@ -230,39 +232,39 @@
   // ---- views ----
 
   /** Where a zone stands. */
-  public ZoneStatus life(String zone) {
-    return lives.getOrDefault(zone, ZoneStatus.NEW);
+  public ZoneStatus status(String zone) {
+    return statuses.getOrDefault(zone, ZoneStatus.NEW);
   }
 
   /** All zones of which anything is known, by name. */
-  public Map<String, ZoneStatus> lives() {
-    Map<String, ZoneStatus> out = new TreeMap<>();
-    known().forEach(z -> out.put(z, life(z)));
-    return out;
+  public Map<String, ZoneStatus> statuses() {
+    Map<String, ZoneStatus> statusesByZone = new TreeMap<>();
+    knownZones().forEach(z -> statusesByZone.put(z, status(z)));
+    return statusesByZone;
   }
 
   /** How long a zone has to be heard before it is steady again: doubling with each cut. */
-  long heldMs(ZoneStatus status) {
+  long stabilizationMs(ZoneStatus status) {
     int leases = 1 << Math.min(30, Math.max(0, status.cuts() - 1));
-    return Math.min(MOST_HELD_LEASES, leases) * settings.workers().leaseMs();
+    return Math.min(MAX_STABILIZATION_LEASES, leases) * settings.workers().leaseMs();
   }
 
   /** Seconds until a returning zone is steady, 0 for any other. */
-  public double heldS(String zone) {
-    ZoneStatus status = life(zone);
+  public double remainingStabilizationS(String zone) {
+    ZoneStatus status = status(zone);
     return status.state() != State.RETURNING
         ? 0
-        : Math.max(0, heldMs(status) - (clock.wall() - status.sinceWall())) / 1000.0;
+        : Math.max(0, stabilizationMs(status) - (clock.wall() - status.sinceWallMs())) / 1000.0;
   }
 
   /**
    * True while nothing is to be rented there: nobody there is heard, or it has flapped and is not
    * steady yet.
    */
-  public boolean closed(String zone) {
-    ZoneStatus status = life(zone);
-    boolean away = status.state() == State.CUT || status.state() == State.LOST;
-    return leading && (away || status.cuts() > 1 && status.state() != State.STEADY);
+  public boolean isClosed(String zone) {
+    ZoneStatus status = status(zone);
+    boolean unheard = status.state() == State.CUT || status.state() == State.LOST;
+    return leading && (unheard || status.cuts() > 1 && status.state() != State.STEADY);
   }
 
   @Override
--- a/src/test/java/dapplestair/fleet/CapacityEstimatorTest.java
+++ b/src/test/java/dapplestair/fleet/CapacityEstimatorTest.java
@@ -15,11 +15,11 @@
  */
 class CapacityEstimatorTest {
   private static final CapacityPool POOL = new CapacityPool(new MachineKind("t8", true), "a");
-  private static final long BELIEVED_MS = 15_000;
+  private static final long REFUSAL_MS = 15_000;
 
   private long now;
-  private int held;
-  private int pending;
+  private int heldCount;
+  private int pendingCount;
   private final MachineTypes types = new MachineTypes();
   private final CapacityEstimator capacityEstimator =
       new CapacityEstimator(
@@ -36,10 +36,10 @@
           },
           types,
           Events.OFF,
-          BELIEVED_MS,
-          pool -> held,
-          pool -> held + pending,
-          pool -> held + pending);
+          REFUSAL_MS,
+          pool -> heldCount,
+          pool -> heldCount + pendingCount,
+          pool -> heldCount + pendingCount);
 
   @BeforeEach
   void describeTypes() throws Exception {
@@ -52,32 +52,32 @@
   }
 
   @Test
-  void whatIsOnlyAskedForIsNotGranted() {
-    held = 60;
-    pending = 50;
-    capacityEstimator.refuse(POOL);
+  void pendingMachinesAreNotCountedAsGranted() {
+    heldCount = 60;
+    pendingCount = 50;
+    capacityEstimator.recordRefusal(POOL);
     assertEquals(60, capacityEstimator.capacity(POOL.kind(), 1000));
   }
 
   /** An answer that was on its way when another rental was refused shows more. */
   @Test
-  void whatArrivesAfterTheRefusalCounts() {
-    held = 10;
-    pending = 50;
-    capacityEstimator.refuse(POOL);
-    held = 60;
-    pending = 0;
+  void machinesGrantedAfterTheRefusalCount() {
+    heldCount = 10;
+    pendingCount = 50;
+    capacityEstimator.recordRefusal(POOL);
+    heldCount = 60;
+    pendingCount = 0;
     assertEquals(60, capacityEstimator.capacity(POOL.kind(), 1000));
   }
 
   /** Machines that are returned could be had again. */
   @Test
-  void whatWasGrantedStaysGranted() {
-    held = 60;
-    capacityEstimator.refuse(POOL);
-    held = 20;
+  void returnedMachinesStayInTheCapacity() {
+    heldCount = 60;
+    capacityEstimator.recordRefusal(POOL);
+    heldCount = 20;
     assertEquals(60, capacityEstimator.capacity(POOL.kind(), 1000));
-    now = BELIEVED_MS + 1;
+    now = REFUSAL_MS + 1;
     assertEquals(1020, capacityEstimator.capacity(POOL.kind(), 1000));
   }
 }
--- a/src/test/java/dapplestair/fleet/SpotHistoryTest.java
+++ b/src/test/java/dapplestair/fleet/SpotHistoryTest.java
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void nothingTakenNoChance() {
-    assertEquals(0, spotHistory.takeBackChance(new MachineKind("t8", true), 60_000, 10));
+  void reclaimProbabilityIsZeroWithoutReclaims() {
+    assertEquals(0, spotHistory.reclaimProbability(new MachineKind("t8", true), 60_000, 10));
   }
 }
