--- a/src/main/java/dapplestair/calendar/Calendars.java
+++ b/src/main/java/dapplestair/calendar/Calendars.java
@@ -34,10 +34,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Run calendars. A delivery is marked in the very transaction that makes its job done, so that it
- * counts once, whoever leads; a cycle's release is one conditional put. Runs are held until their
- * cycle is released or its cut-off has passed by the clock alone: nothing is held for longer,
- * whatever is lost.
+ * Keeps the run calendars. A delivery is marked in the same transaction that records its job as
+ * done, so that it counts once, whichever controller leads. A cycle is released by one conditional
+ * put. Runs are held until their cycle is released or its cut-off has passed. The cut-off needs
+ * only the clock, so no run is held for longer, whatever fails.
  */
 public final class Calendars implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Calendars.class);
@@ -53,20 +53,20 @@
   private final Ledger ledger;
   private final Events events;
 
-  // From the records.
+  // Read from the records, by calendar name; the marks also by cycle start.
   private final Map<String, Cycle> cycles = new HashMap<>();
   private final Map<String, Map<Long, Set<String>>> deliveryMarks = new HashMap<>();
 
   private final Set<String> calendarsBeingWritten = new HashSet<>();
 
-  /** Runs that were held at the last tick, by reference. */
+  /** References of the runs that were held at the last tick. */
   private Set<String> previouslyHeldRefs = Set.of();
 
   private Runnable onRelease = () -> {};
   private DoubleSupplier bootS = () -> 0;
   private Cancellable timer = () -> {};
 
-  /** The calendars of the operators' file; without any, nothing here costs anything. */
+  /** Creates the calendars of the operators' file. Without any calendar, no timer runs. */
   public Calendars(
       Clock clock,
       TermTimers timers,
@@ -89,18 +89,15 @@
     calendars.forEach(c -> this.calendars.put(c.name(), c));
   }
 
-  /**
-   * {@code newOnRelease} hears of releases; {@code newBootS} says for how many seconds a machine
-   * boots.
-   */
+  /** Sets the callback for releases and the supplier of a machine's boot time in seconds. */
   public void setCallbacks(Runnable newOnRelease, DoubleSupplier newBootS) {
     onRelease = newOnRelease;
     bootS = newBootS;
   }
 
-  // ---- what the replica says ----
+  // ---- records from the replica ----
 
-  /** A calendar's key, or one of its marks, has this value, or is gone. */
+  /** Applies the record of a calendar or of one of its marks; a null value means it was removed. */
   public void applyRecord(String key, JsonNode value) {
     String[] parts = key.substring(StateKeys.CALENDAR.length()).split("/", 3);
     if (parts.length == 3) {
@@ -120,7 +117,7 @@
     }
   }
 
-  /** Forgets all: the replica tells its records again. */
+  /** Drops all state; the replica delivers its records again. */
   public void clear() {
     writer.reset();
     timer.cancel();
@@ -132,7 +129,7 @@
 
   // ---- leading ----
 
-  /** Goes on with the cycles on record; to be called before anything is placed. */
+  /** Continues with the recorded cycles. Must be called before anything is placed. */
   public void lead() {
     writer.reset();
     if (!calendars.isEmpty()) {
@@ -150,7 +147,7 @@
     timer = timers.after(settings.workers().reportMs() / 12, this::tick);
   }
 
-  /** Releases the newest cycle that can be; what lies further back was missed. */
+  /** Releases the current cycle if it is due, and records earlier cycles as missed. */
   private void releaseIfDue(RunCalendar calendar) {
     long wall = clock.wall();
     long current = calendar.cycle(wall);
@@ -162,7 +159,7 @@
     }
     long nextUnreleased = last.startMs() == 0 ? current : calendar.next(last.startMs());
     if (nextUnreleased < current) {
-      // Nobody led, or nobody could write, until it was over; its runs are long on their way.
+      // No controller led, or none could write, until this cycle ended; its runs have long started.
       release(
           calendar,
           last.withRelease(
@@ -202,7 +199,8 @@
             announceRelease(calendar, next);
             onRelease.run();
           }
-          // The replica shows it a moment later; without an answer it tells what became of it.
+          // The replica shows the record a moment later. Without an answer, the replica also shows
+          // whether the put was applied.
           timers.after(
               settings.workers().reportMs() / 12,
               () -> calendarsBeingWritten.remove(calendar.name()));
@@ -211,7 +209,7 @@
 
   private void announceRelease(RunCalendar calendar, Cycle cycle) {
     LOG.info(
-        "{}: the cycle of {} is released ({}, {} of {} deliveries)",
+        "calendar {}: released the cycle that began at {} ms (cause: {}, {} of {} deliveries)",
         calendar.name(),
         cycle.startMs(),
         cycle.cause().label(),
@@ -227,7 +225,7 @@
                 .put("lag_s", (cycle.releasedAtMs() - cycle.startMs()) / 1000.0));
   }
 
-  /** Marks of cycles that are over are taken out, a few at a time, one period after their end. */
+  /** Removes the marks of past cycles one period after their end, a few per transaction. */
   private void removeOldMarks(RunCalendar calendar, Cycle last) {
     Txn txn = writer.transaction();
     deliveryMarks
@@ -256,9 +254,9 @@
   }
 
   /**
-   * What is held is planned for only from when its machines have to be asked for. What is held no
-   * more is placed now, whatever ended it: an answer, the record of a release whose answer was
-   * lost, or the clock.
+   * Updates which runs are held. Held runs are planned for only from the time at which their
+   * machines have to be requested. Runs that are no longer held are placed now, whatever ended the
+   * hold: the answer to the release, the record of a release whose answer was lost, or the clock.
    */
   private void updateHeldRuns() {
     Set<String> heldRefs = new HashSet<>();
@@ -279,14 +277,14 @@
     }
   }
 
-  /** True from a boot before the usual release on. */
+  /** Returns true from one boot time before the usual release of a job's cycle. */
   private boolean isReleaseNear(RunCalendar calendar, Job job) {
     long start = calendar.cycle(job.acceptedWall());
     double usualLagMs = lastReleasedCycle(calendar.name()).usualLagMs(calendar.cutOffMs());
     return clock.wall() >= start + usualLagMs - 1000 * bootS.getAsDouble();
   }
 
-  // ---- asked by the others ----
+  // ---- queries of other components ----
 
   private RunCalendar calendarFor(Submission submission) {
     for (RunCalendar calendar : calendars.values()) {
@@ -297,7 +295,7 @@
     return null;
   }
 
-  /** True while a job has to wait for its cycle. */
+  /** Returns true while a job has to wait for the release of its cycle. */
   public boolean isHeld(Job job) {
     RunCalendar calendar = calendars.isEmpty() ? null : calendarFor(job.spec());
     if (calendar == null) {
@@ -308,14 +306,17 @@
         && clock.wall() - start < calendar.cutOffMs();
   }
 
-  /** True for a run of the cycle released last: it goes first of its rank. */
+  /** Returns true for a run of the last released cycle. Such runs go first within their rank. */
   public boolean isRunOfLastReleasedCycle(Job job) {
     RunCalendar calendar = calendars.isEmpty() ? null : calendarFor(job.spec());
     return calendar != null
         && lastReleasedCycle(calendar.name()).startMs() == calendar.cycle(job.acceptedWall());
   }
 
-  /** A job is about to be recorded as done: if it is a delivery, it is marked with the same put. */
+  /**
+   * Adds delivery marks to the transaction that records a job as done, for each calendar of which
+   * the job is a delivery.
+   */
   public void addDeliveryMarks(Job job, Txn txn) {
     for (RunCalendar calendar : calendars.values()) {
       if (calendar.isDelivery(job.spec())) {
@@ -328,7 +329,7 @@
     }
   }
 
-  /** How many marks {@link #addDeliveryMarks} may add to a transaction. */
+  /** Returns the maximum number of marks that {@link #addDeliveryMarks} adds to a transaction. */
   public int maxDeliveryMarks() {
     return calendars.size();
   }
@@ -350,7 +351,7 @@
 
   // ---- views ----
 
-  /** How a calendar stands. */
+  /** State of a calendar, as shown to operators. */
   public record CalendarStatus(
       String name,
       String state,
@@ -362,7 +363,7 @@
       double lastLagS,
       int heldRuns) {}
 
-  /** All calendars, in the order of the file. */
+  /** Returns the states of all calendars, in the order of the operators' file. */
   public List<CalendarStatus> statuses() {
     List<CalendarStatus> statuses = new ArrayList<>();
     long wall = clock.wall();
--- a/src/main/java/dapplestair/calendar/Cycle.java
+++ b/src/main/java/dapplestair/calendar/Cycle.java
@@ -9,13 +9,13 @@
 import java.util.Locale;
 
 /**
- * Where a calendar stands: its newest cycle that was released, and how the ones before went.
+ * The last released cycle of a calendar, with the releases before it.
  *
- * @param startMs of the cycle, time of day in milliseconds; 0 before the first
- * @param cause what released it
- * @param releasedAtMs when it was released
- * @param deliveredCount how many deliveries were there then
- * @param past releases before it, the newest first
+ * @param startMs start of the cycle in wall-clock milliseconds; 0 before the first release
+ * @param cause what released the cycle
+ * @param releasedAtMs time of the release in wall-clock milliseconds
+ * @param deliveredCount number of deliveries at the time of the release
+ * @param past earlier releases, the newest first
  */
 record Cycle(
     long startMs, ReleaseCause cause, long releasedAtMs, int deliveredCount, List<PastCycle> past) {
@@ -23,13 +23,13 @@
 
   /** What released a cycle. */
   enum ReleaseCause {
-    /** All deliveries were there. */
+    /** All deliveries had arrived. */
     COMPLETE,
-    /** Enough of them, after a while. */
+    /** A quorum of deliveries had arrived, and the time to wait for more had passed. */
     QUORUM,
-    /** The time was over. */
+    /** The cut-off time had passed. */
     CUT_OFF,
-    /** Nobody led until the next one had begun. */
+    /** No controller could release the cycle before the next one began. */
     MISSED;
 
     String label() {
@@ -37,12 +37,12 @@
     }
   }
 
-  /** How long after its start a cycle was released, and by what. */
+  /** An earlier release: what caused it, and how long after the start of its cycle it came. */
   record PastCycle(long startMs, ReleaseCause cause, long lagMs) {}
 
   static final Cycle NONE = new Cycle(0, ReleaseCause.MISSED, 0, 0, List.of());
 
-  /** The next release. */
+  /** Returns this record followed by the release of a newer cycle. */
   Cycle withRelease(long newStart, ReleaseCause newCause, long newAt, int newDelivered) {
     List<PastCycle> newPast = new ArrayList<>();
     if (startMs > 0) {
@@ -52,7 +52,10 @@
     return new Cycle(newStart, newCause, newAt, newDelivered, newPast);
   }
 
-  /** How long after its start a cycle is usually released: the mean of those on record. */
+  /**
+   * Returns how long after its start a cycle is usually released: the mean of the recorded
+   * releases, or {@code defaultMs} before the first.
+   */
   double usualLagMs(double defaultMs) {
     if (startMs == 0) {
       return defaultMs;
@@ -105,7 +108,7 @@
         return cause;
       }
     }
-    // A later version's: released all the same.
+    // A later version may write a cause that is unknown here; the cycle is released all the same.
     return ReleaseCause.CUT_OFF;
   }
 }
--- a/src/main/java/dapplestair/calendar/package-info.java
+++ b/src/main/java/dapplestair/calendar/package-info.java
@@ -1,2 +1,2 @@
-/** Runs that start in step with what is delivered, cycle by cycle (docs/calendar.md). */
+/** Run calendars: runs that wait, cycle by cycle, for deliveries (docs/calendar.md). */
 package dapplestair.calendar;
--- a/src/main/java/dapplestair/fleet/CapacityEstimator.java
+++ b/src/main/java/dapplestair/fleet/CapacityEstimator.java
@@ -16,7 +16,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What the cloud has shown to give: capacity shows only when it refuses. */
+/**
+ * Estimates how many machines the cloud can provide, by kind and zone. The cloud's capacity shows
+ * only when it refuses a request.
+ */
 final class CapacityEstimator {
   private static final Logger LOG = LoggerFactory.getLogger(CapacityEstimator.class);
 
@@ -32,11 +35,12 @@
   private Predicate<String> isZoneClosed = z -> false;
 
   /**
-   * A refusal is believed for {@code refusalMs}.
+   * Creates an estimator without any refusals.
    *
-   * @param heldCount machines that the cloud has given and that are still held
-   * @param heldOrPendingCount the same and what is asked for
-   * @param stayingCount the same without machines that are about to be replaced
+   * @param refusalMs how long a refusal is taken to hold
+   * @param heldCount counts the machines of a pool that the cloud has provided and that are held
+   * @param heldOrPendingCount counts the held and the requested machines of a pool
+   * @param stayingCount counts the same without machines that are about to be replaced
    */
   CapacityEstimator(
       Clock clock,
@@ -59,43 +63,51 @@
     isZoneClosed = newIsZoneClosed;
   }
 
-  /** The cloud has no more there. True when it was thought to. */
+  /** Records that the cloud has no more there. Returns true if it had no recent refusal before. */
   boolean recordRefusal(CapacityPool pool) {
     boolean newlyRefused = mayHaveCapacity(pool);
     if (newlyRefused) {
-      LOG.info("no more {} in {}", pool.kind(), pool.zone());
+      LOG.info(
+          "the cloud refused more machines of type {} ({}) in zone {}: not renting there for {} ms",
+          pool.kind().type(),
+          pool.kind().spot() ? "spot" : "steady",
+          pool.zone(),
+          refusalMs);
       events.note(Events.Kind.REFUSED, pool::describe);
     }
     refusedUntilMs.put(pool, clock.now() + refusalMs);
-    // What other rentals there have asked for is not granted: a plan that counts on it wants
-    // nothing
-    // of another kind instead.
+    // Machines that other rentals have requested there are not granted. A plan that counted on
+    // them would rent no other kind instead.
     grantedCounts.put(pool, heldCount.applyAsInt(pool));
     return newlyRefused;
   }
 
-  /** True when the cloud may have more there. */
+  /** Returns true when the cloud has not refused machines of this pool recently. */
   boolean mayHaveCapacity(CapacityPool pool) {
     return refusedUntilMs.getOrDefault(pool, Long.MIN_VALUE) <= clock.now();
   }
 
-  /** True when the cloud once had no more there. */
+  /** Returns true when the cloud has ever refused machines of this pool. */
   boolean wasEverRefused(CapacityPool pool) {
     return grantedCounts.containsKey(pool);
   }
 
-  /** True when there may be more, and something may be rented there. */
+  /** Returns true when the cloud may have more machines there and the zone is not closed. */
   boolean mayRent(CapacityPool pool) {
     return mayHaveCapacity(pool) && !isZoneClosed.test(pool.zone());
   }
 
-  /** True when some zone may have more of this slot. */
+  /** Returns true when machines of this kind may be rented in some zone. */
   boolean mayHaveCapacity(MachineKind kind) {
     MachineType type = types.get(kind.type());
     return type != null && type.zones().stream().anyMatch(z -> mayRent(new CapacityPool(kind, z)));
   }
 
-  /** Most machines of a slot that the cloud has shown to give, or {@code headroomPerZone}. */
+  /**
+   * Returns the estimated maximum number of machines of a kind: in closed zones what is held or
+   * requested, in open zones without a recent refusal {@code headroomPerZone} more than that, and
+   * in the others what the cloud granted up to the refusal.
+   */
   int capacity(MachineKind kind, int headroomPerZone) {
     MachineType type = types.get(kind.type());
     if (type == null) {
@@ -105,20 +117,20 @@
     for (String zone : type.zones()) {
       CapacityPool pool = new CapacityPool(kind, zone);
       if (isZoneClosed.test(zone)) {
-        // What is held there stays; nothing more is rented.
+        // Machines held in a closed zone stay; no more are rented there.
         sum += heldOrPendingCount.applyAsInt(pool);
       } else {
         sum +=
             mayHaveCapacity(pool)
                 ? heldOrPendingCount.applyAsInt(pool) + headroomPerZone
-                // An answer that was on its way then may have shown more.
+                // An answer in flight at the time of the refusal may have added machines.
                 : Math.max(grantedCounts.getOrDefault(pool, 0), heldCount.applyAsInt(pool));
       }
     }
     return sum;
   }
 
-  /** What costs least of all that the cloud may have in this zone, or null. */
+  /** Returns the cheapest pool in which the cloud may have machines in this zone, or null. */
   CapacityPool cheapestIn(String zone, SpotHistory spotHistory) {
     CapacityPool cheapest = null;
     double lowestPrice = Double.POSITIVE_INFINITY;
@@ -135,7 +147,10 @@
     return cheapest;
   }
 
-  /** Spreads {@code count} more of a type over the zones that still have some, the fewest first. */
+  /**
+   * Spreads {@code count} more machines over the zones where they may be rented, starting with the
+   * zones that have the fewest.
+   */
   Map<CapacityPool, Integer> spread(MachineKind kind, MachineType type, int count) {
     Map<CapacityPool, Integer> sharesByPool = new LinkedHashMap<>();
     Map<CapacityPool, Integer> countsByPool = new HashMap<>();
@@ -156,7 +171,7 @@
     return sharesByPool;
   }
 
-  /** Where the cloud refuses now, and for how many more seconds that is believed. */
+  /** Passes each pool with a recent refusal, and the seconds until the refusal expires. */
   void forEachRefusal(BiConsumer<CapacityPool, Double> consumer) {
     long now = clock.now();
     List<Map.Entry<CapacityPool, Long>> entries = new ArrayList<>(refusedUntilMs.entrySet());
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -25,7 +25,7 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.Predicate;
 
-/** Rents and returns machines, and learns from the cloud which exist. Acts only for a leader. */
+/** Rents, lists and returns machines. Acts only while this controller leads. */
 public final class Fleet implements AutoCloseable {
   private static final int MAX_MACHINES_PER_RENTAL = 50;
 
@@ -50,7 +50,7 @@
   private boolean fetchingTypes;
   private Cancellable timer = () -> {};
 
-  /** A fleet without machines. */
+  /** Creates a fleet that knows no machines yet. */
   public Fleet(
       Clock clock,
       TermTimers timers,
@@ -119,28 +119,29 @@
 
   private void onCapacityRefused(CapacityPool pool) {
     if (capacityEstimator.recordRefusal(pool)) {
-      // What is wanted must come from elsewhere: a plan that knows, not the next one in its turn.
+      // The machines must come from elsewhere: plan again at once, with knowledge of the refusal,
+      // instead of at the next regular interval.
       healthMonitor.notifyCapacityLost();
     }
   }
 
-  /** Zones in which nothing is to be rented, since operators have them emptied. */
+  /** Sets the test for zones in which nothing may be rented, since operators drain them. */
   public void setZoneClosedTest(Predicate<String> isZoneClosed) {
-    // Nothing is rented in a silent zone either: what boots there cannot be reached.
+    // Nothing is rented in a silent zone either: machines that boot there cannot be reached.
     capacityEstimator.setZoneClosedTest(z -> isZoneClosed.test(z) || workers.zoneSilentMs(z) > 0);
   }
 
   /**
-   * How much work waits for room, for the decision which silent machines to give up, and who hears
-   * of room that is lost.
+   * Sets the supplier of the CPUs of waiting work, which helps to decide which silent machines are
+   * given up, and the callback for lost capacity.
    */
   public void setCapacityCallbacks(DoubleSupplier waitingCpus, Runnable onCapacityLost) {
     healthMonitor.setCapacityCallbacks(waitingCpus, onCapacityLost);
   }
 
-  // ---- what the replica says ----
+  // ---- records from the replica ----
 
-  /** The recorded types have this value. */
+  /** Applies the record of the machine types. */
   public void applyTypesRecord(JsonNode value, long stamp) {
     typesStamp = stamp;
     if (value != null && !types.known()) {
@@ -148,19 +149,19 @@
     }
   }
 
-  /** A rental's record has this value. */
+  /** Applies a rental's record. */
   public void applyRentalRecord(String name, JsonNode value, long stamp) {
     rentals.applyRecord(name, value, stamp);
   }
 
-  /** A rental's record is gone. */
+  /** Applies the removal of a rental's record. */
   public void applyRentalRemoval(String name) {
     rentals.applyRemoval(name);
   }
 
   // ---- leading ----
 
-  /** Takes over the machines that earlier terms rented. */
+  /** Begins to lead and takes over the machines that earlier terms rented. */
   public void lead() {
     leading = true;
     healthMonitor.lead(machineList);
@@ -169,7 +170,7 @@
     tick();
   }
 
-  /** Forgets all but prices: the replica tells it again. */
+  /** Drops all state except prices; the replica delivers its records again. */
   public void clear() {
     leading = false;
     timer.cancel();
@@ -224,21 +225,21 @@
         Priority.LAUNCH,
         settings.workers().reportMs(),
         outcome -> {
-          // What was refused to a former term says nothing of this one.
+          // A write refused to an earlier term does not show that this term has ended.
           if (leadership.leads(term)) {
             leadership.deposedBy(outcome);
           }
         });
   }
 
-  /** What the cloud's machines cost and how often it takes them. */
+  /** Returns the recent spot prices and reclaims. */
   public SpotHistory spotHistory() {
     return spotHistory;
   }
 
   // ---- returning and renting ----
 
-  /** Returns an idle machine; false when something holds room on it. */
+  /** Returns an idle machine; false when it is in use or the state service is unreachable. */
   public boolean release(Host host) {
     if (!host.idle() || host.releasing() || !healthMonitor.mayReturnMachines()) {
       return false;
@@ -247,7 +248,7 @@
     return true;
   }
 
-  /** Rents up to {@code count} more, spread over the zones that still have some. */
+  /** Rents up to {@code count} more machines, spread over the zones that may have capacity. */
   public void rent(MachineKind kind, int count) {
     MachineType type = types.get(kind.type());
     if (type == null || !leading) {
@@ -257,8 +258,8 @@
         .spread(kind, type, count)
         .forEach(
             (pool, share) -> {
-              // Where the cloud has refused lately one lot tells whether it has more again: each
-              // is a put before the cloud is asked.
+              // Each rental costs a put before the cloud is asked. In a pool that the cloud has
+              // refused before, a single rental is enough to learn whether it has capacity again.
               int total =
                   capacityEstimator.wasEverRefused(pool)
                       ? Math.min(share, MAX_MACHINES_PER_RENTAL)
@@ -269,7 +270,7 @@
             });
   }
 
-  /** Rents one more in this zone; false when nothing is to be had there now. */
+  /** Rents one more machine in this zone; returns false when none can be rented there now. */
   public boolean rentIn(MachineKind kind, String zone) {
     if (!leading || !mayRentIn(kind, zone)) {
       return false;
@@ -278,7 +279,7 @@
     return true;
   }
 
-  /** Rents up to {@code count} more in this zone, at most one lot. */
+  /** Rents up to {@code count} more machines in this zone, in at most one rental. */
   public void rentIn(MachineKind kind, String zone, int count) {
     if (leading && count > 0 && mayRentIn(kind, zone)) {
       rentals.startRental(new CapacityPool(kind, zone), Math.min(count, MAX_MACHINES_PER_RENTAL));
@@ -286,8 +287,7 @@
   }
 
   /**
-   * Rents one machine in this zone though it may be closed, of the kind that costs least; false
-   * when none is to be had there now.
+   * Rents one machine of the cheapest kind in this zone, even if closed; false if none is there.
    */
   public boolean rentCheapestIn(String zone) {
     CapacityPool cheapest = leading ? capacityEstimator.cheapestIn(zone, spotHistory) : null;
@@ -298,52 +298,55 @@
     return true;
   }
 
-  /** True when the cloud may have more there, and something may be rented there. */
+  /** Returns true when the cloud may have more machines there and the zone is not closed. */
   public boolean mayRentIn(MachineKind kind, String zone) {
     return capacityEstimator.mayRent(new CapacityPool(kind, zone));
   }
 
-  /** Machines asked for in this zone of which the cloud has not told yet. */
+  /** Returns how many machines were requested in this zone and not yet answered by the cloud. */
   public int pendingIn(MachineKind kind, String zone) {
     return rentals.pendingCount(new CapacityPool(kind, zone));
   }
 
-  /** A machine that no list has shown for so long is not there; milliseconds. */
+  /** Returns the maximum lag of the cloud's list; machines unlisted for longer do not exist. */
   public long maxListLagMs() {
     return machineList.maxLagMs();
   }
 
   // ---- views ----
 
-  /** Machines of a slot that are or will be of use. */
+  /** Returns how many machines of this kind are usable or will be. */
   public int heldOrPendingCount(MachineKind kind) {
     return capacity.heldOrPendingCount(kind);
   }
 
-  /** True when a machine is, or will be, of use in this slot. */
+  /** Returns true when a machine is, or will be, usable as one of this kind. */
   public boolean isUsableAs(Host host, MachineKind kind) {
     return capacity.isUsableAs(host, kind);
   }
 
-  /** Most machines of a slot that the cloud has shown to give, or {@code headroomPerZone}. */
+  /**
+   * Returns the estimated maximum number of machines of a kind, with {@code headroomPerZone} more
+   * than now for each open zone without a recent refusal.
+   */
   public int capacity(MachineKind kind, int headroomPerZone) {
     return capacityEstimator.capacity(kind, headroomPerZone);
   }
 
   /**
-   * Keeps new work from so many steady machines of a slot, those that empty soonest, none of them
-   * in the zones that are spared.
+   * Cordons {@code count} steady machines of a kind against new work: those that become empty
+   * soonest, and none in the zones that {@code isZoneSpared} accepts.
    */
   public void cordon(MachineKind kind, int count, Predicate<String> isZoneSpared) {
     capacity.cordon(kind, count, isZoneSpared);
   }
 
-  /** Idle machines of a slot that may be returned now, those idle longest first. */
+  /** Returns the idle machines of a kind that may be returned now, those idle longest first. */
   public List<Host> returnable(MachineKind kind) {
     return capacity.returnable(kind);
   }
 
-  /** What is on its way for a job, and what the cloud refused. */
+  /** Returns the machines that are on their way for a job, and what the cloud refused. */
   public PendingCapacity pendingCapacity(Submission submission) {
     long now = clock.now();
     int booting = 0;
--- a/src/main/java/dapplestair/fleet/FleetCapacity.java
+++ b/src/main/java/dapplestair/fleet/FleetCapacity.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** The machines that are held or on their way, by slot and zone. */
+/** Counts the machines that are held or requested, by kind and zone. */
 final class FleetCapacity {
-  /** The shortest time a machine is charged for, from the cloud's description. */
+  /** Minimum time for which a machine is charged, from the cloud's description. */
   private static final long MIN_CHARGED_MS = 60_000;
 
   private final Clock clock;
@@ -26,7 +26,7 @@
     this.timeouts = timeouts;
   }
 
-  /** True when a machine is, or will be, of use in this slot. */
+  /** Returns true when a machine is, or will be, usable as one of this kind. */
   boolean isUsableAs(Host host, MachineKind kind) {
     return !host.gone()
         && !host.releasing()
@@ -40,12 +40,14 @@
   }
 
   /**
-   * Machines that hang, or of a silent zone, are waited for, so that nothing is rented in their
-   * place; but the replicas on them will be lost first, and room for those must boot in time.
+   * Returns true when a machine is reachable or expected to be reachable again. Machines that hang
+   * or whose zone is silent are waited for, so that nothing is rented in their place. Machines with
+   * replicas are waited for only briefly: replicas are lost first, and their new machines must boot
+   * in time.
    */
   private boolean isAwaited(Host host) {
-    // What runs on a mute machine will be lost with its lease, so others are rented in time. If
-    // nobody reports at all, new ones could not either.
+    // The work on a mute machine is lost when its lease ends, so replacements are rented in time.
+    // If no worker reports at all, new machines could not report either.
     if (host.mute() && workers.anyReports()) {
       return false;
     }
@@ -65,7 +67,10 @@
     return count + rentals.pendingCount(kind);
   }
 
-  /** The same without machines that are about to be replaced: new ones go where those leave. */
+  /**
+   * Returns how many machines of a pool are held or requested, without those about to be replaced,
+   * so that new machines go to the zones that the replaced ones leave.
+   */
   int stayingCount(CapacityPool pool) {
     int count = 0;
     for (Host host : workers.hosts()) {
@@ -82,7 +87,7 @@
     return heldCount(pool) + rentals.pendingCount(pool);
   }
 
-  /** The same without what is asked for. */
+  /** Returns how many machines of a pool are held, without requested ones. */
   int heldCount(CapacityPool pool) {
     int count = 0;
     for (Host host : workers.hosts()) {
@@ -94,8 +99,8 @@
   }
 
   /**
-   * Keeps new work from so many steady machines of a slot, those that empty soonest, none of them
-   * in the zones that are spared.
+   * Cordons {@code count} steady machines of a kind against new work: those that become empty
+   * soonest, and none in the zones that {@code isZoneSpared} accepts.
    */
   void cordon(MachineKind kind, int count, Predicate<String> isZoneSpared) {
     if (kind.spot()) {
@@ -119,12 +124,12 @@
     }
   }
 
-  /** Idle machines of a slot that may be returned now, those idle longest first. */
+  /** Returns the idle machines of a kind that may be returned now, those idle longest first. */
   List<Host> returnable(MachineKind kind) {
     long now = clock.now();
     List<Host> idleHosts = new ArrayList<>();
     for (Host host : workers.hosts()) {
-      // What a silent machine does is not known.
+      // It is not known whether a silent machine is idle.
       boolean idle = host.up() && host.idle() && host.zoneSilentMs() == 0 && !host.hanging();
       if (idle && isUsableAs(host, kind) && now - host.rentedAt() >= MIN_CHARGED_MS) {
         idleHosts.add(host);
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -20,12 +20,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which machines are given up: lost, late, silent, emptied, or with work that cannot be stopped.
+ * Decides which machines are given up: those that are lost, overdue in booting, silent or drained,
+ * or whose cancelled work cannot be stopped.
  */
 final class MachineHealthMonitor implements MachineList.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(MachineHealthMonitor.class);
 
-  // Usual boots take up to 1.5 times the stated time, and a bad day nearly doubles that.
+  // Usual boots take up to 1.5 times the stated boot time, and on a bad day nearly twice that.
   private static final double BOOT_OVERDUE_FACTOR = 3.0;
 
   private final Clock clock;
@@ -41,7 +42,7 @@
   private DoubleSupplier waitingCpus = () -> 0;
   private Runnable onCapacityLost = () -> {};
 
-  // Zones for whose replicas room was asked for already.
+  // Silent zones for whose replicas capacity elsewhere was already requested.
   private final Set<String> preparedZones = new HashSet<>();
   private final Events events;
   private MachineList machineList;
@@ -76,8 +77,10 @@
   }
 
   /**
-   * {@code newWaitingCpus} says how much work waits for room; {@code newOnCapacityLost} hears of
-   * room that is lost.
+   * Sets the callbacks of this monitor.
+   *
+   * @param newWaitingCpus supplies the CPUs of the work that waits for capacity
+   * @param newOnCapacityLost runs when capacity is lost
    */
   void setCapacityCallbacks(DoubleSupplier newWaitingCpus, Runnable newOnCapacityLost) {
     waitingCpus = newWaitingCpus;
@@ -89,12 +92,12 @@
     leadingSinceMs = clock.now();
   }
 
-  /** Room that was counted on is not to be had. */
+  /** Reports that capacity that the plan counts on is not available. */
   void notifyCapacityLost() {
     onCapacityLost.run();
   }
 
-  /** Looks at every machine. */
+  /** Inspects every machine and returns those that are given up. */
   void inspectAll() {
     long now = clock.now();
     anyHostFresh = false;
@@ -116,7 +119,7 @@
 
   @Override
   public void onFailed(Host host) {
-    LOG.info("{} has failed", host.id());
+    LOG.info("machine {} has failed according to the cloud: returning it", host.id());
     reportLost(host, "failed");
     workers.gone(host);
     releases.addGone(host.id());
@@ -124,7 +127,7 @@
 
   @Override
   public void onReclaimed(Host host) {
-    LOG.info("{} was taken", host.id());
+    LOG.info("machine {} was reclaimed by the cloud", host.id());
     reportLost(host, "taken by the cloud");
     spotHistory.noteReclaimed(host);
     workers.gone(host);
@@ -135,7 +138,7 @@
       return;
     }
     if (hasOverdueHalt(host, now)) {
-      LOG.info("{} still holds cancelled work: returning it", host.id());
+      LOG.info("machine {} did not stop cancelled work in time: returning it", host.id());
       giveUp(host);
     } else if (mayReturnMachines()) {
       returnIfUnusable(host, now);
@@ -143,9 +146,10 @@
   }
 
   /**
-   * A leader behind a cut sees all others as silent, and what it asks of the cloud may be done when
-   * the cut ends and another one leads. So it returns nothing that it need not, while the state
-   * service does not tell it that it leads.
+   * Returns true while the state service can be reached. A leader that is cut off sees all machines
+   * as silent, and its requests to the cloud may be carried out when the cut ends and another
+   * controller leads. So it returns only machines that it must return, as long as the state service
+   * does not confirm that it still leads.
    */
   boolean mayReturnMachines() {
     return state.unreachableMs() == 0;
@@ -153,13 +157,14 @@
 
   private void returnIfUnusable(Host host, long now) {
     if (workers.saidGone(host)) {
-      LOG.info("{} was returned by the leader before: once more", host.id());
+      LOG.info(
+          "machine {} was reported gone by the previous leader: returning it again", host.id());
       releases.add(host);
     } else if (host.outOfReach() && shouldGiveUp(host)) {
-      LOG.info("{} is silent: returning it", host.id());
+      LOG.info("machine {} has been silent for too long: returning it", host.id());
       LOG.debug(
-          "{} in {}: silent for {} ms, its zone for {} ms, hangs {}, mute {}, "
-              + "{} attempts, CPUs of replicas {}",
+          "silent machine {} in zone {}: silent for {} ms, its zone for {} ms, hanging: {}, "
+              + "mute: {}, attempts: {}, CPUs of replicas: {}",
           host.id(),
           host.zone(),
           workers.silentMs(host),
@@ -172,11 +177,11 @@
       spotHistory.noteReclaimed(host);
       giveUp(host);
     } else if (!host.expectedUp() && isBootOverdue(host, now)) {
-      LOG.info("{} does not come up: returning it", host.id());
+      LOG.info("machine {} is overdue in booting: returning it", host.id());
       reportLost(host, "does not come up");
       releases.add(host);
     } else if (isMissingFromLists(host, now)) {
-      LOG.info("{} is recorded but not listed: returning it", host.id());
+      LOG.info("machine {} is on record but not in the cloud's list: returning it", host.id());
       releases.add(host);
     } else if ((host.draining() || host.recalled()) && host.idle() && host.attempts().isEmpty()) {
       spotHistory.noteReclaimed(host);
@@ -185,9 +190,10 @@
   }
 
   /**
-   * A silent machine is given up while its zone is heard, unless it hangs: then its tasks may go on
-   * within its lease. If a whole zone is silent, it is rather the way there that is cut, and its
-   * tasks run on. Both are waited for as {@link SilenceTimeouts} says.
+   * Returns true when a silent machine should be given up. While its zone is heard, a silent
+   * machine is given up at once, unless it hangs: a hanging machine may continue its tasks within
+   * its lease. If the whole zone is silent, the network to it has probably been cut and its tasks
+   * run on. In both cases {@link SilenceTimeouts} defines how long to wait.
    */
   private boolean shouldGiveUp(Host host) {
     boolean runsReplicas = host.serviceCpus() > 0;
@@ -218,7 +224,10 @@
     return timedOut;
   }
 
-  /** Once for each silence of a zone, as soon as its machines with replicas count as lost. */
+  /**
+   * Requests capacity elsewhere once per silence of a zone, as soon as its machines with replicas
+   * no longer count as usable.
+   */
   private void prepareForZoneLoss(Host host) {
     if (host.zoneSilentMs() == 0) {
       preparedZones.remove(String.valueOf(host.zone()));
@@ -228,7 +237,7 @@
     }
   }
 
-  /** Room that is free now and that nothing waits for. */
+  /** Returns the CPUs that are free now, less those of the work that waits for capacity. */
   private double computeFreeCpus() {
     double free = -waitingCpus.getAsDouble();
     for (Host host : workers.hosts()) {
@@ -238,11 +247,12 @@
   }
 
   /**
-   * Only for machines that no list calls running. To a leader that has just begun, every machine is
-   * one that it has not heard yet: those that run must not be taken for late ones.
+   * Returns true when a listed machine is overdue in booting; asked only about machines that no
+   * list shows as running. A new leader has not heard any machine yet, so it waits for the maximum
+   * list lag: running machines must not be taken for overdue ones.
    */
   private boolean isBootOverdue(Host host, long now) {
-    // In a silent zone it may be up, and cannot say so.
+    // In a silent zone the machine may be up without being able to report.
     if (host.firstListedAt() == Long.MAX_VALUE
         || now - leadingSinceMs < machineList.maxLagMs()
         || host.zoneSilentMs() > 0) {
@@ -252,18 +262,22 @@
     return now - host.rentedAt() > BOOT_OVERDUE_FACTOR * bootS * 1000;
   }
 
-  /** What runs there ends with it: that cannot wait, and counts against its teams' budgets. */
+  /**
+   * Returns a machine with all that runs on it. This cannot wait for the disruption budgets of the
+   * teams concerned, but it is charged to them.
+   */
   private void giveUp(Host host) {
     chargeBudgets.accept(host);
     releases.add(host);
   }
 
   /**
-   * Recorded by an earlier leader, in a rental or as the place of an attempt, and gone before any
-   * list of this one could hold it. Its release is the proof that its attempts need.
+   * Returns true for a machine that an earlier leader recorded, in a rental or as the place of an
+   * attempt, and that was gone before any list of this leader could contain it. Its release is the
+   * proof of absence that its attempts need.
    *
-   * <p>Such a machine may have been heard all the same: a report that a cut held back arrives when
-   * the machine has long been returned. Then it must not make its zone look silent for long.
+   * <p>Such a machine may still have been heard: a report that a cut delayed can arrive long after
+   * the machine was returned. The machine must then not make its zone look silent for long.
    */
   private boolean isMissingFromLists(Host host, long now) {
     boolean heardLate = host.up() && workers.silentMs(host) > 2 * settings.workers().reportMs();
@@ -273,17 +287,21 @@
         && now - Math.min(host.rentedAt(), host.knownSince()) > machineList.maxLagMs();
   }
 
-  /** Cancelled work must be gone in time, reachable or not: a release is always a proof. */
+  /**
+   * Returns true when a machine has not stopped cancelled work in time. Cancelled work must end
+   * whether its machine is reachable or not, and returning the machine always proves that it ended.
+   */
   private boolean hasOverdueHalt(Host host, long now) {
-    // Behind a cut it may yet be proved otherwise, and a release would end all else there: half of
-    // the time is left for the cloud's own troubles.
+    // If the machine is cut off, the end of the work may still be proved in another way, and a
+    // release would end all other work there. So half of the allowed time passes first; the rest is
+    // left for failures of the cloud.
     long cancelMs = settings.workers().cancelMs();
     long haltTimeoutMs = cancelMs / (host.outOfReach() ? 2 : 4);
     for (Attempt attempt : host.attempts()) {
       if (attempt.job().over() && attempt.halting() && !attempt.exited()) {
         long haltedMs = now - attempt.haltAt();
-        // The time allowed does not begin anew with each leader: of what an earlier one could not
-        // stop either, this one only waits for an answer.
+        // The allowed time does not start again with each leader. For work that an earlier leader
+        // could not stop either, this one only waits long enough for an answer.
         boolean overdueSinceJobEnd =
             now - attempt.job().overAt() > cancelMs / 2 && haltedMs > cancelMs / 16;
         if (haltedMs > haltTimeoutMs || overdueSinceJobEnd) {
--- a/src/main/java/dapplestair/fleet/MachineKind.java
+++ b/src/main/java/dapplestair/fleet/MachineKind.java
@@ -1,4 +1,4 @@
 package dapplestair.fleet;
 
-/** A type of machine under one pricing: what a plan counts. */
+/** A machine type with its pricing, spot or steady; plans count machines by kind. */
 public record MachineKind(String type, boolean spot) {}
--- a/src/main/java/dapplestair/fleet/MachineList.java
+++ b/src/main/java/dapplestair/fleet/MachineList.java
@@ -12,14 +12,14 @@
 import java.util.List;
 import java.util.Set;
 
-/** The cloud's list of machines: which exist, which have failed, which were taken. */
+/** Fetches the cloud's list of machines and finds those that have failed or were reclaimed. */
 final class MachineList {
-  /** Told of machines that the list proves to be gone; everything on them is gone, too. */
+  /** Receives the machines that the list proves to be gone, with everything that ran on them. */
   interface Listener {
-    /** It has stopped on its own; it stays listed until it is returned. */
+    /** Called when a machine has stopped on its own; it stays listed until it is returned. */
     void onFailed(Host host);
 
-    /** The cloud has taken it. */
+    /** Called when the cloud has reclaimed a machine. */
     void onReclaimed(Host host);
   }
 
@@ -54,17 +54,17 @@
     lastListedAtMs = Long.MIN_VALUE / 2;
   }
 
-  /** When the last list was complete. */
+  /** Returns when the last fetch of the list ended, complete or not. */
   long lastListedAtMs() {
     return lastListedAtMs;
   }
 
-  /** Lists lag by up to twice the stated time; a margin is added. */
+  /** Returns the maximum lag of a list: lists lag by up to twice the stated time, plus a margin. */
   long maxLagMs() {
     return Math.round(2.2 * settings.cloud().listLagMs()) + 1000;
   }
 
-  /** Asks for a list when one is due. */
+  /** Requests a new list when one is due. */
   void refresh() {
     long now = clock.now();
     if (!fetching && now - lastListedAtMs > Math.max(settings.cloud().listLagMs() / 2, 1000)) {
@@ -131,8 +131,8 @@
   }
 
   /**
-   * Machines that the list lacks. A list may be older than the one before it, so a machine counts
-   * as gone only once it has been listed for longer than any list can lag.
+   * Reports machines that are missing from the list. A list may be older than the one before it, so
+   * a machine counts as gone only when it was first listed longer ago than the maximum lag.
    */
   private void reportMissing(long requestedAtMs, Set<String> seenIds) {
     long maxLagMs = maxLagMs();
--- a/src/main/java/dapplestair/fleet/PendingCapacity.java
+++ b/src/main/java/dapplestair/fleet/PendingCapacity.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What the fleet holds in store for a job that waits.
+ * Machines that are on their way for a waiting job, and the refusals that affect it.
  *
- * @param booting machines that suit it and are not up yet
- * @param nextS seconds until the first of them is due, or -1
- * @param refusals where the cloud refused machines that would suit it
+ * @param booting number of machines that suit the job and are not up yet
+ * @param nextS seconds until the first of these machines is due, or -1 if there is none
+ * @param refusals recent refusals of machines that would suit the job
  */
 public record PendingCapacity(int booting, double nextS, List<CapacityRefusal> refusals) {
 
-  /** The cloud had none; it is asked again after so many seconds. */
+  /** A refusal by the cloud, which is asked again after {@code retryInS} seconds. */
   public record CapacityRefusal(String type, String zone, boolean spot, double retryInS) {}
 }
--- a/src/main/java/dapplestair/fleet/Releases.java
+++ b/src/main/java/dapplestair/fleet/Releases.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Machines on their way back to the cloud, in lots as large as one call takes. */
+/** Returns machines to the cloud, in batches of at most what one call accepts. */
 final class Releases {
   private static final Logger LOG = LoggerFactory.getLogger(Releases.class);
   private static final int MAX_MACHINES_PER_RELEASE = 100;
@@ -19,7 +19,8 @@
   private final WorkerManager workers;
   private final CloudClient cloud;
   private final Events events;
-  // Replicas wait for the release of their former machine, so those go first.
+  // Replicas cannot be replaced until the release of their machine is confirmed, so machines with
+  // replicas go first.
   private final Set<String> urgentIds = new LinkedHashSet<>();
   private final Set<String> waitingIds = new LinkedHashSet<>();
   private boolean leading;
@@ -42,13 +43,13 @@
     requestInFlight = false;
   }
 
-  /** Returns a machine, whatever is on it. */
+  /** Queues a machine to be returned, whatever runs on it. */
   void add(Host host) {
     host.setReleasing(true);
     (host.serviceCpus() > 0 ? urgentIds : waitingIds).add(host.id());
   }
 
-  /** Takes a machine that is gone already off the cloud's list. */
+  /** Queues a machine that is already gone, to remove it from the cloud's list. */
   void addGone(String id) {
     waitingIds.add(id);
   }
@@ -73,13 +74,13 @@
         });
   }
 
-  /** The cloud has confirmed it: nothing is left on the machine. */
+  /** Records a confirmed return, which proves that nothing runs on the machine any more. */
   private void onReturned(String id) {
     urgentIds.remove(id);
     waitingIds.remove(id);
     Host host = workers.known(id);
     if (host != null) {
-      LOG.debug("{} is returned", id);
+      LOG.debug("the cloud confirmed the return of machine {}", id);
       events.note(Events.Kind.RETURNED, o -> o.put("machine", id).put("zone", host.zone()));
       workers.gone(host);
     }
--- a/src/main/java/dapplestair/fleet/Rental.java
+++ b/src/main/java/dapplestair/fleet/Rental.java
@@ -7,16 +7,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What was asked of the cloud under one name, and the machines had for it that still exist. */
+/** A request to the cloud under one name, and the machines provided for it that still exist. */
 final class Rental {
   final String name;
   final CapacityPool pool;
   final int count;
 
-  /** Time of day at which it was asked for. */
+  /** Wall-clock time of the request. */
   final long requestedWallMs;
 
-  /** Null until the cloud has answered. */
+  /** Machines that the cloud provided; null until it has answered. */
   List<String> hostIds;
 
   long stamp;
@@ -24,7 +24,7 @@
   boolean requestInFlight;
   boolean refused;
 
-  /** The cloud was, or may have been, asked for it. */
+  /** True when this rental was, or may have been, requested from the cloud. */
   boolean maybeRequested;
 
   long writtenAtMs = Long.MIN_VALUE / 2;
@@ -36,7 +36,7 @@
     this.requestedWallMs = requestedWallMs;
   }
 
-  /** The rental of a record; {@code defaultWallMs} is the time of day where it names none. */
+  /** Parses a record; {@code defaultWallMs} stands in for a missing time of request. */
   static Rental parse(String name, JsonNode value, long defaultWallMs) {
     MachineKind kind = new MachineKind(value.path("hull").asText(), Json.flag(value, "loaners"));
     CapacityPool pool = new CapacityPool(kind, value.path("basin").asText());
@@ -51,7 +51,7 @@
     }
   }
 
-  /** True while its machines are on their way or it is not known whether any are. */
+  /** Returns true while the cloud's answer is not known, so that machines may be on their way. */
   boolean isPending() {
     return hostIds == null && !refused;
   }
--- a/src/main/java/dapplestair/fleet/Rentals.java
+++ b/src/main/java/dapplestair/fleet/Rentals.java
@@ -26,8 +26,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rentals from their record to the last of their machines. Each is recorded before the cloud is
- * asked, under a name used once, so that an unknown outcome is settled by asking again.
+ * Keeps rentals, from the put that records them until the last of their machines is gone. Each
+ * rental is recorded before the cloud is asked, under a name that is used once, so that an unknown
+ * outcome is settled by repeating the request.
  */
 final class Rentals {
   private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
@@ -48,8 +49,8 @@
   private long lastRentalNumber;
 
   /**
-   * {@code mayHaveCapacity} tells where the cloud may have more; {@code onRefused} is told where it
-   * had none, or too few.
+   * Creates an empty set of rentals. {@code mayHaveCapacity} tells whether the cloud may have more
+   * machines in a pool; {@code onRefused} is called for pools where it had none or too few.
    */
   Rentals(
       Clock clock,
@@ -87,9 +88,10 @@
   }
 
   /**
-   * A leader asks the cloud only once it knows that the record was made. One that it does not know
-   * of any more got no answer, was given up, and was carried out late. It is taken away: the next
-   * leader would ask the cloud for all such machines at once.
+   * Handles a record that arrives while this controller leads. A leader asks the cloud only once it
+   * knows that the record was made. A record of a rental that it no longer knows was given up
+   * without an answer and carried out late. The record is marked for removal, since the next leader
+   * would request the machines of all such records at once.
    */
   private void handleLateRecord(String name, JsonNode value, long stamp) {
     if (value.path("hosts").isArray()) {
@@ -102,7 +104,8 @@
       rental.stamp = stamp;
       rentals.put(name, rental);
     } else if (knownRental.refused) {
-      // Another copy of the transaction, carried out while the record of the first is taken away.
+      // A second copy of the transaction was carried out while the record of the first is being
+      // removed.
       knownRental.stamp = Math.max(knownRental.stamp, stamp);
     }
   }
@@ -113,13 +116,14 @@
     }
   }
 
-  /** Takes over what earlier terms rented. */
+  /** Begins to lead and takes over the rentals of earlier terms. */
   void lead() {
     leading = true;
     lastRentalNumber = 0;
     for (Rental rental : List.copyOf(rentals.values())) {
       if (rental.hostIds == null) {
-        // An earlier leader asked, and the answer is not recorded: asking again rents nothing new.
+        // An earlier leader may have asked, and no answer is recorded. A repeated request under the
+        // same name rents nothing twice.
         rental.maybeRequested = true;
         requestMachines(rental);
       } else {
@@ -137,7 +141,7 @@
     return rentals.values();
   }
 
-  /** Machines of a slot that are asked for. */
+  /** Returns how many machines of a kind are requested and not yet answered. */
   int pendingCount(MachineKind kind) {
     int count = 0;
     for (Rental rental : rentals.values()) {
@@ -148,7 +152,7 @@
     return count;
   }
 
-  /** Machines of a slot that are asked for in one zone. */
+  /** Returns how many machines of a pool are requested and not yet answered. */
   int pendingCount(CapacityPool pool) {
     int count = 0;
     for (Rental rental : rentals.values()) {
@@ -159,9 +163,9 @@
     return count;
   }
 
-  /** Asks the cloud for machines, once that is on record. */
+  /** Records a rental, then requests its machines from the cloud. */
   void startRental(CapacityPool pool, int count) {
-    // Names hold the term, so that no other controller ever uses the same one.
+    // The name contains the term, so that no other controller ever uses the same name.
     String name = "r-" + leadership.term() + "-" + ++lastRentalNumber;
     Rental rental = new Rental(name, pool, count, clock.wall());
     rentals.put(name, rental);
@@ -190,7 +194,7 @@
               requestMachines(rental);
             }
           } else if (requestWhenRecorded) {
-            // Nothing was asked of the cloud: the plan will ask again under another name.
+            // The cloud was not asked. The next plan rents again, under another name.
             rentals.remove(rental.name);
             if (outcome instanceof TxnOutcome.Unknown) {
               rental.refused = true;
@@ -260,19 +264,23 @@
           if (reply.status() == 200 && body.path("hosts").isArray()) {
             onRented(rental, body);
           } else if (CloudClient.noCapacity(reply) || reply.status() == 400) {
-            // First, or it would itself count as held where the cloud has no more.
+            // Set before the callback, which would otherwise count this rental as held in a pool
+            // where the cloud has no more.
             rental.refused = true;
             onRefused.accept(rental.pool);
           } else {
-            // No answer: it may have rented. The same name again tells, and rents nothing twice.
+            // Without an answer the machines may have been rented. A repeated request under the
+            // same
+            // name shows what was rented, and rents nothing twice.
             timers.after(settings.workers().reportMs() / 4, () -> requestMachines(rental));
           }
         });
   }
 
   /**
-   * What the cloud has just refused to one rental it need not refuse to the next. Not so when it
-   * may have been asked before: then only its answer tells what was rented.
+   * Returns true when a queued request should still be sent. A request is dropped when the cloud
+   * has just refused another rental of the same pool, unless the cloud may have been asked for this
+   * rental before: then only its answer shows what was rented.
    */
   private boolean shouldRequest(Rental rental) {
     boolean shouldRequest = rental.maybeRequested || mayHaveCapacity.test(rental.pool);
@@ -283,7 +291,8 @@
   private void onRented(Rental rental, JsonNode body) {
     rental.parseHosts(body);
     LOG.info(
-        "rented {} of {} {} {} in {}",
+        "rental {}: the cloud provided {} of {} machines (type {}, {}) in zone {}",
+        rental.name,
         rental.hostIds.size(),
         rental.count,
         rental.pool.kind().type(),
@@ -341,8 +350,9 @@
   }
 
   /**
-   * Kept exact, so that a new leader does not count on machines that are gone; seldom enough that a
-   * wave of losses does not use up the puts that launches need.
+   * Removes machines that are gone from a rental's record, so that a new leader does not count on
+   * them. Writes at most once per lease, so that a wave of losses does not use up the puts that
+   * launches need.
    */
   private void dropGoneHosts(Rental rental) {
     if (rental.hostIds != null
--- a/src/main/java/dapplestair/fleet/SpotHistory.java
+++ b/src/main/java/dapplestair/fleet/SpotHistory.java
@@ -8,9 +8,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What machines cost lately and how often the cloud took them back: two costs of a plan. */
+/** Recent spot prices and reclaims, from which two costs of a plan are computed. */
 public final class SpotHistory {
-  // As the users' design says: spot is priced at the highest price of the last minute.
+  // By the users' design, spot machines are priced at the highest price of the last minute.
   private static final long PRICE_WINDOW_MS = 60_000;
 
   private record Price(long atMs, double perHour) {}
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Price of a slot: for spot the highest of the last minute. */
+  /** Returns the price of a machine: for spot, the highest price of the last minute. */
   public double price(MachineType type, boolean spot) {
     if (!spot) {
       return type.price();
@@ -48,7 +48,7 @@
     return highest;
   }
 
-  /** A machine that may be taken was taken, or has been given notice. */
+  /** Records that a machine was reclaimed or given notice; steady machines are ignored. */
   void noteReclaimed(Host host) {
     if (host.spot() && host.type() != null) {
       reclaimedAtMs
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Share of the last {@code windows} windows of {@code windowMs} with a take-back. */
+  /** Returns the share of the last {@code windows} windows of {@code windowMs} with a reclaim. */
   public double reclaimProbability(MachineKind kind, long windowMs, int windows) {
     ArrayDeque<Long> times = reclaimedAtMs.get(kind);
     if (times == null) {
--- a/src/main/java/dapplestair/fleet/package-info.java
+++ b/src/main/java/dapplestair/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Machines: their types, renting, returning, and what the cloud says of them. */
+/** Renting and returning machines, and their state in the cloud's lists. */
 package dapplestair.fleet;
--- a/src/main/java/dapplestair/weights/ImageHolders.java
+++ b/src/main/java/dapplestair/weights/ImageHolders.java
@@ -11,12 +11,12 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 
-/** The machines that hold an image, as a record: two to five bytes for a machine. */
+/** A record of the machines that hold an image, which takes two to five bytes per machine. */
 record ImageHolders(String image, double sizeGb, SortedSet<String> machineIds) {
-  // Base64 and the rest of the record come on top.
+  // Share of a value that the encoded names may fill; base64 and the other fields need the rest.
   private static final double MAX_ENCODED_SHARE = 0.6;
 
-  /** As many machines as a value takes, in name order. */
+  /** Encodes as many machines as fit into a value, in the order of their names. */
   ObjectNode toJson(int valueBytes) {
     int maxBytes = (int) (valueBytes * MAX_ENCODED_SHARE) - image.length();
     Output out = new Output(256, 2 * valueBytes);
@@ -33,7 +33,7 @@
         .put("on", BaseEncoding.base64().encode(out.toBytes()));
   }
 
-  /** Reads a record; without machines when it is garbled, since it holds hints only. */
+  /** Parses a record. A garbled record yields no machines, since it contains only hints. */
   static ImageHolders parse(JsonNode in) {
     SortedSet<String> machines = new TreeSet<>();
     try {
--- a/src/main/java/dapplestair/weights/ImageLocations.java
+++ b/src/main/java/dapplestair/weights/ImageLocations.java
@@ -24,16 +24,18 @@
 import java.util.TreeSet;
 
 /**
- * Which machines hold which image, on record, so that a new leader places by it at once. A report
- * names no image: what is known of one comes from launches and starts, which the next leader has
- * not seen. Hints only: what a machine has given up since is fetched again, and nothing else
- * follows from it.
+ * Records which machines hold which image, so that a new leader can use this for placement at once.
+ * Workers' reports name no images: a leader knows images from launches and starts, which the next
+ * leader has not seen. The records are only hints: an image that a machine has dropped since is
+ * fetched again, with no other consequence.
  */
 public final class ImageLocations implements AutoCloseable {
-  // A put at a time, so many reports apart: a part in a hundred of what a busy day writes.
+  // Report intervals between two puts. With one put at a time, this makes up about a hundredth of
+  // the writes of a busy day.
   private static final int WRITE_INTERVAL_REPORTS = 2;
 
-  // An image's record is written again once so much of it has changed.
+  // An image's record is written again when at least this share of its machines, and at least this
+  // many machines, have changed.
   private static final double MIN_CHANGED_SHARE = 0.1;
   private static final int MIN_CHANGED_MACHINES = 2;
 
@@ -45,14 +47,14 @@
   private final Leadership leadership;
   private final WorkerManager workers;
 
-  // By key, what the records say, and for which image.
+  // Records by their keys.
   private final Map<String, ImageHolders> recordsByKey = new HashMap<>();
   private Cancellable timer = () -> {};
   private long leadingSinceMs;
   private boolean leading;
   private boolean writeInFlight;
 
-  /** Nothing is known. */
+  /** Creates an instance that knows no images yet. */
   public ImageLocations(
       Clock clock,
       TermTimers timers,
@@ -69,12 +71,12 @@
     this.workers = workers;
   }
 
-  // ---- what the replica says ----
+  // ---- records from the replica ----
 
   /**
-   * An image's key has this value, or is gone. A leader is the only one who writes, and what it
-   * meant to write counts: a value that did not take all machines is not to be written again and
-   * again, before all others.
+   * Applies the record of an image; a null value means that it was removed. A leader ignores
+   * records, since it is the only writer and goes by what it intended to write. Otherwise a record
+   * too small for all machines would be written again and again, ahead of all others.
    */
   public void applyRecord(String key, JsonNode value) {
     if (leading) {
@@ -87,7 +89,7 @@
     }
   }
 
-  /** Forgets all: the replica tells its records again. */
+  /** Drops all state; the replica delivers its records again. */
   public void clear() {
     writer.reset();
     timer.cancel();
@@ -98,7 +100,7 @@
 
   // ---- leading ----
 
-  /** Takes up what is on record; to be called before anything is placed. */
+  /** Begins to lead with the recorded hints. Must be called before anything is placed. */
   public void lead() {
     writer.reset();
     leading = true;
@@ -107,7 +109,10 @@
     timer = timers.after(settings.workers().reportMs(), this::tick);
   }
 
-  /** Machines become known one after the other, for a while after a leader's beginning. */
+  /**
+   * Applies the recorded hints to the machines that are known. Called repeatedly, since a new
+   * leader learns of machines one after the other for a while.
+   */
   private void applyHints() {
     for (ImageHolders holders : recordsByKey.values()) {
       for (String id : holders.machineIds()) {
@@ -120,7 +125,7 @@
   }
 
   private void tick() {
-    // Until all have been heard what is known of them is less than what is on record.
+    // Until all machines have been heard, the records contain more than this leader knows.
     if (clock.now() - leadingSinceMs < 2 * settings.workers().reportMs()) {
       applyHints();
     } else if (!writeInFlight && state.reachable()) {
--- a/src/main/java/dapplestair/weights/package-info.java
+++ b/src/main/java/dapplestair/weights/package-info.java
@@ -1,2 +1,2 @@
-/** Which machines hold which image, for whoever leads next (docs/weights.md). */
+/** Records of which machines hold which image, for the next leader (docs/weights.md). */
 package dapplestair.weights;
--- a/src/main/java/dapplestair/zones/ZoneProbes.java
+++ b/src/main/java/dapplestair/zones/ZoneProbes.java
@@ -10,14 +10,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rents a single machine in a lost zone of which no machine is left. Nobody could be heard there
- * otherwise, so that nobody would know when the zone is back.
+ * Rents a single machine as a probe in a lost zone that has no machine left. Without it, nothing
+ * could be heard there and the return of the zone would go unnoticed.
  */
 final class ZoneProbes {
   private static final Logger LOG = LoggerFactory.getLogger(ZoneProbes.class);
 
-  // The first one as soon as the zone is lost, and the next one half a lease after it if that was
-  // given up, since some never boot. Each further one after twice as long: the zone is still cut.
+  // The first probe is rented as soon as the zone is lost. If it is given up, the next one follows
+  // half a lease after it, since some machines never boot. Each further pause is twice as long,
+  // since the zone is then still cut.
   private static final int FIRST_PAUSE_LEASE_DIVISOR = 2;
   private static final int MAX_PAUSE_LEASES = 8;
 
@@ -31,7 +32,9 @@
   private final Predicate<String> rentOne;
   private final Map<String, Probe> probes = new HashMap<>();
 
-  /** {@code rentOne} rents one machine in a zone; false when none is to be had there. */
+  /**
+   * Creates an empty set. {@code rentOne} rents a machine in a zone; false if the cloud has none.
+   */
   ZoneProbes(Clock clock, Settings settings, SilenceTimeouts timeouts, Predicate<String> rentOne) {
     this.clock = clock;
     this.settings = settings;
@@ -43,7 +46,7 @@
     probes.clear();
   }
 
-  /** The zone is cut or lost, and none of its machines is left. */
+  /** Rents a probe, if one is due, in a cut or lost zone that has no machine left. */
   void probeIfLost(String zone, ZoneStatus status) {
     long now = clock.wall();
     if (now - status.lastCutWallMs() < timeouts.lostAfterMs(zone)) {
@@ -54,12 +57,12 @@
       return;
     }
     if (rentOne.test(zone)) {
-      LOG.info("zone {} has no machine left: one is rented to hear when it is back", zone);
+      LOG.info("zone {} has no machine left: renting one to detect when the zone is back", zone);
       probes.put(zone, new Probe(now, last.number() + 1));
     }
   }
 
-  /** How long after so many the next one is rented. */
+  /** Returns the pause before the next probe, after {@code probeCount} probes. */
   private long pauseMs(int probeCount) {
     long leaseMs = settings.workers().leaseMs();
     if (probeCount == 0) {
@@ -69,7 +72,7 @@
     return Math.min(MAX_PAUSE_LEASES * leaseMs, (leaseMs << doublings) / FIRST_PAUSE_LEASE_DIVISOR);
   }
 
-  /** The zone is heard again. */
+  /** Resets the probes of a zone that is heard again. */
   void onHeard(String zone) {
     probes.remove(zone);
   }
--- a/src/main/java/dapplestair/zones/ZoneStatus.java
+++ b/src/main/java/dapplestair/zones/ZoneStatus.java
@@ -6,41 +6,44 @@
 import java.util.Locale;
 
 /**
- * Where a zone stands in its life.
+ * The recorded state of a zone.
  *
- * @param state what it is
- * @param sinceWallMs since when, time of day
- * @param member whose word it is
- * @param cuts how often it was cut of late, this time included
- * @param lastCutWallMs when it was last cut
+ * @param state state of the zone
+ * @param sinceWallMs wall-clock time at which this state began
+ * @param member controller that recorded the state
+ * @param cuts number of recent cuts, the current one included
+ * @param lastCutWallMs wall-clock time of the last cut
  */
 public record ZoneStatus(
     State state, long sinceWallMs, String member, int cuts, long lastCutWallMs) {
-  /** What a zone can be. */
+  /** States of a zone. */
   public enum State {
-    /** Heard, and steady for as long as its past asks. */
+    /** Heard, and for long enough since its recent cuts, if there were any. */
     STEADY,
     /** Silent for longer than any report takes, while other zones are heard. */
     CUT,
-    /** Silent for longer than what runs there is kept alive. */
+    /** Silent for longer than the leases of the tasks that run there last. */
     LOST,
-    /** Heard again, but not for long enough. */
+    /** Heard again, but not yet for long enough to be steady. */
     RETURNING;
 
-    /** The form shown to people. */
+    /** Returns the name as shown to operators. */
     public String label() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
-  /** A zone of which nothing bad is known. */
+  /** Status of a zone without a record: steady and never cut. */
   static final ZoneStatus NEW = new ZoneStatus(State.STEADY, 0, "", 0, 0);
 
   ZoneStatus withState(State next, long nowWallMs, String newMember) {
     return new ZoneStatus(next, nowWallMs, newMember, cuts, lastCutWallMs);
   }
 
-  /** Cut once more; what lies further back than {@code memoryMs} is forgotten. */
+  /**
+   * Returns the status after a new cut. Earlier cuts count only if the last of them was less than
+   * {@code memoryMs} ago.
+   */
   ZoneStatus withCut(long newCutWallMs, String newMember, long memoryMs) {
     int recentCuts = newCutWallMs - lastCutWallMs < memoryMs ? cuts : 0;
     return new ZoneStatus(State.CUT, newCutWallMs, newMember, recentCuts + 1, newCutWallMs);
--- a/src/main/java/dapplestair/zones/Zones.java
+++ b/src/main/java/dapplestair/zones/Zones.java
@@ -28,20 +28,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The life of each zone, a put for each change of state and none for any machine, so that the next
- * leader goes on where the former stood. It proves nothing: what it decides is where nothing is
- * rented, and for how long a zone that flaps is held down.
+ * Keeps the recorded state of each zone. Each change of state is one put, whatever the number of
+ * machines, and the next leader continues from the record. The state proves nothing about tasks: it
+ * only decides in which zones nothing is rented, and for how long a flapping zone stays closed.
  */
 public final class Zones implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Zones.class);
 
-  // A zone that was cut again within so many leases flaps; each time it is held down for twice as
-  // long as the time before, up to the most.
+  // A zone that is cut again within this many leases is flapping. With each cut, the time for which
+  // it must be heard before it is steady doubles, up to the maximum.
   private static final int CUT_MEMORY_LEASES = 16;
   private static final int MAX_STABILIZATION_LEASES = 8;
 
-  // For so long a zone without any machine left is not tried again: nothing can be heard there, and
-  // renting in one that is cut off still costs a boot.
+  // A zone without any machine left counts as returning after this time. Nothing can be heard there
+  // before, and renting in a zone that is still cut off costs a boot.
   private static final int EMPTY_ZONE_RETRY_LEASES = 2;
 
   private final Clock clock;
@@ -62,8 +62,10 @@
   private Cancellable timer = () -> {};
 
   /**
-   * All zones are steady until something else is on record. {@code rentOne} rents one machine in a
-   * zone, closed or not; false when none is to be had there.
+   * Creates the zones, all steady until a record says otherwise.
+   *
+   * @param rentOne rents one machine in a zone, closed or not; returns false when the cloud has
+   *     none
    */
   public Zones(
       Clock clock,
@@ -88,9 +90,9 @@
     probes = new ZoneProbes(clock, settings, timeouts, rentOne);
   }
 
-  // ---- what the replica says ----
+  // ---- records from the replica ----
 
-  /** A zone's key has this value, or is gone. */
+  /** Applies the record of a zone; a null value means that it was removed. */
   public void applyRecord(String key, JsonNode value) {
     String zone = key.substring(StateKeys.ZONE.length());
     if (value == null) {
@@ -100,7 +102,7 @@
     }
   }
 
-  /** Forgets all records: the replica tells them again. */
+  /** Drops all state; the replica delivers its records again. */
   public void clear() {
     leading = false;
     writer.reset();
@@ -113,7 +115,7 @@
 
   // ---- leading ----
 
-  /** Goes on where the former leader stood. */
+  /** Begins to lead and continues from the records of the previous leader. */
   public void lead() {
     leading = true;
     writer.reset();
@@ -132,7 +134,7 @@
     timer = timers.after(settings.workers().reportMs() / 4, this::tick);
   }
 
-  /** Zones of the settings, and those of which there are, or were, machines. */
+  /** Returns the zones of the settings, those on record and those with machines. */
   private Set<String> knownZones() {
     Set<String> zones = new TreeSet<>(settings.zones());
     zones.addAll(statuses.keySet());
@@ -180,9 +182,10 @@
   }
 
   /**
-   * To a new leader no zone is silent before it could judge; so it needs to be heard. Where no
-   * machine is left, one is rented that can be; if none is to be had, the zone is taken for back
-   * after a while.
+   * Marks a zone as returning when it is heard. It is not enough that the zone does not count as
+   * silent, since a new leader counts no zone as silent until it has listened for long enough. In a
+   * zone without any machine left, one is rented as a probe; if none can be rented, the zone counts
+   * as returning after a while.
    */
   private void markReturningIfHeard(String zone, ZoneStatus status, long silentMs) {
     long now = clock.now();
@@ -212,11 +215,13 @@
         next.toJson(),
         Priority.BOOKKEEPING,
         outcome -> {
-          // Without an answer the replica tells; the next look goes on from there.
+          // Without an answer, the replica shows whether the put was applied, and the next update
+          // continues from there.
           timers.after(settings.workers().reportMs() / 4, () -> zonesBeingWritten.remove(zone));
           if (outcome instanceof TxnOutcome.Applied) {
             statuses.put(zone, next);
-            LOG.info("zone {} is {}", zone, next.state().label());
+            LOG.info(
+                "zone {} is now {} (recent cuts: {})", zone, next.state().label(), next.cuts());
             events.note(
                 Events.Kind.ZONE,
                 o ->
@@ -231,25 +236,25 @@
 
   // ---- views ----
 
-  /** Where a zone stands. */
+  /** Returns the state of a zone. */
   public ZoneStatus status(String zone) {
     return statuses.getOrDefault(zone, ZoneStatus.NEW);
   }
 
-  /** All zones of which anything is known, by name. */
+  /** Returns the states of all known zones, by name. */
   public Map<String, ZoneStatus> statuses() {
     Map<String, ZoneStatus> statusesByZone = new TreeMap<>();
     knownZones().forEach(z -> statusesByZone.put(z, status(z)));
     return statusesByZone;
   }
 
-  /** How long a zone has to be heard before it is steady again: doubling with each cut. */
+  /** Returns how long a zone must be heard before it is steady again; doubles with each cut. */
   long stabilizationMs(ZoneStatus status) {
     int leases = 1 << Math.min(30, Math.max(0, status.cuts() - 1));
     return Math.min(MAX_STABILIZATION_LEASES, leases) * settings.workers().leaseMs();
   }
 
-  /** Seconds until a returning zone is steady, 0 for any other. */
+  /** Returns the seconds until a returning zone is steady, or 0 for any other zone. */
   public double remainingStabilizationS(String zone) {
     ZoneStatus status = status(zone);
     return status.state() != State.RETURNING
@@ -258,8 +263,8 @@
   }
 
   /**
-   * True while nothing is to be rented there: nobody there is heard, or it has flapped and is not
-   * steady yet.
+   * Returns true while nothing may be rented in a zone: no machine there is heard, or the zone has
+   * flapped and is not steady yet.
    */
   public boolean isClosed(String zone) {
     ZoneStatus status = status(zone);
--- a/src/main/java/dapplestair/zones/package-info.java
+++ b/src/main/java/dapplestair/zones/package-info.java
@@ -1,2 +1,2 @@
-/** The life of each zone, on record: cut, lost, returning, steady (docs/zones.md). */
+/** The recorded state of each zone: cut, lost, returning or steady (docs/zones.md). */
 package dapplestair.zones;
--- a/src/test/java/dapplestair/fleet/CapacityEstimatorTest.java
+++ b/src/test/java/dapplestair/fleet/CapacityEstimatorTest.java
@@ -10,7 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the cloud has shown to give, beside rentals that are under way
+ * Guards against counting requested machines as granted: when the cloud refuses one rental while
+ * others of the same pool are in flight, a plan that counts on those rents no other kind instead
  * (docs/incidents/cold-burst.md).
  */
 class CapacityEstimatorTest {
@@ -59,7 +60,7 @@
     assertEquals(60, capacityEstimator.capacity(POOL.kind(), 1000));
   }
 
-  /** An answer that was on its way when another rental was refused shows more. */
+  /** An answer that was in flight when another rental was refused adds its machines. */
   @Test
   void machinesGrantedAfterTheRefusalCount() {
     heldCount = 10;
@@ -70,7 +71,7 @@
     assertEquals(60, capacityEstimator.capacity(POOL.kind(), 1000));
   }
 
-  /** Machines that are returned could be had again. */
+  /** Machines that were returned can be rented again. */
   @Test
   void returnedMachinesStayInTheCapacity() {
     heldCount = 60;
