--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -130,11 +130,11 @@
     object
         .put("name", calendarStatus.name())
         .put("state", calendarStatus.state())
-        .put("cycle", Instant.ofEpochMilli(calendarStatus.cycle()).toString())
-        .put("delivered", calendarStatus.delivered())
-        .put("complete", calendarStatus.complete())
+        .put("cycle", Instant.ofEpochMilli(calendarStatus.currentStartMs()).toString())
+        .put("delivered", calendarStatus.deliveredCount())
+        .put("complete", calendarStatus.requiredDeliveries())
         .put("jobs_held", calendarStatus.heldRuns())
-        .put("next_in_s", calendarStatus.nextMs() / 1000.0)
+        .put("next_in_s", calendarStatus.msUntilNext() / 1000.0)
         .put("last_released_by", calendarStatus.lastCause())
         .put("last_lag_s", calendarStatus.lastLagS());
   }
--- a/src/main/java/dapplestair/calendar/Calendars.java
+++ b/src/main/java/dapplestair/calendar/Calendars.java
@@ -149,37 +149,42 @@
 
   /** Releases the current cycle if it is due, and records earlier cycles as missed. */
   private void releaseIfDue(RunCalendar calendar) {
-    long wall = clock.wall();
-    long current = calendar.cycle(wall);
-    Cycle last = lastReleasedCycle(calendar.name());
-    ReleaseCause cause = current > last.startMs() ? dueCause(calendar, current, wall) : null;
+    long wallMs = clock.wall();
+    long currentMs = calendar.cycle(wallMs);
+    Cycle last = lastCycle(calendar.name());
+    ReleaseCause cause = currentMs > last.startMs() ? dueCause(calendar, currentMs, wallMs) : null;
     if (cause != null) {
-      release(calendar, last.withRelease(current, cause, wall, deliveredCount(calendar, current)));
+      release(
+          calendar,
+          last.withRelease(currentMs, cause, wallMs, deliveredCount(calendar, currentMs)));
       return;
     }
-    long nextUnreleased = last.startMs() == 0 ? current : calendar.next(last.startMs());
-    if (nextUnreleased < current) {
+    long nextUnreleased = last.startMs() == 0 ? currentMs : calendar.next(last.startMs());
+    if (nextUnreleased < currentMs) {
       // No controller led, or none could write, until this cycle ended; its runs have long started.
       release(
           calendar,
           last.withRelease(
-              nextUnreleased, ReleaseCause.MISSED, wall, deliveredCount(calendar, nextUnreleased)));
+              nextUnreleased,
+              ReleaseCause.MISSED,
+              wallMs,
+              deliveredCount(calendar, nextUnreleased)));
       return;
     }
     removeOldMarks(calendar, last);
   }
 
-  private ReleaseCause dueCause(RunCalendar calendar, long start, long wall) {
-    int delivered = deliveredCount(calendar, start);
+  private ReleaseCause dueCause(RunCalendar calendar, long startMs, long wallMs) {
+    int delivered = deliveredCount(calendar, startMs);
     if (delivered >= calendar.complete()) {
       return ReleaseCause.COMPLETE;
     }
     if (calendar.quorum() > 0
         && delivered >= calendar.quorum()
-        && wall - start >= calendar.quorumAfterMs()) {
+        && wallMs - startMs >= calendar.quorumAfterMs()) {
       return ReleaseCause.QUORUM;
     }
-    return wall - start >= calendar.cutOffMs() ? ReleaseCause.CUT_OFF : null;
+    return wallMs - startMs >= calendar.cutOffMs() ? ReleaseCause.CUT_OFF : null;
   }
 
   private void release(RunCalendar calendar, Cycle next) {
@@ -199,8 +204,7 @@
             announceRelease(calendar, next);
             onRelease.run();
           }
-          // The replica shows the record a moment later. Without an answer, the replica also shows
-          // whether the put was applied.
+          // The replica soon shows whether the put was applied, also when no answer came.
           timers.after(
               settings.workers().reportMs() / 12,
               () -> calendarsBeingWritten.remove(calendar.name()));
@@ -279,9 +283,9 @@
 
   /** Returns true from one boot time before the usual release of a job's cycle. */
   private boolean isReleaseNear(RunCalendar calendar, Job job) {
-    long start = calendar.cycle(job.acceptedWall());
-    double usualLagMs = lastReleasedCycle(calendar.name()).usualLagMs(calendar.cutOffMs());
-    return clock.wall() >= start + usualLagMs - 1000 * bootS.getAsDouble();
+    long startMs = calendar.cycle(job.acceptedWall());
+    double usualLagMs = lastCycle(calendar.name()).usualLagMs(calendar.cutOffMs());
+    return clock.wall() >= startMs + usualLagMs - 1000 * bootS.getAsDouble();
   }
 
   // ---- queries of other components ----
@@ -301,29 +305,26 @@
     if (calendar == null) {
       return false;
     }
-    long start = calendar.cycle(job.acceptedWall());
-    return lastReleasedCycle(calendar.name()).startMs() < start
-        && clock.wall() - start < calendar.cutOffMs();
+    long startMs = calendar.cycle(job.acceptedWall());
+    return lastCycle(calendar.name()).startMs() < startMs
+        && clock.wall() - startMs < calendar.cutOffMs();
   }
 
   /** Returns true for a run of the last released cycle. Such runs go first within their rank. */
   public boolean isRunOfLastReleasedCycle(Job job) {
     RunCalendar calendar = calendars.isEmpty() ? null : calendarFor(job.spec());
     return calendar != null
-        && lastReleasedCycle(calendar.name()).startMs() == calendar.cycle(job.acceptedWall());
+        && lastCycle(calendar.name()).startMs() == calendar.cycle(job.acceptedWall());
   }
 
-  /**
-   * Adds delivery marks to the transaction that records a job as done, for each calendar of which
-   * the job is a delivery.
-   */
+  /** Adds a mark for each calendar the job is a delivery of, in the put that makes it done. */
   public void addDeliveryMarks(Job job, Txn txn) {
     for (RunCalendar calendar : calendars.values()) {
       if (calendar.isDelivery(job.spec())) {
-        long start = calendar.cycle(job.acceptedWall());
-        if (deliveredCount(calendar, start) < calendar.complete()
-            && start > lastReleasedCycle(calendar.name()).startMs()) {
-          txn.put(markKey(calendar.name(), start, job.spec().ref()), Json.object());
+        long startMs = calendar.cycle(job.acceptedWall());
+        if (deliveredCount(calendar, startMs) < calendar.complete()
+            && startMs > lastCycle(calendar.name()).startMs()) {
+          txn.put(markKey(calendar.name(), startMs, job.spec().ref()), Json.object());
         }
       }
     }
@@ -334,18 +335,18 @@
     return calendars.size();
   }
 
-  private static String markKey(String name, long start, String ref) {
-    return StateKeys.CALENDAR + name + "/" + start + "/" + ref;
+  private static String markKey(String name, long startMs, String ref) {
+    return StateKeys.CALENDAR + name + "/" + startMs + "/" + ref;
   }
 
-  private int deliveredCount(RunCalendar calendar, long start) {
+  private int deliveredCount(RunCalendar calendar, long startMs) {
     return deliveryMarks
         .getOrDefault(calendar.name(), Map.of())
-        .getOrDefault(start, Set.of())
+        .getOrDefault(startMs, Set.of())
         .size();
   }
 
-  private Cycle lastReleasedCycle(String name) {
+  private Cycle lastCycle(String name) {
     return cycles.getOrDefault(name, Cycle.NONE);
   }
 
@@ -355,10 +356,10 @@
   public record CalendarStatus(
       String name,
       String state,
-      long cycle,
-      int delivered,
-      int complete,
-      long nextMs,
+      long currentStartMs,
+      int deliveredCount,
+      int requiredDeliveries,
+      long msUntilNext,
       String lastCause,
       double lastLagS,
       int heldRuns) {}
@@ -366,23 +367,23 @@
   /** Returns the states of all calendars, in the order of the operators' file. */
   public List<CalendarStatus> statuses() {
     List<CalendarStatus> statuses = new ArrayList<>();
-    long wall = clock.wall();
+    long wallMs = clock.wall();
     for (RunCalendar calendar : calendars.values()) {
-      long current = calendar.cycle(wall);
-      Cycle last = lastReleasedCycle(calendar.name());
-      int delivered = deliveredCount(calendar, current);
+      long currentStartMs = calendar.cycle(wallMs);
+      Cycle last = lastCycle(calendar.name());
+      int delivered = deliveredCount(calendar, currentStartMs);
       String state =
-          last.startMs() >= current ? "released" : delivered > 0 ? "gathering" : "waiting";
+          last.startMs() >= currentStartMs ? "released" : delivered > 0 ? "gathering" : "waiting";
       long heldRuns =
           ledger.jobs().stream().filter(j -> calendar.isRun(j.spec()) && isHeld(j)).count();
       statuses.add(
           new CalendarStatus(
               calendar.name(),
               state,
-              current,
-              Math.max(delivered, last.startMs() == current ? last.deliveredCount() : 0),
+              currentStartMs,
+              Math.max(delivered, last.startMs() == currentStartMs ? last.deliveredCount() : 0),
               calendar.complete(),
-              calendar.next(current) - wall,
+              calendar.next(currentStartMs) - wallMs,
               last.startMs() == 0 ? null : last.cause().label(),
               (last.releasedAtMs() - last.startMs()) / 1000.0,
               (int) heldRuns));
--- a/src/main/java/dapplestair/calendar/Cycle.java
+++ b/src/main/java/dapplestair/calendar/Cycle.java
@@ -43,13 +43,14 @@
   static final Cycle NONE = new Cycle(0, ReleaseCause.MISSED, 0, 0, List.of());
 
   /** Returns this record followed by the release of a newer cycle. */
-  Cycle withRelease(long newStart, ReleaseCause newCause, long newAt, int newDelivered) {
+  Cycle withRelease(
+      long newStartMs, ReleaseCause newCause, long newReleasedAtMs, int newDeliveredCount) {
     List<PastCycle> newPast = new ArrayList<>();
     if (startMs > 0) {
       newPast.add(new PastCycle(startMs, cause, releasedAtMs - startMs));
       newPast.addAll(past.subList(0, Math.min(past.size(), MAX_PAST_CYCLES - 1)));
     }
-    return new Cycle(newStart, newCause, newAt, newDelivered, newPast);
+    return new Cycle(newStartMs, newCause, newReleasedAtMs, newDeliveredCount, newPast);
   }
 
   /**
@@ -84,9 +85,9 @@
     return object;
   }
 
-  static Cycle parse(JsonNode in) {
+  static Cycle parse(JsonNode node) {
     List<PastCycle> past = new ArrayList<>();
-    in.path("past")
+    node.path("past")
         .forEach(
             p ->
                 past.add(
@@ -95,16 +96,16 @@
                         parseCause(p.path("by")),
                         p.path("lag_ms").asLong())));
     return new Cycle(
-        in.path("cycle").asLong(),
-        parseCause(in.path("by")),
-        in.path("at").asLong(),
-        in.path("delivered").asInt(),
+        node.path("cycle").asLong(),
+        parseCause(node.path("by")),
+        node.path("at").asLong(),
+        node.path("delivered").asInt(),
         past);
   }
 
-  private static ReleaseCause parseCause(JsonNode word) {
+  private static ReleaseCause parseCause(JsonNode node) {
     for (ReleaseCause cause : ReleaseCause.values()) {
-      if (cause.label().equals(word.asText())) {
+      if (cause.label().equals(node.asText())) {
         return cause;
       }
     }
--- a/src/main/java/dapplestair/fleet/SpotHistory.java
+++ b/src/main/java/dapplestair/fleet/SpotHistory.java
@@ -26,11 +26,11 @@
   void notePrices(Collection<MachineType> types) {
     long now = clock.now();
     for (MachineType type : types) {
-      ArrayDeque<Price> seen =
-          prices.computeIfAbsent(new MachineKind(type.name(), true), s -> new ArrayDeque<>());
-      seen.addLast(new Price(now, type.spotPrice()));
-      while (seen.size() > 1 && seen.peekFirst().atMs() < now - PRICE_WINDOW_MS) {
-        seen.removeFirst();
+      ArrayDeque<Price> recentPrices =
+          prices.computeIfAbsent(new MachineKind(type.name(), true), kind -> new ArrayDeque<>());
+      recentPrices.addLast(new Price(now, type.spotPrice()));
+      while (recentPrices.size() > 1 && recentPrices.peekFirst().atMs() < now - PRICE_WINDOW_MS) {
+        recentPrices.removeFirst();
       }
     }
   }
@@ -52,19 +52,20 @@
   void noteReclaimed(Host host) {
     if (host.spot() && host.type() != null) {
       reclaimedAtMs
-          .computeIfAbsent(new MachineKind(host.type().name(), true), s -> new ArrayDeque<>())
+          .computeIfAbsent(new MachineKind(host.type().name(), true), kind -> new ArrayDeque<>())
           .addLast(clock.now());
     }
   }
 
   /** Returns the share of the last {@code windows} windows of {@code windowMs} with a reclaim. */
   public double reclaimProbability(MachineKind kind, long windowMs, int windows) {
-    ArrayDeque<Long> times = reclaimedAtMs.get(kind);
-    if (times == null) {
+    ArrayDeque<Long> reclaimTimesMs = reclaimedAtMs.get(kind);
+    if (reclaimTimesMs == null) {
       return 0;
     }
     long now = clock.now();
-    times.removeIf(t -> now - t >= windowMs * windows);
-    return times.stream().map(t -> (now - t) / windowMs).distinct().count() / (double) windows;
+    reclaimTimesMs.removeIf(t -> now - t >= windowMs * windows);
+    return reclaimTimesMs.stream().map(t -> (now - t) / windowMs).distinct().count()
+        / (double) windows;
   }
 }
--- a/src/main/java/dapplestair/weights/ImageHolders.java
+++ b/src/main/java/dapplestair/weights/ImageHolders.java
@@ -34,10 +34,10 @@
   }
 
   /** Parses a record. A garbled record yields no machines, since it contains only hints. */
-  static ImageHolders parse(JsonNode in) {
+  static ImageHolders parse(JsonNode node) {
     SortedSet<String> machines = new TreeSet<>();
     try {
-      Input bytes = new Input(BaseEncoding.base64().decode(in.path("on").asText()));
+      Input bytes = new Input(BaseEncoding.base64().decode(node.path("on").asText()));
       FrontCodedNames names = new FrontCodedNames();
       while (bytes.position() < bytes.limit()) {
         machines.add(names.read(bytes));
@@ -45,6 +45,6 @@
     } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
       machines.clear();
     }
-    return new ImageHolders(in.path("image").asText(), in.path("gb").asDouble(), machines);
+    return new ImageHolders(node.path("image").asText(), node.path("gb").asDouble(), machines);
   }
 }
--- a/src/main/java/dapplestair/zones/ZoneProbes.java
+++ b/src/main/java/dapplestair/zones/ZoneProbes.java
@@ -48,17 +48,17 @@
 
   /** Rents a probe, if one is due, in a cut or lost zone that has no machine left. */
   void probeIfLost(String zone, ZoneStatus status) {
-    long now = clock.wall();
-    if (now - status.lastCutWallMs() < timeouts.lostAfterMs(zone)) {
+    long nowWallMs = clock.wall();
+    if (nowWallMs - status.lastCutWallMs() < timeouts.lostAfterMs(zone)) {
       return;
     }
     Probe last = probes.getOrDefault(zone, NONE);
-    if (now - last.rentedWallMs() < pauseMs(last.number())) {
+    if (nowWallMs - last.rentedWallMs() < pauseMs(last.number())) {
       return;
     }
     if (rentOne.test(zone)) {
       LOG.info("zone {} has no machine left: renting one to detect when the zone is back", zone);
-      probes.put(zone, new Probe(now, last.number() + 1));
+      probes.put(zone, new Probe(nowWallMs, last.number() + 1));
     }
   }
 
--- a/src/main/java/dapplestair/zones/ZoneStatus.java
+++ b/src/main/java/dapplestair/zones/ZoneStatus.java
@@ -60,8 +60,8 @@
 
   static ZoneStatus parse(JsonNode node) {
     State state = State.STEADY;
-    for (State s : State.values()) {
-      state = s.name().equals(Json.text(node, "state")) ? s : state;
+    for (State candidate : State.values()) {
+      state = candidate.name().equals(Json.text(node, "state")) ? candidate : state;
     }
     return new ZoneStatus(
         state,
