--- a/src/main/java/dapplestair/calendar/Calendars.java
+++ b/src/main/java/dapplestair/calendar/Calendars.java
@@ -34,10 +34,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Run calendars. A delivery is marked in the very transaction that makes its job done, so that it
- * counts once, whoever leads; a cycle's release is one conditional put. Runs are held until their
- * cycle is released or its cut-off has passed by the clock alone: nothing is held for longer,
- * whatever is lost.
+ * Keeps the run calendars. A delivery is marked in the same transaction that records its job as
+ * done, so that it counts once, whichever controller leads. A cycle is released by one conditional
+ * put. Runs are held until their cycle is released or its cut-off has passed. The cut-off needs
+ * only the clock, so no run is held for longer, whatever fails.
  */
 public final class Calendars implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Calendars.class);
@@ -53,20 +53,20 @@
   private final Ledger ledger;
   private final Events events;
 
-  // From the records.
+  // Read from the records, by calendar name; the marks also by cycle start.
   private final Map<String, Cycle> cycles = new HashMap<>();
-  private final Map<String, Map<Long, Set<String>>> marks = new HashMap<>();
+  private final Map<String, Map<Long, Set<String>>> deliveryMarks = new HashMap<>();
 
-  private final Set<String> writing = new HashSet<>();
+  private final Set<String> calendarsBeingWritten = new HashSet<>();
 
-  /** Runs that were held at the last tick, by reference. */
-  private Set<String> heldBefore = Set.of();
+  /** References of the runs that were held at the last tick. */
+  private Set<String> previouslyHeldRefs = Set.of();
 
-  private Runnable changed = () -> {};
+  private Runnable onRelease = () -> {};
   private DoubleSupplier bootS = () -> 0;
   private Cancellable timer = () -> {};
 
-  /** The calendars of the operators' file; without any, nothing here costs anything. */
+  /** Creates the calendars of the operators' file. Without any calendar, no timer runs. */
   public Calendars(
       Clock clock,
       TermTimers timers,
@@ -89,24 +89,26 @@
     calendars.forEach(c -> this.calendars.put(c.name(), c));
   }
 
-  /** {@code change} hears of releases; {@code boot} says for how many seconds a machine boots. */
-  public void wire(Runnable change, DoubleSupplier boot) {
-    changed = change;
-    bootS = boot;
+  /** Sets the callback for releases and the supplier of a machine's boot time in seconds. */
+  public void setCallbacks(Runnable newOnRelease, DoubleSupplier newBootS) {
+    onRelease = newOnRelease;
+    bootS = newBootS;
   }
 
-  // ---- what the replica says ----
+  // ---- records from the replica ----
 
-  /** A calendar's key, or one of its marks, has this value, or is gone. */
-  public void recorded(String key, JsonNode value) {
+  /** Applies the record of a calendar or of one of its marks; a null value means it was removed. */
+  public void applyRecord(String key, JsonNode value) {
     String[] parts = key.substring(StateKeys.CALENDAR.length()).split("/", 3);
     if (parts.length == 3) {
-      Map<Long, Set<String>> of = marks.computeIfAbsent(parts[0], n -> new TreeMap<>());
-      Set<String> refs = of.computeIfAbsent(Long.parseLong(parts[1]), c -> new TreeSet<>());
+      Map<Long, Set<String>> refsByCycle =
+          deliveryMarks.computeIfAbsent(parts[0], n -> new TreeMap<>());
+      Set<String> refs =
+          refsByCycle.computeIfAbsent(Long.parseLong(parts[1]), c -> new TreeSet<>());
       if (value != null) {
         refs.add(parts[2]);
       } else if (refs.remove(parts[2]) && refs.isEmpty()) {
-        of.remove(Long.parseLong(parts[1]));
+        refsByCycle.remove(Long.parseLong(parts[1]));
       }
     } else if (value != null) {
       cycles.put(parts[0], Cycle.parse(value));
@@ -115,19 +117,19 @@
     }
   }
 
-  /** Forgets all: the replica tells its records again. */
+  /** Drops all state; the replica delivers its records again. */
   public void clear() {
     writer.reset();
     timer.cancel();
     cycles.clear();
-    marks.clear();
-    writing.clear();
-    heldBefore = Set.of();
+    deliveryMarks.clear();
+    calendarsBeingWritten.clear();
+    previouslyHeldRefs = Set.of();
   }
 
   // ---- leading ----
 
-  /** Goes on with the cycles on record; to be called before anything is placed. */
+  /** Continues with the recorded cycles. Must be called before anything is placed. */
   public void lead() {
     writer.reset();
     if (!calendars.isEmpty()) {
@@ -137,49 +139,56 @@
 
   private void tick() {
     for (RunCalendar calendar : calendars.values()) {
-      if (!writing.contains(calendar.name()) && state.unreachableMs() == 0) {
-        look(calendar);
+      if (!calendarsBeingWritten.contains(calendar.name()) && state.unreachableMs() == 0) {
+        releaseIfDue(calendar);
       }
     }
-    rest();
+    updateHeldRuns();
     timer = timers.after(settings.workers().reportMs() / 12, this::tick);
   }
 
-  /** Releases the newest cycle that can be; what lies further back was missed. */
-  private void look(RunCalendar calendar) {
-    long wall = clock.wall();
-    long current = calendar.cycle(wall);
-    Cycle last = cycle(calendar.name());
-    ReleaseCause by = current > last.start() ? due(calendar, current, wall) : null;
-    if (by != null) {
-      release(calendar, last.released(current, by, wall, delivered(calendar, current)));
+  /** Releases the current cycle if it is due, and records earlier cycles as missed. */
+  private void releaseIfDue(RunCalendar calendar) {
+    long wallMs = clock.wall();
+    long currentMs = calendar.cycle(wallMs);
+    Cycle last = lastCycle(calendar.name());
+    ReleaseCause cause = currentMs > last.startMs() ? dueCause(calendar, currentMs, wallMs) : null;
+    if (cause != null) {
+      release(
+          calendar,
+          last.withRelease(currentMs, cause, wallMs, deliveredCount(calendar, currentMs)));
       return;
     }
-    long before = last.start() == 0 ? current : calendar.next(last.start());
-    if (before < current) {
-      // Nobody led, or nobody could write, until it was over; its runs are long on their way.
+    long nextUnreleased = last.startMs() == 0 ? currentMs : calendar.next(last.startMs());
+    if (nextUnreleased < currentMs) {
+      // No controller led, or none could write, until this cycle ended; its runs have long started.
       release(
-          calendar, last.released(before, ReleaseCause.MISSED, wall, delivered(calendar, before)));
+          calendar,
+          last.withRelease(
+              nextUnreleased,
+              ReleaseCause.MISSED,
+              wallMs,
+              deliveredCount(calendar, nextUnreleased)));
       return;
     }
-    compact(calendar, last);
+    removeOldMarks(calendar, last);
   }
 
-  private ReleaseCause due(RunCalendar calendar, long start, long wall) {
-    int delivered = delivered(calendar, start);
+  private ReleaseCause dueCause(RunCalendar calendar, long startMs, long wallMs) {
+    int delivered = deliveredCount(calendar, startMs);
     if (delivered >= calendar.complete()) {
       return ReleaseCause.COMPLETE;
     }
     if (calendar.quorum() > 0
         && delivered >= calendar.quorum()
-        && wall - start >= calendar.quorumAfterMs()) {
+        && wallMs - startMs >= calendar.quorumAfterMs()) {
       return ReleaseCause.QUORUM;
     }
-    return wall - start >= calendar.cutOffMs() ? ReleaseCause.CUT_OFF : null;
+    return wallMs - startMs >= calendar.cutOffMs() ? ReleaseCause.CUT_OFF : null;
   }
 
   private void release(RunCalendar calendar, Cycle next) {
-    writing.add(calendar.name());
+    calendarsBeingWritten.add(calendar.name());
     String key = StateKeys.CALENDAR + calendar.name();
     writer.put(
         key,
@@ -192,93 +201,96 @@
           }
           if (outcome instanceof TxnOutcome.Applied) {
             cycles.put(calendar.name(), next);
-            told(calendar, next);
-            changed.run();
+            announceRelease(calendar, next);
+            onRelease.run();
           }
-          // The replica shows it a moment later; without an answer it tells what became of it.
-          timers.after(settings.workers().reportMs() / 12, () -> writing.remove(calendar.name()));
+          // The replica soon shows whether the put was applied, also when no answer came.
+          timers.after(
+              settings.workers().reportMs() / 12,
+              () -> calendarsBeingWritten.remove(calendar.name()));
         });
   }
 
-  private void told(RunCalendar calendar, Cycle cycle) {
+  private void announceRelease(RunCalendar calendar, Cycle cycle) {
     LOG.info(
-        "{}: the cycle of {} is released ({}, {} of {} deliveries)",
+        "calendar {}: released the cycle that began at {} ms (cause: {}, {} of {} deliveries)",
         calendar.name(),
-        cycle.start(),
-        cycle.by().shown(),
-        cycle.delivered(),
+        cycle.startMs(),
+        cycle.cause().label(),
+        cycle.deliveredCount(),
         calendar.complete());
     events.note(
         Events.Kind.CYCLE,
         o ->
             o.put("calendar", calendar.name())
-                .put("cycle", cycle.start())
-                .put("state", cycle.by().shown())
-                .put("delivered", cycle.delivered())
-                .put("lag_s", (cycle.at() - cycle.start()) / 1000.0));
+                .put("cycle", cycle.startMs())
+                .put("state", cycle.cause().label())
+                .put("delivered", cycle.deliveredCount())
+                .put("lag_s", (cycle.releasedAtMs() - cycle.startMs()) / 1000.0));
   }
 
-  /** Marks of cycles that are over are taken out, a few at a time, one period after their end. */
-  private void compact(RunCalendar calendar, Cycle last) {
+  /** Removes the marks of past cycles one period after their end, a few per transaction. */
+  private void removeOldMarks(RunCalendar calendar, Cycle last) {
     Txn txn = writer.transaction();
-    marks
+    deliveryMarks
         .getOrDefault(calendar.name(), Map.of())
         .forEach(
             (start, refs) -> {
-              if (start < last.start() - calendar.periodMs()) {
+              if (start < last.startMs() - calendar.periodMs()) {
                 refs.stream()
                     .limit(Math.max(0, settings.state().txnOps() - txn.size()))
-                    .forEach(ref -> txn.remove(mark(calendar.name(), start, ref)));
+                    .forEach(ref -> txn.remove(markKey(calendar.name(), start, ref)));
               }
             });
     if (txn.size() > 0) {
-      writing.add(calendar.name());
+      calendarsBeingWritten.add(calendar.name());
       writer.commit(
           txn,
           Priority.BOOKKEEPING,
           outcome -> {
             if (!leadership.stepDownIfDeposed(outcome)) {
               timers.after(
-                  settings.workers().reportMs() / 3, () -> writing.remove(calendar.name()));
+                  settings.workers().reportMs() / 3,
+                  () -> calendarsBeingWritten.remove(calendar.name()));
             }
           });
     }
   }
 
   /**
-   * What is held is planned for only from when its machines have to be asked for. What is held no
-   * more is placed now, whatever ended it: an answer, the record of a release whose answer was
-   * lost, or the clock.
+   * Updates which runs are held. Held runs are planned for only from the time at which their
+   * machines have to be requested. Runs that are no longer held are placed now, whatever ended the
+   * hold: the answer to the release, the record of a release whose answer was lost, or the clock.
    */
-  private void rest() {
-    Set<String> held = new HashSet<>();
+  private void updateHeldRuns() {
+    Set<String> heldRefs = new HashSet<>();
     for (Job job : ledger.jobs()) {
-      RunCalendar calendar = of(job.spec());
+      RunCalendar calendar = calendarFor(job.spec());
       if (calendar != null) {
-        boolean holds = holds(job);
-        ledger.rest(job, holds && !soon(calendar, job));
-        if (holds) {
-          held.add(job.spec().ref());
+        boolean isHeld = isHeld(job);
+        ledger.rest(job, isHeld && !isReleaseNear(calendar, job));
+        if (isHeld) {
+          heldRefs.add(job.spec().ref());
         }
       }
     }
-    boolean released = !held.containsAll(heldBefore);
-    heldBefore = held;
-    if (released) {
-      changed.run();
+    boolean anyReleased = !heldRefs.containsAll(previouslyHeldRefs);
+    previouslyHeldRefs = heldRefs;
+    if (anyReleased) {
+      onRelease.run();
     }
   }
 
-  /** True from a boot before the usual release on. */
-  private boolean soon(RunCalendar calendar, Job job) {
-    long start = calendar.cycle(job.acceptedWall());
-    double usual = cycle(calendar.name()).usualLagMs(calendar.cutOffMs());
-    return clock.wall() >= start + usual - 1000 * bootS.getAsDouble();
+  /** Returns true from one boot time before the usual release of a job's cycle. */
+  private boolean isReleaseNear(RunCalendar calendar, Job job) {
+    long startMs = calendar.cycle(job.acceptedWall());
+    double usualLagMs = lastCycle(calendar.name()).usualLagMs(calendar.cutOffMs());
+    return clock.wall() >= startMs + usualLagMs - 1000 * bootS.getAsDouble();
   }
 
-  // ---- asked by the others ----
+  // ---- queries of other components ----
 
-  private RunCalendar of(Submission submission) {
+  private RunCalendar calendarFor(Submission submission) {
     for (RunCalendar calendar : calendars.values()) {
       if (calendar.isRun(submission)) {
         return calendar;
@@ -287,90 +299,96 @@
     return null;
   }
 
-  /** True while a job has to wait for its cycle. */
-  public boolean holds(Job job) {
-    RunCalendar calendar = calendars.isEmpty() ? null : of(job.spec());
+  /** Returns true while a job has to wait for the release of its cycle. */
+  public boolean isHeld(Job job) {
+    RunCalendar calendar = calendars.isEmpty() ? null : calendarFor(job.spec());
     if (calendar == null) {
       return false;
     }
-    long start = calendar.cycle(job.acceptedWall());
-    return cycle(calendar.name()).start() < start && clock.wall() - start < calendar.cutOffMs();
+    long startMs = calendar.cycle(job.acceptedWall());
+    return lastCycle(calendar.name()).startMs() < startMs
+        && clock.wall() - startMs < calendar.cutOffMs();
   }
 
-  /** True for a run of the cycle released last: it goes first of its rank. */
-  public boolean goesFirst(Job job) {
-    RunCalendar calendar = calendars.isEmpty() ? null : of(job.spec());
-    return calendar != null && cycle(calendar.name()).start() == calendar.cycle(job.acceptedWall());
+  /** Returns true for a run of the last released cycle. Such runs go first within their rank. */
+  public boolean isRunOfLastReleasedCycle(Job job) {
+    RunCalendar calendar = calendars.isEmpty() ? null : calendarFor(job.spec());
+    return calendar != null
+        && lastCycle(calendar.name()).startMs() == calendar.cycle(job.acceptedWall());
   }
 
-  /** A job is about to be recorded as done: if it is a delivery, it is marked with the same put. */
-  public void finishing(Job job, Txn txn) {
+  /** Adds a mark for each calendar the job is a delivery of, in the put that makes it done. */
+  public void addDeliveryMarks(Job job, Txn txn) {
     for (RunCalendar calendar : calendars.values()) {
       if (calendar.isDelivery(job.spec())) {
-        long start = calendar.cycle(job.acceptedWall());
-        if (delivered(calendar, start) < calendar.complete()
-            && start > cycle(calendar.name()).start()) {
-          txn.put(mark(calendar.name(), start, job.spec().ref()), Json.object());
+        long startMs = calendar.cycle(job.acceptedWall());
+        if (deliveredCount(calendar, startMs) < calendar.complete()
+            && startMs > lastCycle(calendar.name()).startMs()) {
+          txn.put(markKey(calendar.name(), startMs, job.spec().ref()), Json.object());
         }
       }
     }
   }
 
-  /** How many marks {@link #finishing} may add to a transaction. */
-  public int mostMarks() {
+  /** Returns the maximum number of marks that {@link #addDeliveryMarks} adds to a transaction. */
+  public int maxDeliveryMarks() {
     return calendars.size();
   }
 
-  private static String mark(String name, long start, String ref) {
-    return StateKeys.CALENDAR + name + "/" + start + "/" + ref;
+  private static String markKey(String name, long startMs, String ref) {
+    return StateKeys.CALENDAR + name + "/" + startMs + "/" + ref;
   }
 
-  private int delivered(RunCalendar calendar, long start) {
-    return marks.getOrDefault(calendar.name(), Map.of()).getOrDefault(start, Set.of()).size();
+  private int deliveredCount(RunCalendar calendar, long startMs) {
+    return deliveryMarks
+        .getOrDefault(calendar.name(), Map.of())
+        .getOrDefault(startMs, Set.of())
+        .size();
   }
 
-  private Cycle cycle(String name) {
+  private Cycle lastCycle(String name) {
     return cycles.getOrDefault(name, Cycle.NONE);
   }
 
   // ---- views ----
 
-  /** How a calendar stands. */
+  /** State of a calendar, as shown to operators. */
   public record CalendarStatus(
       String name,
       String state,
-      long cycle,
-      int delivered,
-      int complete,
-      long nextMs,
-      String lastBy,
+      long currentStartMs,
+      int deliveredCount,
+      int requiredDeliveries,
+      long msUntilNext,
+      String lastCause,
       double lastLagS,
-      int held) {}
+      int heldRuns) {}
 
-  /** All calendars, in the order of the file. */
+  /** Returns the states of all calendars, in the order of the operators' file. */
   public List<CalendarStatus> statuses() {
-    List<CalendarStatus> out = new ArrayList<>();
-    long wall = clock.wall();
+    List<CalendarStatus> statuses = new ArrayList<>();
+    long wallMs = clock.wall();
     for (RunCalendar calendar : calendars.values()) {
-      long current = calendar.cycle(wall);
-      Cycle last = cycle(calendar.name());
-      int delivered = delivered(calendar, current);
-      String stands =
-          last.start() >= current ? "released" : delivered > 0 ? "gathering" : "waiting";
-      long held = ledger.jobs().stream().filter(j -> calendar.isRun(j.spec()) && holds(j)).count();
-      out.add(
+      long currentStartMs = calendar.cycle(wallMs);
+      Cycle last = lastCycle(calendar.name());
+      int delivered = deliveredCount(calendar, currentStartMs);
+      String state =
+          last.startMs() >= currentStartMs ? "released" : delivered > 0 ? "gathering" : "waiting";
+      long heldRuns =
+          ledger.jobs().stream().filter(j -> calendar.isRun(j.spec()) && isHeld(j)).count();
+      statuses.add(
           new CalendarStatus(
               calendar.name(),
-              stands,
-              current,
-              Math.max(delivered, last.start() == current ? last.delivered() : 0),
+              state,
+              currentStartMs,
+              Math.max(delivered, last.startMs() == currentStartMs ? last.deliveredCount() : 0),
               calendar.complete(),
-              calendar.next(current) - wall,
-              last.start() == 0 ? null : last.by().shown(),
-              (last.at() - last.start()) / 1000.0,
-              (int) held));
+              calendar.next(currentStartMs) - wallMs,
+              last.startMs() == 0 ? null : last.cause().label(),
+              (last.releasedAtMs() - last.startMs()) / 1000.0,
+              (int) heldRuns));
     }
-    return out;
+    return statuses;
   }
 
   @Override
--- a/src/main/java/dapplestair/calendar/Cycle.java
+++ b/src/main/java/dapplestair/calendar/Cycle.java
@@ -9,54 +9,59 @@
 import java.util.Locale;
 
 /**
- * Where a calendar stands: its newest cycle that was released, and how the ones before went.
+ * The last released cycle of a calendar, with the releases before it.
  *
- * @param start of the cycle, time of day in milliseconds; 0 before the first
- * @param by what released it
- * @param at when it was released
- * @param delivered how many deliveries were there then
- * @param past releases before it, the newest first
+ * @param startMs start of the cycle in wall-clock milliseconds; 0 before the first release
+ * @param cause what released the cycle
+ * @param releasedAtMs time of the release in wall-clock milliseconds
+ * @param deliveredCount number of deliveries at the time of the release
+ * @param past earlier releases, the newest first
  */
-record Cycle(long start, ReleaseCause by, long at, int delivered, List<PastCycle> past) {
-  private static final int MOST_PAST = 16;
+record Cycle(
+    long startMs, ReleaseCause cause, long releasedAtMs, int deliveredCount, List<PastCycle> past) {
+  private static final int MAX_PAST_CYCLES = 16;
 
   /** What released a cycle. */
   enum ReleaseCause {
-    /** All deliveries were there. */
+    /** All deliveries had arrived. */
     COMPLETE,
-    /** Enough of them, after a while. */
+    /** A quorum of deliveries had arrived, and the time to wait for more had passed. */
     QUORUM,
-    /** The time was over. */
+    /** The cut-off time had passed. */
     CUT_OFF,
-    /** Nobody led until the next one had begun. */
+    /** No controller could release the cycle before the next one began. */
     MISSED;
 
-    String shown() {
+    String label() {
       return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
   }
 
-  /** How long after its start a cycle was released, and by what. */
-  record PastCycle(long start, ReleaseCause by, long lagMs) {}
+  /** An earlier release: what caused it, and how long after the start of its cycle it came. */
+  record PastCycle(long startMs, ReleaseCause cause, long lagMs) {}
 
   static final Cycle NONE = new Cycle(0, ReleaseCause.MISSED, 0, 0, List.of());
 
-  /** The next release. */
-  Cycle released(long newStart, ReleaseCause newBy, long newAt, int newDelivered) {
-    List<PastCycle> list = new ArrayList<>();
-    if (start > 0) {
-      list.add(new PastCycle(start, by, at - start));
-      list.addAll(past.subList(0, Math.min(past.size(), MOST_PAST - 1)));
+  /** Returns this record followed by the release of a newer cycle. */
+  Cycle withRelease(
+      long newStartMs, ReleaseCause newCause, long newReleasedAtMs, int newDeliveredCount) {
+    List<PastCycle> newPast = new ArrayList<>();
+    if (startMs > 0) {
+      newPast.add(new PastCycle(startMs, cause, releasedAtMs - startMs));
+      newPast.addAll(past.subList(0, Math.min(past.size(), MAX_PAST_CYCLES - 1)));
     }
-    return new Cycle(newStart, newBy, newAt, newDelivered, list);
+    return new Cycle(newStartMs, newCause, newReleasedAtMs, newDeliveredCount, newPast);
   }
 
-  /** How long after its start a cycle is usually released: the mean of those on record. */
-  double usualLagMs(double otherwise) {
-    if (start == 0) {
-      return otherwise;
+  /**
+   * Returns how long after its start a cycle is usually released: the mean of the recorded
+   * releases, or {@code defaultMs} before the first.
+   */
+  double usualLagMs(double defaultMs) {
+    if (startMs == 0) {
+      return defaultMs;
     }
-    double sum = at - start;
+    double sum = releasedAtMs - startMs;
     for (PastCycle p : past) {
       sum += p.lagMs();
     }
@@ -66,43 +71,45 @@
   ObjectNode toJson() {
     ObjectNode object =
         Json.object()
-            .put("cycle", start)
-            .put("by", by.shown())
-            .put("at", at)
-            .put("delivered", delivered);
+            .put("cycle", startMs)
+            .put("by", cause.label())
+            .put("at", releasedAtMs)
+            .put("delivered", deliveredCount);
     ArrayNode list = object.putArray("past");
     past.forEach(
         p ->
             list.addObject()
-                .put("cycle", p.start())
-                .put("by", p.by().shown())
+                .put("cycle", p.startMs())
+                .put("by", p.cause().label())
                 .put("lag_ms", p.lagMs()));
     return object;
   }
 
-  static Cycle parse(JsonNode in) {
+  static Cycle parse(JsonNode node) {
     List<PastCycle> past = new ArrayList<>();
-    in.path("past")
+    node.path("past")
         .forEach(
             p ->
                 past.add(
                     new PastCycle(
-                        p.path("cycle").asLong(), by(p.path("by")), p.path("lag_ms").asLong())));
+                        p.path("cycle").asLong(),
+                        parseCause(p.path("by")),
+                        p.path("lag_ms").asLong())));
     return new Cycle(
-        in.path("cycle").asLong(),
-        by(in.path("by")),
-        in.path("at").asLong(),
-        in.path("delivered").asInt(),
+        node.path("cycle").asLong(),
+        parseCause(node.path("by")),
+        node.path("at").asLong(),
+        node.path("delivered").asInt(),
         past);
   }
 
-  private static ReleaseCause by(JsonNode word) {
-    for (ReleaseCause by : ReleaseCause.values()) {
-      if (by.shown().equals(word.asText())) {
-        return by;
+  private static ReleaseCause parseCause(JsonNode node) {
+    for (ReleaseCause cause : ReleaseCause.values()) {
+      if (cause.label().equals(node.asText())) {
+        return cause;
       }
     }
-    // A later version's: released all the same.
+    // A later version may write a cause that is unknown here; the cycle is released all the same.
     return ReleaseCause.CUT_OFF;
   }
 }
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -25,9 +25,9 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.Predicate;
 
-/** Rents and returns machines, and learns from the cloud which exist. Acts only for a leader. */
+/** Rents, lists and returns machines. Acts only while this controller leads. */
 public final class Fleet implements AutoCloseable {
-  private static final int MOST_PER_RENTAL = 50;
+  private static final int MAX_MACHINES_PER_RENTAL = 50;
 
   private final Clock clock;
   private final TermTimers timers;
@@ -42,15 +42,15 @@
   private final FleetCapacity capacity;
   private final CapacityEstimator capacityEstimator;
   private final Releases releases;
-  private final MachineList list;
+  private final MachineList machineList;
   private final MachineHealthMonitor healthMonitor;
   private boolean leading;
   private long typesStamp;
-  private long typesAt = Long.MIN_VALUE / 2;
-  private boolean typing;
+  private long typesFetchedAtMs = Long.MIN_VALUE / 2;
+  private boolean fetchingTypes;
   private Cancellable timer = () -> {};
 
-  /** A fleet without machines. */
+  /** Creates a fleet that knows no machines yet. */
   public Fleet(
       Clock clock,
       TermTimers timers,
@@ -83,8 +83,8 @@
             workers,
             cloud,
             events,
-            this::open,
-            this::refused);
+            this::mayHaveCapacity,
+            this::onCapacityRefused);
     capacity = new FleetCapacity(clock, workers, rentals, timeouts);
     capacityEstimator =
         new CapacityEstimator(
@@ -92,10 +92,10 @@
             types,
             events,
             5 * settings.workers().reportMs(),
-            capacity::given,
-            capacity::holding,
-            capacity::staying);
-    capacityEstimator.closeZones(z -> workers.zoneSilentMs(z) > 0);
+            capacity::heldCount,
+            capacity::heldOrPendingCount,
+            capacity::stayingCount);
+    capacityEstimator.setZoneClosedTest(z -> workers.zoneSilentMs(z) > 0);
     releases = new Releases(workers, cloud, events);
     healthMonitor =
         new MachineHealthMonitor(
@@ -110,102 +110,103 @@
             capacityEstimator,
             disruptionGate::givenUp,
             events);
-    list = new MachineList(clock, settings, types, workers, cloud, healthMonitor);
+    machineList = new MachineList(clock, settings, types, workers, cloud, healthMonitor);
   }
 
-  private boolean open(CapacityPool pool) {
-    return capacityEstimator.open(pool);
+  private boolean mayHaveCapacity(CapacityPool pool) {
+    return capacityEstimator.mayHaveCapacity(pool);
   }
 
-  private void refused(CapacityPool pool) {
-    if (capacityEstimator.refuse(pool)) {
-      // What is wanted must come from elsewhere: a plan that knows, not the next one in its turn.
-      healthMonitor.roomLost();
+  private void onCapacityRefused(CapacityPool pool) {
+    if (capacityEstimator.recordRefusal(pool)) {
+      // The machines must come from elsewhere: plan again at once, with knowledge of the refusal,
+      // instead of at the next regular interval.
+      healthMonitor.notifyCapacityLost();
     }
   }
 
-  /** Zones in which nothing is to be rented, since operators have them emptied. */
-  public void closeZones(Predicate<String> closed) {
-    // Nothing is rented in a silent zone either: what boots there cannot be reached.
-    capacityEstimator.closeZones(z -> closed.test(z) || workers.zoneSilentMs(z) > 0);
+  /** Sets the test for zones in which nothing may be rented, since operators drain them. */
+  public void setZoneClosedTest(Predicate<String> isZoneClosed) {
+    // Nothing is rented in a silent zone either: machines that boot there cannot be reached.
+    capacityEstimator.setZoneClosedTest(z -> isZoneClosed.test(z) || workers.zoneSilentMs(z) > 0);
   }
 
   /**
-   * How much work waits for room, for the decision which silent machines to give up, and who hears
-   * of room that is lost.
+   * Sets the supplier of the CPUs of waiting work, which helps to decide which silent machines are
+   * given up, and the callback for lost capacity.
    */
-  public void weigh(DoubleSupplier waitingCpus, Runnable roomLost) {
-    healthMonitor.weigh(waitingCpus, roomLost);
+  public void setCapacityCallbacks(DoubleSupplier waitingCpus, Runnable onCapacityLost) {
+    healthMonitor.setCapacityCallbacks(waitingCpus, onCapacityLost);
   }
 
-  // ---- what the replica says ----
+  // ---- records from the replica ----
 
-  /** The recorded types have this value. */
-  public void typesKey(JsonNode value, long stamp) {
+  /** Applies the record of the machine types. */
+  public void applyTypesRecord(JsonNode value, long stamp) {
     typesStamp = stamp;
     if (value != null && !types.known()) {
       types.read(value);
     }
   }
 
-  /** A rental's record has this value. */
-  public void rentalPut(String name, JsonNode value, long stamp) {
-    rentals.recorded(name, value, stamp);
+  /** Applies a rental's record. */
+  public void applyRentalRecord(String name, JsonNode value, long stamp) {
+    rentals.applyRecord(name, value, stamp);
   }
 
-  /** A rental's record is gone. */
-  public void rentalRemoved(String name) {
-    rentals.removed(name);
+  /** Applies the removal of a rental's record. */
+  public void applyRentalRemoval(String name) {
+    rentals.applyRemoval(name);
   }
 
   // ---- leading ----
 
-  /** Takes over the machines that earlier terms rented. */
+  /** Begins to lead and takes over the machines that earlier terms rented. */
   public void lead() {
     leading = true;
-    healthMonitor.lead(list);
+    healthMonitor.lead(machineList);
     releases.lead();
     rentals.lead();
     tick();
   }
 
-  /** Forgets all but prices: the replica tells it again. */
+  /** Drops all state except prices; the replica delivers its records again. */
   public void clear() {
     leading = false;
     timer.cancel();
     cloud.clear();
     rentals.clear();
     releases.clear();
-    list.clear();
-    typing = false;
-    typesAt = Long.MIN_VALUE / 2;
+    machineList.clear();
+    fetchingTypes = false;
+    typesFetchedAtMs = Long.MIN_VALUE / 2;
   }
 
   private void tick() {
-    long every = types.known() ? 5 * settings.workers().reportMs() : 500;
-    if (clock.now() - typesAt > every && !typing) {
-      askTypes();
+    long intervalMs = types.known() ? 5 * settings.workers().reportMs() : 500;
+    if (clock.now() - typesFetchedAtMs > intervalMs && !fetchingTypes) {
+      fetchTypes();
     }
-    list.refresh();
-    healthMonitor.look();
-    releases.send();
-    rentals.forget();
+    machineList.refresh();
+    healthMonitor.inspectAll();
+    releases.sendNextBatch();
+    rentals.cleanUp();
     timer = timers.after(settings.workers().reportMs() / 8, this::tick);
   }
 
-  private void askTypes() {
-    typing = true;
+  private void fetchTypes() {
+    fetchingTypes = true;
     cloud.types(
         reply -> {
-          typing = false;
-          typesAt = clock.now();
+          fetchingTypes = false;
+          typesFetchedAtMs = clock.now();
           if (!leading || !reply.ok()) {
             return;
           }
-          boolean knewNone = !types.known() || typesStamp == 0;
+          boolean hadNoTypes = !types.known() || typesStamp == 0;
           if (types.read(Json.parse(reply.body()))) {
             spotHistory.notePrices(types.all());
-            if (knewNone) {
+            if (hadNoTypes) {
               recordTypes();
             }
           }
@@ -224,30 +225,30 @@
         Priority.LAUNCH,
         settings.workers().reportMs(),
         outcome -> {
-          // What was refused to a former term says nothing of this one.
+          // A write refused to an earlier term does not show that this term has ended.
           if (leadership.isLeadingTerm(term)) {
             leadership.stepDownIfDeposed(outcome);
           }
         });
   }
 
-  /** What the cloud's machines cost and how often it takes them. */
-  public SpotHistory market() {
+  /** Returns the recent spot prices and reclaims. */
+  public SpotHistory spotHistory() {
     return spotHistory;
   }
 
   // ---- returning and renting ----
 
-  /** Returns an idle machine; false when something holds room on it. */
+  /** Returns an idle machine; false when it is in use or the state service is unreachable. */
   public boolean release(Host host) {
-    if (!host.idle() || host.releasing() || !healthMonitor.mayJudge()) {
+    if (!host.idle() || host.releasing() || !healthMonitor.mayReturnMachines()) {
       return false;
     }
     releases.add(host);
     return true;
   }
 
-  /** Rents up to {@code count} more, spread over the zones that still have some. */
+  /** Rents up to {@code count} more machines, spread over the zones that may have capacity. */
   public void rent(MachineKind kind, int count) {
     MachineType type = types.get(kind.type());
     if (type == null || !leading) {
@@ -256,95 +257,100 @@
     capacityEstimator
         .spread(kind, type, count)
         .forEach(
-            (pool, n) -> {
-              // Where the cloud has refused lately one lot tells whether it has more again: each
-              // is a put before the cloud is asked.
-              int most = capacityEstimator.refusedBefore(pool) ? Math.min(n, MOST_PER_RENTAL) : n;
-              for (int left = most; left > 0; left -= MOST_PER_RENTAL) {
-                rentals.begin(pool, Math.min(left, MOST_PER_RENTAL));
+            (pool, share) -> {
+              // Each rental costs a put before the cloud is asked. In a pool that the cloud has
+              // refused before, a single rental is enough to learn whether it has capacity again.
+              int total =
+                  capacityEstimator.wasEverRefused(pool)
+                      ? Math.min(share, MAX_MACHINES_PER_RENTAL)
+                      : share;
+              for (int remaining = total; remaining > 0; remaining -= MAX_MACHINES_PER_RENTAL) {
+                rentals.startRental(pool, Math.min(remaining, MAX_MACHINES_PER_RENTAL));
               }
             });
   }
 
-  /** Rents one more in this zone; false when nothing is to be had there now. */
+  /** Rents one more machine in this zone; returns false when none can be rented there now. */
   public boolean rentIn(MachineKind kind, String zone) {
     if (!leading || !mayRentIn(kind, zone)) {
       return false;
     }
-    rentals.begin(new CapacityPool(kind, zone), 1);
+    rentals.startRental(new CapacityPool(kind, zone), 1);
     return true;
   }
 
-  /** Rents up to {@code count} more in this zone, at most one lot. */
+  /** Rents up to {@code count} more machines in this zone, in at most one rental. */
   public void rentIn(MachineKind kind, String zone, int count) {
     if (leading && count > 0 && mayRentIn(kind, zone)) {
-      rentals.begin(new CapacityPool(kind, zone), Math.min(count, MOST_PER_RENTAL));
+      rentals.startRental(new CapacityPool(kind, zone), Math.min(count, MAX_MACHINES_PER_RENTAL));
     }
   }
 
   /**
-   * Rents one machine in this zone though it may be closed, of the kind that costs least; false
-   * when none is to be had there now.
+   * Rents one machine of the cheapest kind in this zone, even if closed; false if none is there.
    */
-  public boolean rentAnyIn(String zone) {
+  public boolean rentCheapestIn(String zone) {
     CapacityPool cheapest = leading ? capacityEstimator.cheapestIn(zone, spotHistory) : null;
-    if (cheapest == null || rentals.pending(cheapest) > 0) {
+    if (cheapest == null || rentals.pendingCount(cheapest) > 0) {
       return false;
     }
-    rentals.begin(cheapest, 1);
+    rentals.startRental(cheapest, 1);
     return true;
   }
 
-  /** True when the cloud may have more there, and something may be rented there. */
+  /** Returns true when the cloud may have more machines there and the zone is not closed. */
   public boolean mayRentIn(MachineKind kind, String zone) {
     return capacityEstimator.mayRent(new CapacityPool(kind, zone));
   }
 
-  /** Machines asked for in this zone of which the cloud has not told yet. */
+  /** Returns how many machines were requested in this zone and not yet answered by the cloud. */
   public int pendingIn(MachineKind kind, String zone) {
-    return rentals.pending(new CapacityPool(kind, zone));
+    return rentals.pendingCount(new CapacityPool(kind, zone));
   }
 
-  /** A machine that no list has shown for so long is not there; milliseconds. */
-  public long longestListLag() {
-    return list.longestLag();
+  /** Returns the maximum lag of the cloud's list; machines unlisted for longer do not exist. */
+  public long maxListLagMs() {
+    return machineList.maxLagMs();
   }
 
   // ---- views ----
 
-  /** Machines of a slot that are or will be of use. */
-  public int holding(MachineKind kind) {
-    return capacity.holding(kind);
+  /** Returns how many machines of this kind are usable or will be. */
+  public int heldOrPendingCount(MachineKind kind) {
+    return capacity.heldOrPendingCount(kind);
   }
 
-  /** True when a machine is, or will be, of use in this slot. */
-  public boolean counts(Host host, MachineKind kind) {
-    return capacity.counts(host, kind);
+  /** Returns true when a machine is, or will be, usable as one of this kind. */
+  public boolean isUsableAs(Host host, MachineKind kind) {
+    return capacity.isUsableAs(host, kind);
   }
 
-  /** Most machines of a slot that the cloud has shown to give, or {@code otherwise}. */
-  public int capacity(MachineKind kind, int otherwise) {
-    return capacityEstimator.capacity(kind, otherwise);
+  /**
+   * Returns the estimated maximum number of machines of a kind, with {@code headroomPerZone} more
+   * than now for each open zone without a recent refusal.
+   */
+  public int capacity(MachineKind kind, int headroomPerZone) {
+    return capacityEstimator.capacity(kind, headroomPerZone);
   }
 
   /**
-   * Keeps new work from so many steady machines of a slot, those that empty soonest, none of them
-   * in the zones that are spared.
+   * Cordons {@code count} steady machines of a kind against new work: those that become empty
+   * soonest, and none in the zones that {@code isZoneSpared} accepts.
    */
-  public void cordon(MachineKind kind, int count, Predicate<String> spared) {
-    capacity.cordon(kind, count, spared);
+  public void cordon(MachineKind kind, int count, Predicate<String> isZoneSpared) {
+    capacity.cordon(kind, count, isZoneSpared);
   }
 
-  /** Idle machines of a slot that may be returned now, those idle longest first. */
+  /** Returns the idle machines of a kind that may be returned now, those idle longest first. */
   public List<Host> returnable(MachineKind kind) {
     return capacity.returnable(kind);
   }
 
-  /** What is on its way for a job, and what the cloud refused. */
-  public PendingCapacity prospects(Submission submission) {
+  /** Returns the machines that are on their way for a job, and what the cloud refused. */
+  public PendingCapacity pendingCapacity(Submission submission) {
     long now = clock.now();
     int booting = 0;
-    double next = -1;
+    double nextDueS = -1;
     for (Host host : workers.hosts()) {
       if (!host.up()
           && !host.gone()
@@ -352,35 +358,36 @@
           && !host.drained()
           && host.allowed(submission)) {
         booting++;
-        double due = Math.max(0, host.type().bootS() - Math.max(0, now - host.rentedAt()) / 1000.0);
-        next = next < 0 ? due : Math.min(next, due);
+        double dueS =
+            Math.max(0, host.type().bootS() - Math.max(0, now - host.rentedAt()) / 1000.0);
+        nextDueS = nextDueS < 0 ? dueS : Math.min(nextDueS, dueS);
       }
     }
     for (Rental rental : rentals.all()) {
-      if (rental.pending() && suits(submission, rental.pool)) {
+      if (rental.isPending() && suits(submission, rental.pool)) {
         booting += rental.count;
-        double due = types.get(rental.pool.kind().type()).bootS();
-        next = next < 0 ? due : Math.min(next, due);
+        double dueS = types.get(rental.pool.kind().type()).bootS();
+        nextDueS = nextDueS < 0 ? dueS : Math.min(nextDueS, dueS);
       }
     }
     List<PendingCapacity.CapacityRefusal> refusals = new ArrayList<>();
-    capacityEstimator.refusals(
-        (p, againS) -> {
-          if (suits(submission, p)) {
+    capacityEstimator.forEachRefusal(
+        (pool, retryInS) -> {
+          if (suits(submission, pool)) {
             refusals.add(
                 new PendingCapacity.CapacityRefusal(
-                    p.kind().type(), p.zone(), p.kind().spot(), againS));
+                    pool.kind().type(), pool.zone(), pool.kind().spot(), retryInS));
           }
         });
-    return new PendingCapacity(booting, next, refusals);
+    return new PendingCapacity(booting, nextDueS, refusals);
   }
 
-  private boolean suits(Submission submission, CapacityPool capacityPool) {
-    MachineType type = types.get(capacityPool.kind().type());
+  private boolean suits(Submission submission, CapacityPool pool) {
+    MachineType type = types.get(pool.kind().type());
     return type != null
         && type.suits(submission)
-        && (submission.spot() || !capacityPool.kind().spot())
-        && (submission.zone() == null || submission.zone().equals(capacityPool.zone()));
+        && (submission.spot() || !pool.kind().spot())
+        && (submission.zone() == null || submission.zone().equals(pool.zone()));
   }
 
   @Override
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -20,13 +20,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which machines are given up: lost, late, silent, emptied, or with work that cannot be stopped.
+ * Decides which machines are given up: those that are lost, overdue in booting, silent or drained,
+ * or whose cancelled work cannot be stopped.
  */
 final class MachineHealthMonitor implements MachineList.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(MachineHealthMonitor.class);
 
-  // Usual boots take up to 1.5 times the stated time, and a bad day nearly doubles that.
-  private static final double BOOT_OVERDUE = 3.0;
+  // Usual boots take up to 1.5 times the stated boot time, and on a bad day nearly twice that.
+  private static final double BOOT_OVERDUE_FACTOR = 3.0;
 
   private final Clock clock;
   private final Settings settings;
@@ -37,18 +38,18 @@
   private final SpotHistory spotHistory;
   private final SilenceTimeouts timeouts;
   private final CapacityEstimator capacityEstimator;
-  private final Consumer<Host> debit;
+  private final Consumer<Host> chargeBudgets;
   private DoubleSupplier waitingCpus = () -> 0;
-  private Runnable roomLost = () -> {};
+  private Runnable onCapacityLost = () -> {};
 
-  // Zones for whose replicas room was asked for already.
-  private final Set<String> prepared = new HashSet<>();
+  // Silent zones for whose replicas capacity elsewhere was already requested.
+  private final Set<String> preparedZones = new HashSet<>();
   private final Events events;
-  private MachineList list;
-  private final Multiset<String> expectedUp = HashMultiset.create();
-  private boolean anyFresh;
+  private MachineList machineList;
+  private final Multiset<String> expectedUpByZone = HashMultiset.create();
+  private boolean anyHostFresh;
   private double freeCpus;
-  private long leadingSince;
+  private long leadingSinceMs;
 
   MachineHealthMonitor(
       Clock clock,
@@ -60,7 +61,7 @@
       SpotHistory spotHistory,
       SilenceTimeouts timeouts,
       CapacityEstimator capacityEstimator,
-      Consumer<Host> debit,
+      Consumer<Host> chargeBudgets,
       Events events) {
     this.clock = clock;
     this.settings = settings;
@@ -71,59 +72,64 @@
     this.spotHistory = spotHistory;
     this.timeouts = timeouts;
     this.capacityEstimator = capacityEstimator;
-    this.debit = debit;
+    this.chargeBudgets = chargeBudgets;
     this.events = events;
   }
 
-  /** {@code waiting} says how much work waits for room; {@code lost} hears of room that is lost. */
-  void weigh(DoubleSupplier waiting, Runnable lost) {
-    waitingCpus = waiting;
-    roomLost = lost;
+  /**
+   * Sets the callbacks of this monitor.
+   *
+   * @param newWaitingCpus supplies the CPUs of the work that waits for capacity
+   * @param newOnCapacityLost runs when capacity is lost
+   */
+  void setCapacityCallbacks(DoubleSupplier newWaitingCpus, Runnable newOnCapacityLost) {
+    waitingCpus = newWaitingCpus;
+    onCapacityLost = newOnCapacityLost;
   }
 
   void lead(MachineList machines) {
-    list = machines;
-    leadingSince = clock.now();
+    machineList = machines;
+    leadingSinceMs = clock.now();
   }
 
-  /** Room that was counted on is not to be had. */
-  void roomLost() {
-    roomLost.run();
+  /** Reports that capacity that the plan counts on is not available. */
+  void notifyCapacityLost() {
+    onCapacityLost.run();
   }
 
-  /** Looks at every machine. */
-  void look() {
+  /** Inspects every machine and returns those that are given up. */
+  void inspectAll() {
     long now = clock.now();
-    anyFresh = false;
-    boolean anyAwaited = false;
-    expectedUp.clear();
+    anyHostFresh = false;
+    boolean anyZoneSilent = false;
+    expectedUpByZone.clear();
     for (Host host : workers.hosts()) {
-      anyFresh |= workers.fresh(host);
-      anyAwaited |= host.zoneSilentMs() > 0;
-      prepare(host);
+      anyHostFresh |= workers.fresh(host);
+      anyZoneSilent |= host.zoneSilentMs() > 0;
+      prepareForZoneLoss(host);
       if (host.expectedUp()) {
-        expectedUp.add(String.valueOf(host.zone()));
+        expectedUpByZone.add(String.valueOf(host.zone()));
       }
     }
-    freeCpus = anyAwaited ? freeCpus() : 0;
+    freeCpus = anyZoneSilent ? computeFreeCpus() : 0;
     for (Host host : List.copyOf(workers.hosts())) {
       inspect(host, now);
     }
   }
 
   @Override
-  public void failed(Host host) {
-    LOG.info("{} has failed", host.id());
-    lost(host, "failed");
+  public void onFailed(Host host) {
+    LOG.info("machine {} has failed according to the cloud: returning it", host.id());
+    reportLost(host, "failed");
     workers.gone(host);
     releases.addGone(host.id());
   }
 
   @Override
-  public void taken(Host host) {
-    LOG.info("{} was taken", host.id());
-    lost(host, "taken by the cloud");
-    spotHistory.noteTaken(host);
+  public void onReclaimed(Host host) {
+    LOG.info("machine {} was reclaimed by the cloud", host.id());
+    reportLost(host, "taken by the cloud");
+    spotHistory.noteReclaimed(host);
     workers.gone(host);
   }
 
@@ -131,32 +137,34 @@
     if (host.releasing()) {
       return;
     }
-    if (unstoppable(host, now)) {
-      LOG.info("{} still holds cancelled work: returning it", host.id());
+    if (hasOverdueHalt(host, now)) {
+      LOG.info("machine {} did not stop cancelled work in time: returning it", host.id());
       giveUp(host);
-    } else if (mayJudge()) {
-      judge(host, now);
+    } else if (mayReturnMachines()) {
+      returnIfUnusable(host, now);
     }
   }
 
   /**
-   * A leader behind a cut sees all others as silent, and what it asks of the cloud may be done when
-   * the cut ends and another one leads. So it returns nothing that it need not, while the state
-   * service does not tell it that it leads.
+   * Returns true while the state service can be reached. A leader that is cut off sees all machines
+   * as silent, and its requests to the cloud may be carried out when the cut ends and another
+   * controller leads. So it returns only machines that it must return, as long as the state service
+   * does not confirm that it still leads.
    */
-  boolean mayJudge() {
+  boolean mayReturnMachines() {
     return state.unreachableMs() == 0;
   }
 
-  private void judge(Host host, long now) {
+  private void returnIfUnusable(Host host, long now) {
     if (workers.saidGone(host)) {
-      LOG.info("{} was returned by the leader before: once more", host.id());
+      LOG.info(
+          "machine {} was reported gone by the previous leader: returning it again", host.id());
       releases.add(host);
-    } else if (host.outOfReach() && givenUp(host)) {
-      LOG.info("{} is silent: returning it", host.id());
+    } else if (host.outOfReach() && shouldGiveUp(host)) {
+      LOG.info("machine {} has been silent for too long: returning it", host.id());
       LOG.debug(
-          "{} in {}: silent for {} ms, its zone for {} ms, hangs {}, mute {}, "
-              + "{} attempts, CPUs of replicas {}",
+          "silent machine {} in zone {}: silent for {} ms, its zone for {} ms, hanging: {}, "
+              + "mute: {}, attempts: {}, CPUs of replicas: {}",
           host.id(),
           host.zone(),
           workers.silentMs(host),
@@ -165,68 +173,73 @@
           host.mute(),
           host.attempts().size(),
           host.serviceCpus());
-      lost(host, "silent");
-      spotHistory.noteTaken(host);
+      reportLost(host, "silent");
+      spotHistory.noteReclaimed(host);
       giveUp(host);
-    } else if (!host.expectedUp() && bootOverdue(host, now)) {
-      LOG.info("{} does not come up: returning it", host.id());
-      lost(host, "does not come up");
+    } else if (!host.expectedUp() && isBootOverdue(host, now)) {
+      LOG.info("machine {} is overdue in booting: returning it", host.id());
+      reportLost(host, "does not come up");
       releases.add(host);
-    } else if (neverListed(host, now)) {
-      LOG.info("{} is recorded but not listed: returning it", host.id());
+    } else if (isMissingFromLists(host, now)) {
+      LOG.info("machine {} is on record but not in the cloud's list: returning it", host.id());
       releases.add(host);
     } else if ((host.draining() || host.recalled()) && host.idle() && host.attempts().isEmpty()) {
-      spotHistory.noteTaken(host);
+      spotHistory.noteReclaimed(host);
       releases.add(host);
     }
   }
 
   /**
-   * A silent machine is given up while its zone is heard, unless it hangs: then its tasks may go on
-   * within its lease. If a whole zone is silent, it is rather the way there that is cut, and its
-   * tasks run on. Both are waited for as {@link SilenceTimeouts} says.
+   * Returns true when a silent machine should be given up. While its zone is heard, a silent
+   * machine is given up at once, unless it hangs: a hanging machine may continue its tasks within
+   * its lease. If the whole zone is silent, the network to it has probably been cut and its tasks
+   * run on. In both cases {@link SilenceTimeouts} defines how long to wait.
    */
-  private boolean givenUp(Host silent) {
-    boolean replicas = silent.serviceCpus() > 0;
-    double bootS = types.bootS(silent.type());
-    if (workers.zoneHeard(silent)) {
-      return !silent.hanging()
-          || timeouts.shouldGiveUpHanging(workers.silentMs(silent), replicas, bootS);
+  private boolean shouldGiveUp(Host host) {
+    boolean runsReplicas = host.serviceCpus() > 0;
+    double bootS = types.bootS(host.type());
+    if (workers.zoneHeard(host)) {
+      return !host.hanging()
+          || timeouts.shouldGiveUpHanging(workers.silentMs(host), runsReplicas, bootS);
     }
-    if (!anyFresh) {
+    if (!anyHostFresh) {
       return false;
     }
-    if (expectedUp.count(String.valueOf(silent.zone())) <= 1) {
+    if (expectedUpByZone.count(String.valueOf(host.zone())) <= 1) {
       return true;
     }
-    boolean room = !replicas && silent.cpusUsed() > 0 && silent.cpusUsed() <= freeCpus;
-    boolean givenUp =
+    boolean fitsElsewhere = !runsReplicas && host.cpusUsed() > 0 && host.cpusUsed() <= freeCpus;
+    boolean timedOut =
         timeouts.shouldGiveUp(
-            silent.zone(),
-            workers.silentMs(silent),
-            replicas,
-            room,
-            silent.type() != null
-                && capacityEstimator.open(new MachineKind(silent.type().name(), silent.spot())),
+            host.zone(),
+            workers.silentMs(host),
+            runsReplicas,
+            fitsElsewhere,
+            host.type() != null
+                && capacityEstimator.mayHaveCapacity(
+                    new MachineKind(host.type().name(), host.spot())),
             bootS);
-    if (givenUp) {
-      freeCpus -= silent.cpusUsed();
+    if (timedOut) {
+      freeCpus -= host.cpusUsed();
     }
-    return givenUp;
+    return timedOut;
   }
 
-  /** Once for each silence of a zone, as soon as its machines with replicas count as lost. */
-  private void prepare(Host host) {
+  /**
+   * Requests capacity elsewhere once per silence of a zone, as soon as its machines with replicas
+   * no longer count as usable.
+   */
+  private void prepareForZoneLoss(Host host) {
     if (host.zoneSilentMs() == 0) {
-      prepared.remove(String.valueOf(host.zone()));
+      preparedZones.remove(String.valueOf(host.zone()));
     } else if (host.zoneSilentMs() >= timeouts.prepareAfterMs()
-        && prepared.add(String.valueOf(host.zone()))) {
-      roomLost.run();
+        && preparedZones.add(String.valueOf(host.zone()))) {
+      onCapacityLost.run();
     }
   }
 
-  /** Room that is free now and that nothing waits for. */
-  private double freeCpus() {
+  /** Returns the CPUs that are free now, less those of the work that waits for capacity. */
+  private double computeFreeCpus() {
     double free = -waitingCpus.getAsDouble();
     for (Host host : workers.hosts()) {
       free += !host.closed() && workers.fresh(host) ? Math.max(0, host.cpusFree()) : 0;
@@ -235,54 +248,64 @@
   }
 
   /**
-   * Only for machines that no list calls running. To a leader that has just begun, every machine is
-   * one that it has not heard yet: those that run must not be taken for late ones.
+   * Returns true when a listed machine is overdue in booting; asked only about machines that no
+   * list shows as running. A new leader has not heard any machine yet, so it waits for the maximum
+   * list lag: running machines must not be taken for overdue ones.
    */
-  private boolean bootOverdue(Host host, long now) {
-    // In a silent zone it may be up, and cannot say so.
+  private boolean isBootOverdue(Host host, long now) {
+    // In a silent zone the machine may be up without being able to report.
     if (host.firstListedAt() == Long.MAX_VALUE
-        || now - leadingSince < list.longestLag()
+        || now - leadingSinceMs < machineList.maxLagMs()
         || host.zoneSilentMs() > 0) {
       return false;
     }
-    double boot = types.bootS(host.type());
-    return now - host.rentedAt() > BOOT_OVERDUE * boot * 1000;
+    double bootS = types.bootS(host.type());
+    return now - host.rentedAt() > BOOT_OVERDUE_FACTOR * bootS * 1000;
   }
 
-  /** What runs there ends with it: that cannot wait, and counts against its teams' budgets. */
+  /**
+   * Returns a machine with all that runs on it. This cannot wait for the disruption budgets of the
+   * teams concerned, but it is charged to them.
+   */
   private void giveUp(Host host) {
-    debit.accept(host);
+    chargeBudgets.accept(host);
     releases.add(host);
   }
 
   /**
-   * Recorded by an earlier leader, in a rental or as the place of an attempt, and gone before any
-   * list of this one could hold it. Its release is the proof that its attempts need.
+   * Returns true for a machine that an earlier leader recorded, in a rental or as the place of an
+   * attempt, and that was gone before any list of this leader could contain it. Its release is the
+   * proof of absence that its attempts need.
    *
-   * <p>Such a machine may have been heard all the same: a report that a cut held back arrives when
-   * the machine has long been returned. Then it must not make its zone look silent for long.
+   * <p>Such a machine may still have been heard: a report that a cut delayed can arrive long after
+   * the machine was returned. The machine must then not make its zone look silent for long.
    */
-  private boolean neverListed(Host host, long now) {
-    boolean ghost = host.up() && workers.silentMs(host) > 2 * settings.workers().reportMs();
-    return (!host.up() || ghost)
+  private boolean isMissingFromLists(Host host, long now) {
+    boolean heardLate = host.up() && workers.silentMs(host) > 2 * settings.workers().reportMs();
+    return (!host.up() || heardLate)
         && host.firstListedAt() == Long.MAX_VALUE
-        && list.listedAt() - host.knownSince() > list.longestLag()
-        && now - Math.min(host.rentedAt(), host.knownSince()) > list.longestLag();
+        && machineList.lastListedAtMs() - host.knownSince() > machineList.maxLagMs()
+        && now - Math.min(host.rentedAt(), host.knownSince()) > machineList.maxLagMs();
   }
 
-  /** Cancelled work must be gone in time, reachable or not: a release is always a proof. */
-  private boolean unstoppable(Host host, long now) {
-    // Behind a cut it may yet be proved otherwise, and a release would end all else there: half of
-    // the time is left for the cloud's own troubles.
+  /**
+   * Returns true when a machine has not stopped cancelled work in time. Cancelled work must end
+   * whether its machine is reachable or not, and returning the machine always proves that it ended.
+   */
+  private boolean hasOverdueHalt(Host host, long now) {
+    // If the machine is cut off, the end of the work may still be proved in another way, and a
+    // release would end all other work there. So half of the allowed time passes first; the rest is
+    // left for failures of the cloud.
     long cancelMs = settings.workers().cancelMs();
-    long timeouts = cancelMs / (host.outOfReach() ? 2 : 4);
+    long haltTimeoutMs = cancelMs / (host.outOfReach() ? 2 : 4);
     for (Attempt attempt : host.attempts()) {
       if (attempt.job().over() && attempt.halting() && !attempt.exited()) {
         long haltedMs = now - attempt.haltAt();
-        // The time allowed does not begin anew with each leader: of what an earlier one could not
-        // stop either, this one only waits for an answer.
-        boolean late = now - attempt.job().overAt() > cancelMs / 2 && haltedMs > cancelMs / 16;
-        if (haltedMs > timeouts || late) {
+        // The allowed time does not start again with each leader. For work that an earlier leader
+        // could not stop either, this one only waits long enough for an answer.
+        boolean overdueSinceJobEnd =
+            now - attempt.job().overAt() > cancelMs / 2 && haltedMs > cancelMs / 16;
+        if (haltedMs > haltTimeoutMs || overdueSinceJobEnd) {
           return true;
         }
       }
@@ -290,10 +313,10 @@
     return false;
   }
 
-  private void lost(Host host, String why) {
-    roomLost.run();
+  private void reportLost(Host host, String reason) {
+    onCapacityLost.run();
     events.note(
         Events.Kind.MACHINE_LOST,
-        o -> o.put("machine", host.id()).put("zone", host.zone()).put("reason", why));
+        o -> o.put("machine", host.id()).put("zone", host.zone()).put("reason", reason));
   }
 }
--- a/src/main/java/dapplestair/fleet/Rental.java
+++ b/src/main/java/dapplestair/fleet/Rental.java
@@ -7,52 +7,53 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What was asked of the cloud under one name, and the machines had for it that still exist. */
+/** A request to the cloud under one name, and the machines provided for it that still exist. */
 final class Rental {
   final String name;
   final CapacityPool pool;
   final int count;
 
-  /** Time of day at which it was asked for. */
-  final long wall;
+  /** Wall-clock time of the request. */
+  final long requestedWallMs;
 
-  /** Null until the cloud has answered. */
-  List<String> hosts;
+  /** Machines that the cloud provided; null until it has answered. */
+  List<String> hostIds;
 
   long stamp;
-  boolean writing;
-  boolean asking;
+  boolean writeInFlight;
+  boolean requestInFlight;
   boolean refused;
 
-  /** The cloud was, or may have been, asked for it. */
-  boolean asked;
+  /** True when this rental was, or may have been, requested from the cloud. */
+  boolean maybeRequested;
 
-  long writtenAt = Long.MIN_VALUE / 2;
+  long writtenAtMs = Long.MIN_VALUE / 2;
 
-  Rental(String name, CapacityPool pool, int count, long wall) {
+  Rental(String name, CapacityPool pool, int count, long requestedWallMs) {
     this.name = name;
     this.pool = pool;
     this.count = count;
-    this.wall = wall;
+    this.requestedWallMs = requestedWallMs;
   }
 
-  /** The rental of a record; {@code now} is the time of day where it names none. */
-  static Rental read(String name, JsonNode value, long now) {
+  /** Parses a record; {@code defaultWallMs} stands in for a missing time of request. */
+  static Rental parse(String name, JsonNode value, long defaultWallMs) {
     MachineKind kind = new MachineKind(value.path("hull").asText(), Json.flag(value, "loaners"));
     CapacityPool pool = new CapacityPool(kind, value.path("basin").asText());
-    return new Rental(name, pool, value.path("howMany").asInt(), Json.number(value, "at", now));
+    return new Rental(
+        name, pool, value.path("howMany").asInt(), Json.number(value, "at", defaultWallMs));
   }
 
-  void readHosts(JsonNode value) {
+  void parseHosts(JsonNode value) {
     if (value.path("hosts").isArray()) {
-      hosts = new ArrayList<>();
-      value.get("hosts").forEach(h -> hosts.add(h.asText()));
+      hostIds = new ArrayList<>();
+      value.get("hosts").forEach(h -> hostIds.add(h.asText()));
     }
   }
 
-  /** True while its machines are on their way or it is not known whether any are. */
-  boolean pending() {
-    return hosts == null && !refused;
+  /** Returns true while the cloud's answer is not known, so that machines may be on their way. */
+  boolean isPending() {
+    return hostIds == null && !refused;
   }
 
   ObjectNode toJson() {
@@ -62,10 +63,10 @@
             .put("basin", pool.zone())
             .put("loaners", pool.kind().spot())
             .put("howMany", count)
-            .put("at", wall);
-    if (hosts != null) {
+            .put("at", requestedWallMs);
+    if (hostIds != null) {
       ArrayNode names = object.putArray("hosts");
-      hosts.forEach(names::add);
+      hostIds.forEach(names::add);
     }
     return object;
   }
--- a/src/main/java/dapplestair/fleet/Rentals.java
+++ b/src/main/java/dapplestair/fleet/Rentals.java
@@ -26,8 +26,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rentals from their record to the last of their machines. Each is recorded before the cloud is
- * asked, under a name used once, so that an unknown outcome is settled by asking again.
+ * Keeps rentals, from the put that records them until the last of their machines is gone. Each
+ * rental is recorded before the cloud is asked, under a name that is used once, so that an unknown
+ * outcome is settled by repeating the request.
  */
 final class Rentals {
   private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
@@ -41,15 +42,15 @@
   private final WorkerManager workers;
   private final CloudClient cloud;
   private final Events events;
-  private final Predicate<CapacityPool> open;
-  private final Consumer<CapacityPool> refused;
+  private final Predicate<CapacityPool> mayHaveCapacity;
+  private final Consumer<CapacityPool> onRefused;
   private final Map<String, Rental> rentals = new LinkedHashMap<>();
   private boolean leading;
-  private long counter;
+  private long lastRentalNumber;
 
   /**
-   * {@code open} tells where the cloud may have more; {@code refused} is told where it had none, or
-   * too few.
+   * Creates an empty set of rentals. {@code mayHaveCapacity} tells whether the cloud may have more
+   * machines in a pool; {@code onRefused} is called for pools where it had none or too few.
    */
   Rentals(
       Clock clock,
@@ -61,8 +62,8 @@
       WorkerManager workers,
       CloudClient cloud,
       Events events,
-      Predicate<CapacityPool> open,
-      Consumer<CapacityPool> refused) {
+      Predicate<CapacityPool> mayHaveCapacity,
+      Consumer<CapacityPool> onRefused) {
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
@@ -72,58 +73,61 @@
     this.workers = workers;
     this.cloud = cloud;
     this.events = events;
-    this.open = open;
-    this.refused = refused;
+    this.mayHaveCapacity = mayHaveCapacity;
+    this.onRefused = onRefused;
   }
 
-  void recorded(String name, JsonNode value, long stamp) {
+  void applyRecord(String name, JsonNode value, long stamp) {
     if (leading) {
-      recordedLate(name, value, stamp);
+      handleLateRecord(name, value, stamp);
       return;
     }
-    Rental rental = rentals.computeIfAbsent(name, n -> Rental.read(n, value, clock.wall()));
+    Rental rental = rentals.computeIfAbsent(name, n -> Rental.parse(n, value, clock.wall()));
     rental.stamp = stamp;
-    rental.readHosts(value);
+    rental.parseHosts(value);
   }
 
   /**
-   * A leader asks the cloud only once it knows that the record was made. One that it does not know
-   * of any more got no answer, was given up, and was carried out late. It is taken away: the next
-   * leader would ask the cloud for all such machines at once.
+   * Handles a record that arrives while this controller leads. A leader asks the cloud only once it
+   * knows that the record was made. A record of a rental that it no longer knows was given up
+   * without an answer and carried out late. The record is marked for removal, since the next leader
+   * would request the machines of all such records at once.
    */
-  private void recordedLate(String name, JsonNode value, long stamp) {
+  private void handleLateRecord(String name, JsonNode value, long stamp) {
     if (value.path("hosts").isArray()) {
       return;
     }
-    Rental known = rentals.get(name);
-    if (known == null) {
-      Rental rental = Rental.read(name, value, clock.wall());
+    Rental knownRental = rentals.get(name);
+    if (knownRental == null) {
+      Rental rental = Rental.parse(name, value, clock.wall());
       rental.refused = true;
       rental.stamp = stamp;
       rentals.put(name, rental);
-    } else if (known.refused) {
-      // Another copy of the transaction, carried out while the record of the first is taken away.
-      known.stamp = Math.max(known.stamp, stamp);
+    } else if (knownRental.refused) {
+      // A second copy of the transaction was carried out while the record of the first is being
+      // removed.
+      knownRental.stamp = Math.max(knownRental.stamp, stamp);
     }
   }
 
-  void removed(String name) {
+  void applyRemoval(String name) {
     if (!leading) {
       rentals.remove(name);
     }
   }
 
-  /** Takes over what earlier terms rented. */
+  /** Begins to lead and takes over the rentals of earlier terms. */
   void lead() {
     leading = true;
-    counter = 0;
+    lastRentalNumber = 0;
     for (Rental rental : List.copyOf(rentals.values())) {
-      if (rental.hosts == null) {
-        // An earlier leader asked, and the answer is not recorded: asking again rents nothing new.
-        rental.asked = true;
-        ask(rental);
+      if (rental.hostIds == null) {
+        // An earlier leader may have asked, and no answer is recorded. A repeated request under the
+        // same name rents nothing twice.
+        rental.maybeRequested = true;
+        requestMachines(rental);
       } else {
-        adopt(rental);
+        registerHosts(rental);
       }
     }
   }
@@ -137,40 +141,40 @@
     return rentals.values();
   }
 
-  /** Machines of a slot that are asked for. */
-  int pending(MachineKind kind) {
+  /** Returns how many machines of a kind are requested and not yet answered. */
+  int pendingCount(MachineKind kind) {
     int count = 0;
     for (Rental rental : rentals.values()) {
-      if (rental.pending() && rental.pool.kind().equals(kind)) {
+      if (rental.isPending() && rental.pool.kind().equals(kind)) {
         count += rental.count;
       }
     }
     return count;
   }
 
-  /** Machines of a slot that are asked for in one zone. */
-  int pending(CapacityPool pool) {
+  /** Returns how many machines of a pool are requested and not yet answered. */
+  int pendingCount(CapacityPool pool) {
     int count = 0;
     for (Rental rental : rentals.values()) {
-      if (rental.pending() && rental.pool.equals(pool)) {
+      if (rental.isPending() && rental.pool.equals(pool)) {
         count += rental.count;
       }
     }
     return count;
   }
 
-  /** Asks the cloud for machines, once that is on record. */
-  void begin(CapacityPool pool, int count) {
-    // Names hold the term, so that no other controller ever uses the same one.
-    String name = "r-" + leadership.term() + "-" + ++counter;
+  /** Records a rental, then requests its machines from the cloud. */
+  void startRental(CapacityPool pool, int count) {
+    // The name contains the term, so that no other controller ever uses the same name.
+    String name = "r-" + leadership.term() + "-" + ++lastRentalNumber;
     Rental rental = new Rental(name, pool, count, clock.wall());
     rentals.put(name, rental);
     write(rental, true);
   }
 
-  private void write(Rental rental, boolean thenAsk) {
-    rental.writing = true;
-    rental.writtenAt = clock.now();
+  private void write(Rental rental, boolean requestWhenRecorded) {
+    rental.writeInFlight = true;
+    rental.writtenAtMs = clock.now();
     String key = StateKeys.rental(rental.name);
     Txn txn = leadership.guard(new Txn()).when(key, rental.stamp).put(key, rental.toJson());
     long term = leadership.term();
@@ -179,18 +183,18 @@
         Priority.FLEET,
         settings.workers().reportMs(),
         outcome -> {
-          rental.writing = false;
-          if (!leads(term)) {
+          rental.writeInFlight = false;
+          if (!isLeadingTerm(term)) {
             return;
           }
-          guarded(outcome);
+          resignIfDeposed(outcome);
           if (outcome instanceof TxnOutcome.Applied applied) {
             rental.stamp = applied.stamp();
-            if (thenAsk) {
-              ask(rental);
+            if (requestWhenRecorded) {
+              requestMachines(rental);
             }
-          } else if (thenAsk) {
-            // Nothing was asked of the cloud: the plan will ask again under another name.
+          } else if (requestWhenRecorded) {
+            // The cloud was not asked. The next plan rents again, under another name.
             rentals.remove(rental.name);
             if (outcome instanceof TxnOutcome.Unknown) {
               rental.refused = true;
@@ -203,88 +207,93 @@
         });
   }
 
-  private boolean leads(long term) {
+  private boolean isLeadingTerm(long term) {
     return leading && leadership.term() == term;
   }
 
-  private void guarded(TxnOutcome outcome) {
+  private void resignIfDeposed(TxnOutcome outcome) {
     if (leading) {
       leadership.stepDownIfDeposed(outcome);
     }
   }
 
   private void readBack(Rental rental) {
-    rental.writing = true;
+    rental.writeInFlight = true;
     long term = leadership.term();
     state.get(
         StateKeys.rental(rental.name),
         read -> {
-          if (!leads(term)) {
+          if (!isLeadingTerm(term)) {
             return;
           }
           if (!read.known()) {
             timers.after(settings.workers().reportMs() / 6, () -> readBack(rental));
             return;
           }
-          rental.writing = false;
+          rental.writeInFlight = false;
           rental.stamp = read.stamp();
-          if (!rental.refused && rental.hosts != null) {
+          if (!rental.refused && rental.hostIds != null) {
             write(rental, false);
           }
         });
   }
 
-  private void ask(Rental rental) {
-    if (rental.asking || !leading) {
+  private void requestMachines(Rental rental) {
+    if (rental.requestInFlight || !leading) {
       return;
     }
-    rental.asking = true;
+    rental.requestInFlight = true;
     cloud.rent(
         rental.name,
         rental.pool.kind().type(),
         rental.pool.kind().spot(),
         rental.pool.zone(),
         rental.count,
-        () -> wanted(rental),
+        () -> shouldRequest(rental),
         reply -> {
-          rental.asking = false;
+          rental.requestInFlight = false;
           if (!leading || rentals.get(rental.name) != rental) {
             return;
           }
           if (reply == null) {
             rental.refused = true;
-            refused.accept(rental.pool);
+            onRefused.accept(rental.pool);
             return;
           }
           JsonNode body = Json.parse(reply.body());
           if (reply.status() == 200 && body.path("hosts").isArray()) {
-            rented(rental, body);
+            onRented(rental, body);
           } else if (CloudClient.noCapacity(reply) || reply.status() == 400) {
-            // First, or it would itself count as held where the cloud has no more.
+            // Set before the callback, which would otherwise count this rental as held in a pool
+            // where the cloud has no more.
             rental.refused = true;
-            refused.accept(rental.pool);
+            onRefused.accept(rental.pool);
           } else {
-            // No answer: it may have rented. The same name again tells, and rents nothing twice.
-            timers.after(settings.workers().reportMs() / 4, () -> ask(rental));
+            // Without an answer the machines may have been rented. A repeated request under the
+            // same
+            // name shows what was rented, and rents nothing twice.
+            timers.after(settings.workers().reportMs() / 4, () -> requestMachines(rental));
           }
         });
   }
 
   /**
-   * What the cloud has just refused to one rental it need not refuse to the next. Not so when it
-   * may have been asked before: then only its answer tells what was rented.
+   * Returns true when a queued request should still be sent. A request is dropped when the cloud
+   * has just refused another rental of the same pool, unless the cloud may have been asked for this
+   * rental before: then only its answer shows what was rented.
    */
-  private boolean wanted(Rental rental) {
-    boolean ask = rental.asked || open.test(rental.pool);
-    rental.asked |= ask;
-    return ask;
+  private boolean shouldRequest(Rental rental) {
+    boolean shouldRequest = rental.maybeRequested || mayHaveCapacity.test(rental.pool);
+    rental.maybeRequested |= shouldRequest;
+    return shouldRequest;
   }
 
-  private void rented(Rental rental, JsonNode body) {
-    rental.readHosts(body);
+  private void onRented(Rental rental, JsonNode body) {
+    rental.parseHosts(body);
     LOG.info(
-        "rented {} of {} {} {} in {}",
-        rental.hosts.size(),
+        "rental {}: the cloud provided {} of {} machines (type {}, {}) in zone {}",
+        rental.name,
+        rental.hostIds.size(),
         rental.count,
         rental.pool.kind().type(),
         rental.pool.kind().spot() ? "spot" : "steady",
@@ -293,19 +302,21 @@
         Events.Kind.RENTED,
         o -> {
           rental.pool.describe(o);
-          o.put("count", rental.hosts.size()).put("asked", rental.count).put("rental", rental.name);
+          o.put("count", rental.hostIds.size())
+              .put("asked", rental.count)
+              .put("rental", rental.name);
         });
-    adopt(rental);
-    if (rental.hosts.size() < rental.count) {
-      refused.accept(rental.pool);
+    registerHosts(rental);
+    if (rental.hostIds.size() < rental.count) {
+      onRefused.accept(rental.pool);
     }
-    if (!rental.writing) {
+    if (!rental.writeInFlight) {
       write(rental, false);
     }
   }
 
-  private void adopt(Rental rental) {
-    for (String id : rental.hosts) {
+  private void registerHosts(Rental rental) {
+    for (String id : rental.hostIds) {
       if (!workers.isGone(id)) {
         Host host = workers.host(id);
         host.describe(
@@ -313,61 +324,62 @@
             types.get(rental.pool.kind().type()),
             rental.pool.zone(),
             rental.pool.kind().spot());
-        host.setRentedAt(clock.now() - Math.max(0, clock.wall() - rental.wall));
+        host.setRentedAt(clock.now() - Math.max(0, clock.wall() - rental.requestedWallMs));
       }
     }
   }
 
   /** Removes the records of rentals whose machines are all gone. */
-  void forget() {
+  void cleanUp() {
     for (Rental rental : List.copyOf(rentals.values())) {
-      if (rental.writing || rental.asking) {
+      if (rental.writeInFlight || rental.requestInFlight) {
         continue;
       }
-      boolean over =
+      boolean finished =
           rental.refused
-              || (rental.hosts != null
-                  && rental.hosts.stream().allMatch(h -> workers.known(h) == null));
-      if (!over) {
-        shorten(rental);
+              || (rental.hostIds != null
+                  && rental.hostIds.stream().allMatch(h -> workers.known(h) == null));
+      if (!finished) {
+        dropGoneHosts(rental);
       } else if (rental.stamp == 0) {
         rentals.remove(rental.name);
       } else {
-        remove(rental);
+        deleteRecord(rental);
       }
     }
   }
 
   /**
-   * Kept exact, so that a new leader does not count on machines that are gone; seldom enough that a
-   * wave of losses does not use up the puts that launches need.
+   * Removes machines that are gone from a rental's record, so that a new leader does not count on
+   * them. Writes at most once per lease, so that a wave of losses does not use up the puts that
+   * launches need.
    */
-  private void shorten(Rental rental) {
-    if (rental.hosts != null
-        && clock.now() - rental.writtenAt > settings.workers().leaseMs()
-        && rental.hosts.removeIf(h -> workers.known(h) == null)) {
+  private void dropGoneHosts(Rental rental) {
+    if (rental.hostIds != null
+        && clock.now() - rental.writtenAtMs > settings.workers().leaseMs()
+        && rental.hostIds.removeIf(h -> workers.known(h) == null)) {
       write(rental, false);
     }
   }
 
-  private void remove(Rental rental) {
-    rental.writing = true;
+  private void deleteRecord(Rental rental) {
+    rental.writeInFlight = true;
     String key = StateKeys.rental(rental.name);
-    long removed = rental.stamp;
-    Txn txn = leadership.guard(new Txn()).when(key, removed).remove(key);
+    long deletedStamp = rental.stamp;
+    Txn txn = leadership.guard(new Txn()).when(key, deletedStamp).remove(key);
     long term = leadership.term();
     state.commit(
         txn,
         Priority.BOOKKEEPING,
         settings.workers().leaseMs(),
         outcome -> {
-          if (!leads(term)) {
+          if (!isLeadingTerm(term)) {
             return;
           }
-          rental.writing = false;
-          guarded(outcome);
+          rental.writeInFlight = false;
+          resignIfDeposed(outcome);
           if (outcome instanceof TxnOutcome.Applied) {
-            if (rental.stamp == removed) {
+            if (rental.stamp == deletedStamp) {
               rentals.remove(rental.name);
             }
           } else if (!(outcome instanceof TxnOutcome.Refused)) {
--- a/src/main/java/dapplestair/fleet/SpotHistory.java
+++ b/src/main/java/dapplestair/fleet/SpotHistory.java
@@ -8,15 +8,15 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What machines cost lately and how often the cloud took them back: two costs of a plan. */
+/** Recent spot prices and reclaims, from which two costs of a plan are computed. */
 public final class SpotHistory {
-  // As the users' design says: spot is priced at the highest price of the last minute.
+  // By the users' design, spot machines are priced at the highest price of the last minute.
   private static final long PRICE_WINDOW_MS = 60_000;
 
-  private record Price(long at, double perHour) {}
+  private record Price(long atMs, double perHour) {}
 
   private final Clock clock;
-  private final Map<MachineKind, ArrayDeque<Long>> takenAt = new HashMap<>();
+  private final Map<MachineKind, ArrayDeque<Long>> reclaimedAtMs = new HashMap<>();
   private final Map<MachineKind, ArrayDeque<Price>> prices = new HashMap<>();
 
   SpotHistory(Clock clock) {
@@ -26,16 +26,16 @@
   void notePrices(Collection<MachineType> types) {
     long now = clock.now();
     for (MachineType type : types) {
-      ArrayDeque<Price> seen =
-          prices.computeIfAbsent(new MachineKind(type.name(), true), s -> new ArrayDeque<>());
-      seen.addLast(new Price(now, type.spotPrice()));
-      while (seen.size() > 1 && seen.peekFirst().at() < now - PRICE_WINDOW_MS) {
-        seen.removeFirst();
+      ArrayDeque<Price> recentPrices =
+          prices.computeIfAbsent(new MachineKind(type.name(), true), kind -> new ArrayDeque<>());
+      recentPrices.addLast(new Price(now, type.spotPrice()));
+      while (recentPrices.size() > 1 && recentPrices.peekFirst().atMs() < now - PRICE_WINDOW_MS) {
+        recentPrices.removeFirst();
       }
     }
   }
 
-  /** Price of a slot: for spot the highest of the last minute. */
+  /** Returns the price of a machine: for spot, the highest price of the last minute. */
   public double price(MachineType type, boolean spot) {
     if (!spot) {
       return type.price();
@@ -48,23 +48,24 @@
     return highest;
   }
 
-  /** A machine that may be taken was taken, or has been given notice. */
-  void noteTaken(Host host) {
+  /** Records that a machine was reclaimed or given notice; steady machines are ignored. */
+  void noteReclaimed(Host host) {
     if (host.spot() && host.type() != null) {
-      takenAt
-          .computeIfAbsent(new MachineKind(host.type().name(), true), s -> new ArrayDeque<>())
+      reclaimedAtMs
+          .computeIfAbsent(new MachineKind(host.type().name(), true), kind -> new ArrayDeque<>())
           .addLast(clock.now());
     }
   }
 
-  /** Share of the last {@code windows} windows of {@code windowMs} with a take-back. */
-  public double takeBackChance(MachineKind kind, long windowMs, int windows) {
-    ArrayDeque<Long> times = takenAt.get(kind);
-    if (times == null) {
+  /** Returns the share of the last {@code windows} windows of {@code windowMs} with a reclaim. */
+  public double reclaimProbability(MachineKind kind, long windowMs, int windows) {
+    ArrayDeque<Long> reclaimTimesMs = reclaimedAtMs.get(kind);
+    if (reclaimTimesMs == null) {
       return 0;
     }
     long now = clock.now();
-    times.removeIf(t -> now - t >= windowMs * windows);
-    return times.stream().map(t -> (now - t) / windowMs).distinct().count() / (double) windows;
+    reclaimTimesMs.removeIf(t -> now - t >= windowMs * windows);
+    return reclaimTimesMs.stream().map(t -> (now - t) / windowMs).distinct().count()
+        / (double) windows;
   }
 }
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -80,23 +80,23 @@
         admin.jobPut(key.substring(StateKeys.JOB.length()));
       }
     } else if (key.startsWith(StateKeys.RENTAL)) {
-      fleet.rentalPut(key.substring(StateKeys.RENTAL.length()), value, stamp);
+      fleet.applyRentalRecord(key.substring(StateKeys.RENTAL.length()), value, stamp);
     } else if (key.equals(StateKeys.LEADER)) {
       leadership.leaderKeyChanged(value, stamp);
     } else if (key.equals(StateKeys.TERM)) {
       leadership.termKeyChanged(value);
     } else if (key.equals(StateKeys.TYPES)) {
-      fleet.typesKey(value, stamp);
+      fleet.applyTypesRecord(value, stamp);
     } else if (key.startsWith(StateKeys.DRAIN) || key.startsWith(StateKeys.DRAIN_ZONE)) {
       drains.recorded(key, value);
     } else if (key.startsWith(StateKeys.ZONE)) {
-      zones.recorded(key, value);
+      zones.applyRecord(key, value);
     } else if (key.startsWith(StateKeys.LANE)) {
       lanes.recorded(key, value);
     } else if (key.startsWith(StateKeys.CALENDAR)) {
-      calendars.recorded(key, value);
+      calendars.applyRecord(key, value);
     } else if (key.startsWith(StateKeys.IMAGE_LOCATIONS)) {
-      imageLocations.recorded(key, value);
+      imageLocations.applyRecord(key, value);
     } else if (key.startsWith(StateKeys.REPLACEMENT)) {
       replacements.recorded(key, value, stamp);
     } else if (key.startsWith(StateKeys.DISRUPTION)) {
@@ -121,22 +121,22 @@
         admin.jobRemoved(key.substring(StateKeys.JOB.length()));
       }
     } else if (key.startsWith(StateKeys.RENTAL)) {
-      fleet.rentalRemoved(key.substring(StateKeys.RENTAL.length()));
+      fleet.applyRentalRemoval(key.substring(StateKeys.RENTAL.length()));
     } else if (key.equals(StateKeys.LEADER)) {
       leadership.leaderKeyChanged(null, 0);
     } else if (key.equals(StateKeys.TYPES)) {
-      fleet.typesKey(null, 0);
+      fleet.applyTypesRecord(null, 0);
     } else if (key.startsWith(StateKeys.DRAIN) || key.startsWith(StateKeys.DRAIN_ZONE)) {
       drains.recorded(key, null);
       placer.nudge();
     } else if (key.startsWith(StateKeys.ZONE)) {
-      zones.recorded(key, null);
+      zones.applyRecord(key, null);
     } else if (key.startsWith(StateKeys.LANE)) {
       lanes.recorded(key, null);
     } else if (key.startsWith(StateKeys.CALENDAR)) {
-      calendars.recorded(key, null);
+      calendars.applyRecord(key, null);
     } else if (key.startsWith(StateKeys.IMAGE_LOCATIONS)) {
-      imageLocations.recorded(key, null);
+      imageLocations.applyRecord(key, null);
     } else if (key.startsWith(StateKeys.REPLACEMENT)) {
       replacements.recorded(key, null, 0);
     } else if (key.startsWith(StateKeys.DISRUPTION)) {
--- a/src/main/java/dapplestair/weights/ImageHolders.java
+++ b/src/main/java/dapplestair/weights/ImageHolders.java
@@ -11,33 +11,33 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 
-/** The machines that hold an image, as a record: two to five bytes for a machine. */
-record ImageHolders(String image, double gb, SortedSet<String> machines) {
-  // Base64 and the rest of the record come on top.
-  private static final double SHARE = 0.6;
+/** A record of the machines that hold an image, which takes two to five bytes per machine. */
+record ImageHolders(String image, double sizeGb, SortedSet<String> machineIds) {
+  // Share of a value that the encoded names may fill; base64 and the other fields need the rest.
+  private static final double MAX_ENCODED_SHARE = 0.6;
 
-  /** As many machines as a value takes, in name order. */
+  /** Encodes as many machines as fit into a value, in the order of their names. */
   ObjectNode toJson(int valueBytes) {
-    int most = (int) (valueBytes * SHARE) - image.length();
+    int maxBytes = (int) (valueBytes * MAX_ENCODED_SHARE) - image.length();
     Output out = new Output(256, 2 * valueBytes);
     FrontCodedNames names = new FrontCodedNames();
-    for (String m : machines) {
-      if (out.position() + m.length() + 4 > most) {
+    for (String machineId : machineIds) {
+      if (out.position() + machineId.length() + 4 > maxBytes) {
         break;
       }
-      names.write(out, m);
+      names.write(out, machineId);
     }
     return Json.object()
         .put("image", image)
-        .put("gb", gb)
+        .put("gb", sizeGb)
         .put("on", BaseEncoding.base64().encode(out.toBytes()));
   }
 
-  /** Reads a record; without machines when it is garbled, since it holds hints only. */
-  static ImageHolders parse(JsonNode in) {
+  /** Parses a record. A garbled record yields no machines, since it contains only hints. */
+  static ImageHolders parse(JsonNode node) {
     SortedSet<String> machines = new TreeSet<>();
     try {
-      Input bytes = new Input(BaseEncoding.base64().decode(in.path("on").asText()));
+      Input bytes = new Input(BaseEncoding.base64().decode(node.path("on").asText()));
       FrontCodedNames names = new FrontCodedNames();
       while (bytes.position() < bytes.limit()) {
         machines.add(names.read(bytes));
@@ -45,6 +45,6 @@
     } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
       machines.clear();
     }
-    return new ImageHolders(in.path("image").asText(), in.path("gb").asDouble(), machines);
+    return new ImageHolders(node.path("image").asText(), node.path("gb").asDouble(), machines);
   }
 }
--- a/src/main/java/dapplestair/weights/ImageLocations.java
+++ b/src/main/java/dapplestair/weights/ImageLocations.java
@@ -24,18 +24,20 @@
 import java.util.TreeSet;
 
 /**
- * Which machines hold which image, on record, so that a new leader places by it at once. A report
- * names no image: what is known of one comes from launches and starts, which the next leader has
- * not seen. Hints only: what a machine has given up since is fetched again, and nothing else
- * follows from it.
+ * Records which machines hold which image, so that a new leader can use this for placement at once.
+ * Workers' reports name no images: a leader knows images from launches and starts, which the next
+ * leader has not seen. The records are only hints: an image that a machine has dropped since is
+ * fetched again, with no other consequence.
  */
 public final class ImageLocations implements AutoCloseable {
-  // A put at a time, so many reports apart: a part in a hundred of what a busy day writes.
-  private static final int REPORTS_APART = 2;
+  // Report intervals between two puts. With one put at a time, this makes up about a hundredth of
+  // the writes of a busy day.
+  private static final int WRITE_INTERVAL_REPORTS = 2;
 
-  // An image's record is written again once so much of it has changed.
-  private static final double CHANGED = 0.1;
-  private static final int CHANGED_LEAST = 2;
+  // An image's record is written again when at least this share of its machines, and at least this
+  // many machines, have changed.
+  private static final double MIN_CHANGED_SHARE = 0.1;
+  private static final int MIN_CHANGED_MACHINES = 2;
 
   private final Clock clock;
   private final TermTimers timers;
@@ -45,14 +47,14 @@
   private final Leadership leadership;
   private final WorkerManager workers;
 
-  // By key, what the records say, and for which image.
-  private final Map<String, ImageHolders> records = new HashMap<>();
+  // Records by their keys.
+  private final Map<String, ImageHolders> recordsByKey = new HashMap<>();
   private Cancellable timer = () -> {};
-  private long ledSince;
+  private long leadingSinceMs;
   private boolean leading;
-  private boolean writing;
+  private boolean writeInFlight;
 
-  /** Nothing is known. */
+  /** Creates an instance that knows no images yet. */
   public ImageLocations(
       Clock clock,
       TermTimers timers,
@@ -69,102 +71,109 @@
     this.workers = workers;
   }
 
-  // ---- what the replica says ----
+  // ---- records from the replica ----
 
   /**
-   * An image's key has this value, or is gone. A leader is the only one who writes, and what it
-   * meant to write counts: a value that did not take all machines is not to be written again and
-   * again, before all others.
+   * Applies the record of an image; a null value means that it was removed. A leader ignores
+   * records, since it is the only writer and goes by what it intended to write. Otherwise a record
+   * too small for all machines would be written again and again, ahead of all others.
    */
-  public void recorded(String key, JsonNode value) {
+  public void applyRecord(String key, JsonNode value) {
     if (leading) {
       return;
     }
     if (value == null) {
-      records.remove(key);
+      recordsByKey.remove(key);
     } else {
-      records.put(key, ImageHolders.parse(value));
+      recordsByKey.put(key, ImageHolders.parse(value));
     }
   }
 
-  /** Forgets all: the replica tells its records again. */
+  /** Drops all state; the replica delivers its records again. */
   public void clear() {
     writer.reset();
     timer.cancel();
-    records.clear();
+    recordsByKey.clear();
     leading = false;
-    writing = false;
+    writeInFlight = false;
   }
 
   // ---- leading ----
 
-  /** Takes up what is on record; to be called before anything is placed. */
+  /** Begins to lead with the recorded hints. Must be called before anything is placed. */
   public void lead() {
     writer.reset();
     leading = true;
-    ledSince = clock.now();
-    hint();
+    leadingSinceMs = clock.now();
+    applyHints();
     timer = timers.after(settings.workers().reportMs(), this::tick);
   }
 
-  /** Machines become known one after the other, for a while after a leader's beginning. */
-  private void hint() {
-    for (ImageHolders holders : records.values()) {
-      for (String id : holders.machines()) {
+  /**
+   * Applies the recorded hints to the machines that are known. Called repeatedly, since a new
+   * leader learns of machines one after the other for a while.
+   */
+  private void applyHints() {
+    for (ImageHolders holders : recordsByKey.values()) {
+      for (String id : holders.machineIds()) {
         Host host = workers.known(id);
         if (host != null) {
-          host.images().hinted(holders.image(), holders.gb());
+          host.images().hinted(holders.image(), holders.sizeGb());
         }
       }
     }
   }
 
   private void tick() {
-    // Until all have been heard what is known of them is less than what is on record.
-    if (clock.now() - ledSince < 2 * settings.workers().reportMs()) {
-      hint();
-    } else if (!writing && state.isReachable()) {
+    // Until all machines have been heard, the records contain more than this leader knows.
+    if (clock.now() - leadingSinceMs < 2 * settings.workers().reportMs()) {
+      applyHints();
+    } else if (!writeInFlight && state.isReachable()) {
       writeMostChanged();
     }
-    timer = timers.after(REPORTS_APART * settings.workers().reportMs(), this::tick);
+    timer = timers.after(WRITE_INTERVAL_REPORTS * settings.workers().reportMs(), this::tick);
   }
 
   private void writeMostChanged() {
-    String worst = null;
-    double most = 0;
-    Map<String, ImageHolders> now = now();
-    for (String key : Sets.union(now.keySet(), records.keySet())) {
-      SortedSet<String> is = now.containsKey(key) ? now.get(key).machines() : new TreeSet<>();
-      SortedSet<String> was =
-          records.containsKey(key) ? records.get(key).machines() : new TreeSet<>();
-      int changed = Sets.symmetricDifference(is, was).size();
-      if (changed > most
-          && (is.isEmpty() || changed >= Math.max(CHANGED_LEAST, CHANGED * was.size()))) {
-        most = changed;
-        worst = key;
+    String mostChangedKey = null;
+    double maxChanged = 0;
+    Map<String, ImageHolders> current = currentHolders();
+    for (String key : Sets.union(current.keySet(), recordsByKey.keySet())) {
+      SortedSet<String> currentIds =
+          current.containsKey(key) ? current.get(key).machineIds() : new TreeSet<>();
+      SortedSet<String> recordedIds =
+          recordsByKey.containsKey(key) ? recordsByKey.get(key).machineIds() : new TreeSet<>();
+      int changed = Sets.symmetricDifference(currentIds, recordedIds).size();
+      if (changed > maxChanged
+          && (currentIds.isEmpty()
+              || changed
+                  >= Math.max(MIN_CHANGED_MACHINES, MIN_CHANGED_SHARE * recordedIds.size()))) {
+        maxChanged = changed;
+        mostChangedKey = key;
       }
     }
-    if (worst != null) {
-      write(worst, now.get(worst));
+    if (mostChangedKey != null) {
+      write(mostChangedKey, current.get(mostChangedKey));
     }
   }
 
-  private Map<String, ImageHolders> now() {
-    Map<String, ImageHolders> out = new TreeMap<>();
-    long at = clock.now();
+  private Map<String, ImageHolders> currentHolders() {
+    Map<String, ImageHolders> holdersByKey = new TreeMap<>();
+    long nowMs = clock.now();
     for (Host host : workers.hosts()) {
       if (host.up() && !host.gone() && !host.releasing()) {
         host.images()
-            .ready(at)
+            .ready(nowMs)
             .forEach(
                 (image, gb) ->
-                    out.computeIfAbsent(
+                    holdersByKey
+                        .computeIfAbsent(
                             key(image), k -> new ImageHolders(image, gb, new TreeSet<>()))
-                        .machines()
+                        .machineIds()
                         .add(host.id()));
       }
     }
-    return out;
+    return holdersByKey;
   }
 
   private static String key(String image) {
@@ -173,7 +182,7 @@
   }
 
   private void write(String key, ImageHolders holders) {
-    writing = true;
+    writeInFlight = true;
     Txn txn = writer.transaction();
     if (holders == null) {
       txn.remove(key);
@@ -187,12 +196,12 @@
           if (leadership.stepDownIfDeposed(outcome)) {
             return;
           }
-          writing = false;
+          writeInFlight = false;
           if (outcome instanceof TxnOutcome.Applied) {
             if (holders == null) {
-              records.remove(key);
+              recordsByKey.remove(key);
             } else {
-              records.put(key, holders);
+              recordsByKey.put(key, holders);
             }
           }
         });
