--- a/src/main/java/dapplestair/admin/AdminHandler.java
+++ b/src/main/java/dapplestair/admin/AdminHandler.java
@@ -202,7 +202,7 @@
   }
 
   private boolean able() {
-    return leadership.leading() && ledger.armed();
+    return leadership.leading() && ledger.canLaunch();
   }
 
   private void again(
--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -154,7 +154,7 @@
     }
     // Who borrows does not say from whom: what is lent is parted by what each leaves unused.
     double lentShare = unused <= 0 ? 0 : Math.min(1, borrowed / unused);
-    Map<String, JobStatistics.JobCounts> served = ledger.served().byTeam();
+    Map<String, JobStatistics.JobCounts> served = ledger.jobStatistics().byTeam();
     Map<String, BudgetStatus> statuses = disruptionGate.statuses();
     ObjectNode object = asOf.object();
     ArrayNode rows = object.putArray("rows");
--- a/src/main/java/dapplestair/admin/JobViews.java
+++ b/src/main/java/dapplestair/admin/JobViews.java
@@ -64,17 +64,17 @@
     if (job == null || job.over()) {
       return null;
     }
-    int[] counts = ledger.counts(job);
+    int[] counts = ledger.taskCounts(job);
     return new JobRow(
         job.spec(),
         status(counts),
         counts[0],
         counts[1],
         Math.max(0, job.spec().steps() - counts[0] - counts[1]),
-        age(job.acceptedWall()));
+        age(job.acceptedWallMs()));
   }
 
-  /** The word for a job that is not over, by {@link Ledger#counts}. */
+  /** The word for a job that is not over, by {@link Ledger#taskCounts}. */
   static String status(int[] counts) {
     return counts[1] > 0 ? "running" : "queued";
   }
@@ -217,12 +217,12 @@
 
   private ObjectNode shown(Job job, int from) {
     Submission submission = job.spec();
-    int[] counts = ledger.counts(job);
+    int[] counts = ledger.taskCounts(job);
     ObjectNode object =
         asOf.object()
             .put("status", status(counts))
-            .put("accepted", job.acceptedWall())
-            .put("age", age(job.acceptedWall()))
+            .put("accepted", job.acceptedWallMs())
+            .put("age", age(job.acceptedWallMs()))
             .put("tasks", submission.steps())
             .put("done", counts[0])
             .put("running", counts[1])
@@ -249,7 +249,7 @@
         .put("machine", attempt.host())
         .put("zone", attempt.zone())
         .put("status", attempt.halting() && !attempt.exited() ? "stopping" : status)
-        .put("ran_s", attempt.ranS(clock.now()))
+        .put("ran_s", attempt.runTimeS(clock.now()))
         .put("saved_s", attempt.savedS());
   }
 }
--- a/src/main/java/dapplestair/admin/MachineViews.java
+++ b/src/main/java/dapplestair/admin/MachineViews.java
@@ -64,7 +64,7 @@
       return "booting";
     }
     if (host.drained()) {
-      return host.idle() ? "drained" : "draining";
+      return host.isIdle() ? "drained" : "draining";
     }
     if (host.draining()) {
       return "faulty";
@@ -108,7 +108,7 @@
     }
 
     private double idle() {
-      return host.idle() ? (now - host.idleSince()) / 1000.0 : 0;
+      return host.isIdle() ? (now - host.idleSinceMs()) / 1000.0 : 0;
     }
 
     private double silent() {
@@ -152,7 +152,7 @@
             .put("cpus", host.type() == null ? 0 : host.type().cpus())
             .put("used", host.cpusUsed())
             .put("memory_gb", host.type() == null ? 0 : host.type().memoryGb())
-            .put("memory_used_gb", host.memoryUsed())
+            .put("memory_used_gb", host.memoryUsedGb())
             .put("slowness", host.slowness())
             .put("orders_waiting", host.queued());
     if (host.recalled()) {
--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -67,7 +67,7 @@
 
   private ObjectNode explained(Job job, PlacementExplanation explanation) {
     String ref = job.spec().ref();
-    int[] counts = ledger.counts(job);
+    int[] counts = ledger.taskCounts(job);
     ObjectNode object = nothing(ref, JobViews.status(counts));
     object.put("waiting_tasks", explanation.waiting());
     DisruptionRefusal refusal = disruptionGate.refused(job);
--- a/src/main/java/dapplestair/blame/FailureRecords.java
+++ b/src/main/java/dapplestair/blame/FailureRecords.java
@@ -69,7 +69,7 @@
   /** A task completed: a machine on which it began after the first failure is cleared. */
   void completed(Attempt attempt, Host host) {
     MachineFailures machineFailures = machines.get(host.id());
-    if (machineFailures != null && attempt.plannedAt() > machineFailures.since) {
+    if (machineFailures != null && attempt.plannedAtMs() > machineFailures.since) {
       machines.remove(host.id());
       countFailures(host.id());
       host.setProbation(Probation.NONE);
@@ -106,7 +106,7 @@
   }
 
   private static int completedElsewhere(Job job, IntOpenHashSet steps) {
-    return (int) steps.intStream().filter(job::done).count();
+    return (int) steps.intStream().filter(job::isDone).count();
   }
 
   /** The verdict on a job has changed: its failures are explained, or no longer. */
@@ -151,11 +151,11 @@
     long now = clock.now();
     long works = working(job, jobFailures, null);
     long outlived =
-        ledger.attempts(job).stream().filter(a -> a.ranS(now) > jobFailures.longestS).count()
+        ledger.attempts(job).stream().filter(a -> a.runTimeS(now) > jobFailures.longestS).count()
             - works;
     double sum =
         FailureLogOdds.logit(FailureLogOdds.JOB_WRONG)
-            + FailureLogOdds.completions(job.doneCount() + job.worked() + works);
+            + FailureLogOdds.completions(job.doneCount() + job.interruptedReplicas() + works);
     for (String id : jobFailures.failedOn.keySet()) {
       sum += FailureLogOdds.failureUnless(machineOdds(id, job.spec().ref(), false));
     }
@@ -166,7 +166,7 @@
   long working(Job job, JobFailures jobFailures, String butOn) {
     long now = clock.now();
     return ledger.attempts(job).stream()
-        .filter(a -> a.ranS(now) > worksAfterS(jobFailures) && !a.host().equals(butOn))
+        .filter(a -> a.runTimeS(now) > worksAfterS(jobFailures) && !a.host().equals(butOn))
         .count();
   }
 
@@ -209,7 +209,8 @@
       String id, Job job, JobFailures jobFailures, IntOpenHashSet failedHere, boolean knownGood) {
     // Replicas are alike, and never complete: others that live on elsewhere say as much.
     boolean service = job.spec().service();
-    long good = service ? working(job, jobFailures, id) + job.worked() : job.doneCount();
+    long good =
+        service ? working(job, jobFailures, id) + job.interruptedReplicas() : job.doneCount();
     int steps = failedHere.size();
     if (knownGood && service) {
       // The same replica that fails here again and again says as much as another one.
--- a/src/main/java/dapplestair/blame/FaultAttribution.java
+++ b/src/main/java/dapplestair/blame/FaultAttribution.java
@@ -84,7 +84,8 @@
     if (jobFailures == null && !job.suspected()) {
       return null;
     }
-    double next = job.suspected() ? Math.max(0, job.heldBackUntil() - clock.now()) / 1000.0 : 0;
+    double next =
+        job.suspected() ? Math.max(0, job.startsDelayedUntilMs() - clock.now()) / 1000.0 : 0;
     return jobFailures == null
         ? new JobFailureStatus(0, 0, job.suspected(), next)
         : new JobFailureStatus(jobFailures.failures, jobFailures.machines, job.suspected(), next);
@@ -114,7 +115,7 @@
       return;
     }
     JobFailures jobFailures = records.failed(attempt, host);
-    ledger.failedStep(attempt, reportMs, MOST_PAUSE * reportMs);
+    ledger.recordStepFailure(attempt, reportMs, MOST_PAUSE * reportMs);
     if (job.suspected()) {
       // A probe, or what still ran when the verdict was given.
       pause(job, jobFailures);
@@ -124,11 +125,12 @@
       judging = timers.after(reportMs / 60, this::judge);
     }
     boolean first = due.add(job.spec().ref());
-    long works = job.doneCount() + job.worked() + records.working(job, jobFailures, null);
+    long works =
+        job.doneCount() + job.interruptedReplicas() + records.working(job, jobFailures, null);
     if (first && works == 0) {
       // Failures come in crowds: what is lost starts again after the verdict, not before. Until one
       // of its tasks is known to work that is when no more fail.
-      ledger.holdBack(job, reportMs / 2);
+      ledger.delayStarts(job, reportMs / 2);
     }
   }
 
@@ -142,7 +144,7 @@
     }
     JobFailures jobFailures = records.of(job.spec().ref());
     if (jobFailures != null) {
-      ledger.goOn(job);
+      ledger.resumeStarts(job);
       // Now it is known to be good, so what failed it may be judged.
       judgeMachines(jobFailures);
     }
@@ -183,7 +185,8 @@
       LOG.info("{} fails what others complete: it is emptied", id);
       host.setDraining(true);
       // What a faulty machine explains is held against no job, and no step waits for it.
-      records.explainedBy(id, (job, steps) -> steps.forEach(step -> ledger.forgive(job, step)));
+      records.explainedBy(
+          id, (job, steps) -> steps.forEach(step -> ledger.clearStepFailures(job, step)));
       listener.faulty(host);
     }
   }
@@ -200,18 +203,18 @@
   }
 
   private void pause(Job job, JobFailures jobFailures) {
-    if (job.suspected() && job.held() > 1) {
+    if (job.suspected() && job.heldAttempts() > 1) {
       // Others of the same wave, or of the same gang, still run: one pause for all of them.
       return;
     }
     long pause = reportMs * Math.min(MOST_PAUSE, 1L << Math.min(10, job.probesFailed()));
-    ledger.suspect(job, pause);
+    ledger.markSuspected(job, pause);
     listener.wrong(job, jobFailures.failures, jobFailures.machines, pause);
   }
 
   private void works(Job job) {
     LOG.info("{} works after all", job.spec().ref());
-    ledger.trust(job);
+    ledger.clearSuspicion(job);
     JobFailures jobFailures = records.of(job.spec().ref());
     if (jobFailures != null) {
       // What its being wrong explained is held against the machines again.
@@ -223,7 +226,7 @@
 
   private void tick() {
     for (Job job : List.copyOf(ledger.jobs())) {
-      if (job.suspected() && !job.over() && job.held() > 0) {
+      if (job.suspected() && !job.over() && job.heldAttempts() > 0) {
         if (records.working(job, records.of(job.spec().ref()), null) > 0) {
           works(job);
         }
--- a/src/main/java/dapplestair/calendar/Calendars.java
+++ b/src/main/java/dapplestair/calendar/Calendars.java
@@ -256,7 +256,7 @@
       RunCalendar calendar = of(job.spec());
       if (calendar != null) {
         boolean holds = holds(job);
-        ledger.rest(job, holds && !soon(calendar, job));
+        ledger.setExcludedFromPlanning(job, holds && !soon(calendar, job));
         if (holds) {
           held.add(job.spec().ref());
         }
@@ -271,7 +271,7 @@
 
   /** True from a boot before the usual release on. */
   private boolean soon(RunCalendar calendar, Job job) {
-    long start = calendar.cycle(job.acceptedWall());
+    long start = calendar.cycle(job.acceptedWallMs());
     double usual = cycle(calendar.name()).usualLagMs(calendar.cutOffMs());
     return clock.wall() >= start + usual - 1000 * bootS.getAsDouble();
   }
@@ -293,21 +293,22 @@
     if (calendar == null) {
       return false;
     }
-    long start = calendar.cycle(job.acceptedWall());
+    long start = calendar.cycle(job.acceptedWallMs());
     return cycle(calendar.name()).start() < start && clock.wall() - start < calendar.cutOffMs();
   }
 
   /** True for a run of the cycle released last: it goes first of its rank. */
   public boolean goesFirst(Job job) {
     RunCalendar calendar = calendars.isEmpty() ? null : of(job.spec());
-    return calendar != null && cycle(calendar.name()).start() == calendar.cycle(job.acceptedWall());
+    return calendar != null
+        && cycle(calendar.name()).start() == calendar.cycle(job.acceptedWallMs());
   }
 
   /** A job is about to be recorded as done: if it is a delivery, it is marked with the same put. */
   public void finishing(Job job, Txn txn) {
     for (RunCalendar calendar : calendars.values()) {
       if (calendar.isDelivery(job.spec())) {
-        long start = calendar.cycle(job.acceptedWall());
+        long start = calendar.cycle(job.acceptedWallMs());
         if (delivered(calendar, start) < calendar.complete()
             && start > cycle(calendar.name()).start()) {
           txn.put(mark(calendar.name(), start, job.spec().ref()), Json.object());
--- a/src/main/java/dapplestair/disruption/DisruptionGate.java
+++ b/src/main/java/dapplestair/disruption/DisruptionGate.java
@@ -104,7 +104,7 @@
   }
 
   private void count(Job job) {
-    UnavailableTasks unavailable = ledger.out(job, this::reached);
+    UnavailableTasks unavailable = ledger.unavailableTasks(job, this::reached);
     Sum sum = sum(job.spec().team());
     if (job.spec().service()) {
       sum.wanted += job.spec().steps();
@@ -206,9 +206,9 @@
     if (attempt.spec().service()) {
       return 0;
     }
-    double ran = (clock.now() - attempt.plannedAt()) / 1000.0;
+    double ran = (clock.now() - attempt.plannedAtMs()) / 1000.0;
     if (attempt.adopted()) {
-      ran = Math.max(ran, (clock.wall() - attempt.job().acceptedWall()) / 1000.0);
+      ran = Math.max(ran, (clock.wall() - attempt.job().acceptedWallMs()) / 1000.0);
     }
     // It runs on until the stop has arrived.
     ran += MESSAGE_S;
--- a/src/main/java/dapplestair/drain/DrainExecutor.java
+++ b/src/main/java/dapplestair/drain/DrainExecutor.java
@@ -140,7 +140,7 @@
       if (host != from
           && !host.closed()
           && workers.fresh(host)
-          && host.allowed(submission)
+          && host.isAllowedBy(submission)
           && roomBeside(host, submission)
           && zoneAllowsMove(job, from.zone(), host.zone())) {
         double waitS = host.imageWaitS(submission, clock.now());
@@ -166,15 +166,15 @@
       gpus += p.gpus();
     }
     return cpus <= host.cpusFree() + 1e-9
-        && memory <= host.memoryFree() + 1e-9
+        && memory <= host.memoryFreeGb() + 1e-9
         && gpus <= host.gpusFree() + 1e-9;
   }
 
   /** The job's rules on zones, counted without the replica that leaves. */
   private static boolean zoneAllowsMove(Job job, String from, String to) {
     Submission submission = job.spec();
-    int there = job.inZone(to) - (to.equals(from) ? 1 : 0);
-    int others = job.held() - 1;
+    int there = job.attemptsInZone(to) - (to.equals(from) ? 1 : 0);
+    int others = job.heldAttempts() - 1;
     if (submission.apart() && there >= submission.mostPerZone()) {
       return false;
     }
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -240,7 +240,7 @@
 
   /** Returns an idle machine; false when something holds room on it. */
   public boolean release(Host host) {
-    if (!host.idle() || host.releasing() || !healthMonitor.mayJudge()) {
+    if (!host.isIdle() || host.releasing() || !healthMonitor.mayJudge()) {
       return false;
     }
     releases.add(host);
@@ -350,7 +350,7 @@
           && !host.gone()
           && !host.releasing()
           && !host.drained()
-          && host.allowed(submission)) {
+          && host.isAllowedBy(submission)) {
         booting++;
         double due = Math.max(0, host.type().bootS() - Math.max(0, now - host.rentedAt()) / 1000.0);
         next = next < 0 ? due : Math.min(next, due);
--- a/src/main/java/dapplestair/fleet/FleetCapacity.java
+++ b/src/main/java/dapplestair/fleet/FleetCapacity.java
@@ -125,12 +125,12 @@
     List<Host> out = new ArrayList<>();
     for (Host host : workers.hosts()) {
       // What a silent machine does is not known.
-      boolean idle = host.up() && host.idle() && host.zoneSilentMs() == 0 && !host.hanging();
+      boolean idle = host.up() && host.isIdle() && host.zoneSilentMs() == 0 && !host.hanging();
       if (idle && counts(host, kind) && now - host.rentedAt() >= CHARGED_MS) {
         out.add(host);
       }
     }
-    out.sort(Comparator.comparingLong(Host::idleSince));
+    out.sort(Comparator.comparingLong(Host::idleSinceMs));
     return out;
   }
 }
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -175,7 +175,7 @@
     } else if (neverListed(host, now)) {
       LOG.info("{} is recorded but not listed: returning it", host.id());
       releases.add(host);
-    } else if ((host.draining() || host.recalled()) && host.idle() && host.attempts().isEmpty()) {
+    } else if ((host.draining() || host.recalled()) && host.isIdle() && host.attempts().isEmpty()) {
       spotHistory.noteTaken(host);
       releases.add(host);
     }
@@ -277,10 +277,10 @@
     long timeouts = cancelMs / (host.outOfReach() ? 2 : 4);
     for (Attempt attempt : host.attempts()) {
       if (attempt.job().over() && attempt.halting() && !attempt.exited()) {
-        long haltedMs = now - attempt.haltAt();
+        long haltedMs = now - attempt.firstHaltAtMs();
         // The time allowed does not begin anew with each leader: of what an earlier one could not
         // stop either, this one only waits for an answer.
-        boolean late = now - attempt.job().overAt() > cancelMs / 2 && haltedMs > cancelMs / 16;
+        boolean late = now - attempt.job().endedAtMs() > cancelMs / 2 && haltedMs > cancelMs / 16;
         if (haltedMs > timeouts || late) {
           return true;
         }
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -212,7 +212,8 @@
     if (!attempt.halting()) {
       stops++;
       disruptionGate.ride(attempt, lane.windDownS(attempt.spec()));
-    } else if (attempt.windDownS() > 0 && clock.now() - attempt.haltAt() > lane.beginWithinMs()) {
+    } else if (attempt.windDownS() > 0
+        && clock.now() - attempt.firstHaltAtMs() > lane.beginWithinMs()) {
       disruptionGate.ride(attempt, 0);
     }
   }
@@ -287,7 +288,8 @@
               .filter(o -> o.claim().ref().equals(job.spec().ref()))
               .mapToInt(o -> o.claim().tasks())
               .sum();
-      int wanted = Math.min(job.waiting() - claimedFor, ledger.teamRoom(job.spec(), false));
+      int wanted =
+          Math.min(job.waiting() - claimedFor, ledger.maxAdditionalTeamTasks(job.spec(), false));
       if (wanted <= 0 || list.size() >= most) {
         continue;
       }
--- a/src/main/java/dapplestair/lane/VictimSelector.java
+++ b/src/main/java/dapplestair/lane/VictimSelector.java
@@ -49,7 +49,7 @@
     for (Host host : workers.hosts()) {
       if (!host.closed()
           && workers.fresh(host)
-          && host.allowed(rider.spec())
+          && host.isAllowedBy(rider.spec())
           && unclaimed.test(host)
           && ledger.zoneAllows(rider, host.zone())) {
         VictimCandidate candidate = offer(lane, rider.spec(), host, wanted);
@@ -70,7 +70,8 @@
     int left = wanted;
     for (VictimCandidate candidate : offers) {
       String zone = candidate.host().zone();
-      int allowed = submission.mostPerZone() - rider.inZone(zone) - perZone.getOrDefault(zone, 0);
+      int allowed =
+          submission.mostPerZone() - rider.attemptsInZone(zone) - perZone.getOrDefault(zone, 0);
       int tasks = Math.min(Math.min(left, candidate.tasks()), allowed);
       if (tasks > 0 && (!submission.together() || perZone.isEmpty() || perZone.containsKey(zone))) {
         // Fewer than it has room for: then fewer have to go.
@@ -91,7 +92,7 @@
   /** The cheapest room for up to {@code most} tasks on this machine; null without any. */
   private VictimCandidate offer(Lane lane, Submission submission, Host host, int most) {
     double cpus = host.cpusFree();
-    double memory = host.memoryFree();
+    double memory = host.memoryFreeGb();
     double gpus = host.gpusFree();
     List<Attempt> may = new ArrayList<>();
     for (Attempt attempt : host.attempts()) {
--- a/src/main/java/dapplestair/ledger/Attempt.java
+++ b/src/main/java/dapplestair/ledger/Attempt.java
@@ -17,7 +17,7 @@
   }
 
   /** A launch whose outcome is open: no report proves anything yet. */
-  static final long OPEN = Long.MAX_VALUE;
+  static final long LAUNCH_OPEN = Long.MAX_VALUE;
 
   final Job job;
   final int step;
@@ -25,17 +25,17 @@
   final String host;
   final String zone;
   final long session;
-  final long plannedAt;
+  final long plannedAtMs;
   Phase phase = Phase.PLANNED;
 
   /**
-   * A report proves this attempt's absence only if its token is at least this. {@link #OPEN} while
-   * the launch is under way; a raised fence after a launch without answer; 0 once answered.
+   * A report proves this attempt's absence only if its token is at least this. {@link #LAUNCH_OPEN}
+   * while the launch is under way; a raised fence after a launch without answer; 0 once answered.
    */
   long neededToken;
 
   Report.Status status;
-  long statusAt;
+  long statusSinceMs;
   double ranBeforeExitS;
   boolean exited;
   boolean done;
@@ -47,8 +47,8 @@
   /** Read from the records of an earlier leader. */
   boolean adopted;
 
-  long haltAt;
-  private long lastHaltAt;
+  long firstHaltAtMs;
+  private long lastHaltSentAtMs;
   private double windDownS;
   private final double savedS;
 
@@ -60,7 +60,7 @@
     this.host = host;
     this.zone = zone;
     this.session = session;
-    this.plannedAt = now;
+    this.plannedAtMs = now;
   }
 
   /** The task's name on the wire. */
@@ -89,8 +89,8 @@
   }
 
   /** When it was planned, or read from the records. */
-  public long plannedAt() {
-    return plannedAt;
+  public long plannedAtMs() {
+    return plannedAtMs;
   }
 
   /** Run time that earlier attempts saved. */
@@ -99,8 +99,8 @@
   }
 
   /** Seconds for which it has run, as far as seen here. */
-  public double ranS(long now) {
-    return status == Report.Status.RUNNING ? (now - statusAt) / 1000.0 : 0;
+  public double runTimeS(long now) {
+    return status == Report.Status.RUNNING ? (now - statusSinceMs) / 1000.0 : 0;
   }
 
   /** Seconds for which it ran before it exited, as far as seen here. */
@@ -108,8 +108,8 @@
     return ranBeforeExitS;
   }
 
-  /** Of {@code ranS} seconds run, those that its own checkpoints keep. */
-  public double keptS(double ranS) {
+  /** Of {@code runTimeS} seconds run, those that its own checkpoints keep. */
+  public double checkpointedS(double ranS) {
     double every = spec().saveEveryS();
     return every > 0 ? Math.floor(ranS / every) * every : 0;
   }
@@ -140,8 +140,8 @@
   }
 
   /** Since when it is in that state, as seen here. */
-  public long statusAt() {
-    return statusAt;
+  public long statusSinceMs() {
+    return statusSinceMs;
   }
 
   /** True once its launch may be under way. */
@@ -160,23 +160,23 @@
   }
 
   /** The launch left for the worker. */
-  public void launchSent() {
+  public void markLaunchSent() {
     phase = Phase.SENT;
-    neededToken = OPEN;
+    neededToken = LAUNCH_OPEN;
   }
 
   /** True while nothing tells whether its launch was executed. */
-  public boolean launchOpen() {
-    return sent() && neededToken == OPEN;
+  public boolean isLaunchOpen() {
+    return sent() && neededToken == LAUNCH_OPEN;
   }
 
   /** The worker answered: it has executed the launch, or refused the whole message. */
-  public void launchAnswered() {
+  public void markLaunchAnswered() {
     neededToken = 0;
   }
 
   /** The launch was surely not sent. */
-  public void launchNotSent() {
+  public void markLaunchNotSent() {
     phase = Phase.COMMITTED;
   }
 
@@ -184,7 +184,7 @@
    * No answer. The launch may still be executed, however late, until the worker has shown a token
    * that is at least {@code fence}.
    */
-  public void launchUnknown(long fence) {
+  public void markLaunchUnknown(long fence) {
     neededToken = fence;
   }
 
@@ -192,32 +192,32 @@
    * Read from the records of an earlier leader. Its launch may still be on its way: only a report
    * under a token of this term proves anything about it.
    */
-  void adoptedBy(long term) {
+  void markAdopted(long term) {
     phase = Phase.SENT;
     adopted = true;
     neededToken = FencingToken.of(term, 0);
   }
 
   /** A report of its session shows it. Recorded but not sent, it is of an earlier leader's time. */
-  void seenOnMachine() {
+  void markSeenOnMachine() {
     phase = Phase.SENT;
     neededToken = 0;
   }
 
   /** A stop was sent. */
-  public void haltSent(long now, double newWindDownS) {
-    lastHaltAt = now;
+  public void markHaltSent(long now, double newWindDownS) {
+    lastHaltSentAtMs = now;
     windDownS = newWindDownS;
   }
 
   /** When a stop was last sent. */
-  public long lastHaltAt() {
-    return lastHaltAt;
+  public long lastHaltSentAtMs() {
+    return lastHaltSentAtMs;
   }
 
   /** When a stop was first asked for. */
-  public long haltAt() {
-    return haltAt;
+  public long firstHaltAtMs() {
+    return firstHaltAtMs;
   }
 
   /** Time it was given to save. */
--- a/src/main/java/dapplestair/ledger/AttemptReconciler.java
+++ b/src/main/java/dapplestair/ledger/AttemptReconciler.java
@@ -13,7 +13,7 @@
 final class AttemptReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptReconciler.class);
 
-  private static final int MOST_HELD_STEPS = 64;
+  private static final int MAX_DELAYED_STEPS = 64;
 
   private final LedgerContext context;
   private final Attempts attempts;
@@ -36,7 +36,7 @@
   }
 
   /** Applies a machine's newest report. Returns tasks in it that no attempt accounts for. */
-  List<Report.Task> report(Machine host, Report report) {
+  List<Report.Task> applyReport(Machine host, Report report) {
     List<Report.Task> strays = new ArrayList<>();
     Set<Attempt> seen = new LinkedHashSet<>();
     for (Report.Task task : report.tasks()) {
@@ -47,11 +47,11 @@
         strays.add(task);
       } else {
         seen.add(attempt);
-        seen(host, attempt, task);
+        applyTaskReport(host, attempt, task);
       }
     }
     for (Attempt attempt : List.copyOf(host.attempts())) {
-      if (!seen.contains(attempt) && provedAbsent(attempt, report)) {
+      if (!seen.contains(attempt) && provesAbsence(attempt, report)) {
         if (attempt.done) {
           continue;
         }
@@ -65,14 +65,14 @@
             report.token(),
             attempt.neededToken,
             attempt.session);
-        attempts.absent(attempt);
+        attempts.markAbsent(attempt);
       }
     }
-    return context.armed() ? strays : List.of();
+    return context.isReady() ? strays : List.of();
   }
 
   /** True when this report, newer than any before, proves that the attempt is not there. */
-  static boolean provedAbsent(Attempt attempt, Report report) {
+  static boolean provesAbsence(Attempt attempt, Report report) {
     // A later session has killed all that the earlier one ran, and refuses launches meant for it.
     if (report.session() > attempt.session) {
       return true;
@@ -83,27 +83,27 @@
         && report.token() >= attempt.neededToken;
   }
 
-  private void seen(Machine host, Attempt attempt, Report.Task task) {
-    attempt.seenOnMachine();
+  private void applyTaskReport(Machine host, Attempt attempt, Report.Task task) {
+    attempt.markSeenOnMachine();
     if (attempt.status == null && task.status() != Report.Status.EXITED) {
-      refusedStarts.taken(host);
+      refusedStarts.onStartAccepted(host);
     }
     if (attempt.status != task.status()) {
       long now = context.clock.now();
       if (attempt.status == Report.Status.RUNNING) {
-        attempt.ranBeforeExitS = attempt.ranS(now);
+        attempt.ranBeforeExitS = attempt.runTimeS(now);
       }
       attempt.status = task.status();
-      attempt.statusAt = now;
+      attempt.statusSinceMs = now;
       if (task.status() == Report.Status.RUNNING) {
         if (!attempt.job.begun && !attempt.adopted) {
-          attempt.job.begunAfterMs = context.clock.wall() - attempt.job.askedWall();
+          attempt.job.startDelayMs = context.clock.wall() - attempt.job.firstRequestWallMs();
           LOG.debug(
               "{} of {} tasks begins {} ms after it was asked for, {} ms after it was accepted",
               attempt.job.spec().ref(),
               attempt.spec().steps(),
-              attempt.job.begunAfterMs,
-              context.clock.wall() - attempt.job.acceptedWall());
+              attempt.job.startDelayMs,
+              context.clock.wall() - attempt.job.acceptedWallMs());
         }
         if (!attempt.began && !attempt.adopted) {
           LOG.debug(
@@ -111,62 +111,62 @@
               attempt.key(),
               attempt.number(),
               host.id(),
-              context.clock.wall() - attempt.job.askedWall());
+              context.clock.wall() - attempt.job.firstRequestWallMs());
         }
         attempt.job.begun = true;
         attempt.began = true;
-        attempt.job.chunkOf(attempt.step).resumed(attempt.step);
-        context.callbacks.started(attempt);
+        attempt.job.chunkOf(attempt.step).markResumed(attempt.step);
+        context.callbacks.onTaskStarted(attempt);
         host.imageSeen(attempt.spec(), now);
       } else if (task.status() == Report.Status.EXITED) {
-        exited(host, attempt, task);
+        onExited(host, attempt, task);
       }
     }
   }
 
-  private void exited(Machine host, Attempt attempt, Report.Task task) {
+  private void onExited(Machine host, Attempt attempt, Report.Task task) {
     String cause = task.cause();
     LOG.debug("{} try {} exited on {}: {}", attempt.key(), attempt.number, host.id(), cause);
     if (cause.equals("done") && !attempt.spec().service()) {
-      completed(host, attempt);
+      onCompleted(host, attempt);
       return;
     }
     if (cause.equals("error")) {
-      attempt.job.failedOn.put(host.id(), context.clock.now());
-      context.callbacks.failed(attempt, host);
+      attempt.job.lastFailureMsByMachine.put(host.id(), context.clock.now());
+      context.callbacks.onTaskFailed(attempt, host);
     } else if (cause.equals("unknown") || cause.equals("busy")) {
-      holdBack(attempt.job, context.settings.workers().reportMs() / 3);
+      delayStarts(attempt.job, context.settings.workers().reportMs() / 3);
     }
     if (task.stored()) {
-      attempt.job.keep(
-          attempt.step, attempt.ranBeforeExitS - attempt.keptS(attempt.ranBeforeExitS));
+      attempt.job.addSavedTime(
+          attempt.step, attempt.ranBeforeExitS - attempt.checkpointedS(attempt.ranBeforeExitS));
     }
     // Before its room is given back: nothing is to be placed there first.
-    refusedStarts.exited(host, cause);
-    attempts.retire(attempt);
+    refusedStarts.onExited(host, cause);
+    attempts.remove(attempt);
     context.callbacks.clear(attempt.host, attempt.key(), attempt.number);
   }
 
-  private void completed(Machine host, Attempt attempt) {
+  private void onCompleted(Machine host, Attempt attempt) {
     Chunk chunk = attempt.job.chunkOf(attempt.step);
     attempt.done = true;
-    attempts.vacate(attempt);
-    chunk.done.set(attempt.step - chunk.from);
-    context.callbacks.completed(attempt, host, attempt.ranBeforeExitS);
+    attempts.releaseResources(attempt);
+    chunk.completedSteps.set(attempt.step - chunk.firstStep);
+    context.callbacks.onTaskCompleted(attempt, host, attempt.ranBeforeExitS);
     if (attempt.job.over) {
-      attempts.drop(attempt);
+      attempts.discard(attempt);
     } else if (!jobFinalizer.finishIfDone(attempt.job)) {
       // Recorded before it is cleared: until then the report is the only proof.
-      writer.dirty(attempt.job, chunk, false);
+      writer.markDirty(attempt.job, chunk, false);
     }
-    context.callbacks.changed();
+    context.callbacks.onChanged();
   }
 
   /**
    * A step that fails again waits for longer each time, whatever becomes of the job's other steps;
    * if many do, the job waits as a whole.
    */
-  void failedStep(Attempt attempt, long firstMs, long mostMs) {
+  void recordStepFailure(Attempt attempt, long firstMs, long mostMs) {
     Job job = attempt.job;
     int before = job.stepFailures.addTo(attempt.step, 1);
     if (before == 0 || job.spec().gang()) {
@@ -176,28 +176,28 @@
     // A replica is missed each second, and a service that is wrong waits as a whole.
     long most = job.spec().service() ? Math.min(mostMs, 4 * firstMs) : mostMs;
     long ms = Math.min(most, firstMs << Math.min(10, before - 1));
-    if (job.heldSteps.size() >= MOST_HELD_STEPS) {
-      holdBack(job, ms);
-    } else if (job.heldSteps.add(attempt.step)) {
+    if (job.delayedSteps.size() >= MAX_DELAYED_STEPS) {
+      delayStarts(job, ms);
+    } else if (job.delayedSteps.add(attempt.step)) {
       context.timers.after(
           ms,
           () -> {
-            job.heldSteps.remove(attempt.step);
-            context.callbacks.changed();
+            job.delayedSteps.remove(attempt.step);
+            context.callbacks.onChanged();
           });
     }
   }
 
   /** What failed on a machine that turned out to be faulty is held against no step. */
-  void forgive(Job job, int step) {
+  void clearStepFailures(Job job, int step) {
     job.stepFailures.remove(step);
-    job.heldSteps.remove(step);
-    context.callbacks.changed();
+    job.delayedSteps.remove(step);
+    context.callbacks.onChanged();
   }
 
   /** Keeps a job from starting tasks for a while. */
-  void holdBack(Job job, long ms) {
-    job.heldBackUntil = Math.max(job.heldBackUntil, context.clock.now() + ms);
-    context.timers.after(ms + 1, context.callbacks::changed);
+  void delayStarts(Job job, long ms) {
+    job.startsDelayedUntilMs = Math.max(job.startsDelayedUntilMs, context.clock.now() + ms);
+    context.timers.after(ms + 1, context.callbacks::onChanged);
   }
 }
--- a/src/main/java/dapplestair/ledger/Attempts.java
+++ b/src/main/java/dapplestair/ledger/Attempts.java
@@ -8,42 +8,42 @@
 /** The lives of attempts, from entering a machine until nothing of them is left on it. */
 final class Attempts {
   private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
-  private static final double START_COUNTS_S = 30;
+  private static final double MIN_RUN_FOR_START_S = 30;
 
   private final LedgerContext context;
-  private final TeamUsage use;
+  private final TeamUsage teamUsage;
   private final ChunkWriter writer;
-  private Consumer<Job> emptied = j -> {};
+  private Consumer<Job> attemptRemovedListener = j -> {};
 
   Attempts(LedgerContext context, TeamUsage use, ChunkWriter writer) {
     this.context = context;
-    this.use = use;
+    this.teamUsage = use;
     this.writer = writer;
   }
 
   /** {@code listener} is told when a job that is over has one attempt less. */
-  void whenEmptied(Consumer<Job> listener) {
-    emptied = listener;
+  void setAttemptRemovedListener(Consumer<Job> listener) {
+    attemptRemovedListener = listener;
   }
 
-  void enter(Chunk chunk, Attempt attempt) {
-    chunk.live.put(attempt.step, attempt);
-    attempt.job.held++;
-    attempt.job.perZone.addTo(attempt.zone, 1);
-    use.add(attempt.spec());
-    context.callbacks.host(attempt.host).hold(attempt);
+  void register(Chunk chunk, Attempt attempt) {
+    chunk.attemptsByStep.put(attempt.step, attempt);
+    attempt.job.heldAttempts++;
+    attempt.job.attemptsPerZone.addTo(attempt.zone, 1);
+    teamUsage.add(attempt.spec());
+    context.callbacks.host(attempt.host).reserve(attempt);
   }
 
   /** Asks for a stop; repeated by the workers' duty until it is proved. */
   void halt(Attempt attempt, double windDownS, StopReason why) {
     if (!attempt.sent()) {
-      retire(attempt);
+      remove(attempt);
       return;
     }
     if (!attempt.halting) {
-      attempt.haltAt = context.clock.now();
-      takeBackStart(attempt, why);
-      context.callbacks.stopping(attempt, why);
+      attempt.firstHaltAtMs = context.clock.now();
+      retractStart(attempt, why);
+      context.callbacks.onFirstStopRequest(attempt, why);
     }
     attempt.halting = true;
     context.callbacks.halt(attempt, windDownS);
@@ -63,7 +63,7 @@
     job.gangStopping = true;
     double windDownS = job.spec().saves() ? 2 * job.spec().saveS() : 0;
     for (Chunk chunk : List.copyOf(job.chunks.values())) {
-      for (Attempt attempt : List.copyOf(chunk.live.values())) {
+      for (Attempt attempt : List.copyOf(chunk.attemptsByStep.values())) {
         if (!attempt.exited && !attempt.halting) {
           halt(attempt, windDownS, StopReason.GANG);
         }
@@ -73,86 +73,86 @@
   }
 
   /** A start that is soon stopped by command is none (PROTOCOL, "How aims are counted"). */
-  private void takeBackStart(Attempt attempt, StopReason why) {
+  private void retractStart(Attempt attempt, StopReason why) {
     Job job = attempt.job;
     if (!job.over
         && why != StopReason.NOTICE
-        && attempt.ranS(context.clock.now()) < START_COUNTS_S
+        && attempt.runTimeS(context.clock.now()) < MIN_RUN_FOR_START_S
         && job.doneCount() == 0
         && job.chunks.values().stream()
-            .flatMap(c -> c.live.values().stream())
+            .flatMap(c -> c.attemptsByStep.values().stream())
             .noneMatch(o -> o != attempt && o.began && !o.halting)) {
       job.begun = false;
     }
   }
 
   /** An attempt stops counting: it has exited, or its absence is proved. */
-  void vacate(Attempt attempt) {
+  void releaseResources(Attempt attempt) {
     if (attempt.exited) {
       return;
     }
     attempt.exited = true;
     Job job = attempt.job;
     if (attempt.spec().service() && ranS(attempt) > context.settings.workers().reportMs() / 500.0) {
-      job.worked++;
+      job.interruptedReplicas++;
     }
     if (!attempt.done) {
-      job.keep(attempt.step, attempt.keptS(ranS(attempt)));
+      job.addSavedTime(attempt.step, attempt.checkpointedS(ranS(attempt)));
     }
-    job.perZone.addTo(attempt.zone, -1);
-    use.subtract(attempt.spec());
-    context.callbacks.host(attempt.host).vacate(attempt, context.clock.now());
+    job.attemptsPerZone.addTo(attempt.zone, -1);
+    teamUsage.subtract(attempt.spec());
+    context.callbacks.host(attempt.host).release(attempt, context.clock.now());
   }
 
   private double ranS(Attempt attempt) {
-    return Math.max(attempt.ranBeforeExitS, attempt.ranS(context.clock.now()));
+    return Math.max(attempt.ranBeforeExitS, attempt.runTimeS(context.clock.now()));
   }
 
   /** Nothing of it is left on its machine. */
-  void retire(Attempt attempt) {
-    vacate(attempt);
+  void remove(Attempt attempt) {
+    releaseResources(attempt);
     Chunk chunk = attempt.job.chunkOf(attempt.step);
-    if (chunk.live.get(attempt.step) == attempt) {
-      chunk.live.remove(attempt.step);
+    if (chunk.attemptsByStep.get(attempt.step) == attempt) {
+      chunk.attemptsByStep.remove(attempt.step);
       if (!attempt.done && (attempt.began || attempt.adopted)) {
         chunk.interrupted(attempt.step);
       }
-      attempt.job.held--;
+      attempt.job.heldAttempts--;
     }
     context.callbacks.host(attempt.host).forget(attempt);
     if (attempt.job.over) {
-      emptied.accept(attempt.job);
+      attemptRemovedListener.accept(attempt.job);
     } else {
-      writer.dirty(attempt.job, chunk, false);
+      writer.markDirty(attempt.job, chunk, false);
       stopRestOfGang(attempt);
     }
-    context.callbacks.changed();
+    context.callbacks.onChanged();
   }
 
   /** The attempt of a job that is over needs nothing more. */
-  void drop(Attempt attempt) {
-    retire(attempt);
+  void discard(Attempt attempt) {
+    remove(attempt);
     if (attempt.done) {
       context.callbacks.clear(attempt.host, attempt.key(), attempt.number);
     }
   }
 
   /** Its absence is proved, though nobody saw it end. */
-  void absent(Attempt attempt) {
+  void markAbsent(Attempt attempt) {
     if (attempt.sent() && !attempt.exited && !attempt.halting && !attempt.job.over) {
-      context.callbacks.lost(attempt);
+      context.callbacks.onAttemptLost(attempt);
     }
-    retire(attempt);
+    remove(attempt);
   }
 
   /** The machine is proved to be gone: so is all that was on it. */
-  void allAbsent(Machine machine) {
+  void markAllAbsent(Machine machine) {
     if (!machine.attempts().isEmpty()) {
       LOG.debug(
           "{} is gone, and with it {}",
           machine.id(),
           machine.attempts().stream().map(a -> a.key() + " try " + a.number).toList());
     }
-    List.copyOf(machine.attempts()).forEach(this::absent);
+    List.copyOf(machine.attempts()).forEach(this::markAbsent);
   }
 }
--- a/src/main/java/dapplestair/ledger/Chunk.java
+++ b/src/main/java/dapplestair/ledger/Chunk.java
@@ -15,14 +15,14 @@
 /** The attempts and completions of a run of consecutive tasks, kept under one key. */
 final class Chunk {
   final int index;
-  final int from;
+  final int firstStep;
   final int size;
 
-  /** Steps completed, relative to {@link #from}. */
-  final BitSet done = new BitSet();
+  /** Steps completed, relative to {@link #firstStep}. */
+  final BitSet completedSteps = new BitSet();
 
   /** Attempts whose absence is not proved, by absolute step. */
-  final Int2ObjectOpenHashMap<Attempt> live = new Int2ObjectOpenHashMap<>();
+  final Int2ObjectOpenHashMap<Attempt> attemptsByStep = new Int2ObjectOpenHashMap<>();
 
   long lastNumber;
 
@@ -36,7 +36,7 @@
   boolean dirty;
 
   /** Something besides launches is not on record yet. */
-  boolean ends;
+  boolean hasUnrecordedEnds;
 
   boolean urgent;
   boolean launchQueued;
@@ -44,15 +44,15 @@
 
   Chunk(int index, int chunkSize, int steps) {
     this.index = index;
-    this.from = index * chunkSize;
-    this.size = Math.min(chunkSize, steps - from);
+    this.firstStep = index * chunkSize;
+    this.size = Math.min(chunkSize, steps - firstStep);
   }
 
   // Steps whose last attempt ended before it was done, until they run again; seldom any.
   private IntOpenHashSet interrupted;
 
   /** Most steps that may have been interrupted before this leader came. */
-  private int unknown;
+  private int maxUnknownInterrupted;
 
   void interrupted(int step) {
     if (interrupted == null) {
@@ -61,7 +61,7 @@
     interrupted.add(step);
   }
 
-  void resumed(int step) {
+  void markResumed(int step) {
     if (interrupted != null) {
       interrupted.remove(step);
     }
@@ -72,35 +72,37 @@
    * number, each step that is done or held had one at least, and the other numbers may have gone to
    * any. A gang's members share theirs.
    */
-  void countUnknown(boolean gang) {
-    int settled = live.size() + done.cardinality();
+  void computeMaxUnknownInterrupted(boolean gang) {
+    int settled = attemptsByStep.size() + completedSteps.cardinality();
     long others = gang ? (lastNumber > 0 ? size : 0) : Math.max(0, lastNumber - settled);
-    unknown = (int) Math.min(others, size - settled);
+    maxUnknownInterrupted = (int) Math.min(others, size - settled);
   }
 
   /**
    * Steps that wait, or start again, after having been interrupted; never too few. {@code notHeld}
    * attempts that are on record only start, or are over.
    */
-  int awaitedAgain(int notHeld) {
+  int maxInterruptedWaiting(int notHeld) {
     int known = interrupted == null ? 0 : interrupted.size();
-    int candidates = size - done.cardinality() - live.size() + notHeld;
-    return Math.max(0, Math.min(candidates, known + unknown));
+    int candidates = size - completedSteps.cardinality() - attemptsByStep.size() + notHeld;
+    return Math.max(0, Math.min(candidates, known + maxUnknownInterrupted));
   }
 
-  boolean free(int step) {
-    return !done.get(step - from) && !live.containsKey(step);
+  boolean isFree(int step) {
+    return !completedSteps.get(step - firstStep) && !attemptsByStep.containsKey(step);
   }
 
-  boolean empty() {
-    return live.isEmpty();
+  boolean hasNoAttempts() {
+    return attemptsByStep.isEmpty();
   }
 
   /** First step at or after {@code step} that is neither done nor held, or -1. */
   int nextFree(int step) {
-    for (int i = done.nextClearBit(step - from); i < size; i = done.nextClearBit(i + 1)) {
-      if (!live.containsKey(from + i)) {
-        return from + i;
+    for (int i = completedSteps.nextClearBit(step - firstStep);
+        i < size;
+        i = completedSteps.nextClearBit(i + 1)) {
+      if (!attemptsByStep.containsKey(firstStep + i)) {
+        return firstStep + i;
       }
     }
     return -1;
@@ -112,12 +114,12 @@
     if (probesFailed > 0) {
       object.put("w", probesFailed);
     }
-    if (!done.isEmpty()) {
+    if (!completedSteps.isEmpty()) {
       ArrayNode array = object.putArray("d");
-      for (int i = done.nextSetBit(0); i >= 0; ) {
-        int end = done.nextClearBit(i);
+      for (int i = completedSteps.nextSetBit(0); i >= 0; ) {
+        int end = completedSteps.nextClearBit(i);
         array.add(i).add(end);
-        i = done.nextSetBit(end);
+        i = completedSteps.nextSetBit(end);
       }
     }
     writeLive(object);
@@ -128,7 +130,7 @@
   private void writeLive(ObjectNode object) {
     List<String> zones = new ArrayList<>();
     ObjectNode byHost = Json.object();
-    for (Attempt attempt : live.values()) {
+    for (Attempt attempt : attemptsByStep.values()) {
       // An attempt seen to complete needs no record of its own: its step is done.
       if (attempt.done) {
         continue;
@@ -149,20 +151,20 @@
     object.set("h", byHost);
   }
 
-  /** Reads a record, giving each attempt in it to {@code attempts}. */
+  /** Reads a record, giving each attempt in it to {@code forEachAttempt}. */
   void read(JsonNode value, long newStamp, RecordedAttempts attempts) {
     stamp = newStamp;
     lastNumber = Json.number(value, "t", 0);
     recordedNumber = lastNumber;
     JsonNode node = value.path("d");
     for (int i = 0; i + 1 < node.size(); i += 2) {
-      done.set(node.get(i).asInt(), node.get(i + 1).asInt());
+      completedSteps.set(node.get(i).asInt(), node.get(i + 1).asInt());
     }
-    attempts(value, attempts);
+    forEachAttempt(value, attempts);
   }
 
   /** The attempts of a record. */
-  static void attempts(JsonNode value, RecordedAttempts attempts) {
+  static void forEachAttempt(JsonNode value, RecordedAttempts attempts) {
     JsonNode zones = value.path("z");
     value
         .path("h")
--- a/src/main/java/dapplestair/ledger/ChunkWriter.java
+++ b/src/main/java/dapplestair/ledger/ChunkWriter.java
@@ -12,25 +12,25 @@
 import org.slf4j.LoggerFactory;
 
 /** Keeps the records of attempts: puts what changed, in as few puts as may be. */
-final class ChunkWriter implements LaunchBatches.Chunks {
+final class ChunkWriter implements LaunchBatches.ChunkRecords {
   private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
 
   /** Told of what a put has settled. */
   interface Listener {
     /** A put of this job was made. True when the job is over, so that no more follow. */
-    boolean written(Job job);
+    boolean onChunkPut(Job job);
 
     /** The job is over, and one of its records may be removed now. */
-    void over(Job job);
+    void onJobOver(Job job);
 
     /** The job was cancelled before this attempt's launch was sent. */
-    void dropped(Attempt unsent);
+    void onUnsentCancelled(Attempt unsent);
   }
 
   /** What one put of a chunk carries. */
   private static final class Flush {
     boolean built;
-    long number;
+    long lastNumber;
     final List<Attempt> planned = new ArrayList<>();
     final List<Attempt> completed = new ArrayList<>();
   }
@@ -40,7 +40,7 @@
 
   private final LedgerContext context;
   private final double bookkeepingPerS;
-  private final Set<Chunk> gathering = new LinkedHashSet<>();
+  private final Set<Chunk> chunksGatheringEnds = new LinkedHashSet<>();
   private final LaunchBatches launchBatches;
   private Listener listener;
 
@@ -50,73 +50,75 @@
     this.bookkeepingPerS = BOOKKEEPING_SHARE * context.settings.state().writeRps();
   }
 
-  void listen(Listener newListener) {
+  void setListener(Listener newListener) {
     listener = newListener;
   }
 
   void clear() {
-    gathering.clear();
+    chunksGatheringEnds.clear();
     launchBatches.clear();
   }
 
   /** The chunk differs from its record; {@code urgent} when launches wait for the put. */
-  void dirty(Job job, Chunk chunk, boolean urgent) {
-    if (!context.held()) {
+  void markDirty(Job job, Chunk chunk, boolean urgent) {
+    if (!context.isTermActive()) {
       return;
     }
     chunk.dirty = true;
     chunk.urgent |= urgent;
-    chunk.ends |= !urgent;
+    chunk.hasUnrecordedEnds |= !urgent;
     if (chunk.inFlight) {
       return;
     }
     // Both may be queued for one chunk: launches must not wait behind a put that nobody waits for.
     if (urgent && !chunk.launchQueued) {
       chunk.launchQueued = true;
-      boolean shared = job.spec().service() || single(job);
+      boolean shared = job.spec().service() || isSingleTask(job);
       context.timers.after(
-          0, shared ? () -> launchBatches.add(job, chunk) : () -> alone(job, chunk));
-    } else if (!urgent && gathering.add(chunk)) {
-      context.timers.after(gatherMs(), () -> enqueue(job, chunk, Priority.BOOKKEEPING));
+          0, shared ? () -> launchBatches.add(job, chunk) : () -> writeSeparately(job, chunk));
+    } else if (!urgent && chunksGatheringEnds.add(chunk)) {
+      context.timers.after(gatherDelayMs(), () -> enqueue(job, chunk, Priority.BOOKKEEPING));
     }
   }
 
   /** Its one launch is all that is ever recorded of it, if nothing goes wrong. */
-  static boolean single(Job job) {
+  static boolean isSingleTask(Job job) {
     return job.spec().steps() == 1 && !job.spec().service() && !job.spec().gang();
   }
 
   @Override
-  public void alone(Job job, Chunk chunk) {
+  public void writeSeparately(Job job, Chunk chunk) {
     enqueue(job, chunk, job.spec().service() ? Priority.REPLICA : Priority.LAUNCH);
   }
 
   @Override
-  public boolean waits(Job job, Chunk chunk) {
+  public boolean hasPendingLaunches(Job job, Chunk chunk) {
     chunk.launchQueued = false;
-    return context.held() && !chunk.inFlight && chunk.dirty && chunk.urgent && !job.over();
+    return context.isTermActive() && !chunk.inFlight && chunk.dirty && chunk.urgent && !job.over();
   }
 
   @Override
-  public void landed(Job job, Chunk chunk, boolean made) {
+  public void onBatchPut(Job job, Chunk chunk, boolean made) {
     // Its own record takes over when nobody waits for the put. Before that it must, if the launch
     // batch may have been made without our knowing: entries of a lost one then count no more.
     chunk.urgent =
-        !made || chunk.live.values().stream().anyMatch(a -> a.phase == Attempt.Phase.PLANNED);
-    if (made && single(job) && !chunk.urgent && !chunk.ends) {
+        !made
+            || chunk.attemptsByStep.values().stream()
+                .anyMatch(a -> a.phase == Attempt.Phase.PLANNED);
+    if (made && isSingleTask(job) && !chunk.urgent && !chunk.hasUnrecordedEnds) {
       // A swarm's jobs are mostly done before a record of their own would be written.
       chunk.dirty = false;
     }
     if (job.over) {
-      listener.over(job);
+      listener.onJobOver(job);
     } else {
-      again(job, chunk);
+      requeueIfDirty(job, chunk);
     }
   }
 
   @Override
-  public void dropped(Attempt unsent) {
-    listener.dropped(unsent);
+  public void onUnsentCancelled(Attempt unsent) {
+    listener.onUnsentCancelled(unsent);
   }
 
   /** Launch batches of services' launches. */
@@ -124,9 +126,9 @@
     return launchBatches;
   }
 
-  private void again(Job job, Chunk chunk) {
+  private void requeueIfDirty(Job job, Chunk chunk) {
     if (chunk.dirty && !job.over()) {
-      dirty(job, chunk, chunk.urgent);
+      markDirty(job, chunk, chunk.urgent);
     }
   }
 
@@ -134,9 +136,9 @@
    * How long ends are gathered into one put: the longer the more jobs have some, so that the puts
    * for them stay within their share. A completion need only be recorded before it is cleared.
    */
-  private long gatherMs() {
+  private long gatherDelayMs() {
     long least = context.settings.workers().reportMs() / 8;
-    long paced = Math.round(1000 * gathering.size() / bookkeepingPerS);
+    long paced = Math.round(1000 * chunksGatheringEnds.size() / bookkeepingPerS);
     return Math.max(least, Math.min(paced, context.settings.workers().leaseMs() / 2));
   }
 
@@ -145,35 +147,35 @@
     long term = context.term();
     context.state.commit(
         1,
-        () -> context.term() == term ? put(job, chunk, priority, flush) : null,
+        () -> context.term() == term ? buildTxn(job, chunk, priority, flush) : null,
         priority,
         context.settings.workers().reportMs(),
         outcome -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
           if (!flush.built) {
-            unqueued(chunk, priority);
-            context.timers.after(context.retryMs, () -> again(job, chunk));
+            markUnqueued(chunk, priority);
+            context.timers.after(context.retryMs, () -> requeueIfDirty(job, chunk));
             return;
           }
           chunk.inFlight = false;
-          written(job, chunk, outcome, flush);
+          onPutFinished(job, chunk, outcome, flush);
         });
   }
 
-  private void unqueued(Chunk chunk, Priority priority) {
+  private void markUnqueued(Chunk chunk, Priority priority) {
     if (priority != Priority.BOOKKEEPING) {
       chunk.launchQueued = false;
     } else {
-      gathering.remove(chunk);
+      chunksGatheringEnds.remove(chunk);
     }
   }
 
   /** The put of a chunk as it is now, or null when there is none to make. */
-  private Txn put(Job job, Chunk chunk, Priority priority, Flush flush) {
-    unqueued(chunk, priority);
-    if (!context.held()
+  private Txn buildTxn(Job job, Chunk chunk, Priority priority, Flush flush) {
+    markUnqueued(chunk, priority);
+    if (!context.isTermActive()
         || chunk.inFlight
         || !chunk.dirty
         || job.over()
@@ -181,12 +183,12 @@
       return null;
     }
     flush.built = true;
-    flush.number = chunk.lastNumber;
+    flush.lastNumber = chunk.lastNumber;
     chunk.inFlight = true;
     chunk.dirty = false;
     chunk.urgent = false;
-    chunk.ends = false;
-    for (Attempt attempt : chunk.live.values()) {
+    chunk.hasUnrecordedEnds = false;
+    for (Attempt attempt : chunk.attemptsByStep.values()) {
       if (attempt.phase == Attempt.Phase.PLANNED) {
         flush.planned.add(attempt);
       }
@@ -205,24 +207,24 @@
         .put(key, chunk.toJson(job.probesFailed));
   }
 
-  private void written(Job job, Chunk chunk, TxnOutcome outcome, Flush flush) {
+  private void onPutFinished(Job job, Chunk chunk, TxnOutcome outcome, Flush flush) {
     if (outcome instanceof TxnOutcome.Applied applied) {
       chunk.stamp = applied.stamp();
-      chunk.recordedNumber = flush.number;
-      launchBatches.released(chunk);
+      chunk.recordedNumber = flush.lastNumber;
+      launchBatches.releaseClaims(chunk);
       if (job.over) {
-        listener.over(job);
+        listener.onJobOver(job);
         return;
       }
       flush.planned.forEach(a -> launch(chunk, a, applied.stamp()));
-      flush.completed.forEach(a -> settle(job, chunk, a));
-      if (!listener.written(job)) {
-        again(job, chunk);
+      flush.completed.forEach(a -> removeCompleted(job, chunk, a));
+      if (!listener.onChunkPut(job)) {
+        requeueIfDirty(job, chunk);
       }
       return;
     }
     chunk.dirty = true;
-    chunk.ends = true;
+    chunk.hasUnrecordedEnds = true;
     chunk.urgent |= !flush.planned.isEmpty();
     if (outcome instanceof TxnOutcome.Conflict conflict) {
       if (context.leadership.deposedBy(outcome)) {
@@ -231,8 +233,8 @@
       if (conflict.failed().contains(StateKeys.job(job.spec().ref()))) {
         // Cancelled: the replica will say so; what was not sent never will be.
         for (Attempt a : flush.planned) {
-          if (chunk.live.get(a.step) == a && !a.sent()) {
-            listener.dropped(a);
+          if (chunk.attemptsByStep.get(a.step) == a && !a.sent()) {
+            listener.onUnsentCancelled(a);
           }
         }
         return;
@@ -249,21 +251,22 @@
       }
       readBack(job, chunk);
     } else {
-      context.timers.after(context.retryMs, () -> again(job, chunk));
+      context.timers.after(context.retryMs, () -> requeueIfDirty(job, chunk));
     }
   }
 
   private void launch(Chunk chunk, Attempt attempt, long revision) {
-    if (chunk.live.get(attempt.step) == attempt && attempt.phase == Attempt.Phase.PLANNED) {
+    if (chunk.attemptsByStep.get(attempt.step) == attempt
+        && attempt.phase == Attempt.Phase.PLANNED) {
       context.launch(attempt, StateKeys.run(attempt.spec().ref(), chunk.index), revision);
     }
   }
 
   /** Its completion is on record: the report of it is not needed any more. */
-  private void settle(Job job, Chunk chunk, Attempt attempt) {
-    if (chunk.live.get(attempt.step) == attempt) {
-      chunk.live.remove(attempt.step);
-      job.held--;
+  private void removeCompleted(Job job, Chunk chunk, Attempt attempt) {
+    if (chunk.attemptsByStep.get(attempt.step) == attempt) {
+      chunk.attemptsByStep.remove(attempt.step);
+      job.heldAttempts--;
       context.callbacks.host(attempt.host).forget(attempt);
       context.callbacks.clear(attempt.host, attempt.key(), attempt.number);
     }
@@ -279,7 +282,7 @@
     context.state.get(
         StateKeys.run(job.spec().ref(), chunk.index),
         read -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
           chunk.inFlight = false;
@@ -287,9 +290,10 @@
             chunk.stamp = read.stamp();
           }
           if (job.over) {
-            listener.over(job);
+            listener.onJobOver(job);
           } else {
-            context.timers.after(read.known() ? 0 : context.retryMs, () -> again(job, chunk));
+            context.timers.after(
+                read.known() ? 0 : context.retryMs, () -> requeueIfDirty(job, chunk));
           }
         });
   }
--- a/src/main/java/dapplestair/ledger/Job.java
+++ b/src/main/java/dapplestair/ledger/Job.java
@@ -11,11 +11,11 @@
 /** A job that is not over, or whose attempts are not all gone. */
 public final class Job {
   private final Submission spec;
-  private final long acceptedWall;
-  private final long askedWall;
+  private final long acceptedWallMs;
+  private final long firstRequestWallMs;
   private final int chunkSize;
   final Int2ObjectAVLTreeMap<Chunk> chunks = new Int2ObjectAVLTreeMap<>();
-  final Object2IntOpenHashMap<String> perZone = new Object2IntOpenHashMap<>();
+  final Object2IntOpenHashMap<String> attemptsPerZone = new Object2IntOpenHashMap<>();
 
   /** Stamp of the job's key, 0 once it is over. */
   long stamp;
@@ -26,15 +26,15 @@
   boolean begun;
 
   /** How long after its user first asked; 0 when an earlier leader saw it. */
-  long begunAfterMs;
+  long startDelayMs;
 
   boolean finishing;
-  int worked;
+  int interruptedReplicas;
 
   /** Since when it is over, steady time; before this leader's term if the records say so. */
-  long overAt;
+  long endedAtMs;
 
-  int held;
+  int heldAttempts;
   long gangNumber;
   final IntOpenHashSet gangSteps = new IntOpenHashSet();
 
@@ -44,22 +44,22 @@
   private int firstOpen;
 
   // Progress that checkpoints keep, as far as this leader has seen it: for estimates only.
-  private final Int2DoubleOpenHashMap saved = new Int2DoubleOpenHashMap();
+  private final Int2DoubleOpenHashMap savedSecondsByStep = new Int2DoubleOpenHashMap();
 
   // When a task of it last failed there, by machine, steady time.
-  final Object2LongOpenHashMap<String> failedOn = new Object2LongOpenHashMap<>();
-  long heldBackUntil;
+  final Object2LongOpenHashMap<String> lastFailureMsByMachine = new Object2LongOpenHashMap<>();
+  long startsDelayedUntilMs;
 
   // It failed wherever it ran: one task at a time, after so many that failed (package blame).
   boolean suspected;
   int probesFailed;
 
   /** Its time has not come: nothing is to be rented for it yet. */
-  boolean rests;
+  boolean excludedFromPlanning;
 
   // How often steps failed, and those that wait after having failed again.
   final Int2IntOpenHashMap stepFailures = new Int2IntOpenHashMap();
-  final IntOpenHashSet heldSteps = new IntOpenHashSet();
+  final IntOpenHashSet delayedSteps = new IntOpenHashSet();
 
   Job(Submission spec, long acceptedWall, int chunkSize, long stamp) {
     this(spec, acceptedWall, acceptedWall, chunkSize, stamp);
@@ -67,8 +67,8 @@
 
   Job(Submission spec, long acceptedWall, long askedWall, int chunkSize, long stamp) {
     this.spec = spec;
-    this.acceptedWall = acceptedWall;
-    this.askedWall = askedWall;
+    this.acceptedWallMs = acceptedWall;
+    this.firstRequestWallMs = askedWall;
     this.chunkSize = chunkSize;
     this.stamp = stamp;
   }
@@ -84,16 +84,16 @@
   }
 
   /** Time of day of its acceptance. */
-  public long acceptedWall() {
-    return acceptedWall;
+  public long acceptedWallMs() {
+    return acceptedWallMs;
   }
 
   /**
    * Time of day of the first attempt to submit it that is known. Waits are measured from then: it
    * is earlier than the acceptance when its user was turned away for a while.
    */
-  public long askedWall() {
-    return askedWall;
+  public long firstRequestWallMs() {
+    return firstRequestWallMs;
   }
 
   /** True when it was cancelled or all is done. */
@@ -102,24 +102,24 @@
   }
 
   /** Since when it is over, steady time. */
-  public long overAt() {
-    return overAt;
+  public long endedAtMs() {
+    return endedAtMs;
   }
 
   /** Until when it waits after failing on good machines. */
-  public long heldBackUntil() {
-    return heldBackUntil;
+  public long startsDelayedUntilMs() {
+    return startsDelayedUntilMs;
   }
 
   /** Replicas that ran for a good while and then were stopped or lost. */
-  public int worked() {
-    return worked;
+  public int interruptedReplicas() {
+    return interruptedReplicas;
   }
 
   /** True when this step has completed. */
-  public boolean done(int step) {
+  public boolean isDone(int step) {
     Chunk chunk = chunks.get(step / chunkSize);
-    return chunk != null && chunk.done.get(step - chunk.from);
+    return chunk != null && chunk.completedSteps.get(step - chunk.firstStep);
   }
 
   /** True when it fails wherever it runs, and is tried by one task at a time. */
@@ -128,8 +128,8 @@
   }
 
   /** Steps that failed again and again, and wait for a while. */
-  public int heldSteps() {
-    return heldSteps.size();
+  public int delayedSteps() {
+    return delayedSteps.size();
   }
 
   /** How often it was tried so and failed. */
@@ -142,26 +142,26 @@
    * gang that is all of it), and for none while one runs or its pause lasts: nothing is to be
    * rented or emptied for the others.
    */
-  public int wanted(long now) {
-    if (rests) {
+  public int wantedTasks(long now) {
+    if (excludedFromPlanning) {
       return 0;
     }
     if (suspected) {
-      boolean due = !over() && held == 0 && heldBackUntil <= now;
+      boolean due = !over() && heldAttempts == 0 && startsDelayedUntilMs <= now;
       return !due ? 0 : spec.gang() ? waiting() : 1;
     }
-    return Math.max(0, waiting() - heldSteps.size());
+    return Math.max(0, waiting() - delayedSteps.size());
   }
 
   /** Run time that checkpoints of earlier attempts at a step keep. */
   double savedS(int step) {
-    return saved.get(step);
+    return savedSecondsByStep.get(step);
   }
 
   /** A stopped or lost attempt has kept so much more. */
-  void keep(int step, double seconds) {
+  void addSavedTime(int step, double seconds) {
     if (seconds > 0) {
-      saved.addTo(step, seconds);
+      savedSecondsByStep.addTo(step, seconds);
     }
   }
 
@@ -169,7 +169,7 @@
   public int doneCount() {
     int count = 0;
     for (Chunk chunk : chunks.values()) {
-      count += chunk.done.cardinality();
+      count += chunk.completedSteps.cardinality();
     }
     return count;
   }
@@ -178,19 +178,19 @@
   public int liveCount() {
     int count = 0;
     for (Chunk chunk : chunks.values()) {
-      count += chunk.live.size();
+      count += chunk.attemptsByStep.size();
     }
     return count;
   }
 
   /** Attempts whose absence is not proved. */
-  public int held() {
-    return held;
+  public int heldAttempts() {
+    return heldAttempts;
   }
 
   /** Attempts in this zone whose absence is not proved. */
-  public int inZone(String zone) {
-    return perZone.getInt(zone);
+  public int attemptsInZone(String zone) {
+    return attemptsPerZone.getInt(zone);
   }
 
   Chunk chunk(int index) {
@@ -208,7 +208,7 @@
 
   /** Number of steps neither done nor held. */
   public int waiting() {
-    return over() ? 0 : spec.steps() - doneCount() - held;
+    return over() ? 0 : spec.steps() - doneCount() - heldAttempts;
   }
 
   /** First step at or after {@code from} that may be started, or -1. */
@@ -220,15 +220,15 @@
       if (chunk == null) {
         return Math.max(from, i * chunkSize);
       }
-      if (chunk.done.cardinality() == chunk.size) {
+      if (chunk.completedSteps.cardinality() == chunk.size) {
         if (i == firstOpen) {
           firstOpen++;
         }
         continue;
       }
-      int step = chunk.nextFree(Math.max(from, chunk.from));
-      while (step >= 0 && heldSteps.contains(step)) {
-        step = step + 1 < chunk.from + chunk.size ? chunk.nextFree(step + 1) : -1;
+      int step = chunk.nextFree(Math.max(from, chunk.firstStep));
+      while (step >= 0 && delayedSteps.contains(step)) {
+        step = step + 1 < chunk.firstStep + chunk.size ? chunk.nextFree(step + 1) : -1;
       }
       if (step >= 0) {
         return step;
--- a/src/main/java/dapplestair/ledger/JobFinalizer.java
+++ b/src/main/java/dapplestair/ledger/JobFinalizer.java
@@ -28,48 +28,48 @@
     this.attempts = attempts;
     this.jobs = jobs;
     this.jobStatistics = jobStatistics;
-    attempts.whenEmptied(this::over);
-    writer.listen(this);
+    attempts.setAttemptRemovedListener(this::onJobOver);
+    writer.setListener(this);
   }
 
   @Override
-  public boolean written(Job job) {
+  public boolean onChunkPut(Job job) {
     return finishIfDone(job);
   }
 
   @Override
-  public void dropped(Attempt unsent) {
-    attempts.retire(unsent);
+  public void onUnsentCancelled(Attempt unsent) {
+    attempts.remove(unsent);
   }
 
   /** The job is over: what it has on machines is stopped, then forgotten. */
-  void end(Job job) {
+  void endJob(Job job) {
     if (job.over) {
       return;
     }
     job.over = true;
     job.finishing = false;
     job.stamp = 0;
-    job.overAt = context.clock.now();
-    if (context.armed()) {
-      jobStatistics.ended(job);
+    job.endedAtMs = context.clock.now();
+    if (context.isReady()) {
+      jobStatistics.recordEnded(job);
     }
     for (Chunk chunk : job.chunks.values()) {
-      for (Attempt attempt : List.copyOf(chunk.live.values())) {
+      for (Attempt attempt : List.copyOf(chunk.attemptsByStep.values())) {
         if (!attempt.sent() || attempt.done) {
-          attempts.drop(attempt);
+          attempts.discard(attempt);
         } else {
           attempts.halt(attempt, 0, StopReason.JOB_OVER);
         }
       }
     }
-    over(job);
-    context.callbacks.changed();
+    onJobOver(job);
+    context.callbacks.onChanged();
   }
 
   /** Makes the job done when all of it is. True when the job is over. */
   boolean finishIfDone(Job job) {
-    if (job.over() || !context.armed() || !job.allDone()) {
+    if (job.over() || !context.isReady() || !job.allDone()) {
       return job.over();
     }
     job.finishing = true;
@@ -78,43 +78,43 @@
   }
 
   private void finish(Job job) {
-    if (!context.held() || job.over || !context.leadership.leading()) {
+    if (!context.isTermActive() || job.over || !context.leadership.leading()) {
       return;
     }
     List<Chunk> removed = new ArrayList<>();
     long term = context.term();
     boolean low = job.spec().rank() == Rank.LOW;
     context.state.commit(
-        2 + context.callbacks.mostWithFinish() + job.chunks.size(),
-        () -> context.term() == term && !job.over ? finishing(job, removed) : null,
+        2 + context.callbacks.maxFinishOperations() + job.chunks.size(),
+        () -> context.term() == term && !job.over ? buildFinishTxn(job, removed) : null,
         // A swarm's ends come by the hundred; no other user is to hear later that all is done.
         low ? Priority.FINISH_LOW : Priority.FINISH,
         low ? context.settings.workers().leaseMs() : context.settings.workers().reportMs(),
         outcome -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
           if (outcome instanceof TxnOutcome.Applied) {
             // Also when the replica was quicker to say that the job's key is gone.
-            context.callbacks.ended(job.spec().ref(), true);
+            context.callbacks.onJobEnded(job.spec().ref(), true);
           }
           if (!job.over) {
-            finished(job, removed, outcome);
+            onFinishOutcome(job, removed, outcome);
           }
         });
   }
 
   /** The transaction that makes a job done, with the records that it no longer needs. */
-  private Txn finishing(Job job, List<Chunk> removed) {
+  private Txn buildFinishTxn(Job job, List<Chunk> removed) {
     String ref = job.spec().ref();
     Txn txn =
         context
             .leadership
             .guard(new Txn())
             .when(StateKeys.job(ref), job.stamp)
-            .put(StateKeys.over(ref), JobRecordCodec.over(job, "done", context.clock.wall()))
+            .put(StateKeys.over(ref), JobRecordCodec.endedRecord(job, "done", context.clock.wall()))
             .remove(StateKeys.job(ref));
-    context.callbacks.finishing(job, txn);
+    context.callbacks.addToFinishTxn(job, txn);
     for (Chunk chunk : job.chunks.values()) {
       if (chunk.stamp != 0 && !chunk.inFlight && txn.size() < context.settings.state().txnOps()) {
         txn.when(StateKeys.run(ref, chunk.index), chunk.stamp)
@@ -125,11 +125,11 @@
     return txn;
   }
 
-  private void finished(Job job, List<Chunk> removed, TxnOutcome outcome) {
+  private void onFinishOutcome(Job job, List<Chunk> removed, TxnOutcome outcome) {
     String ref = job.spec().ref();
     if (outcome instanceof TxnOutcome.Applied) {
       removed.forEach(c -> c.stamp = 0);
-      end(job);
+      endJob(job);
       return;
     }
     if (outcome instanceof TxnOutcome.Conflict conflict) {
@@ -138,7 +138,7 @@
       }
       if (conflict.failed().contains(StateKeys.job(ref))) {
         // Cancelled before, or our own unanswered write was applied: over/ tells which.
-        end(job);
+        endJob(job);
         return;
       }
       for (Chunk c : removed) {
@@ -152,21 +152,21 @@
 
   /** Deletes the records of a job that is over, each once nothing in it can be running. */
   @Override
-  public void over(Job job) {
-    if (!context.held()) {
+  public void onJobOver(Job job) {
+    if (!context.isTermActive()) {
       return;
     }
     boolean left = false;
     for (Chunk chunk : job.chunks.values()) {
-      if (!chunk.empty() || chunk.stamp != 0 || chunk.inFlight) {
+      if (!chunk.hasNoAttempts() || chunk.stamp != 0 || chunk.inFlight) {
         left = true;
       }
-      if (chunk.empty() && chunk.stamp != 0 && !chunk.inFlight) {
+      if (chunk.hasNoAttempts() && chunk.stamp != 0 && !chunk.inFlight) {
         removeRecord(job, chunk);
       }
     }
     if (!left) {
-      job.chunks.values().forEach(writer.launchBatches()::released);
+      job.chunks.values().forEach(writer.launchBatches()::releaseClaims);
       jobs.remove(job.spec().ref(), job);
     }
   }
@@ -181,17 +181,17 @@
         Priority.BOOKKEEPING,
         context.settings.workers().leaseMs(),
         outcome -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
           chunk.inFlight = false;
           if (outcome instanceof TxnOutcome.Applied) {
             chunk.stamp = 0;
-            over(job);
+            onJobOver(job);
           } else if (context.leadership.deposedBy(outcome)) {
             return;
           } else if (outcome instanceof TxnOutcome.Refused) {
-            context.timers.after(4 * context.retryMs, () -> over(job));
+            context.timers.after(4 * context.retryMs, () -> onJobOver(job));
           } else {
             chunk.inFlight = true;
             context.timers.after(context.retryMs, () -> writer.readBack(job, chunk));
--- a/src/main/java/dapplestair/ledger/JobRecordCodec.java
+++ b/src/main/java/dapplestair/ledger/JobRecordCodec.java
@@ -14,7 +14,8 @@
   private JobRecordCodec() {}
 
   /** A job as accepted at a time of day, its tasks recorded by so many. */
-  static ObjectNode accepted(Submission submission, long wall, long askedWall, int chunkSize) {
+  static ObjectNode acceptedRecord(
+      Submission submission, long wall, long askedWall, int chunkSize) {
     ObjectNode object = Json.object().put("at", wall).put("chunk", chunkSize);
     if (askedWall < wall) {
       object.put("asked", askedWall);
@@ -24,13 +25,14 @@
   }
 
   /** A job that is over since a time of day. */
-  static ObjectNode over(Job job, String status, long wall) {
-    ObjectNode object = accepted(job.spec(), job.acceptedWall(), job.askedWall(), job.chunkSize());
+  static ObjectNode endedRecord(Job job, String status, long wall) {
+    ObjectNode object =
+        acceptedRecord(job.spec(), job.acceptedWallMs(), job.firstRequestWallMs(), job.chunkSize());
     return object.put("status", status).put("end", wall);
   }
 
   /** For how long a job has been over, milliseconds; 0 if its record does not say since when. */
-  static long overForMs(JsonNode value, long wall) {
+  static long endedAgoMs(JsonNode value, long wall) {
     return Math.max(0, wall - Json.number(value, "end", wall));
   }
 
--- a/src/main/java/dapplestair/ledger/JobStatistics.java
+++ b/src/main/java/dapplestair/ledger/JobStatistics.java
@@ -17,8 +17,8 @@
  */
 public final class JobStatistics {
   // Classes are named by users: without a bound their names would fill memory and metrics.
-  private static final int MOST_NAMES = 64;
-  private static final long LARGE_KEPT_MS = 1000;
+  private static final int MAX_NAMES = 64;
+  private static final long MIN_LARGE_CPUS_CACHE_MS = 1000;
   private static final String OTHERS = "others";
 
   /**
@@ -58,49 +58,49 @@
    *
    * @param jobs how many they are
    * @param begun those that began
-   * @param longestMs the longest wait among them, for their first task or until now
+   * @param longestWaitMs the longest wait among them, for their first task or until now
    */
-  public record LargestJobStatistics(int jobs, int begun, long longestMs) {
+  public record LargestJobStatistics(int jobs, int begun, long longestWaitMs) {
     /** Share of them that began; 1 without any. */
     public double share() {
       return jobs == 0 ? 1 : begun / (double) jobs;
     }
 
     /** The longest wait, in seconds. */
-    public double longestS() {
-      return longestMs / 1000.0;
+    public double longestWaitS() {
+      return longestWaitMs / 1000.0;
     }
   }
 
   private final Clock clock;
-  private final Collection<Job> open;
-  private final LargestJobs largest = new LargestJobs();
-  private final Map<String, Double> largeFrom = new HashMap<>();
-  private long largeAt;
+  private final Collection<Job> openJobs;
+  private final LargestJobs largestJobs = new LargestJobs();
+  private final Map<String, Double> minLargeCpusByClass = new HashMap<>();
+  private long minLargeCpusComputedAtMs;
   private final Map<String, JobCounts> endedByTeam = new HashMap<>();
   private final Map<String, JobCounts> endedByClass = new HashMap<>();
 
-  /** {@code open} shows all jobs that are not cleaned up. */
+  /** {@code openJobs} shows all jobs that are not cleaned up. */
   JobStatistics(Clock clock, Collection<Job> open) {
     this.clock = clock;
-    this.open = open;
+    this.openJobs = open;
   }
 
   /** A job is over, for this leader the first time. */
-  void ended(Job job) {
-    JobCounts one = one(job);
+  void recordEnded(Job job) {
+    JobCounts one = countsOf(job);
     add(endedByTeam, job.spec().team(), one);
-    largest.ended(add(endedByClass, job.spec().jobClass(), one), job, clock.wall());
+    largestJobs.recordEnded(add(endedByClass, job.spec().jobClass(), one), job, clock.wall());
   }
 
   void clear() {
     endedByTeam.clear();
     endedByClass.clear();
-    largest.clear();
-    largeFrom.clear();
+    largestJobs.clear();
+    minLargeCpusByClass.clear();
   }
 
-  private static JobCounts one(Job job) {
+  private static JobCounts countsOf(Job job) {
     boolean done = job.allDone();
     boolean cancelled = job.over && !done;
     return new JobCounts(
@@ -112,7 +112,7 @@
 
   /** Under its own name while there are few; returns which. */
   private static String add(Map<String, JobCounts> to, String name, JobCounts one) {
-    String key = to.containsKey(name) || to.size() < MOST_NAMES ? name : OTHERS;
+    String key = to.containsKey(name) || to.size() < MAX_NAMES ? name : OTHERS;
     to.merge(key, one, JobCounts::plus);
     return key;
   }
@@ -120,39 +120,41 @@
   /** By team, those that are over and those that are open. */
   public Map<String, JobCounts> byTeam() {
     Map<String, JobCounts> out = new TreeMap<>(endedByTeam);
-    open.stream().filter(j -> !j.over).forEach(j -> add(out, j.spec().team(), one(j)));
+    openJobs.stream().filter(j -> !j.over).forEach(j -> add(out, j.spec().team(), countsOf(j)));
     return out;
   }
 
   /** The same by class. */
   public Map<String, JobCounts> byClass() {
     Map<String, JobCounts> out = new TreeMap<>(endedByClass);
-    open.stream().filter(j -> !j.over).forEach(j -> add(out, j.spec().jobClass(), one(j)));
+    openJobs.stream().filter(j -> !j.over).forEach(j -> add(out, j.spec().jobClass(), countsOf(j)));
     return out;
   }
 
   /** The largest jobs of each class. */
-  public Map<String, LargestJobStatistics> largest() {
-    return largest.count(openByClass(), clock.wall());
+  public Map<String, LargestJobStatistics> largestJobs() {
+    return largestJobs.count(openByClass(), clock.wall());
   }
 
   /** True for one of the largest jobs of its class, as of a moment ago. */
   public boolean isLarge(Job job) {
     long now = clock.now();
-    if (now - largeAt > LARGE_KEPT_MS || largeFrom.isEmpty()) {
-      largeAt = now;
-      largeFrom.clear();
+    if (now - minLargeCpusComputedAtMs > MIN_LARGE_CPUS_CACHE_MS || minLargeCpusByClass.isEmpty()) {
+      minLargeCpusComputedAtMs = now;
+      minLargeCpusByClass.clear();
       openByClass()
-          .forEach((name, jobs) -> largeFrom.put(name, largest.from(name, jobs, clock.wall())));
+          .forEach(
+              (name, jobs) ->
+                  minLargeCpusByClass.put(name, largestJobs.minCpus(name, jobs, clock.wall())));
     }
     return LargestJobs.cpus(job)
-        >= largeFrom.getOrDefault(job.spec().jobClass(), Double.POSITIVE_INFINITY);
+        >= minLargeCpusByClass.getOrDefault(job.spec().jobClass(), Double.POSITIVE_INFINITY);
   }
 
   private Map<String, List<Job>> openByClass() {
     Map<String, JobCounts> names = new TreeMap<>(endedByClass);
     Map<String, List<Job>> jobs = new TreeMap<>();
-    for (Job job : open) {
+    for (Job job : openJobs) {
       if (!job.over) {
         String name = add(names, job.spec().jobClass(), JobCounts.NONE);
         jobs.computeIfAbsent(name, n -> new ArrayList<>()).add(job);
@@ -162,18 +164,18 @@
   }
 
   /** The class whose largest jobs waited longest, for a line of the log. */
-  public String latest() {
-    return largest().entrySet().stream()
-        .max(Comparator.comparingLong(e -> e.getValue().longestMs()))
+  public String longestWaitSummary() {
+    return largestJobs().entrySet().stream()
+        .max(Comparator.comparingLong(e -> e.getValue().longestWaitMs()))
         .map(
             e ->
                 "%s %.2f begun, longest wait %.0f s"
-                    .formatted(e.getKey(), e.getValue().share(), e.getValue().longestS()))
+                    .formatted(e.getKey(), e.getValue().share(), e.getValue().longestWaitS()))
         .orElse("none");
   }
 
   /** The few that are served least, for a line of the log. */
-  public String least() {
+  public String worstServedSummary() {
     Map<String, JobCounts> all = new TreeMap<>();
     byTeam().forEach((name, c) -> all.put("team " + name, c));
     byClass().forEach((name, c) -> all.put("class " + name, c));
--- a/src/main/java/dapplestair/ledger/LargestJobs.java
+++ b/src/main/java/dapplestair/ledger/LargestJobs.java
@@ -15,37 +15,37 @@
  * than it may.
  */
 final class LargestJobs {
-  private static final int LEAST = 3;
-  private static final int PART = 10;
+  private static final int MIN_LARGEST_JOBS = 3;
+  private static final int JOBS_PER_LARGEST_JOB = 10;
 
   // Of jobs that are over, so many of a class are remembered: the largest tenth of some thousands.
-  private static final int MOST_KEPT = 256;
+  private static final int MAX_KEPT_JOBS = 256;
 
   private record Size(double cpus, boolean begun, long waitedMs) {}
 
-  private static final class Ended {
+  private static final class EndedJobs {
     int jobs;
     final PriorityQueue<Size> largest = new PriorityQueue<>(Comparator.comparing(Size::cpus));
   }
 
-  private final Map<String, Ended> byClass = new HashMap<>();
+  private final Map<String, EndedJobs> byClass = new HashMap<>();
 
   /** A job is over. One that was cancelled before it began counts for nothing. */
-  void ended(String jobClass, Job job, long nowWall) {
+  void recordEnded(String jobClass, Job job, long nowWall) {
     if (!job.begun && !job.allDone()) {
       return;
     }
-    Ended ended = byClass.computeIfAbsent(jobClass, c -> new Ended());
+    EndedJobs ended = byClass.computeIfAbsent(jobClass, c -> new EndedJobs());
     ended.jobs++;
     ended.largest.add(size(job, nowWall));
-    if (ended.largest.size() > MOST_KEPT) {
+    if (ended.largest.size() > MAX_KEPT_JOBS) {
       ended.largest.poll();
     }
   }
 
   private static Size size(Job job, long nowWall) {
     boolean begun = job.begun || job.doneCount() > 0;
-    long waited = begun ? job.begunAfterMs : nowWall - job.askedWall();
+    long waited = begun ? job.startDelayMs : nowWall - job.firstRequestWallMs();
     return new Size(cpus(job), begun, waited);
   }
 
@@ -67,17 +67,20 @@
   }
 
   /** The least size of one of the largest of a class. */
-  double from(String jobClass, Collection<Job> open, long nowWall) {
+  double minCpus(String jobClass, Collection<Job> open, long nowWall) {
     List<Size> largest = largest(jobClass, open, nowWall);
     return largest.isEmpty() ? 0 : largest.get(largest.size() - 1).cpus();
   }
 
   private List<Size> largest(String jobClass, Collection<Job> open, long nowWall) {
-    Ended ended = byClass.getOrDefault(jobClass, new Ended());
+    EndedJobs ended = byClass.getOrDefault(jobClass, new EndedJobs());
     List<Size> all = new ArrayList<>(ended.largest);
     open.forEach(j -> all.add(size(j, nowWall)));
     all.sort(Comparator.comparing(Size::cpus).reversed());
-    int most = Math.max(LEAST, (ended.jobs + open.size() + PART - 1) / PART);
+    int most =
+        Math.max(
+            MIN_LARGEST_JOBS,
+            (ended.jobs + open.size() + JOBS_PER_LARGEST_JOB - 1) / JOBS_PER_LARGEST_JOB);
     return all.subList(0, Math.min(most, all.size()));
   }
 
--- a/src/main/java/dapplestair/ledger/LaunchBatch.java
+++ b/src/main/java/dapplestair/ledger/LaunchBatch.java
@@ -86,18 +86,18 @@
       of.add(attempt.spec().ref()).add(attempt.step).add(attempt.number);
     }
     ObjectNode object = Json.object();
-    writeBriefs(object, attempts);
+    writeSummaries(object, attempts);
     ArrayNode array = object.putArray("z");
     zones.forEach(array::add);
     object.set("h", byHost);
     return object;
   }
 
-  private static void writeBriefs(ObjectNode object, List<Attempt> attempts) {
+  private static void writeSummaries(ObjectNode object, List<Attempt> attempts) {
     ObjectNode briefs = Json.object();
     for (Attempt attempt : attempts) {
       Submission submission = attempt.spec();
-      if (ChunkWriter.single(attempt.job)) {
+      if (ChunkWriter.isSingleTask(attempt.job)) {
         briefs
             .putArray(submission.ref())
             .add(submission.team())
@@ -111,7 +111,7 @@
     }
   }
 
-  static List<JobSummary> readBriefs(JsonNode value) {
+  static List<JobSummary> readSummaries(JsonNode value) {
     List<JobSummary> out = new ArrayList<>();
     for (Map.Entry<String, JsonNode> entry : value.path("j").properties()) {
       JsonNode node = entry.getValue();
--- a/src/main/java/dapplestair/ledger/LaunchBatches.java
+++ b/src/main/java/dapplestair/ledger/LaunchBatches.java
@@ -19,18 +19,18 @@
  */
 final class LaunchBatches {
   /** The chunks' own records, which take over in time. */
-  interface Chunks {
+  interface ChunkRecords {
     /** True when this chunk has launches to record and nothing of it is under way. */
-    boolean waits(Job job, Chunk chunk);
+    boolean hasPendingLaunches(Job job, Chunk chunk);
 
     /** Records one chunk by itself. */
-    void alone(Job job, Chunk chunk);
+    void writeSeparately(Job job, Chunk chunk);
 
     /** The put was made, or not: what waited may go on. */
-    void landed(Job job, Chunk chunk, boolean made);
+    void onBatchPut(Job job, Chunk chunk, boolean made);
 
     /** The job was cancelled before this attempt's launch was sent. */
-    void dropped(Attempt unsent);
+    void onUnsentCancelled(Attempt unsent);
   }
 
   private record PendingLaunch(Job job, Chunk chunk) {}
@@ -38,55 +38,55 @@
   /** One put under way. */
   private static final class InFlightPut {
     LaunchBatch launchBatch;
-    final List<PendingLaunch> of = new ArrayList<>();
-    final List<Attempt> planned = new ArrayList<>();
+    final List<PendingLaunch> launches = new ArrayList<>();
+    final List<Attempt> plannedAttempts = new ArrayList<>();
   }
 
   /** Launches that share puts among themselves. */
   private static final class Group {
     final Priority priority;
-    final int few;
-    final long everyMs;
-    final Map<Chunk, Job> waiting = new LinkedHashMap<>();
+    final int minBatchChunks;
+    final long minIntervalMs;
+    final Map<Chunk, Job> jobByWaitingChunk = new LinkedHashMap<>();
     boolean queued;
-    long sentAt = Long.MIN_VALUE / 2;
+    long lastPutAtMs = Long.MIN_VALUE / 2;
 
     Group(Priority priority, int few, long everyMs) {
       this.priority = priority;
-      this.few = few;
-      this.everyMs = everyMs;
+      this.minBatchChunks = few;
+      this.minIntervalMs = everyMs;
     }
   }
 
   // Fewer than these are recorded one by one: a launch batch is one put more in the end. The record
   // of a single task's own is deleted in the end as well.
-  private static final int FEW_REPLICAS = 4;
-  private static final int FEW_SINGLES = 2;
+  private static final int MIN_REPLICA_BATCH_CHUNKS = 4;
+  private static final int MIN_SINGLE_TASK_BATCH_CHUNKS = 2;
 
   private final LedgerContext context;
-  private final Chunks chunks;
-  private final boolean on;
+  private final ChunkRecords chunks;
+  private final boolean enabled;
   private final Group replicas;
-  private final Group singles;
+  private final Group singleTasks;
   private final Map<String, LaunchBatch> launchBatches = new LinkedHashMap<>();
-  private long counter;
+  private long lastBatchNumber;
 
-  LaunchBatches(LedgerContext context, Chunks chunks, boolean on) {
+  LaunchBatches(LedgerContext context, ChunkRecords chunks, boolean on) {
     this.context = context;
     this.chunks = chunks;
-    this.on = on;
-    replicas = new Group(Priority.REPLICA, FEW_REPLICAS, 0);
+    this.enabled = on;
+    replicas = new Group(Priority.REPLICA, MIN_REPLICA_BATCH_CHUNKS, 0);
     long quarter = context.settings.workers().reportMs() / 4;
-    singles = new Group(Priority.LAUNCH, FEW_SINGLES, quarter);
+    singleTasks = new Group(Priority.LAUNCH, MIN_SINGLE_TASK_BATCH_CHUNKS, quarter);
   }
 
   void clear() {
-    for (Group group : List.of(replicas, singles)) {
-      group.waiting.clear();
+    for (Group group : List.of(replicas, singleTasks)) {
+      group.jobByWaitingChunk.clear();
       group.queued = false;
     }
     launchBatches.clear();
-    counter = 0;
+    lastBatchNumber = 0;
   }
 
   /** Launch batches that are recorded. */
@@ -96,16 +96,16 @@
 
   /** A chunk of a service, or of a job of one task, has launches to record. */
   void add(Job job, Chunk chunk) {
-    if (!on) {
-      chunks.alone(job, chunk);
+    if (!enabled) {
+      chunks.writeSeparately(job, chunk);
       return;
     }
-    Group group = job.spec().service() ? replicas : singles;
-    group.waiting.put(chunk, job);
+    Group group = job.spec().service() ? replicas : singleTasks;
+    group.jobByWaitingChunk.put(chunk, job);
     if (!group.queued) {
       group.queued = true;
       // Those of the same turn come together; of a swarm, all since the put before.
-      long next = group.sentAt + group.everyMs - context.clock.now();
+      long next = group.lastPutAtMs + group.minIntervalMs - context.clock.now();
       context.timers.after(Math.max(0, next), () -> enqueue(group));
     }
   }
@@ -115,11 +115,11 @@
     long term = context.term();
     context.state.commit(
         1,
-        () -> context.term() == term ? build(group, flight) : null,
+        () -> context.term() == term ? buildTxn(group, flight) : null,
         group.priority,
         context.settings.workers().reportMs(),
         outcome -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
           if (flight.launchBatch == null) {
@@ -128,59 +128,62 @@
           } else if (outcome instanceof TxnOutcome.Unknown) {
             readBack(flight, term);
           } else {
-            landed(flight, outcome);
+            onPutFinished(flight, outcome);
           }
         });
   }
 
-  private Txn build(Group group, InFlightPut flight) {
+  private Txn buildTxn(Group group, InFlightPut flight) {
     group.queued = false;
-    group.sentAt = context.clock.now();
+    group.lastPutAtMs = context.clock.now();
     if (!context.leadership.leading()) {
       return null;
     }
     List<PendingLaunch> ready = new ArrayList<>();
-    group.waiting.forEach((c, job) -> ready.add(new PendingLaunch(job, c)));
-    group.waiting.clear();
-    ready.removeIf(w -> !chunks.waits(w.job, w.chunk));
-    if (ready.size() < group.few) {
-      ready.forEach(w -> chunks.alone(w.job, w.chunk));
+    group.jobByWaitingChunk.forEach((c, job) -> ready.add(new PendingLaunch(job, c)));
+    group.jobByWaitingChunk.clear();
+    ready.removeIf(w -> !chunks.hasPendingLaunches(w.job, w.chunk));
+    if (ready.size() < group.minBatchChunks) {
+      ready.forEach(w -> chunks.writeSeparately(w.job, w.chunk));
       return null;
     }
     ready.sort(Comparator.comparingInt(w -> w.job.spec().rank().ordinal()));
     fill(flight, ready);
     Txn txn = context.leadership.guard(new Txn());
-    for (PendingLaunch w : flight.of) {
+    for (PendingLaunch w : flight.launches) {
       // The job's own stamp: nothing starts for a job that was cancelled meanwhile.
       txn.when(StateKeys.job(w.job.spec().ref()), w.job.stamp);
       w.chunk.inFlight = true;
     }
-    LaunchBatch launchBatch = new LaunchBatch(StateKeys.launchBatch(context.term(), ++counter));
+    LaunchBatch launchBatch =
+        new LaunchBatch(StateKeys.launchBatch(context.term(), ++lastBatchNumber));
     flight.launchBatch = launchBatch;
     launchBatches.put(launchBatch.key, launchBatch);
-    return txn.when(launchBatch.key, 0).put(launchBatch.key, LaunchBatch.write(flight.planned));
+    return txn.when(launchBatch.key, 0)
+        .put(launchBatch.key, LaunchBatch.write(flight.plannedAttempts));
   }
 
   /** Takes as many as one value and the conditions of one transaction hold; the others wait on. */
   private void fill(InFlightPut flight, List<PendingLaunch> ready) {
     int mostJobs = 4 * context.settings.state().txnOps() - 2;
     int mostEntries = LaunchBatch.capacity(context.settings.state().valueBytes());
-    if (!ready.isEmpty() && ChunkWriter.single(ready.get(0).job)) {
+    if (!ready.isEmpty() && ChunkWriter.isSingleTask(ready.get(0).job)) {
       // With each entry goes what its job takes.
       mostEntries /= 2;
     }
     for (PendingLaunch waiting : ready) {
       List<Attempt> planned =
-          waiting.chunk.live.values().stream()
+          waiting.chunk.attemptsByStep.values().stream()
               .filter(a -> a.phase == Attempt.Phase.PLANNED)
               .toList();
       boolean fits =
-          flight.of.size() < mostJobs && flight.planned.size() + planned.size() <= mostEntries;
+          flight.launches.size() < mostJobs
+              && flight.plannedAttempts.size() + planned.size() <= mostEntries;
       if (fits) {
-        flight.of.add(waiting);
-        flight.planned.addAll(planned);
+        flight.launches.add(waiting);
+        flight.plannedAttempts.addAll(planned);
       } else if (planned.size() > mostEntries) {
-        chunks.alone(waiting.job, waiting.chunk);
+        chunks.writeSeparately(waiting.job, waiting.chunk);
       } else {
         add(waiting.job, waiting.chunk);
       }
@@ -196,30 +199,30 @@
     context.state.get(
         flight.launchBatch.key,
         read -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
           if (read.exists()) {
-            landed(flight, new TxnOutcome.Applied(read.stamp()));
+            onPutFinished(flight, new TxnOutcome.Applied(read.stamp()));
           } else if (read.known()) {
-            landed(flight, new TxnOutcome.Refused());
+            onPutFinished(flight, new TxnOutcome.Refused());
           } else {
             context.timers.after(context.retryMs, () -> readBack(flight, term));
           }
         });
   }
 
-  private void landed(InFlightPut flight, TxnOutcome outcome) {
-    flight.of.forEach(w -> w.chunk.inFlight = false);
+  private void onPutFinished(InFlightPut flight, TxnOutcome outcome) {
+    flight.launches.forEach(w -> w.chunk.inFlight = false);
     boolean made = outcome instanceof TxnOutcome.Applied;
     if (outcome instanceof TxnOutcome.Applied applied) {
       flight.launchBatch.stamp = applied.stamp();
-      for (PendingLaunch w : flight.of) {
+      for (PendingLaunch w : flight.launches) {
         flight.launchBatch.claims.add(w.chunk);
         w.chunk.launchBatches.add(flight.launchBatch);
       }
-      for (Attempt attempt : flight.planned) {
-        if (attempt.job.chunkOf(attempt.step).live.get(attempt.step) == attempt
+      for (Attempt attempt : flight.plannedAttempts) {
+        if (attempt.job.chunkOf(attempt.step).attemptsByStep.get(attempt.step) == attempt
             && attempt.phase == Attempt.Phase.PLANNED) {
           context.launch(attempt, flight.launchBatch.key, applied.stamp());
         }
@@ -233,21 +236,21 @@
     } else {
       launchBatches.remove(flight.launchBatch.key);
     }
-    flight.of.forEach(w -> chunks.landed(w.job, w.chunk, made));
+    flight.launches.forEach(w -> chunks.onBatchPut(w.job, w.chunk, made));
   }
 
   private void dropCancelled(InFlightPut flight, TxnOutcome.Conflict conflict) {
-    for (Attempt attempt : flight.planned) {
+    for (Attempt attempt : flight.plannedAttempts) {
       if (conflict.failed().contains(StateKeys.job(attempt.job.spec().ref()))
-          && attempt.job.chunkOf(attempt.step).live.get(attempt.step) == attempt
+          && attempt.job.chunkOf(attempt.step).attemptsByStep.get(attempt.step) == attempt
           && !attempt.sent()) {
-        chunks.dropped(attempt);
+        chunks.onUnsentCancelled(attempt);
       }
     }
   }
 
   /** Its own record knows all of a chunk's attempts now, or nothing of it can be running. */
-  void released(Chunk chunk) {
+  void releaseClaims(Chunk chunk) {
     for (LaunchBatch launchBatch : List.copyOf(chunk.launchBatches)) {
       launchBatch.claims.remove(chunk);
       removeIfEmpty(launchBatch);
@@ -266,7 +269,7 @@
   }
 
   /** The replica shows a launch batch. One that this leader took for lost has come late. */
-  void shown(String key, long stamp) {
+  void onBatchShown(String key, long stamp) {
     if (!launchBatches.containsKey(key)) {
       adopt(key, stamp, List.of());
     }
@@ -287,7 +290,7 @@
         Priority.BOOKKEEPING,
         context.settings.workers().leaseMs(),
         outcome -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
           launchBatch.removing = false;
--- a/src/main/java/dapplestair/ledger/LaunchGate.java
+++ b/src/main/java/dapplestair/ledger/LaunchGate.java
@@ -5,60 +5,62 @@
 /** The one gate that every launch passes, whoever proposes it. */
 final class LaunchGate {
   private final LedgerContext context;
-  private final TeamUsage use;
+  private final TeamUsage teamUsage;
   private final Attempts attempts;
   private final ChunkWriter writer;
 
   LaunchGate(LedgerContext context, TeamUsage use, Attempts attempts, ChunkWriter writer) {
     this.context = context;
-    this.use = use;
+    this.teamUsage = use;
     this.attempts = attempts;
     this.writer = writer;
   }
 
-  boolean open() {
-    return context.armed() && context.leadership.leading();
+  boolean isOpen() {
+    return context.isReady() && context.leadership.leading();
   }
 
   /** True when the job's other attempts leave room for one more in this zone. */
   static boolean zoneAllows(Job job, String zone) {
     Submission submission = job.spec();
     // Attempts out of reach count as well: they may still be there.
-    if (submission.apart() && job.inZone(zone) >= submission.mostPerZone()) {
+    if (submission.apart() && job.attemptsInZone(zone) >= submission.mostPerZone()) {
       return false;
     }
-    return !submission.together() || job.held() == 0 || job.inZone(zone) == job.held();
+    return !submission.together()
+        || job.heldAttempts() == 0
+        || job.attemptsInZone(zone) == job.heldAttempts();
   }
 
   /** True when the job's rules let one more of its tasks start on this machine now. */
   boolean mayStart(Job job, Machine host) {
     Submission submission = job.spec();
-    return host.allowed(submission)
+    return host.isAllowedBy(submission)
         && host.fits(submission)
         && zoneAllows(job, host.zone())
-        && use.allows(submission, 1);
+        && teamUsage.allows(submission, 1);
   }
 
   /** Plans an attempt; refused unless every rule holds in the latest view. */
   boolean launch(Job job, int step, Machine host) {
-    if (!open() || job.over() || host.closed() || !mayStart(job, host)) {
+    if (!isOpen() || job.over() || host.closed() || !mayStart(job, host)) {
       return false;
     }
     Chunk chunk = job.chunkOf(step);
     // An earlier attempt without proof of absence may still run somewhere.
-    if (!chunk.free(step) || (job.spec().gang() && !joinsGang(job, step))) {
+    if (!chunk.isFree(step) || (job.spec().gang() && !joinsGang(job, step))) {
       return false;
     }
-    long number = number(job, chunk);
+    long number = assignNumber(job, chunk);
     long now = context.clock.now();
-    attempts.enter(
+    attempts.register(
         chunk, new Attempt(job, step, number, host.id(), host.zone(), host.session(), now));
-    writer.dirty(job, chunk, true);
+    writer.markDirty(job, chunk, true);
     return true;
   }
 
   /** A number that no earlier attempt at this task has; a gang's members share theirs. */
-  private static long number(Job job, Chunk chunk) {
+  private static long assignNumber(Job job, Chunk chunk) {
     chunk.lastNumber = job.spec().gang() ? job.gangNumber : chunk.lastNumber + 1;
     return chunk.lastNumber;
   }
@@ -68,7 +70,7 @@
    * later cannot be replaced under the old number, which its lost attempt has used.
    */
   private static boolean joinsGang(Job job, int step) {
-    if (job.held == 0) {
+    if (job.heldAttempts == 0) {
       long highest = job.chunks.values().stream().mapToLong(c -> c.lastNumber).max().orElse(0);
       job.gangNumber = highest + 1;
       job.gangSteps.clear();
--- a/src/main/java/dapplestair/ledger/Ledger.java
+++ b/src/main/java/dapplestair/ledger/Ledger.java
@@ -29,7 +29,7 @@
   private final int chunkSize;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final RawAttemptRecords rawRecords = new RawAttemptRecords();
-  private final TeamUsage use;
+  private final TeamUsage teamUsage;
   private final JobStatistics jobStatistics;
   private final ChunkWriter writer;
   private final Attempts attempts;
@@ -50,12 +50,12 @@
     context = new LedgerContext(clock, timers, settings, state, leadership, callbacks);
     chunkSize = Math.max(1, settings.state().valueBytes() / BYTES_PER_ATTEMPT);
     jobStatistics = new JobStatistics(clock, jobs.values());
-    use = new TeamUsage(settings);
+    teamUsage = new TeamUsage(settings);
     writer = new ChunkWriter(context, withLaunchBatches);
-    attempts = new Attempts(context, use, writer);
+    attempts = new Attempts(context, teamUsage, writer);
     jobFinalizer = new JobFinalizer(context, writer, attempts, jobs, jobStatistics);
     reconciler = new AttemptReconciler(context, attempts, writer, jobFinalizer);
-    launchGate = new LaunchGate(context, use, attempts, writer);
+    launchGate = new LaunchGate(context, teamUsage, attempts, writer);
     takeover =
         new Takeover(
             context, jobs, rawRecords, attempts, writer, jobFinalizer, reconciler, chunkSize);
@@ -64,10 +64,10 @@
   // ---- what the replica says ----
 
   /** A job's key has this value. */
-  public void jobPut(String ref, JsonNode value, long stamp) {
-    Job known = jobs.get(ref);
-    if (known != null) {
-      known.stamp = stamp;
+  public void onJobPut(String ref, JsonNode value, long stamp) {
+    Job existingJob = jobs.get(ref);
+    if (existingJob != null) {
+      existingJob.stamp = stamp;
       return;
     }
     Job job = JobRecordCodec.read(value, stamp, chunkSize);
@@ -75,56 +75,57 @@
       jobs.put(ref, job);
       // Followers count arrivals too, so that a new leader knows what to expect. What a listing
       // brings at a start is older than that.
-      if (context.clock.wall() - job.acceptedWall() < context.settings.workers().reportMs()) {
-        context.callbacks.arrived(job);
+      if (context.clock.wall() - job.acceptedWallMs() < context.settings.workers().reportMs()) {
+        context.callbacks.onJobAccepted(job);
       }
-      if (context.armed()) {
-        context.callbacks.changed();
+      if (context.isReady()) {
+        context.callbacks.onChanged();
       }
     }
   }
 
   /** The form in which an accepted job is recorded, whose user first asked at a time of day. */
-  public ObjectNode record(Submission submission, long askedWall) {
-    return JobRecordCodec.accepted(submission, context.clock.wall(), askedWall, chunkSize);
+  public ObjectNode acceptedJobRecord(Submission submission, long firstRequestWallMs) {
+    return JobRecordCodec.acceptedRecord(
+        submission, context.clock.wall(), firstRequestWallMs, chunkSize);
   }
 
   /** The form in which a job that is over is recorded. */
-  public ObjectNode overRecord(Job job, String status) {
-    return JobRecordCodec.over(job, status, context.clock.wall());
+  public ObjectNode endedJobRecord(Job job, String status) {
+    return JobRecordCodec.endedRecord(job, status, context.clock.wall());
   }
 
   /** A job's key is gone: it was cancelled or is done. */
-  public void jobRemoved(String ref) {
+  public void onJobRemoved(String ref) {
     Job job = jobs.get(ref);
     if (job == null) {
       return;
     }
-    if (!context.held()) {
+    if (!context.isTermActive()) {
       jobs.remove(ref);
       return;
     }
     if (!job.over && !job.finishing) {
-      context.callbacks.cancelled(job);
+      context.callbacks.onJobCancelled(job);
     }
-    jobFinalizer.end(job);
+    jobFinalizer.endJob(job);
   }
 
   /**
    * A job is over for good, as another controller says that told its user so: its tasks are stopped
    * before the records say it here.
    */
-  public void cancelled(String ref) {
-    if (context.held()) {
-      jobRemoved(ref);
+  public void onJobCancelled(String ref) {
+    if (context.isTermActive()) {
+      onJobRemoved(ref);
     }
   }
 
   /** Where a job's tasks may be: what is not proved to be absent, or all that is on record. */
-  public List<Cancellation.TaskLocation> places(String ref) {
+  public List<Cancellation.TaskLocation> taskLocations(String ref) {
     Job job = jobs.get(ref);
-    if (!context.held()) {
-      return rawRecords.places(ref);
+    if (!context.isTermActive()) {
+      return rawRecords.taskLocations(ref);
     }
     return job == null
         ? List.of()
@@ -135,7 +136,7 @@
   }
 
   /** True when this job is not over, as far as this controller has read. */
-  public boolean live(String ref) {
+  public boolean isJobActive(String ref) {
     Job job = jobs.get(ref);
     return job != null && !job.over();
   }
@@ -144,38 +145,38 @@
    * True when nothing of a job that is over is left on any machine; only a leader that has begun
    * can tell. Its records may be there for longer.
    */
-  public boolean nothingLeft(String ref) {
+  public boolean hasNoAttemptsLeft(String ref) {
     Job job = jobs.get(ref);
-    return armed() && (job == null || job.over() && job.held() == 0);
+    return canLaunch() && (job == null || job.over() && job.heldAttempts() == 0);
   }
 
   /** A record of attempts has this value. */
-  public void runPut(String ref, int chunk, JsonNode value, long stamp) {
+  public void onRunPut(String ref, int chunk, JsonNode value, long stamp) {
     // A leader's own memory is ahead of its records.
-    if (!context.held()) {
+    if (!context.isTermActive()) {
       rawRecords.put(ref, chunk, value, stamp);
     }
   }
 
   /** A record of attempts is gone. */
-  public void runRemoved(String ref, int chunk) {
-    if (!context.held()) {
+  public void onRunRemoved(String ref, int chunk) {
+    if (!context.isTermActive()) {
       rawRecords.remove(ref, chunk);
     }
   }
 
   /** A launch batch of attempts has this value. */
-  public void launchBatchPut(String key, JsonNode value, long stamp) {
-    if (!context.held()) {
+  public void onLaunchBatchPut(String key, JsonNode value, long stamp) {
+    if (!context.isTermActive()) {
       rawRecords.putLaunchBatch(key, value, stamp);
     } else {
-      writer.launchBatches().shown(key, stamp);
+      writer.launchBatches().onBatchShown(key, stamp);
     }
   }
 
   /** A launch batch of attempts is gone. */
-  public void launchBatchRemoved(String key) {
-    if (!context.held()) {
+  public void onLaunchBatchRemoved(String key) {
+    if (!context.isTermActive()) {
       rawRecords.removeLaunchBatch(key);
     }
   }
@@ -183,7 +184,7 @@
   // ---- taking and giving up the lead ----
 
   /** Builds attempts from the records; launches begin once nothing is unaccounted for. */
-  public void lead(long newTerm) {
+  public void beginTerm(long newTerm) {
     takeover.begin(newTerm);
   }
 
@@ -192,15 +193,15 @@
     jobs.clear();
     rawRecords.clear();
     takeover.clear();
-    use.clear();
+    teamUsage.clear();
     jobStatistics.clear();
     writer.clear();
-    context.leave();
+    context.endTerm();
   }
 
   /** True when launches may be planned. */
-  public boolean armed() {
-    return launchGate.open();
+  public boolean canLaunch() {
+    return launchGate.isOpen();
   }
 
   // ---- views ----
@@ -216,46 +217,48 @@
   }
 
   /** Tasks completed and tasks with an attempt, for display. */
-  public int[] counts(Job job) {
-    return context.held()
+  public int[] taskCounts(Job job) {
+    return context.isTermActive()
         ? new int[] {job.doneCount(), job.liveCount()}
-        : rawRecords.counts(job.spec().ref());
+        : rawRecords.taskCounts(job.spec().ref());
   }
 
   /** A job's attempts whose absence is not proved; only a leader has them. */
   public List<Attempt> attempts(Job job) {
-    List<Attempt> out = new ArrayList<>();
-    job.chunks.values().forEach(c -> out.addAll(c.live.values()));
-    return out;
+    List<Attempt> result = new ArrayList<>();
+    job.chunks.values().forEach(c -> result.addAll(c.attemptsByStep.values()));
+    return result;
   }
 
-  /** How many of a job's tasks are out; {@code reached} tells which attempts can be heard. */
-  public UnavailableTasks out(Job job, Predicate<Attempt> reached) {
-    return UnavailableTasks.of(job, reached);
+  /** How many of a job's tasks are out; {@code isReachable} tells which attempts can be heard. */
+  public UnavailableTasks unavailableTasks(Job job, Predicate<Attempt> isReachable) {
+    return UnavailableTasks.of(job, isReachable);
   }
 
-  /** Up to {@code most} of a job's attempts at steps from {@code from} on, by step. */
-  public List<Attempt> attempts(Job job, int from, int most) {
-    List<Attempt> out = new ArrayList<>();
-    int first = from / job.chunkSize();
-    for (Chunk chunk : job.chunks.tailMap(first).values()) {
-      chunk.live.values().stream().filter(a -> a.step >= from).forEach(out::add);
-      if (out.size() >= most) {
+  /** Up to {@code maxCount} of a job's attempts at steps from {@code fromStep} on, by step. */
+  public List<Attempt> attempts(Job job, int fromStep, int maxCount) {
+    List<Attempt> result = new ArrayList<>();
+    int firstChunk = fromStep / job.chunkSize();
+    for (Chunk chunk : job.chunks.tailMap(firstChunk).values()) {
+      chunk.attemptsByStep.values().stream().filter(a -> a.step >= fromStep).forEach(result::add);
+      if (result.size() >= maxCount) {
         break;
       }
     }
-    out.sort(Comparator.comparingInt(a -> a.step));
-    return out.subList(0, Math.min(most, out.size()));
+    result.sort(Comparator.comparingInt(a -> a.step));
+    return result.subList(0, Math.min(maxCount, result.size()));
   }
 
   /** Launch batches that are on record; none before a former version may lead again. */
   public int launchBatchCount() {
-    return context.held() ? writer.launchBatches().count() : rawRecords.launchBatches().size();
+    return context.isTermActive()
+        ? writer.launchBatches().count()
+        : rawRecords.stampByLaunchBatch().size();
   }
 
   /** Attempts whose absence is not proved. */
   public int attemptCount() {
-    return jobs.values().stream().mapToInt(Job::held).sum();
+    return jobs.values().stream().mapToInt(Job::heldAttempts).sum();
   }
 
   /** Starts that machines have refused since this process began, by cause. */
@@ -264,35 +267,35 @@
   }
 
   /** What became of the jobs of each team and class since this controller leads. */
-  public JobStatistics served() {
+  public JobStatistics jobStatistics() {
     return jobStatistics;
   }
 
   /** CPUs that a team's attempts use. */
   public double teamCpus(String team) {
-    return use.cpus(team);
+    return teamUsage.cpus(team);
   }
 
   /** Accelerators that a team's attempts use. */
   public double teamGpus(String team) {
-    return use.gpus(team);
+    return teamUsage.gpus(team);
   }
 
   // ---- the gate ----
 
   /** True when the team has room for one more task of this size. */
   public boolean teamAllows(Submission submission) {
-    return use.allows(submission, 1);
+    return teamUsage.allows(submission, 1);
   }
 
   /** True when the team has room for so many more tasks of this size. */
   public boolean teamAllows(Submission submission, int tasks) {
-    return use.allows(submission, tasks);
+    return teamUsage.allows(submission, tasks);
   }
 
   /** How many more tasks of this size the team's limit, or its guarantee, has room for. */
-  public int teamRoom(Submission submission, boolean withinGuarantee) {
-    return use.room(submission, withinGuarantee);
+  public int maxAdditionalTeamTasks(Submission submission, boolean withinGuarantee) {
+    return teamUsage.maxAdditionalTasks(submission, withinGuarantee);
   }
 
   /** True when the job's other attempts leave room for one more in this zone. */
@@ -321,65 +324,66 @@
   // ---- what workers say ----
 
   /** Applies a machine's newest report. Returns tasks in it that no attempt accounts for. */
-  public List<Report.Task> report(Machine host, Report report) {
-    return reconciler.report(host, report);
+  public List<Report.Task> applyReport(Machine host, Report report) {
+    return reconciler.applyReport(host, report);
   }
 
   /** The machine is proved to be gone: so is all that was on it. */
-  public void allAbsent(Machine host) {
-    attempts.allAbsent(host);
+  public void markAllAbsent(Machine host) {
+    attempts.markAllAbsent(host);
   }
 
   /** True when a task of this job failed on this machine. */
-  public boolean failedOn(Job job, Machine host) {
-    return job.failedOn.containsKey(host.id());
+  public boolean hasFailedOn(Job job, Machine host) {
+    return job.lastFailureMsByMachine.containsKey(host.id());
   }
 
   /** True when one did within the last {@code withinMs}. */
-  public boolean failedOn(Job job, Machine host, long withinMs) {
-    return failedOn(job, host) && context.clock.now() - job.failedOn.getLong(host.id()) <= withinMs;
+  public boolean hasFailedOn(Job job, Machine host, long withinMs) {
+    return hasFailedOn(job, host)
+        && context.clock.now() - job.lastFailureMsByMachine.getLong(host.id()) <= withinMs;
   }
 
   /** A step has failed: it waits if it did before, for longer each time. */
-  public void failedStep(Attempt attempt, long firstMs, long mostMs) {
-    reconciler.failedStep(attempt, firstMs, mostMs);
+  public void recordStepFailure(Attempt attempt, long firstDelayMs, long maxDelayMs) {
+    reconciler.recordStepFailure(attempt, firstDelayMs, maxDelayMs);
   }
 
   /** This step failed only since its machine was faulty: it need not wait. */
-  public void forgive(Job job, int step) {
-    reconciler.forgive(job, step);
+  public void clearStepFailures(Job job, int step) {
+    reconciler.clearStepFailures(job, step);
   }
 
   /** Keeps a job from starting tasks for a while. */
-  public void holdBack(Job job, long ms) {
-    reconciler.holdBack(job, ms);
+  public void delayStarts(Job job, long delayMs) {
+    reconciler.delayStarts(job, delayMs);
   }
 
   /**
    * The job fails wherever it runs: one task at a time, the next one after this pause. It goes on
    * record with whatever is written of its attempts, so that a new leader knows without a put more.
    */
-  public void suspect(Job job, long pauseMs) {
+  public void markSuspected(Job job, long pauseMs) {
     job.suspected = true;
     job.probesFailed++;
-    reconciler.holdBack(job, pauseMs);
+    reconciler.delayStarts(job, pauseMs);
   }
 
   /** Whether a job is left out of what is planned for, for now. */
-  public void rest(Job job, boolean rests) {
-    job.rests = rests;
+  public void setExcludedFromPlanning(Job job, boolean excluded) {
+    job.excludedFromPlanning = excluded;
   }
 
   /** A job that was held back need not wait any more. */
-  public void goOn(Job job) {
-    job.heldBackUntil = 0;
+  public void resumeStarts(Job job) {
+    job.startsDelayedUntilMs = 0;
   }
 
   /** It works after all. */
-  public void trust(Job job) {
+  public void clearSuspicion(Job job) {
     job.suspected = false;
     job.probesFailed = 0;
-    job.heldBackUntil = 0;
-    context.callbacks.changed();
+    job.startsDelayedUntilMs = 0;
+    context.callbacks.onChanged();
   }
 }
--- a/src/main/java/dapplestair/ledger/LedgerCallbacks.java
+++ b/src/main/java/dapplestair/ledger/LedgerCallbacks.java
@@ -11,40 +11,40 @@
   void halt(Attempt attempt, double windDownS);
 
   /** It is told to stop for the first time, for this reason. */
-  void stopping(Attempt attempt, StopReason why);
+  void onFirstStopRequest(Attempt attempt, StopReason why);
 
   /** It is proved to be absent, though nobody stopped it and it did not exit. */
-  void lost(Attempt attempt);
+  void onAttemptLost(Attempt attempt);
 
   /** An exited attempt need not be reported any more. */
   void clear(String host, String key, long number);
 
   /** A job was accepted. */
-  void arrived(Job job);
+  void onJobAccepted(Job job);
 
   /** Room or waiting work has changed. */
-  void changed();
+  void onChanged();
 
   /** A job was cancelled. */
-  void cancelled(Job job);
+  void onJobCancelled(Job job);
 
   /** A job is about to be recorded as done: what has to be recorded with it may be added. */
-  void finishing(Job job, Txn txn);
+  void addToFinishTxn(Job job, Txn txn);
 
-  /** How much {@link #finishing} may add. */
-  int mostWithFinish();
+  /** How much {@link #addToFinishTxn} may add. */
+  int maxFinishOperations();
 
   /** A job is over. */
-  void ended(String ref, boolean done);
+  void onJobEnded(String ref, boolean done);
 
   /** A task runs. */
-  void started(Attempt attempt);
+  void onTaskStarted(Attempt attempt);
 
   /** A task completed after running this long. */
-  void completed(Attempt attempt, Machine machine, double seconds);
+  void onTaskCompleted(Attempt attempt, Machine machine, double seconds);
 
   /** A task failed by itself. */
-  void failed(Attempt attempt, Machine machine);
+  void onTaskFailed(Attempt attempt, Machine machine);
 
   /** The machine of this name, known or not. */
   Machine host(String id);
--- a/src/main/java/dapplestair/ledger/LedgerContext.java
+++ b/src/main/java/dapplestair/ledger/LedgerContext.java
@@ -21,8 +21,8 @@
   final long retryMs;
 
   private long term;
-  private boolean held;
-  private boolean armed;
+  private boolean isTermActive;
+  private boolean isReady;
 
   LedgerContext(
       Clock clock,
@@ -54,21 +54,21 @@
     callbacks.launch(attempt);
   }
 
-  void take(long newTerm) {
+  void beginTerm(long newTerm) {
     term = newTerm;
-    held = true;
-    armed = false;
+    isTermActive = true;
+    isReady = false;
   }
 
   /** Every recorded attempt is accounted for: launches may begin. */
-  void arm() {
-    armed = true;
+  void markReady() {
+    isReady = true;
   }
 
-  void leave() {
+  void endTerm() {
     term = 0;
-    held = false;
-    armed = false;
+    isTermActive = false;
+    isReady = false;
   }
 
   long term() {
@@ -76,16 +76,16 @@
   }
 
   /** True while this controller keeps the ledger, though it may not yet launch. */
-  boolean held() {
-    return held;
+  boolean isTermActive() {
+    return isTermActive;
   }
 
-  boolean armed() {
-    return armed;
+  boolean isReady() {
+    return isReady;
   }
 
   /** True when it still is the office of that term: answers to an earlier one mean nothing. */
-  boolean still(long thatTerm) {
-    return held && term == thatTerm;
+  boolean isCurrentTerm(long thatTerm) {
+    return isTermActive && term == thatTerm;
   }
 }
--- a/src/main/java/dapplestair/ledger/Machine.java
+++ b/src/main/java/dapplestair/ledger/Machine.java
@@ -15,25 +15,25 @@
   private MachineType type;
   private String zone;
   private boolean spot;
-  private long idleSince;
+  private long idleSinceMs;
 
   private final Map<String, Attempt> attempts = new HashMap<>();
 
   private final ImageCache images = new ImageCache();
-  private int holding;
+  private int attemptsHoldingRoom;
   private double serviceCpus;
   private double cpusUsed;
   private double gpusUsed;
-  private double memoryUsed;
+  private double memoryUsedGb;
 
   // It has refused a start as full, and nothing is started there for now; how often so in a row.
   private boolean overfull;
-  private int timesOverfull;
+  private int consecutiveOverfullCount;
 
   /** An empty machine of unknown type. */
   protected Machine(String id, long now) {
     this.id = id;
-    this.idleSince = now;
+    this.idleSinceMs = now;
   }
 
   /** The cloud's name of it. */
@@ -72,8 +72,8 @@
   }
 
   /** Memory in use. */
-  public final double memoryUsed() {
-    return memoryUsed;
+  public final double memoryUsedGb() {
+    return memoryUsedGb;
   }
 
   /** CPUs that services use here. */
@@ -82,8 +82,8 @@
   }
 
   /** Since when nothing runs on it. */
-  public final long idleSince() {
-    return idleSince;
+  public final long idleSinceMs() {
+    return idleSinceMs;
   }
 
   /** True while nothing is to start here, since it has less room than the records say. */
@@ -92,17 +92,17 @@
   }
 
   /** How often it had less room than the records say since it last took a start. */
-  final int timesOverfull() {
-    return timesOverfull;
+  final int consecutiveOverfullCount() {
+    return consecutiveOverfullCount;
   }
 
   final void overfull(boolean value) {
     overfull = value;
-    timesOverfull += value ? 1 : 0;
+    consecutiveOverfullCount += value ? 1 : 0;
   }
 
-  final void tookStart() {
-    timesOverfull = 0;
+  final void resetOverfullCount() {
+    consecutiveOverfullCount = 0;
   }
 
   /** Attempts on it. */
@@ -116,16 +116,17 @@
   }
 
   /** True when no attempt holds room on it. */
-  public final boolean idle() {
-    return holding == 0;
+  public final boolean isIdle() {
+    return attemptsHoldingRoom == 0;
   }
 
   /** Gives an attempt its room. */
-  public final void hold(Attempt attempt) {
+  public final void reserve(Attempt attempt) {
     attempts.put(attempt.key(), attempt);
     use(attempt.spec(), 1);
     Submission submission = attempt.spec();
-    images.used(submission.image(), submission.imageGb(), fetchS(submission), attempt.plannedAt());
+    images.used(
+        submission.image(), submission.imageGb(), fetchS(submission), attempt.plannedAtMs());
     if (type != null) {
       images.fit(type.cacheGb(), this::inUse);
     }
@@ -136,14 +137,14 @@
   }
 
   /** Takes the room back; the attempt itself stays known until {@link #forget}. */
-  public final void vacate(Attempt attempt, long now) {
+  public final void release(Attempt attempt, long now) {
     use(attempt.spec(), -1);
-    if (holding == 0) {
+    if (attemptsHoldingRoom == 0) {
       cpusUsed = 0;
       gpusUsed = 0;
-      memoryUsed = 0;
+      memoryUsedGb = 0;
       serviceCpus = 0;
-      idleSince = now;
+      idleSinceMs = now;
     }
   }
 
@@ -154,12 +155,12 @@
 
   private void use(Submission submission, int sign) {
     cpusUsed += sign * submission.cpus();
-    holding += sign;
+    attemptsHoldingRoom += sign;
     if (submission.service()) {
       serviceCpus = Math.max(0, serviceCpus + sign * submission.cpus());
     }
     gpusUsed += sign * submission.gpus();
-    memoryUsed += sign * submission.memoryGb();
+    memoryUsedGb += sign * submission.memoryGb();
   }
 
   /** CPUs in use. */
@@ -173,8 +174,8 @@
   }
 
   /** Memory free. */
-  public final double memoryFree() {
-    return type == null ? 0 : type.memoryGb() - memoryUsed;
+  public final double memoryFreeGb() {
+    return type == null ? 0 : type.memoryGb() - memoryUsedGb;
   }
 
   /** Accelerators free. */
@@ -185,12 +186,12 @@
   /** True when one more task of the job fits now. */
   public final boolean fits(Submission submission) {
     return submission.cpus() <= cpusFree() + 1e-9
-        && submission.memoryGb() <= memoryFree() + 1e-9
+        && submission.memoryGb() <= memoryFreeGb() + 1e-9
         && submission.gpus() <= gpusFree() + 1e-9;
   }
 
   /** True when the job allows this machine. */
-  public final boolean allowed(Submission submission) {
+  public final boolean isAllowedBy(Submission submission) {
     return type != null
         && type.suits(submission)
         && (submission.zone() == null || submission.zone().equals(zone))
--- a/src/main/java/dapplestair/ledger/RefusedStarts.java
+++ b/src/main/java/dapplestair/ledger/RefusedStarts.java
@@ -19,7 +19,7 @@
   private static final Set<String> CAUSES = Set.of(FULL, "busy", "unknown");
 
   private static final int PAUSES_PER_REPORT = 3;
-  private static final int MOST_DOUBLINGS = 4;
+  private static final int MAX_DOUBLINGS = 4;
 
   private final LedgerContext context;
   private final long firstPauseMs;
@@ -36,7 +36,7 @@
   }
 
   /** An attempt has exited on a machine with this cause. */
-  void exited(Machine machine, String cause) {
+  void onExited(Machine machine, String cause) {
     if (CAUSES.contains(cause)) {
       byCause.addTo(cause, 1);
     }
@@ -47,7 +47,7 @@
   }
 
   private void pause(Machine machine) {
-    long pauseMs = firstPauseMs << Math.min(MOST_DOUBLINGS, machine.timesOverfull());
+    long pauseMs = firstPauseMs << Math.min(MAX_DOUBLINGS, machine.consecutiveOverfullCount());
     LOG.warn(
         "{} has less room than the records say ({} CPUs free): no starts there for {} ms",
         machine.id(),
@@ -58,12 +58,12 @@
         pauseMs,
         () -> {
           machine.overfull(false);
-          context.callbacks.changed();
+          context.callbacks.onChanged();
         });
   }
 
   /** A machine has taken a start. */
-  void taken(Machine machine) {
-    machine.tookStart();
+  void onStartAccepted(Machine machine) {
+    machine.resetOverfullCount();
   }
 }
--- a/src/main/java/dapplestair/ledger/Takeover.java
+++ b/src/main/java/dapplestair/ledger/Takeover.java
@@ -27,10 +27,10 @@
   private final int chunkSize;
 
   // The chunks that each earlier launch batch still counts for.
-  private final Map<String, Set<Chunk>> claims = new HashMap<>();
+  private final Map<String, Set<Chunk>> chunksByLaunchBatch = new HashMap<>();
   // Jobs that are over since a moment that is not known here.
-  private final Deque<Job> endUnread = new ArrayDeque<>();
-  private int orphans;
+  private final Deque<Job> jobsWithUnreadEnd = new ArrayDeque<>();
+  private int unresolvedJobs;
 
   Takeover(
       LedgerContext context,
@@ -52,31 +52,31 @@
   }
 
   void clear() {
-    claims.clear();
-    endUnread.clear();
+    chunksByLaunchBatch.clear();
+    jobsWithUnreadEnd.clear();
   }
 
   /** Builds attempts from the records; launches begin once nothing is unaccounted for. */
   void begin(long newTerm) {
-    context.take(newTerm);
-    orphans = 1;
-    for (String ref : rawRecords.refs()) {
+    context.beginTerm(newTerm);
+    unresolvedJobs = 1;
+    for (String ref : rawRecords.jobRefs()) {
       Job job = jobs.get(ref);
-      LaunchBatch.JobSummary brief = rawRecords.brief(ref);
+      LaunchBatch.JobSummary brief = rawRecords.summaryOf(ref);
       if (job != null) {
-        build(job);
+        buildAttempts(job);
       } else if (brief != null) {
         // The replica is complete, and the job is not there: it is over.
         Job ended = new Job(brief.spec(), 0, chunkSize, 0);
-        over(ended, 0);
-        endUnread.add(ended);
+        addEndedJob(ended, 0);
+        jobsWithUnreadEnd.add(ended);
       } else {
-        orphans++;
-        fetchOrphan(newTerm, ref);
+        unresolvedJobs++;
+        fetchEndedJob(newTerm, ref);
       }
     }
-    orphanFound();
-    context.timers.after(context.settings.workers().cancelMs() / 16, () -> readEnds(newTerm));
+    onJobResolved();
+    context.timers.after(context.settings.workers().cancelMs() / 16, () -> readNextEnd(newTerm));
   }
 
   /**
@@ -84,10 +84,10 @@
    * not stop it has to be known, since the time allowed for it does not begin anew with each
    * leader.
    */
-  private void readEnds(long forTerm) {
-    Job job = endUnread.poll();
-    while (job != null && job.held() == 0) {
-      job = endUnread.poll();
+  private void readNextEnd(long forTerm) {
+    Job job = jobsWithUnreadEnd.poll();
+    while (job != null && job.heldAttempts() == 0) {
+      job = jobsWithUnreadEnd.poll();
     }
     if (job == null) {
       return;
@@ -96,28 +96,28 @@
     context.state.get(
         StateKeys.over(held.spec().ref()),
         read -> {
-          if (!context.still(forTerm)) {
+          if (!context.isCurrentTerm(forTerm)) {
             return;
           }
           if (read.exists()) {
-            overFor(held, JobRecordCodec.overForMs(read.value(), context.clock.wall()));
+            setEndedAgo(held, JobRecordCodec.endedAgoMs(read.value(), context.clock.wall()));
           } else {
-            endUnread.add(held);
+            jobsWithUnreadEnd.add(held);
           }
-          context.timers.after(context.retryMs, () -> readEnds(forTerm));
+          context.timers.after(context.retryMs, () -> readNextEnd(forTerm));
         });
   }
 
-  private void overFor(Job job, long ms) {
-    job.overAt = Math.min(job.overAt, context.clock.now() - ms);
+  private void setEndedAgo(Job job, long ms) {
+    job.endedAtMs = Math.min(job.endedAtMs, context.clock.now() - ms);
   }
 
   /** Attempts of a job that is over still use its team's share: its description is needed. */
-  private void fetchOrphan(long forTerm, String ref) {
+  private void fetchEndedJob(long forTerm, String ref) {
     context.state.get(
         StateKeys.over(ref),
         read -> {
-          if (!context.still(forTerm)) {
+          if (!context.isCurrentTerm(forTerm)) {
             return;
           }
           Job job = read.exists() ? JobRecordCodec.read(read.value(), 0, chunkSize) : null;
@@ -125,43 +125,45 @@
             if (read.known()) {
               LOG.error("attempts of {} are recorded, but no such job", ref);
             }
-            context.timers.after(context.retryMs, () -> fetchOrphan(forTerm, ref));
+            context.timers.after(context.retryMs, () -> fetchEndedJob(forTerm, ref));
             return;
           }
-          over(job, JobRecordCodec.overForMs(read.value(), context.clock.wall()));
-          orphanFound();
+          addEndedJob(job, JobRecordCodec.endedAgoMs(read.value(), context.clock.wall()));
+          onJobResolved();
         });
   }
 
   /** Enters the attempts of a job that is over: they are stopped where they still run. */
-  private void over(Job job, long ms) {
+  private void addEndedJob(Job job, long ms) {
     jobs.put(job.spec().ref(), job);
-    build(job);
-    jobFinalizer.end(job);
-    overFor(job, ms);
+    buildAttempts(job);
+    jobFinalizer.endJob(job);
+    setEndedAgo(job, ms);
   }
 
-  private void orphanFound() {
-    if (--orphans == 0) {
+  private void onJobResolved() {
+    if (--unresolvedJobs == 0) {
       dropClaimsOfForgottenJobs();
       rawRecords
-          .launchBatches()
+          .stampByLaunchBatch()
           .forEach(
               (key, stamp) ->
-                  writer.launchBatches().adopt(key, stamp, claims.getOrDefault(key, Set.of())));
-      context.arm();
+                  writer
+                      .launchBatches()
+                      .adopt(key, stamp, chunksByLaunchBatch.getOrDefault(key, Set.of())));
+      context.markReady();
       rawRecords.clear();
-      int claimed = claims.size();
-      claims.clear();
+      int claimed = chunksByLaunchBatch.size();
+      chunksByLaunchBatch.clear();
       LOG.info(
           "ledger ready: {} jobs, {} attempts, {} launch batches that still count",
           jobs.size(),
-          jobs.values().stream().mapToInt(Job::held).sum(),
+          jobs.values().stream().mapToInt(Job::heldAttempts).sum(),
           claimed);
       for (Job job : List.copyOf(jobs.values())) {
         jobFinalizer.finishIfDone(job);
       }
-      context.callbacks.changed();
+      context.callbacks.onChanged();
     }
   }
 
@@ -173,7 +175,7 @@
   private void dropClaimsOfForgottenJobs() {
     Set<Chunk> present = new LinkedHashSet<>();
     jobs.values().forEach(job -> present.addAll(job.chunks.values()));
-    claims.values().forEach(chunks -> chunks.retainAll(present));
+    chunksByLaunchBatch.values().forEach(chunks -> chunks.retainAll(present));
   }
 
   /**
@@ -181,54 +183,58 @@
    * task the higher number counts: it was given out after the other one was proved absent.
    */
   private void readLaunchBatches(Job job) {
-    Int2ObjectMap<RawAttemptRecords.OnLaunchBatch> newest = new Int2ObjectOpenHashMap<>();
-    for (RawAttemptRecords.OnLaunchBatch on : rawRecords.onLaunchBatches(job.spec().ref())) {
+    Int2ObjectMap<RawAttemptRecords.BatchedAttempt> newest = new Int2ObjectOpenHashMap<>();
+    for (RawAttemptRecords.BatchedAttempt on : rawRecords.batchedAttempts(job.spec().ref())) {
       LaunchBatch.Entry entry = on.entry();
       if (entry.number() > job.chunkOf(entry.step()).recordedNumber) {
         newest.merge(entry.step(), on, (a, b) -> a.entry().number() > b.entry().number() ? a : b);
-        claims.computeIfAbsent(on.key(), k -> new LinkedHashSet<>()).add(job.chunkOf(entry.step()));
+        chunksByLaunchBatch
+            .computeIfAbsent(on.key(), k -> new LinkedHashSet<>())
+            .add(job.chunkOf(entry.step()));
       }
     }
-    for (RawAttemptRecords.OnLaunchBatch on : newest.values()) {
+    for (RawAttemptRecords.BatchedAttempt on : newest.values()) {
       LaunchBatch.Entry entry = on.entry();
       Chunk chunk = job.chunkOf(entry.step());
       chunk.lastNumber = Math.max(chunk.lastNumber, entry.number());
       LOG.debug(
           "{}/{} try {} is read from {}", entry.ref(), entry.step(), entry.number(), on.key());
-      Attempt older = chunk.live.get(entry.step());
+      Attempt older = chunk.attemptsByStep.get(entry.step());
       if (older != null) {
-        attempts.retire(older);
+        attempts.remove(older);
       }
-      enter(job, chunk, entry.step(), entry.number(), entry.host(), entry.zone(), entry.session());
-      if (!ChunkWriter.single(job)) {
+      adoptAttempt(
+          job, chunk, entry.step(), entry.number(), entry.host(), entry.zone(), entry.session());
+      if (!ChunkWriter.isSingleTask(job)) {
         // Its own record takes over. A job of one task needs none: hundreds of puts, for nothing.
-        writer.dirty(job, chunk, false);
+        writer.markDirty(job, chunk, false);
       }
     }
   }
 
-  private void enter(
+  private void adoptAttempt(
       Job job, Chunk chunk, int step, long number, String host, String zone, long session) {
     Attempt attempt = new Attempt(job, step, number, host, zone, session, context.clock.now());
-    attempt.adoptedBy(context.term());
-    attempts.enter(chunk, attempt);
+    attempt.markAdopted(context.term());
+    attempts.register(chunk, attempt);
   }
 
-  private void build(Job job) {
+  private void buildAttempts(Job job) {
     for (Int2ObjectMap.Entry<RawAttemptRecords.VersionedRecord> entry :
-        rawRecords.of(job.spec().ref()).int2ObjectEntrySet()) {
+        rawRecords.recordsOf(job.spec().ref()).int2ObjectEntrySet()) {
       Chunk c = job.chunk(entry.getIntKey());
       job.probesFailed = Math.max(job.probesFailed, Chunk.probesFailed(entry.getValue().value()));
       c.read(
           entry.getValue().value(),
           entry.getValue().stamp(),
-          (step, number, host, zone, session) -> enter(job, c, step, number, host, zone, session));
+          (step, number, host, zone, session) ->
+              adoptAttempt(job, c, step, number, host, zone, session));
     }
     readLaunchBatches(job);
-    job.chunks.values().forEach(c -> c.countUnknown(job.spec().gang()));
+    job.chunks.values().forEach(c -> c.computeMaxUnknownInterrupted(job.spec().gang()));
     if (job.probesFailed > 0) {
       job.suspected = true;
-      reconciler.holdBack(job, context.settings.workers().reportMs());
+      reconciler.delayStarts(job, context.settings.workers().reportMs());
     }
   }
 }
--- a/src/main/java/dapplestair/ledger/TeamUsage.java
+++ b/src/main/java/dapplestair/ledger/TeamUsage.java
@@ -15,30 +15,30 @@
   private static final Usage NONE = new Usage();
 
   private final Settings settings;
-  private final Map<String, Usage> teams = new HashMap<>();
+  private final Map<String, Usage> usageByTeam = new HashMap<>();
 
   TeamUsage(Settings settings) {
     this.settings = settings;
   }
 
   void add(Submission submission) {
-    Usage use = teams.computeIfAbsent(submission.team(), t -> new Usage());
+    Usage use = usageByTeam.computeIfAbsent(submission.team(), t -> new Usage());
     use.cpus += submission.cpus();
     use.gpus += submission.gpus();
   }
 
   void subtract(Submission submission) {
-    Usage use = teams.get(submission.team());
+    Usage use = usageByTeam.get(submission.team());
     use.cpus -= submission.cpus();
     use.gpus -= submission.gpus();
   }
 
   double cpus(String team) {
-    return teams.getOrDefault(team, NONE).cpus;
+    return usageByTeam.getOrDefault(team, NONE).cpus;
   }
 
   double gpus(String team) {
-    return teams.getOrDefault(team, NONE).gpus;
+    return usageByTeam.getOrDefault(team, NONE).gpus;
   }
 
   /** True when the team has room for so many more tasks of this size. */
@@ -47,13 +47,13 @@
     if (team == null) {
       return false;
     }
-    Usage use = teams.getOrDefault(submission.team(), NONE);
+    Usage use = usageByTeam.getOrDefault(submission.team(), NONE);
     return (team.cpusMax() <= 0 || use.cpus + tasks * submission.cpus() <= team.cpusMax() + 1e-6)
         && (team.gpusMax() <= 0 || use.gpus + tasks * submission.gpus() <= team.gpusMax() + 1e-6);
   }
 
   /** How many more tasks of this size the team's limit, or its guarantee, has room for. */
-  int room(Submission submission, boolean withinGuarantee) {
+  int maxAdditionalTasks(Submission submission, boolean withinGuarantee) {
     Settings.Team team = settings.teams().get(submission.team());
     double most = team == null ? 0 : withinGuarantee ? team.cpus() : team.cpusMax();
     if (team != null && most <= 0 && !withinGuarantee) {
@@ -64,6 +64,6 @@
   }
 
   void clear() {
-    teams.clear();
+    usageByTeam.clear();
   }
 }
--- a/src/main/java/dapplestair/ledger/UnavailableTasks.java
+++ b/src/main/java/dapplestair/ledger/UnavailableTasks.java
@@ -19,28 +19,28 @@
     int stopping = 0;
     int done = 0;
     for (Chunk chunk : job.chunks.values()) {
-      done += chunk.done.cardinality();
+      done += chunk.completedSteps.cardinality();
       int starting = 0;
       int ended = 0;
-      for (Attempt attempt : chunk.live.values()) {
+      for (Attempt attempt : chunk.attemptsByStep.values()) {
         if (attempt.done) {
           ended++;
         } else if (attempt.halting) {
           stopping++;
         } else if (!attempt.began && !attempt.adopted) {
           starting++;
-        } else if (runs(attempt) && reached.test(attempt)) {
+        } else if (isRunning(attempt) && reached.test(attempt)) {
           in++;
         } else {
           disrupted++;
         }
       }
-      disrupted += chunk.awaitedAgain(starting + ended);
+      disrupted += chunk.maxInterruptedWaiting(starting + ended);
     }
     return new UnavailableTasks(job.spec().steps() - done - in, disrupted + stopping, stopping);
   }
 
-  private static boolean runs(Attempt attempt) {
+  private static boolean isRunning(Attempt attempt) {
     return attempt.status == Report.Status.RUNNING && !attempt.exited;
   }
 }
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -129,7 +129,7 @@
 
   /** True once this controller leads and may launch tasks, so that a lone one serves fully. */
   public boolean serving() {
-    return core.ledger.armed() && core.types.known();
+    return core.ledger.canLaunch() && core.types.known();
   }
 
   /** Gives the lead away and ends; what is recorded stays. */
@@ -195,22 +195,22 @@
     @Override
     public void cancelled(String ref) {
       core.submissions.ended(ref, false);
-      core.ledger.cancelled(ref);
+      core.ledger.onJobCancelled(ref);
     }
 
     @Override
     public List<Cancellation.TaskLocation> places(String ref) {
-      return core.ledger.places(ref);
+      return core.ledger.taskLocations(ref);
     }
 
     @Override
     public boolean begun() {
-      return core.ledger.armed();
+      return core.ledger.canLaunch();
     }
 
     @Override
     public boolean proved(String ref) {
-      return core.leadership.leading() && core.ledger.nothingLeft(ref);
+      return core.leadership.leading() && core.ledger.hasNoAttemptsLeft(ref);
     }
   }
 
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -126,14 +126,16 @@
             "team",
             () ->
                 Maps.transformValues(
-                    components.ledger().served().byTeam(), JobStatistics.JobCounts::startedShare))
+                    components.ledger().jobStatistics().byTeam(),
+                    JobStatistics.JobCounts::startedShare))
         .gauges(
             "team_jobs_done_share",
             "Share of a team's arrays, less those cancelled, that are done since then.",
             "team",
             () ->
                 Maps.transformValues(
-                    components.ledger().served().byTeam(), JobStatistics.JobCounts::doneShare));
+                    components.ledger().jobStatistics().byTeam(),
+                    JobStatistics.JobCounts::doneShare));
   }
 
   /** How classes of jobs are served. */
@@ -145,21 +147,23 @@
             "class",
             () ->
                 Maps.transformValues(
-                    components.ledger().served().byClass(), JobStatistics.JobCounts::startedShare))
+                    components.ledger().jobStatistics().byClass(),
+                    JobStatistics.JobCounts::startedShare))
         .gauges(
             "class_jobs_done_share",
             "Share of a class's arrays, less those cancelled, that are done since then.",
             "class",
             () ->
                 Maps.transformValues(
-                    components.ledger().served().byClass(), JobStatistics.JobCounts::doneShare))
+                    components.ledger().jobStatistics().byClass(),
+                    JobStatistics.JobCounts::doneShare))
         .gauges(
             "class_largest_begun_share",
             "Share of a class's largest jobs (the largest tenth, three at least) that began.",
             "class",
             () ->
                 Maps.transformValues(
-                    components.ledger().served().largest(),
+                    components.ledger().jobStatistics().largestJobs(),
                     JobStatistics.LargestJobStatistics::share))
         .gauges(
             "class_largest_wait_seconds",
@@ -167,8 +171,8 @@
             "class",
             () ->
                 Maps.transformValues(
-                    components.ledger().served().largest(),
-                    JobStatistics.LargestJobStatistics::longestS));
+                    components.ledger().jobStatistics().largestJobs(),
+                    JobStatistics.LargestJobStatistics::longestWaitS));
   }
 
   /** What is stopped by choice. */
--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -64,57 +64,57 @@
   }
 
   @Override
-  public void stopping(Attempt attempt, StopReason why) {
+  public void onFirstStopRequest(Attempt attempt, StopReason why) {
     events.note(Events.Kind.STOPPING, o -> EventFields.of(o, attempt).put("reason", why.shown()));
   }
 
   @Override
-  public void lost(Attempt attempt) {
+  public void onAttemptLost(Attempt attempt) {
     events.note(Events.Kind.LOST, o -> EventFields.of(o, attempt));
   }
 
   @Override
-  public void arrived(Job job) {
+  public void onJobAccepted(Job job) {
     demand.arrived(job.spec());
     events.note(Events.Kind.ACCEPTED, o -> EventFields.of(o, job));
   }
 
   @Override
-  public void changed() {
+  public void onChanged() {
     placer.nudge();
   }
 
   @Override
-  public void cancelled(Job job) {
+  public void onJobCancelled(Job job) {
     faultAttribution.over(job.spec().ref());
     events.note(Events.Kind.OVER, o -> EventFields.of(o, job).put("status", "aborted"));
   }
 
   @Override
-  public void finishing(Job job, Txn txn) {
+  public void addToFinishTxn(Job job, Txn txn) {
     calendars.finishing(job, txn);
   }
 
   @Override
-  public int mostWithFinish() {
+  public int maxFinishOperations() {
     return calendars.mostMarks();
   }
 
   @Override
-  public void ended(String ref, boolean done) {
+  public void onJobEnded(String ref, boolean done) {
     faultAttribution.over(ref);
     submissions.ended(ref, done);
     events.note(Events.Kind.OVER, o -> o.put("job", ref).put("status", done ? "done" : "aborted"));
   }
 
   @Override
-  public void started(Attempt attempt) {
-    metrics.started(clock.wall() - attempt.job().askedWall());
+  public void onTaskStarted(Attempt attempt) {
+    metrics.started(clock.wall() - attempt.job().firstRequestWallMs());
     events.note(Events.Kind.STARTED, o -> EventFields.of(o, attempt));
   }
 
   @Override
-  public void completed(Attempt attempt, Machine machine, double ranS) {
+  public void onTaskCompleted(Attempt attempt, Machine machine, double ranS) {
     double seconds = ranS > 0 ? ranS + attempt.savedS() : 0;
     events.note(Events.Kind.COMPLETED, o -> EventFields.of(o, attempt));
     Host host = workers.host(machine.id());
@@ -128,7 +128,7 @@
   }
 
   @Override
-  public void failed(Attempt attempt, Machine machine) {
+  public void onTaskFailed(Attempt attempt, Machine machine) {
     metrics.lost();
     events.note(Events.Kind.FAILED, o -> EventFields.of(o, attempt));
     faultAttribution.failed(attempt, workers.host(machine.id()));
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -66,15 +66,15 @@
     }
     if (key.startsWith(StateKeys.RUN)) {
       int slash = key.lastIndexOf('/');
-      ledger.runPut(
+      ledger.onRunPut(
           key.substring(StateKeys.RUN.length(), slash),
           Integer.parseInt(key.substring(slash + 1)),
           value,
           stamp);
     } else if (key.startsWith(StateKeys.LAUNCH_BATCH)) {
-      ledger.launchBatchPut(key, value, stamp);
+      ledger.onLaunchBatchPut(key, value, stamp);
     } else if (key.startsWith(StateKeys.JOB)) {
-      ledger.jobPut(key.substring(StateKeys.JOB.length()), value, stamp);
+      ledger.onJobPut(key.substring(StateKeys.JOB.length()), value, stamp);
       accepted.read(key.substring(StateKeys.JOB.length()), stamp);
       if (admin != null) {
         admin.jobPut(key.substring(StateKeys.JOB.length()));
@@ -108,14 +108,14 @@
   public void removed(String key) {
     if (key.startsWith(StateKeys.RUN)) {
       int slash = key.lastIndexOf('/');
-      ledger.runRemoved(
+      ledger.onRunRemoved(
           key.substring(StateKeys.RUN.length(), slash), Integer.parseInt(key.substring(slash + 1)));
     } else if (key.startsWith(StateKeys.LAUNCH_BATCH)) {
-      ledger.launchBatchRemoved(key);
+      ledger.onLaunchBatchRemoved(key);
     } else if (key.startsWith(StateKeys.JOB)) {
       // While the ledger still has what was recorded of it.
       cancellations.removed(key.substring(StateKeys.JOB.length()));
-      ledger.jobRemoved(key.substring(StateKeys.JOB.length()));
+      ledger.onJobRemoved(key.substring(StateKeys.JOB.length()));
       if (admin != null) {
         admin.jobRemoved(key.substring(StateKeys.JOB.length()));
       }
--- a/src/main/java/dapplestair/node/RoleChangeNotifier.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -30,7 +30,7 @@
   public void lead(long term) {
     core.state.leading(true);
     scheduling.fleet.lead();
-    core.ledger.lead(term);
+    core.ledger.beginTerm(term);
     core.accepted.lead();
     scheduling.disruptionGate.lead();
     core.workers.lead();
--- a/src/main/java/dapplestair/node/StatusReporter.java
+++ b/src/main/java/dapplestair/node/StatusReporter.java
@@ -84,8 +84,8 @@
                 line,
                 ledger.refusedStarts(),
                 workers.unaccountedTasks(),
-                ledger.served().least(),
-                ledger.served().latest())
+                ledger.jobStatistics().worstServedSummary(),
+                ledger.jobStatistics().longestWaitSummary())
         : line;
   }
 }
--- a/src/main/java/dapplestair/placement/DecisionRecorder.java
+++ b/src/main/java/dapplestair/placement/DecisionRecorder.java
@@ -96,7 +96,7 @@
     }
     Map<PlacementVerdict, Integer> whole = new EnumMap<>(PlacementVerdict.class);
     whole.putAll(found.getOrDefault(ref, Map.of()));
-    double heldBack = Math.max(0, job.heldBackUntil() - clock.now()) / 1000.0;
+    double heldBack = Math.max(0, job.startsDelayedUntilMs() - clock.now()) / 1000.0;
     if (calendars.holds(job)) {
       whole.put(PlacementVerdict.CYCLE, job.waiting());
     }
@@ -104,10 +104,11 @@
       whole.put(PlacementVerdict.BACKED_OFF, job.waiting());
     } else if (job.suspected()) {
       whole.put(PlacementVerdict.PROBING, job.waiting());
-    } else if (job.heldSteps() > 0) {
-      whole.put(PlacementVerdict.STEPS_BACKED_OFF, job.heldSteps());
+    } else if (job.delayedSteps() > 0) {
+      whole.put(PlacementVerdict.STEPS_BACKED_OFF, job.delayedSteps());
     }
-    int byLimit = job.waiting() - Math.min(job.waiting(), ledger.teamRoom(job.spec(), false));
+    int byLimit =
+        job.waiting() - Math.min(job.waiting(), ledger.maxAdditionalTeamTasks(job.spec(), false));
     if (!ledger.teamAllows(job.spec())) {
       whole.put(PlacementVerdict.TEAM_LIMIT, Math.max(1, byLimit));
     }
@@ -118,7 +119,7 @@
   /** When enough is expected to have ended on a full machine, or -1. */
   private double freeInS(Submission submission, Host host) {
     double cpus = submission.cpus() - host.cpusFree();
-    double memory = submission.memoryGb() - host.memoryFree();
+    double memory = submission.memoryGb() - host.memoryFreeGb();
     double gpus = submission.gpus() - host.gpusFree();
     List<Attempt> ending = new ArrayList<>();
     for (Attempt a : host.attempts()) {
--- a/src/main/java/dapplestair/placement/EarliestFinishSelector.java
+++ b/src/main/java/dapplestair/placement/EarliestFinishSelector.java
@@ -109,7 +109,7 @@
       tieBreak += 1;
     }
     // Where it failed before, it expects to fail again: any other machine completes it earlier.
-    double again = ledger.failedOn(job, host) ? FAILED_HERE_S : 0;
+    double again = ledger.hasFailedOn(job, host) ? FAILED_HERE_S : 0;
     // Nobody knows yet who is to blame for those: each may cost a second run.
     again += host.failures() * (1 + run);
     return fetch + run + tieBreak + again;
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -112,7 +112,8 @@
       return 0;
     }
     scans++;
-    int wanted = Math.max(0, Math.min(job.waiting(), ledger.teamRoom(submission, !byRank)));
+    int wanted =
+        Math.max(0, Math.min(job.waiting(), ledger.maxAdditionalTeamTasks(submission, !byRank)));
     return take(offers(job, fromBorrowers, h -> true), wanted);
   }
 
@@ -155,7 +156,7 @@
       if (!host.closed()
           && !spokenFor.contains(host)
           && !filter.keptFrom(job, host)
-          && host.allowed(submission)
+          && host.isAllowedBy(submission)
           && where.test(host)
           && workers.fresh(host)
           && ledger.zoneAllows(job, host.zone())) {
@@ -179,7 +180,7 @@
 
   private EvictionCandidate offer(Submission submission, Host host, boolean fromBorrowers) {
     double cpus = submission.cpus() - host.cpusFree();
-    double memory = submission.memoryGb() - host.memoryFree();
+    double memory = submission.memoryGb() - host.memoryFreeGb();
     double gpus = submission.gpus() - host.gpusFree();
     List<Attempt> may = new ArrayList<>();
     for (Attempt attempt : host.attempts()) {
@@ -230,12 +231,14 @@
 
   /** Work that stopping an attempt would throw away, in CPU seconds; low ranks lose first. */
   private double loss(Attempt attempt) {
-    double ran = attempt.ranS(clock.now());
+    double ran = attempt.runTimeS(clock.now());
     double lost =
-        attempt.spec().saves() ? Math.min(ran - attempt.keptS(ran), attempt.spec().saveS()) : ran;
+        attempt.spec().saves()
+            ? Math.min(ran - attempt.checkpointedS(ran), attempt.spec().saveS())
+            : ran;
     double rank = (Rank.values().length - attempt.spec().rank().ordinal()) * 1e6;
     // With one member a gang loses all of them.
-    int tasks = attempt.spec().gang() ? attempt.job().held() : 1;
+    int tasks = attempt.spec().gang() ? attempt.job().heldAttempts() : 1;
     return rank + lost * attempt.spec().cpus() * tasks;
   }
 }
--- a/src/main/java/dapplestair/placement/PlacementFilter.java
+++ b/src/main/java/dapplestair/placement/PlacementFilter.java
@@ -58,7 +58,7 @@
     Submission submission = job.spec();
     boolean kept = keptFrom(job, host);
     if (host.fits(submission)
-        && host.allowed(submission)
+        && host.isAllowedBy(submission)
         && !host.closed()
         && leavesRoom(submission, host)
         && !kept) {
@@ -75,7 +75,7 @@
       if (ledger.zoneAllows(job, host.zone())) {
         return PlacementVerdict.FITS;
       }
-      return submission.apart() && job.inZone(host.zone()) >= submission.mostPerZone()
+      return submission.apart() && job.attemptsInZone(host.zone()) >= submission.mostPerZone()
           ? PlacementVerdict.SPREAD
           : PlacementVerdict.TOGETHER;
     }
@@ -89,7 +89,7 @@
    * other. A job that fails wherever it runs is tried by one task at a time anyway.
    */
   private boolean failedHere(Job job, Host host) {
-    return !job.suspected() && ledger.failedOn(job, host, avoidedMs);
+    return !job.suspected() && ledger.hasFailedOn(job, host, avoidedMs);
   }
 
   /** True when this room is promised to others: to a rider, or to who has waited for long. */
@@ -108,14 +108,14 @@
   private static PlacementVerdict obstacle(Submission submission, Host host, boolean kept) {
     if (host.type() == null || !host.up() || !host.acknowledged()) {
       boolean allowed =
-          host.type() == null || host.allowed(submission) || !submission.spot() && host.spot();
+          host.type() == null || host.isAllowedBy(submission) || !submission.spot() && host.spot();
       return allowed ? PlacementVerdict.NOT_UP : PlacementVerdict.NOT_ALLOWED;
     }
     if (!host.type().suits(submission)
         || submission.zone() != null && !submission.zone().equals(host.zone())) {
       return PlacementVerdict.NOT_ALLOWED;
     }
-    if (!host.allowed(submission)) {
+    if (!host.isAllowedBy(submission)) {
       return PlacementVerdict.SPOT;
     }
     if (host.releasing() || host.gone()) {
@@ -153,14 +153,15 @@
     }
     int sum = 0;
     for (Map.Entry<String, Integer> zone : perZone.entrySet()) {
-      sum += Math.min(zone.getValue(), submission.mostPerZone() - job.inZone(zone.getKey()));
+      sum +=
+          Math.min(zone.getValue(), submission.mostPerZone() - job.attemptsInZone(zone.getKey()));
     }
     return sum;
   }
 
   private int roomFor(Host host, Submission submission) {
     long now = clock.now();
-    int fitting = submission.fitting(host.cpusFree(), host.memoryFree(), host.gpusFree());
+    int fitting = submission.fitting(host.cpusFree(), host.memoryFreeGb(), host.gpusFree());
     if (!host.onProbation(now)) {
       return fitting;
     }
--- a/src/main/java/dapplestair/placement/Placer.java
+++ b/src/main/java/dapplestair/placement/Placer.java
@@ -102,7 +102,7 @@
    * controller places nothing.
    */
   public void explain(String ref, Consumer<PlacementExplanation> answer) {
-    if (!ledger.armed()) {
+    if (!ledger.canLaunch()) {
       answer.accept(null);
       return;
     }
@@ -117,13 +117,13 @@
   }
 
   private void place() {
-    if (ledger.armed()) {
+    if (ledger.canLaunch()) {
       turn();
     } else {
       reservations.clear();
     }
     if (recorder != null) {
-      if (ledger.armed()) {
+      if (ledger.canLaunch()) {
         // Judged once more with the state in which the turn left everything.
         recorder.answer(filter::judgeAny);
       } else {
@@ -235,9 +235,9 @@
   }
 
   private boolean starving(Job job) {
-    return job.held() == 0
+    return job.heldAttempts() == 0
         && ledger.teamAllows(job.spec(), job.waiting())
-        && clock.wall() - job.acceptedWall() > 10 * settings.workers().reportMs();
+        && clock.wall() - job.acceptedWallMs() > 10 * settings.workers().reportMs();
   }
 
   /** The first task chooses the zone for all: the one with the most room for them. */
@@ -294,7 +294,7 @@
   private boolean awaitsImage(Job job, Host best) {
     Submission submission = job.spec();
     double fetchS = best.imageWaitS(submission, clock.now());
-    double age = (clock.wall() - job.acceptedWall()) / 1000.0;
+    double age = (clock.wall() - job.acceptedWallMs()) / 1000.0;
     awaitsImage =
         submission.service()
             && fetchS > 0
@@ -329,7 +329,7 @@
   /** A gang starts only when all of it fits now, in one zone where its job wants that. */
   private boolean placeGang(Job job, List<Host> usable) {
     Submission submission = job.spec();
-    if (!ledger.teamAllows(submission, job.waiting()) || job.held() > 0) {
+    if (!ledger.teamAllows(submission, job.waiting()) || job.heldAttempts() > 0) {
       return false;
     }
     List<List<Host>> choices =
--- a/src/main/java/dapplestair/placement/Ranking.java
+++ b/src/main/java/dapplestair/placement/Ranking.java
@@ -47,10 +47,10 @@
     List<Ranked> waiting = new ArrayList<>();
     for (Job job : ledger.jobs()) {
       // One that fails wherever it runs waits for its probe to end.
-      boolean probing = job.suspected() && job.held() > 0;
+      boolean probing = job.suspected() && job.heldAttempts() > 0;
       if (!job.over()
           && !probing
-          && job.heldBackUntil() <= now
+          && job.startsDelayedUntilMs() <= now
           && job.nextFree(0) >= 0
           && !calendars.holds(job)) {
         waiting.add(ranked(job));
@@ -68,13 +68,13 @@
 
   private Ranked ranked(Job job) {
     Submission submission = job.spec();
-    double age = (clock.wall() - job.askedWall()) / 1000.0;
+    double age = (clock.wall() - job.firstRequestWallMs()) / 1000.0;
     double run = estimates.runS(submission);
     int broken = objectives.broken(submission, age, run);
     double order;
     if (objectives.allBroken(submission, broken)) {
       // Nobody else's promise is at stake here, and the largest have to begin in time as well.
-      order = ledger.served().isLarge(job) ? -LARGE_BEFORE_S - age : -age;
+      order = ledger.jobStatistics().isLarge(job) ? -LARGE_BEFORE_S - age : -age;
     } else if (broken > 0 || objectives.promised(submission)) {
       order = job.waiting() * submission.cpus() * Math.max(1, run);
     } else {
--- a/src/main/java/dapplestair/placement/Reservations.java
+++ b/src/main/java/dapplestair/placement/Reservations.java
@@ -97,7 +97,7 @@
       if (!host.closed()
           && workers.fresh(host)
           && !kept.containsKey(host)
-          && host.allowed(submission)
+          && host.isAllowedBy(submission)
           && ledger.zoneAllows(job, host.zone())
           && emptied(submission, host) > 0) {
         String zone = submission.together() ? host.zone() : "";
@@ -125,7 +125,9 @@
     int found = 0;
     for (Host host : hosts) {
       int left =
-          submission.mostPerZone() - job.inZone(host.zone()) - perZone.getOrDefault(host.zone(), 0);
+          submission.mostPerZone()
+              - job.attemptsInZone(host.zone())
+              - perZone.getOrDefault(host.zone(), 0);
       int here = Math.min(emptied(submission, host), left);
       if (here > 0) {
         out.add(host);
--- a/src/main/java/dapplestair/placement/RuntimeEstimates.java
+++ b/src/main/java/dapplestair/placement/RuntimeEstimates.java
@@ -34,7 +34,7 @@
   /** Run time left to an attempt on its machine; what earlier attempts saved counts as done. */
   public double leftS(Attempt attempt, Host host, long now) {
     return Math.max(0, runS(attempt.spec()) - attempt.savedS()) * host.slowness()
-        - attempt.ranS(now);
+        - attempt.runTimeS(now);
   }
 
   /** True when a task that begins on a machine now ends before that is emptied. */
--- a/src/main/java/dapplestair/placement/StarvationGuard.java
+++ b/src/main/java/dapplestair/placement/StarvationGuard.java
@@ -56,7 +56,7 @@
   }
 
   private long ageMs(Job job) {
-    return clock.wall() - job.askedWall();
+    return clock.wall() - job.firstRequestWallMs();
   }
 
   /** True when a job has waited for so long that its first tasks go before others. */
@@ -66,7 +66,7 @@
 
   /** True when nothing of it runs, has completed or is about to run. */
   static boolean idle(Job job) {
-    return job.held() == 0 && job.doneCount() == 0;
+    return job.heldAttempts() == 0 && job.doneCount() == 0;
   }
 
   /**
@@ -75,7 +75,7 @@
    */
   private int window(Job job) {
     Submission submission = job.spec();
-    if (submission.service() || submission.gang() || ledger.served().isLarge(job)) {
+    if (submission.service() || submission.gang() || ledger.jobStatistics().isLarge(job)) {
       return submission.steps();
     }
     int part = ageMs(job) > boundMs ? WINDOW : STARTER;
@@ -88,8 +88,11 @@
       return 0;
     }
     boolean begins =
-        idle(job) || ageMs(job) > boundMs || job.spec().service() || ledger.served().isLarge(job);
-    return begins ? Math.max(0, Math.min(job.waiting(), window(job) - job.held())) : 0;
+        idle(job)
+            || ageMs(job) > boundMs
+            || job.spec().service()
+            || ledger.jobStatistics().isLarge(job);
+    return begins ? Math.max(0, Math.min(job.waiting(), window(job) - job.heldAttempts())) : 0;
   }
 
   /** True for an attempt that runs in its job's window: nothing but a critical service stops it. */
@@ -99,9 +102,10 @@
       return false;
     }
     if (attempt.spec().service()) {
-      return clock.now() - Math.max(attempt.plannedAt(), attempt.statusAt()) < boundMs / SETTLED;
+      return clock.now() - Math.max(attempt.plannedAtMs(), attempt.statusSinceMs())
+          < boundMs / SETTLED;
     }
-    return job.held() <= window(job);
+    return job.heldAttempts() <= window(job);
   }
 
   /**
@@ -117,7 +121,7 @@
         .filter(j -> quota(j) > 0 && ledger.teamAllows(j.spec()))
         .sorted(
             Comparator.comparing((Job j) -> !idle(j))
-                .thenComparingLong(Job::askedWall)
+                .thenComparingLong(Job::firstRequestWallMs)
                 .thenComparing(j -> j.spec().ref()))
         .forEach(j -> groups.computeIfAbsent(group(j), g -> new ArrayDeque<>()).add(j));
     return groups.isEmpty() ? Map.of() : take(groups, cpus * SHARE);
@@ -126,8 +130,8 @@
   private Map<Job, Integer> take(Map<String, Deque<Job>> groups, double most) {
     Object2DoubleOpenHashMap<String> held = new Object2DoubleOpenHashMap<>();
     for (Job job : ledger.jobs()) {
-      if (!job.over() && job.held() > 0 && near(job) && !job.spec().service()) {
-        held.addTo(group(job), Math.min(job.held(), window(job)) * job.spec().cpus());
+      if (!job.over() && job.heldAttempts() > 0 && near(job) && !job.spec().service()) {
+        held.addTo(group(job), Math.min(job.heldAttempts(), window(job)) * job.spec().cpus());
       }
     }
     double left = most - held.values().doubleStream().sum();
--- a/src/main/java/dapplestair/planning/CapacityFloors.java
+++ b/src/main/java/dapplestair/planning/CapacityFloors.java
@@ -34,7 +34,7 @@
     double need = 0;
     for (Job job : ledger.jobs()) {
       if (!job.over() && !job.spec().spot()) {
-        need += job.spec().cpus() * (job.wanted(clock.now()) + job.held());
+        need += job.spec().cpus() * (job.wantedTasks(clock.now()) + job.heldAttempts());
       }
     }
     for (Submission s : soon) {
@@ -103,10 +103,10 @@
     Set<String> waiting = new HashSet<>();
     double sum = 0;
     for (Job job : ledger.jobs()) {
-      if (job.spec().service() && !job.over() && job.wanted(now) > 0) {
+      if (job.spec().service() && !job.over() && job.wantedTasks(now) > 0) {
         waiting.add(job.spec().ref());
         long since = waitingSince.computeIfAbsent(job.spec().ref(), r -> now);
-        sum += now - since > bootMs ? job.wanted(now) * job.spec().cpus() : 0;
+        sum += now - since > bootMs ? job.wantedTasks(now) * job.spec().cpus() : 0;
       }
     }
     waitingSince.keySet().retainAll(waiting);
@@ -123,9 +123,9 @@
     for (Job job : ledger.jobs()) {
       Submission submission = job.spec();
       if (!submission.gang()
-          || job.held() > 0
-          || job.wanted(clock.now()) == 0
-          || clock.wall() - job.acceptedWall() < afterMs) {
+          || job.heldAttempts() > 0
+          || job.wantedTasks(clock.now()) == 0
+          || clock.wall() - job.acceptedWallMs() < afterMs) {
         continue;
       }
       double need = submission.cpus() * job.waiting();
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -89,7 +89,7 @@
     double bootMs = 1000 * types.all().stream().mapToDouble(MachineType::bootS).max().orElse(0);
     double waiting = 0;
     for (Job job : ledger.jobs()) {
-      if (clock.wall() - job.acceptedWall() > bootMs) {
+      if (clock.wall() - job.acceptedWallMs() > bootMs) {
         waiting += wanted(job) * job.spec().cpus();
       }
     }
@@ -106,7 +106,7 @@
    */
   private int wanted(Job job) {
     boolean onWhatThereIs = job.suspected() && !job.spec().gang() && !workers.hosts().isEmpty();
-    return onWhatThereIs ? 0 : job.wanted(clock.now());
+    return onWhatThereIs ? 0 : job.wantedTasks(clock.now());
   }
 
   /** CPUs of all that waits for room. */
@@ -120,7 +120,7 @@
   }
 
   boolean ready() {
-    return ledger.armed();
+    return ledger.canLaunch();
   }
 
   FleetProblem problem(OperatorSettings operatorSettings) {
@@ -166,7 +166,7 @@
         up.add(host);
         // Arrays that overflowed onto steady machines must not keep those for ever: such a machine
         // may be planned away, gets no new work then, and is returned once it is idle.
-        if (spot ? !host.idle() : host.serviceCpus() > 0) {
+        if (spot ? !host.isIdle() : host.serviceCpus() > 0) {
           busy++;
         }
       } else {
@@ -261,7 +261,7 @@
     for (Job job : ledger.jobs()) {
       int count = wanted(job);
       if (count > 0) {
-        double age = (clock.wall() - job.acceptedWall()) / 1000.0;
+        double age = (clock.wall() - job.acceptedWallMs()) / 1000.0;
         pending.add(new DryRunEntries.PendingTasks(job.spec(), count, slack(job.spec()) - age, 0));
       }
     }
@@ -290,7 +290,8 @@
     double demand = 0;
     for (Job job : ledger.jobs()) {
       if (!job.over()) {
-        demand += cheapest(slots, job.spec()) * job.spec().cpus() * (wanted(job) + job.held());
+        demand +=
+            cheapest(slots, job.spec()) * job.spec().cpus() * (wanted(job) + job.heldAttempts());
       }
     }
     for (Submission s : soon) {
--- a/src/main/java/dapplestair/planning/ZoneDemand.java
+++ b/src/main/java/dapplestair/planning/ZoneDemand.java
@@ -56,7 +56,7 @@
           host.type(),
           host.spot(),
           host.cpusFree(),
-          host.memoryFree(),
+          host.memoryFreeGb(),
           host.gpusFree());
     }
 
@@ -137,7 +137,7 @@
     if (job.over() || job.spec().zone() == null) {
       return 0;
     }
-    return Math.min(job.wanted(clock.now()), ledger.teamRoom(job.spec(), false));
+    return Math.min(job.wantedTasks(clock.now()), ledger.maxAdditionalTeamTasks(job.spec(), false));
   }
 
   private List<FreeCapacity> rooms() {
--- a/src/main/java/dapplestair/replacement/SurgeCapacity.java
+++ b/src/main/java/dapplestair/replacement/SurgeCapacity.java
@@ -75,7 +75,7 @@
     MachineKind kind = ReplacementTargets.slot(stuck);
     for (Host host : workers.hosts()) {
       if (host.up()
-          && host.idle()
+          && host.isIdle()
           && fleet.counts(host, kind)
           && workers.fresh(host)
           && !stuck.zone().equals(host.zone())
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -129,7 +129,7 @@
         if (passedOn(exchange, ref)) {
           return;
         }
-        if (ledger.live(ref)) {
+        if (ledger.isJobActive(ref)) {
           look(exchange, ref);
           return;
         }
@@ -226,7 +226,7 @@
             .when(StateKeys.over(submission.ref()), 0)
             .put(
                 StateKeys.job(submission.ref()),
-                ledger.record(submission, firstSubmissionTimes.at(submission.ref())));
+                ledger.acceptedJobRecord(submission, firstSubmissionTimes.at(submission.ref())));
     state.commit(
         txn,
         Priority.USER,
@@ -271,7 +271,7 @@
       over(exchange, status, ref, found.done());
       return;
     }
-    int[] counts = ledger.counts(found.job());
+    int[] counts = ledger.taskCounts(found.job());
     status(exchange, status, ref, counts[1] > 0 ? "running" : "queued", counts);
   }
 
@@ -300,7 +300,7 @@
 
   private void abort(Exchange exchange, Job job, long deadline) {
     String ref = job.spec().ref();
-    ObjectNode value = ledger.overRecord(job, "aborted");
+    ObjectNode value = ledger.endedJobRecord(job, "aborted");
     Txn txn =
         new Txn()
             .when(StateKeys.job(ref), replica.stamp(StateKeys.job(ref)))
--- a/src/main/java/dapplestair/workers/Fencing.java
+++ b/src/main/java/dapplestair/workers/Fencing.java
@@ -41,12 +41,12 @@
       // would start it again. It carries a lower token than this one.
       host.fence++;
     }
-    launches.forEach(Attempt::launchSent);
+    launches.forEach(Attempt::markLaunchSent);
   }
 
   /** The worker answered: the whole message was executed or refused. */
   static void answered(List<Attempt> launches) {
-    launches.forEach(Attempt::launchAnswered);
+    launches.forEach(Attempt::markLaunchAnswered);
   }
 
   /**
@@ -60,9 +60,9 @@
     launches.forEach(
         a -> {
           if (sent) {
-            a.launchUnknown(token);
+            a.markLaunchUnknown(token);
           } else {
-            a.launchNotSent();
+            a.markLaunchNotSent();
           }
         });
   }
--- a/src/main/java/dapplestair/workers/Host.java
+++ b/src/main/java/dapplestair/workers/Host.java
@@ -315,7 +315,7 @@
   /** True when it gets one task at a time, and has it. */
   public boolean probed(long now) {
     return onProbation(now)
-        && attempts().stream().anyMatch(a -> !a.exited() && a.plannedAt() > probation.since());
+        && attempts().stream().anyMatch(a -> !a.exited() && a.plannedAtMs() > probation.since());
   }
 
   /** Run time here over the run time expected, smoothed. */
--- a/src/main/java/dapplestair/workers/LeaseRenewal.java
+++ b/src/main/java/dapplestair/workers/LeaseRenewal.java
@@ -69,11 +69,11 @@
     for (Attempt attempt : host.attempts()) {
       if (attempt.job().over() && attempt.sent() && !attempt.exited()) {
         add(halts, attempt.key(), attempt.number());
-        launchOpen |= attempt.launchOpen();
+        launchOpen |= attempt.isLaunchOpen();
       }
     }
     for (Report.Task task : report.tasks()) {
-      boolean over = cancellations.knows(task.ref()) || !ledger.live(task.ref());
+      boolean over = cancellations.knows(task.ref()) || !ledger.isJobActive(task.ref());
       if (task.status() != Report.Status.EXITED && over) {
         add(halts, task.key(), task.attempt());
       }
@@ -102,7 +102,7 @@
       }
       if (cancellations.knows(task.ref())) {
         add(halts, task.key(), task.attempt());
-      } else if (!ledger.live(task.ref()) && !notOverWhenRead.test(task.ref())) {
+      } else if (!ledger.isJobActive(task.ref()) && !notOverWhenRead.test(task.ref())) {
         LOG.debug("no lease for {}: {} is on no record here", report.host(), task.ref());
         return null;
       }
--- a/src/main/java/dapplestair/workers/ReportApplier.java
+++ b/src/main/java/dapplestair/workers/ReportApplier.java
@@ -79,7 +79,7 @@
     if (reached || !host.recalled()) {
       host.recallAt = recallAt(report);
     }
-    List<Report.Task> strays = ledger.report(host, report);
+    List<Report.Task> strays = ledger.applyReport(host, report);
     host.strays = 0;
     if (host.acknowledged) {
       strays.forEach(t -> stray(host, t));
--- a/src/main/java/dapplestair/workers/WorkerManager.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -150,7 +150,7 @@
       return;
     }
     hostRegistry.markGone(host);
-    ledger.allAbsent(host);
+    ledger.markAllAbsent(host);
     hostRegistry.remove(host);
     listener.hostChanged(host);
   }
@@ -255,7 +255,9 @@
 
   private void repeatHalts(Host host, long now) {
     for (Attempt attempt : host.attempts()) {
-      if (attempt.halting() && !attempt.exited() && now - attempt.lastHaltAt() > reportMs / 2) {
+      if (attempt.halting()
+          && !attempt.exited()
+          && now - attempt.lastHaltSentAtMs() > reportMs / 2) {
         halt(attempt, attempt.job().over() ? 0 : attempt.windDownS());
       }
     }
@@ -270,7 +272,7 @@
 
   /** Sends a stop. */
   public void halt(Attempt attempt, double windDownS) {
-    attempt.haltSent(clock.now(), windDownS);
+    attempt.markHaltSent(clock.now(), windDownS);
     commandSender.queue(
         attempt.host(), new WorkerCommand.Halt(attempt.key(), attempt.number(), windDownS));
   }
--- a/src/test/java/dapplestair/ledger/AttemptRules.java
+++ b/src/test/java/dapplestair/ledger/AttemptRules.java
@@ -51,7 +51,7 @@
   /** An attempt that was launched and whose outcome is known. */
   public static Attempt launched(Job job, int step, String host) {
     Attempt a = new Attempt(job, step, 1, host, "a", 1, 0);
-    a.seenOnMachine();
+    a.markSeenOnMachine();
     return a;
   }
 
@@ -63,7 +63,7 @@
   /** An attempt that a leader of this term reads from the records. */
   public static Attempt adopted(long number, String host, long session, long term) {
     Attempt a = planned(number, host, session);
-    a.adoptedBy(term);
+    a.markAdopted(term);
     return a;
   }
 
@@ -87,11 +87,11 @@
 
   /** A report has it. */
   public static void seenOnMachine(Attempt a) {
-    a.seenOnMachine();
+    a.markSeenOnMachine();
   }
 
   /** What the product concludes from this report. */
   public static boolean provedAbsent(Attempt a, Report r) {
-    return AttemptReconciler.provedAbsent(a, r);
+    return AttemptReconciler.provesAbsence(a, r);
   }
 }
--- a/src/test/java/dapplestair/workers/CancellationCosts.java
+++ b/src/test/java/dapplestair/workers/CancellationCosts.java
@@ -377,10 +377,10 @@
   /** A live job's tasks, on machines one after another. */
   private void place(Member leader, String ref, int job, List<Host> hosts, List<ArrayNode> reported)
       throws Submission.InvalidSubmissionException {
-    leader.ledger.jobPut(ref, leader.ledger.record(AttemptRules.spec(ref), 0), 1);
+    leader.ledger.onJobPut(ref, leader.ledger.acceptedJobRecord(AttemptRules.spec(ref), 0), 1);
     for (int step = 0; step < TASKS_PER_CANCELLED; step++) {
       int m = machine(job, step);
-      hosts.get(m).hold(AttemptRules.launched(leader.ledger.job(ref), step, "n-" + m));
+      hosts.get(m).reserve(AttemptRules.launched(leader.ledger.job(ref), step, "n-" + m));
       running(reported.get(m), ref + "/" + step);
     }
   }
--- a/src/test/java/dapplestair/workers/FencingRules.java
+++ b/src/test/java/dapplestair/workers/FencingRules.java
@@ -20,7 +20,7 @@
   public static boolean due(long session, Attempt attempt, WorkerCommand launch) {
     Host host = host(0, session);
     if (attempt != null) {
-      host.hold(attempt);
+      host.reserve(attempt);
     }
     return Fencing.due(host, launch) != null;
   }
