--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -150,7 +150,7 @@
     }
     Map<String, Double> waiting = new TreeMap<>();
     for (Job job : ledger.jobs()) {
-      waiting.merge(job.spec().team(), job.waiting() * job.spec().cpus(), Double::sum);
+      waiting.merge(job.spec().team(), job.waitingTasks() * job.spec().cpus(), Double::sum);
     }
     // Who borrows does not say from whom: what is lent is parted by what each leaves unused.
     double lentShare = unused <= 0 ? 0 : Math.min(1, borrowed / unused);
--- a/src/main/java/dapplestair/admin/JobViews.java
+++ b/src/main/java/dapplestair/admin/JobViews.java
@@ -61,7 +61,7 @@
 
   private PagedListing.WritableRow row(String ref) {
     Job job = ledger.job(ref);
-    if (job == null || job.over()) {
+    if (job == null || job.isOver()) {
       return null;
     }
     int[] counts = ledger.taskCounts(job);
@@ -178,7 +178,7 @@
   /** One job with its attempts from step {@code from} on; only a leader knows them. */
   void show(String ref, int from, Consumer<AdminResponse> done) {
     Job job = ledger.job(ref);
-    if (job != null && !job.over()) {
+    if (job != null && !job.isOver()) {
       done.accept(AdminResponse.of(shown(job, from)));
       return;
     }
@@ -226,7 +226,7 @@
             .put("tasks", submission.steps())
             .put("done", counts[0])
             .put("running", counts[1])
-            .put("waiting_tasks", job.waiting());
+            .put("waiting_tasks", job.waitingTasks());
     object.set("job", submission.toJson());
     ArrayNode list = object.putArray("attempts");
     List<Attempt> attempts = ledger.attempts(job, from, MOST_TASKS + 1);
--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -41,7 +41,7 @@
 
   void why(String ref, Consumer<AdminResponse> done) {
     Job job = ledger.job(ref);
-    if (job == null || job.over()) {
+    if (job == null || job.isOver()) {
       jobs.over(ref, done, r -> AdminResponse.of(nothing(ref, r.path("status").asText())));
       return;
     }
@@ -51,7 +51,7 @@
           Job now = ledger.job(ref);
           if (e == null) {
             done.accept(AdminResponse.later("this controller leads no more"));
-          } else if (now == null || now.over()) {
+          } else if (now == null || now.isOver()) {
             done.accept(AdminResponse.later("the job has just ended"));
           } else {
             done.accept(AdminResponse.of(explained(now, e)));
--- a/src/main/java/dapplestair/blame/FailureRecords.java
+++ b/src/main/java/dapplestair/blame/FailureRecords.java
@@ -54,7 +54,7 @@
   JobFailures failed(Attempt attempt, Host host) {
     String ref = attempt.job().spec().ref();
     JobFailures jobFailures = jobs.computeIfAbsent(ref, r -> new JobFailures());
-    jobFailures.failed(host.id(), attempt.ranBeforeExitS());
+    jobFailures.failed(host.id(), attempt.runTimeBeforeExitS());
     MachineFailures machineFailures =
         machines.computeIfAbsent(host.id(), h -> new MachineFailures(clock.now()));
     machineFailures.failed(ref, attempt.step());
@@ -86,7 +86,7 @@
       return;
     }
     Job job = ledger.job(ref);
-    boolean witness = job != null && !job.suspected();
+    boolean witness = job != null && !job.isSuspected();
     for (String id : jobFailures.failedOn.keySet()) {
       MachineFailures machineFailures = machines.get(id);
       IntOpenHashSet steps = machineFailures == null ? null : machineFailures.failed.remove(ref);
@@ -125,7 +125,7 @@
   /** True when this job is wrong by the verdict of now, which explains its failures anywhere. */
   private boolean explains(String ref) {
     Job job = ledger.job(ref);
-    return job != null && job.suspected();
+    return job != null && job.isSuspected();
   }
 
   /** Tells of each job of which something failed on a machine that turned out to be faulty. */
@@ -137,7 +137,7 @@
             (ref, steps) -> {
               Job job = ledger.job(ref);
               JobFailures jobFailures = jobs.get(ref);
-              if (job != null && jobFailures != null && !job.suspected()) {
+              if (job != null && jobFailures != null && !job.isSuspected()) {
                 jobFailures.failedOn.removeInt(id);
                 each.accept(job, steps);
               }
@@ -198,7 +198,7 @@
       if (!entry.getKey().equals(except)
           && job != null
           && jobFailures != null
-          && !job.suspected()) {
+          && !job.isSuspected()) {
         sum += says(id, job, jobFailures, entry.getValue(), knownGood);
       }
     }
--- a/src/main/java/dapplestair/blame/FaultAttribution.java
+++ b/src/main/java/dapplestair/blame/FaultAttribution.java
@@ -81,14 +81,14 @@
   /** How a job stands that has failed, or null. */
   public JobFailureStatus standing(Job job) {
     JobFailures jobFailures = records.of(job.spec().ref());
-    if (jobFailures == null && !job.suspected()) {
+    if (jobFailures == null && !job.isSuspected()) {
       return null;
     }
     double next =
-        job.suspected() ? Math.max(0, job.startsDelayedUntilMs() - clock.now()) / 1000.0 : 0;
+        job.isSuspected() ? Math.max(0, job.startsDelayedUntilMs() - clock.now()) / 1000.0 : 0;
     return jobFailures == null
-        ? new JobFailureStatus(0, 0, job.suspected(), next)
-        : new JobFailureStatus(jobFailures.failures, jobFailures.machines, job.suspected(), next);
+        ? new JobFailureStatus(0, 0, job.isSuspected(), next)
+        : new JobFailureStatus(jobFailures.failures, jobFailures.machines, job.isSuspected(), next);
   }
 
   /**
@@ -103,7 +103,7 @@
 
   /** Jobs that are tried by one task at a time. */
   public int suspects() {
-    return (int) ledger.jobs().stream().filter(j -> j.suspected() && !j.over()).count();
+    return (int) ledger.jobs().stream().filter(j -> j.isSuspected() && !j.isOver()).count();
   }
 
   // ---- evidence ----
@@ -111,12 +111,12 @@
   /** A task failed by itself. */
   public void failed(Attempt attempt, Host host) {
     Job job = attempt.job();
-    if (job.over()) {
+    if (job.isOver()) {
       return;
     }
     JobFailures jobFailures = records.failed(attempt, host);
     ledger.recordStepFailure(attempt, reportMs, MOST_PAUSE * reportMs);
-    if (job.suspected()) {
+    if (job.isSuspected()) {
       // A probe, or what still ran when the verdict was given.
       pause(job, jobFailures);
       return;
@@ -138,7 +138,7 @@
   public void completed(Attempt attempt, Host host) {
     Job job = attempt.job();
     records.completed(attempt, host);
-    if (job.suspected()) {
+    if (job.isSuspected()) {
       works(job);
       return;
     }
@@ -164,7 +164,7 @@
     for (String ref : refs) {
       JobFailures jobFailures = records.of(ref);
       Job job = ledger.job(ref);
-      if (jobFailures != null && job != null && !job.over() && !job.suspected()) {
+      if (jobFailures != null && job != null && !job.isOver() && !job.isSuspected()) {
         if (jobFailures.failedOn.size() >= 2
             && FailureLogOdds.sure(records.jobOdds(job, jobFailures))) {
           suspect(job, jobFailures);
@@ -203,7 +203,7 @@
   }
 
   private void pause(Job job, JobFailures jobFailures) {
-    if (job.suspected() && job.heldAttempts() > 1) {
+    if (job.isSuspected() && job.heldAttempts() > 1) {
       // Others of the same wave, or of the same gang, still run: one pause for all of them.
       return;
     }
@@ -226,7 +226,7 @@
 
   private void tick() {
     for (Job job : List.copyOf(ledger.jobs())) {
-      if (job.suspected() && !job.over() && job.heldAttempts() > 0) {
+      if (job.isSuspected() && !job.isOver() && job.heldAttempts() > 0) {
         if (records.working(job, records.of(job.spec().ref()), null) > 0) {
           works(job);
         }
--- a/src/main/java/dapplestair/disruption/DisruptionGate.java
+++ b/src/main/java/dapplestair/disruption/DisruptionGate.java
@@ -74,7 +74,7 @@
   /** A machine is given up with all that is on it. */
   public void givenUp(Host host) {
     for (Attempt attempt : host.attempts()) {
-      if (!attempt.exited() && !attempt.halting() && !attempt.job().over()) {
+      if (!attempt.exited() && !attempt.halting() && !attempt.job().isOver()) {
         debit(attempt);
       }
     }
@@ -95,9 +95,9 @@
     lookedAt = clock.now();
     teams.clear();
     missing.clear();
-    refusals.keySet().removeIf(Job::over);
+    refusals.keySet().removeIf(Job::isOver);
     for (Job job : ledger.jobs()) {
-      if (!job.over()) {
+      if (!job.isOver()) {
         count(job);
       }
     }
--- a/src/main/java/dapplestair/drain/DrainExecutor.java
+++ b/src/main/java/dapplestair/drain/DrainExecutor.java
@@ -90,7 +90,7 @@
     for (Host h : order) {
       Drain drain = drained.get(h);
       for (Attempt attempt : List.copyOf(h.attempts())) {
-        if (!attempt.exited() && !attempt.halting() && attempt.sent()) {
+        if (!attempt.exited() && !attempt.halting() && attempt.isSent()) {
           empty(h, attempt, drain.overdue(nowWall));
         }
       }
@@ -103,7 +103,7 @@
   private void empty(Host host, Attempt attempt, boolean overdue) {
     Submission submission = attempt.spec();
     if (submission.service()) {
-      Host to = attempt.job().over() ? null : place(attempt.job(), host);
+      Host to = attempt.job().isOver() ? null : place(attempt.job(), host);
       if (to == null) {
         standing.putIfAbsent(host, NO_PLACE.formatted(attempt.key()));
         placeless.add(host);
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -276,7 +276,7 @@
     long cancelMs = settings.workers().cancelMs();
     long timeouts = cancelMs / (host.outOfReach() ? 2 : 4);
     for (Attempt attempt : host.attempts()) {
-      if (attempt.job().over() && attempt.halting() && !attempt.exited()) {
+      if (attempt.job().isOver() && attempt.halting() && !attempt.exited()) {
         long haltedMs = now - attempt.firstHaltAtMs();
         // The time allowed does not begin anew with each leader: of what an earlier one could not
         // stop either, this one only waits for an answer.
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -157,7 +157,7 @@
               Job job = ledger.job(o.claim().ref());
               Host host = workers.known(o.claim().host());
               if (job == null
-                  || job.over()
+                  || job.isOver()
                   || host == null
                   || host.closed() && host.acknowledged()) {
                 return true;
@@ -165,7 +165,7 @@
               if (o.recorded() && taken(o.claim(), job, host)) {
                 return true;
               }
-              int left = needed.computeIfAbsent(o.claim().ref(), r -> job.waiting());
+              int left = needed.computeIfAbsent(o.claim().ref(), r -> job.waitingTasks());
               needed.put(o.claim().ref(), left - o.claim().tasks());
               boolean tooLong =
                   clock.now() - o.since()
@@ -279,7 +279,7 @@
     int most = settings.state().valueBytes() / BYTES_PER_CLAIM;
     for (Job job : riders) {
       Lane lane = lane(job.spec());
-      if (lane == null || job.suspected()) {
+      if (lane == null || job.isSuspected()) {
         continue;
       }
       List<OpenClaim> list = open.computeIfAbsent(lane.name(), n -> new ArrayList<>());
@@ -289,7 +289,8 @@
               .mapToInt(o -> o.claim().tasks())
               .sum();
       int wanted =
-          Math.min(job.waiting() - claimedFor, ledger.maxAdditionalTeamTasks(job.spec(), false));
+          Math.min(
+              job.waitingTasks() - claimedFor, ledger.maxAdditionalTeamTasks(job.spec(), false));
       if (wanted <= 0 || list.size() >= most) {
         continue;
       }
--- a/src/main/java/dapplestair/ledger/Attempt.java
+++ b/src/main/java/dapplestair/ledger/Attempt.java
@@ -36,13 +36,13 @@
 
   Report.Status status;
   long statusSinceMs;
-  double ranBeforeExitS;
+  double runTimeBeforeExitS;
   boolean exited;
   boolean done;
   boolean halting;
 
   /** It was seen to run. */
-  boolean began;
+  boolean seenRunning;
 
   /** Read from the records of an earlier leader. */
   boolean adopted;
@@ -52,7 +52,7 @@
   private double windDownS;
   private final double savedS;
 
-  Attempt(Job job, int step, long number, String host, String zone, long session, long now) {
+  Attempt(Job job, int step, long number, String host, String zone, long session, long nowMs) {
     this.savedS = job.savedS(step);
     this.job = job;
     this.step = step;
@@ -60,7 +60,7 @@
     this.host = host;
     this.zone = zone;
     this.session = session;
-    this.plannedAtMs = now;
+    this.plannedAtMs = nowMs;
   }
 
   /** The task's name on the wire. */
@@ -99,19 +99,19 @@
   }
 
   /** Seconds for which it has run, as far as seen here. */
-  public double runTimeS(long now) {
-    return status == Report.Status.RUNNING ? (now - statusSinceMs) / 1000.0 : 0;
+  public double runTimeS(long nowMs) {
+    return status == Report.Status.RUNNING ? (nowMs - statusSinceMs) / 1000.0 : 0;
   }
 
   /** Seconds for which it ran before it exited, as far as seen here. */
-  public double ranBeforeExitS() {
-    return ranBeforeExitS;
+  public double runTimeBeforeExitS() {
+    return runTimeBeforeExitS;
   }
 
   /** Of {@code runTimeS} seconds run, those that its own checkpoints keep. */
-  public double checkpointedS(double ranS) {
-    double every = spec().saveEveryS();
-    return every > 0 ? Math.floor(ranS / every) * every : 0;
+  public double checkpointedS(double runTimeS) {
+    double saveIntervalS = spec().saveEveryS();
+    return saveIntervalS > 0 ? Math.floor(runTimeS / saveIntervalS) * saveIntervalS : 0;
   }
 
   /** Number of this try. */
@@ -145,7 +145,7 @@
   }
 
   /** True once its launch may be under way. */
-  public boolean sent() {
+  public boolean isSent() {
     return phase == Phase.SENT;
   }
 
@@ -167,7 +167,7 @@
 
   /** True while nothing tells whether its launch was executed. */
   public boolean isLaunchOpen() {
-    return sent() && neededToken == LAUNCH_OPEN;
+    return isSent() && neededToken == LAUNCH_OPEN;
   }
 
   /** The worker answered: it has executed the launch, or refused the whole message. */
@@ -205,8 +205,8 @@
   }
 
   /** A stop was sent. */
-  public void markHaltSent(long now, double newWindDownS) {
-    lastHaltSentAtMs = now;
+  public void markHaltSent(long nowMs, double newWindDownS) {
+    lastHaltSentAtMs = nowMs;
     windDownS = newWindDownS;
   }
 
--- a/src/main/java/dapplestair/ledger/AttemptReconciler.java
+++ b/src/main/java/dapplestair/ledger/AttemptReconciler.java
@@ -37,21 +37,21 @@
 
   /** Applies a machine's newest report. Returns tasks in it that no attempt accounts for. */
   List<Report.Task> applyReport(Machine host, Report report) {
-    List<Report.Task> strays = new ArrayList<>();
-    Set<Attempt> seen = new LinkedHashSet<>();
+    List<Report.Task> unknownTasks = new ArrayList<>();
+    Set<Attempt> reportedAttempts = new LinkedHashSet<>();
     for (Report.Task task : report.tasks()) {
       Attempt attempt = host.attempt(task.key());
       if (attempt == null
           || attempt.number != task.attempt()
           || attempt.session != report.session()) {
-        strays.add(task);
+        unknownTasks.add(task);
       } else {
-        seen.add(attempt);
+        reportedAttempts.add(attempt);
         applyTaskReport(host, attempt, task);
       }
     }
     for (Attempt attempt : List.copyOf(host.attempts())) {
-      if (!seen.contains(attempt) && provesAbsence(attempt, report)) {
+      if (!reportedAttempts.contains(attempt) && provesAbsence(attempt, report)) {
         if (attempt.done) {
           continue;
         }
@@ -68,7 +68,7 @@
         attempts.markAbsent(attempt);
       }
     }
-    return context.isReady() ? strays : List.of();
+    return context.isReady() ? unknownTasks : List.of();
   }
 
   /** True when this report, newer than any before, proves that the attempt is not there. */
@@ -78,7 +78,7 @@
       return true;
     }
     // Otherwise the report must come after the last moment at which a launch could be executed.
-    return attempt.sent()
+    return attempt.isSent()
         && report.session() == attempt.session
         && report.token() >= attempt.neededToken;
   }
@@ -91,12 +91,12 @@
     if (attempt.status != task.status()) {
       long now = context.clock.now();
       if (attempt.status == Report.Status.RUNNING) {
-        attempt.ranBeforeExitS = attempt.runTimeS(now);
+        attempt.runTimeBeforeExitS = attempt.runTimeS(now);
       }
       attempt.status = task.status();
       attempt.statusSinceMs = now;
       if (task.status() == Report.Status.RUNNING) {
-        if (!attempt.job.begun && !attempt.adopted) {
+        if (!attempt.job.hasBegun && !attempt.adopted) {
           attempt.job.startDelayMs = context.clock.wall() - attempt.job.firstRequestWallMs();
           LOG.debug(
               "{} of {} tasks begins {} ms after it was asked for, {} ms after it was accepted",
@@ -105,7 +105,7 @@
               attempt.job.startDelayMs,
               context.clock.wall() - attempt.job.acceptedWallMs());
         }
-        if (!attempt.began && !attempt.adopted) {
+        if (!attempt.seenRunning && !attempt.adopted) {
           LOG.debug(
               "{} try {} starts on {} {} ms after its job was asked for",
               attempt.key(),
@@ -113,11 +113,11 @@
               host.id(),
               context.clock.wall() - attempt.job.firstRequestWallMs());
         }
-        attempt.job.begun = true;
-        attempt.began = true;
+        attempt.job.hasBegun = true;
+        attempt.seenRunning = true;
         attempt.job.chunkOf(attempt.step).markResumed(attempt.step);
         context.callbacks.onTaskStarted(attempt);
-        host.imageSeen(attempt.spec(), now);
+        host.markImageInUse(attempt.spec(), now);
       } else if (task.status() == Report.Status.EXITED) {
         onExited(host, attempt, task);
       }
@@ -139,7 +139,8 @@
     }
     if (task.stored()) {
       attempt.job.addSavedTime(
-          attempt.step, attempt.ranBeforeExitS - attempt.checkpointedS(attempt.ranBeforeExitS));
+          attempt.step,
+          attempt.runTimeBeforeExitS - attempt.checkpointedS(attempt.runTimeBeforeExitS));
     }
     // Before its room is given back: nothing is to be placed there first.
     refusedStarts.onExited(host, cause);
@@ -152,8 +153,8 @@
     attempt.done = true;
     attempts.releaseResources(attempt);
     chunk.completedSteps.set(attempt.step - chunk.firstStep);
-    context.callbacks.onTaskCompleted(attempt, host, attempt.ranBeforeExitS);
-    if (attempt.job.over) {
+    context.callbacks.onTaskCompleted(attempt, host, attempt.runTimeBeforeExitS);
+    if (attempt.job.ended) {
       attempts.discard(attempt);
     } else if (!jobFinalizer.finishIfDone(attempt.job)) {
       // Recorded before it is cleared: until then the report is the only proof.
@@ -166,21 +167,21 @@
    * A step that fails again waits for longer each time, whatever becomes of the job's other steps;
    * if many do, the job waits as a whole.
    */
-  void recordStepFailure(Attempt attempt, long firstMs, long mostMs) {
+  void recordStepFailure(Attempt attempt, long firstDelayMs, long maxDelayMs) {
     Job job = attempt.job;
-    int before = job.stepFailures.addTo(attempt.step, 1);
-    if (before == 0 || job.spec().gang()) {
+    int earlierFailures = job.stepFailures.addTo(attempt.step, 1);
+    if (earlierFailures == 0 || job.spec().gang()) {
       // A gang starts as a whole, so it waits as a whole.
       return;
     }
     // A replica is missed each second, and a service that is wrong waits as a whole.
-    long most = job.spec().service() ? Math.min(mostMs, 4 * firstMs) : mostMs;
-    long ms = Math.min(most, firstMs << Math.min(10, before - 1));
+    long cappedDelayMs = job.spec().service() ? Math.min(maxDelayMs, 4 * firstDelayMs) : maxDelayMs;
+    long delayMs = Math.min(cappedDelayMs, firstDelayMs << Math.min(10, earlierFailures - 1));
     if (job.delayedSteps.size() >= MAX_DELAYED_STEPS) {
-      delayStarts(job, ms);
+      delayStarts(job, delayMs);
     } else if (job.delayedSteps.add(attempt.step)) {
       context.timers.after(
-          ms,
+          delayMs,
           () -> {
             job.delayedSteps.remove(attempt.step);
             context.callbacks.onChanged();
@@ -196,8 +197,8 @@
   }
 
   /** Keeps a job from starting tasks for a while. */
-  void delayStarts(Job job, long ms) {
-    job.startsDelayedUntilMs = Math.max(job.startsDelayedUntilMs, context.clock.now() + ms);
-    context.timers.after(ms + 1, context.callbacks::onChanged);
+  void delayStarts(Job job, long delayMs) {
+    job.startsDelayedUntilMs = Math.max(job.startsDelayedUntilMs, context.clock.now() + delayMs);
+    context.timers.after(delayMs + 1, context.callbacks::onChanged);
   }
 }
--- a/src/main/java/dapplestair/ledger/Attempts.java
+++ b/src/main/java/dapplestair/ledger/Attempts.java
@@ -15,9 +15,9 @@
   private final ChunkWriter writer;
   private Consumer<Job> attemptRemovedListener = j -> {};
 
-  Attempts(LedgerContext context, TeamUsage use, ChunkWriter writer) {
+  Attempts(LedgerContext context, TeamUsage teamUsage, ChunkWriter writer) {
     this.context = context;
-    this.teamUsage = use;
+    this.teamUsage = teamUsage;
     this.writer = writer;
   }
 
@@ -36,7 +36,7 @@
 
   /** Asks for a stop; repeated by the workers' duty until it is proved. */
   void halt(Attempt attempt, double windDownS, StopReason why) {
-    if (!attempt.sent()) {
+    if (!attempt.isSent()) {
       remove(attempt);
       return;
     }
@@ -57,10 +57,10 @@
    */
   private void stopRestOfGang(Attempt missing) {
     Job job = missing.job;
-    if (!job.spec().gang() || job.over() || missing.done || job.gangStopping) {
+    if (!job.spec().gang() || job.isOver() || missing.done || job.stoppingGang) {
       return;
     }
-    job.gangStopping = true;
+    job.stoppingGang = true;
     double windDownS = job.spec().saves() ? 2 * job.spec().saveS() : 0;
     for (Chunk chunk : List.copyOf(job.chunks.values())) {
       for (Attempt attempt : List.copyOf(chunk.attemptsByStep.values())) {
@@ -69,20 +69,20 @@
         }
       }
     }
-    job.gangStopping = false;
+    job.stoppingGang = false;
   }
 
   /** A start that is soon stopped by command is none (PROTOCOL, "How aims are counted"). */
   private void retractStart(Attempt attempt, StopReason why) {
     Job job = attempt.job;
-    if (!job.over
+    if (!job.ended
         && why != StopReason.NOTICE
         && attempt.runTimeS(context.clock.now()) < MIN_RUN_FOR_START_S
         && job.doneCount() == 0
         && job.chunks.values().stream()
             .flatMap(c -> c.attemptsByStep.values().stream())
-            .noneMatch(o -> o != attempt && o.began && !o.halting)) {
-      job.begun = false;
+            .noneMatch(o -> o != attempt && o.seenRunning && !o.halting)) {
+      job.hasBegun = false;
     }
   }
 
@@ -93,19 +93,20 @@
     }
     attempt.exited = true;
     Job job = attempt.job;
-    if (attempt.spec().service() && ranS(attempt) > context.settings.workers().reportMs() / 500.0) {
+    if (attempt.spec().service()
+        && runTimeS(attempt) > context.settings.workers().reportMs() / 500.0) {
       job.interruptedReplicas++;
     }
     if (!attempt.done) {
-      job.addSavedTime(attempt.step, attempt.checkpointedS(ranS(attempt)));
+      job.addSavedTime(attempt.step, attempt.checkpointedS(runTimeS(attempt)));
     }
     job.attemptsPerZone.addTo(attempt.zone, -1);
     teamUsage.subtract(attempt.spec());
     context.callbacks.host(attempt.host).release(attempt, context.clock.now());
   }
 
-  private double ranS(Attempt attempt) {
-    return Math.max(attempt.ranBeforeExitS, attempt.runTimeS(context.clock.now()));
+  private double runTimeS(Attempt attempt) {
+    return Math.max(attempt.runTimeBeforeExitS, attempt.runTimeS(context.clock.now()));
   }
 
   /** Nothing of it is left on its machine. */
@@ -114,13 +115,13 @@
     Chunk chunk = attempt.job.chunkOf(attempt.step);
     if (chunk.attemptsByStep.get(attempt.step) == attempt) {
       chunk.attemptsByStep.remove(attempt.step);
-      if (!attempt.done && (attempt.began || attempt.adopted)) {
-        chunk.interrupted(attempt.step);
+      if (!attempt.done && (attempt.seenRunning || attempt.adopted)) {
+        chunk.markInterrupted(attempt.step);
       }
       attempt.job.heldAttempts--;
     }
     context.callbacks.host(attempt.host).forget(attempt);
-    if (attempt.job.over) {
+    if (attempt.job.ended) {
       attemptRemovedListener.accept(attempt.job);
     } else {
       writer.markDirty(attempt.job, chunk, false);
@@ -139,7 +140,7 @@
 
   /** Its absence is proved, though nobody saw it end. */
   void markAbsent(Attempt attempt) {
-    if (attempt.sent() && !attempt.exited && !attempt.halting && !attempt.job.over) {
+    if (attempt.isSent() && !attempt.exited && !attempt.halting && !attempt.job.ended) {
       context.callbacks.onAttemptLost(attempt);
     }
     remove(attempt);
--- a/src/main/java/dapplestair/ledger/Chunk.java
+++ b/src/main/java/dapplestair/ledger/Chunk.java
@@ -38,7 +38,7 @@
   /** Something besides launches is not on record yet. */
   boolean hasUnrecordedEnds;
 
-  boolean urgent;
+  boolean hasUrgentLaunches;
   boolean launchQueued;
   boolean inFlight;
 
@@ -49,21 +49,21 @@
   }
 
   // Steps whose last attempt ended before it was done, until they run again; seldom any.
-  private IntOpenHashSet interrupted;
+  private IntOpenHashSet interruptedSteps;
 
   /** Most steps that may have been interrupted before this leader came. */
   private int maxUnknownInterrupted;
 
-  void interrupted(int step) {
-    if (interrupted == null) {
-      interrupted = new IntOpenHashSet();
+  void markInterrupted(int step) {
+    if (interruptedSteps == null) {
+      interruptedSteps = new IntOpenHashSet();
     }
-    interrupted.add(step);
+    interruptedSteps.add(step);
   }
 
   void markResumed(int step) {
-    if (interrupted != null) {
-      interrupted.remove(step);
+    if (interruptedSteps != null) {
+      interruptedSteps.remove(step);
     }
   }
 
@@ -73,19 +73,19 @@
    * any. A gang's members share theirs.
    */
   void computeMaxUnknownInterrupted(boolean gang) {
-    int settled = attemptsByStep.size() + completedSteps.cardinality();
-    long others = gang ? (lastNumber > 0 ? size : 0) : Math.max(0, lastNumber - settled);
-    maxUnknownInterrupted = (int) Math.min(others, size - settled);
+    int doneOrHeld = attemptsByStep.size() + completedSteps.cardinality();
+    long otherNumbers = gang ? (lastNumber > 0 ? size : 0) : Math.max(0, lastNumber - doneOrHeld);
+    maxUnknownInterrupted = (int) Math.min(otherNumbers, size - doneOrHeld);
   }
 
   /**
-   * Steps that wait, or start again, after having been interrupted; never too few. {@code notHeld}
-   * attempts that are on record only start, or are over.
+   * Steps that wait, or start again, after having been interrupted; never too few. {@code
+   * startingOrDone} attempts that are on record only start, or are over.
    */
-  int maxInterruptedWaiting(int notHeld) {
-    int known = interrupted == null ? 0 : interrupted.size();
-    int candidates = size - completedSteps.cardinality() - attemptsByStep.size() + notHeld;
-    return Math.max(0, Math.min(candidates, known + maxUnknownInterrupted));
+  int maxInterruptedWaiting(int startingOrDone) {
+    int knownInterrupted = interruptedSteps == null ? 0 : interruptedSteps.size();
+    int candidates = size - completedSteps.cardinality() - attemptsByStep.size() + startingOrDone;
+    return Math.max(0, Math.min(candidates, knownInterrupted + maxUnknownInterrupted));
   }
 
   boolean isFree(int step) {
@@ -139,12 +139,12 @@
         zones.add(attempt.zone);
       }
       // A machine's later session is another machine as far as attempts are concerned.
-      String place = attempt.host + " " + attempt.session;
-      ArrayNode of = (ArrayNode) byHost.get(place);
-      if (of == null) {
-        of = byHost.putArray(place).add(zones.indexOf(attempt.zone));
+      String hostAndSession = attempt.host + " " + attempt.session;
+      ArrayNode hostAttempts = (ArrayNode) byHost.get(hostAndSession);
+      if (hostAttempts == null) {
+        hostAttempts = byHost.putArray(hostAndSession).add(zones.indexOf(attempt.zone));
       }
-      of.add(attempt.step).add(attempt.number);
+      hostAttempts.add(attempt.step).add(attempt.number);
     }
     ArrayNode array = object.putArray("z");
     zones.forEach(array::add);
@@ -152,19 +152,19 @@
   }
 
   /** Reads a record, giving each attempt in it to {@code forEachAttempt}. */
-  void read(JsonNode value, long newStamp, RecordedAttempts attempts) {
+  void read(JsonNode value, long newStamp, RecordedAttempts consumer) {
     stamp = newStamp;
     lastNumber = Json.number(value, "t", 0);
     recordedNumber = lastNumber;
-    JsonNode node = value.path("d");
-    for (int i = 0; i + 1 < node.size(); i += 2) {
-      completedSteps.set(node.get(i).asInt(), node.get(i + 1).asInt());
+    JsonNode completedRanges = value.path("d");
+    for (int i = 0; i + 1 < completedRanges.size(); i += 2) {
+      completedSteps.set(completedRanges.get(i).asInt(), completedRanges.get(i + 1).asInt());
     }
-    forEachAttempt(value, attempts);
+    forEachAttempt(value, consumer);
   }
 
   /** The attempts of a record. */
-  static void forEachAttempt(JsonNode value, RecordedAttempts attempts) {
+  static void forEachAttempt(JsonNode value, RecordedAttempts consumer) {
     JsonNode zones = value.path("z");
     value
         .path("h")
@@ -174,20 +174,25 @@
               int space = e.getKey().lastIndexOf(' ');
               String host = e.getKey().substring(0, space);
               long session = Long.parseLong(e.getKey().substring(space + 1));
-              JsonNode of = e.getValue();
-              String zone = zones.path(of.path(0).asInt()).asText();
-              for (int i = 1; i + 1 < of.size(); i += 2) {
-                attempts.attempt(of.get(i).asInt(), of.get(i + 1).asLong(), host, zone, session);
+              JsonNode hostAttempts = e.getValue();
+              String zone = zones.path(hostAttempts.path(0).asInt()).asText();
+              for (int i = 1; i + 1 < hostAttempts.size(); i += 2) {
+                consumer.attempt(
+                    hostAttempts.get(i).asInt(),
+                    hostAttempts.get(i + 1).asLong(),
+                    host,
+                    zone,
+                    session);
               }
             });
     // The form of version 0.1.0, one entry an attempt.
-    for (JsonNode e : value.path("l")) {
-      attempts.attempt(
-          e.path(0).asInt(),
-          e.path(1).asLong(),
-          e.path(2).asText(),
-          e.path(3).asText(),
-          e.path(4).asLong());
+    for (JsonNode entry : value.path("l")) {
+      consumer.attempt(
+          entry.path(0).asInt(),
+          entry.path(1).asLong(),
+          entry.path(2).asText(),
+          entry.path(3).asText(),
+          entry.path(4).asLong());
     }
   }
 
@@ -203,10 +208,10 @@
 
   /** Completed steps of a record, without building it. */
   static int countDone(JsonNode value) {
-    JsonNode node = value.path("d");
+    JsonNode completedRanges = value.path("d");
     int count = 0;
-    for (int i = 0; i + 1 < node.size(); i += 2) {
-      count += node.get(i + 1).asInt() - node.get(i).asInt();
+    for (int i = 0; i + 1 < completedRanges.size(); i += 2) {
+      count += completedRanges.get(i + 1).asInt() - completedRanges.get(i).asInt();
     }
     return count;
   }
@@ -214,8 +219,8 @@
   /** Attempts in a record, without building it. */
   static int countLive(JsonNode value) {
     int count = value.path("l").size();
-    for (JsonNode of : value.path("h")) {
-      count += (of.size() - 1) / 2;
+    for (JsonNode hostAttempts : value.path("h")) {
+      count += (hostAttempts.size() - 1) / 2;
     }
     return count;
   }
--- a/src/main/java/dapplestair/ledger/ChunkWriter.java
+++ b/src/main/java/dapplestair/ledger/ChunkWriter.java
@@ -29,7 +29,7 @@
 
   /** What one put of a chunk carries. */
   private static final class Flush {
-    boolean built;
+    boolean txnBuilt;
     long lastNumber;
     final List<Attempt> planned = new ArrayList<>();
     final List<Attempt> completed = new ArrayList<>();
@@ -65,7 +65,7 @@
       return;
     }
     chunk.dirty = true;
-    chunk.urgent |= urgent;
+    chunk.hasUrgentLaunches |= urgent;
     chunk.hasUnrecordedEnds |= !urgent;
     if (chunk.inFlight) {
       return;
@@ -73,9 +73,10 @@
     // Both may be queued for one chunk: launches must not wait behind a put that nobody waits for.
     if (urgent && !chunk.launchQueued) {
       chunk.launchQueued = true;
-      boolean shared = job.spec().service() || isSingleTask(job);
+      boolean inLaunchBatch = job.spec().service() || isSingleTask(job);
       context.timers.after(
-          0, shared ? () -> launchBatches.add(job, chunk) : () -> writeSeparately(job, chunk));
+          0,
+          inLaunchBatch ? () -> launchBatches.add(job, chunk) : () -> writeSeparately(job, chunk));
     } else if (!urgent && chunksGatheringEnds.add(chunk)) {
       context.timers.after(gatherDelayMs(), () -> enqueue(job, chunk, Priority.BOOKKEEPING));
     }
@@ -94,22 +95,26 @@
   @Override
   public boolean hasPendingLaunches(Job job, Chunk chunk) {
     chunk.launchQueued = false;
-    return context.isTermActive() && !chunk.inFlight && chunk.dirty && chunk.urgent && !job.over();
+    return context.isTermActive()
+        && !chunk.inFlight
+        && chunk.dirty
+        && chunk.hasUrgentLaunches
+        && !job.isOver();
   }
 
   @Override
-  public void onBatchPut(Job job, Chunk chunk, boolean made) {
+  public void onBatchPut(Job job, Chunk chunk, boolean applied) {
     // Its own record takes over when nobody waits for the put. Before that it must, if the launch
     // batch may have been made without our knowing: entries of a lost one then count no more.
-    chunk.urgent =
-        !made
+    chunk.hasUrgentLaunches =
+        !applied
             || chunk.attemptsByStep.values().stream()
                 .anyMatch(a -> a.phase == Attempt.Phase.PLANNED);
-    if (made && isSingleTask(job) && !chunk.urgent && !chunk.hasUnrecordedEnds) {
+    if (applied && isSingleTask(job) && !chunk.hasUrgentLaunches && !chunk.hasUnrecordedEnds) {
       // A swarm's jobs are mostly done before a record of their own would be written.
       chunk.dirty = false;
     }
-    if (job.over) {
+    if (job.ended) {
       listener.onJobOver(job);
     } else {
       requeueIfDirty(job, chunk);
@@ -127,8 +132,8 @@
   }
 
   private void requeueIfDirty(Job job, Chunk chunk) {
-    if (chunk.dirty && !job.over()) {
-      markDirty(job, chunk, chunk.urgent);
+    if (chunk.dirty && !job.isOver()) {
+      markDirty(job, chunk, chunk.hasUrgentLaunches);
     }
   }
 
@@ -137,9 +142,9 @@
    * for them stay within their share. A completion need only be recorded before it is cleared.
    */
   private long gatherDelayMs() {
-    long least = context.settings.workers().reportMs() / 8;
-    long paced = Math.round(1000 * chunksGatheringEnds.size() / bookkeepingPerS);
-    return Math.max(least, Math.min(paced, context.settings.workers().leaseMs() / 2));
+    long minDelayMs = context.settings.workers().reportMs() / 8;
+    long pacedDelayMs = Math.round(1000 * chunksGatheringEnds.size() / bookkeepingPerS);
+    return Math.max(minDelayMs, Math.min(pacedDelayMs, context.settings.workers().leaseMs() / 2));
   }
 
   private void enqueue(Job job, Chunk chunk, Priority priority) {
@@ -154,7 +159,7 @@
           if (!context.isCurrentTerm(term)) {
             return;
           }
-          if (!flush.built) {
+          if (!flush.txnBuilt) {
             markUnqueued(chunk, priority);
             context.timers.after(context.retryMs, () -> requeueIfDirty(job, chunk));
             return;
@@ -178,15 +183,15 @@
     if (!context.isTermActive()
         || chunk.inFlight
         || !chunk.dirty
-        || job.over()
+        || job.isOver()
         || !context.leadership.leading()) {
       return null;
     }
-    flush.built = true;
+    flush.txnBuilt = true;
     flush.lastNumber = chunk.lastNumber;
     chunk.inFlight = true;
     chunk.dirty = false;
-    chunk.urgent = false;
+    chunk.hasUrgentLaunches = false;
     chunk.hasUnrecordedEnds = false;
     for (Attempt attempt : chunk.attemptsByStep.values()) {
       if (attempt.phase == Attempt.Phase.PLANNED) {
@@ -212,7 +217,7 @@
       chunk.stamp = applied.stamp();
       chunk.recordedNumber = flush.lastNumber;
       launchBatches.releaseClaims(chunk);
-      if (job.over) {
+      if (job.ended) {
         listener.onJobOver(job);
         return;
       }
@@ -225,16 +230,16 @@
     }
     chunk.dirty = true;
     chunk.hasUnrecordedEnds = true;
-    chunk.urgent |= !flush.planned.isEmpty();
+    chunk.hasUrgentLaunches |= !flush.planned.isEmpty();
     if (outcome instanceof TxnOutcome.Conflict conflict) {
       if (context.leadership.deposedBy(outcome)) {
         return;
       }
       if (conflict.failed().contains(StateKeys.job(job.spec().ref()))) {
         // Cancelled: the replica will say so; what was not sent never will be.
-        for (Attempt a : flush.planned) {
-          if (chunk.attemptsByStep.get(a.step) == a && !a.sent()) {
-            listener.onUnsentCancelled(a);
+        for (Attempt attempt : flush.planned) {
+          if (chunk.attemptsByStep.get(attempt.step) == attempt && !attempt.isSent()) {
+            listener.onUnsentCancelled(attempt);
           }
         }
         return;
@@ -289,7 +294,7 @@
           if (read.known()) {
             chunk.stamp = read.stamp();
           }
-          if (job.over) {
+          if (job.ended) {
             listener.onJobOver(job);
           } else {
             context.timers.after(
--- a/src/main/java/dapplestair/ledger/Job.java
+++ b/src/main/java/dapplestair/ledger/Job.java
@@ -20,10 +20,10 @@
   /** Stamp of the job's key, 0 once it is over. */
   long stamp;
 
-  boolean over;
+  boolean ended;
 
   /** One of its tasks was seen to run. */
-  boolean begun;
+  boolean hasBegun;
 
   /** How long after its user first asked; 0 when an earlier leader saw it. */
   long startDelayMs;
@@ -39,9 +39,9 @@
   final IntOpenHashSet gangSteps = new IntOpenHashSet();
 
   /** Its members are being stopped, since one of them is missing. */
-  boolean gangStopping;
+  boolean stoppingGang;
 
-  private int firstOpen;
+  private int firstIncompleteChunk;
 
   // Progress that checkpoints keep, as far as this leader has seen it: for estimates only.
   private final Int2DoubleOpenHashMap savedSecondsByStep = new Int2DoubleOpenHashMap();
@@ -61,14 +61,14 @@
   final Int2IntOpenHashMap stepFailures = new Int2IntOpenHashMap();
   final IntOpenHashSet delayedSteps = new IntOpenHashSet();
 
-  Job(Submission spec, long acceptedWall, int chunkSize, long stamp) {
-    this(spec, acceptedWall, acceptedWall, chunkSize, stamp);
+  Job(Submission spec, long acceptedWallMs, int chunkSize, long stamp) {
+    this(spec, acceptedWallMs, acceptedWallMs, chunkSize, stamp);
   }
 
-  Job(Submission spec, long acceptedWall, long askedWall, int chunkSize, long stamp) {
+  Job(Submission spec, long acceptedWallMs, long firstRequestWallMs, int chunkSize, long stamp) {
     this.spec = spec;
-    this.acceptedWallMs = acceptedWall;
-    this.firstRequestWallMs = askedWall;
+    this.acceptedWallMs = acceptedWallMs;
+    this.firstRequestWallMs = firstRequestWallMs;
     this.chunkSize = chunkSize;
     this.stamp = stamp;
   }
@@ -97,8 +97,8 @@
   }
 
   /** True when it was cancelled or all is done. */
-  public boolean over() {
-    return over || finishing;
+  public boolean isOver() {
+    return ended || finishing;
   }
 
   /** Since when it is over, steady time. */
@@ -123,12 +123,12 @@
   }
 
   /** True when it fails wherever it runs, and is tried by one task at a time. */
-  public boolean suspected() {
+  public boolean isSuspected() {
     return suspected;
   }
 
   /** Steps that failed again and again, and wait for a while. */
-  public int delayedSteps() {
+  public int delayedStepCount() {
     return delayedSteps.size();
   }
 
@@ -142,15 +142,15 @@
    * gang that is all of it), and for none while one runs or its pause lasts: nothing is to be
    * rented or emptied for the others.
    */
-  public int wantedTasks(long now) {
+  public int wantedTasks(long nowMs) {
     if (excludedFromPlanning) {
       return 0;
     }
     if (suspected) {
-      boolean due = !over() && heldAttempts == 0 && startsDelayedUntilMs <= now;
-      return !due ? 0 : spec.gang() ? waiting() : 1;
+      boolean probeDue = !isOver() && heldAttempts == 0 && startsDelayedUntilMs <= nowMs;
+      return !probeDue ? 0 : spec.gang() ? waitingTasks() : 1;
     }
-    return Math.max(0, waiting() - delayedSteps.size());
+    return Math.max(0, waitingTasks() - delayedSteps.size());
   }
 
   /** Run time that checkpoints of earlier attempts at a step keep. */
@@ -207,26 +207,26 @@
   }
 
   /** Number of steps neither done nor held. */
-  public int waiting() {
-    return over() ? 0 : spec.steps() - doneCount() - heldAttempts;
+  public int waitingTasks() {
+    return isOver() ? 0 : spec.steps() - doneCount() - heldAttempts;
   }
 
-  /** First step at or after {@code from} that may be started, or -1. */
-  public int nextFree(int from) {
+  /** First step at or after {@code fromStep} that may be started, or -1. */
+  public int nextStartableStep(int fromStep) {
     int chunkCount = (spec.steps() + chunkSize - 1) / chunkSize;
-    int start = Math.max(from / chunkSize, firstOpen);
-    for (int i = start; i < chunkCount; i++) {
+    int startChunk = Math.max(fromStep / chunkSize, firstIncompleteChunk);
+    for (int i = startChunk; i < chunkCount; i++) {
       Chunk chunk = chunks.get(i);
       if (chunk == null) {
-        return Math.max(from, i * chunkSize);
+        return Math.max(fromStep, i * chunkSize);
       }
       if (chunk.completedSteps.cardinality() == chunk.size) {
-        if (i == firstOpen) {
-          firstOpen++;
+        if (i == firstIncompleteChunk) {
+          firstIncompleteChunk++;
         }
         continue;
       }
-      int step = chunk.nextFree(Math.max(from, chunk.firstStep));
+      int step = chunk.nextFree(Math.max(fromStep, chunk.firstStep));
       while (step >= 0 && delayedSteps.contains(step)) {
         step = step + 1 < chunk.firstStep + chunk.size ? chunk.nextFree(step + 1) : -1;
       }
--- a/src/main/java/dapplestair/ledger/JobFinalizer.java
+++ b/src/main/java/dapplestair/ledger/JobFinalizer.java
@@ -44,10 +44,10 @@
 
   /** The job is over: what it has on machines is stopped, then forgotten. */
   void endJob(Job job) {
-    if (job.over) {
+    if (job.ended) {
       return;
     }
-    job.over = true;
+    job.ended = true;
     job.finishing = false;
     job.stamp = 0;
     job.endedAtMs = context.clock.now();
@@ -56,7 +56,7 @@
     }
     for (Chunk chunk : job.chunks.values()) {
       for (Attempt attempt : List.copyOf(chunk.attemptsByStep.values())) {
-        if (!attempt.sent() || attempt.done) {
+        if (!attempt.isSent() || attempt.done) {
           attempts.discard(attempt);
         } else {
           attempts.halt(attempt, 0, StopReason.JOB_OVER);
@@ -69,8 +69,8 @@
 
   /** Makes the job done when all of it is. True when the job is over. */
   boolean finishIfDone(Job job) {
-    if (job.over() || !context.isReady() || !job.allDone()) {
-      return job.over();
+    if (job.isOver() || !context.isReady() || !job.allDone()) {
+      return job.isOver();
     }
     job.finishing = true;
     finish(job);
@@ -78,18 +78,18 @@
   }
 
   private void finish(Job job) {
-    if (!context.isTermActive() || job.over || !context.leadership.leading()) {
+    if (!context.isTermActive() || job.ended || !context.leadership.leading()) {
       return;
     }
-    List<Chunk> removed = new ArrayList<>();
+    List<Chunk> removedChunks = new ArrayList<>();
     long term = context.term();
-    boolean low = job.spec().rank() == Rank.LOW;
+    boolean lowRank = job.spec().rank() == Rank.LOW;
     context.state.commit(
         2 + context.callbacks.maxFinishOperations() + job.chunks.size(),
-        () -> context.term() == term && !job.over ? buildFinishTxn(job, removed) : null,
+        () -> context.term() == term && !job.ended ? buildFinishTxn(job, removedChunks) : null,
         // A swarm's ends come by the hundred; no other user is to hear later that all is done.
-        low ? Priority.FINISH_LOW : Priority.FINISH,
-        low ? context.settings.workers().leaseMs() : context.settings.workers().reportMs(),
+        lowRank ? Priority.FINISH_LOW : Priority.FINISH,
+        lowRank ? context.settings.workers().leaseMs() : context.settings.workers().reportMs(),
         outcome -> {
           if (!context.isCurrentTerm(term)) {
             return;
@@ -98,14 +98,14 @@
             // Also when the replica was quicker to say that the job's key is gone.
             context.callbacks.onJobEnded(job.spec().ref(), true);
           }
-          if (!job.over) {
-            onFinishOutcome(job, removed, outcome);
+          if (!job.ended) {
+            onFinishOutcome(job, removedChunks, outcome);
           }
         });
   }
 
   /** The transaction that makes a job done, with the records that it no longer needs. */
-  private Txn buildFinishTxn(Job job, List<Chunk> removed) {
+  private Txn buildFinishTxn(Job job, List<Chunk> removedChunks) {
     String ref = job.spec().ref();
     Txn txn =
         context
@@ -119,16 +119,16 @@
       if (chunk.stamp != 0 && !chunk.inFlight && txn.size() < context.settings.state().txnOps()) {
         txn.when(StateKeys.run(ref, chunk.index), chunk.stamp)
             .remove(StateKeys.run(ref, chunk.index));
-        removed.add(chunk);
+        removedChunks.add(chunk);
       }
     }
     return txn;
   }
 
-  private void onFinishOutcome(Job job, List<Chunk> removed, TxnOutcome outcome) {
+  private void onFinishOutcome(Job job, List<Chunk> removedChunks, TxnOutcome outcome) {
     String ref = job.spec().ref();
     if (outcome instanceof TxnOutcome.Applied) {
-      removed.forEach(c -> c.stamp = 0);
+      removedChunks.forEach(c -> c.stamp = 0);
       endJob(job);
       return;
     }
@@ -141,9 +141,9 @@
         endJob(job);
         return;
       }
-      for (Chunk c : removed) {
-        if (conflict.failed().contains(StateKeys.run(ref, c.index))) {
-          writer.readBack(job, c);
+      for (Chunk chunk : removedChunks) {
+        if (conflict.failed().contains(StateKeys.run(ref, chunk.index))) {
+          writer.readBack(job, chunk);
         }
       }
     }
@@ -156,16 +156,16 @@
     if (!context.isTermActive()) {
       return;
     }
-    boolean left = false;
+    boolean recordsLeft = false;
     for (Chunk chunk : job.chunks.values()) {
       if (!chunk.hasNoAttempts() || chunk.stamp != 0 || chunk.inFlight) {
-        left = true;
+        recordsLeft = true;
       }
       if (chunk.hasNoAttempts() && chunk.stamp != 0 && !chunk.inFlight) {
         removeRecord(job, chunk);
       }
     }
-    if (!left) {
+    if (!recordsLeft) {
       job.chunks.values().forEach(writer.launchBatches()::releaseClaims);
       jobs.remove(job.spec().ref(), job);
     }
--- a/src/main/java/dapplestair/ledger/JobRecordCodec.java
+++ b/src/main/java/dapplestair/ledger/JobRecordCodec.java
@@ -15,36 +15,36 @@
 
   /** A job as accepted at a time of day, its tasks recorded by so many. */
   static ObjectNode acceptedRecord(
-      Submission submission, long wall, long askedWall, int chunkSize) {
-    ObjectNode object = Json.object().put("at", wall).put("chunk", chunkSize);
-    if (askedWall < wall) {
-      object.put("asked", askedWall);
+      Submission submission, long wallMs, long firstRequestWallMs, int chunkSize) {
+    ObjectNode object = Json.object().put("at", wallMs).put("chunk", chunkSize);
+    if (firstRequestWallMs < wallMs) {
+      object.put("asked", firstRequestWallMs);
     }
     object.set("job", submission.toJson());
     return object;
   }
 
   /** A job that is over since a time of day. */
-  static ObjectNode endedRecord(Job job, String status, long wall) {
+  static ObjectNode endedRecord(Job job, String status, long wallMs) {
     ObjectNode object =
         acceptedRecord(job.spec(), job.acceptedWallMs(), job.firstRequestWallMs(), job.chunkSize());
-    return object.put("status", status).put("end", wall);
+    return object.put("status", status).put("end", wallMs);
   }
 
   /** For how long a job has been over, milliseconds; 0 if its record does not say since when. */
-  static long endedAgoMs(JsonNode value, long wall) {
-    return Math.max(0, wall - Json.number(value, "end", wall));
+  static long endedAgoMs(JsonNode value, long wallMs) {
+    return Math.max(0, wallMs - Json.number(value, "end", wallMs));
   }
 
   /** Reads either, or gives null. */
-  static Job read(JsonNode value, long stamp, int otherwiseChunkSize) {
+  static Job read(JsonNode value, long stamp, int defaultChunkSize) {
     try {
-      long at = Json.number(value, "at", 0);
+      long acceptedWallMs = Json.number(value, "at", 0);
       return new Job(
           Submission.parse(value.path("job")),
-          at,
-          Json.number(value, "asked", at),
-          (int) Json.number(value, "chunk", otherwiseChunkSize),
+          acceptedWallMs,
+          Json.number(value, "asked", acceptedWallMs),
+          (int) Json.number(value, "chunk", defaultChunkSize),
           stamp);
     } catch (Submission.InvalidSubmissionException e) {
       LOG.error("a recorded job cannot be read: {}", e.getMessage());
--- a/src/main/java/dapplestair/ledger/JobStatistics.java
+++ b/src/main/java/dapplestair/ledger/JobStatistics.java
@@ -33,9 +33,9 @@
     /** No jobs. */
     public static final JobCounts NONE = new JobCounts(0, 0, 0, 0);
 
-    private JobCounts plus(JobCounts count) {
+    private JobCounts plus(JobCounts other) {
       return new JobCounts(
-          accepted + count.accepted, started + count.started, due + count.due, done + count.done);
+          accepted + other.accepted, started + other.started, due + other.due, done + other.done);
     }
 
     /** Share of the accepted jobs that started; 1 without any. */
@@ -43,7 +43,7 @@
       return accepted == 0 ? 1 : started / (double) accepted;
     }
 
-    private double share() {
+    private double servedShare() {
       return Math.min(startedShare(), doneShare());
     }
 
@@ -62,7 +62,7 @@
    */
   public record LargestJobStatistics(int jobs, int begun, long longestWaitMs) {
     /** Share of them that began; 1 without any. */
-    public double share() {
+    public double begunShare() {
       return jobs == 0 ? 1 : begun / (double) jobs;
     }
 
@@ -81,16 +81,16 @@
   private final Map<String, JobCounts> endedByClass = new HashMap<>();
 
   /** {@code openJobs} shows all jobs that are not cleaned up. */
-  JobStatistics(Clock clock, Collection<Job> open) {
+  JobStatistics(Clock clock, Collection<Job> openJobs) {
     this.clock = clock;
-    this.openJobs = open;
+    this.openJobs = openJobs;
   }
 
   /** A job is over, for this leader the first time. */
   void recordEnded(Job job) {
-    JobCounts one = countsOf(job);
-    add(endedByTeam, job.spec().team(), one);
-    largestJobs.recordEnded(add(endedByClass, job.spec().jobClass(), one), job, clock.wall());
+    JobCounts counts = countsOf(job);
+    add(endedByTeam, job.spec().team(), counts);
+    largestJobs.recordEnded(add(endedByClass, job.spec().jobClass(), counts), job, clock.wall());
   }
 
   void clear() {
@@ -102,33 +102,37 @@
 
   private static JobCounts countsOf(Job job) {
     boolean done = job.allDone();
-    boolean cancelled = job.over && !done;
+    boolean cancelled = job.ended && !done;
     return new JobCounts(
         1,
-        job.begun || job.doneCount() > 0 ? 1 : 0,
+        job.hasBegun || job.doneCount() > 0 ? 1 : 0,
         job.spec().service() || cancelled ? 0 : 1,
         done ? 1 : 0);
   }
 
   /** Under its own name while there are few; returns which. */
-  private static String add(Map<String, JobCounts> to, String name, JobCounts one) {
-    String key = to.containsKey(name) || to.size() < MAX_NAMES ? name : OTHERS;
-    to.merge(key, one, JobCounts::plus);
+  private static String add(Map<String, JobCounts> countsByName, String name, JobCounts counts) {
+    String key = countsByName.containsKey(name) || countsByName.size() < MAX_NAMES ? name : OTHERS;
+    countsByName.merge(key, counts, JobCounts::plus);
     return key;
   }
 
   /** By team, those that are over and those that are open. */
   public Map<String, JobCounts> byTeam() {
-    Map<String, JobCounts> out = new TreeMap<>(endedByTeam);
-    openJobs.stream().filter(j -> !j.over).forEach(j -> add(out, j.spec().team(), countsOf(j)));
-    return out;
+    Map<String, JobCounts> countsByName = new TreeMap<>(endedByTeam);
+    openJobs.stream()
+        .filter(j -> !j.ended)
+        .forEach(j -> add(countsByName, j.spec().team(), countsOf(j)));
+    return countsByName;
   }
 
   /** The same by class. */
   public Map<String, JobCounts> byClass() {
-    Map<String, JobCounts> out = new TreeMap<>(endedByClass);
-    openJobs.stream().filter(j -> !j.over).forEach(j -> add(out, j.spec().jobClass(), countsOf(j)));
-    return out;
+    Map<String, JobCounts> countsByName = new TreeMap<>(endedByClass);
+    openJobs.stream()
+        .filter(j -> !j.ended)
+        .forEach(j -> add(countsByName, j.spec().jobClass(), countsOf(j)));
+    return countsByName;
   }
 
   /** The largest jobs of each class. */
@@ -152,11 +156,11 @@
   }
 
   private Map<String, List<Job>> openByClass() {
-    Map<String, JobCounts> names = new TreeMap<>(endedByClass);
+    Map<String, JobCounts> knownNames = new TreeMap<>(endedByClass);
     Map<String, List<Job>> jobs = new TreeMap<>();
     for (Job job : openJobs) {
-      if (!job.over) {
-        String name = add(names, job.spec().jobClass(), JobCounts.NONE);
+      if (!job.ended) {
+        String name = add(knownNames, job.spec().jobClass(), JobCounts.NONE);
         jobs.computeIfAbsent(name, n -> new ArrayList<>()).add(job);
       }
     }
@@ -170,17 +174,17 @@
         .map(
             e ->
                 "%s %.2f begun, longest wait %.0f s"
-                    .formatted(e.getKey(), e.getValue().share(), e.getValue().longestWaitS()))
+                    .formatted(e.getKey(), e.getValue().begunShare(), e.getValue().longestWaitS()))
         .orElse("none");
   }
 
   /** The few that are served least, for a line of the log. */
   public String worstServedSummary() {
-    Map<String, JobCounts> all = new TreeMap<>();
-    byTeam().forEach((name, c) -> all.put("team " + name, c));
-    byClass().forEach((name, c) -> all.put("class " + name, c));
-    return all.entrySet().stream()
-        .sorted(Comparator.comparingDouble(e -> e.getValue().share()))
+    Map<String, JobCounts> countsByLabel = new TreeMap<>();
+    byTeam().forEach((name, c) -> countsByLabel.put("team " + name, c));
+    byClass().forEach((name, c) -> countsByLabel.put("class " + name, c));
+    return countsByLabel.entrySet().stream()
+        .sorted(Comparator.comparingDouble(e -> e.getValue().servedShare()))
         .limit(4)
         .map(
             e ->
--- a/src/main/java/dapplestair/ledger/LargestJobs.java
+++ b/src/main/java/dapplestair/ledger/LargestJobs.java
@@ -21,32 +21,32 @@
   // Of jobs that are over, so many of a class are remembered: the largest tenth of some thousands.
   private static final int MAX_KEPT_JOBS = 256;
 
-  private record Size(double cpus, boolean begun, long waitedMs) {}
+  private record JobSize(double cpus, boolean begun, long waitMs) {}
 
   private static final class EndedJobs {
-    int jobs;
-    final PriorityQueue<Size> largest = new PriorityQueue<>(Comparator.comparing(Size::cpus));
+    int jobCount;
+    final PriorityQueue<JobSize> largest = new PriorityQueue<>(Comparator.comparing(JobSize::cpus));
   }
 
-  private final Map<String, EndedJobs> byClass = new HashMap<>();
+  private final Map<String, EndedJobs> endedJobsByClass = new HashMap<>();
 
   /** A job is over. One that was cancelled before it began counts for nothing. */
-  void recordEnded(String jobClass, Job job, long nowWall) {
-    if (!job.begun && !job.allDone()) {
+  void recordEnded(String jobClass, Job job, long nowWallMs) {
+    if (!job.hasBegun && !job.allDone()) {
       return;
     }
-    EndedJobs ended = byClass.computeIfAbsent(jobClass, c -> new EndedJobs());
-    ended.jobs++;
-    ended.largest.add(size(job, nowWall));
+    EndedJobs ended = endedJobsByClass.computeIfAbsent(jobClass, c -> new EndedJobs());
+    ended.jobCount++;
+    ended.largest.add(size(job, nowWallMs));
     if (ended.largest.size() > MAX_KEPT_JOBS) {
       ended.largest.poll();
     }
   }
 
-  private static Size size(Job job, long nowWall) {
-    boolean begun = job.begun || job.doneCount() > 0;
-    long waited = begun ? job.startDelayMs : nowWall - job.firstRequestWallMs();
-    return new Size(cpus(job), begun, waited);
+  private static JobSize size(Job job, long nowWallMs) {
+    boolean begun = job.hasBegun || job.doneCount() > 0;
+    long waitMs = begun ? job.startDelayMs : nowWallMs - job.firstRequestWallMs();
+    return new JobSize(cpus(job), begun, waitMs);
   }
 
   static double cpus(Job job) {
@@ -54,42 +54,44 @@
   }
 
   void clear() {
-    byClass.clear();
+    endedJobsByClass.clear();
   }
 
   /** By class, those that are over and those that are open under the names that they are given. */
   Map<String, JobStatistics.LargestJobStatistics> count(
-      Map<String, ? extends Collection<Job>> open, long nowWall) {
-    Map<String, JobStatistics.LargestJobStatistics> out = new TreeMap<>();
-    byClass.keySet().forEach(c -> out.put(c, count(c, List.of(), nowWall)));
-    open.forEach((c, jobs) -> out.put(c, count(c, jobs, nowWall)));
-    return out;
+      Map<String, ? extends Collection<Job>> openJobsByClass, long nowWallMs) {
+    Map<String, JobStatistics.LargestJobStatistics> statisticsByClass = new TreeMap<>();
+    endedJobsByClass
+        .keySet()
+        .forEach(c -> statisticsByClass.put(c, count(c, List.of(), nowWallMs)));
+    openJobsByClass.forEach((c, jobs) -> statisticsByClass.put(c, count(c, jobs, nowWallMs)));
+    return statisticsByClass;
   }
 
   /** The least size of one of the largest of a class. */
-  double minCpus(String jobClass, Collection<Job> open, long nowWall) {
-    List<Size> largest = largest(jobClass, open, nowWall);
+  double minCpus(String jobClass, Collection<Job> openJobs, long nowWallMs) {
+    List<JobSize> largest = largest(jobClass, openJobs, nowWallMs);
     return largest.isEmpty() ? 0 : largest.get(largest.size() - 1).cpus();
   }
 
-  private List<Size> largest(String jobClass, Collection<Job> open, long nowWall) {
-    EndedJobs ended = byClass.getOrDefault(jobClass, new EndedJobs());
-    List<Size> all = new ArrayList<>(ended.largest);
-    open.forEach(j -> all.add(size(j, nowWall)));
-    all.sort(Comparator.comparing(Size::cpus).reversed());
-    int most =
+  private List<JobSize> largest(String jobClass, Collection<Job> openJobs, long nowWallMs) {
+    EndedJobs ended = endedJobsByClass.getOrDefault(jobClass, new EndedJobs());
+    List<JobSize> sizes = new ArrayList<>(ended.largest);
+    openJobs.forEach(j -> sizes.add(size(j, nowWallMs)));
+    sizes.sort(Comparator.comparing(JobSize::cpus).reversed());
+    int largestCount =
         Math.max(
             MIN_LARGEST_JOBS,
-            (ended.jobs + open.size() + JOBS_PER_LARGEST_JOB - 1) / JOBS_PER_LARGEST_JOB);
-    return all.subList(0, Math.min(most, all.size()));
+            (ended.jobCount + openJobs.size() + JOBS_PER_LARGEST_JOB - 1) / JOBS_PER_LARGEST_JOB);
+    return sizes.subList(0, Math.min(largestCount, sizes.size()));
   }
 
   private JobStatistics.LargestJobStatistics count(
-      String jobClass, Collection<Job> open, long nowWall) {
-    List<Size> largest = largest(jobClass, open, nowWall);
+      String jobClass, Collection<Job> openJobs, long nowWallMs) {
+    List<JobSize> largest = largest(jobClass, openJobs, nowWallMs);
     return new JobStatistics.LargestJobStatistics(
         largest.size(),
-        (int) largest.stream().filter(Size::begun).count(),
-        largest.stream().mapToLong(Size::waitedMs).max().orElse(0));
+        (int) largest.stream().filter(JobSize::begun).count(),
+        largest.stream().mapToLong(JobSize::waitMs).max().orElse(0));
   }
 }
--- a/src/main/java/dapplestair/ledger/LaunchBatch.java
+++ b/src/main/java/dapplestair/ledger/LaunchBatch.java
@@ -78,12 +78,12 @@
       if (!zones.contains(attempt.zone)) {
         zones.add(attempt.zone);
       }
-      String place = attempt.host + " " + attempt.session;
-      ArrayNode of = (ArrayNode) byHost.get(place);
-      if (of == null) {
-        of = byHost.putArray(place).add(zones.indexOf(attempt.zone));
+      String hostAndSession = attempt.host + " " + attempt.session;
+      ArrayNode hostAttempts = (ArrayNode) byHost.get(hostAndSession);
+      if (hostAttempts == null) {
+        hostAttempts = byHost.putArray(hostAndSession).add(zones.indexOf(attempt.zone));
       }
-      of.add(attempt.spec().ref()).add(attempt.step).add(attempt.number);
+      hostAttempts.add(attempt.spec().ref()).add(attempt.step).add(attempt.number);
     }
     ObjectNode object = Json.object();
     writeSummaries(object, attempts);
@@ -94,11 +94,11 @@
   }
 
   private static void writeSummaries(ObjectNode object, List<Attempt> attempts) {
-    ObjectNode briefs = Json.object();
+    ObjectNode summaries = Json.object();
     for (Attempt attempt : attempts) {
       Submission submission = attempt.spec();
       if (ChunkWriter.isSingleTask(attempt.job)) {
-        briefs
+        summaries
             .putArray(submission.ref())
             .add(submission.team())
             .add(submission.cpus())
@@ -106,16 +106,16 @@
             .add(submission.memoryGb());
       }
     }
-    if (!briefs.isEmpty()) {
-      object.set("j", briefs);
+    if (!summaries.isEmpty()) {
+      object.set("j", summaries);
     }
   }
 
   static List<JobSummary> readSummaries(JsonNode value) {
-    List<JobSummary> out = new ArrayList<>();
+    List<JobSummary> summaries = new ArrayList<>();
     for (Map.Entry<String, JsonNode> entry : value.path("j").properties()) {
       JsonNode node = entry.getValue();
-      out.add(
+      summaries.add(
           new JobSummary(
               entry.getKey(),
               node.path(0).asText(),
@@ -123,29 +123,29 @@
               node.path(2).asDouble(),
               node.path(3).asDouble()));
     }
-    return out;
+    return summaries;
   }
 
   static List<Entry> read(JsonNode value) {
-    List<Entry> out = new ArrayList<>();
+    List<Entry> entries = new ArrayList<>();
     JsonNode zones = value.path("z");
     for (Map.Entry<String, JsonNode> entry : value.path("h").properties()) {
       int space = entry.getKey().lastIndexOf(' ');
       String host = entry.getKey().substring(0, space);
       long session = Long.parseLong(entry.getKey().substring(space + 1));
-      JsonNode of = entry.getValue();
-      String zone = zones.path(of.path(0).asInt()).asText();
-      for (int i = 1; i + 2 < of.size(); i += 3) {
-        out.add(
+      JsonNode hostAttempts = entry.getValue();
+      String zone = zones.path(hostAttempts.path(0).asInt()).asText();
+      for (int i = 1; i + 2 < hostAttempts.size(); i += 3) {
+        entries.add(
             new Entry(
-                of.get(i).asText(),
-                of.get(i + 1).asInt(),
-                of.get(i + 2).asLong(),
+                hostAttempts.get(i).asText(),
+                hostAttempts.get(i + 1).asInt(),
+                hostAttempts.get(i + 2).asLong(),
                 host,
                 zone,
                 session));
       }
     }
-    return out;
+    return entries;
   }
 }
--- a/src/main/java/dapplestair/ledger/LaunchBatches.java
+++ b/src/main/java/dapplestair/ledger/LaunchBatches.java
@@ -27,7 +27,7 @@
     void writeSeparately(Job job, Chunk chunk);
 
     /** The put was made, or not: what waited may go on. */
-    void onBatchPut(Job job, Chunk chunk, boolean made);
+    void onBatchPut(Job job, Chunk chunk, boolean applied);
 
     /** The job was cancelled before this attempt's launch was sent. */
     void onUnsentCancelled(Attempt unsent);
@@ -48,13 +48,13 @@
     final int minBatchChunks;
     final long minIntervalMs;
     final Map<Chunk, Job> jobByWaitingChunk = new LinkedHashMap<>();
-    boolean queued;
+    boolean putQueued;
     long lastPutAtMs = Long.MIN_VALUE / 2;
 
-    Group(Priority priority, int few, long everyMs) {
+    Group(Priority priority, int minBatchChunks, long minIntervalMs) {
       this.priority = priority;
-      this.minBatchChunks = few;
-      this.minIntervalMs = everyMs;
+      this.minBatchChunks = minBatchChunks;
+      this.minIntervalMs = minIntervalMs;
     }
   }
 
@@ -64,26 +64,26 @@
   private static final int MIN_SINGLE_TASK_BATCH_CHUNKS = 2;
 
   private final LedgerContext context;
-  private final ChunkRecords chunks;
+  private final ChunkRecords chunkRecords;
   private final boolean enabled;
   private final Group replicas;
   private final Group singleTasks;
   private final Map<String, LaunchBatch> launchBatches = new LinkedHashMap<>();
   private long lastBatchNumber;
 
-  LaunchBatches(LedgerContext context, ChunkRecords chunks, boolean on) {
+  LaunchBatches(LedgerContext context, ChunkRecords chunkRecords, boolean enabled) {
     this.context = context;
-    this.chunks = chunks;
-    this.enabled = on;
+    this.chunkRecords = chunkRecords;
+    this.enabled = enabled;
     replicas = new Group(Priority.REPLICA, MIN_REPLICA_BATCH_CHUNKS, 0);
-    long quarter = context.settings.workers().reportMs() / 4;
-    singleTasks = new Group(Priority.LAUNCH, MIN_SINGLE_TASK_BATCH_CHUNKS, quarter);
+    long quarterReportMs = context.settings.workers().reportMs() / 4;
+    singleTasks = new Group(Priority.LAUNCH, MIN_SINGLE_TASK_BATCH_CHUNKS, quarterReportMs);
   }
 
   void clear() {
     for (Group group : List.of(replicas, singleTasks)) {
       group.jobByWaitingChunk.clear();
-      group.queued = false;
+      group.putQueued = false;
     }
     launchBatches.clear();
     lastBatchNumber = 0;
@@ -97,44 +97,44 @@
   /** A chunk of a service, or of a job of one task, has launches to record. */
   void add(Job job, Chunk chunk) {
     if (!enabled) {
-      chunks.writeSeparately(job, chunk);
+      chunkRecords.writeSeparately(job, chunk);
       return;
     }
     Group group = job.spec().service() ? replicas : singleTasks;
     group.jobByWaitingChunk.put(chunk, job);
-    if (!group.queued) {
-      group.queued = true;
+    if (!group.putQueued) {
+      group.putQueued = true;
       // Those of the same turn come together; of a swarm, all since the put before.
-      long next = group.lastPutAtMs + group.minIntervalMs - context.clock.now();
-      context.timers.after(Math.max(0, next), () -> enqueue(group));
+      long delayMs = group.lastPutAtMs + group.minIntervalMs - context.clock.now();
+      context.timers.after(Math.max(0, delayMs), () -> enqueue(group));
     }
   }
 
   private void enqueue(Group group) {
-    InFlightPut flight = new InFlightPut();
+    InFlightPut inFlightPut = new InFlightPut();
     long term = context.term();
     context.state.commit(
         1,
-        () -> context.term() == term ? buildTxn(group, flight) : null,
+        () -> context.term() == term ? buildTxn(group, inFlightPut) : null,
         group.priority,
         context.settings.workers().reportMs(),
         outcome -> {
           if (!context.isCurrentTerm(term)) {
             return;
           }
-          if (flight.launchBatch == null) {
+          if (inFlightPut.launchBatch == null) {
             // Its turn did not come in time.
             context.timers.after(context.retryMs, () -> enqueue(group));
           } else if (outcome instanceof TxnOutcome.Unknown) {
-            readBack(flight, term);
+            readBack(inFlightPut, term);
           } else {
-            onPutFinished(flight, outcome);
+            onPutFinished(inFlightPut, outcome);
           }
         });
   }
 
-  private Txn buildTxn(Group group, InFlightPut flight) {
-    group.queued = false;
+  private Txn buildTxn(Group group, InFlightPut inFlightPut) {
+    group.putQueued = false;
     group.lastPutAtMs = context.clock.now();
     if (!context.leadership.leading()) {
       return null;
@@ -142,50 +142,50 @@
     List<PendingLaunch> ready = new ArrayList<>();
     group.jobByWaitingChunk.forEach((c, job) -> ready.add(new PendingLaunch(job, c)));
     group.jobByWaitingChunk.clear();
-    ready.removeIf(w -> !chunks.hasPendingLaunches(w.job, w.chunk));
+    ready.removeIf(w -> !chunkRecords.hasPendingLaunches(w.job, w.chunk));
     if (ready.size() < group.minBatchChunks) {
-      ready.forEach(w -> chunks.writeSeparately(w.job, w.chunk));
+      ready.forEach(w -> chunkRecords.writeSeparately(w.job, w.chunk));
       return null;
     }
     ready.sort(Comparator.comparingInt(w -> w.job.spec().rank().ordinal()));
-    fill(flight, ready);
+    fill(inFlightPut, ready);
     Txn txn = context.leadership.guard(new Txn());
-    for (PendingLaunch w : flight.launches) {
+    for (PendingLaunch launch : inFlightPut.launches) {
       // The job's own stamp: nothing starts for a job that was cancelled meanwhile.
-      txn.when(StateKeys.job(w.job.spec().ref()), w.job.stamp);
-      w.chunk.inFlight = true;
+      txn.when(StateKeys.job(launch.job.spec().ref()), launch.job.stamp);
+      launch.chunk.inFlight = true;
     }
     LaunchBatch launchBatch =
         new LaunchBatch(StateKeys.launchBatch(context.term(), ++lastBatchNumber));
-    flight.launchBatch = launchBatch;
+    inFlightPut.launchBatch = launchBatch;
     launchBatches.put(launchBatch.key, launchBatch);
     return txn.when(launchBatch.key, 0)
-        .put(launchBatch.key, LaunchBatch.write(flight.plannedAttempts));
+        .put(launchBatch.key, LaunchBatch.write(inFlightPut.plannedAttempts));
   }
 
   /** Takes as many as one value and the conditions of one transaction hold; the others wait on. */
-  private void fill(InFlightPut flight, List<PendingLaunch> ready) {
-    int mostJobs = 4 * context.settings.state().txnOps() - 2;
-    int mostEntries = LaunchBatch.capacity(context.settings.state().valueBytes());
+  private void fill(InFlightPut inFlightPut, List<PendingLaunch> ready) {
+    int maxJobs = 4 * context.settings.state().txnOps() - 2;
+    int maxEntries = LaunchBatch.capacity(context.settings.state().valueBytes());
     if (!ready.isEmpty() && ChunkWriter.isSingleTask(ready.get(0).job)) {
       // With each entry goes what its job takes.
-      mostEntries /= 2;
+      maxEntries /= 2;
     }
-    for (PendingLaunch waiting : ready) {
+    for (PendingLaunch launch : ready) {
       List<Attempt> planned =
-          waiting.chunk.attemptsByStep.values().stream()
+          launch.chunk.attemptsByStep.values().stream()
               .filter(a -> a.phase == Attempt.Phase.PLANNED)
               .toList();
-      boolean fits =
-          flight.launches.size() < mostJobs
-              && flight.plannedAttempts.size() + planned.size() <= mostEntries;
-      if (fits) {
-        flight.launches.add(waiting);
-        flight.plannedAttempts.addAll(planned);
-      } else if (planned.size() > mostEntries) {
-        chunks.writeSeparately(waiting.job, waiting.chunk);
+      boolean fitsInPut =
+          inFlightPut.launches.size() < maxJobs
+              && inFlightPut.plannedAttempts.size() + planned.size() <= maxEntries;
+      if (fitsInPut) {
+        inFlightPut.launches.add(launch);
+        inFlightPut.plannedAttempts.addAll(planned);
+      } else if (planned.size() > maxEntries) {
+        chunkRecords.writeSeparately(launch.job, launch.chunk);
       } else {
-        add(waiting.job, waiting.chunk);
+        add(launch.job, launch.chunk);
       }
     }
   }
@@ -195,56 +195,56 @@
    * these attempts will be on record elsewhere as well, and it is taken away once the replica shows
    * it.
    */
-  private void readBack(InFlightPut flight, long term) {
+  private void readBack(InFlightPut inFlightPut, long term) {
     context.state.get(
-        flight.launchBatch.key,
+        inFlightPut.launchBatch.key,
         read -> {
           if (!context.isCurrentTerm(term)) {
             return;
           }
           if (read.exists()) {
-            onPutFinished(flight, new TxnOutcome.Applied(read.stamp()));
+            onPutFinished(inFlightPut, new TxnOutcome.Applied(read.stamp()));
           } else if (read.known()) {
-            onPutFinished(flight, new TxnOutcome.Refused());
+            onPutFinished(inFlightPut, new TxnOutcome.Refused());
           } else {
-            context.timers.after(context.retryMs, () -> readBack(flight, term));
+            context.timers.after(context.retryMs, () -> readBack(inFlightPut, term));
           }
         });
   }
 
-  private void onPutFinished(InFlightPut flight, TxnOutcome outcome) {
-    flight.launches.forEach(w -> w.chunk.inFlight = false);
-    boolean made = outcome instanceof TxnOutcome.Applied;
+  private void onPutFinished(InFlightPut inFlightPut, TxnOutcome outcome) {
+    inFlightPut.launches.forEach(w -> w.chunk.inFlight = false);
+    boolean wasApplied = outcome instanceof TxnOutcome.Applied;
     if (outcome instanceof TxnOutcome.Applied applied) {
-      flight.launchBatch.stamp = applied.stamp();
-      for (PendingLaunch w : flight.launches) {
-        flight.launchBatch.claims.add(w.chunk);
-        w.chunk.launchBatches.add(flight.launchBatch);
+      inFlightPut.launchBatch.stamp = applied.stamp();
+      for (PendingLaunch launch : inFlightPut.launches) {
+        inFlightPut.launchBatch.claims.add(launch.chunk);
+        launch.chunk.launchBatches.add(inFlightPut.launchBatch);
       }
-      for (Attempt attempt : flight.plannedAttempts) {
+      for (Attempt attempt : inFlightPut.plannedAttempts) {
         if (attempt.job.chunkOf(attempt.step).attemptsByStep.get(attempt.step) == attempt
             && attempt.phase == Attempt.Phase.PLANNED) {
-          context.launch(attempt, flight.launchBatch.key, applied.stamp());
+          context.launch(attempt, inFlightPut.launchBatch.key, applied.stamp());
         }
       }
     } else if (outcome instanceof TxnOutcome.Conflict conflict) {
-      launchBatches.remove(flight.launchBatch.key);
+      launchBatches.remove(inFlightPut.launchBatch.key);
       if (context.leadership.deposedBy(outcome)) {
         return;
       }
-      dropCancelled(flight, conflict);
+      dropCancelled(inFlightPut, conflict);
     } else {
-      launchBatches.remove(flight.launchBatch.key);
+      launchBatches.remove(inFlightPut.launchBatch.key);
     }
-    flight.launches.forEach(w -> chunks.onBatchPut(w.job, w.chunk, made));
+    inFlightPut.launches.forEach(w -> chunkRecords.onBatchPut(w.job, w.chunk, wasApplied));
   }
 
-  private void dropCancelled(InFlightPut flight, TxnOutcome.Conflict conflict) {
-    for (Attempt attempt : flight.plannedAttempts) {
+  private void dropCancelled(InFlightPut inFlightPut, TxnOutcome.Conflict conflict) {
+    for (Attempt attempt : inFlightPut.plannedAttempts) {
       if (conflict.failed().contains(StateKeys.job(attempt.job.spec().ref()))
           && attempt.job.chunkOf(attempt.step).attemptsByStep.get(attempt.step) == attempt
-          && !attempt.sent()) {
-        chunks.onUnsentCancelled(attempt);
+          && !attempt.isSent()) {
+        chunkRecords.onUnsentCancelled(attempt);
       }
     }
   }
--- a/src/main/java/dapplestair/ledger/LaunchGate.java
+++ b/src/main/java/dapplestair/ledger/LaunchGate.java
@@ -9,9 +9,9 @@
   private final Attempts attempts;
   private final ChunkWriter writer;
 
-  LaunchGate(LedgerContext context, TeamUsage use, Attempts attempts, ChunkWriter writer) {
+  LaunchGate(LedgerContext context, TeamUsage teamUsage, Attempts attempts, ChunkWriter writer) {
     this.context = context;
-    this.teamUsage = use;
+    this.teamUsage = teamUsage;
     this.attempts = attempts;
     this.writer = writer;
   }
@@ -43,12 +43,12 @@
 
   /** Plans an attempt; refused unless every rule holds in the latest view. */
   boolean launch(Job job, int step, Machine host) {
-    if (!isOpen() || job.over() || host.closed() || !mayStart(job, host)) {
+    if (!isOpen() || job.isOver() || host.closed() || !mayStart(job, host)) {
       return false;
     }
     Chunk chunk = job.chunkOf(step);
     // An earlier attempt without proof of absence may still run somewhere.
-    if (!chunk.isFree(step) || (job.spec().gang() && !joinsGang(job, step))) {
+    if (!chunk.isFree(step) || (job.spec().gang() && !tryJoinGang(job, step))) {
       return false;
     }
     long number = assignNumber(job, chunk);
@@ -69,10 +69,11 @@
    * Workers let only members with equal numbers meet, so a gang starts as a whole: a member lost
    * later cannot be replaced under the old number, which its lost attempt has used.
    */
-  private static boolean joinsGang(Job job, int step) {
+  private static boolean tryJoinGang(Job job, int step) {
     if (job.heldAttempts == 0) {
-      long highest = job.chunks.values().stream().mapToLong(c -> c.lastNumber).max().orElse(0);
-      job.gangNumber = highest + 1;
+      long highestNumber =
+          job.chunks.values().stream().mapToLong(c -> c.lastNumber).max().orElse(0);
+      job.gangNumber = highestNumber + 1;
       job.gangSteps.clear();
     }
     return job.gangNumber > 0 && job.gangSteps.add(step);
--- a/src/main/java/dapplestair/ledger/Ledger.java
+++ b/src/main/java/dapplestair/ledger/Ledger.java
@@ -105,7 +105,7 @@
       jobs.remove(ref);
       return;
     }
-    if (!job.over && !job.finishing) {
+    if (!job.ended && !job.finishing) {
       context.callbacks.onJobCancelled(job);
     }
     jobFinalizer.endJob(job);
@@ -130,7 +130,7 @@
     return job == null
         ? List.of()
         : attempts(job).stream()
-            .filter(a -> a.sent() && !a.exited())
+            .filter(a -> a.isSent() && !a.exited())
             .map(a -> new Cancellation.TaskLocation(a.host(), a.session(), a.step(), a.number()))
             .toList();
   }
@@ -138,7 +138,7 @@
   /** True when this job is not over, as far as this controller has read. */
   public boolean isJobActive(String ref) {
     Job job = jobs.get(ref);
-    return job != null && !job.over();
+    return job != null && !job.isOver();
   }
 
   /**
@@ -147,7 +147,7 @@
    */
   public boolean hasNoAttemptsLeft(String ref) {
     Job job = jobs.get(ref);
-    return canLaunch() && (job == null || job.over() && job.heldAttempts() == 0);
+    return canLaunch() && (job == null || job.isOver() && job.heldAttempts() == 0);
   }
 
   /** A record of attempts has this value. */
--- a/src/main/java/dapplestair/ledger/LedgerContext.java
+++ b/src/main/java/dapplestair/ledger/LedgerContext.java
@@ -21,8 +21,8 @@
   final long retryMs;
 
   private long term;
-  private boolean isTermActive;
-  private boolean isReady;
+  private boolean termActive;
+  private boolean ready;
 
   LedgerContext(
       Clock clock,
@@ -56,19 +56,19 @@
 
   void beginTerm(long newTerm) {
     term = newTerm;
-    isTermActive = true;
-    isReady = false;
+    termActive = true;
+    ready = false;
   }
 
   /** Every recorded attempt is accounted for: launches may begin. */
   void markReady() {
-    isReady = true;
+    ready = true;
   }
 
   void endTerm() {
     term = 0;
-    isTermActive = false;
-    isReady = false;
+    termActive = false;
+    ready = false;
   }
 
   long term() {
@@ -77,15 +77,15 @@
 
   /** True while this controller keeps the ledger, though it may not yet launch. */
   boolean isTermActive() {
-    return isTermActive;
+    return termActive;
   }
 
   boolean isReady() {
-    return isReady;
+    return ready;
   }
 
   /** True when it still is the office of that term: answers to an earlier one mean nothing. */
-  boolean isCurrentTerm(long thatTerm) {
-    return isTermActive && term == thatTerm;
+  boolean isCurrentTerm(long otherTerm) {
+    return termActive && term == otherTerm;
   }
 }
--- a/src/main/java/dapplestair/ledger/Machine.java
+++ b/src/main/java/dapplestair/ledger/Machine.java
@@ -31,9 +31,9 @@
   private int consecutiveOverfullCount;
 
   /** An empty machine of unknown type. */
-  protected Machine(String id, long now) {
+  protected Machine(String id, long nowMs) {
     this.id = id;
-    this.idleSinceMs = now;
+    this.idleSinceMs = nowMs;
   }
 
   /** The cloud's name of it. */
@@ -87,7 +87,7 @@
   }
 
   /** True while nothing is to start here, since it has less room than the records say. */
-  public final boolean overfull() {
+  public final boolean isOverfull() {
     return overfull;
   }
 
@@ -96,7 +96,7 @@
     return consecutiveOverfullCount;
   }
 
-  final void overfull(boolean value) {
+  final void setOverfull(boolean value) {
     overfull = value;
     consecutiveOverfullCount += value ? 1 : 0;
   }
@@ -123,28 +123,28 @@
   /** Gives an attempt its room. */
   public final void reserve(Attempt attempt) {
     attempts.put(attempt.key(), attempt);
-    use(attempt.spec(), 1);
+    addUsage(attempt.spec(), 1);
     Submission submission = attempt.spec();
     images.used(
-        submission.image(), submission.imageGb(), fetchS(submission), attempt.plannedAtMs());
+        submission.image(), submission.imageGb(), imageFetchS(submission), attempt.plannedAtMs());
     if (type != null) {
-      images.fit(type.cacheGb(), this::inUse);
+      images.fit(type.cacheGb(), this::isImageInUse);
     }
   }
 
-  private boolean inUse(String image) {
+  private boolean isImageInUse(String image) {
     return attempts.values().stream().anyMatch(a -> !a.exited() && a.spec().image().equals(image));
   }
 
   /** Takes the room back; the attempt itself stays known until {@link #forget}. */
-  public final void release(Attempt attempt, long now) {
-    use(attempt.spec(), -1);
+  public final void release(Attempt attempt, long nowMs) {
+    addUsage(attempt.spec(), -1);
     if (attemptsHoldingRoom == 0) {
       cpusUsed = 0;
       gpusUsed = 0;
       memoryUsedGb = 0;
       serviceCpus = 0;
-      idleSinceMs = now;
+      idleSinceMs = nowMs;
     }
   }
 
@@ -153,7 +153,7 @@
     attempts.remove(attempt.key(), attempt);
   }
 
-  private void use(Submission submission, int sign) {
+  private void addUsage(Submission submission, int sign) {
     cpusUsed += sign * submission.cpus();
     attemptsHoldingRoom += sign;
     if (submission.service()) {
@@ -199,17 +199,17 @@
   }
 
   /** Seconds until a task that needs this image could start here; fetches share one rate. */
-  public final double imageWaitS(Submission submission, long now) {
-    return images.waitS(submission.image(), fetchS(submission), now);
+  public final double imageWaitS(Submission submission, long nowMs) {
+    return images.waitS(submission.image(), imageFetchS(submission), nowMs);
   }
 
-  private double fetchS(Submission submission) {
+  private double imageFetchS(Submission submission) {
     return type == null ? 0 : submission.imageGb() / type.fetchGbPerS();
   }
 
   /** The task's image was seen in use here. */
-  public final void imageSeen(Submission submission, long now) {
-    images.seen(submission.image(), submission.imageGb(), now);
+  public final void markImageInUse(Submission submission, long nowMs) {
+    images.seen(submission.image(), submission.imageGb(), nowMs);
   }
 
   /** What is believed of its images. */
--- a/src/main/java/dapplestair/ledger/RawAttemptRecords.java
+++ b/src/main/java/dapplestair/ledger/RawAttemptRecords.java
@@ -13,7 +13,7 @@
 /** The records of attempts as the replica tells them, unread: a follower needs no more. */
 final class RawAttemptRecords {
   /** An attempt and the launch batch that has it. */
-  record BatchedAttempt(String key, LaunchBatch.Entry entry) {}
+  record BatchedAttempt(String batchKey, LaunchBatch.Entry entry) {}
 
   /** One record and its stamp. */
   record VersionedRecord(JsonNode value, long stamp) {}
@@ -30,10 +30,10 @@
   }
 
   void remove(String ref, int chunk) {
-    Int2ObjectOpenHashMap<VersionedRecord> of = recordsByJob.get(ref);
-    if (of != null) {
-      of.remove(chunk);
-      if (of.isEmpty()) {
+    Int2ObjectOpenHashMap<VersionedRecord> jobRecords = recordsByJob.get(ref);
+    if (jobRecords != null) {
+      jobRecords.remove(chunk);
+      if (jobRecords.isEmpty()) {
         recordsByJob.remove(ref);
       }
     }
@@ -52,7 +52,7 @@
 
   void removeLaunchBatch(String key) {
     if (stampByLaunchBatch.remove(key) != null) {
-      batchedAttempts.values().forEach(list -> list.removeIf(on -> on.key().equals(key)));
+      batchedAttempts.values().forEach(list -> list.removeIf(on -> on.batchKey().equals(key)));
       batchedAttempts.values().removeIf(List::isEmpty);
       summaryByJob.keySet().retainAll(batchedAttempts.keySet());
     }
@@ -75,9 +75,9 @@
 
   /** Jobs with attempts on record. */
   Set<String> jobRefs() {
-    Set<String> out = new LinkedHashSet<>(recordsByJob.keySet());
-    out.addAll(batchedAttempts.keySet());
-    return out;
+    Set<String> refs = new LinkedHashSet<>(recordsByJob.keySet());
+    refs.addAll(batchedAttempts.keySet());
+    return refs;
   }
 
   /** A job's records by chunk. */
@@ -87,18 +87,18 @@
 
   /** Tasks completed and tasks with an attempt. */
   int[] taskCounts(String ref) {
-    int[] out = new int[2];
-    for (VersionedRecord row : recordsOf(ref).values()) {
-      out[0] += Chunk.countDone(row.value());
-      out[1] += Chunk.countLive(row.value());
+    int[] counts = new int[2];
+    for (VersionedRecord versionedRecord : recordsOf(ref).values()) {
+      counts[0] += Chunk.countDone(versionedRecord.value());
+      counts[1] += Chunk.countLive(versionedRecord.value());
     }
-    out[1] += batchedAttempts(ref).size();
-    return out;
+    counts[1] += batchedAttempts(ref).size();
+    return counts;
   }
 
   /** Where a job's tasks may be by its own records and by launch batches. */
   List<Cancellation.TaskLocation> taskLocations(String ref) {
-    List<Cancellation.TaskLocation> out = new ArrayList<>();
+    List<Cancellation.TaskLocation> locations = new ArrayList<>();
     recordsOf(ref)
         .values()
         .forEach(
@@ -106,15 +106,15 @@
                 Chunk.forEachAttempt(
                     row.value(),
                     (step, number, host, zone, session) ->
-                        out.add(new Cancellation.TaskLocation(host, session, step, number))));
-    for (BatchedAttempt on : batchedAttempts(ref)) {
+                        locations.add(new Cancellation.TaskLocation(host, session, step, number))));
+    for (BatchedAttempt batched : batchedAttempts(ref)) {
       // Too many rather than too few: a chunk's own record may know better.
-      LaunchBatch.Entry entry = on.entry();
-      out.add(
+      LaunchBatch.Entry entry = batched.entry();
+      locations.add(
           new Cancellation.TaskLocation(
               entry.host(), entry.session(), entry.step(), entry.number()));
     }
-    return out;
+    return locations;
   }
 
   void clear() {
--- a/src/main/java/dapplestair/ledger/RefusedStarts.java
+++ b/src/main/java/dapplestair/ledger/RefusedStarts.java
@@ -41,7 +41,7 @@
       byCause.addTo(cause, 1);
     }
     // All that one command brought is refused at the same moment: one pause for all of it.
-    if (cause.equals(FULL) && !machine.overfull()) {
+    if (cause.equals(FULL) && !machine.isOverfull()) {
       pause(machine);
     }
   }
@@ -53,11 +53,11 @@
         machine.id(),
         machine.cpusFree(),
         pauseMs);
-    machine.overfull(true);
+    machine.setOverfull(true);
     context.timers.after(
         pauseMs,
         () -> {
-          machine.overfull(false);
+          machine.setOverfull(false);
           context.callbacks.onChanged();
         });
   }
--- a/src/main/java/dapplestair/ledger/Takeover.java
+++ b/src/main/java/dapplestair/ledger/Takeover.java
@@ -62,12 +62,12 @@
     unresolvedJobs = 1;
     for (String ref : rawRecords.jobRefs()) {
       Job job = jobs.get(ref);
-      LaunchBatch.JobSummary brief = rawRecords.summaryOf(ref);
+      LaunchBatch.JobSummary summary = rawRecords.summaryOf(ref);
       if (job != null) {
         buildAttempts(job);
-      } else if (brief != null) {
+      } else if (summary != null) {
         // The replica is complete, and the job is not there: it is over.
-        Job ended = new Job(brief.spec(), 0, chunkSize, 0);
+        Job ended = new Job(summary.spec(), 0, chunkSize, 0);
         addEndedJob(ended, 0);
         jobsWithUnreadEnd.add(ended);
       } else {
@@ -92,24 +92,24 @@
     if (job == null) {
       return;
     }
-    Job held = job;
+    Job jobToRead = job;
     context.state.get(
-        StateKeys.over(held.spec().ref()),
+        StateKeys.over(jobToRead.spec().ref()),
         read -> {
           if (!context.isCurrentTerm(forTerm)) {
             return;
           }
           if (read.exists()) {
-            setEndedAgo(held, JobRecordCodec.endedAgoMs(read.value(), context.clock.wall()));
+            setEndedAgo(jobToRead, JobRecordCodec.endedAgoMs(read.value(), context.clock.wall()));
           } else {
-            jobsWithUnreadEnd.add(held);
+            jobsWithUnreadEnd.add(jobToRead);
           }
           context.timers.after(context.retryMs, () -> readNextEnd(forTerm));
         });
   }
 
-  private void setEndedAgo(Job job, long ms) {
-    job.endedAtMs = Math.min(job.endedAtMs, context.clock.now() - ms);
+  private void setEndedAgo(Job job, long agoMs) {
+    job.endedAtMs = Math.min(job.endedAtMs, context.clock.now() - agoMs);
   }
 
   /** Attempts of a job that is over still use its team's share: its description is needed. */
@@ -134,11 +134,11 @@
   }
 
   /** Enters the attempts of a job that is over: they are stopped where they still run. */
-  private void addEndedJob(Job job, long ms) {
+  private void addEndedJob(Job job, long endedAgoMs) {
     jobs.put(job.spec().ref(), job);
     buildAttempts(job);
     jobFinalizer.endJob(job);
-    setEndedAgo(job, ms);
+    setEndedAgo(job, endedAgoMs);
   }
 
   private void onJobResolved() {
@@ -153,13 +153,13 @@
                       .adopt(key, stamp, chunksByLaunchBatch.getOrDefault(key, Set.of())));
       context.markReady();
       rawRecords.clear();
-      int claimed = chunksByLaunchBatch.size();
+      int claimedBatchCount = chunksByLaunchBatch.size();
       chunksByLaunchBatch.clear();
       LOG.info(
           "ledger ready: {} jobs, {} attempts, {} launch batches that still count",
           jobs.size(),
           jobs.values().stream().mapToInt(Job::heldAttempts).sum(),
-          claimed);
+          claimedBatchCount);
       for (Job job : List.copyOf(jobs.values())) {
         jobFinalizer.finishIfDone(job);
       }
@@ -183,25 +183,30 @@
    * task the higher number counts: it was given out after the other one was proved absent.
    */
   private void readLaunchBatches(Job job) {
-    Int2ObjectMap<RawAttemptRecords.BatchedAttempt> newest = new Int2ObjectOpenHashMap<>();
-    for (RawAttemptRecords.BatchedAttempt on : rawRecords.batchedAttempts(job.spec().ref())) {
-      LaunchBatch.Entry entry = on.entry();
+    Int2ObjectMap<RawAttemptRecords.BatchedAttempt> newestByStep = new Int2ObjectOpenHashMap<>();
+    for (RawAttemptRecords.BatchedAttempt batched : rawRecords.batchedAttempts(job.spec().ref())) {
+      LaunchBatch.Entry entry = batched.entry();
       if (entry.number() > job.chunkOf(entry.step()).recordedNumber) {
-        newest.merge(entry.step(), on, (a, b) -> a.entry().number() > b.entry().number() ? a : b);
+        newestByStep.merge(
+            entry.step(), batched, (a, b) -> a.entry().number() > b.entry().number() ? a : b);
         chunksByLaunchBatch
-            .computeIfAbsent(on.key(), k -> new LinkedHashSet<>())
+            .computeIfAbsent(batched.batchKey(), k -> new LinkedHashSet<>())
             .add(job.chunkOf(entry.step()));
       }
     }
-    for (RawAttemptRecords.BatchedAttempt on : newest.values()) {
-      LaunchBatch.Entry entry = on.entry();
+    for (RawAttemptRecords.BatchedAttempt batched : newestByStep.values()) {
+      LaunchBatch.Entry entry = batched.entry();
       Chunk chunk = job.chunkOf(entry.step());
       chunk.lastNumber = Math.max(chunk.lastNumber, entry.number());
       LOG.debug(
-          "{}/{} try {} is read from {}", entry.ref(), entry.step(), entry.number(), on.key());
-      Attempt older = chunk.attemptsByStep.get(entry.step());
-      if (older != null) {
-        attempts.remove(older);
+          "{}/{} try {} is read from {}",
+          entry.ref(),
+          entry.step(),
+          entry.number(),
+          batched.batchKey());
+      Attempt olderAttempt = chunk.attemptsByStep.get(entry.step());
+      if (olderAttempt != null) {
+        attempts.remove(olderAttempt);
       }
       adoptAttempt(
           job, chunk, entry.step(), entry.number(), entry.host(), entry.zone(), entry.session());
@@ -222,13 +227,13 @@
   private void buildAttempts(Job job) {
     for (Int2ObjectMap.Entry<RawAttemptRecords.VersionedRecord> entry :
         rawRecords.recordsOf(job.spec().ref()).int2ObjectEntrySet()) {
-      Chunk c = job.chunk(entry.getIntKey());
+      Chunk chunk = job.chunk(entry.getIntKey());
       job.probesFailed = Math.max(job.probesFailed, Chunk.probesFailed(entry.getValue().value()));
-      c.read(
+      chunk.read(
           entry.getValue().value(),
           entry.getValue().stamp(),
           (step, number, host, zone, session) ->
-              adoptAttempt(job, c, step, number, host, zone, session));
+              adoptAttempt(job, chunk, step, number, host, zone, session));
     }
     readLaunchBatches(job);
     job.chunks.values().forEach(c -> c.computeMaxUnknownInterrupted(job.spec().gang()));
--- a/src/main/java/dapplestair/ledger/TeamUsage.java
+++ b/src/main/java/dapplestair/ledger/TeamUsage.java
@@ -22,15 +22,15 @@
   }
 
   void add(Submission submission) {
-    Usage use = usageByTeam.computeIfAbsent(submission.team(), t -> new Usage());
-    use.cpus += submission.cpus();
-    use.gpus += submission.gpus();
+    Usage usage = usageByTeam.computeIfAbsent(submission.team(), t -> new Usage());
+    usage.cpus += submission.cpus();
+    usage.gpus += submission.gpus();
   }
 
   void subtract(Submission submission) {
-    Usage use = usageByTeam.get(submission.team());
-    use.cpus -= submission.cpus();
-    use.gpus -= submission.gpus();
+    Usage usage = usageByTeam.get(submission.team());
+    usage.cpus -= submission.cpus();
+    usage.gpus -= submission.gpus();
   }
 
   double cpus(String team) {
@@ -47,20 +47,20 @@
     if (team == null) {
       return false;
     }
-    Usage use = usageByTeam.getOrDefault(submission.team(), NONE);
-    return (team.cpusMax() <= 0 || use.cpus + tasks * submission.cpus() <= team.cpusMax() + 1e-6)
-        && (team.gpusMax() <= 0 || use.gpus + tasks * submission.gpus() <= team.gpusMax() + 1e-6);
+    Usage usage = usageByTeam.getOrDefault(submission.team(), NONE);
+    return (team.cpusMax() <= 0 || usage.cpus + tasks * submission.cpus() <= team.cpusMax() + 1e-6)
+        && (team.gpusMax() <= 0 || usage.gpus + tasks * submission.gpus() <= team.gpusMax() + 1e-6);
   }
 
   /** How many more tasks of this size the team's limit, or its guarantee, has room for. */
   int maxAdditionalTasks(Submission submission, boolean withinGuarantee) {
     Settings.Team team = settings.teams().get(submission.team());
-    double most = team == null ? 0 : withinGuarantee ? team.cpus() : team.cpusMax();
-    if (team != null && most <= 0 && !withinGuarantee) {
+    double maxCpus = team == null ? 0 : withinGuarantee ? team.cpus() : team.cpusMax();
+    if (team != null && maxCpus <= 0 && !withinGuarantee) {
       return Integer.MAX_VALUE;
     }
     return (int)
-        Math.max(0, Math.floor((most - cpus(submission.team())) / submission.cpus() + 1e-9));
+        Math.max(0, Math.floor((maxCpus - cpus(submission.team())) / submission.cpus() + 1e-9));
   }
 
   void clear() {
--- a/src/main/java/dapplestair/ledger/UnavailableTasks.java
+++ b/src/main/java/dapplestair/ledger/UnavailableTasks.java
@@ -13,31 +13,32 @@
  * @param stopping those among them that are being stopped
  */
 public record UnavailableTasks(int missing, int disrupted, int stopping) {
-  static UnavailableTasks of(Job job, Predicate<Attempt> reached) {
-    int in = 0;
+  static UnavailableTasks of(Job job, Predicate<Attempt> isReachable) {
+    int running = 0;
     int disrupted = 0;
     int stopping = 0;
     int done = 0;
     for (Chunk chunk : job.chunks.values()) {
       done += chunk.completedSteps.cardinality();
       int starting = 0;
-      int ended = 0;
+      int completed = 0;
       for (Attempt attempt : chunk.attemptsByStep.values()) {
         if (attempt.done) {
-          ended++;
+          completed++;
         } else if (attempt.halting) {
           stopping++;
-        } else if (!attempt.began && !attempt.adopted) {
+        } else if (!attempt.seenRunning && !attempt.adopted) {
           starting++;
-        } else if (isRunning(attempt) && reached.test(attempt)) {
-          in++;
+        } else if (isRunning(attempt) && isReachable.test(attempt)) {
+          running++;
         } else {
           disrupted++;
         }
       }
-      disrupted += chunk.maxInterruptedWaiting(starting + ended);
+      disrupted += chunk.maxInterruptedWaiting(starting + completed);
     }
-    return new UnavailableTasks(job.spec().steps() - done - in, disrupted + stopping, stopping);
+    return new UnavailableTasks(
+        job.spec().steps() - done - running, disrupted + stopping, stopping);
   }
 
   private static boolean isRunning(Attempt attempt) {
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -164,7 +164,7 @@
             () ->
                 Maps.transformValues(
                     components.ledger().jobStatistics().largestJobs(),
-                    JobStatistics.LargestJobStatistics::share))
+                    JobStatistics.LargestJobStatistics::begunShare))
         .gauges(
             "class_largest_wait_seconds",
             "The longest wait of one of a class's largest jobs for its first task.",
--- a/src/main/java/dapplestair/placement/DecisionRecorder.java
+++ b/src/main/java/dapplestair/placement/DecisionRecorder.java
@@ -81,7 +81,7 @@
 
   private PlacementExplanation explain(String ref, BiFunction<Job, Host, PlacementVerdict> filter) {
     Job job = ledger.job(ref);
-    if (job == null || job.waiting() == 0) {
+    if (job == null || job.waitingTasks() == 0) {
       return PlacementExplanation.nothingWaits();
     }
     Map<PlacementVerdict, Integer> machines = new EnumMap<>(PlacementVerdict.class);
@@ -98,22 +98,23 @@
     whole.putAll(found.getOrDefault(ref, Map.of()));
     double heldBack = Math.max(0, job.startsDelayedUntilMs() - clock.now()) / 1000.0;
     if (calendars.holds(job)) {
-      whole.put(PlacementVerdict.CYCLE, job.waiting());
+      whole.put(PlacementVerdict.CYCLE, job.waitingTasks());
     }
     if (heldBack > 0) {
-      whole.put(PlacementVerdict.BACKED_OFF, job.waiting());
-    } else if (job.suspected()) {
-      whole.put(PlacementVerdict.PROBING, job.waiting());
-    } else if (job.delayedSteps() > 0) {
-      whole.put(PlacementVerdict.STEPS_BACKED_OFF, job.delayedSteps());
+      whole.put(PlacementVerdict.BACKED_OFF, job.waitingTasks());
+    } else if (job.isSuspected()) {
+      whole.put(PlacementVerdict.PROBING, job.waitingTasks());
+    } else if (job.delayedStepCount() > 0) {
+      whole.put(PlacementVerdict.STEPS_BACKED_OFF, job.delayedStepCount());
     }
     int byLimit =
-        job.waiting() - Math.min(job.waiting(), ledger.maxAdditionalTeamTasks(job.spec(), false));
+        job.waitingTasks()
+            - Math.min(job.waitingTasks(), ledger.maxAdditionalTeamTasks(job.spec(), false));
     if (!ledger.teamAllows(job.spec())) {
       whole.put(PlacementVerdict.TEAM_LIMIT, Math.max(1, byLimit));
     }
     return new PlacementExplanation(
-        job.waiting(), machines, whole, free, heldBack, gangRoom.getInt(ref));
+        job.waitingTasks(), machines, whole, free, heldBack, gangRoom.getInt(ref));
   }
 
   /** When enough is expected to have ended on a full machine, or -1. */
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -113,7 +113,8 @@
     }
     scans++;
     int wanted =
-        Math.max(0, Math.min(job.waiting(), ledger.maxAdditionalTeamTasks(submission, !byRank)));
+        Math.max(
+            0, Math.min(job.waitingTasks(), ledger.maxAdditionalTeamTasks(submission, !byRank)));
     return take(offers(job, fromBorrowers, h -> true), wanted);
   }
 
@@ -134,7 +135,7 @@
     long now = clock.now();
     List<EvictionCandidate> offers = offers(job, false, h -> h.imageWaitS(submission, now) == 0);
     offers.removeIf(o -> o.victims().stream().anyMatch(a -> a.spec().saves()));
-    return take(offers, job.waiting());
+    return take(offers, job.waitingTasks());
   }
 
   /** Takes up the cheapest offers; returns how many. */
--- a/src/main/java/dapplestair/placement/PlacementFilter.java
+++ b/src/main/java/dapplestair/placement/PlacementFilter.java
@@ -89,7 +89,7 @@
    * other. A job that fails wherever it runs is tried by one task at a time anyway.
    */
   private boolean failedHere(Job job, Host host) {
-    return !job.suspected() && ledger.hasFailedOn(job, host, avoidedMs);
+    return !job.isSuspected() && ledger.hasFailedOn(job, host, avoidedMs);
   }
 
   /** True when this room is promised to others: to a rider, or to who has waited for long. */
@@ -136,7 +136,7 @@
     if (host.cordoned()) {
       return PlacementVerdict.CORDONED;
     }
-    if (host.overfull() || !host.fits(submission)) {
+    if (host.isOverfull() || !host.fits(submission)) {
       return PlacementVerdict.FULL;
     }
     return kept ? PlacementVerdict.KEPT : PlacementVerdict.HELD_FOR_SERVICES;
--- a/src/main/java/dapplestair/placement/Placer.java
+++ b/src/main/java/dapplestair/placement/Placer.java
@@ -173,7 +173,7 @@
         continue;
       }
       place(job, usable, Integer.MAX_VALUE);
-      if (rides && job.waiting() > 0) {
+      if (rides && job.waitingTasks() > 0) {
         riders.add(job);
       }
     }
@@ -196,8 +196,8 @@
     order.sort(Comparator.comparing(j -> !reservations.holds(j)));
     for (Job job : order) {
       place(job, usable, first.get(job));
-      int lacking = job.spec().service() || job.spec().gang() ? job.waiting() : 1;
-      if (job.waiting() > 0 && (StarvationGuard.idle(job) || job.spec().service())) {
+      int lacking = job.spec().service() || job.spec().gang() ? job.waitingTasks() : 1;
+      if (job.waitingTasks() > 0 && (StarvationGuard.idle(job) || job.spec().service())) {
         reservations.keep(job, lacking, cpus);
       }
     }
@@ -230,13 +230,13 @@
     if (recorder != null) {
       order.stream()
           .skip(order.indexOf(gang) + 1L)
-          .forEach(j -> recorder.found(j, PlacementVerdict.BEHIND_GANG, j.waiting()));
+          .forEach(j -> recorder.found(j, PlacementVerdict.BEHIND_GANG, j.waitingTasks()));
     }
   }
 
   private boolean starving(Job job) {
     return job.heldAttempts() == 0
-        && ledger.teamAllows(job.spec(), job.waiting())
+        && ledger.teamAllows(job.spec(), job.waitingTasks())
         && clock.wall() - job.acceptedWallMs() > 10 * settings.workers().reportMs();
   }
 
@@ -259,27 +259,27 @@
   /** Starts up to {@code most} of a job's tasks, each where it completes earliest. */
   private void placeEach(Job job, List<Host> usable, int most) {
     awaitsImage = false;
-    int waited = job.waiting();
-    int step = job.nextFree(0);
-    while (step >= 0 && waited - job.waiting() < most) {
+    int waited = job.waitingTasks();
+    int step = job.nextStartableStep(0);
+    while (step >= 0 && waited - job.waitingTasks() < most) {
       Host best = earliestFinish.best(job, usable, recorder != null);
       if (best == null || !lanes.rides(job.spec()) && awaitsImage(job, best)) {
         break;
       }
       int before = step;
-      step = fill(job, step, best, most - (waited - job.waiting()));
+      step = fill(job, step, best, most - (waited - job.waitingTasks()));
       if (step == before || probes(job)) {
         break;
       }
     }
     if (awaitsImage && recorder != null) {
-      recorder.found(job, PlacementVerdict.AWAITS_IMAGE, job.waiting());
+      recorder.found(job, PlacementVerdict.AWAITS_IMAGE, job.waitingTasks());
     }
     // Others do not make room for a job that fails wherever it runs.
     boolean whole = most == Integer.MAX_VALUE;
     // A rider claims its room by its lane.
     whole &= !lanes.rides(job.spec());
-    if (step >= 0 && whole && ledger.teamAllows(job.spec()) && !awaitsImage && !job.suspected()) {
+    if (step >= 0 && whole && ledger.teamAllows(job.spec()) && !awaitsImage && !job.isSuspected()) {
       int onItsWay = evictions.makeRoom(job, ranking.guaranteed(job));
       if (onItsWay > 0 && recorder != null) {
         recorder.found(job, PlacementVerdict.ROOM_ON_ITS_WAY, onItsWay);
@@ -313,7 +313,7 @@
         && ledger.launch(job, step, host)) {
       steady.add(host, -job.spec().cpus());
       lanes.add(host, -job.spec().cpus());
-      step = job.nextFree(step + 1);
+      step = job.nextStartableStep(step + 1);
       if (probes(job) || host.onProbation(clock.now())) {
         break;
       }
@@ -323,13 +323,13 @@
 
   /** One task alone tells whether a job still fails wherever it runs; of a gang it takes all. */
   private static boolean probes(Job job) {
-    return job.suspected() && !job.spec().gang();
+    return job.isSuspected() && !job.spec().gang();
   }
 
   /** A gang starts only when all of it fits now, in one zone where its job wants that. */
   private boolean placeGang(Job job, List<Host> usable) {
     Submission submission = job.spec();
-    if (!ledger.teamAllows(submission, job.waiting()) || job.heldAttempts() > 0) {
+    if (!ledger.teamAllows(submission, job.waitingTasks()) || job.heldAttempts() > 0) {
       return false;
     }
     List<List<Host>> choices =
@@ -341,13 +341,13 @@
       if (recorder != null) {
         recorder.gangRoom(job, room);
       }
-      if (room >= job.waiting()) {
+      if (room >= job.waitingTasks()) {
         placeEach(job, machines, Integer.MAX_VALUE);
         return true;
       }
     }
     if (recorder != null) {
-      recorder.found(job, PlacementVerdict.GANG, job.waiting());
+      recorder.found(job, PlacementVerdict.GANG, job.waitingTasks());
     }
     return false;
   }
--- a/src/main/java/dapplestair/placement/Ranking.java
+++ b/src/main/java/dapplestair/placement/Ranking.java
@@ -47,11 +47,11 @@
     List<Ranked> waiting = new ArrayList<>();
     for (Job job : ledger.jobs()) {
       // One that fails wherever it runs waits for its probe to end.
-      boolean probing = job.suspected() && job.heldAttempts() > 0;
-      if (!job.over()
+      boolean probing = job.isSuspected() && job.heldAttempts() > 0;
+      if (!job.isOver()
           && !probing
           && job.startsDelayedUntilMs() <= now
-          && job.nextFree(0) >= 0
+          && job.nextStartableStep(0) >= 0
           && !calendars.holds(job)) {
         waiting.add(ranked(job));
       }
@@ -76,7 +76,7 @@
       // Nobody else's promise is at stake here, and the largest have to begin in time as well.
       order = ledger.jobStatistics().isLarge(job) ? -LARGE_BEFORE_S - age : -age;
     } else if (broken > 0 || objectives.promised(submission)) {
-      order = job.waiting() * submission.cpus() * Math.max(1, run);
+      order = job.waitingTasks() * submission.cpus() * Math.max(1, run);
     } else {
       order = (Double.isFinite(submission.dueS()) ? submission.dueS() : 10 * run + 60) - age - run;
     }
--- a/src/main/java/dapplestair/placement/StarvationGuard.java
+++ b/src/main/java/dapplestair/placement/StarvationGuard.java
@@ -84,7 +84,7 @@
 
   /** How many more of its tasks go first now; 0 when it has to take its turn. */
   int quota(Job job) {
-    if (!near(job) || job.suspected() || critical(job.spec())) {
+    if (!near(job) || job.isSuspected() || critical(job.spec())) {
       return 0;
     }
     boolean begins =
@@ -92,13 +92,13 @@
             || ageMs(job) > boundMs
             || job.spec().service()
             || ledger.jobStatistics().isLarge(job);
-    return begins ? Math.max(0, Math.min(job.waiting(), window(job) - job.heldAttempts())) : 0;
+    return begins ? Math.max(0, Math.min(job.waitingTasks(), window(job) - job.heldAttempts())) : 0;
   }
 
   /** True for an attempt that runs in its job's window: nothing but a critical service stops it. */
   boolean shelters(Attempt attempt) {
     Job job = attempt.job();
-    if (job.over() || !near(job) || critical(attempt.spec())) {
+    if (job.isOver() || !near(job) || critical(attempt.spec())) {
       return false;
     }
     if (attempt.spec().service()) {
@@ -130,7 +130,7 @@
   private Map<Job, Integer> take(Map<String, Deque<Job>> groups, double most) {
     Object2DoubleOpenHashMap<String> held = new Object2DoubleOpenHashMap<>();
     for (Job job : ledger.jobs()) {
-      if (!job.over() && job.heldAttempts() > 0 && near(job) && !job.spec().service()) {
+      if (!job.isOver() && job.heldAttempts() > 0 && near(job) && !job.spec().service()) {
         held.addTo(group(job), Math.min(job.heldAttempts(), window(job)) * job.spec().cpus());
       }
     }
--- a/src/main/java/dapplestair/planning/CapacityFloors.java
+++ b/src/main/java/dapplestair/planning/CapacityFloors.java
@@ -33,7 +33,7 @@
   List<MachineKindState> forServices(List<MachineKindState> slots, List<Submission> soon) {
     double need = 0;
     for (Job job : ledger.jobs()) {
-      if (!job.over() && !job.spec().spot()) {
+      if (!job.isOver() && !job.spec().spot()) {
         need += job.spec().cpus() * (job.wantedTasks(clock.now()) + job.heldAttempts());
       }
     }
@@ -103,7 +103,7 @@
     Set<String> waiting = new HashSet<>();
     double sum = 0;
     for (Job job : ledger.jobs()) {
-      if (job.spec().service() && !job.over() && job.wantedTasks(now) > 0) {
+      if (job.spec().service() && !job.isOver() && job.wantedTasks(now) > 0) {
         waiting.add(job.spec().ref());
         long since = waitingSince.computeIfAbsent(job.spec().ref(), r -> now);
         sum += now - since > bootMs ? job.wantedTasks(now) * job.spec().cpus() : 0;
@@ -128,7 +128,7 @@
           || clock.wall() - job.acceptedWallMs() < afterMs) {
         continue;
       }
-      double need = submission.cpus() * job.waiting();
+      double need = submission.cpus() * job.waitingTasks();
       boolean zones = submission.together() && submission.zone() == null;
       for (int i = 0; i < out.size() && need > 0; i++) {
         MachineKindState kind = out.get(i);
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -105,7 +105,7 @@
    * rented for it, except where there is none at all, and for a gang, of which no task alone tells.
    */
   private int wanted(Job job) {
-    boolean onWhatThereIs = job.suspected() && !job.spec().gang() && !workers.hosts().isEmpty();
+    boolean onWhatThereIs = job.isSuspected() && !job.spec().gang() && !workers.hosts().isEmpty();
     return onWhatThereIs ? 0 : job.wantedTasks(clock.now());
   }
 
@@ -143,7 +143,7 @@
   private double laneCpus(List<Submission> soon) {
     double[] sizes =
         java.util.stream.Stream.concat(
-                ledger.jobs().stream().filter(j -> !j.over()).map(Job::spec), soon.stream())
+                ledger.jobs().stream().filter(j -> !j.isOver()).map(Job::spec), soon.stream())
             .filter(s -> !s.service())
             .mapToDouble(Submission::cpus)
             .sorted()
@@ -289,7 +289,7 @@
     double floor = slots.stream().mapToDouble(s -> s.least() * s.price()).sum();
     double demand = 0;
     for (Job job : ledger.jobs()) {
-      if (!job.over()) {
+      if (!job.isOver()) {
         demand +=
             cheapest(slots, job.spec()) * job.spec().cpus() * (wanted(job) + job.heldAttempts());
       }
--- a/src/main/java/dapplestair/planning/ZoneDemand.java
+++ b/src/main/java/dapplestair/planning/ZoneDemand.java
@@ -134,7 +134,7 @@
 
   /** Tasks that may start nowhere but in one zone and that the team's limit allows now. */
   private int waitingInOneZone(Job job) {
-    if (job.over() || job.spec().zone() == null) {
+    if (job.isOver() || job.spec().zone() == null) {
       return 0;
     }
     return Math.min(job.wantedTasks(clock.now()), ledger.maxAdditionalTeamTasks(job.spec(), false));
--- a/src/main/java/dapplestair/workers/Fencing.java
+++ b/src/main/java/dapplestair/workers/Fencing.java
@@ -19,8 +19,8 @@
     boolean due =
         attempt != null
             && attempt.number() == launch.attempt()
-            && !attempt.sent()
-            && !attempt.job().over()
+            && !attempt.isSent()
+            && !attempt.job().isOver()
             && attempt.session() == host.session;
     return due ? attempt : null;
   }
--- a/src/main/java/dapplestair/workers/Host.java
+++ b/src/main/java/dapplestair/workers/Host.java
@@ -128,7 +128,7 @@
         || cordoned
         || recalled()
         || strays > 0
-        || overfull()
+        || isOverfull()
         || type() == null;
   }
 
--- a/src/main/java/dapplestair/workers/LeaseRenewal.java
+++ b/src/main/java/dapplestair/workers/LeaseRenewal.java
@@ -67,7 +67,7 @@
     Map<String, WorkerCommand> halts = new LinkedHashMap<>();
     boolean launchOpen = false;
     for (Attempt attempt : host.attempts()) {
-      if (attempt.job().over() && attempt.sent() && !attempt.exited()) {
+      if (attempt.job().isOver() && attempt.isSent() && !attempt.exited()) {
         add(halts, attempt.key(), attempt.number());
         launchOpen |= attempt.isLaunchOpen();
       }
--- a/src/main/java/dapplestair/workers/WorkerManager.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -258,7 +258,7 @@
       if (attempt.halting()
           && !attempt.exited()
           && now - attempt.lastHaltSentAtMs() > reportMs / 2) {
-        halt(attempt, attempt.job().over() ? 0 : attempt.windDownS());
+        halt(attempt, attempt.job().isOver() ? 0 : attempt.windDownS());
       }
     }
   }
--- a/src/test/java/dapplestair/model/Encoder.java
+++ b/src/test/java/dapplestair/model/Encoder.java
@@ -123,8 +123,8 @@
       number(Integer.parseInt(a.host().substring(2)));
       number(a.session());
       flag(AttemptRules.planned(a));
-      flag(a.sent());
-      number(a.sent() ? AttemptRules.neededToken(a) : 0);
+      flag(a.isSent());
+      number(a.isSent() ? AttemptRules.neededToken(a) : 0);
     }
   }
 
--- a/src/test/java/dapplestair/model/Leader.java
+++ b/src/test/java/dapplestair/model/Leader.java
@@ -141,7 +141,7 @@
 
   /** Stops its attempt, for a cancellation or by choice; one that was not sent is dropped. */
   void halt() {
-    if (!attempt.sent()) {
+    if (!attempt.isSent()) {
       attempt = null;
     } else {
       machines[machineOf(attempt)].queue(
--- a/src/test/java/dapplestair/workers/HostTest.java
+++ b/src/test/java/dapplestair/workers/HostTest.java
@@ -49,7 +49,7 @@
     host.describe("n-1:1", type(), "a", false);
     Submission s = needing("img-1", 1.5);
     assertEquals(3.0, host.imageWaitS(s, 1000));
-    host.imageSeen(s, 2000);
+    host.markImageInUse(s, 2000);
     assertEquals(0.0, host.imageWaitS(s, 2000));
     assertEquals(1.0, host.imageWaitS(needing("img-2", 0.5), 2000));
   }
