--- a/src/main/java/dapplestair/ledger/Attempt.java
+++ b/src/main/java/dapplestair/ledger/Attempt.java
@@ -4,19 +4,21 @@
 import dapplestair.work.Report;
 import dapplestair.work.Submission;
 
-/** One try at running one task on one machine, from its planning until its absence is proved. */
+/** One attempt to run a task on a machine, from its planning until its absence is proved. */
 public final class Attempt {
-  /** How far an attempt's launch has come. */
+  /** The state of an attempt's launch. */
   public enum Phase {
-    /** In memory only: it may be dropped freely. */
+    /** Planned in memory only: the attempt may be dropped freely. */
     PLANNED,
-    /** Recorded, its launch not sent: it may still be dropped freely. */
+    /** Recorded, but its launch is not sent: the attempt may still be dropped freely. */
     COMMITTED,
-    /** Its launch may be on its way or done. */
+    /** Its launch may be in flight or executed. */
     SENT
   }
 
-  /** A launch whose outcome is open: no report proves anything yet. */
+  /**
+   * Value of {@link #neededToken} while a launch's outcome is open: no report proves anything yet.
+   */
   static final long LAUNCH_OPEN = Long.MAX_VALUE;
 
   final Job job;
@@ -29,8 +31,9 @@
   Phase phase = Phase.PLANNED;
 
   /**
-   * A report proves this attempt's absence only if its token is at least this. {@link #LAUNCH_OPEN}
-   * while the launch is under way; a raised fence after a launch without answer; 0 once answered.
+   * The least token with which a report proves this attempt's absence: {@link #LAUNCH_OPEN} while
+   * the launch is in flight, a raised fence after a launch without an answer, 0 once the launch was
+   * answered.
    */
   long neededToken;
 
@@ -41,10 +44,10 @@
   boolean done;
   boolean halting;
 
-  /** It was seen to run. */
+  /** True if this leader has seen the attempt run. */
   boolean seenRunning;
 
-  /** Read from the records of an earlier leader. */
+  /** True if the attempt was read from the records of an earlier leader. */
   boolean adopted;
 
   long firstHaltAtMs;
@@ -63,134 +66,139 @@
     this.plannedAtMs = nowMs;
   }
 
-  /** The task's name on the wire. */
+  /** Returns the task's name on the wire. */
   public String key() {
     return job.spec().ref() + "/" + step;
   }
 
-  /** Its job. */
+  /** Returns the attempt's job. */
   public Job job() {
     return job;
   }
 
-  /** The job's description. */
+  /** Returns the job's description. */
   public Submission spec() {
     return job.spec();
   }
 
-  /** Index of the task in its job. */
+  /** Returns the index of the task in its job. */
   public int step() {
     return step;
   }
 
-  /** True when an earlier leader launched it, so that how long it has run is not known. */
+  /**
+   * Returns true if an earlier leader launched the attempt, so that its run time so far is not
+   * known.
+   */
   public boolean adopted() {
     return adopted;
   }
 
-  /** When it was planned, or read from the records. */
+  /** Returns when the attempt was planned or read from the records, in steady time. */
   public long plannedAtMs() {
     return plannedAtMs;
   }
 
-  /** Run time that earlier attempts saved. */
+  /** Returns the run time that checkpoints of earlier attempts keep. */
   public double savedS() {
     return savedS;
   }
 
-  /** Seconds for which it has run, as far as seen here. */
+  /** Returns the seconds since this leader first saw the attempt running; 0 unless it runs. */
   public double runTimeS(long nowMs) {
     return status == Report.Status.RUNNING ? (nowMs - statusSinceMs) / 1000.0 : 0;
   }
 
-  /** Seconds for which it ran before it exited, as far as seen here. */
+  /** Returns the seconds for which this leader saw the attempt run before it exited. */
   public double runTimeBeforeExitS() {
     return runTimeBeforeExitS;
   }
 
-  /** Of {@code runTimeS} seconds run, those that its own checkpoints keep. */
+  /**
+   * Returns how many of {@code runTimeS} seconds of run time the attempt's own checkpoints keep.
+   */
   public double checkpointedS(double runTimeS) {
     double saveIntervalS = spec().saveEveryS();
     return saveIntervalS > 0 ? Math.floor(runTimeS / saveIntervalS) * saveIntervalS : 0;
   }
 
-  /** Number of this try. */
+  /** Returns the attempt's number. */
   public long number() {
     return number;
   }
 
-  /** Its machine. */
+  /** Returns the identifier of the attempt's machine. */
   public String host() {
     return host;
   }
 
-  /** Its machine's zone. */
+  /** Returns the zone of the attempt's machine. */
   public String zone() {
     return zone;
   }
 
-  /** The worker's session it was launched in. */
+  /** Returns the worker's session in which the attempt was launched. */
   public long session() {
     return session;
   }
 
-  /** What its machine last said, or null. */
+  /** Returns the status that the machine last reported, or null. */
   public Report.Status status() {
     return status;
   }
 
-  /** Since when it is in that state, as seen here. */
+  /** Returns when this leader first saw that status, in steady time. */
   public long statusSinceMs() {
     return statusSinceMs;
   }
 
-  /** True once its launch may be under way. */
+  /** Returns true once the launch may be in flight. */
   public boolean isSent() {
     return phase == Phase.SENT;
   }
 
-  /** True when a stop was asked for. */
+  /** Returns true if a stop was requested. */
   public boolean halting() {
     return halting;
   }
 
-  /** True once it has ended on its machine: it holds no room there. */
+  /** Returns true once the attempt has ended on its machine and holds no resources there. */
   public boolean exited() {
     return exited;
   }
 
-  /** The launch left for the worker. */
+  /** Marks the launch as sent to the worker. */
   public void markLaunchSent() {
     phase = Phase.SENT;
     neededToken = LAUNCH_OPEN;
   }
 
-  /** True while nothing tells whether its launch was executed. */
+  /** Returns true while it is not known whether the launch was executed. */
   public boolean isLaunchOpen() {
     return isSent() && neededToken == LAUNCH_OPEN;
   }
 
-  /** The worker answered: it has executed the launch, or refused the whole message. */
+  /** Marks the launch as answered: the worker has executed it or refused the whole message. */
   public void markLaunchAnswered() {
     neededToken = 0;
   }
 
-  /** The launch was surely not sent. */
+  /** Marks the launch as certainly not sent. */
   public void markLaunchNotSent() {
     phase = Phase.COMMITTED;
   }
 
   /**
-   * No answer. The launch may still be executed, however late, until the worker has shown a token
-   * that is at least {@code fence}.
+   * Marks the launch as unanswered. It may still be executed, however late, until the worker has
+   * shown a token of at least {@code fence}.
    */
   public void markLaunchUnknown(long fence) {
     neededToken = fence;
   }
 
   /**
-   * Read from the records of an earlier leader. Its launch may still be on its way: only a report
-   * under a token of this term proves anything about it.
+   * Marks the attempt as read from the records of an earlier leader. Its launch may still be in
+   * flight: only a report under a token of this term proves anything about it.
    */
   void markAdopted(long term) {
     phase = Phase.SENT;
@@ -198,29 +206,32 @@
     neededToken = FencingToken.of(term, 0);
   }
 
-  /** A report of its session shows it. Recorded but not sent, it is of an earlier leader's time. */
+  /**
+   * Marks the attempt as shown by a report of its session. If it is recorded but was not sent by
+   * this leader, an earlier leader sent it.
+   */
   void markSeenOnMachine() {
     phase = Phase.SENT;
     neededToken = 0;
   }
 
-  /** A stop was sent. */
+  /** Marks a stop as sent. */
   public void markHaltSent(long nowMs, double newWindDownS) {
     lastHaltSentAtMs = nowMs;
     windDownS = newWindDownS;
   }
 
-  /** When a stop was last sent. */
+  /** Returns when a stop was last sent, in steady time. */
   public long lastHaltSentAtMs() {
     return lastHaltSentAtMs;
   }
 
-  /** When a stop was first asked for. */
+  /** Returns when a stop was first requested, in steady time. */
   public long firstHaltAtMs() {
     return firstHaltAtMs;
   }
 
-  /** Time it was given to save. */
+  /** Returns the seconds that the last stop gave the task to save its state. */
   public double windDownS() {
     return windDownS;
   }
--- a/src/main/java/dapplestair/ledger/AttemptReconciler.java
+++ b/src/main/java/dapplestair/ledger/AttemptReconciler.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What reports of workers prove about attempts: that they run, have ended or are absent. */
+/** Applies what workers' reports prove about attempts: that they run, have ended or are absent. */
 final class AttemptReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptReconciler.class);
 
@@ -30,12 +30,12 @@
     this.refusedStarts = new RefusedStarts(context);
   }
 
-  /** Starts that machines have refused since this process began, by cause. */
+  /** Returns the number of starts that machines have refused since this process began, by cause. */
   Map<String, Long> refusedStarts() {
     return refusedStarts.byCause();
   }
 
-  /** Applies a machine's newest report. Returns tasks in it that no attempt accounts for. */
+  /** Applies a machine's newest report. Returns the tasks in it that belong to no known attempt. */
   List<Report.Task> applyReport(Machine host, Report report) {
     List<Report.Task> unknownTasks = new ArrayList<>();
     Set<Attempt> reportedAttempts = new LinkedHashSet<>();
@@ -56,7 +56,7 @@
           continue;
         }
         LOG.debug(
-            "{} try {} is not on {} any more: report {} of session {} under token {}, needed {} of session {}",
+            "{} attempt {} is absent from {}: report {} of session {} with token {} proves it, needed token {} of session {}",
             attempt.key(),
             attempt.number,
             host.id(),
@@ -71,13 +71,17 @@
     return context.isReady() ? unknownTasks : List.of();
   }
 
-  /** True when this report, newer than any before, proves that the attempt is not there. */
+  /**
+   * Returns true if this report, newer than any before, proves that the attempt is not on the
+   * machine.
+   */
   static boolean provesAbsence(Attempt attempt, Report report) {
-    // A later session has killed all that the earlier one ran, and refuses launches meant for it.
+    // A later session has killed all tasks of the earlier one, and refuses launches meant for it.
     if (report.session() > attempt.session) {
       return true;
     }
-    // Otherwise the report must come after the last moment at which a launch could be executed.
+    // Otherwise the report must be later than the last moment at which the launch could be
+    // executed.
     return attempt.isSent()
         && report.session() == attempt.session
         && report.token() >= attempt.neededToken;
@@ -99,7 +103,7 @@
         if (!attempt.job.hasBegun && !attempt.adopted) {
           attempt.job.startDelayMs = context.clock.wall() - attempt.job.firstRequestWallMs();
           LOG.debug(
-              "{} of {} tasks begins {} ms after it was asked for, {} ms after it was accepted",
+              "job {} of {} tasks begins to run {} ms after it was first submitted, {} ms after it was accepted",
               attempt.job.spec().ref(),
               attempt.spec().steps(),
               attempt.job.startDelayMs,
@@ -107,7 +111,7 @@
         }
         if (!attempt.seenRunning && !attempt.adopted) {
           LOG.debug(
-              "{} try {} starts on {} {} ms after its job was asked for",
+              "{} attempt {} runs on {} {} ms after its job was first submitted",
               attempt.key(),
               attempt.number(),
               host.id(),
@@ -126,7 +130,8 @@
 
   private void onExited(Machine host, Attempt attempt, Report.Task task) {
     String cause = task.cause();
-    LOG.debug("{} try {} exited on {}: {}", attempt.key(), attempt.number, host.id(), cause);
+    LOG.debug(
+        "{} attempt {} exited on {}, cause {}", attempt.key(), attempt.number, host.id(), cause);
     if (cause.equals("done") && !attempt.spec().service()) {
       onCompleted(host, attempt);
       return;
@@ -142,7 +147,8 @@
           attempt.step,
           attempt.runTimeBeforeExitS - attempt.checkpointedS(attempt.runTimeBeforeExitS));
     }
-    // Before its room is given back: nothing is to be placed there first.
+    // The machine is paused before the resources are released, so that nothing is placed there in
+    // between.
     refusedStarts.onExited(host, cause);
     attempts.remove(attempt);
     context.callbacks.clear(attempt.host, attempt.key(), attempt.number);
@@ -157,24 +163,26 @@
     if (attempt.job.ended) {
       attempts.discard(attempt);
     } else if (!jobFinalizer.finishIfDone(attempt.job)) {
-      // Recorded before it is cleared: until then the report is the only proof.
+      // The completion is recorded before the report is cleared: until then the report is its only
+      // proof.
       writer.markDirty(attempt.job, chunk, false);
     }
     context.callbacks.onChanged();
   }
 
   /**
-   * A step that fails again waits for longer each time, whatever becomes of the job's other steps;
-   * if many do, the job waits as a whole.
+   * Records a step's failure. A step that fails again is delayed, longer after each failure,
+   * whatever becomes of the job's other steps; if many steps do so, the whole job is delayed.
    */
   void recordStepFailure(Attempt attempt, long firstDelayMs, long maxDelayMs) {
     Job job = attempt.job;
     int earlierFailures = job.stepFailures.addTo(attempt.step, 1);
     if (earlierFailures == 0 || job.spec().gang()) {
-      // A gang starts as a whole, so it waits as a whole.
+      // A gang starts as a whole, so it is delayed as a whole.
       return;
     }
-    // A replica is missed each second, and a service that is wrong waits as a whole.
+    // A replica's delay is kept short, since the service lacks it each second; a service that fails
+    // everywhere is delayed as a whole.
     long cappedDelayMs = job.spec().service() ? Math.min(maxDelayMs, 4 * firstDelayMs) : maxDelayMs;
     long delayMs = Math.min(cappedDelayMs, firstDelayMs << Math.min(10, earlierFailures - 1));
     if (job.delayedSteps.size() >= MAX_DELAYED_STEPS) {
@@ -189,14 +197,14 @@
     }
   }
 
-  /** What failed on a machine that turned out to be faulty is held against no step. */
+  /** Clears a step's failures on a machine that turned out to be faulty. */
   void clearStepFailures(Job job, int step) {
     job.stepFailures.remove(step);
     job.delayedSteps.remove(step);
     context.callbacks.onChanged();
   }
 
-  /** Keeps a job from starting tasks for a while. */
+  /** Keeps a job from starting tasks for {@code delayMs}. */
   void delayStarts(Job job, long delayMs) {
     job.startsDelayedUntilMs = Math.max(job.startsDelayedUntilMs, context.clock.now() + delayMs);
     context.timers.after(delayMs + 1, context.callbacks::onChanged);
--- a/src/main/java/dapplestair/ledger/Attempts.java
+++ b/src/main/java/dapplestair/ledger/Attempts.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The lives of attempts, from entering a machine until nothing of them is left on it. */
+/** Keeps attempts from their registration on a machine until nothing of them is left there. */
 final class Attempts {
   private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
   private static final double MIN_RUN_FOR_START_S = 30;
@@ -21,7 +21,9 @@
     this.writer = writer;
   }
 
-  /** {@code listener} is told when a job that is over has one attempt less. */
+  /**
+   * Sets a listener that is called with a job that is over when one of its attempts was removed.
+   */
   void setAttemptRemovedListener(Consumer<Job> listener) {
     attemptRemovedListener = listener;
   }
@@ -34,16 +36,19 @@
     context.callbacks.host(attempt.host).reserve(attempt);
   }
 
-  /** Asks for a stop; repeated by the workers' duty until it is proved. */
-  void halt(Attempt attempt, double windDownS, StopReason why) {
+  /**
+   * Asks for an attempt's stop; the component for workers repeats the request until the attempt's
+   * absence is proved.
+   */
+  void halt(Attempt attempt, double windDownS, StopReason reason) {
     if (!attempt.isSent()) {
       remove(attempt);
       return;
     }
     if (!attempt.halting) {
       attempt.firstHaltAtMs = context.clock.now();
-      retractStart(attempt, why);
-      context.callbacks.onFirstStopRequest(attempt, why);
+      retractStart(attempt, reason);
+      context.callbacks.onFirstStopRequest(attempt, reason);
     }
     attempt.halting = true;
     context.callbacks.halt(attempt, windDownS);
@@ -51,13 +56,14 @@
   }
 
   /**
-   * Workers let only members of one start meet. Without this one the run of the others is of no
-   * use, and the gang can begin anew only once all of them are gone: so they are stopped with it,
-   * whether it was stopped, lost or failed (GangTest).
+   * Stops the other members of a gang when one is missing. Workers connect only members of the same
+   * start, so the run of the others is useless without this one, and the gang can begin anew only
+   * once all of them are gone. So they are stopped with it, whether it was stopped, lost or failed
+   * (GangTest).
    */
-  private void stopRestOfGang(Attempt missing) {
-    Job job = missing.job;
-    if (!job.spec().gang() || job.isOver() || missing.done || job.stoppingGang) {
+  private void stopRestOfGang(Attempt missingMember) {
+    Job job = missingMember.job;
+    if (!job.spec().gang() || job.isOver() || missingMember.done || job.stoppingGang) {
       return;
     }
     job.stoppingGang = true;
@@ -72,11 +78,14 @@
     job.stoppingGang = false;
   }
 
-  /** A start that is soon stopped by command is none (PROTOCOL, "How aims are counted"). */
-  private void retractStart(Attempt attempt, StopReason why) {
+  /**
+   * Withdraws a job's start if it is stopped by command within {@link #MIN_RUN_FOR_START_S}: such a
+   * start does not count (PROTOCOL, "How aims are counted").
+   */
+  private void retractStart(Attempt attempt, StopReason reason) {
     Job job = attempt.job;
     if (!job.ended
-        && why != StopReason.NOTICE
+        && reason != StopReason.NOTICE
         && attempt.runTimeS(context.clock.now()) < MIN_RUN_FOR_START_S
         && job.doneCount() == 0
         && job.chunks.values().stream()
@@ -86,7 +95,7 @@
     }
   }
 
-  /** An attempt stops counting: it has exited, or its absence is proved. */
+  /** Releases an attempt's resources, after it has exited or its absence was proved. */
   void releaseResources(Attempt attempt) {
     if (attempt.exited) {
       return;
@@ -109,7 +118,7 @@
     return Math.max(attempt.runTimeBeforeExitS, attempt.runTimeS(context.clock.now()));
   }
 
-  /** Nothing of it is left on its machine. */
+  /** Removes an attempt of which nothing is left on its machine. */
   void remove(Attempt attempt) {
     releaseResources(attempt);
     Chunk chunk = attempt.job.chunkOf(attempt.step);
@@ -130,7 +139,7 @@
     context.callbacks.onChanged();
   }
 
-  /** The attempt of a job that is over needs nothing more. */
+  /** Removes an attempt of a job that is over, and its report if it has completed. */
   void discard(Attempt attempt) {
     remove(attempt);
     if (attempt.done) {
@@ -138,7 +147,7 @@
     }
   }
 
-  /** Its absence is proved, though nobody saw it end. */
+  /** Removes an attempt whose absence is proved although no report showed its end. */
   void markAbsent(Attempt attempt) {
     if (attempt.isSent() && !attempt.exited && !attempt.halting && !attempt.job.ended) {
       context.callbacks.onAttemptLost(attempt);
@@ -146,13 +155,13 @@
     remove(attempt);
   }
 
-  /** The machine is proved to be gone: so is all that was on it. */
+  /** Removes all attempts of a machine that is proved to be gone. */
   void markAllAbsent(Machine machine) {
     if (!machine.attempts().isEmpty()) {
       LOG.debug(
-          "{} is gone, and with it {}",
+          "machine {} is gone; its attempts are absent: {}",
           machine.id(),
-          machine.attempts().stream().map(a -> a.key() + " try " + a.number).toList());
+          machine.attempts().stream().map(a -> a.key() + " attempt " + a.number).toList());
     }
     List.copyOf(machine.attempts()).forEach(this::markAbsent);
   }
--- a/src/main/java/dapplestair/ledger/Chunk.java
+++ b/src/main/java/dapplestair/ledger/Chunk.java
@@ -12,30 +12,30 @@
 import java.util.List;
 import java.util.Set;
 
-/** The attempts and completions of a run of consecutive tasks, kept under one key. */
+/** The attempts and completions of a range of consecutive tasks, recorded under one key. */
 final class Chunk {
   final int index;
   final int firstStep;
   final int size;
 
-  /** Steps completed, relative to {@link #firstStep}. */
+  /** The completed steps, relative to {@link #firstStep}. */
   final BitSet completedSteps = new BitSet();
 
-  /** Attempts whose absence is not proved, by absolute step. */
+  /** The attempts whose absence is not proved, by absolute step. */
   final Int2ObjectOpenHashMap<Attempt> attemptsByStep = new Int2ObjectOpenHashMap<>();
 
   long lastNumber;
 
-  /** The highest number that the record in the state service has reached. */
+  /** The highest attempt number that the record in the state service has reached. */
   long recordedNumber;
 
-  /** Launch batches with attempts that the record does not know of yet. */
+  /** Launch batches with attempts that the chunk's own record does not have yet. */
   final Set<LaunchBatch> launchBatches = new HashSet<>();
 
   long stamp;
   boolean dirty;
 
-  /** Something besides launches is not on record yet. */
+  /** True if changes other than launches are not on record yet. */
   boolean hasUnrecordedEnds;
 
   boolean hasUrgentLaunches;
@@ -48,10 +48,11 @@
     this.size = Math.min(chunkSize, steps - firstStep);
   }
 
-  // Steps whose last attempt ended before it was done, until they run again; seldom any.
+  // Steps whose last attempt ended before the step was done, until they run again. Usually none, so
+  // the set is created on demand.
   private IntOpenHashSet interruptedSteps;
 
-  /** Most steps that may have been interrupted before this leader came. */
+  /** The most steps that may have been interrupted before this leader's term. */
   private int maxUnknownInterrupted;
 
   void markInterrupted(int step) {
@@ -68,9 +69,9 @@
   }
 
   /**
-   * Of the steps that wait when a leader begins, how many may have run before: every launch took a
-   * number, each step that is done or held had one at least, and the other numbers may have gone to
-   * any. A gang's members share theirs.
+   * Computes how many of the steps that wait when a leader's term begins may have run before: every
+   * launch took a number, each step that is done or held took at least one, and the other numbers
+   * may belong to any waiting step. A gang's members share their numbers.
    */
   void computeMaxUnknownInterrupted(boolean gang) {
     int doneOrHeld = attemptsByStep.size() + completedSteps.cardinality();
@@ -79,8 +80,8 @@
   }
 
   /**
-   * Steps that wait, or start again, after having been interrupted; never too few. {@code
-   * startingOrDone} attempts that are on record only start, or are over.
+   * Returns the number of steps that wait or start again after an interruption, never too few.
+   * {@code startingOrDone} of the attempts in memory only start or are done.
    */
   int maxInterruptedWaiting(int startingOrDone) {
     int knownInterrupted = interruptedSteps == null ? 0 : interruptedSteps.size();
@@ -96,7 +97,7 @@
     return attemptsByStep.isEmpty();
   }
 
-  /** First step at or after {@code step} that is neither done nor held, or -1. */
+  /** Returns the first step at or after {@code step} that is neither done nor held, or -1. */
   int nextFree(int step) {
     for (int i = completedSteps.nextClearBit(step - firstStep);
         i < size;
@@ -108,7 +109,9 @@
     return -1;
   }
 
-  /** {@code probesFailed} is the job's: 0 unless it fails wherever it runs. */
+  /**
+   * Returns the chunk's record; {@code probesFailed} is 0 unless the job fails wherever it runs.
+   */
   ObjectNode toJson(int probesFailed) {
     ObjectNode object = Json.object().put("t", lastNumber);
     if (probesFailed > 0) {
@@ -126,19 +129,22 @@
     return object;
   }
 
-  /** Attempts by machine, zones by number: each put carries all of it to every replica. */
+  /**
+   * Writes attempts by machine and zones by number, since each put carries the whole record to
+   * every replica.
+   */
   private void writeLive(ObjectNode object) {
     List<String> zones = new ArrayList<>();
     ObjectNode byHost = Json.object();
     for (Attempt attempt : attemptsByStep.values()) {
-      // An attempt seen to complete needs no record of its own: its step is done.
+      // A completed attempt needs no entry: its step is recorded as done.
       if (attempt.done) {
         continue;
       }
       if (!zones.contains(attempt.zone)) {
         zones.add(attempt.zone);
       }
-      // A machine's later session is another machine as far as attempts are concerned.
+      // Attempts treat a later session of a machine as another machine.
       String hostAndSession = attempt.host + " " + attempt.session;
       ArrayNode hostAttempts = (ArrayNode) byHost.get(hostAndSession);
       if (hostAttempts == null) {
@@ -151,7 +157,7 @@
     object.set("h", byHost);
   }
 
-  /** Reads a record, giving each attempt in it to {@code forEachAttempt}. */
+  /** Reads a record and passes each attempt in it to {@code attempts}. */
   void read(JsonNode value, long newStamp, RecordedAttempts consumer) {
     stamp = newStamp;
     lastNumber = Json.number(value, "t", 0);
@@ -163,18 +169,18 @@
     forEachAttempt(value, consumer);
   }
 
-  /** The attempts of a record. */
+  /** Passes each attempt of a record to {@code consumer}. */
   static void forEachAttempt(JsonNode value, RecordedAttempts consumer) {
     JsonNode zones = value.path("z");
     value
         .path("h")
         .fields()
         .forEachRemaining(
-            e -> {
-              int space = e.getKey().lastIndexOf(' ');
-              String host = e.getKey().substring(0, space);
-              long session = Long.parseLong(e.getKey().substring(space + 1));
-              JsonNode hostAttempts = e.getValue();
+            hostEntry -> {
+              int space = hostEntry.getKey().lastIndexOf(' ');
+              String host = hostEntry.getKey().substring(0, space);
+              long session = Long.parseLong(hostEntry.getKey().substring(space + 1));
+              JsonNode hostAttempts = hostEntry.getValue();
               String zone = zones.path(hostAttempts.path(0).asInt()).asText();
               for (int i = 1; i + 1 < hostAttempts.size(); i += 2) {
                 consumer.attempt(
@@ -185,7 +191,7 @@
                     session);
               }
             });
-    // The form of version 0.1.0, one entry an attempt.
+    // The format of version 0.1.0, with one entry for each attempt.
     for (JsonNode entry : value.path("l")) {
       consumer.attempt(
           entry.path(0).asInt(),
@@ -196,7 +202,7 @@
     }
   }
 
-  /** How often the job was tried in vain, by a record. */
+  /** Returns how many probes of the job have failed, according to a record. */
   static int probesFailed(JsonNode value) {
     return (int) Json.number(value, "w", 0);
   }
@@ -206,7 +212,7 @@
     void attempt(int step, long number, String host, String zone, long session);
   }
 
-  /** Completed steps of a record, without building it. */
+  /** Returns the number of completed steps in a record, without building a chunk. */
   static int countDone(JsonNode value) {
     JsonNode completedRanges = value.path("d");
     int count = 0;
@@ -216,7 +222,7 @@
     return count;
   }
 
-  /** Attempts in a record, without building it. */
+  /** Returns the number of attempts in a record, without building a chunk. */
   static int countLive(JsonNode value) {
     int count = value.path("l").size();
     for (JsonNode hostAttempts : value.path("h")) {
--- a/src/main/java/dapplestair/ledger/ChunkWriter.java
+++ b/src/main/java/dapplestair/ledger/ChunkWriter.java
@@ -11,31 +11,37 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps the records of attempts: puts what changed, in as few puts as may be. */
+/** Writes the chunks' records of attempts, in as few puts as possible. */
 final class ChunkWriter implements LaunchBatches.ChunkRecords {
   private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
 
-  /** Told of what a put has settled. */
+  /** Receives the results of puts. */
   interface Listener {
-    /** A put of this job was made. True when the job is over, so that no more follow. */
+    /**
+     * Reports that a put of this job was made. Returns true if the job is over, so that no more
+     * puts follow.
+     */
     boolean onChunkPut(Job job);
 
-    /** The job is over, and one of its records may be removed now. */
+    /**
+     * Reports that a put of a job that is over has ended, so that its record may be removed now.
+     */
     void onJobOver(Job job);
 
-    /** The job was cancelled before this attempt's launch was sent. */
+    /** Reports that the job was cancelled before this attempt's launch was sent. */
     void onUnsentCancelled(Attempt unsent);
   }
 
-  /** What one put of a chunk carries. */
-  private static final class Flush {
+  /** The content of one put of a chunk. */
+  private static final class ChunkPut {
     boolean txnBuilt;
     long lastNumber;
     final List<Attempt> planned = new ArrayList<>();
     final List<Attempt> completed = new ArrayList<>();
   }
 
-  // Of the state service's puts: what nobody waits for may take no more, however much ends.
+  // The share of the state service's write rate that bookkeeping puts, which nobody waits for, may
+  // use, however many tasks end.
   private static final double BOOKKEEPING_SHARE = 0.12;
 
   private final LedgerContext context;
@@ -59,7 +65,10 @@
     launchBatches.clear();
   }
 
-  /** The chunk differs from its record; {@code urgent} when launches wait for the put. */
+  /**
+   * Marks a chunk that differs from its record, and queues a put of it; {@code urgent} if launches
+   * wait for the put.
+   */
   void markDirty(Job job, Chunk chunk, boolean urgent) {
     if (!context.isTermActive()) {
       return;
@@ -70,7 +79,8 @@
     if (chunk.inFlight) {
       return;
     }
-    // Both may be queued for one chunk: launches must not wait behind a put that nobody waits for.
+    // A chunk may have an urgent and a bookkeeping put queued at once: launches must not wait
+    // behind a put that nobody waits for.
     if (urgent && !chunk.launchQueued) {
       chunk.launchQueued = true;
       boolean inLaunchBatch = job.spec().service() || isSingleTask(job);
@@ -82,7 +92,10 @@
     }
   }
 
-  /** Its one launch is all that is ever recorded of it, if nothing goes wrong. */
+  /**
+   * Returns true for a job of one task, of which nothing but its launch is ever recorded unless it
+   * fails or is lost.
+   */
   static boolean isSingleTask(Job job) {
     return job.spec().steps() == 1 && !job.spec().service() && !job.spec().gang();
   }
@@ -104,14 +117,16 @@
 
   @Override
   public void onBatchPut(Job job, Chunk chunk, boolean applied) {
-    // Its own record takes over when nobody waits for the put. Before that it must, if the launch
-    // batch may have been made without our knowing: entries of a lost one then count no more.
+    // After an applied put, the chunk's own record replaces the launch batch with the next
+    // bookkeeping put. After any other outcome its put is urgent, since the launch batch may still
+    // have been made unnoticed: entries of such a batch count no more once the chunk's own record
+    // has their numbers.
     chunk.hasUrgentLaunches =
         !applied
             || chunk.attemptsByStep.values().stream()
                 .anyMatch(a -> a.phase == Attempt.Phase.PLANNED);
     if (applied && isSingleTask(job) && !chunk.hasUrgentLaunches && !chunk.hasUnrecordedEnds) {
-      // A swarm's jobs are mostly done before a record of their own would be written.
+      // Most jobs of one task are done before a record of their own would be written.
       chunk.dirty = false;
     }
     if (job.ended) {
@@ -126,7 +141,7 @@
     listener.onUnsentCancelled(unsent);
   }
 
-  /** Launch batches of services' launches. */
+  /** Returns the launch batches of services and of jobs of one task. */
   LaunchBatches launchBatches() {
     return launchBatches;
   }
@@ -138,8 +153,9 @@
   }
 
   /**
-   * How long ends are gathered into one put: the longer the more jobs have some, so that the puts
-   * for them stay within their share. A completion need only be recorded before it is cleared.
+   * Returns for how long ends of tasks are gathered into one put: longer when more chunks have
+   * some, so that their puts stay within their share. A completion need only be recorded before its
+   * report is cleared.
    */
   private long gatherDelayMs() {
     long minDelayMs = context.settings.workers().reportMs() / 8;
@@ -148,24 +164,24 @@
   }
 
   private void enqueue(Job job, Chunk chunk, Priority priority) {
-    Flush flush = new Flush();
+    ChunkPut chunkPut = new ChunkPut();
     long term = context.term();
     context.state.commit(
         1,
-        () -> context.term() == term ? buildTxn(job, chunk, priority, flush) : null,
+        () -> context.term() == term ? buildTxn(job, chunk, priority, chunkPut) : null,
         priority,
         context.settings.workers().reportMs(),
         outcome -> {
           if (!context.isCurrentTerm(term)) {
             return;
           }
-          if (!flush.txnBuilt) {
+          if (!chunkPut.txnBuilt) {
             markUnqueued(chunk, priority);
             context.timers.after(context.retryMs, () -> requeueIfDirty(job, chunk));
             return;
           }
           chunk.inFlight = false;
-          onPutFinished(job, chunk, outcome, flush);
+          onPutFinished(job, chunk, outcome, chunkPut);
         });
   }
 
@@ -177,8 +193,10 @@
     }
   }
 
-  /** The put of a chunk as it is now, or null when there is none to make. */
-  private Txn buildTxn(Job job, Chunk chunk, Priority priority, Flush flush) {
+  /**
+   * Builds the put of a chunk in its present state, or returns null if there is nothing to write.
+   */
+  private Txn buildTxn(Job job, Chunk chunk, Priority priority, ChunkPut chunkPut) {
     markUnqueued(chunk, priority);
     if (!context.isTermActive()
         || chunk.inFlight
@@ -187,21 +205,21 @@
         || !context.leadership.leading()) {
       return null;
     }
-    flush.txnBuilt = true;
-    flush.lastNumber = chunk.lastNumber;
+    chunkPut.txnBuilt = true;
+    chunkPut.lastNumber = chunk.lastNumber;
     chunk.inFlight = true;
     chunk.dirty = false;
     chunk.hasUrgentLaunches = false;
     chunk.hasUnrecordedEnds = false;
     for (Attempt attempt : chunk.attemptsByStep.values()) {
       if (attempt.phase == Attempt.Phase.PLANNED) {
-        flush.planned.add(attempt);
+        chunkPut.planned.add(attempt);
       }
       if (attempt.done) {
-        flush.completed.add(attempt);
+        chunkPut.completed.add(attempt);
       }
     }
-    // The job's own stamp: nothing starts for a job that was cancelled meanwhile.
+    // The condition on the job's own stamp keeps a job that was cancelled meanwhile from starting.
     String ref = job.spec().ref();
     String key = StateKeys.run(ref, chunk.index);
     return context
@@ -212,17 +230,17 @@
         .put(key, chunk.toJson(job.probesFailed));
   }
 
-  private void onPutFinished(Job job, Chunk chunk, TxnOutcome outcome, Flush flush) {
+  private void onPutFinished(Job job, Chunk chunk, TxnOutcome outcome, ChunkPut chunkPut) {
     if (outcome instanceof TxnOutcome.Applied applied) {
       chunk.stamp = applied.stamp();
-      chunk.recordedNumber = flush.lastNumber;
+      chunk.recordedNumber = chunkPut.lastNumber;
       launchBatches.releaseClaims(chunk);
       if (job.ended) {
         listener.onJobOver(job);
         return;
       }
-      flush.planned.forEach(a -> launch(chunk, a, applied.stamp()));
-      flush.completed.forEach(a -> removeCompleted(job, chunk, a));
+      chunkPut.planned.forEach(a -> launch(chunk, a, applied.stamp()));
+      chunkPut.completed.forEach(a -> removeCompleted(job, chunk, a));
       if (!listener.onChunkPut(job)) {
         requeueIfDirty(job, chunk);
       }
@@ -230,14 +248,15 @@
     }
     chunk.dirty = true;
     chunk.hasUnrecordedEnds = true;
-    chunk.hasUrgentLaunches |= !flush.planned.isEmpty();
+    chunk.hasUrgentLaunches |= !chunkPut.planned.isEmpty();
     if (outcome instanceof TxnOutcome.Conflict conflict) {
       if (context.leadership.deposedBy(outcome)) {
         return;
       }
       if (conflict.failed().contains(StateKeys.job(job.spec().ref()))) {
-        // Cancelled: the replica will say so; what was not sent never will be.
-        for (Attempt attempt : flush.planned) {
+        // The job was cancelled, which the replica will show; launches that were not sent are
+        // dropped.
+        for (Attempt attempt : chunkPut.planned) {
           if (chunk.attemptsByStep.get(attempt.step) == attempt && !attempt.isSent()) {
             listener.onUnsentCancelled(attempt);
           }
@@ -247,9 +266,10 @@
     }
     if (outcome instanceof TxnOutcome.Conflict || outcome instanceof TxnOutcome.Unknown) {
       if (outcome instanceof TxnOutcome.Conflict conflict) {
-        // A leader is the only one who writes it, and none of its own copies is open any more.
+        // Only the leader writes this record, and none of its earlier writes is unanswered, so a
+        // conflict is unexpected.
         LOG.warn(
-            "{} is not as this leader left it at {}: {}",
+            "write of {} conflicts though only this leader writes it: expected stamp {}, failed conditions {}; reading it back",
             StateKeys.run(job.spec().ref(), chunk.index),
             chunk.stamp,
             conflict.failed());
@@ -267,7 +287,9 @@
     }
   }
 
-  /** Its completion is on record: the report of it is not needed any more. */
+  /**
+   * Removes an attempt whose completion is on record, so that its report is not needed any more.
+   */
   private void removeCompleted(Job job, Chunk chunk, Attempt attempt) {
     if (chunk.attemptsByStep.get(attempt.step) == attempt) {
       chunk.attemptsByStep.remove(attempt.step);
@@ -278,8 +300,9 @@
   }
 
   /**
-   * An unanswered write may have been applied, or may be later. Each write is conditional on the
-   * stamp of the one before, so once a newer one has succeeded, the lost one cannot follow.
+   * Reads a record's stamp after an unanswered or conflicting write, which may have been applied,
+   * or may be later. Each write is conditional on the stamp of the one before, so once a newer
+   * write has succeeded, the lost one can't be applied any more.
    */
   void readBack(Job job, Chunk chunk) {
     long term = context.term();
--- a/src/main/java/dapplestair/ledger/Job.java
+++ b/src/main/java/dapplestair/ledger/Job.java
@@ -8,7 +8,7 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 
-/** A job that is not over, or whose attempts are not all gone. */
+/** A job that is not over, or that still has attempts or records. */
 public final class Job {
   private final Submission spec;
   private final long acceptedWallMs;
@@ -17,47 +17,51 @@
   final Int2ObjectAVLTreeMap<Chunk> chunks = new Int2ObjectAVLTreeMap<>();
   final Object2IntOpenHashMap<String> attemptsPerZone = new Object2IntOpenHashMap<>();
 
-  /** Stamp of the job's key, 0 once it is over. */
+  /** The stamp of the job's key, 0 once the job has ended. */
   long stamp;
 
   boolean ended;
 
-  /** One of its tasks was seen to run. */
+  /** True if one of the job's tasks was seen to run. */
   boolean hasBegun;
 
-  /** How long after its user first asked; 0 when an earlier leader saw it. */
+  /**
+   * Time from the user's first request to the first task seen running; 0 if an earlier leader saw
+   * it.
+   */
   long startDelayMs;
 
   boolean finishing;
   int interruptedReplicas;
 
-  /** Since when it is over, steady time; before this leader's term if the records say so. */
+  /** When the job ended, in steady time; before this leader's term if the records say so. */
   long endedAtMs;
 
   int heldAttempts;
   long gangNumber;
   final IntOpenHashSet gangSteps = new IntOpenHashSet();
 
-  /** Its members are being stopped, since one of them is missing. */
+  /** True while the gang's members are being stopped because one of them is missing. */
   boolean stoppingGang;
 
   private int firstIncompleteChunk;
 
-  // Progress that checkpoints keep, as far as this leader has seen it: for estimates only.
+  // Run time that checkpoints keep, as far as this leader has seen it; used for estimates only.
   private final Int2DoubleOpenHashMap savedSecondsByStep = new Int2DoubleOpenHashMap();
 
-  // When a task of it last failed there, by machine, steady time.
+  // When a task of the job last failed on each machine, in steady time.
   final Object2LongOpenHashMap<String> lastFailureMsByMachine = new Object2LongOpenHashMap<>();
   long startsDelayedUntilMs;
 
-  // It failed wherever it ran: one task at a time, after so many that failed (package blame).
+  // A suspected job has failed wherever it ran: it is tried by one task at a time, of which so many
+  // have failed (package blame).
   boolean suspected;
   int probesFailed;
 
-  /** Its time has not come: nothing is to be rented for it yet. */
+  /** True while the job's time has not come, so that nothing is to be rented for it yet. */
   boolean excludedFromPlanning;
 
-  // How often steps failed, and those that wait after having failed again.
+  // How often each step failed, and the steps that are delayed after repeated failures.
   final Int2IntOpenHashMap stepFailures = new Int2IntOpenHashMap();
   final IntOpenHashSet delayedSteps = new IntOpenHashSet();
 
@@ -73,74 +77,81 @@
     this.stamp = stamp;
   }
 
-  /** What the user asked for. */
+  /** Returns the job's description, as submitted. */
   public Submission spec() {
     return spec;
   }
 
-  /** Tasks recorded under one key; fixed when the job is accepted. */
+  /**
+   * Returns the number of tasks recorded under one key, which is fixed when the job is accepted.
+   */
   int chunkSize() {
     return chunkSize;
   }
 
-  /** Time of day of its acceptance. */
+  /** Returns the time of day at which the job was accepted. */
   public long acceptedWallMs() {
     return acceptedWallMs;
   }
 
   /**
-   * Time of day of the first attempt to submit it that is known. Waits are measured from then: it
-   * is earlier than the acceptance when its user was turned away for a while.
+   * Returns the time of day of the first known attempt to submit the job. Waits are measured from
+   * then: it is earlier than the acceptance if the user was turned away for a while.
    */
   public long firstRequestWallMs() {
     return firstRequestWallMs;
   }
 
-  /** True when it was cancelled or all is done. */
+  /** Returns true if the job was cancelled or all its tasks are done. */
   public boolean isOver() {
     return ended || finishing;
   }
 
-  /** Since when it is over, steady time. */
+  /** Returns when the job ended, in steady time. */
   public long endedAtMs() {
     return endedAtMs;
   }
 
-  /** Until when it waits after failing on good machines. */
+  /**
+   * Returns until when the job starts no tasks after it failed on good machines, in steady time.
+   */
   public long startsDelayedUntilMs() {
     return startsDelayedUntilMs;
   }
 
-  /** Replicas that ran for a good while and then were stopped or lost. */
+  /**
+   * Returns how many replicas were stopped or lost after they had run for more than two report
+   * intervals.
+   */
   public int interruptedReplicas() {
     return interruptedReplicas;
   }
 
-  /** True when this step has completed. */
+  /** Returns true if this step has completed. */
   public boolean isDone(int step) {
     Chunk chunk = chunks.get(step / chunkSize);
     return chunk != null && chunk.completedSteps.get(step - chunk.firstStep);
   }
 
-  /** True when it fails wherever it runs, and is tried by one task at a time. */
+  /** Returns true if the job fails wherever it runs, and is tried by one task at a time. */
   public boolean isSuspected() {
     return suspected;
   }
 
-  /** Steps that failed again and again, and wait for a while. */
+  /** Returns the number of steps that are delayed after repeated failures. */
   public int delayedStepCount() {
     return delayedSteps.size();
   }
 
-  /** How often it was tried so and failed. */
+  /** Returns how many tasks of the job have failed while it was suspected. */
   public int probesFailed() {
     return probesFailed;
   }
 
   /**
-   * Tasks that want room now. A job that fails wherever it runs wants room for its next probe (of a
-   * gang that is all of it), and for none while one runs or its pause lasts: nothing is to be
-   * rented or emptied for the others.
+   * Returns the number of tasks that need resources now. A suspected job needs them for its next
+   * probe only (of a gang that is all of it), and none while a probe runs or its pause lasts:
+   * nothing is to be rented or emptied for the others.
    */
   public int wantedTasks(long nowMs) {
     if (excludedFromPlanning) {
@@ -153,19 +164,19 @@
     return Math.max(0, waitingTasks() - delayedSteps.size());
   }
 
-  /** Run time that checkpoints of earlier attempts at a step keep. */
+  /** Returns the run time that checkpoints of earlier attempts at a step keep. */
   double savedS(int step) {
     return savedSecondsByStep.get(step);
   }
 
-  /** A stopped or lost attempt has kept so much more. */
+  /** Adds run time that checkpoints of a stopped or lost attempt keep. */
   void addSavedTime(int step, double seconds) {
     if (seconds > 0) {
       savedSecondsByStep.addTo(step, seconds);
     }
   }
 
-  /** Tasks completed. */
+  /** Returns the number of completed tasks. */
   public int doneCount() {
     int count = 0;
     for (Chunk chunk : chunks.values()) {
@@ -174,7 +185,7 @@
     return count;
   }
 
-  /** Tasks with an attempt, for display. */
+  /** Returns the number of tasks with an attempt, for display. */
   public int liveCount() {
     int count = 0;
     for (Chunk chunk : chunks.values()) {
@@ -183,12 +194,12 @@
     return count;
   }
 
-  /** Attempts whose absence is not proved. */
+  /** Returns the number of attempts whose absence is not proved. */
   public int heldAttempts() {
     return heldAttempts;
   }
 
-  /** Attempts in this zone whose absence is not proved. */
+  /** Returns the number of attempts in this zone that have not exited and are not proved absent. */
   public int attemptsInZone(String zone) {
     return attemptsPerZone.getInt(zone);
   }
@@ -206,12 +217,14 @@
     return chunk(step / chunkSize);
   }
 
-  /** Number of steps neither done nor held. */
+  /**
+   * Returns the number of steps that are neither done nor have an attempt; 0 once the job is over.
+   */
   public int waitingTasks() {
     return isOver() ? 0 : spec.steps() - doneCount() - heldAttempts;
   }
 
-  /** First step at or after {@code fromStep} that may be started, or -1. */
+  /** Returns the first step at or after {@code fromStep} that may be started, or -1. */
   public int nextStartableStep(int fromStep) {
     int chunkCount = (spec.steps() + chunkSize - 1) / chunkSize;
     int startChunk = Math.max(fromStep / chunkSize, firstIncompleteChunk);
--- a/src/main/java/dapplestair/ledger/JobFinalizer.java
+++ b/src/main/java/dapplestair/ledger/JobFinalizer.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** How jobs end, and the removal of what was recorded of them. */
+/** Ends jobs and removes the records of their attempts. */
 final class JobFinalizer implements ChunkWriter.Listener {
   private final LedgerContext context;
   private final ChunkWriter writer;
@@ -42,7 +42,7 @@
     attempts.remove(unsent);
   }
 
-  /** The job is over: what it has on machines is stopped, then forgotten. */
+  /** Ends a job: its tasks on machines are stopped and then forgotten. */
   void endJob(Job job) {
     if (job.ended) {
       return;
@@ -67,17 +67,17 @@
     context.callbacks.onChanged();
   }
 
-  /** Makes the job done when all of it is. True when the job is over. */
+  /** Records a job as done if all its tasks are. Returns true if the job is over. */
   boolean finishIfDone(Job job) {
     if (job.isOver() || !context.isReady() || !job.allDone()) {
       return job.isOver();
     }
     job.finishing = true;
-    finish(job);
+    recordDone(job);
     return true;
   }
 
-  private void finish(Job job) {
+  private void recordDone(Job job) {
     if (!context.isTermActive() || job.ended || !context.leadership.leading()) {
       return;
     }
@@ -87,7 +87,8 @@
     context.state.commit(
         2 + context.callbacks.maxFinishOperations() + job.chunks.size(),
         () -> context.term() == term && !job.ended ? buildFinishTxn(job, removedChunks) : null,
-        // A swarm's ends come by the hundred; no other user is to hear later that all is done.
+        // Jobs of low rank may end by the hundred at once; this must not delay the news of
+        // completion for other users.
         lowRank ? Priority.FINISH_LOW : Priority.FINISH,
         lowRank ? context.settings.workers().leaseMs() : context.settings.workers().reportMs(),
         outcome -> {
@@ -95,7 +96,7 @@
             return;
           }
           if (outcome instanceof TxnOutcome.Applied) {
-            // Also when the replica was quicker to say that the job's key is gone.
+            // Reported even if the replica has already shown the removal of the job's key.
             context.callbacks.onJobEnded(job.spec().ref(), true);
           }
           if (!job.ended) {
@@ -104,7 +105,9 @@
         });
   }
 
-  /** The transaction that makes a job done, with the records that it no longer needs. */
+  /**
+   * Builds the transaction that records a job as done and removes records that it no longer needs.
+   */
   private Txn buildFinishTxn(Job job, List<Chunk> removedChunks) {
     String ref = job.spec().ref();
     Txn txn =
@@ -137,7 +140,8 @@
         return;
       }
       if (conflict.failed().contains(StateKeys.job(ref))) {
-        // Cancelled before, or our own unanswered write was applied: over/ tells which.
+        // The job was cancelled before, or an unanswered write of this leader was applied; the
+        // record under over/ tells which.
         endJob(job);
         return;
       }
@@ -147,7 +151,7 @@
         }
       }
     }
-    context.timers.after(context.retryMs, () -> finish(job));
+    context.timers.after(context.retryMs, () -> recordDone(job));
   }
 
   /** Deletes the records of a job that is over, each once nothing in it can be running. */
--- a/src/main/java/dapplestair/ledger/JobStatistics.java
+++ b/src/main/java/dapplestair/ledger/JobStatistics.java
@@ -11,26 +11,25 @@
 import java.util.stream.Collectors;
 
 /**
- * What became of the jobs of each team and each class since this controller leads: those that were
- * open then and those accepted since. By the operators' word a day has failed if less than half of
- * any one of them is served.
+ * Counts what became of the jobs of each team and each class since this controller leads: those
+ * that were open then and those accepted since. By the operators' rule a day has failed if less
+ * than half of the jobs of any one team or class is served.
  */
 public final class JobStatistics {
-  // Classes are named by users: without a bound their names would fill memory and metrics.
+  // Users name the classes: without a bound their names would fill memory and metrics.
   private static final int MAX_NAMES = 64;
   private static final long MIN_LARGE_CPUS_CACHE_MS = 1000;
   private static final String OTHERS = "others";
 
   /**
-   * Jobs of one team or class.
+   * The jobs of one team or class.
    *
    * @param accepted jobs that were accepted
-   * @param started those of which a task was seen to run
-   * @param due those that are to complete: neither services nor cancelled
-   * @param done those that completed
+   * @param started accepted jobs of which a task was seen to run
+   * @param due jobs that must complete: neither services nor cancelled
+   * @param done jobs that completed
    */
   public record JobCounts(int accepted, int started, int due, int done) {
-    /** No jobs. */
     public static final JobCounts NONE = new JobCounts(0, 0, 0, 0);
 
     private JobCounts plus(JobCounts other) {
@@ -38,7 +37,7 @@
           accepted + other.accepted, started + other.started, due + other.due, done + other.done);
     }
 
-    /** Share of the accepted jobs that started; 1 without any. */
+    /** Returns the share of the accepted jobs that started; 1 if there are none. */
     public double startedShare() {
       return accepted == 0 ? 1 : started / (double) accepted;
     }
@@ -47,7 +46,7 @@
       return Math.min(startedShare(), doneShare());
     }
 
-    /** Share of what is to complete that did; 1 without any. */
+    /** Returns the share of the jobs that must complete that did; 1 if there are none. */
     public double doneShare() {
       return due == 0 ? 1 : done / (double) due;
     }
@@ -57,16 +56,16 @@
    * The largest jobs of a class.
    *
    * @param jobs how many they are
-   * @param begun those that began
-   * @param longestWaitMs the longest wait among them, for their first task or until now
+   * @param begun how many of them began to run
+   * @param longestWaitMs the longest wait among them, until their first task ran or until now
    */
   public record LargestJobStatistics(int jobs, int begun, long longestWaitMs) {
-    /** Share of them that began; 1 without any. */
+    /** Returns the share of them that began to run; 1 if there are none. */
     public double begunShare() {
       return jobs == 0 ? 1 : begun / (double) jobs;
     }
 
-    /** The longest wait, in seconds. */
+    /** Returns the longest wait, in seconds. */
     public double longestWaitS() {
       return longestWaitMs / 1000.0;
     }
@@ -80,13 +79,16 @@
   private final Map<String, JobCounts> endedByTeam = new HashMap<>();
   private final Map<String, JobCounts> endedByClass = new HashMap<>();
 
-  /** {@code openJobs} shows all jobs that are not cleaned up. */
+  /**
+   * Creates empty statistics; {@code openJobs} is a view of all jobs whose records are not all
+   * removed.
+   */
   JobStatistics(Clock clock, Collection<Job> openJobs) {
     this.clock = clock;
     this.openJobs = openJobs;
   }
 
-  /** A job is over, for this leader the first time. */
+  /** Counts a job that ended under this leader. */
   void recordEnded(Job job) {
     JobCounts counts = countsOf(job);
     add(endedByTeam, job.spec().team(), counts);
@@ -110,14 +112,17 @@
         done ? 1 : 0);
   }
 
-  /** Under its own name while there are few; returns which. */
+  /**
+   * Adds counts under their own name, or under {@link #OTHERS} once there are too many names;
+   * returns the name used.
+   */
   private static String add(Map<String, JobCounts> countsByName, String name, JobCounts counts) {
     String key = countsByName.containsKey(name) || countsByName.size() < MAX_NAMES ? name : OTHERS;
     countsByName.merge(key, counts, JobCounts::plus);
     return key;
   }
 
-  /** By team, those that are over and those that are open. */
+  /** Returns the counts of each team's ended and open jobs. */
   public Map<String, JobCounts> byTeam() {
     Map<String, JobCounts> countsByName = new TreeMap<>(endedByTeam);
     openJobs.stream()
@@ -126,7 +131,7 @@
     return countsByName;
   }
 
-  /** The same by class. */
+  /** Returns the counts of each class's ended and open jobs. */
   public Map<String, JobCounts> byClass() {
     Map<String, JobCounts> countsByName = new TreeMap<>(endedByClass);
     openJobs.stream()
@@ -135,12 +140,15 @@
     return countsByName;
   }
 
-  /** The largest jobs of each class. */
+  /** Returns the statistics of the largest jobs of each class. */
   public Map<String, LargestJobStatistics> largestJobs() {
-    return largestJobs.count(openByClass(), clock.wall());
+    return largestJobs.statistics(openByClass(), clock.wall());
   }
 
-  /** True for one of the largest jobs of its class, as of a moment ago. */
+  /**
+   * Returns true for one of the largest jobs of its class; the limit is computed at most once a
+   * second.
+   */
   public boolean isLarge(Job job) {
     long now = clock.now();
     if (now - minLargeCpusComputedAtMs > MIN_LARGE_CPUS_CACHE_MS || minLargeCpusByClass.isEmpty()) {
@@ -167,7 +175,7 @@
     return jobs;
   }
 
-  /** The class whose largest jobs waited longest, for a line of the log. */
+  /** Returns the class whose largest jobs waited longest, as text for the summary line. */
   public String longestWaitSummary() {
     return largestJobs().entrySet().stream()
         .max(Comparator.comparingLong(e -> e.getValue().longestWaitMs()))
@@ -178,7 +186,7 @@
         .orElse("none");
   }
 
-  /** The few that are served least, for a line of the log. */
+  /** Returns the four teams or classes that are served worst, as text for the summary line. */
   public String worstServedSummary() {
     Map<String, JobCounts> countsByLabel = new TreeMap<>();
     byTeam().forEach((name, c) -> countsByLabel.put("team " + name, c));
--- a/src/main/java/dapplestair/ledger/LargestJobs.java
+++ b/src/main/java/dapplestair/ledger/LargestJobs.java
@@ -10,15 +10,16 @@
 import java.util.TreeMap;
 
 /**
- * The largest jobs of each class, by tasks times CPUs: the largest tenth, three at the least. By
- * the operators' word a day has failed if less than half of them is served, or if one begins later
- * than it may.
+ * The largest jobs of each class, by tasks times CPUs: the largest tenth, at least three. By the
+ * operators' rule a day has failed if less than half of them is served, or if one of them begins
+ * later than its class allows.
  */
 final class LargestJobs {
   private static final int MIN_LARGEST_JOBS = 3;
   private static final int JOBS_PER_LARGEST_JOB = 10;
 
-  // Of jobs that are over, so many of a class are remembered: the largest tenth of some thousands.
+  // The number of ended jobs that are kept for each class, the largest ones: enough for the largest
+  // tenth of some thousands.
   private static final int MAX_KEPT_JOBS = 256;
 
   private record JobSize(double cpus, boolean begun, long waitMs) {}
@@ -30,7 +31,7 @@
 
   private final Map<String, EndedJobs> endedJobsByClass = new HashMap<>();
 
-  /** A job is over. One that was cancelled before it began counts for nothing. */
+  /** Adds a job that has ended. One that was cancelled before it began is not counted. */
   void recordEnded(String jobClass, Job job, long nowWallMs) {
     if (!job.hasBegun && !job.allDone()) {
       return;
@@ -57,18 +58,21 @@
     endedJobsByClass.clear();
   }
 
-  /** By class, those that are over and those that are open under the names that they are given. */
-  Map<String, JobStatistics.LargestJobStatistics> count(
+  /**
+   * Returns statistics by class of the largest ended and open jobs; open jobs are grouped by the
+   * class names that the caller gives them.
+   */
+  Map<String, JobStatistics.LargestJobStatistics> statistics(
       Map<String, ? extends Collection<Job>> openJobsByClass, long nowWallMs) {
     Map<String, JobStatistics.LargestJobStatistics> statisticsByClass = new TreeMap<>();
     endedJobsByClass
         .keySet()
-        .forEach(c -> statisticsByClass.put(c, count(c, List.of(), nowWallMs)));
-    openJobsByClass.forEach((c, jobs) -> statisticsByClass.put(c, count(c, jobs, nowWallMs)));
+        .forEach(c -> statisticsByClass.put(c, statistics(c, List.of(), nowWallMs)));
+    openJobsByClass.forEach((c, jobs) -> statisticsByClass.put(c, statistics(c, jobs, nowWallMs)));
     return statisticsByClass;
   }
 
-  /** The least size of one of the largest of a class. */
+  /** Returns the size in CPUs from which a job is one of the largest of its class. */
   double minCpus(String jobClass, Collection<Job> openJobs, long nowWallMs) {
     List<JobSize> largest = largest(jobClass, openJobs, nowWallMs);
     return largest.isEmpty() ? 0 : largest.get(largest.size() - 1).cpus();
@@ -86,7 +90,7 @@
     return sizes.subList(0, Math.min(largestCount, sizes.size()));
   }
 
-  private JobStatistics.LargestJobStatistics count(
+  private JobStatistics.LargestJobStatistics statistics(
       String jobClass, Collection<Job> openJobs, long nowWallMs) {
     List<JobSize> largest = largest(jobClass, openJobs, nowWallMs);
     return new JobStatistics.LargestJobStatistics(
--- a/src/main/java/dapplestair/ledger/LaunchBatch.java
+++ b/src/main/java/dapplestair/ledger/LaunchBatch.java
@@ -15,34 +15,34 @@
 
 /**
  * Attempts of many jobs recorded by one put. An entry counts until its chunk's own record reaches
- * its number: that record was written later, and knows of it.
+ * the entry's number: that record was written later and includes the attempt.
  */
 final class LaunchBatch {
-  /** One recorded attempt. */
   record Entry(String ref, int step, long number, String host, String zone, long session) {}
 
-  // About what an entry takes, its names included; measured by its own encoding in LaunchBatchTest.
+  // Approximate size of an entry with its names. LaunchBatchTest checks it against the encoding.
   private static final int BYTES_PER_ENTRY = 56;
 
   final String key;
   long stamp;
-  boolean removing;
+  boolean removalInFlight;
 
-  /** Chunks whose own records do not know of this launch batch's entries yet. */
-  final Set<Chunk> claims = new LinkedHashSet<>();
+  /** Chunks whose own records do not have this launch batch's entries yet. */
+  final Set<Chunk> claimingChunks = new LinkedHashSet<>();
 
   LaunchBatch(String key) {
     this.key = key;
   }
 
-  /** How many entries surely fit in a value of so many bytes. */
+  /** Returns how many entries are sure to fit in a value of so many bytes. */
   static int capacity(int valueBytes) {
     return Math.max(1, valueBytes / BYTES_PER_ENTRY);
   }
 
   /**
-   * What a job of one task takes. It may be over long before its launch batch is deleted, and then
-   * tells a new leader what is left on its machine without one question for each.
+   * The resources of a job of one task. The job may be over long before its launch batch is
+   * deleted; the summary then tells a new leader what is left on the job's machine without one read
+   * for each job.
    */
   record JobSummary(String ref, String team, double cpus, double gpus, double memoryGb) {
     Submission spec() {
@@ -70,7 +70,10 @@
     }
   }
 
-  /** By machine and session, then by job, so that names are written once. */
+  /**
+   * Returns the batch's record, grouped by machine and session so that these names are written
+   * once.
+   */
   static ObjectNode write(List<Attempt> attempts) {
     List<String> zones = new ArrayList<>();
     ObjectNode byHost = Json.object();
--- a/src/main/java/dapplestair/ledger/LaunchBatches.java
+++ b/src/main/java/dapplestair/ledger/LaunchBatches.java
@@ -12,37 +12,41 @@
 import java.util.Map;
 
 /**
- * Records the launches of many services by one put. After a zone or many machines are lost, the
- * replicas of hundreds of services start at the same moment; with a put for each, the last of them
- * would wait for a dozen seconds. Arrays record their launches in their own chunks: those are
- * written again with each task that ends, and a job that is done must leave nothing behind.
+ * Records the launches of many services by one put. After the loss of a zone or of many machines,
+ * the replicas of hundreds of services start at the same moment; with a put for each, the last of
+ * them would wait for a dozen seconds. Launches of jobs of one task share puts in the same way.
+ * Arrays record their launches in their own chunks: these are written again with each task that
+ * ends, and a completed job must leave no records behind.
  */
 final class LaunchBatches {
-  /** The chunks' own records, which take over in time. */
+  /** Access to the chunks' own records, which later replace the launch batches. */
   interface ChunkRecords {
-    /** True when this chunk has launches to record and nothing of it is under way. */
+    /** Returns true if this chunk has launches to record and no put of it is in flight. */
     boolean hasPendingLaunches(Job job, Chunk chunk);
 
-    /** Records one chunk by itself. */
+    /** Records a chunk's launches in the chunk's own record. */
     void writeSeparately(Job job, Chunk chunk);
 
-    /** The put was made, or not: what waited may go on. */
+    /**
+     * Reports that a launch batch's put has ended; {@code applied} tells whether it was made.
+     * Changes of the chunk that waited for it may be written now.
+     */
     void onBatchPut(Job job, Chunk chunk, boolean applied);
 
-    /** The job was cancelled before this attempt's launch was sent. */
+    /** Reports that the job was cancelled before this attempt's launch was sent. */
     void onUnsentCancelled(Attempt unsent);
   }
 
   private record PendingLaunch(Job job, Chunk chunk) {}
 
-  /** One put under way. */
+  /** One launch batch's put, from its queuing to its outcome. */
   private static final class InFlightPut {
     LaunchBatch launchBatch;
     final List<PendingLaunch> launches = new ArrayList<>();
     final List<Attempt> plannedAttempts = new ArrayList<>();
   }
 
-  /** Launches that share puts among themselves. */
+  /** Launches of one kind that share puts. */
   private static final class Group {
     final Priority priority;
     final int minBatchChunks;
@@ -58,8 +62,9 @@
     }
   }
 
-  // Fewer than these are recorded one by one: a launch batch is one put more in the end. The record
-  // of a single task's own is deleted in the end as well.
+  // Fewer chunks than this are recorded one by one, since a launch batch costs one more put when it
+  // is deleted. The record of a job of one task is deleted in the end as well, so that its minimum
+  // is lower.
   private static final int MIN_REPLICA_BATCH_CHUNKS = 4;
   private static final int MIN_SINGLE_TASK_BATCH_CHUNKS = 2;
 
@@ -89,12 +94,12 @@
     lastBatchNumber = 0;
   }
 
-  /** Launch batches that are recorded. */
+  /** Returns the number of launch batches on record. */
   int count() {
     return launchBatches.size();
   }
 
-  /** A chunk of a service, or of a job of one task, has launches to record. */
+  /** Queues a chunk of a service, or of a job of one task, that has launches to record. */
   void add(Job job, Chunk chunk) {
     if (!enabled) {
       chunkRecords.writeSeparately(job, chunk);
@@ -104,7 +109,8 @@
     group.jobByWaitingChunk.put(chunk, job);
     if (!group.putQueued) {
       group.putQueued = true;
-      // Those of the same turn come together; of a swarm, all since the put before.
+      // Replicas that are planned in the same turn of the event loop share a put; of jobs of one
+      // task, all that were planned since the previous put do.
       long delayMs = group.lastPutAtMs + group.minIntervalMs - context.clock.now();
       context.timers.after(Math.max(0, delayMs), () -> enqueue(group));
     }
@@ -123,7 +129,7 @@
             return;
           }
           if (inFlightPut.launchBatch == null) {
-            // Its turn did not come in time.
+            // The put was not sent before its time limit.
             context.timers.after(context.retryMs, () -> enqueue(group));
           } else if (outcome instanceof TxnOutcome.Unknown) {
             readBack(inFlightPut, term);
@@ -151,7 +157,8 @@
     fill(inFlightPut, ready);
     Txn txn = context.leadership.guard(new Txn());
     for (PendingLaunch launch : inFlightPut.launches) {
-      // The job's own stamp: nothing starts for a job that was cancelled meanwhile.
+      // The condition on the job's own stamp keeps a job that was cancelled meanwhile from
+      // starting.
       txn.when(StateKeys.job(launch.job.spec().ref()), launch.job.stamp);
       launch.chunk.inFlight = true;
     }
@@ -163,12 +170,15 @@
         .put(launchBatch.key, LaunchBatch.write(inFlightPut.plannedAttempts));
   }
 
-  /** Takes as many as one value and the conditions of one transaction hold; the others wait on. */
+  /**
+   * Takes as many launches as one value and the conditions of one transaction hold; the others are
+   * queued again.
+   */
   private void fill(InFlightPut inFlightPut, List<PendingLaunch> ready) {
     int maxJobs = 4 * context.settings.state().txnOps() - 2;
     int maxEntries = LaunchBatch.capacity(context.settings.state().valueBytes());
     if (!ready.isEmpty() && ChunkWriter.isSingleTask(ready.get(0).job)) {
-      // With each entry goes what its job takes.
+      // Each entry carries a summary of its job's resources, too.
       maxEntries /= 2;
     }
     for (PendingLaunch launch : ready) {
@@ -191,9 +201,9 @@
   }
 
   /**
-   * No answer: it may have been made, or may be made yet. If it is made later, what it says of
-   * these attempts will be on record elsewhere as well, and it is taken away once the replica shows
-   * it.
+   * Reads back a put without an answer: it may have been made, or may be made yet. If it is made
+   * later, its attempts are on record elsewhere by then, and the launch batch is removed once the
+   * replica shows it.
    */
   private void readBack(InFlightPut inFlightPut, long term) {
     context.state.get(
@@ -218,7 +228,7 @@
     if (outcome instanceof TxnOutcome.Applied applied) {
       inFlightPut.launchBatch.stamp = applied.stamp();
       for (PendingLaunch launch : inFlightPut.launches) {
-        inFlightPut.launchBatch.claims.add(launch.chunk);
+        inFlightPut.launchBatch.claimingChunks.add(launch.chunk);
         launch.chunk.launchBatches.add(inFlightPut.launchBatch);
       }
       for (Attempt attempt : inFlightPut.plannedAttempts) {
@@ -249,26 +259,32 @@
     }
   }
 
-  /** Its own record knows all of a chunk's attempts now, or nothing of it can be running. */
+  /**
+   * Releases a chunk's claims: the chunk's own record has all of its attempts now, or none of them
+   * can be running.
+   */
   void releaseClaims(Chunk chunk) {
     for (LaunchBatch launchBatch : List.copyOf(chunk.launchBatches)) {
-      launchBatch.claims.remove(chunk);
+      launchBatch.claimingChunks.remove(chunk);
       removeIfEmpty(launchBatch);
     }
     chunk.launchBatches.clear();
   }
 
-  /** An earlier leader's launch batch, with the chunks that it still counts for. */
-  void adopt(String key, long stamp, Collection<Chunk> claims) {
+  /** Adds an earlier leader's launch batch, with the chunks for which it still counts. */
+  void adopt(String key, long stamp, Collection<Chunk> claimingChunks) {
     LaunchBatch launchBatch = new LaunchBatch(key);
     launchBatch.stamp = stamp;
     launchBatches.put(key, launchBatch);
-    launchBatch.claims.addAll(claims);
-    claims.forEach(c -> c.launchBatches.add(launchBatch));
+    launchBatch.claimingChunks.addAll(claimingChunks);
+    claimingChunks.forEach(c -> c.launchBatches.add(launchBatch));
     removeIfEmpty(launchBatch);
   }
 
-  /** The replica shows a launch batch. One that this leader took for lost has come late. */
+  /**
+   * Handles a launch batch that the replica shows. One that is unknown is a late put that this
+   * leader took for lost: it is adopted without claims, and so removed.
+   */
   void onBatchShown(String key, long stamp) {
     if (!launchBatches.containsKey(key)) {
       adopt(key, stamp, List.of());
@@ -276,10 +292,12 @@
   }
 
   private void removeIfEmpty(LaunchBatch launchBatch) {
-    if (!launchBatch.claims.isEmpty() || launchBatch.removing || launchBatch.stamp == 0) {
+    if (!launchBatch.claimingChunks.isEmpty()
+        || launchBatch.removalInFlight
+        || launchBatch.stamp == 0) {
       return;
     }
-    launchBatch.removing = true;
+    launchBatch.removalInFlight = true;
     long term = context.term();
     context.state.commit(
         context
@@ -293,7 +311,7 @@
           if (!context.isCurrentTerm(term)) {
             return;
           }
-          launchBatch.removing = false;
+          launchBatch.removalInFlight = false;
           if (outcome instanceof TxnOutcome.Applied) {
             launchBatches.remove(launchBatch.key);
           } else if (context.leadership.deposedBy(outcome)) {
--- a/src/main/java/dapplestair/ledger/LaunchGate.java
+++ b/src/main/java/dapplestair/ledger/LaunchGate.java
@@ -2,7 +2,7 @@
 
 import dapplestair.work.Submission;
 
-/** The one gate that every launch passes, whoever proposes it. */
+/** Checks every launch against the rules, whichever component proposes it. */
 final class LaunchGate {
   private final LedgerContext context;
   private final TeamUsage teamUsage;
@@ -20,10 +20,10 @@
     return context.isReady() && context.leadership.leading();
   }
 
-  /** True when the job's other attempts leave room for one more in this zone. */
+  /** Returns true if the job's zone rules allow one more attempt in this zone beside its others. */
   static boolean zoneAllows(Job job, String zone) {
     Submission submission = job.spec();
-    // Attempts out of reach count as well: they may still be there.
+    // Attempts on machines out of contact count as well: they may still be running.
     if (submission.apart() && job.attemptsInZone(zone) >= submission.mostPerZone()) {
       return false;
     }
@@ -32,7 +32,7 @@
         || job.attemptsInZone(zone) == job.heldAttempts();
   }
 
-  /** True when the job's rules let one more of its tasks start on this machine now. */
+  /** Returns true if the job's rules allow one more of its tasks to start on this machine now. */
   boolean mayStart(Job job, Machine host) {
     Submission submission = job.spec();
     return host.isAllowedBy(submission)
@@ -41,13 +41,13 @@
         && teamUsage.allows(submission, 1);
   }
 
-  /** Plans an attempt; refused unless every rule holds in the latest view. */
+  /** Plans an attempt. Returns false unless every rule holds in the latest view. */
   boolean launch(Job job, int step, Machine host) {
     if (!isOpen() || job.isOver() || host.closed() || !mayStart(job, host)) {
       return false;
     }
     Chunk chunk = job.chunkOf(step);
-    // An earlier attempt without proof of absence may still run somewhere.
+    // An earlier attempt whose absence is not proved may still run somewhere.
     if (!chunk.isFree(step) || (job.spec().gang() && !tryJoinGang(job, step))) {
       return false;
     }
@@ -59,15 +59,16 @@
     return true;
   }
 
-  /** A number that no earlier attempt at this task has; a gang's members share theirs. */
+  /** Assigns a number that no earlier attempt of this task has; a gang's members share theirs. */
   private static long assignNumber(Job job, Chunk chunk) {
     chunk.lastNumber = job.spec().gang() ? job.gangNumber : chunk.lastNumber + 1;
     return chunk.lastNumber;
   }
 
   /**
-   * Workers let only members with equal numbers meet, so a gang starts as a whole: a member lost
-   * later cannot be replaced under the old number, which its lost attempt has used.
+   * Adds a step to the gang's present start, if the step has not used the start's number. Workers
+   * connect only members with equal numbers, so a gang starts as a whole: a member lost later
+   * cannot be replaced under the old number, which its lost attempt has used.
    */
   private static boolean tryJoinGang(Job job, int step) {
     if (job.heldAttempts == 0) {
--- a/src/main/java/dapplestair/ledger/Ledger.java
+++ b/src/main/java/dapplestair/ledger/Ledger.java
@@ -19,7 +19,7 @@
 import java.util.function.Predicate;
 
 /**
- * All jobs that are not over and all attempts whose absence is not proved. Followers keep the raw
+ * The jobs that are not over and the attempts whose absence is not proved. Followers keep the raw
  * records, so that a new leader has them at hand; only the leader builds attempts from them.
  */
 public final class Ledger {
@@ -38,7 +38,7 @@
   private final LaunchGate launchGate;
   private final Takeover takeover;
 
-  /** An empty ledger; {@code withLaunchBatches} when launches of many services share one put. */
+  /** Creates an empty ledger; {@code withLaunchBatches} lets many jobs' launches share one put. */
   public Ledger(
       Clock clock,
       TermTimers timers,
@@ -61,9 +61,9 @@
             context, jobs, rawRecords, attempts, writer, jobFinalizer, reconciler, chunkSize);
   }
 
-  // ---- what the replica says ----
+  // ---- changes of the replica ----
 
-  /** A job's key has this value. */
+  /** Applies a value of a job's key. */
   public void onJobPut(String ref, JsonNode value, long stamp) {
     Job existingJob = jobs.get(ref);
     if (existingJob != null) {
@@ -73,8 +73,8 @@
     Job job = JobRecordCodec.read(value, stamp, chunkSize);
     if (job != null) {
       jobs.put(ref, job);
-      // Followers count arrivals too, so that a new leader knows what to expect. What a listing
-      // brings at a start is older than that.
+      // Followers count arrivals too, so that a new leader can forecast them. Jobs accepted longer
+      // ago come from the listing at a start, and are not counted.
       if (context.clock.wall() - job.acceptedWallMs() < context.settings.workers().reportMs()) {
         context.callbacks.onJobAccepted(job);
       }
@@ -84,18 +84,18 @@
     }
   }
 
-  /** The form in which an accepted job is recorded, whose user first asked at a time of day. */
+  /** Returns the record of a job accepted now, which its user first submitted at a time of day. */
   public ObjectNode acceptedJobRecord(Submission submission, long firstRequestWallMs) {
     return JobRecordCodec.acceptedRecord(
         submission, context.clock.wall(), firstRequestWallMs, chunkSize);
   }
 
-  /** The form in which a job that is over is recorded. */
+  /** Returns the record of a job that ends now with this status. */
   public ObjectNode endedJobRecord(Job job, String status) {
     return JobRecordCodec.endedRecord(job, status, context.clock.wall());
   }
 
-  /** A job's key is gone: it was cancelled or is done. */
+  /** Applies the removal of a job's key: the job was cancelled or is done. */
   public void onJobRemoved(String ref) {
     Job job = jobs.get(ref);
     if (job == null) {
@@ -112,8 +112,8 @@
   }
 
   /**
-   * A job is over for good, as another controller says that told its user so: its tasks are stopped
-   * before the records say it here.
+   * Applies a cancellation that another controller has confirmed to the user: the leader stops the
+   * job's tasks before its own replica shows the removal.
    */
   public void onJobCancelled(String ref) {
     if (context.isTermActive()) {
@@ -121,7 +121,10 @@
     }
   }
 
-  /** Where a job's tasks may be: what is not proved to be absent, or all that is on record. */
+  /**
+   * Returns where a job's tasks may be: on the leader, its launched attempts that have not exited
+   * and are not proved absent; on a follower, all attempts on record.
+   */
   public List<Cancellation.TaskLocation> taskLocations(String ref) {
     Job job = jobs.get(ref);
     if (!context.isTermActive()) {
@@ -135,37 +138,37 @@
             .toList();
   }
 
-  /** True when this job is not over, as far as this controller has read. */
+  /** Returns true if this job is not over, as far as this controller has read. */
   public boolean isJobActive(String ref) {
     Job job = jobs.get(ref);
     return job != null && !job.isOver();
   }
 
   /**
-   * True when nothing of a job that is over is left on any machine; only a leader that has begun
-   * can tell. Its records may be there for longer.
+   * Returns true if the job is over and none of its attempts is left on any machine, which only a
+   * leader that may launch can tell. The job's records may remain for longer.
    */
   public boolean hasNoAttemptsLeft(String ref) {
     Job job = jobs.get(ref);
     return canLaunch() && (job == null || job.isOver() && job.heldAttempts() == 0);
   }
 
-  /** A record of attempts has this value. */
+  /** Applies a value of a chunk's record. */
   public void onRunPut(String ref, int chunk, JsonNode value, long stamp) {
-    // A leader's own memory is ahead of its records.
+    // The leader's own memory is ahead of the records.
     if (!context.isTermActive()) {
       rawRecords.put(ref, chunk, value, stamp);
     }
   }
 
-  /** A record of attempts is gone. */
+  /** Applies the removal of a chunk's record. */
   public void onRunRemoved(String ref, int chunk) {
     if (!context.isTermActive()) {
       rawRecords.remove(ref, chunk);
     }
   }
 
-  /** A launch batch of attempts has this value. */
+  /** Applies a value of a launch batch's record. */
   public void onLaunchBatchPut(String key, JsonNode value, long stamp) {
     if (!context.isTermActive()) {
       rawRecords.putLaunchBatch(key, value, stamp);
@@ -174,21 +177,21 @@
     }
   }
 
-  /** A launch batch of attempts is gone. */
+  /** Applies the removal of a launch batch's record. */
   public void onLaunchBatchRemoved(String key) {
     if (!context.isTermActive()) {
       rawRecords.removeLaunchBatch(key);
     }
   }
 
-  // ---- taking and giving up the lead ----
+  // ---- begin and end of a term ----
 
-  /** Builds attempts from the records; launches begin once nothing is unaccounted for. */
+  /** Builds attempts from the records; launches are allowed once each is accounted for. */
   public void beginTerm(long newTerm) {
-    takeover.begin(newTerm);
+    takeover.beginTerm(newTerm);
   }
 
-  /** Forgets everything: the replica will tell it again. */
+  /** Forgets everything; the replica lists its records again afterwards. */
   public void clear() {
     jobs.clear();
     rawRecords.clear();
@@ -199,43 +202,43 @@
     context.endTerm();
   }
 
-  /** True when launches may be planned. */
+  /** Returns true if launches may be planned. */
   public boolean canLaunch() {
     return launchGate.isOpen();
   }
 
   // ---- views ----
 
-  /** A job that is not over or not cleaned up, or null. */
+  /** Returns a job that is not over or not cleaned up, or null. */
   public Job job(String ref) {
     return jobs.get(ref);
   }
 
-  /** All such jobs, oldest known first. */
+  /** Returns all jobs that are not over or not cleaned up, oldest known first. */
   public Collection<Job> jobs() {
     return jobs.values();
   }
 
-  /** Tasks completed and tasks with an attempt, for display. */
+  /** Returns the numbers of completed tasks and of tasks with an attempt, for display. */
   public int[] taskCounts(Job job) {
     return context.isTermActive()
         ? new int[] {job.doneCount(), job.liveCount()}
         : rawRecords.taskCounts(job.spec().ref());
   }
 
-  /** A job's attempts whose absence is not proved; only a leader has them. */
+  /** Returns a job's attempts whose absence is not proved; only the leader has them. */
   public List<Attempt> attempts(Job job) {
     List<Attempt> result = new ArrayList<>();
     job.chunks.values().forEach(c -> result.addAll(c.attemptsByStep.values()));
     return result;
   }
 
-  /** How many of a job's tasks are out; {@code isReachable} tells which attempts can be heard. */
+  /** Counts a job's unavailable tasks; {@code isReachable} tells which attempts can be heard. */
   public UnavailableTasks unavailableTasks(Job job, Predicate<Attempt> isReachable) {
     return UnavailableTasks.of(job, isReachable);
   }
 
-  /** Up to {@code maxCount} of a job's attempts at steps from {@code fromStep} on, by step. */
+  /** Returns up to {@code maxCount} of a job's attempts from {@code fromStep} on, by step. */
   public List<Attempt> attempts(Job job, int fromStep, int maxCount) {
     List<Attempt> result = new ArrayList<>();
     int firstChunk = fromStep / job.chunkSize();
@@ -249,119 +252,120 @@
     return result.subList(0, Math.min(maxCount, result.size()));
   }
 
-  /** Launch batches that are on record; none before a former version may lead again. */
+  /** Counts launch batches on record; must be 0 before a version without them may lead again. */
   public int launchBatchCount() {
     return context.isTermActive()
         ? writer.launchBatches().count()
         : rawRecords.stampByLaunchBatch().size();
   }
 
-  /** Attempts whose absence is not proved. */
+  /** Returns the number of attempts whose absence is not proved. */
   public int attemptCount() {
     return jobs.values().stream().mapToInt(Job::heldAttempts).sum();
   }
 
-  /** Starts that machines have refused since this process began, by cause. */
+  /** Returns how many starts machines have refused since this process began, by cause. */
   public Map<String, Long> refusedStarts() {
     return reconciler.refusedStarts();
   }
 
-  /** What became of the jobs of each team and class since this controller leads. */
+  /** Returns what became of the jobs of each team and class since this controller leads. */
   public JobStatistics jobStatistics() {
     return jobStatistics;
   }
 
-  /** CPUs that a team's attempts use. */
+  /** Returns the CPUs that a team's attempts use. */
   public double teamCpus(String team) {
     return teamUsage.cpus(team);
   }
 
-  /** Accelerators that a team's attempts use. */
+  /** Returns the accelerators that a team's attempts use. */
   public double teamGpus(String team) {
     return teamUsage.gpus(team);
   }
 
-  // ---- the gate ----
+  // ---- launch rules ----
 
-  /** True when the team has room for one more task of this size. */
+  /** Returns true if the team's limits allow one more task of this size. */
   public boolean teamAllows(Submission submission) {
     return teamUsage.allows(submission, 1);
   }
 
-  /** True when the team has room for so many more tasks of this size. */
+  /** Returns true if the team's limits allow {@code tasks} more tasks of this size. */
   public boolean teamAllows(Submission submission, int tasks) {
     return teamUsage.allows(submission, tasks);
   }
 
-  /** How many more tasks of this size the team's limit, or its guarantee, has room for. */
+  /** Returns how many more tasks of this size the team's limit, or its guarantee, allows. */
   public int maxAdditionalTeamTasks(Submission submission, boolean withinGuarantee) {
     return teamUsage.maxAdditionalTasks(submission, withinGuarantee);
   }
 
-  /** True when the job's other attempts leave room for one more in this zone. */
+  /** Returns true if the job's zone rules allow one more attempt in this zone. */
   public boolean zoneAllows(Job job, String zone) {
     return LaunchGate.zoneAllows(job, zone);
   }
 
-  /** True when the job's rules let one more of its tasks start on this machine now. */
+  /** Returns true if the job's rules let one more of its tasks start on this machine now. */
   public boolean mayStart(Job job, Machine host) {
     return launchGate.mayStart(job, host);
   }
 
   /**
-   * Plans an attempt, the only way in which a launch begins. Whoever proposes it, it is refused
-   * here unless every rule holds in the latest view.
+   * Plans an attempt, the only way to begin a launch. Refused unless every rule holds in the latest
+   * view, whichever component proposes it.
    */
   public boolean launch(Job job, int step, Machine host) {
     return launchGate.launch(job, step, host);
   }
 
-  /** Asks for a stop; repeated by the workers' duty until it is proved. */
-  public void halt(Attempt attempt, double windDownS, StopReason why) {
-    attempts.halt(attempt, windDownS, why);
+  /** Asks for a stop, which the workers' component repeats until the absence is proved. */
+  public void halt(Attempt attempt, double windDownS, StopReason reason) {
+    attempts.halt(attempt, windDownS, reason);
   }
 
-  // ---- what workers say ----
+  // ---- reports of workers ----
 
-  /** Applies a machine's newest report. Returns tasks in it that no attempt accounts for. */
+  /** Applies a machine's newest report. Returns its tasks that belong to no known attempt. */
   public List<Report.Task> applyReport(Machine host, Report report) {
     return reconciler.applyReport(host, report);
   }
 
-  /** The machine is proved to be gone: so is all that was on it. */
+  /** Marks all attempts on a machine absent, after it was proved gone. */
   public void markAllAbsent(Machine host) {
     attempts.markAllAbsent(host);
   }
 
-  /** True when a task of this job failed on this machine. */
+  /** Returns true if a task of this job has failed on this machine. */
   public boolean hasFailedOn(Job job, Machine host) {
     return job.lastFailureMsByMachine.containsKey(host.id());
   }
 
-  /** True when one did within the last {@code withinMs}. */
+  /** Returns true if a task of this job failed on this machine within {@code withinMs}. */
   public boolean hasFailedOn(Job job, Machine host, long withinMs) {
     return hasFailedOn(job, host)
         && context.clock.now() - job.lastFailureMsByMachine.getLong(host.id()) <= withinMs;
   }
 
-  /** A step has failed: it waits if it did before, for longer each time. */
+  /** Records a step's failure; after its first it is delayed, longer each time. */
   public void recordStepFailure(Attempt attempt, long firstDelayMs, long maxDelayMs) {
     reconciler.recordStepFailure(attempt, firstDelayMs, maxDelayMs);
   }
 
-  /** This step failed only since its machine was faulty: it need not wait. */
+  /** Clears a step's failures, since its machine was faulty, so that it is not delayed. */
   public void clearStepFailures(Job job, int step) {
     reconciler.clearStepFailures(job, step);
   }
 
-  /** Keeps a job from starting tasks for a while. */
+  /** Keeps a job from starting tasks for {@code delayMs}. */
   public void delayStarts(Job job, long delayMs) {
     reconciler.delayStarts(job, delayMs);
   }
 
   /**
-   * The job fails wherever it runs: one task at a time, the next one after this pause. It goes on
-   * record with whatever is written of its attempts, so that a new leader knows without a put more.
+   * Marks a job that fails wherever it runs: it runs one task at a time, the next after this pause.
+   * Recorded with the next write of its attempts, so that a new leader learns of it without an
+   * extra put.
    */
   public void markSuspected(Job job, long pauseMs) {
     job.suspected = true;
@@ -369,17 +373,17 @@
     reconciler.delayStarts(job, pauseMs);
   }
 
-  /** Whether a job is left out of what is planned for, for now. */
+  /** Sets whether planning leaves a job out for now. */
   public void setExcludedFromPlanning(Job job, boolean excluded) {
     job.excludedFromPlanning = excluded;
   }
 
-  /** A job that was held back need not wait any more. */
+  /** Ends a job's delay, so that it may start tasks again. */
   public void resumeStarts(Job job) {
     job.startsDelayedUntilMs = 0;
   }
 
-  /** It works after all. */
+  /** Removes a job's mark as suspected, since one of its tasks did work. */
   public void clearSuspicion(Job job) {
     job.suspected = false;
     job.probesFailed = 0;
--- a/src/main/java/dapplestair/ledger/LedgerCallbacks.java
+++ b/src/main/java/dapplestair/ledger/LedgerCallbacks.java
@@ -2,50 +2,53 @@
 
 import dapplestair.state.Txn;
 
-/** What the ledger asks of the other duties, and tells them. */
+/** Requests and notifications of the ledger to the controller's other components. */
 public interface LedgerCallbacks {
-  /** The attempt is recorded: its launch may be sent. */
+  /** Sends the launch of an attempt, which is on record. */
   void launch(Attempt attempt);
 
-  /** Stop it; {@code windDownS} 0 for at once. */
+  /**
+   * Sends a stop of an attempt, with {@code windDownS} seconds to save its state; 0 stops it at
+   * once.
+   */
   void halt(Attempt attempt, double windDownS);
 
-  /** It is told to stop for the first time, for this reason. */
-  void onFirstStopRequest(Attempt attempt, StopReason why);
+  /** Reports that an attempt is asked to stop for the first time, for this reason. */
+  void onFirstStopRequest(Attempt attempt, StopReason reason);
 
-  /** It is proved to be absent, though nobody stopped it and it did not exit. */
+  /** Reports that an attempt is proved absent though nobody stopped it and it did not exit. */
   void onAttemptLost(Attempt attempt);
 
-  /** An exited attempt need not be reported any more. */
+  /** Allows a machine to omit an exited attempt from its reports. */
   void clear(String host, String key, long number);
 
-  /** A job was accepted. */
+  /** Reports that a job was accepted. */
   void onJobAccepted(Job job);
 
-  /** Room or waiting work has changed. */
+  /** Reports that free resources or waiting tasks have changed. */
   void onChanged();
 
-  /** A job was cancelled. */
+  /** Reports that a job was cancelled. */
   void onJobCancelled(Job job);
 
-  /** A job is about to be recorded as done: what has to be recorded with it may be added. */
+  /** Adds operations to the transaction that records a job as done. */
   void addToFinishTxn(Job job, Txn txn);
 
-  /** How much {@link #addToFinishTxn} may add. */
+  /** Returns the maximum number of operations that {@link #addToFinishTxn} adds. */
   int maxFinishOperations();
 
-  /** A job is over. */
+  /** Reports that a job is over. */
   void onJobEnded(String ref, boolean done);
 
-  /** A task runs. */
+  /** Reports that a task was seen to run. */
   void onTaskStarted(Attempt attempt);
 
-  /** A task completed after running this long. */
-  void onTaskCompleted(Attempt attempt, Machine machine, double seconds);
+  /** Reports that a task completed after running for so many seconds. */
+  void onTaskCompleted(Attempt attempt, Machine machine, double runTimeS);
 
-  /** A task failed by itself. */
+  /** Reports that a task failed by itself. */
   void onTaskFailed(Attempt attempt, Machine machine);
 
-  /** The machine of this name, known or not. */
+  /** Returns the machine with this identifier, which is created if it is unknown. */
   Machine host(String id);
 }
--- a/src/main/java/dapplestair/ledger/LedgerContext.java
+++ b/src/main/java/dapplestair/ledger/LedgerContext.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What every part of the ledger stands on, and the term it is kept for. */
+/** The dependencies that all parts of the ledger share, and the term for which it is kept. */
 final class LedgerContext {
   private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
 
@@ -44,7 +44,7 @@
   void launch(Attempt attempt, String key, long revision) {
     attempt.phase = Attempt.Phase.COMMITTED;
     LOG.debug(
-        "{} try {} may start on {} in session {}: on record in {} at {}",
+        "launching {} attempt {} on {} in session {}: recorded in {} with stamp {}",
         attempt.key(),
         attempt.number,
         attempt.host,
@@ -60,7 +60,7 @@
     ready = false;
   }
 
-  /** Every recorded attempt is accounted for: launches may begin. */
+  /** Allows launches, once every recorded attempt is accounted for. */
   void markReady() {
     ready = true;
   }
@@ -75,7 +75,10 @@
     return term;
   }
 
-  /** True while this controller keeps the ledger, though it may not yet launch. */
+  /**
+   * Returns true while this controller keeps the ledger as the leader, though it may not launch
+   * yet.
+   */
   boolean isTermActive() {
     return termActive;
   }
@@ -84,7 +87,10 @@
     return ready;
   }
 
-  /** True when it still is the office of that term: answers to an earlier one mean nothing. */
+  /**
+   * Returns true if the given term is still the active one: answers to requests of an earlier term
+   * are ignored.
+   */
   boolean isCurrentTerm(long otherTerm) {
     return termActive && term == otherTerm;
   }
--- a/src/main/java/dapplestair/ledger/Machine.java
+++ b/src/main/java/dapplestair/ledger/Machine.java
@@ -8,7 +8,8 @@
 import java.util.Map;
 
 /**
- * A machine as far as tasks go: what it is, which attempts hold room on it, what it has fetched.
+ * A machine as far as tasks are concerned: its type, the attempts that hold resources on it, and
+ * the images that it has fetched.
  */
 public abstract class Machine {
   private final String id;
@@ -26,22 +27,23 @@
   private double gpusUsed;
   private double memoryUsedGb;
 
-  // It has refused a start as full, and nothing is started there for now; how often so in a row.
+  // Set while nothing is started here because the machine refused a start as full, and how often
+  // that happened in a row.
   private boolean overfull;
   private int consecutiveOverfullCount;
 
-  /** An empty machine of unknown type. */
+  /** Creates an empty machine of unknown type. */
   protected Machine(String id, long nowMs) {
     this.id = id;
     this.idleSinceMs = nowMs;
   }
 
-  /** The cloud's name of it. */
+  /** Returns the machine's identifier in the cloud. */
   public final String id() {
     return id;
   }
 
-  /** What it is, as far as known. */
+  /** Sets what is known of the machine; a null type leaves the known type. */
   protected final void describe(MachineType newType, String newZone, boolean isSpot) {
     if (newType != null) {
       type = newType;
@@ -50,48 +52,51 @@
     spot = isSpot;
   }
 
-  /** True when nothing new may start on it. */
+  /** Returns true if nothing new may start on the machine. */
   public abstract boolean closed();
 
-  /** Session of its worker. */
+  /** Returns the session of the machine's worker. */
   public abstract long session();
 
-  /** Its type, or null while unknown. */
+  /** Returns the machine's type, or null while it is unknown. */
   public final MachineType type() {
     return type;
   }
 
-  /** Its zone. */
+  /** Returns the machine's zone. */
   public final String zone() {
     return zone;
   }
 
-  /** True when the cloud may take it back. */
+  /** Returns true if the cloud may reclaim the machine. */
   public final boolean spot() {
     return spot;
   }
 
-  /** Memory in use. */
+  /** Returns the memory in use, in GB. */
   public final double memoryUsedGb() {
     return memoryUsedGb;
   }
 
-  /** CPUs that services use here. */
+  /** Returns the CPUs that services use. */
   public final double serviceCpus() {
     return serviceCpus;
   }
 
-  /** Since when nothing runs on it. */
+  /** Returns since when no attempt has held resources on the machine, in steady time. */
   public final long idleSinceMs() {
     return idleSinceMs;
   }
 
-  /** True while nothing is to start here, since it has less room than the records say. */
+  /**
+   * Returns true while nothing is to start here because the machine has less room than the records
+   * say.
+   */
   public final boolean isOverfull() {
     return overfull;
   }
 
-  /** How often it had less room than the records say since it last took a start. */
+  /** Returns how often the machine refused a start as full since it last accepted one. */
   final int consecutiveOverfullCount() {
     return consecutiveOverfullCount;
   }
@@ -105,22 +110,22 @@
     consecutiveOverfullCount = 0;
   }
 
-  /** Attempts on it. */
+  /** Returns the attempts on the machine. */
   public final Collection<Attempt> attempts() {
     return attempts.values();
   }
 
-  /** The attempt at this task on it, or null. */
+  /** Returns the attempt of this task on the machine, or null. */
   public final Attempt attempt(String key) {
     return attempts.get(key);
   }
 
-  /** True when no attempt holds room on it. */
+  /** Returns true if no attempt holds resources on the machine. */
   public final boolean isIdle() {
     return attemptsHoldingRoom == 0;
   }
 
-  /** Gives an attempt its room. */
+  /** Reserves an attempt's resources. */
   public final void reserve(Attempt attempt) {
     attempts.put(attempt.key(), attempt);
     addUsage(attempt.spec(), 1);
@@ -136,7 +141,7 @@
     return attempts.values().stream().anyMatch(a -> !a.exited() && a.spec().image().equals(image));
   }
 
-  /** Takes the room back; the attempt itself stays known until {@link #forget}. */
+  /** Releases an attempt's resources; the attempt itself stays known until {@link #forget}. */
   public final void release(Attempt attempt, long nowMs) {
     addUsage(attempt.spec(), -1);
     if (attemptsHoldingRoom == 0) {
@@ -148,7 +153,7 @@
     }
   }
 
-  /** Forgets an attempt. */
+  /** Removes an attempt from the machine's attempts. */
   public final void forget(Attempt attempt) {
     attempts.remove(attempt.key(), attempt);
   }
@@ -163,34 +168,34 @@
     memoryUsedGb += sign * submission.memoryGb();
   }
 
-  /** CPUs in use. */
+  /** Returns the CPUs in use. */
   public final double cpusUsed() {
     return cpusUsed;
   }
 
-  /** CPUs free. */
+  /** Returns the free CPUs; 0 while the type is unknown. */
   public final double cpusFree() {
     return type == null ? 0 : type.cpus() - cpusUsed;
   }
 
-  /** Memory free. */
+  /** Returns the free memory in GB; 0 while the type is unknown. */
   public final double memoryFreeGb() {
     return type == null ? 0 : type.memoryGb() - memoryUsedGb;
   }
 
-  /** Accelerators free. */
+  /** Returns the free accelerators; 0 while the type is unknown. */
   public final double gpusFree() {
     return type == null ? 0 : type.gpus() - gpusUsed;
   }
 
-  /** True when one more task of the job fits now. */
+  /** Returns true if one more task of the job fits now. */
   public final boolean fits(Submission submission) {
     return submission.cpus() <= cpusFree() + 1e-9
         && submission.memoryGb() <= memoryFreeGb() + 1e-9
         && submission.gpus() <= gpusFree() + 1e-9;
   }
 
-  /** True when the job allows this machine. */
+  /** Returns true if the job allows this machine's type, zone and pricing. */
   public final boolean isAllowedBy(Submission submission) {
     return type != null
         && type.suits(submission)
@@ -198,7 +203,10 @@
         && (submission.spot() || !spot);
   }
 
-  /** Seconds until a task that needs this image could start here; fetches share one rate. */
+  /**
+   * Returns the seconds until a task that needs this image could start here; all fetches of a
+   * machine share one rate.
+   */
   public final double imageWaitS(Submission submission, long nowMs) {
     return images.waitS(submission.image(), imageFetchS(submission), nowMs);
   }
@@ -207,12 +215,12 @@
     return type == null ? 0 : submission.imageGb() / type.fetchGbPerS();
   }
 
-  /** The task's image was seen in use here. */
+  /** Marks the task's image as seen in use here. */
   public final void markImageInUse(Submission submission, long nowMs) {
     images.seen(submission.image(), submission.imageGb(), nowMs);
   }
 
-  /** What is believed of its images. */
+  /** Returns what is assumed about the machine's images. */
   public final ImageCache images() {
     return images;
   }
--- a/src/main/java/dapplestair/ledger/RawAttemptRecords.java
+++ b/src/main/java/dapplestair/ledger/RawAttemptRecords.java
@@ -10,12 +10,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The records of attempts as the replica tells them, unread: a follower needs no more. */
+/**
+ * The records of attempts as the replica shows them, not yet parsed into attempts: a follower needs
+ * no more.
+ */
 final class RawAttemptRecords {
-  /** An attempt and the launch batch that has it. */
+  /** An attempt recorded in a launch batch, and the batch's key. */
   record BatchedAttempt(String batchKey, LaunchBatch.Entry entry) {}
 
-  /** One record and its stamp. */
+  /** A record and its stamp. */
   record VersionedRecord(JsonNode value, long stamp) {}
 
   private final Map<String, Int2ObjectOpenHashMap<VersionedRecord>> recordsByJob = new HashMap<>();
@@ -58,34 +61,34 @@
     }
   }
 
-  /** All launch batches and their stamps. */
+  /** Returns the stamps of all launch batches by their keys. */
   Map<String, Long> stampByLaunchBatch() {
     return stampByLaunchBatch;
   }
 
-  /** What launch batches say of a job. */
+  /** Returns a job's attempts that launch batches have. */
   List<BatchedAttempt> batchedAttempts(String ref) {
     return batchedAttempts.getOrDefault(ref, List.of());
   }
 
-  /** What a job of one task takes of which nothing but launch batches speaks, or null. */
+  /** Returns the summary of a job of one task that only launch batches have, or null. */
   LaunchBatch.JobSummary summaryOf(String ref) {
     return recordsByJob.containsKey(ref) ? null : summaryByJob.get(ref);
   }
 
-  /** Jobs with attempts on record. */
+  /** Returns the jobs with attempts on record. */
   Set<String> jobRefs() {
     Set<String> refs = new LinkedHashSet<>(recordsByJob.keySet());
     refs.addAll(batchedAttempts.keySet());
     return refs;
   }
 
-  /** A job's records by chunk. */
+  /** Returns a job's records by chunk. */
   Int2ObjectOpenHashMap<VersionedRecord> recordsOf(String ref) {
     return recordsByJob.getOrDefault(ref, new Int2ObjectOpenHashMap<>(0));
   }
 
-  /** Tasks completed and tasks with an attempt. */
+  /** Returns the number of completed tasks and the number of tasks with an attempt. */
   int[] taskCounts(String ref) {
     int[] counts = new int[2];
     for (VersionedRecord versionedRecord : recordsOf(ref).values()) {
@@ -96,7 +99,7 @@
     return counts;
   }
 
-  /** Where a job's tasks may be by its own records and by launch batches. */
+  /** Returns where a job's tasks may be, by its own records and by launch batches. */
   List<Cancellation.TaskLocation> taskLocations(String ref) {
     List<Cancellation.TaskLocation> locations = new ArrayList<>();
     recordsOf(ref)
@@ -108,7 +111,7 @@
                     (step, number, host, zone, session) ->
                         locations.add(new Cancellation.TaskLocation(host, session, step, number))));
     for (BatchedAttempt batched : batchedAttempts(ref)) {
-      // Too many rather than too few: a chunk's own record may know better.
+      // Rather too many than too few: a chunk's own record may show that the attempt is gone.
       LaunchBatch.Entry entry = batched.entry();
       locations.add(
           new Cancellation.TaskLocation(
--- a/src/main/java/dapplestair/ledger/RefusedStarts.java
+++ b/src/main/java/dapplestair/ledger/RefusedStarts.java
@@ -7,15 +7,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Starts that machines refuse. One that is full though the records say that it has room gets
- * nothing for a while, longer each time until it takes a start again.
+ * Counts the starts that machines refuse. A machine that is full though the records say that it has
+ * room gets no starts for a while, which doubles each time until the machine accepts a start again.
  */
 final class RefusedStarts {
   private static final Logger LOG = LoggerFactory.getLogger(RefusedStarts.class);
 
   private static final String FULL = "full";
 
-  /** Causes with which a machine says that it has not started a task (PROTOCOL). */
+  /** The causes with which a machine reports that it has not started a task (PROTOCOL). */
   private static final Set<String> CAUSES = Set.of(FULL, "busy", "unknown");
 
   private static final int PAUSES_PER_REPORT = 3;
@@ -30,17 +30,17 @@
     this.firstPauseMs = context.settings.workers().reportMs() / PAUSES_PER_REPORT;
   }
 
-  /** How many there were since this process began, by cause. */
+  /** Returns the number of refused starts since this process began, by cause. */
   Map<String, Long> byCause() {
     return byCause;
   }
 
-  /** An attempt has exited on a machine with this cause. */
+  /** Handles an attempt's exit on a machine with this cause. */
   void onExited(Machine machine, String cause) {
     if (CAUSES.contains(cause)) {
       byCause.addTo(cause, 1);
     }
-    // All that one command brought is refused at the same moment: one pause for all of it.
+    // All starts of one command are refused at the same moment, and cause one pause only.
     if (cause.equals(FULL) && !machine.isOverfull()) {
       pause(machine);
     }
@@ -49,7 +49,7 @@
   private void pause(Machine machine) {
     long pauseMs = firstPauseMs << Math.min(MAX_DOUBLINGS, machine.consecutiveOverfullCount());
     LOG.warn(
-        "{} has less room than the records say ({} CPUs free): no starts there for {} ms",
+        "machine {} refused a start as full, though {} of its CPUs are free by the records; no starts there for {} ms",
         machine.id(),
         machine.cpusFree(),
         pauseMs);
@@ -62,7 +62,7 @@
         });
   }
 
-  /** A machine has taken a start. */
+  /** Handles a start that a machine has accepted. */
   void onStartAccepted(Machine machine) {
     machine.resetOverfullCount();
   }
--- a/src/main/java/dapplestair/ledger/StopReason.java
+++ b/src/main/java/dapplestair/ledger/StopReason.java
@@ -1,21 +1,21 @@
 package dapplestair.ledger;
 
-/** Why a task is told to stop. */
+/** The reason for which a task is asked to stop. */
 public enum StopReason {
-  /** Its job is over. */
+  /** The task's job is over. */
   JOB_OVER,
-  /** Its room is needed by work that goes first. */
+  /** Work that takes precedence needs the task's resources. */
   ROOM_NEEDED,
-  /** A rider of a lane goes over it. */
+  /** A rider of a lane takes the task's resources. */
   LANE,
-  /** The cloud is about to take its machine. */
+  /** The cloud is about to reclaim the task's machine. */
   NOTICE,
-  /** Its machine or zone is being emptied. */
+  /** The task's machine or zone is being drained. */
   DRAIN,
-  /** Another member of its gang is missing. */
+  /** Another member of the task's gang is missing. */
   GANG;
 
-  /** The form shown to people. */
+  /** Returns the form shown to people. */
   public String shown() {
     return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
   }
--- a/src/main/java/dapplestair/ledger/Takeover.java
+++ b/src/main/java/dapplestair/ledger/Takeover.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** How a new leader comes to its attempts: from the records of the leaders before it. */
+/** Builds a new leader's attempts from the records of the leaders before it. */
 final class Takeover {
   private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
 
@@ -26,9 +26,9 @@
   private final AttemptReconciler reconciler;
   private final int chunkSize;
 
-  // The chunks that each earlier launch batch still counts for.
+  // The chunks for which each earlier launch batch still counts.
   private final Map<String, Set<Chunk>> chunksByLaunchBatch = new HashMap<>();
-  // Jobs that are over since a moment that is not known here.
+  // Ended jobs whose time of end this leader has not read yet.
   private final Deque<Job> jobsWithUnreadEnd = new ArrayDeque<>();
   private int unresolvedJobs;
 
@@ -56,8 +56,11 @@
     jobsWithUnreadEnd.clear();
   }
 
-  /** Builds attempts from the records; launches begin once nothing is unaccounted for. */
-  void begin(long newTerm) {
+  /**
+   * Builds attempts from the records; launches are allowed once every recorded attempt is accounted
+   * for.
+   */
+  void beginTerm(long newTerm) {
     context.beginTerm(newTerm);
     unresolvedJobs = 1;
     for (String ref : rawRecords.jobRefs()) {
@@ -66,7 +69,7 @@
       if (job != null) {
         buildAttempts(job);
       } else if (summary != null) {
-        // The replica is complete, and the job is not there: it is over.
+        // The replica is complete and does not have the job, so the job is over.
         Job ended = new Job(summary.spec(), 0, chunkSize, 0);
         addEndedJob(ended, 0);
         jobsWithUnreadEnd.add(ended);
@@ -80,9 +83,9 @@
   }
 
   /**
-   * Since when jobs are over of which only launch batches told. Most are gone by now; of what does
-   * not stop it has to be known, since the time allowed for it does not begin anew with each
-   * leader.
+   * Reads the times of end, one by one, of ended jobs that only launch batches tell of. Most of
+   * their tasks are gone by now. For tasks that do not stop the time is needed, since the time
+   * allowed for stopping them does not begin anew with each leader.
    */
   private void readNextEnd(long forTerm) {
     Job job = jobsWithUnreadEnd.poll();
@@ -112,7 +115,7 @@
     job.endedAtMs = Math.min(job.endedAtMs, context.clock.now() - agoMs);
   }
 
-  /** Attempts of a job that is over still use its team's share: its description is needed. */
+  /** Fetches the description of an ended job whose attempts still count as its team's usage. */
   private void fetchEndedJob(long forTerm, String ref) {
     context.state.get(
         StateKeys.over(ref),
@@ -123,7 +126,9 @@
           Job job = read.exists() ? JobRecordCodec.read(read.value(), 0, chunkSize) : null;
           if (job == null) {
             if (read.known()) {
-              LOG.error("attempts of {} are recorded, but no such job", ref);
+              LOG.error(
+                  "attempts of {} are recorded, but the job's record is missing or cannot be read; retrying",
+                  ref);
             }
             context.timers.after(context.retryMs, () -> fetchEndedJob(forTerm, ref));
             return;
@@ -133,7 +138,7 @@
         });
   }
 
-  /** Enters the attempts of a job that is over: they are stopped where they still run. */
+  /** Adds an ended job with its attempts, which are stopped where they still run. */
   private void addEndedJob(Job job, long endedAgoMs) {
     jobs.put(job.spec().ref(), job);
     buildAttempts(job);
@@ -156,7 +161,7 @@
       int claimedBatchCount = chunksByLaunchBatch.size();
       chunksByLaunchBatch.clear();
       LOG.info(
-          "ledger ready: {} jobs, {} attempts, {} launch batches that still count",
+          "ledger ready: {} jobs, {} attempts, {} launch batches with attempts that only they record",
           jobs.size(),
           jobs.values().stream().mapToInt(Job::heldAttempts).sum(),
           claimedBatchCount);
@@ -168,9 +173,9 @@
   }
 
   /**
-   * While descriptions were fetched, reports may have proved that nothing is left of a job that is
-   * over. It is forgotten then: with its claim a launch batch would stay on record until the next
-   * leader.
+   * Drops the claims of jobs that were forgotten while descriptions were fetched, since reports
+   * proved that none of their tasks is left. With such a claim a launch batch would stay on record
+   * until the next leader.
    */
   private void dropClaimsOfForgottenJobs() {
     Set<Chunk> present = new LinkedHashSet<>();
@@ -179,8 +184,9 @@
   }
 
   /**
-   * Enters what the launch batches add to a job's own records. Of two launch batches with the same
-   * task the higher number counts: it was given out after the other one was proved absent.
+   * Adds the attempts that launch batches have beyond a job's own records. If two launch batches
+   * have the same task, the higher number counts: it was assigned after the other attempt was
+   * proved absent.
    */
   private void readLaunchBatches(Job job) {
     Int2ObjectMap<RawAttemptRecords.BatchedAttempt> newestByStep = new Int2ObjectOpenHashMap<>();
@@ -199,7 +205,7 @@
       Chunk chunk = job.chunkOf(entry.step());
       chunk.lastNumber = Math.max(chunk.lastNumber, entry.number());
       LOG.debug(
-          "{}/{} try {} is read from {}",
+          "{}/{} attempt {} is adopted from launch batch {}",
           entry.ref(),
           entry.step(),
           entry.number(),
@@ -211,7 +217,8 @@
       adoptAttempt(
           job, chunk, entry.step(), entry.number(), entry.host(), entry.zone(), entry.session());
       if (!ChunkWriter.isSingleTask(job)) {
-        // Its own record takes over. A job of one task needs none: hundreds of puts, for nothing.
+        // The chunk's own record replaces the launch batch. A job of one task needs no such record:
+        // that would be hundreds of puts without use.
         writer.markDirty(job, chunk, false);
       }
     }
--- a/src/main/java/dapplestair/ledger/TeamUsage.java
+++ b/src/main/java/dapplestair/ledger/TeamUsage.java
@@ -5,7 +5,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What each team's attempts use, counted from their planning until their absence is proved. */
+/**
+ * Counts the resources of each team's attempts, from their planning until they have exited or are
+ * proved absent.
+ */
 final class TeamUsage {
   private static final class Usage {
     double cpus;
@@ -41,7 +44,7 @@
     return usageByTeam.getOrDefault(team, NONE).gpus;
   }
 
-  /** True when the team has room for so many more tasks of this size. */
+  /** Returns true if the team's limits allow {@code tasks} more tasks of this size. */
   boolean allows(Submission submission, int tasks) {
     Settings.Team team = settings.teams().get(submission.team());
     if (team == null) {
@@ -52,7 +55,10 @@
         && (team.gpusMax() <= 0 || usage.gpus + tasks * submission.gpus() <= team.gpusMax() + 1e-6);
   }
 
-  /** How many more tasks of this size the team's limit, or its guarantee, has room for. */
+  /**
+   * Returns how many more tasks of this size the team's limit allows, or its guarantee if {@code
+   * withinGuarantee}.
+   */
   int maxAdditionalTasks(Submission submission, boolean withinGuarantee) {
     Settings.Team team = settings.teams().get(submission.team());
     double maxCpus = team == null ? 0 : withinGuarantee ? team.cpus() : team.cpusMax();
--- a/src/main/java/dapplestair/ledger/UnavailableTasks.java
+++ b/src/main/java/dapplestair/ledger/UnavailableTasks.java
@@ -4,13 +4,13 @@
 import java.util.function.Predicate;
 
 /**
- * How many of a job's tasks are out. Derived from the attempts on record and from what is heard of
- * them, so that every leader comes to it by itself, and never to less than is true: whatever is not
- * known to run counts as out, unless it is known never to have run.
+ * Counts a job's unavailable tasks. The counts are derived from the attempts on record and from
+ * what is heard of them, so that every leader computes them by itself, and never too low: a task
+ * that is not known to run counts as disrupted, unless it is known never to have run.
  *
  * @param missing tasks that are neither done nor known to run
- * @param disrupted those among them that may have run before
- * @param stopping those among them that are being stopped
+ * @param disrupted missing tasks that may have run before
+ * @param stopping disrupted tasks that are being stopped
  */
 public record UnavailableTasks(int missing, int disrupted, int stopping) {
   static UnavailableTasks of(Job job, Predicate<Attempt> isReachable) {
--- a/src/main/java/dapplestair/ledger/package-info.java
+++ b/src/main/java/dapplestair/ledger/package-info.java
@@ -1,2 +1,2 @@
-/** Which attempts exist and where; the one gate that every launch passes. */
+/** Keeps all jobs and attempts, and checks every launch against the rules. */
 package dapplestair.ledger;
--- a/src/test/java/dapplestair/ledger/AttemptRules.java
+++ b/src/test/java/dapplestair/ledger/AttemptRules.java
@@ -4,7 +4,7 @@
 import dapplestair.work.Report;
 import dapplestair.work.Submission;
 
-/** Opens the ledger's rules for single attempts to the model in package {@code model}. */
+/** Gives the model in package {@code model} access to the ledger's rules for single attempts. */
 public final class AttemptRules {
   public static final String TASK = "wk-1/0";
 
@@ -20,7 +20,7 @@
     }
   }
 
-  /** A service of this name. */
+  /** Returns a service with this reference. */
   public static Submission spec(String ref) throws Submission.InvalidSubmissionException {
     return Submission.parse(
         Json.object()
@@ -43,55 +43,55 @@
             .put("snapshotS", 0));
   }
 
-  /** An attempt that was planned by the leader itself. */
+  /** Returns an attempt that the leader itself has planned. */
   public static Attempt planned(long number, String host, long session) {
     return new Attempt(JOB, 0, number, host, "a", session, 0);
   }
 
-  /** An attempt that was launched and whose outcome is known. */
+  /** Returns an attempt that was launched and whose launch's outcome is known. */
   public static Attempt launched(Job job, int step, String host) {
-    Attempt a = new Attempt(job, step, 1, host, "a", 1, 0);
-    a.markSeenOnMachine();
-    return a;
+    Attempt attempt = new Attempt(job, step, 1, host, "a", 1, 0);
+    attempt.markSeenOnMachine();
+    return attempt;
   }
 
-  /** Its record was written. */
-  public static void committed(Attempt a) {
-    a.phase = Attempt.Phase.COMMITTED;
+  /** Marks an attempt's record as written. */
+  public static void markCommitted(Attempt attempt) {
+    attempt.phase = Attempt.Phase.COMMITTED;
   }
 
-  /** An attempt that a leader of this term reads from the records. */
+  /** Returns an attempt that a leader of this term reads from the records. */
   public static Attempt adopted(long number, String host, long session, long term) {
-    Attempt a = planned(number, host, session);
-    a.markAdopted(term);
-    return a;
+    Attempt attempt = planned(number, host, session);
+    attempt.markAdopted(term);
+    return attempt;
   }
 
-  /** The same attempt, to be changed by itself. */
-  public static Attempt copy(Attempt a) {
-    Attempt copy = planned(a.number, a.host, a.session);
-    copy.phase = a.phase;
-    copy.neededToken = a.neededToken;
+  /** Returns a copy of an attempt that may be changed independently. */
+  public static Attempt copy(Attempt attempt) {
+    Attempt copy = planned(attempt.number, attempt.host, attempt.session);
+    copy.phase = attempt.phase;
+    copy.neededToken = attempt.neededToken;
     return copy;
   }
 
-  /** True before its record was written. */
-  public static boolean planned(Attempt a) {
-    return a.phase == Attempt.Phase.PLANNED;
+  /** Returns true if the attempt's record is not written yet. */
+  public static boolean planned(Attempt attempt) {
+    return attempt.phase == Attempt.Phase.PLANNED;
   }
 
-  /** The least token with which a report proves its absence. */
-  public static long neededToken(Attempt a) {
-    return a.neededToken;
+  /** Returns the least token with which a report proves the attempt's absence. */
+  public static long neededToken(Attempt attempt) {
+    return attempt.neededToken;
   }
 
-  /** A report has it. */
-  public static void seenOnMachine(Attempt a) {
-    a.markSeenOnMachine();
+  /** Marks an attempt as shown by a report. */
+  public static void markSeenOnMachine(Attempt attempt) {
+    attempt.markSeenOnMachine();
   }
 
-  /** What the product concludes from this report. */
-  public static boolean provedAbsent(Attempt a, Report r) {
-    return AttemptReconciler.provesAbsence(a, r);
+  /** Returns whether the ledger concludes from this report that the attempt is absent. */
+  public static boolean provesAbsence(Attempt attempt, Report report) {
+    return AttemptReconciler.provesAbsence(attempt, report);
   }
 }
--- a/src/test/java/dapplestair/ledger/LaunchBatchTest.java
+++ b/src/test/java/dapplestair/ledger/LaunchBatchTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Test;
 
 class LaunchBatchTest {
-  private static Job job(int i) throws Submission.InvalidSubmissionException {
-    Submission s =
+  private static Job job(int number) throws Submission.InvalidSubmissionException {
+    Submission submission =
         Submission.parse(
             Json.object()
-                .put("ref", String.format("wk-%06d", i))
+                .put("ref", String.format("wk-%06d", number))
                 .put("jobclass", "c")
                 .put("owner", "t")
                 .put("shape", "daemon")
@@ -31,14 +31,15 @@
                 .put("guessS", 0)
                 .put("snapshotEveryS", 0)
                 .put("snapshotS", 0));
-    return new Job(s, 0, 128, 1);
+    return new Job(submission, 0, 128, 1);
   }
 
   /**
-   * As many as are said to fit take no more than a value may, though each is on its own machine.
+   * Checks that as many entries as the capacity promises fit in a value, though each is on a
+   * machine of its own, and that they are read back unchanged.
    */
   @Test
-  void whatFitsFitsAndComesBack() throws Submission.InvalidSubmissionException {
+  void entriesWithinCapacityFitAndAreReadBack() throws Submission.InvalidSubmissionException {
     int bytes = 8192;
     List<Attempt> attempts = new ArrayList<>();
     for (int i = 0; i < LaunchBatch.capacity(bytes); i++) {
@@ -50,9 +51,15 @@
     List<LaunchBatch.Entry> read = LaunchBatch.read(Json.parse(Json.bytes(value)));
     assertEquals(attempts.size(), read.size());
     for (int i = 0; i < read.size(); i++) {
-      Attempt a = attempts.get(i);
+      Attempt attempt = attempts.get(i);
       assertEquals(
-          new LaunchBatch.Entry(a.spec().ref(), a.step, a.number, a.host, a.zone, a.session),
+          new LaunchBatch.Entry(
+              attempt.spec().ref(),
+              attempt.step,
+              attempt.number,
+              attempt.host,
+              attempt.zone,
+              attempt.session),
           read.get(i));
     }
   }
--- a/src/test/java/dapplestair/model/Leader.java
+++ b/src/test/java/dapplestair/model/Leader.java
@@ -130,7 +130,7 @@
       attempt = null;
       return;
     }
-    AttemptRules.committed(attempt);
+    AttemptRules.markCommitted(attempt);
     int machine = machineOf(attempt);
     machines[machine].queue(new WorkerCommand.Launch(attempt.key(), attempt.number()));
   }
@@ -259,7 +259,7 @@
           isOn(machine) && attempt.number() == t.attempt() && attempt.session() == r.session();
       if (own) {
         seen = true;
-        AttemptRules.seenOnMachine(attempt);
+        AttemptRules.markSeenOnMachine(attempt);
       }
       if (t.status() == Report.Status.EXITED) {
         exited(m, t, own, ended);
@@ -268,7 +268,7 @@
         m.queue(new WorkerCommand.Halt(t.key(), t.attempt(), 0));
       }
     }
-    if (!seen && isOn(machine) && AttemptRules.provedAbsent(attempt, r)) {
+    if (!seen && isOn(machine) && AttemptRules.provesAbsence(attempt, r)) {
       if (!AttemptRules.planned(attempt)) {
         ended.add(attempt.number());
       }
