--- a/src/main/java/dapplestair/ledger/RefusedStarts.java
+++ b/src/main/java/dapplestair/ledger/RefusedStarts.java
@@ -8,7 +8,8 @@
 
 /**
  * Counts the starts that machines refuse. A machine that is full though the records say that it has
- * room gets no starts for a while, which doubles each time until the machine accepts a start again.
+ * room gets no starts for a while; the pause doubles, up to a maximum, until the machine accepts a
+ * start again.
  */
 final class RefusedStarts {
   private static final Logger LOG = LoggerFactory.getLogger(RefusedStarts.class);
--- a/src/main/java/dapplestair/ledger/TeamUsage.java
+++ b/src/main/java/dapplestair/ledger/TeamUsage.java
@@ -55,10 +55,7 @@
         && (team.gpusMax() <= 0 || usage.gpus + tasks * submission.gpus() <= team.gpusMax() + 1e-6);
   }
 
-  /**
-   * Returns how many more tasks of this size the team's limit allows, or its guarantee if {@code
-   * withinGuarantee}.
-   */
+  /** Returns how many more tasks of this size the team's limit, or its guarantee, allows. */
   int maxAdditionalTasks(Submission submission, boolean withinGuarantee) {
     Settings.Team team = settings.teams().get(submission.team());
     double maxCpus = team == null ? 0 : withinGuarantee ? team.cpus() : team.cpusMax();
