--- a/src/main/java/dapplestair/admin/AdminHandler.java
+++ b/src/main/java/dapplestair/admin/AdminHandler.java
@@ -202,7 +202,7 @@
   }
 
   private boolean able() {
-    return leadership.isLeading() && ledger.armed();
+    return leadership.isLeading() && ledger.canLaunch();
   }
 
   private void again(
--- a/src/main/java/dapplestair/blame/FailureRecords.java
+++ b/src/main/java/dapplestair/blame/FailureRecords.java
@@ -54,7 +54,7 @@
   JobFailures failed(Attempt attempt, Host host) {
     String ref = attempt.job().spec().ref();
     JobFailures jobFailures = jobs.computeIfAbsent(ref, r -> new JobFailures());
-    jobFailures.failed(host.id(), attempt.ranBeforeExitS());
+    jobFailures.failed(host.id(), attempt.runTimeBeforeExitS());
     MachineFailures machineFailures =
         machines.computeIfAbsent(host.id(), h -> new MachineFailures(clock.now()));
     machineFailures.failed(ref, attempt.step());
@@ -69,7 +69,7 @@
   /** A task completed: a machine on which it began after the first failure is cleared. */
   void completed(Attempt attempt, Host host) {
     MachineFailures machineFailures = machines.get(host.id());
-    if (machineFailures != null && attempt.plannedAt() > machineFailures.since) {
+    if (machineFailures != null && attempt.plannedAtMs() > machineFailures.since) {
       machines.remove(host.id());
       countFailures(host.id());
       host.setProbation(Probation.NONE);
@@ -86,7 +86,7 @@
       return;
     }
     Job job = ledger.job(ref);
-    boolean witness = job != null && !job.suspected();
+    boolean witness = job != null && !job.isSuspected();
     for (String id : jobFailures.failedOn.keySet()) {
       MachineFailures machineFailures = machines.get(id);
       IntOpenHashSet steps = machineFailures == null ? null : machineFailures.failed.remove(ref);
@@ -106,7 +106,7 @@
   }
 
   private static int completedElsewhere(Job job, IntOpenHashSet steps) {
-    return (int) steps.intStream().filter(job::done).count();
+    return (int) steps.intStream().filter(job::isDone).count();
   }
 
   /** The verdict on a job has changed: its failures are explained, or no longer. */
@@ -125,7 +125,7 @@
   /** True when this job is wrong by the verdict of now, which explains its failures anywhere. */
   private boolean explains(String ref) {
     Job job = ledger.job(ref);
-    return job != null && job.suspected();
+    return job != null && job.isSuspected();
   }
 
   /** Tells of each job of which something failed on a machine that turned out to be faulty. */
@@ -137,7 +137,7 @@
             (ref, steps) -> {
               Job job = ledger.job(ref);
               JobFailures jobFailures = jobs.get(ref);
-              if (job != null && jobFailures != null && !job.suspected()) {
+              if (job != null && jobFailures != null && !job.isSuspected()) {
                 jobFailures.failedOn.removeInt(id);
                 each.accept(job, steps);
               }
@@ -151,11 +151,11 @@
     long now = clock.now();
     long works = working(job, jobFailures, null);
     long outlived =
-        ledger.attempts(job).stream().filter(a -> a.ranS(now) > jobFailures.longestS).count()
+        ledger.attempts(job).stream().filter(a -> a.runTimeS(now) > jobFailures.longestS).count()
             - works;
     double sum =
         FailureLogOdds.logit(FailureLogOdds.JOB_WRONG)
-            + FailureLogOdds.completions(job.doneCount() + job.worked() + works);
+            + FailureLogOdds.completions(job.doneCount() + job.interruptedReplicas() + works);
     for (String id : jobFailures.failedOn.keySet()) {
       sum += FailureLogOdds.failureUnless(machineOdds(id, job.spec().ref(), false));
     }
@@ -166,7 +166,7 @@
   long working(Job job, JobFailures jobFailures, String butOn) {
     long now = clock.now();
     return ledger.attempts(job).stream()
-        .filter(a -> a.ranS(now) > worksAfterS(jobFailures) && !a.host().equals(butOn))
+        .filter(a -> a.runTimeS(now) > worksAfterS(jobFailures) && !a.host().equals(butOn))
         .count();
   }
 
@@ -198,7 +198,7 @@
       if (!entry.getKey().equals(except)
           && job != null
           && jobFailures != null
-          && !job.suspected()) {
+          && !job.isSuspected()) {
         sum += says(id, job, jobFailures, entry.getValue(), knownGood);
       }
     }
@@ -209,7 +209,8 @@
       String id, Job job, JobFailures jobFailures, IntOpenHashSet failedHere, boolean knownGood) {
     // Replicas are alike, and never complete: others that live on elsewhere say as much.
     boolean service = job.spec().service();
-    long good = service ? working(job, jobFailures, id) + job.worked() : job.doneCount();
+    long good =
+        service ? working(job, jobFailures, id) + job.interruptedReplicas() : job.doneCount();
     int steps = failedHere.size();
     if (knownGood && service) {
       // The same replica that fails here again and again says as much as another one.
--- a/src/main/java/dapplestair/calendar/Calendars.java
+++ b/src/main/java/dapplestair/calendar/Calendars.java
@@ -268,7 +268,7 @@
       RunCalendar calendar = calendarFor(job.spec());
       if (calendar != null) {
         boolean isHeld = isHeld(job);
-        ledger.rest(job, isHeld && !isReleaseNear(calendar, job));
+        ledger.setExcludedFromPlanning(job, isHeld && !isReleaseNear(calendar, job));
         if (isHeld) {
           heldRefs.add(job.spec().ref());
         }
@@ -283,7 +283,7 @@
 
   /** Returns true from one boot time before the usual release of a job's cycle. */
   private boolean isReleaseNear(RunCalendar calendar, Job job) {
-    long startMs = calendar.cycle(job.acceptedWall());
+    long startMs = calendar.cycle(job.acceptedWallMs());
     double usualLagMs = lastCycle(calendar.name()).usualLagMs(calendar.cutOffMs());
     return clock.wall() >= startMs + usualLagMs - 1000 * bootS.getAsDouble();
   }
@@ -305,7 +305,7 @@
     if (calendar == null) {
       return false;
     }
-    long startMs = calendar.cycle(job.acceptedWall());
+    long startMs = calendar.cycle(job.acceptedWallMs());
     return lastCycle(calendar.name()).startMs() < startMs
         && clock.wall() - startMs < calendar.cutOffMs();
   }
@@ -314,14 +314,14 @@
   public boolean isRunOfLastReleasedCycle(Job job) {
     RunCalendar calendar = calendars.isEmpty() ? null : calendarFor(job.spec());
     return calendar != null
-        && lastCycle(calendar.name()).startMs() == calendar.cycle(job.acceptedWall());
+        && lastCycle(calendar.name()).startMs() == calendar.cycle(job.acceptedWallMs());
   }
 
   /** Adds a mark for each calendar the job is a delivery of, in the put that makes it done. */
   public void addDeliveryMarks(Job job, Txn txn) {
     for (RunCalendar calendar : calendars.values()) {
       if (calendar.isDelivery(job.spec())) {
-        long startMs = calendar.cycle(job.acceptedWall());
+        long startMs = calendar.cycle(job.acceptedWallMs());
         if (deliveredCount(calendar, startMs) < calendar.complete()
             && startMs > lastCycle(calendar.name()).startMs()) {
           txn.put(markKey(calendar.name(), startMs, job.spec().ref()), Json.object());
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -241,7 +241,7 @@
 
   /** Returns an idle machine; false when it is in use or the state service is unreachable. */
   public boolean release(Host host) {
-    if (!host.idle() || host.releasing() || !healthMonitor.mayReturnMachines()) {
+    if (!host.isIdle() || host.releasing() || !healthMonitor.mayReturnMachines()) {
       return false;
     }
     releases.add(host);
@@ -356,7 +356,7 @@
           && !host.gone()
           && !host.releasing()
           && !host.drained()
-          && host.allowed(submission)) {
+          && host.isAllowedBy(submission)) {
         booting++;
         double dueS =
             Math.max(0, host.type().bootS() - Math.max(0, now - host.rentedAt()) / 1000.0);
--- a/src/main/java/dapplestair/fleet/FleetCapacity.java
+++ b/src/main/java/dapplestair/fleet/FleetCapacity.java
@@ -130,12 +130,12 @@
     List<Host> idleHosts = new ArrayList<>();
     for (Host host : workers.hosts()) {
       // It is not known whether a silent machine is idle.
-      boolean idle = host.up() && host.idle() && host.zoneSilentMs() == 0 && !host.hanging();
+      boolean idle = host.up() && host.isIdle() && host.zoneSilentMs() == 0 && !host.hanging();
       if (idle && isUsableAs(host, kind) && now - host.rentedAt() >= MIN_CHARGED_MS) {
         idleHosts.add(host);
       }
     }
-    idleHosts.sort(Comparator.comparingLong(Host::idleSince));
+    idleHosts.sort(Comparator.comparingLong(Host::idleSinceMs));
     return idleHosts;
   }
 }
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -183,7 +183,7 @@
     } else if (isMissingFromLists(host, now)) {
       LOG.info("machine {} is on record but not in the cloud's list: returning it", host.id());
       releases.add(host);
-    } else if ((host.draining() || host.recalled()) && host.idle() && host.attempts().isEmpty()) {
+    } else if ((host.draining() || host.recalled()) && host.isIdle() && host.attempts().isEmpty()) {
       spotHistory.noteReclaimed(host);
       releases.add(host);
     }
@@ -299,12 +299,12 @@
     long cancelMs = settings.workers().cancelMs();
     long haltTimeoutMs = cancelMs / (host.outOfReach() ? 2 : 4);
     for (Attempt attempt : host.attempts()) {
-      if (attempt.job().over() && attempt.halting() && !attempt.exited()) {
-        long haltedMs = now - attempt.haltAt();
+      if (attempt.job().isOver() && attempt.halting() && !attempt.exited()) {
+        long haltedMs = now - attempt.firstHaltAtMs();
         // The allowed time does not start again with each leader. For work that an earlier leader
         // could not stop either, this one only waits long enough for an answer.
         boolean overdueSinceJobEnd =
-            now - attempt.job().overAt() > cancelMs / 2 && haltedMs > cancelMs / 16;
+            now - attempt.job().endedAtMs() > cancelMs / 2 && haltedMs > cancelMs / 16;
         if (haltedMs > haltTimeoutMs || overdueSinceJobEnd) {
           return true;
         }
--- a/src/main/java/dapplestair/ledger/AttemptReconciler.java
+++ b/src/main/java/dapplestair/ledger/AttemptReconciler.java
@@ -9,11 +9,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What reports of workers prove about attempts: that they run, have ended or are absent. */
+/** Applies what workers' reports prove about attempts: that they run, have ended or are absent. */
 final class AttemptReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptReconciler.class);
 
-  private static final int MOST_HELD_STEPS = 64;
+  private static final int MAX_DELAYED_STEPS = 64;
 
   private final LedgerContext context;
   private final Attempts attempts;
@@ -30,33 +30,33 @@
     this.refusedStarts = new RefusedStarts(context);
   }
 
-  /** Starts that machines have refused since this process began, by cause. */
+  /** Returns the number of starts that machines have refused since this process began, by cause. */
   Map<String, Long> refusedStarts() {
     return refusedStarts.byCause();
   }
 
-  /** Applies a machine's newest report. Returns tasks in it that no attempt accounts for. */
-  List<Report.Task> report(Machine host, Report report) {
-    List<Report.Task> strays = new ArrayList<>();
-    Set<Attempt> seen = new LinkedHashSet<>();
+  /** Applies a machine's newest report. Returns the tasks in it that belong to no known attempt. */
+  List<Report.Task> applyReport(Machine host, Report report) {
+    List<Report.Task> unknownTasks = new ArrayList<>();
+    Set<Attempt> reportedAttempts = new LinkedHashSet<>();
     for (Report.Task task : report.tasks()) {
       Attempt attempt = host.attempt(task.key());
       if (attempt == null
           || attempt.number != task.attempt()
           || attempt.session != report.session()) {
-        strays.add(task);
+        unknownTasks.add(task);
       } else {
-        seen.add(attempt);
-        seen(host, attempt, task);
+        reportedAttempts.add(attempt);
+        applyTaskReport(host, attempt, task);
       }
     }
     for (Attempt attempt : List.copyOf(host.attempts())) {
-      if (!seen.contains(attempt) && provedAbsent(attempt, report)) {
+      if (!reportedAttempts.contains(attempt) && provesAbsence(attempt, report)) {
         if (attempt.done) {
           continue;
         }
         LOG.debug(
-            "{} try {} is not on {} any more: report {} of session {} under token {}, needed {} of session {}",
+            "{} attempt {} is absent from {}: report {} of session {} with token {} proves it, needed token {} of session {}",
             attempt.key(),
             attempt.number,
             host.id(),
@@ -65,139 +65,148 @@
             report.token(),
             attempt.neededToken,
             attempt.session);
-        attempts.absent(attempt);
+        attempts.markAbsent(attempt);
       }
     }
-    return context.armed() ? strays : List.of();
+    return context.isReady() ? unknownTasks : List.of();
   }
 
-  /** True when this report, newer than any before, proves that the attempt is not there. */
-  static boolean provedAbsent(Attempt attempt, Report report) {
-    // A later session has killed all that the earlier one ran, and refuses launches meant for it.
+  /**
+   * Returns true if this report, newer than any before, proves that the attempt is not on the
+   * machine.
+   */
+  static boolean provesAbsence(Attempt attempt, Report report) {
+    // A later session has killed all tasks of the earlier one, and refuses launches meant for it.
     if (report.session() > attempt.session) {
       return true;
     }
-    // Otherwise the report must come after the last moment at which a launch could be executed.
-    return attempt.sent()
+    // Otherwise the report must be later than the last moment at which the launch could be
+    // executed.
+    return attempt.isSent()
         && report.session() == attempt.session
         && report.token() >= attempt.neededToken;
   }
 
-  private void seen(Machine host, Attempt attempt, Report.Task task) {
-    attempt.seenOnMachine();
+  private void applyTaskReport(Machine host, Attempt attempt, Report.Task task) {
+    attempt.markSeenOnMachine();
     if (attempt.status == null && task.status() != Report.Status.EXITED) {
-      refusedStarts.taken(host);
+      refusedStarts.onStartAccepted(host);
     }
     if (attempt.status != task.status()) {
       long now = context.clock.now();
       if (attempt.status == Report.Status.RUNNING) {
-        attempt.ranBeforeExitS = attempt.ranS(now);
+        attempt.runTimeBeforeExitS = attempt.runTimeS(now);
       }
       attempt.status = task.status();
-      attempt.statusAt = now;
+      attempt.statusSinceMs = now;
       if (task.status() == Report.Status.RUNNING) {
-        if (!attempt.job.begun && !attempt.adopted) {
-          attempt.job.begunAfterMs = context.clock.wall() - attempt.job.askedWall();
+        if (!attempt.job.hasBegun && !attempt.adopted) {
+          attempt.job.startDelayMs = context.clock.wall() - attempt.job.firstRequestWallMs();
           LOG.debug(
-              "{} of {} tasks begins {} ms after it was asked for, {} ms after it was accepted",
+              "job {} of {} tasks begins to run {} ms after it was first submitted, {} ms after it was accepted",
               attempt.job.spec().ref(),
               attempt.spec().steps(),
-              attempt.job.begunAfterMs,
-              context.clock.wall() - attempt.job.acceptedWall());
+              attempt.job.startDelayMs,
+              context.clock.wall() - attempt.job.acceptedWallMs());
         }
-        if (!attempt.began && !attempt.adopted) {
+        if (!attempt.seenRunning && !attempt.adopted) {
           LOG.debug(
-              "{} try {} starts on {} {} ms after its job was asked for",
+              "{} attempt {} runs on {} {} ms after its job was first submitted",
               attempt.key(),
               attempt.number(),
               host.id(),
-              context.clock.wall() - attempt.job.askedWall());
+              context.clock.wall() - attempt.job.firstRequestWallMs());
         }
-        attempt.job.begun = true;
-        attempt.began = true;
-        attempt.job.chunkOf(attempt.step).resumed(attempt.step);
-        context.callbacks.started(attempt);
-        host.imageSeen(attempt.spec(), now);
+        attempt.job.hasBegun = true;
+        attempt.seenRunning = true;
+        attempt.job.chunkOf(attempt.step).markResumed(attempt.step);
+        context.callbacks.onTaskStarted(attempt);
+        host.markImageInUse(attempt.spec(), now);
       } else if (task.status() == Report.Status.EXITED) {
-        exited(host, attempt, task);
+        onExited(host, attempt, task);
       }
     }
   }
 
-  private void exited(Machine host, Attempt attempt, Report.Task task) {
+  private void onExited(Machine host, Attempt attempt, Report.Task task) {
     String cause = task.cause();
-    LOG.debug("{} try {} exited on {}: {}", attempt.key(), attempt.number, host.id(), cause);
+    LOG.debug(
+        "{} attempt {} exited on {}, cause {}", attempt.key(), attempt.number, host.id(), cause);
     if (cause.equals("done") && !attempt.spec().service()) {
-      completed(host, attempt);
+      onCompleted(host, attempt);
       return;
     }
     if (cause.equals("error")) {
-      attempt.job.failedOn.put(host.id(), context.clock.now());
-      context.callbacks.failed(attempt, host);
+      attempt.job.lastFailureMsByMachine.put(host.id(), context.clock.now());
+      context.callbacks.onTaskFailed(attempt, host);
     } else if (cause.equals("unknown") || cause.equals("busy")) {
-      holdBack(attempt.job, context.settings.workers().reportMs() / 3);
+      delayStarts(attempt.job, context.settings.workers().reportMs() / 3);
     }
     if (task.stored()) {
-      attempt.job.keep(
-          attempt.step, attempt.ranBeforeExitS - attempt.keptS(attempt.ranBeforeExitS));
+      attempt.job.addSavedTime(
+          attempt.step,
+          attempt.runTimeBeforeExitS - attempt.checkpointedS(attempt.runTimeBeforeExitS));
     }
-    // Before its room is given back: nothing is to be placed there first.
-    refusedStarts.exited(host, cause);
-    attempts.retire(attempt);
+    // The machine is paused before the resources are released, so that nothing is placed there in
+    // between.
+    refusedStarts.onExited(host, cause);
+    attempts.remove(attempt);
     context.callbacks.clear(attempt.host, attempt.key(), attempt.number);
   }
 
-  private void completed(Machine host, Attempt attempt) {
+  private void onCompleted(Machine host, Attempt attempt) {
     Chunk chunk = attempt.job.chunkOf(attempt.step);
     attempt.done = true;
-    attempts.vacate(attempt);
-    chunk.done.set(attempt.step - chunk.from);
-    context.callbacks.completed(attempt, host, attempt.ranBeforeExitS);
-    if (attempt.job.over) {
-      attempts.drop(attempt);
+    attempts.releaseResources(attempt);
+    chunk.completedSteps.set(attempt.step - chunk.firstStep);
+    context.callbacks.onTaskCompleted(attempt, host, attempt.runTimeBeforeExitS);
+    if (attempt.job.ended) {
+      attempts.discard(attempt);
     } else if (!jobFinalizer.finishIfDone(attempt.job)) {
-      // Recorded before it is cleared: until then the report is the only proof.
-      writer.dirty(attempt.job, chunk, false);
+      // The completion is recorded before the report is cleared: until then the report is its only
+      // proof.
+      writer.markDirty(attempt.job, chunk, false);
     }
-    context.callbacks.changed();
+    context.callbacks.onChanged();
   }
 
   /**
-   * A step that fails again waits for longer each time, whatever becomes of the job's other steps;
-   * if many do, the job waits as a whole.
+   * Records a step's failure. A step that fails again is delayed, longer after each failure,
+   * whatever becomes of the job's other steps; if many steps do so, the whole job is delayed.
    */
-  void failedStep(Attempt attempt, long firstMs, long mostMs) {
+  void recordStepFailure(Attempt attempt, long firstDelayMs, long maxDelayMs) {
     Job job = attempt.job;
-    int before = job.stepFailures.addTo(attempt.step, 1);
-    if (before == 0 || job.spec().gang()) {
-      // A gang starts as a whole, so it waits as a whole.
+    int earlierFailures = job.stepFailures.addTo(attempt.step, 1);
+    if (earlierFailures == 0 || job.spec().gang()) {
+      // A gang starts as a whole, so it is delayed as a whole.
       return;
     }
-    // A replica is missed each second, and a service that is wrong waits as a whole.
-    long most = job.spec().service() ? Math.min(mostMs, 4 * firstMs) : mostMs;
-    long ms = Math.min(most, firstMs << Math.min(10, before - 1));
-    if (job.heldSteps.size() >= MOST_HELD_STEPS) {
-      holdBack(job, ms);
-    } else if (job.heldSteps.add(attempt.step)) {
+    // A replica's delay is kept short, since the service lacks it each second; a service that fails
+    // everywhere is delayed as a whole.
+    long cappedDelayMs = job.spec().service() ? Math.min(maxDelayMs, 4 * firstDelayMs) : maxDelayMs;
+    long delayMs = Math.min(cappedDelayMs, firstDelayMs << Math.min(10, earlierFailures - 1));
+    if (job.delayedSteps.size() >= MAX_DELAYED_STEPS) {
+      delayStarts(job, delayMs);
+    } else if (job.delayedSteps.add(attempt.step)) {
       context.timers.after(
-          ms,
+          delayMs,
           () -> {
-            job.heldSteps.remove(attempt.step);
-            context.callbacks.changed();
+            job.delayedSteps.remove(attempt.step);
+            context.callbacks.onChanged();
           });
     }
   }
 
-  /** What failed on a machine that turned out to be faulty is held against no step. */
-  void forgive(Job job, int step) {
+  /** Clears a step's failures on a machine that turned out to be faulty. */
+  void clearStepFailures(Job job, int step) {
     job.stepFailures.remove(step);
-    job.heldSteps.remove(step);
-    context.callbacks.changed();
+    job.delayedSteps.remove(step);
+    context.callbacks.onChanged();
   }
 
-  /** Keeps a job from starting tasks for a while. */
-  void holdBack(Job job, long ms) {
-    job.heldBackUntil = Math.max(job.heldBackUntil, context.clock.now() + ms);
-    context.timers.after(ms + 1, context.callbacks::changed);
+  /** Keeps a job from starting tasks for {@code delayMs}. */
+  void delayStarts(Job job, long delayMs) {
+    job.startsDelayedUntilMs = Math.max(job.startsDelayedUntilMs, context.clock.now() + delayMs);
+    context.timers.after(delayMs + 1, context.callbacks::onChanged);
   }
 }
--- a/src/main/java/dapplestair/ledger/Attempts.java
+++ b/src/main/java/dapplestair/ledger/Attempts.java
@@ -5,45 +5,50 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The lives of attempts, from entering a machine until nothing of them is left on it. */
+/** Keeps attempts from their registration on a machine until nothing of them is left there. */
 final class Attempts {
   private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
-  private static final double START_COUNTS_S = 30;
+  private static final double MIN_RUN_FOR_START_S = 30;
 
   private final LedgerContext context;
-  private final TeamUsage use;
+  private final TeamUsage teamUsage;
   private final ChunkWriter writer;
-  private Consumer<Job> emptied = j -> {};
+  private Consumer<Job> attemptRemovedListener = j -> {};
 
-  Attempts(LedgerContext context, TeamUsage use, ChunkWriter writer) {
+  Attempts(LedgerContext context, TeamUsage teamUsage, ChunkWriter writer) {
     this.context = context;
-    this.use = use;
+    this.teamUsage = teamUsage;
     this.writer = writer;
   }
 
-  /** {@code listener} is told when a job that is over has one attempt less. */
-  void whenEmptied(Consumer<Job> listener) {
-    emptied = listener;
+  /**
+   * Sets a listener that is called with a job that is over when one of its attempts was removed.
+   */
+  void setAttemptRemovedListener(Consumer<Job> listener) {
+    attemptRemovedListener = listener;
   }
 
-  void enter(Chunk chunk, Attempt attempt) {
-    chunk.live.put(attempt.step, attempt);
-    attempt.job.held++;
-    attempt.job.perZone.addTo(attempt.zone, 1);
-    use.add(attempt.spec());
-    context.callbacks.host(attempt.host).hold(attempt);
+  void register(Chunk chunk, Attempt attempt) {
+    chunk.attemptsByStep.put(attempt.step, attempt);
+    attempt.job.heldAttempts++;
+    attempt.job.attemptsPerZone.addTo(attempt.zone, 1);
+    teamUsage.add(attempt.spec());
+    context.callbacks.host(attempt.host).reserve(attempt);
   }
 
-  /** Asks for a stop; repeated by the workers' duty until it is proved. */
-  void halt(Attempt attempt, double windDownS, StopReason why) {
-    if (!attempt.sent()) {
-      retire(attempt);
+  /**
+   * Asks for an attempt's stop; the component for workers repeats the request until the attempt's
+   * absence is proved.
+   */
+  void halt(Attempt attempt, double windDownS, StopReason reason) {
+    if (!attempt.isSent()) {
+      remove(attempt);
       return;
     }
     if (!attempt.halting) {
-      attempt.haltAt = context.clock.now();
-      takeBackStart(attempt, why);
-      context.callbacks.stopping(attempt, why);
+      attempt.firstHaltAtMs = context.clock.now();
+      retractStart(attempt, reason);
+      context.callbacks.onFirstStopRequest(attempt, reason);
     }
     attempt.halting = true;
     context.callbacks.halt(attempt, windDownS);
@@ -51,108 +56,113 @@
   }
 
   /**
-   * Workers let only members of one start meet. Without this one the run of the others is of no
-   * use, and the gang can begin anew only once all of them are gone: so they are stopped with it,
-   * whether it was stopped, lost or failed (GangTest).
+   * Stops the other members of a gang when one is missing. Workers connect only members of the same
+   * start, so the run of the others is useless without this one, and the gang can begin anew only
+   * once all of them are gone. So they are stopped with it, whether it was stopped, lost or failed
+   * (GangTest).
    */
-  private void stopRestOfGang(Attempt missing) {
-    Job job = missing.job;
-    if (!job.spec().gang() || job.over() || missing.done || job.gangStopping) {
+  private void stopRestOfGang(Attempt missingMember) {
+    Job job = missingMember.job;
+    if (!job.spec().gang() || job.isOver() || missingMember.done || job.stoppingGang) {
       return;
     }
-    job.gangStopping = true;
+    job.stoppingGang = true;
     double windDownS = job.spec().saves() ? 2 * job.spec().saveS() : 0;
     for (Chunk chunk : List.copyOf(job.chunks.values())) {
-      for (Attempt attempt : List.copyOf(chunk.live.values())) {
+      for (Attempt attempt : List.copyOf(chunk.attemptsByStep.values())) {
         if (!attempt.exited && !attempt.halting) {
           halt(attempt, windDownS, StopReason.GANG);
         }
       }
     }
-    job.gangStopping = false;
+    job.stoppingGang = false;
   }
 
-  /** A start that is soon stopped by command is none (PROTOCOL, "How aims are counted"). */
-  private void takeBackStart(Attempt attempt, StopReason why) {
+  /**
+   * Withdraws a job's start if it is stopped by command within {@link #MIN_RUN_FOR_START_S}: such a
+   * start does not count (PROTOCOL, "How aims are counted").
+   */
+  private void retractStart(Attempt attempt, StopReason reason) {
     Job job = attempt.job;
-    if (!job.over
-        && why != StopReason.NOTICE
-        && attempt.ranS(context.clock.now()) < START_COUNTS_S
+    if (!job.ended
+        && reason != StopReason.NOTICE
+        && attempt.runTimeS(context.clock.now()) < MIN_RUN_FOR_START_S
         && job.doneCount() == 0
         && job.chunks.values().stream()
-            .flatMap(c -> c.live.values().stream())
-            .noneMatch(o -> o != attempt && o.began && !o.halting)) {
-      job.begun = false;
+            .flatMap(c -> c.attemptsByStep.values().stream())
+            .noneMatch(o -> o != attempt && o.seenRunning && !o.halting)) {
+      job.hasBegun = false;
     }
   }
 
-  /** An attempt stops counting: it has exited, or its absence is proved. */
-  void vacate(Attempt attempt) {
+  /** Releases an attempt's resources, after it has exited or its absence was proved. */
+  void releaseResources(Attempt attempt) {
     if (attempt.exited) {
       return;
     }
     attempt.exited = true;
     Job job = attempt.job;
-    if (attempt.spec().service() && ranS(attempt) > context.settings.workers().reportMs() / 500.0) {
-      job.worked++;
+    if (attempt.spec().service()
+        && runTimeS(attempt) > context.settings.workers().reportMs() / 500.0) {
+      job.interruptedReplicas++;
     }
     if (!attempt.done) {
-      job.keep(attempt.step, attempt.keptS(ranS(attempt)));
+      job.addSavedTime(attempt.step, attempt.checkpointedS(runTimeS(attempt)));
     }
-    job.perZone.addTo(attempt.zone, -1);
-    use.subtract(attempt.spec());
-    context.callbacks.host(attempt.host).vacate(attempt, context.clock.now());
+    job.attemptsPerZone.addTo(attempt.zone, -1);
+    teamUsage.subtract(attempt.spec());
+    context.callbacks.host(attempt.host).release(attempt, context.clock.now());
   }
 
-  private double ranS(Attempt attempt) {
-    return Math.max(attempt.ranBeforeExitS, attempt.ranS(context.clock.now()));
+  private double runTimeS(Attempt attempt) {
+    return Math.max(attempt.runTimeBeforeExitS, attempt.runTimeS(context.clock.now()));
   }
 
-  /** Nothing of it is left on its machine. */
-  void retire(Attempt attempt) {
-    vacate(attempt);
+  /** Removes an attempt of which nothing is left on its machine. */
+  void remove(Attempt attempt) {
+    releaseResources(attempt);
     Chunk chunk = attempt.job.chunkOf(attempt.step);
-    if (chunk.live.get(attempt.step) == attempt) {
-      chunk.live.remove(attempt.step);
-      if (!attempt.done && (attempt.began || attempt.adopted)) {
-        chunk.interrupted(attempt.step);
+    if (chunk.attemptsByStep.get(attempt.step) == attempt) {
+      chunk.attemptsByStep.remove(attempt.step);
+      if (!attempt.done && (attempt.seenRunning || attempt.adopted)) {
+        chunk.markInterrupted(attempt.step);
       }
-      attempt.job.held--;
+      attempt.job.heldAttempts--;
     }
     context.callbacks.host(attempt.host).forget(attempt);
-    if (attempt.job.over) {
-      emptied.accept(attempt.job);
+    if (attempt.job.ended) {
+      attemptRemovedListener.accept(attempt.job);
     } else {
-      writer.dirty(attempt.job, chunk, false);
+      writer.markDirty(attempt.job, chunk, false);
       stopRestOfGang(attempt);
     }
-    context.callbacks.changed();
+    context.callbacks.onChanged();
   }
 
-  /** The attempt of a job that is over needs nothing more. */
-  void drop(Attempt attempt) {
-    retire(attempt);
+  /** Removes an attempt of a job that is over, and its report if it has completed. */
+  void discard(Attempt attempt) {
+    remove(attempt);
     if (attempt.done) {
       context.callbacks.clear(attempt.host, attempt.key(), attempt.number);
     }
   }
 
-  /** Its absence is proved, though nobody saw it end. */
-  void absent(Attempt attempt) {
-    if (attempt.sent() && !attempt.exited && !attempt.halting && !attempt.job.over) {
-      context.callbacks.lost(attempt);
+  /** Removes an attempt whose absence is proved although no report showed its end. */
+  void markAbsent(Attempt attempt) {
+    if (attempt.isSent() && !attempt.exited && !attempt.halting && !attempt.job.ended) {
+      context.callbacks.onAttemptLost(attempt);
     }
-    retire(attempt);
+    remove(attempt);
   }
 
-  /** The machine is proved to be gone: so is all that was on it. */
-  void allAbsent(Machine machine) {
+  /** Removes all attempts of a machine that is proved to be gone. */
+  void markAllAbsent(Machine machine) {
     if (!machine.attempts().isEmpty()) {
       LOG.debug(
-          "{} is gone, and with it {}",
+          "machine {} is gone; its attempts are absent: {}",
           machine.id(),
-          machine.attempts().stream().map(a -> a.key() + " try " + a.number).toList());
+          machine.attempts().stream().map(a -> a.key() + " attempt " + a.number).toList());
     }
-    List.copyOf(machine.attempts()).forEach(this::absent);
+    List.copyOf(machine.attempts()).forEach(this::markAbsent);
   }
 }
--- a/src/main/java/dapplestair/ledger/Chunk.java
+++ b/src/main/java/dapplestair/ledger/Chunk.java
@@ -12,184 +12,197 @@
 import java.util.List;
 import java.util.Set;
 
-/** The attempts and completions of a run of consecutive tasks, kept under one key. */
+/** The attempts and completions of a range of consecutive tasks, recorded under one key. */
 final class Chunk {
   final int index;
-  final int from;
+  final int firstStep;
   final int size;
 
-  /** Steps completed, relative to {@link #from}. */
-  final BitSet done = new BitSet();
+  /** The completed steps, relative to {@link #firstStep}. */
+  final BitSet completedSteps = new BitSet();
 
-  /** Attempts whose absence is not proved, by absolute step. */
-  final Int2ObjectOpenHashMap<Attempt> live = new Int2ObjectOpenHashMap<>();
+  /** The attempts whose absence is not proved, by absolute step. */
+  final Int2ObjectOpenHashMap<Attempt> attemptsByStep = new Int2ObjectOpenHashMap<>();
 
   long lastNumber;
 
-  /** The highest number that the record in the state service has reached. */
+  /** The highest attempt number that the record in the state service has reached. */
   long recordedNumber;
 
-  /** Launch batches with attempts that the record does not know of yet. */
+  /** Launch batches with attempts that the chunk's own record does not have yet. */
   final Set<LaunchBatch> launchBatches = new HashSet<>();
 
   long stamp;
   boolean dirty;
 
-  /** Something besides launches is not on record yet. */
-  boolean ends;
+  /** True if changes other than launches are not on record yet. */
+  boolean hasUnrecordedEnds;
 
-  boolean urgent;
+  boolean hasUrgentLaunches;
   boolean launchQueued;
   boolean inFlight;
 
   Chunk(int index, int chunkSize, int steps) {
     this.index = index;
-    this.from = index * chunkSize;
-    this.size = Math.min(chunkSize, steps - from);
+    this.firstStep = index * chunkSize;
+    this.size = Math.min(chunkSize, steps - firstStep);
   }
 
-  // Steps whose last attempt ended before it was done, until they run again; seldom any.
-  private IntOpenHashSet interrupted;
+  // Steps whose last attempt ended before the step was done, until they run again. Usually none, so
+  // the set is created on demand.
+  private IntOpenHashSet interruptedSteps;
 
-  /** Most steps that may have been interrupted before this leader came. */
-  private int unknown;
+  /** The most steps that may have been interrupted before this leader's term. */
+  private int maxUnknownInterrupted;
 
-  void interrupted(int step) {
-    if (interrupted == null) {
-      interrupted = new IntOpenHashSet();
+  void markInterrupted(int step) {
+    if (interruptedSteps == null) {
+      interruptedSteps = new IntOpenHashSet();
     }
-    interrupted.add(step);
+    interruptedSteps.add(step);
   }
 
-  void resumed(int step) {
-    if (interrupted != null) {
-      interrupted.remove(step);
+  void markResumed(int step) {
+    if (interruptedSteps != null) {
+      interruptedSteps.remove(step);
     }
   }
 
   /**
-   * Of the steps that wait when a leader begins, how many may have run before: every launch took a
-   * number, each step that is done or held had one at least, and the other numbers may have gone to
-   * any. A gang's members share theirs.
+   * Computes how many of the steps that wait when a leader's term begins may have run before: every
+   * launch took a number, each step that is done or held took at least one, and the other numbers
+   * may belong to any waiting step. A gang's members share their numbers.
    */
-  void countUnknown(boolean gang) {
-    int settled = live.size() + done.cardinality();
-    long others = gang ? (lastNumber > 0 ? size : 0) : Math.max(0, lastNumber - settled);
-    unknown = (int) Math.min(others, size - settled);
+  void computeMaxUnknownInterrupted(boolean gang) {
+    int doneOrHeld = attemptsByStep.size() + completedSteps.cardinality();
+    long otherNumbers = gang ? (lastNumber > 0 ? size : 0) : Math.max(0, lastNumber - doneOrHeld);
+    maxUnknownInterrupted = (int) Math.min(otherNumbers, size - doneOrHeld);
   }
 
   /**
-   * Steps that wait, or start again, after having been interrupted; never too few. {@code notHeld}
-   * attempts that are on record only start, or are over.
+   * Returns the number of steps that wait or start again after an interruption, never too few.
+   * {@code startingOrDone} of the attempts in memory only start or are done.
    */
-  int awaitedAgain(int notHeld) {
-    int known = interrupted == null ? 0 : interrupted.size();
-    int candidates = size - done.cardinality() - live.size() + notHeld;
-    return Math.max(0, Math.min(candidates, known + unknown));
+  int maxInterruptedWaiting(int startingOrDone) {
+    int knownInterrupted = interruptedSteps == null ? 0 : interruptedSteps.size();
+    int candidates = size - completedSteps.cardinality() - attemptsByStep.size() + startingOrDone;
+    return Math.max(0, Math.min(candidates, knownInterrupted + maxUnknownInterrupted));
   }
 
-  boolean free(int step) {
-    return !done.get(step - from) && !live.containsKey(step);
+  boolean isFree(int step) {
+    return !completedSteps.get(step - firstStep) && !attemptsByStep.containsKey(step);
   }
 
-  boolean empty() {
-    return live.isEmpty();
+  boolean hasNoAttempts() {
+    return attemptsByStep.isEmpty();
   }
 
-  /** First step at or after {@code step} that is neither done nor held, or -1. */
+  /** Returns the first step at or after {@code step} that is neither done nor held, or -1. */
   int nextFree(int step) {
-    for (int i = done.nextClearBit(step - from); i < size; i = done.nextClearBit(i + 1)) {
-      if (!live.containsKey(from + i)) {
-        return from + i;
+    for (int i = completedSteps.nextClearBit(step - firstStep);
+        i < size;
+        i = completedSteps.nextClearBit(i + 1)) {
+      if (!attemptsByStep.containsKey(firstStep + i)) {
+        return firstStep + i;
       }
     }
     return -1;
   }
 
-  /** {@code probesFailed} is the job's: 0 unless it fails wherever it runs. */
+  /**
+   * Returns the chunk's record; {@code probesFailed} is 0 unless the job fails wherever it runs.
+   */
   ObjectNode toJson(int probesFailed) {
     ObjectNode object = Json.object().put("t", lastNumber);
     if (probesFailed > 0) {
       object.put("w", probesFailed);
     }
-    if (!done.isEmpty()) {
+    if (!completedSteps.isEmpty()) {
       ArrayNode array = object.putArray("d");
-      for (int i = done.nextSetBit(0); i >= 0; ) {
-        int end = done.nextClearBit(i);
+      for (int i = completedSteps.nextSetBit(0); i >= 0; ) {
+        int end = completedSteps.nextClearBit(i);
         array.add(i).add(end);
-        i = done.nextSetBit(end);
+        i = completedSteps.nextSetBit(end);
       }
     }
     writeLive(object);
     return object;
   }
 
-  /** Attempts by machine, zones by number: each put carries all of it to every replica. */
+  /**
+   * Writes attempts by machine and zones by number, since each put carries the whole record to
+   * every replica.
+   */
   private void writeLive(ObjectNode object) {
     List<String> zones = new ArrayList<>();
     ObjectNode byHost = Json.object();
-    for (Attempt attempt : live.values()) {
-      // An attempt seen to complete needs no record of its own: its step is done.
+    for (Attempt attempt : attemptsByStep.values()) {
+      // A completed attempt needs no entry: its step is recorded as done.
       if (attempt.done) {
         continue;
       }
       if (!zones.contains(attempt.zone)) {
         zones.add(attempt.zone);
       }
-      // A machine's later session is another machine as far as attempts are concerned.
-      String place = attempt.host + " " + attempt.session;
-      ArrayNode of = (ArrayNode) byHost.get(place);
-      if (of == null) {
-        of = byHost.putArray(place).add(zones.indexOf(attempt.zone));
+      // Attempts treat a later session of a machine as another machine.
+      String hostAndSession = attempt.host + " " + attempt.session;
+      ArrayNode hostAttempts = (ArrayNode) byHost.get(hostAndSession);
+      if (hostAttempts == null) {
+        hostAttempts = byHost.putArray(hostAndSession).add(zones.indexOf(attempt.zone));
       }
-      of.add(attempt.step).add(attempt.number);
+      hostAttempts.add(attempt.step).add(attempt.number);
     }
     ArrayNode array = object.putArray("z");
     zones.forEach(array::add);
     object.set("h", byHost);
   }
 
-  /** Reads a record, giving each attempt in it to {@code attempts}. */
-  void read(JsonNode value, long newStamp, RecordedAttempts attempts) {
+  /** Reads a record and passes each attempt in it to {@code attempts}. */
+  void read(JsonNode value, long newStamp, RecordedAttempts consumer) {
     stamp = newStamp;
     lastNumber = Json.number(value, "t", 0);
     recordedNumber = lastNumber;
-    JsonNode node = value.path("d");
-    for (int i = 0; i + 1 < node.size(); i += 2) {
-      done.set(node.get(i).asInt(), node.get(i + 1).asInt());
+    JsonNode completedRanges = value.path("d");
+    for (int i = 0; i + 1 < completedRanges.size(); i += 2) {
+      completedSteps.set(completedRanges.get(i).asInt(), completedRanges.get(i + 1).asInt());
     }
-    attempts(value, attempts);
+    forEachAttempt(value, consumer);
   }
 
-  /** The attempts of a record. */
-  static void attempts(JsonNode value, RecordedAttempts attempts) {
+  /** Passes each attempt of a record to {@code consumer}. */
+  static void forEachAttempt(JsonNode value, RecordedAttempts consumer) {
     JsonNode zones = value.path("z");
     value
         .path("h")
         .fields()
         .forEachRemaining(
-            e -> {
-              int space = e.getKey().lastIndexOf(' ');
-              String host = e.getKey().substring(0, space);
-              long session = Long.parseLong(e.getKey().substring(space + 1));
-              JsonNode of = e.getValue();
-              String zone = zones.path(of.path(0).asInt()).asText();
-              for (int i = 1; i + 1 < of.size(); i += 2) {
-                attempts.attempt(of.get(i).asInt(), of.get(i + 1).asLong(), host, zone, session);
+            hostEntry -> {
+              int space = hostEntry.getKey().lastIndexOf(' ');
+              String host = hostEntry.getKey().substring(0, space);
+              long session = Long.parseLong(hostEntry.getKey().substring(space + 1));
+              JsonNode hostAttempts = hostEntry.getValue();
+              String zone = zones.path(hostAttempts.path(0).asInt()).asText();
+              for (int i = 1; i + 1 < hostAttempts.size(); i += 2) {
+                consumer.attempt(
+                    hostAttempts.get(i).asInt(),
+                    hostAttempts.get(i + 1).asLong(),
+                    host,
+                    zone,
+                    session);
               }
             });
-    // The form of version 0.1.0, one entry an attempt.
-    for (JsonNode e : value.path("l")) {
-      attempts.attempt(
-          e.path(0).asInt(),
-          e.path(1).asLong(),
-          e.path(2).asText(),
-          e.path(3).asText(),
-          e.path(4).asLong());
+    // The format of version 0.1.0, with one entry for each attempt.
+    for (JsonNode entry : value.path("l")) {
+      consumer.attempt(
+          entry.path(0).asInt(),
+          entry.path(1).asLong(),
+          entry.path(2).asText(),
+          entry.path(3).asText(),
+          entry.path(4).asLong());
     }
   }
 
-  /** How often the job was tried in vain, by a record. */
+  /** Returns how many probes of the job have failed, according to a record. */
   static int probesFailed(JsonNode value) {
     return (int) Json.number(value, "w", 0);
   }
@@ -199,21 +212,21 @@
     void attempt(int step, long number, String host, String zone, long session);
   }
 
-  /** Completed steps of a record, without building it. */
+  /** Returns the number of completed steps in a record, without building a chunk. */
   static int countDone(JsonNode value) {
-    JsonNode node = value.path("d");
+    JsonNode completedRanges = value.path("d");
     int count = 0;
-    for (int i = 0; i + 1 < node.size(); i += 2) {
-      count += node.get(i + 1).asInt() - node.get(i).asInt();
+    for (int i = 0; i + 1 < completedRanges.size(); i += 2) {
+      count += completedRanges.get(i + 1).asInt() - completedRanges.get(i).asInt();
     }
     return count;
   }
 
-  /** Attempts in a record, without building it. */
+  /** Returns the number of attempts in a record, without building a chunk. */
   static int countLive(JsonNode value) {
     int count = value.path("l").size();
-    for (JsonNode of : value.path("h")) {
-      count += (of.size() - 1) / 2;
+    for (JsonNode hostAttempts : value.path("h")) {
+      count += (hostAttempts.size() - 1) / 2;
     }
     return count;
   }
--- a/src/main/java/dapplestair/ledger/ChunkWriter.java
+++ b/src/main/java/dapplestair/ledger/ChunkWriter.java
@@ -11,36 +11,42 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps the records of attempts: puts what changed, in as few puts as may be. */
-final class ChunkWriter implements LaunchBatches.Chunks {
+/** Writes the chunks' records of attempts, in as few puts as possible. */
+final class ChunkWriter implements LaunchBatches.ChunkRecords {
   private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
 
-  /** Told of what a put has settled. */
+  /** Receives the results of puts. */
   interface Listener {
-    /** A put of this job was made. True when the job is over, so that no more follow. */
-    boolean written(Job job);
+    /**
+     * Reports that a put of this job was made. Returns true if the job is over, so that no more
+     * puts follow.
+     */
+    boolean onChunkPut(Job job);
 
-    /** The job is over, and one of its records may be removed now. */
-    void over(Job job);
+    /**
+     * Reports that a put of a job that is over has ended, so that its record may be removed now.
+     */
+    void onJobOver(Job job);
 
-    /** The job was cancelled before this attempt's launch was sent. */
-    void dropped(Attempt unsent);
+    /** Reports that the job was cancelled before this attempt's launch was sent. */
+    void onUnsentCancelled(Attempt unsent);
   }
 
-  /** What one put of a chunk carries. */
-  private static final class Flush {
-    boolean built;
-    long number;
+  /** The content of one put of a chunk. */
+  private static final class ChunkPut {
+    boolean txnBuilt;
+    long lastNumber;
     final List<Attempt> planned = new ArrayList<>();
     final List<Attempt> completed = new ArrayList<>();
   }
 
-  // Of the state service's puts: what nobody waits for may take no more, however much ends.
+  // The share of the state service's write rate that bookkeeping puts, which nobody waits for, may
+  // use, however many tasks end.
   private static final double BOOKKEEPING_SHARE = 0.12;
 
   private final LedgerContext context;
   private final double bookkeepingPerS;
-  private final Set<Chunk> gathering = new LinkedHashSet<>();
+  private final Set<Chunk> chunksGatheringEnds = new LinkedHashSet<>();
   private final LaunchBatches launchBatches;
   private Listener listener;
 
@@ -50,151 +56,170 @@
     this.bookkeepingPerS = BOOKKEEPING_SHARE * context.settings.state().writeRps();
   }
 
-  void listen(Listener newListener) {
+  void setListener(Listener newListener) {
     listener = newListener;
   }
 
   void clear() {
-    gathering.clear();
+    chunksGatheringEnds.clear();
     launchBatches.clear();
   }
 
-  /** The chunk differs from its record; {@code urgent} when launches wait for the put. */
-  void dirty(Job job, Chunk chunk, boolean urgent) {
-    if (!context.held()) {
+  /**
+   * Marks a chunk that differs from its record, and queues a put of it; {@code urgent} if launches
+   * wait for the put.
+   */
+  void markDirty(Job job, Chunk chunk, boolean urgent) {
+    if (!context.isTermActive()) {
       return;
     }
     chunk.dirty = true;
-    chunk.urgent |= urgent;
-    chunk.ends |= !urgent;
+    chunk.hasUrgentLaunches |= urgent;
+    chunk.hasUnrecordedEnds |= !urgent;
     if (chunk.inFlight) {
       return;
     }
-    // Both may be queued for one chunk: launches must not wait behind a put that nobody waits for.
+    // A chunk may have an urgent and a bookkeeping put queued at once: launches must not wait
+    // behind a put that nobody waits for.
     if (urgent && !chunk.launchQueued) {
       chunk.launchQueued = true;
-      boolean shared = job.spec().service() || single(job);
+      boolean inLaunchBatch = job.spec().service() || isSingleTask(job);
       context.timers.after(
-          0, shared ? () -> launchBatches.add(job, chunk) : () -> alone(job, chunk));
-    } else if (!urgent && gathering.add(chunk)) {
-      context.timers.after(gatherMs(), () -> enqueue(job, chunk, Priority.BOOKKEEPING));
+          0,
+          inLaunchBatch ? () -> launchBatches.add(job, chunk) : () -> writeSeparately(job, chunk));
+    } else if (!urgent && chunksGatheringEnds.add(chunk)) {
+      context.timers.after(gatherDelayMs(), () -> enqueue(job, chunk, Priority.BOOKKEEPING));
     }
   }
 
-  /** Its one launch is all that is ever recorded of it, if nothing goes wrong. */
-  static boolean single(Job job) {
+  /**
+   * Returns true for a job of one task, of which nothing but its launch is ever recorded unless it
+   * fails or is lost.
+   */
+  static boolean isSingleTask(Job job) {
     return job.spec().steps() == 1 && !job.spec().service() && !job.spec().gang();
   }
 
   @Override
-  public void alone(Job job, Chunk chunk) {
+  public void writeSeparately(Job job, Chunk chunk) {
     enqueue(job, chunk, job.spec().service() ? Priority.REPLICA : Priority.LAUNCH);
   }
 
   @Override
-  public boolean waits(Job job, Chunk chunk) {
+  public boolean hasPendingLaunches(Job job, Chunk chunk) {
     chunk.launchQueued = false;
-    return context.held() && !chunk.inFlight && chunk.dirty && chunk.urgent && !job.over();
+    return context.isTermActive()
+        && !chunk.inFlight
+        && chunk.dirty
+        && chunk.hasUrgentLaunches
+        && !job.isOver();
   }
 
   @Override
-  public void landed(Job job, Chunk chunk, boolean made) {
-    // Its own record takes over when nobody waits for the put. Before that it must, if the launch
-    // batch may have been made without our knowing: entries of a lost one then count no more.
-    chunk.urgent =
-        !made || chunk.live.values().stream().anyMatch(a -> a.phase == Attempt.Phase.PLANNED);
-    if (made && single(job) && !chunk.urgent && !chunk.ends) {
-      // A swarm's jobs are mostly done before a record of their own would be written.
+  public void onBatchPut(Job job, Chunk chunk, boolean applied) {
+    // After an applied put, the chunk's own record replaces the launch batch with the next
+    // bookkeeping put. After any other outcome its put is urgent, since the launch batch may still
+    // have been made unnoticed: entries of such a batch count no more once the chunk's own record
+    // has their numbers.
+    chunk.hasUrgentLaunches =
+        !applied
+            || chunk.attemptsByStep.values().stream()
+                .anyMatch(a -> a.phase == Attempt.Phase.PLANNED);
+    if (applied && isSingleTask(job) && !chunk.hasUrgentLaunches && !chunk.hasUnrecordedEnds) {
+      // Most jobs of one task are done before a record of their own would be written.
       chunk.dirty = false;
     }
-    if (job.over) {
-      listener.over(job);
+    if (job.ended) {
+      listener.onJobOver(job);
     } else {
-      again(job, chunk);
+      requeueIfDirty(job, chunk);
     }
   }
 
   @Override
-  public void dropped(Attempt unsent) {
-    listener.dropped(unsent);
+  public void onUnsentCancelled(Attempt unsent) {
+    listener.onUnsentCancelled(unsent);
   }
 
-  /** Launch batches of services' launches. */
+  /** Returns the launch batches of services and of jobs of one task. */
   LaunchBatches launchBatches() {
     return launchBatches;
   }
 
-  private void again(Job job, Chunk chunk) {
-    if (chunk.dirty && !job.over()) {
-      dirty(job, chunk, chunk.urgent);
+  private void requeueIfDirty(Job job, Chunk chunk) {
+    if (chunk.dirty && !job.isOver()) {
+      markDirty(job, chunk, chunk.hasUrgentLaunches);
     }
   }
 
   /**
-   * How long ends are gathered into one put: the longer the more jobs have some, so that the puts
-   * for them stay within their share. A completion need only be recorded before it is cleared.
+   * Returns for how long ends of tasks are gathered into one put: longer when more chunks have
+   * some, so that their puts stay within their share. A completion need only be recorded before its
+   * report is cleared.
    */
-  private long gatherMs() {
-    long least = context.settings.workers().reportMs() / 8;
-    long paced = Math.round(1000 * gathering.size() / bookkeepingPerS);
-    return Math.max(least, Math.min(paced, context.settings.workers().leaseMs() / 2));
+  private long gatherDelayMs() {
+    long minDelayMs = context.settings.workers().reportMs() / 8;
+    long pacedDelayMs = Math.round(1000 * chunksGatheringEnds.size() / bookkeepingPerS);
+    return Math.max(minDelayMs, Math.min(pacedDelayMs, context.settings.workers().leaseMs() / 2));
   }
 
   private void enqueue(Job job, Chunk chunk, Priority priority) {
-    Flush flush = new Flush();
+    ChunkPut chunkPut = new ChunkPut();
     long term = context.term();
     context.state.commit(
         1,
-        () -> context.term() == term ? put(job, chunk, priority, flush) : null,
+        () -> context.term() == term ? buildTxn(job, chunk, priority, chunkPut) : null,
         priority,
         context.settings.workers().reportMs(),
         outcome -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
-          if (!flush.built) {
-            unqueued(chunk, priority);
-            context.timers.after(context.retryMs, () -> again(job, chunk));
+          if (!chunkPut.txnBuilt) {
+            markUnqueued(chunk, priority);
+            context.timers.after(context.retryMs, () -> requeueIfDirty(job, chunk));
             return;
           }
           chunk.inFlight = false;
-          written(job, chunk, outcome, flush);
+          onPutFinished(job, chunk, outcome, chunkPut);
         });
   }
 
-  private void unqueued(Chunk chunk, Priority priority) {
+  private void markUnqueued(Chunk chunk, Priority priority) {
     if (priority != Priority.BOOKKEEPING) {
       chunk.launchQueued = false;
     } else {
-      gathering.remove(chunk);
+      chunksGatheringEnds.remove(chunk);
     }
   }
 
-  /** The put of a chunk as it is now, or null when there is none to make. */
-  private Txn put(Job job, Chunk chunk, Priority priority, Flush flush) {
-    unqueued(chunk, priority);
-    if (!context.held()
+  /**
+   * Builds the put of a chunk in its present state, or returns null if there is nothing to write.
+   */
+  private Txn buildTxn(Job job, Chunk chunk, Priority priority, ChunkPut chunkPut) {
+    markUnqueued(chunk, priority);
+    if (!context.isTermActive()
         || chunk.inFlight
         || !chunk.dirty
-        || job.over()
+        || job.isOver()
         || !context.leadership.isLeading()) {
       return null;
     }
-    flush.built = true;
-    flush.number = chunk.lastNumber;
+    chunkPut.txnBuilt = true;
+    chunkPut.lastNumber = chunk.lastNumber;
     chunk.inFlight = true;
     chunk.dirty = false;
-    chunk.urgent = false;
-    chunk.ends = false;
-    for (Attempt attempt : chunk.live.values()) {
+    chunk.hasUrgentLaunches = false;
+    chunk.hasUnrecordedEnds = false;
+    for (Attempt attempt : chunk.attemptsByStep.values()) {
       if (attempt.phase == Attempt.Phase.PLANNED) {
-        flush.planned.add(attempt);
+        chunkPut.planned.add(attempt);
       }
       if (attempt.done) {
-        flush.completed.add(attempt);
+        chunkPut.completed.add(attempt);
       }
     }
-    // The job's own stamp: nothing starts for a job that was cancelled meanwhile.
+    // The condition on the job's own stamp keeps a job that was cancelled meanwhile from starting.
     String ref = job.spec().ref();
     String key = StateKeys.attemptChunk(ref, chunk.index);
     return context
@@ -205,34 +230,35 @@
         .put(key, chunk.toJson(job.probesFailed));
   }
 
-  private void written(Job job, Chunk chunk, TxnOutcome outcome, Flush flush) {
+  private void onPutFinished(Job job, Chunk chunk, TxnOutcome outcome, ChunkPut chunkPut) {
     if (outcome instanceof TxnOutcome.Applied applied) {
       chunk.stamp = applied.stamp();
-      chunk.recordedNumber = flush.number;
-      launchBatches.released(chunk);
-      if (job.over) {
-        listener.over(job);
+      chunk.recordedNumber = chunkPut.lastNumber;
+      launchBatches.releaseClaims(chunk);
+      if (job.ended) {
+        listener.onJobOver(job);
         return;
       }
-      flush.planned.forEach(a -> launch(chunk, a, applied.stamp()));
-      flush.completed.forEach(a -> settle(job, chunk, a));
-      if (!listener.written(job)) {
-        again(job, chunk);
+      chunkPut.planned.forEach(a -> launch(chunk, a, applied.stamp()));
+      chunkPut.completed.forEach(a -> removeCompleted(job, chunk, a));
+      if (!listener.onChunkPut(job)) {
+        requeueIfDirty(job, chunk);
       }
       return;
     }
     chunk.dirty = true;
-    chunk.ends = true;
-    chunk.urgent |= !flush.planned.isEmpty();
+    chunk.hasUnrecordedEnds = true;
+    chunk.hasUrgentLaunches |= !chunkPut.planned.isEmpty();
     if (outcome instanceof TxnOutcome.Conflict conflict) {
       if (context.leadership.stepDownIfDeposed(outcome)) {
         return;
       }
       if (conflict.failedKeys().contains(StateKeys.job(job.spec().ref()))) {
-        // Cancelled: the replica will say so; what was not sent never will be.
-        for (Attempt a : flush.planned) {
-          if (chunk.live.get(a.step) == a && !a.sent()) {
-            listener.dropped(a);
+        // The job was cancelled, which the replica will show; launches that were not sent are
+        // dropped.
+        for (Attempt attempt : chunkPut.planned) {
+          if (chunk.attemptsByStep.get(attempt.step) == attempt && !attempt.isSent()) {
+            listener.onUnsentCancelled(attempt);
           }
         }
         return;
@@ -240,38 +266,43 @@
     }
     if (outcome instanceof TxnOutcome.Conflict || outcome instanceof TxnOutcome.Unknown) {
       if (outcome instanceof TxnOutcome.Conflict conflict) {
-        // A leader is the only one who writes it, and none of its own copies is open any more.
+        // Only the leader writes this record, and none of its earlier writes is unanswered, so a
+        // conflict is unexpected.
         LOG.warn(
-            "{} is not as this leader left it at {}: {}",
+            "write of {} conflicts though only this leader writes it: expected stamp {}, failed conditions {}; reading it back",
             StateKeys.attemptChunk(job.spec().ref(), chunk.index),
             chunk.stamp,
             conflict.failedKeys());
       }
       readBack(job, chunk);
     } else {
-      context.timers.after(context.retryMs, () -> again(job, chunk));
+      context.timers.after(context.retryMs, () -> requeueIfDirty(job, chunk));
     }
   }
 
   private void launch(Chunk chunk, Attempt attempt, long revision) {
-    if (chunk.live.get(attempt.step) == attempt && attempt.phase == Attempt.Phase.PLANNED) {
+    if (chunk.attemptsByStep.get(attempt.step) == attempt
+        && attempt.phase == Attempt.Phase.PLANNED) {
       context.launch(attempt, StateKeys.attemptChunk(attempt.spec().ref(), chunk.index), revision);
     }
   }
 
-  /** Its completion is on record: the report of it is not needed any more. */
-  private void settle(Job job, Chunk chunk, Attempt attempt) {
-    if (chunk.live.get(attempt.step) == attempt) {
-      chunk.live.remove(attempt.step);
-      job.held--;
+  /**
+   * Removes an attempt whose completion is on record, so that its report is not needed any more.
+   */
+  private void removeCompleted(Job job, Chunk chunk, Attempt attempt) {
+    if (chunk.attemptsByStep.get(attempt.step) == attempt) {
+      chunk.attemptsByStep.remove(attempt.step);
+      job.heldAttempts--;
       context.callbacks.host(attempt.host).forget(attempt);
       context.callbacks.clear(attempt.host, attempt.key(), attempt.number);
     }
   }
 
   /**
-   * An unanswered write may have been applied, or may be later. Each write is conditional on the
-   * stamp of the one before, so once a newer one has succeeded, the lost one cannot follow.
+   * Reads a record's stamp after an unanswered or conflicting write, which may have been applied,
+   * or may be later. Each write is conditional on the stamp of the one before, so once a newer
+   * write has succeeded, the lost one can't be applied any more.
    */
   void readBack(Job job, Chunk chunk) {
     long term = context.term();
@@ -279,17 +310,18 @@
     context.state.get(
         StateKeys.attemptChunk(job.spec().ref(), chunk.index),
         read -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
           chunk.inFlight = false;
           if (read.known()) {
             chunk.stamp = read.stamp();
           }
-          if (job.over) {
-            listener.over(job);
+          if (job.ended) {
+            listener.onJobOver(job);
           } else {
-            context.timers.after(read.known() ? 0 : context.retryMs, () -> again(job, chunk));
+            context.timers.after(
+                read.known() ? 0 : context.retryMs, () -> requeueIfDirty(job, chunk));
           }
         });
   }
--- a/src/main/java/dapplestair/ledger/JobFinalizer.java
+++ b/src/main/java/dapplestair/ledger/JobFinalizer.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** How jobs end, and the removal of what was recorded of them. */
+/** Ends jobs and removes the records of their attempts. */
 final class JobFinalizer implements ChunkWriter.Listener {
   private final LedgerContext context;
   private final ChunkWriter writer;
@@ -28,108 +28,113 @@
     this.attempts = attempts;
     this.jobs = jobs;
     this.jobStatistics = jobStatistics;
-    attempts.whenEmptied(this::over);
-    writer.listen(this);
+    attempts.setAttemptRemovedListener(this::onJobOver);
+    writer.setListener(this);
   }
 
   @Override
-  public boolean written(Job job) {
+  public boolean onChunkPut(Job job) {
     return finishIfDone(job);
   }
 
   @Override
-  public void dropped(Attempt unsent) {
-    attempts.retire(unsent);
+  public void onUnsentCancelled(Attempt unsent) {
+    attempts.remove(unsent);
   }
 
-  /** The job is over: what it has on machines is stopped, then forgotten. */
-  void end(Job job) {
-    if (job.over) {
+  /** Ends a job: its tasks on machines are stopped and then forgotten. */
+  void endJob(Job job) {
+    if (job.ended) {
       return;
     }
-    job.over = true;
+    job.ended = true;
     job.finishing = false;
     job.stamp = 0;
-    job.overAt = context.clock.now();
-    if (context.armed()) {
-      jobStatistics.ended(job);
+    job.endedAtMs = context.clock.now();
+    if (context.isReady()) {
+      jobStatistics.recordEnded(job);
     }
     for (Chunk chunk : job.chunks.values()) {
-      for (Attempt attempt : List.copyOf(chunk.live.values())) {
-        if (!attempt.sent() || attempt.done) {
-          attempts.drop(attempt);
+      for (Attempt attempt : List.copyOf(chunk.attemptsByStep.values())) {
+        if (!attempt.isSent() || attempt.done) {
+          attempts.discard(attempt);
         } else {
           attempts.halt(attempt, 0, StopReason.JOB_OVER);
         }
       }
     }
-    over(job);
-    context.callbacks.changed();
+    onJobOver(job);
+    context.callbacks.onChanged();
   }
 
-  /** Makes the job done when all of it is. True when the job is over. */
+  /** Records a job as done if all its tasks are. Returns true if the job is over. */
   boolean finishIfDone(Job job) {
-    if (job.over() || !context.armed() || !job.allDone()) {
-      return job.over();
+    if (job.isOver() || !context.isReady() || !job.allDone()) {
+      return job.isOver();
     }
     job.finishing = true;
-    finish(job);
+    recordDone(job);
     return true;
   }
 
-  private void finish(Job job) {
-    if (!context.held() || job.over || !context.leadership.isLeading()) {
+  private void recordDone(Job job) {
+    if (!context.isTermActive() || job.ended || !context.leadership.isLeading()) {
       return;
     }
-    List<Chunk> removed = new ArrayList<>();
+    List<Chunk> removedChunks = new ArrayList<>();
     long term = context.term();
-    boolean low = job.spec().rank() == Rank.LOW;
+    boolean lowRank = job.spec().rank() == Rank.LOW;
     context.state.commit(
-        2 + context.callbacks.mostWithFinish() + job.chunks.size(),
-        () -> context.term() == term && !job.over ? finishing(job, removed) : null,
-        // A swarm's ends come by the hundred; no other user is to hear later that all is done.
-        low ? Priority.FINISH_LOW : Priority.FINISH,
-        low ? context.settings.workers().leaseMs() : context.settings.workers().reportMs(),
+        2 + context.callbacks.maxFinishOperations() + job.chunks.size(),
+        () -> context.term() == term && !job.ended ? buildFinishTxn(job, removedChunks) : null,
+        // Jobs of low rank may end by the hundred at once; this must not delay the news of
+        // completion for other users.
+        lowRank ? Priority.FINISH_LOW : Priority.FINISH,
+        lowRank ? context.settings.workers().leaseMs() : context.settings.workers().reportMs(),
         outcome -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
           if (outcome instanceof TxnOutcome.Applied) {
-            // Also when the replica was quicker to say that the job's key is gone.
-            context.callbacks.ended(job.spec().ref(), true);
+            // Reported even if the replica has already shown the removal of the job's key.
+            context.callbacks.onJobEnded(job.spec().ref(), true);
           }
-          if (!job.over) {
-            finished(job, removed, outcome);
+          if (!job.ended) {
+            onFinishOutcome(job, removedChunks, outcome);
           }
         });
   }
 
-  /** The transaction that makes a job done, with the records that it no longer needs. */
-  private Txn finishing(Job job, List<Chunk> removed) {
+  /**
+   * Builds the transaction that records a job as done and removes records that it no longer needs.
+   */
+  private Txn buildFinishTxn(Job job, List<Chunk> removedChunks) {
     String ref = job.spec().ref();
     Txn txn =
         context
             .leadership
             .guard(new Txn())
             .when(StateKeys.job(ref), job.stamp)
-            .put(StateKeys.finishedJob(ref), JobRecordCodec.over(job, "done", context.clock.wall()))
+            .put(
+                StateKeys.finishedJob(ref),
+                JobRecordCodec.endedRecord(job, "done", context.clock.wall()))
             .remove(StateKeys.job(ref));
-    context.callbacks.finishing(job, txn);
+    context.callbacks.addToFinishTxn(job, txn);
     for (Chunk chunk : job.chunks.values()) {
       if (chunk.stamp != 0 && !chunk.inFlight && txn.size() < context.settings.state().txnOps()) {
         txn.when(StateKeys.attemptChunk(ref, chunk.index), chunk.stamp)
             .remove(StateKeys.attemptChunk(ref, chunk.index));
-        removed.add(chunk);
+        removedChunks.add(chunk);
       }
     }
     return txn;
   }
 
-  private void finished(Job job, List<Chunk> removed, TxnOutcome outcome) {
+  private void onFinishOutcome(Job job, List<Chunk> removedChunks, TxnOutcome outcome) {
     String ref = job.spec().ref();
     if (outcome instanceof TxnOutcome.Applied) {
-      removed.forEach(c -> c.stamp = 0);
-      end(job);
+      removedChunks.forEach(c -> c.stamp = 0);
+      endJob(job);
       return;
     }
     if (outcome instanceof TxnOutcome.Conflict conflict) {
@@ -137,36 +142,37 @@
         return;
       }
       if (conflict.failedKeys().contains(StateKeys.job(ref))) {
-        // Cancelled before, or our own unanswered write was applied: over/ tells which.
-        end(job);
+        // The job was cancelled before, or an unanswered write of this leader was applied; the
+        // record under over/ tells which.
+        endJob(job);
         return;
       }
-      for (Chunk c : removed) {
-        if (conflict.failedKeys().contains(StateKeys.attemptChunk(ref, c.index))) {
-          writer.readBack(job, c);
+      for (Chunk chunk : removedChunks) {
+        if (conflict.failedKeys().contains(StateKeys.attemptChunk(ref, chunk.index))) {
+          writer.readBack(job, chunk);
         }
       }
     }
-    context.timers.after(context.retryMs, () -> finish(job));
+    context.timers.after(context.retryMs, () -> recordDone(job));
   }
 
   /** Deletes the records of a job that is over, each once nothing in it can be running. */
   @Override
-  public void over(Job job) {
-    if (!context.held()) {
+  public void onJobOver(Job job) {
+    if (!context.isTermActive()) {
       return;
     }
-    boolean left = false;
+    boolean recordsLeft = false;
     for (Chunk chunk : job.chunks.values()) {
-      if (!chunk.empty() || chunk.stamp != 0 || chunk.inFlight) {
-        left = true;
+      if (!chunk.hasNoAttempts() || chunk.stamp != 0 || chunk.inFlight) {
+        recordsLeft = true;
       }
-      if (chunk.empty() && chunk.stamp != 0 && !chunk.inFlight) {
+      if (chunk.hasNoAttempts() && chunk.stamp != 0 && !chunk.inFlight) {
         removeRecord(job, chunk);
       }
     }
-    if (!left) {
-      job.chunks.values().forEach(writer.launchBatches()::released);
+    if (!recordsLeft) {
+      job.chunks.values().forEach(writer.launchBatches()::releaseClaims);
       jobs.remove(job.spec().ref(), job);
     }
   }
@@ -181,17 +187,17 @@
         Priority.BOOKKEEPING,
         context.settings.workers().leaseMs(),
         outcome -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
           chunk.inFlight = false;
           if (outcome instanceof TxnOutcome.Applied) {
             chunk.stamp = 0;
-            over(job);
+            onJobOver(job);
           } else if (context.leadership.stepDownIfDeposed(outcome)) {
             return;
           } else if (outcome instanceof TxnOutcome.Refused) {
-            context.timers.after(4 * context.retryMs, () -> over(job));
+            context.timers.after(4 * context.retryMs, () -> onJobOver(job));
           } else {
             chunk.inFlight = true;
             context.timers.after(context.retryMs, () -> writer.readBack(job, chunk));
--- a/src/main/java/dapplestair/ledger/JobRecordCodec.java
+++ b/src/main/java/dapplestair/ledger/JobRecordCodec.java
@@ -7,45 +7,50 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** How jobs are written in the state service. */
+/** Encodes and decodes the records of jobs in the state service. */
 final class JobRecordCodec {
   private static final Logger LOG = LoggerFactory.getLogger(JobRecordCodec.class);
 
   private JobRecordCodec() {}
 
-  /** A job as accepted at a time of day, its tasks recorded by so many. */
-  static ObjectNode accepted(Submission submission, long wall, long askedWall, int chunkSize) {
-    ObjectNode object = Json.object().put("at", wall).put("chunk", chunkSize);
-    if (askedWall < wall) {
-      object.put("asked", askedWall);
+  /**
+   * Returns the record of a job accepted at a time of day, whose tasks are recorded in chunks of
+   * {@code chunkSize}.
+   */
+  static ObjectNode acceptedRecord(
+      Submission submission, long wallMs, long firstRequestWallMs, int chunkSize) {
+    ObjectNode object = Json.object().put("at", wallMs).put("chunk", chunkSize);
+    if (firstRequestWallMs < wallMs) {
+      object.put("asked", firstRequestWallMs);
     }
     object.set("job", submission.toJson());
     return object;
   }
 
-  /** A job that is over since a time of day. */
-  static ObjectNode over(Job job, String status, long wall) {
-    ObjectNode object = accepted(job.spec(), job.acceptedWall(), job.askedWall(), job.chunkSize());
-    return object.put("status", status).put("end", wall);
+  /** Returns the record of a job that ended at a time of day with this status. */
+  static ObjectNode endedRecord(Job job, String status, long wallMs) {
+    ObjectNode object =
+        acceptedRecord(job.spec(), job.acceptedWallMs(), job.firstRequestWallMs(), job.chunkSize());
+    return object.put("status", status).put("end", wallMs);
   }
 
-  /** For how long a job has been over, milliseconds; 0 if its record does not say since when. */
-  static long overForMs(JsonNode value, long wall) {
-    return Math.max(0, wall - Json.number(value, "end", wall));
+  /** Returns for how many milliseconds a job has been over; 0 if its record has no time of end. */
+  static long endedAgoMs(JsonNode value, long wallMs) {
+    return Math.max(0, wallMs - Json.number(value, "end", wallMs));
   }
 
-  /** Reads either, or gives null. */
-  static Job read(JsonNode value, long stamp, int otherwiseChunkSize) {
+  /** Reads a job from either form of its record. Returns null if the record is invalid. */
+  static Job read(JsonNode value, long stamp, int defaultChunkSize) {
     try {
-      long at = Json.number(value, "at", 0);
+      long acceptedWallMs = Json.number(value, "at", 0);
       return new Job(
           Submission.parse(value.path("job")),
-          at,
-          Json.number(value, "asked", at),
-          (int) Json.number(value, "chunk", otherwiseChunkSize),
+          acceptedWallMs,
+          Json.number(value, "asked", acceptedWallMs),
+          (int) Json.number(value, "chunk", defaultChunkSize),
           stamp);
     } catch (Submission.InvalidSubmissionException e) {
-      LOG.error("a recorded job cannot be read: {}", e.getMessage());
+      LOG.error("a job's record cannot be read, so no job is built from it: {}", e.getMessage());
       return null;
     }
   }
--- a/src/main/java/dapplestair/ledger/LaunchBatch.java
+++ b/src/main/java/dapplestair/ledger/LaunchBatch.java
@@ -15,34 +15,34 @@
 
 /**
  * Attempts of many jobs recorded by one put. An entry counts until its chunk's own record reaches
- * its number: that record was written later, and knows of it.
+ * the entry's number: that record was written later and includes the attempt.
  */
 final class LaunchBatch {
-  /** One recorded attempt. */
   record Entry(String ref, int step, long number, String host, String zone, long session) {}
 
-  // About what an entry takes, its names included; measured by its own encoding in LaunchBatchTest.
+  // Approximate size of an entry with its names. LaunchBatchTest checks it against the encoding.
   private static final int BYTES_PER_ENTRY = 56;
 
   final String key;
   long stamp;
-  boolean removing;
+  boolean removalInFlight;
 
-  /** Chunks whose own records do not know of this launch batch's entries yet. */
-  final Set<Chunk> claims = new LinkedHashSet<>();
+  /** Chunks whose own records do not have this launch batch's entries yet. */
+  final Set<Chunk> claimingChunks = new LinkedHashSet<>();
 
   LaunchBatch(String key) {
     this.key = key;
   }
 
-  /** How many entries surely fit in a value of so many bytes. */
+  /** Returns how many entries are sure to fit in a value of so many bytes. */
   static int capacity(int valueBytes) {
     return Math.max(1, valueBytes / BYTES_PER_ENTRY);
   }
 
   /**
-   * What a job of one task takes. It may be over long before its launch batch is deleted, and then
-   * tells a new leader what is left on its machine without one question for each.
+   * The resources of a job of one task. The job may be over long before its launch batch is
+   * deleted; the summary then tells a new leader what is left on the job's machine without one read
+   * for each job.
    */
   record JobSummary(String ref, String team, double cpus, double gpus, double memoryGb) {
     Submission spec() {
@@ -70,7 +70,10 @@
     }
   }
 
-  /** By machine and session, then by job, so that names are written once. */
+  /**
+   * Returns the batch's record, grouped by machine and session so that these names are written
+   * once.
+   */
   static ObjectNode write(List<Attempt> attempts) {
     List<String> zones = new ArrayList<>();
     ObjectNode byHost = Json.object();
@@ -78,27 +81,27 @@
       if (!zones.contains(attempt.zone)) {
         zones.add(attempt.zone);
       }
-      String place = attempt.host + " " + attempt.session;
-      ArrayNode of = (ArrayNode) byHost.get(place);
-      if (of == null) {
-        of = byHost.putArray(place).add(zones.indexOf(attempt.zone));
+      String hostAndSession = attempt.host + " " + attempt.session;
+      ArrayNode hostAttempts = (ArrayNode) byHost.get(hostAndSession);
+      if (hostAttempts == null) {
+        hostAttempts = byHost.putArray(hostAndSession).add(zones.indexOf(attempt.zone));
       }
-      of.add(attempt.spec().ref()).add(attempt.step).add(attempt.number);
+      hostAttempts.add(attempt.spec().ref()).add(attempt.step).add(attempt.number);
     }
     ObjectNode object = Json.object();
-    writeBriefs(object, attempts);
+    writeSummaries(object, attempts);
     ArrayNode array = object.putArray("z");
     zones.forEach(array::add);
     object.set("h", byHost);
     return object;
   }
 
-  private static void writeBriefs(ObjectNode object, List<Attempt> attempts) {
-    ObjectNode briefs = Json.object();
+  private static void writeSummaries(ObjectNode object, List<Attempt> attempts) {
+    ObjectNode summaries = Json.object();
     for (Attempt attempt : attempts) {
       Submission submission = attempt.spec();
-      if (ChunkWriter.single(attempt.job)) {
-        briefs
+      if (ChunkWriter.isSingleTask(attempt.job)) {
+        summaries
             .putArray(submission.ref())
             .add(submission.team())
             .add(submission.cpus())
@@ -106,16 +109,16 @@
             .add(submission.memoryGb());
       }
     }
-    if (!briefs.isEmpty()) {
-      object.set("j", briefs);
+    if (!summaries.isEmpty()) {
+      object.set("j", summaries);
     }
   }
 
-  static List<JobSummary> readBriefs(JsonNode value) {
-    List<JobSummary> out = new ArrayList<>();
+  static List<JobSummary> readSummaries(JsonNode value) {
+    List<JobSummary> summaries = new ArrayList<>();
     for (Map.Entry<String, JsonNode> entry : value.path("j").properties()) {
       JsonNode node = entry.getValue();
-      out.add(
+      summaries.add(
           new JobSummary(
               entry.getKey(),
               node.path(0).asText(),
@@ -123,29 +126,29 @@
               node.path(2).asDouble(),
               node.path(3).asDouble()));
     }
-    return out;
+    return summaries;
   }
 
   static List<Entry> read(JsonNode value) {
-    List<Entry> out = new ArrayList<>();
+    List<Entry> entries = new ArrayList<>();
     JsonNode zones = value.path("z");
     for (Map.Entry<String, JsonNode> entry : value.path("h").properties()) {
       int space = entry.getKey().lastIndexOf(' ');
       String host = entry.getKey().substring(0, space);
       long session = Long.parseLong(entry.getKey().substring(space + 1));
-      JsonNode of = entry.getValue();
-      String zone = zones.path(of.path(0).asInt()).asText();
-      for (int i = 1; i + 2 < of.size(); i += 3) {
-        out.add(
+      JsonNode hostAttempts = entry.getValue();
+      String zone = zones.path(hostAttempts.path(0).asInt()).asText();
+      for (int i = 1; i + 2 < hostAttempts.size(); i += 3) {
+        entries.add(
             new Entry(
-                of.get(i).asText(),
-                of.get(i + 1).asInt(),
-                of.get(i + 2).asLong(),
+                hostAttempts.get(i).asText(),
+                hostAttempts.get(i + 1).asInt(),
+                hostAttempts.get(i + 2).asLong(),
                 host,
                 zone,
                 session));
       }
     }
-    return out;
+    return entries;
   }
 }
--- a/src/main/java/dapplestair/ledger/LaunchBatches.java
+++ b/src/main/java/dapplestair/ledger/LaunchBatches.java
@@ -12,271 +12,292 @@
 import java.util.Map;
 
 /**
- * Records the launches of many services by one put. After a zone or many machines are lost, the
- * replicas of hundreds of services start at the same moment; with a put for each, the last of them
- * would wait for a dozen seconds. Arrays record their launches in their own chunks: those are
- * written again with each task that ends, and a job that is done must leave nothing behind.
+ * Records the launches of many services by one put. After the loss of a zone or of many machines,
+ * the replicas of hundreds of services start at the same moment; with a put for each, the last of
+ * them would wait for a dozen seconds. Launches of jobs of one task share puts in the same way.
+ * Arrays record their launches in their own chunks: these are written again with each task that
+ * ends, and a completed job must leave no records behind.
  */
 final class LaunchBatches {
-  /** The chunks' own records, which take over in time. */
-  interface Chunks {
-    /** True when this chunk has launches to record and nothing of it is under way. */
-    boolean waits(Job job, Chunk chunk);
+  /** Access to the chunks' own records, which later replace the launch batches. */
+  interface ChunkRecords {
+    /** Returns true if this chunk has launches to record and no put of it is in flight. */
+    boolean hasPendingLaunches(Job job, Chunk chunk);
 
-    /** Records one chunk by itself. */
-    void alone(Job job, Chunk chunk);
+    /** Records a chunk's launches in the chunk's own record. */
+    void writeSeparately(Job job, Chunk chunk);
 
-    /** The put was made, or not: what waited may go on. */
-    void landed(Job job, Chunk chunk, boolean made);
+    /**
+     * Reports that a launch batch's put has ended; {@code applied} tells whether it was made.
+     * Changes of the chunk that waited for it may be written now.
+     */
+    void onBatchPut(Job job, Chunk chunk, boolean applied);
 
-    /** The job was cancelled before this attempt's launch was sent. */
-    void dropped(Attempt unsent);
+    /** Reports that the job was cancelled before this attempt's launch was sent. */
+    void onUnsentCancelled(Attempt unsent);
   }
 
   private record PendingLaunch(Job job, Chunk chunk) {}
 
-  /** One put under way. */
+  /** One launch batch's put, from its queuing to its outcome. */
   private static final class InFlightPut {
     LaunchBatch launchBatch;
-    final List<PendingLaunch> of = new ArrayList<>();
-    final List<Attempt> planned = new ArrayList<>();
+    final List<PendingLaunch> launches = new ArrayList<>();
+    final List<Attempt> plannedAttempts = new ArrayList<>();
   }
 
-  /** Launches that share puts among themselves. */
+  /** Launches of one kind that share puts. */
   private static final class Group {
     final Priority priority;
-    final int few;
-    final long everyMs;
-    final Map<Chunk, Job> waiting = new LinkedHashMap<>();
-    boolean queued;
-    long sentAt = Long.MIN_VALUE / 2;
+    final int minBatchChunks;
+    final long minIntervalMs;
+    final Map<Chunk, Job> jobByWaitingChunk = new LinkedHashMap<>();
+    boolean putQueued;
+    long lastPutAtMs = Long.MIN_VALUE / 2;
 
-    Group(Priority priority, int few, long everyMs) {
+    Group(Priority priority, int minBatchChunks, long minIntervalMs) {
       this.priority = priority;
-      this.few = few;
-      this.everyMs = everyMs;
+      this.minBatchChunks = minBatchChunks;
+      this.minIntervalMs = minIntervalMs;
     }
   }
 
-  // Fewer than these are recorded one by one: a launch batch is one put more in the end. The record
-  // of a single task's own is deleted in the end as well.
-  private static final int FEW_REPLICAS = 4;
-  private static final int FEW_SINGLES = 2;
+  // Fewer chunks than this are recorded one by one, since a launch batch costs one more put when it
+  // is deleted. The record of a job of one task is deleted in the end as well, so that its minimum
+  // is lower.
+  private static final int MIN_REPLICA_BATCH_CHUNKS = 4;
+  private static final int MIN_SINGLE_TASK_BATCH_CHUNKS = 2;
 
   private final LedgerContext context;
-  private final Chunks chunks;
-  private final boolean on;
+  private final ChunkRecords chunkRecords;
+  private final boolean enabled;
   private final Group replicas;
-  private final Group singles;
+  private final Group singleTasks;
   private final Map<String, LaunchBatch> launchBatches = new LinkedHashMap<>();
-  private long counter;
+  private long lastBatchNumber;
 
-  LaunchBatches(LedgerContext context, Chunks chunks, boolean on) {
+  LaunchBatches(LedgerContext context, ChunkRecords chunkRecords, boolean enabled) {
     this.context = context;
-    this.chunks = chunks;
-    this.on = on;
-    replicas = new Group(Priority.REPLICA, FEW_REPLICAS, 0);
-    long quarter = context.settings.workers().reportMs() / 4;
-    singles = new Group(Priority.LAUNCH, FEW_SINGLES, quarter);
+    this.chunkRecords = chunkRecords;
+    this.enabled = enabled;
+    replicas = new Group(Priority.REPLICA, MIN_REPLICA_BATCH_CHUNKS, 0);
+    long quarterReportMs = context.settings.workers().reportMs() / 4;
+    singleTasks = new Group(Priority.LAUNCH, MIN_SINGLE_TASK_BATCH_CHUNKS, quarterReportMs);
   }
 
   void clear() {
-    for (Group group : List.of(replicas, singles)) {
-      group.waiting.clear();
-      group.queued = false;
+    for (Group group : List.of(replicas, singleTasks)) {
+      group.jobByWaitingChunk.clear();
+      group.putQueued = false;
     }
     launchBatches.clear();
-    counter = 0;
+    lastBatchNumber = 0;
   }
 
-  /** Launch batches that are recorded. */
+  /** Returns the number of launch batches on record. */
   int count() {
     return launchBatches.size();
   }
 
-  /** A chunk of a service, or of a job of one task, has launches to record. */
+  /** Queues a chunk of a service, or of a job of one task, that has launches to record. */
   void add(Job job, Chunk chunk) {
-    if (!on) {
-      chunks.alone(job, chunk);
+    if (!enabled) {
+      chunkRecords.writeSeparately(job, chunk);
       return;
     }
-    Group group = job.spec().service() ? replicas : singles;
-    group.waiting.put(chunk, job);
-    if (!group.queued) {
-      group.queued = true;
-      // Those of the same turn come together; of a swarm, all since the put before.
-      long next = group.sentAt + group.everyMs - context.clock.now();
-      context.timers.after(Math.max(0, next), () -> enqueue(group));
+    Group group = job.spec().service() ? replicas : singleTasks;
+    group.jobByWaitingChunk.put(chunk, job);
+    if (!group.putQueued) {
+      group.putQueued = true;
+      // Replicas that are planned in the same turn of the event loop share a put; of jobs of one
+      // task, all that were planned since the previous put do.
+      long delayMs = group.lastPutAtMs + group.minIntervalMs - context.clock.now();
+      context.timers.after(Math.max(0, delayMs), () -> enqueue(group));
     }
   }
 
   private void enqueue(Group group) {
-    InFlightPut flight = new InFlightPut();
+    InFlightPut inFlightPut = new InFlightPut();
     long term = context.term();
     context.state.commit(
         1,
-        () -> context.term() == term ? build(group, flight) : null,
+        () -> context.term() == term ? buildTxn(group, inFlightPut) : null,
         group.priority,
         context.settings.workers().reportMs(),
         outcome -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
-          if (flight.launchBatch == null) {
-            // Its turn did not come in time.
+          if (inFlightPut.launchBatch == null) {
+            // The put was not sent before its time limit.
             context.timers.after(context.retryMs, () -> enqueue(group));
           } else if (outcome instanceof TxnOutcome.Unknown) {
-            readBack(flight, term);
+            readBack(inFlightPut, term);
           } else {
-            landed(flight, outcome);
+            onPutFinished(inFlightPut, outcome);
           }
         });
   }
 
-  private Txn build(Group group, InFlightPut flight) {
-    group.queued = false;
-    group.sentAt = context.clock.now();
+  private Txn buildTxn(Group group, InFlightPut inFlightPut) {
+    group.putQueued = false;
+    group.lastPutAtMs = context.clock.now();
     if (!context.leadership.isLeading()) {
       return null;
     }
     List<PendingLaunch> ready = new ArrayList<>();
-    group.waiting.forEach((c, job) -> ready.add(new PendingLaunch(job, c)));
-    group.waiting.clear();
-    ready.removeIf(w -> !chunks.waits(w.job, w.chunk));
-    if (ready.size() < group.few) {
-      ready.forEach(w -> chunks.alone(w.job, w.chunk));
+    group.jobByWaitingChunk.forEach((c, job) -> ready.add(new PendingLaunch(job, c)));
+    group.jobByWaitingChunk.clear();
+    ready.removeIf(w -> !chunkRecords.hasPendingLaunches(w.job, w.chunk));
+    if (ready.size() < group.minBatchChunks) {
+      ready.forEach(w -> chunkRecords.writeSeparately(w.job, w.chunk));
       return null;
     }
     ready.sort(Comparator.comparingInt(w -> w.job.spec().rank().ordinal()));
-    fill(flight, ready);
+    fill(inFlightPut, ready);
     Txn txn = context.leadership.guard(new Txn());
-    for (PendingLaunch w : flight.of) {
-      // The job's own stamp: nothing starts for a job that was cancelled meanwhile.
-      txn.when(StateKeys.job(w.job.spec().ref()), w.job.stamp);
-      w.chunk.inFlight = true;
+    for (PendingLaunch launch : inFlightPut.launches) {
+      // The condition on the job's own stamp keeps a job that was cancelled meanwhile from
+      // starting.
+      txn.when(StateKeys.job(launch.job.spec().ref()), launch.job.stamp);
+      launch.chunk.inFlight = true;
     }
-    LaunchBatch launchBatch = new LaunchBatch(StateKeys.launchBatch(context.term(), ++counter));
-    flight.launchBatch = launchBatch;
+    LaunchBatch launchBatch =
+        new LaunchBatch(StateKeys.launchBatch(context.term(), ++lastBatchNumber));
+    inFlightPut.launchBatch = launchBatch;
     launchBatches.put(launchBatch.key, launchBatch);
-    return txn.when(launchBatch.key, 0).put(launchBatch.key, LaunchBatch.write(flight.planned));
+    return txn.when(launchBatch.key, 0)
+        .put(launchBatch.key, LaunchBatch.write(inFlightPut.plannedAttempts));
   }
 
-  /** Takes as many as one value and the conditions of one transaction hold; the others wait on. */
-  private void fill(InFlightPut flight, List<PendingLaunch> ready) {
-    int mostJobs = 4 * context.settings.state().txnOps() - 2;
-    int mostEntries = LaunchBatch.capacity(context.settings.state().valueBytes());
-    if (!ready.isEmpty() && ChunkWriter.single(ready.get(0).job)) {
-      // With each entry goes what its job takes.
-      mostEntries /= 2;
+  /**
+   * Takes as many launches as one value and the conditions of one transaction hold; the others are
+   * queued again.
+   */
+  private void fill(InFlightPut inFlightPut, List<PendingLaunch> ready) {
+    int maxJobs = 4 * context.settings.state().txnOps() - 2;
+    int maxEntries = LaunchBatch.capacity(context.settings.state().valueBytes());
+    if (!ready.isEmpty() && ChunkWriter.isSingleTask(ready.get(0).job)) {
+      // Each entry carries a summary of its job's resources, too.
+      maxEntries /= 2;
     }
-    for (PendingLaunch waiting : ready) {
+    for (PendingLaunch launch : ready) {
       List<Attempt> planned =
-          waiting.chunk.live.values().stream()
+          launch.chunk.attemptsByStep.values().stream()
               .filter(a -> a.phase == Attempt.Phase.PLANNED)
               .toList();
-      boolean fits =
-          flight.of.size() < mostJobs && flight.planned.size() + planned.size() <= mostEntries;
-      if (fits) {
-        flight.of.add(waiting);
-        flight.planned.addAll(planned);
-      } else if (planned.size() > mostEntries) {
-        chunks.alone(waiting.job, waiting.chunk);
+      boolean fitsInPut =
+          inFlightPut.launches.size() < maxJobs
+              && inFlightPut.plannedAttempts.size() + planned.size() <= maxEntries;
+      if (fitsInPut) {
+        inFlightPut.launches.add(launch);
+        inFlightPut.plannedAttempts.addAll(planned);
+      } else if (planned.size() > maxEntries) {
+        chunkRecords.writeSeparately(launch.job, launch.chunk);
       } else {
-        add(waiting.job, waiting.chunk);
+        add(launch.job, launch.chunk);
       }
     }
   }
 
   /**
-   * No answer: it may have been made, or may be made yet. If it is made later, what it says of
-   * these attempts will be on record elsewhere as well, and it is taken away once the replica shows
-   * it.
+   * Reads back a put without an answer: it may have been made, or may be made yet. If it is made
+   * later, its attempts are on record elsewhere by then, and the launch batch is removed once the
+   * replica shows it.
    */
-  private void readBack(InFlightPut flight, long term) {
+  private void readBack(InFlightPut inFlightPut, long term) {
     context.state.get(
-        flight.launchBatch.key,
+        inFlightPut.launchBatch.key,
         read -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
           if (read.exists()) {
-            landed(flight, new TxnOutcome.Applied(read.stamp()));
+            onPutFinished(inFlightPut, new TxnOutcome.Applied(read.stamp()));
           } else if (read.known()) {
-            landed(flight, new TxnOutcome.Refused());
+            onPutFinished(inFlightPut, new TxnOutcome.Refused());
           } else {
-            context.timers.after(context.retryMs, () -> readBack(flight, term));
+            context.timers.after(context.retryMs, () -> readBack(inFlightPut, term));
           }
         });
   }
 
-  private void landed(InFlightPut flight, TxnOutcome outcome) {
-    flight.of.forEach(w -> w.chunk.inFlight = false);
-    boolean made = outcome instanceof TxnOutcome.Applied;
+  private void onPutFinished(InFlightPut inFlightPut, TxnOutcome outcome) {
+    inFlightPut.launches.forEach(w -> w.chunk.inFlight = false);
+    boolean wasApplied = outcome instanceof TxnOutcome.Applied;
     if (outcome instanceof TxnOutcome.Applied applied) {
-      flight.launchBatch.stamp = applied.stamp();
-      for (PendingLaunch w : flight.of) {
-        flight.launchBatch.claims.add(w.chunk);
-        w.chunk.launchBatches.add(flight.launchBatch);
+      inFlightPut.launchBatch.stamp = applied.stamp();
+      for (PendingLaunch launch : inFlightPut.launches) {
+        inFlightPut.launchBatch.claimingChunks.add(launch.chunk);
+        launch.chunk.launchBatches.add(inFlightPut.launchBatch);
       }
-      for (Attempt attempt : flight.planned) {
-        if (attempt.job.chunkOf(attempt.step).live.get(attempt.step) == attempt
+      for (Attempt attempt : inFlightPut.plannedAttempts) {
+        if (attempt.job.chunkOf(attempt.step).attemptsByStep.get(attempt.step) == attempt
             && attempt.phase == Attempt.Phase.PLANNED) {
-          context.launch(attempt, flight.launchBatch.key, applied.stamp());
+          context.launch(attempt, inFlightPut.launchBatch.key, applied.stamp());
         }
       }
     } else if (outcome instanceof TxnOutcome.Conflict conflict) {
-      launchBatches.remove(flight.launchBatch.key);
+      launchBatches.remove(inFlightPut.launchBatch.key);
       if (context.leadership.stepDownIfDeposed(outcome)) {
         return;
       }
-      dropCancelled(flight, conflict);
+      dropCancelled(inFlightPut, conflict);
     } else {
-      launchBatches.remove(flight.launchBatch.key);
+      launchBatches.remove(inFlightPut.launchBatch.key);
     }
-    flight.of.forEach(w -> chunks.landed(w.job, w.chunk, made));
+    inFlightPut.launches.forEach(w -> chunkRecords.onBatchPut(w.job, w.chunk, wasApplied));
   }
 
-  private void dropCancelled(InFlightPut flight, TxnOutcome.Conflict conflict) {
-    for (Attempt attempt : flight.planned) {
+  private void dropCancelled(InFlightPut inFlightPut, TxnOutcome.Conflict conflict) {
+    for (Attempt attempt : inFlightPut.plannedAttempts) {
       if (conflict.failedKeys().contains(StateKeys.job(attempt.job.spec().ref()))
-          && attempt.job.chunkOf(attempt.step).live.get(attempt.step) == attempt
-          && !attempt.sent()) {
-        chunks.dropped(attempt);
+          && attempt.job.chunkOf(attempt.step).attemptsByStep.get(attempt.step) == attempt
+          && !attempt.isSent()) {
+        chunkRecords.onUnsentCancelled(attempt);
       }
     }
   }
 
-  /** Its own record knows all of a chunk's attempts now, or nothing of it can be running. */
-  void released(Chunk chunk) {
+  /**
+   * Releases a chunk's claims: the chunk's own record has all of its attempts now, or none of them
+   * can be running.
+   */
+  void releaseClaims(Chunk chunk) {
     for (LaunchBatch launchBatch : List.copyOf(chunk.launchBatches)) {
-      launchBatch.claims.remove(chunk);
+      launchBatch.claimingChunks.remove(chunk);
       removeIfEmpty(launchBatch);
     }
     chunk.launchBatches.clear();
   }
 
-  /** An earlier leader's launch batch, with the chunks that it still counts for. */
-  void adopt(String key, long stamp, Collection<Chunk> claims) {
+  /** Adds an earlier leader's launch batch, with the chunks for which it still counts. */
+  void adopt(String key, long stamp, Collection<Chunk> claimingChunks) {
     LaunchBatch launchBatch = new LaunchBatch(key);
     launchBatch.stamp = stamp;
     launchBatches.put(key, launchBatch);
-    launchBatch.claims.addAll(claims);
-    claims.forEach(c -> c.launchBatches.add(launchBatch));
+    launchBatch.claimingChunks.addAll(claimingChunks);
+    claimingChunks.forEach(c -> c.launchBatches.add(launchBatch));
     removeIfEmpty(launchBatch);
   }
 
-  /** The replica shows a launch batch. One that this leader took for lost has come late. */
-  void shown(String key, long stamp) {
+  /**
+   * Handles a launch batch that the replica shows. One that is unknown is a late put that this
+   * leader took for lost: it is adopted without claims, and so removed.
+   */
+  void onBatchShown(String key, long stamp) {
     if (!launchBatches.containsKey(key)) {
       adopt(key, stamp, List.of());
     }
   }
 
   private void removeIfEmpty(LaunchBatch launchBatch) {
-    if (!launchBatch.claims.isEmpty() || launchBatch.removing || launchBatch.stamp == 0) {
+    if (!launchBatch.claimingChunks.isEmpty()
+        || launchBatch.removalInFlight
+        || launchBatch.stamp == 0) {
       return;
     }
-    launchBatch.removing = true;
+    launchBatch.removalInFlight = true;
     long term = context.term();
     context.state.commit(
         context
@@ -287,10 +308,10 @@
         Priority.BOOKKEEPING,
         context.settings.workers().leaseMs(),
         outcome -> {
-          if (!context.still(term)) {
+          if (!context.isCurrentTerm(term)) {
             return;
           }
-          launchBatch.removing = false;
+          launchBatch.removalInFlight = false;
           if (outcome instanceof TxnOutcome.Applied) {
             launchBatches.remove(launchBatch.key);
           } else if (context.leadership.stepDownIfDeposed(outcome)) {
--- a/src/main/java/dapplestair/ledger/LaunchGate.java
+++ b/src/main/java/dapplestair/ledger/LaunchGate.java
@@ -2,75 +2,79 @@
 
 import dapplestair.work.Submission;
 
-/** The one gate that every launch passes, whoever proposes it. */
+/** Checks every launch against the rules, whichever component proposes it. */
 final class LaunchGate {
   private final LedgerContext context;
-  private final TeamUsage use;
+  private final TeamUsage teamUsage;
   private final Attempts attempts;
   private final ChunkWriter writer;
 
-  LaunchGate(LedgerContext context, TeamUsage use, Attempts attempts, ChunkWriter writer) {
+  LaunchGate(LedgerContext context, TeamUsage teamUsage, Attempts attempts, ChunkWriter writer) {
     this.context = context;
-    this.use = use;
+    this.teamUsage = teamUsage;
     this.attempts = attempts;
     this.writer = writer;
   }
 
-  boolean open() {
-    return context.armed() && context.leadership.isLeading();
+  boolean isOpen() {
+    return context.isReady() && context.leadership.isLeading();
   }
 
-  /** True when the job's other attempts leave room for one more in this zone. */
+  /** Returns true if the job's zone rules allow one more attempt in this zone beside its others. */
   static boolean zoneAllows(Job job, String zone) {
     Submission submission = job.spec();
-    // Attempts out of reach count as well: they may still be there.
-    if (submission.apart() && job.inZone(zone) >= submission.mostPerZone()) {
+    // Attempts on machines out of contact count as well: they may still be running.
+    if (submission.apart() && job.attemptsInZone(zone) >= submission.mostPerZone()) {
       return false;
     }
-    return !submission.together() || job.held() == 0 || job.inZone(zone) == job.held();
+    return !submission.together()
+        || job.heldAttempts() == 0
+        || job.attemptsInZone(zone) == job.heldAttempts();
   }
 
-  /** True when the job's rules let one more of its tasks start on this machine now. */
+  /** Returns true if the job's rules allow one more of its tasks to start on this machine now. */
   boolean mayStart(Job job, Machine host) {
     Submission submission = job.spec();
-    return host.allowed(submission)
+    return host.isAllowedBy(submission)
         && host.fits(submission)
         && zoneAllows(job, host.zone())
-        && use.allows(submission, 1);
+        && teamUsage.allows(submission, 1);
   }
 
-  /** Plans an attempt; refused unless every rule holds in the latest view. */
+  /** Plans an attempt. Returns false unless every rule holds in the latest view. */
   boolean launch(Job job, int step, Machine host) {
-    if (!open() || job.over() || host.closed() || !mayStart(job, host)) {
+    if (!isOpen() || job.isOver() || host.closed() || !mayStart(job, host)) {
       return false;
     }
     Chunk chunk = job.chunkOf(step);
-    // An earlier attempt without proof of absence may still run somewhere.
-    if (!chunk.free(step) || (job.spec().gang() && !joinsGang(job, step))) {
+    // An earlier attempt whose absence is not proved may still run somewhere.
+    if (!chunk.isFree(step) || (job.spec().gang() && !tryJoinGang(job, step))) {
       return false;
     }
-    long number = number(job, chunk);
+    long number = assignNumber(job, chunk);
     long now = context.clock.now();
-    attempts.enter(
+    attempts.register(
         chunk, new Attempt(job, step, number, host.id(), host.zone(), host.session(), now));
-    writer.dirty(job, chunk, true);
+    writer.markDirty(job, chunk, true);
     return true;
   }
 
-  /** A number that no earlier attempt at this task has; a gang's members share theirs. */
-  private static long number(Job job, Chunk chunk) {
+  /** Assigns a number that no earlier attempt of this task has; a gang's members share theirs. */
+  private static long assignNumber(Job job, Chunk chunk) {
     chunk.lastNumber = job.spec().gang() ? job.gangNumber : chunk.lastNumber + 1;
     return chunk.lastNumber;
   }
 
   /**
-   * Workers let only members with equal numbers meet, so a gang starts as a whole: a member lost
-   * later cannot be replaced under the old number, which its lost attempt has used.
+   * Adds a step to the gang's present start, if the step has not used the start's number. Workers
+   * connect only members with equal numbers, so a gang starts as a whole: a member lost later
+   * cannot be replaced under the old number, which its lost attempt has used.
    */
-  private static boolean joinsGang(Job job, int step) {
-    if (job.held == 0) {
-      long highest = job.chunks.values().stream().mapToLong(c -> c.lastNumber).max().orElse(0);
-      job.gangNumber = highest + 1;
+  private static boolean tryJoinGang(Job job, int step) {
+    if (job.heldAttempts == 0) {
+      long highestNumber =
+          job.chunks.values().stream().mapToLong(c -> c.lastNumber).max().orElse(0);
+      job.gangNumber = highestNumber + 1;
       job.gangSteps.clear();
     }
     return job.gangNumber > 0 && job.gangSteps.add(step);
--- a/src/main/java/dapplestair/ledger/Machine.java
+++ b/src/main/java/dapplestair/ledger/Machine.java
@@ -8,40 +8,42 @@
 import java.util.Map;
 
 /**
- * A machine as far as tasks go: what it is, which attempts hold room on it, what it has fetched.
+ * A machine as far as tasks are concerned: its type, the attempts that hold resources on it, and
+ * the images that it has fetched.
  */
 public abstract class Machine {
   private final String id;
   private MachineType type;
   private String zone;
   private boolean spot;
-  private long idleSince;
+  private long idleSinceMs;
 
   private final Map<String, Attempt> attempts = new HashMap<>();
 
   private final ImageCache images = new ImageCache();
-  private int holding;
+  private int attemptsHoldingRoom;
   private double serviceCpus;
   private double cpusUsed;
   private double gpusUsed;
-  private double memoryUsed;
+  private double memoryUsedGb;
 
-  // It has refused a start as full, and nothing is started there for now; how often so in a row.
+  // Set while nothing is started here because the machine refused a start as full, and how often
+  // that happened in a row.
   private boolean overfull;
-  private int timesOverfull;
+  private int consecutiveOverfullCount;
 
-  /** An empty machine of unknown type. */
-  protected Machine(String id, long now) {
+  /** Creates an empty machine of unknown type. */
+  protected Machine(String id, long nowMs) {
     this.id = id;
-    this.idleSince = now;
+    this.idleSinceMs = nowMs;
   }
 
-  /** The cloud's name of it. */
+  /** Returns the machine's identifier in the cloud. */
   public final String id() {
     return id;
   }
 
-  /** What it is, as far as known. */
+  /** Sets what is known of the machine; a null type leaves the known type. */
   protected final void describe(MachineType newType, String newZone, boolean isSpot) {
     if (newType != null) {
       type = newType;
@@ -50,168 +52,175 @@
     spot = isSpot;
   }
 
-  /** True when nothing new may start on it. */
+  /** Returns true if nothing new may start on the machine. */
   public abstract boolean closed();
 
-  /** Session of its worker. */
+  /** Returns the session of the machine's worker. */
   public abstract long session();
 
-  /** Its type, or null while unknown. */
+  /** Returns the machine's type, or null while it is unknown. */
   public final MachineType type() {
     return type;
   }
 
-  /** Its zone. */
+  /** Returns the machine's zone. */
   public final String zone() {
     return zone;
   }
 
-  /** True when the cloud may take it back. */
+  /** Returns true if the cloud may reclaim the machine. */
   public final boolean spot() {
     return spot;
   }
 
-  /** Memory in use. */
-  public final double memoryUsed() {
-    return memoryUsed;
+  /** Returns the memory in use, in GB. */
+  public final double memoryUsedGb() {
+    return memoryUsedGb;
   }
 
-  /** CPUs that services use here. */
+  /** Returns the CPUs that services use. */
   public final double serviceCpus() {
     return serviceCpus;
   }
 
-  /** Since when nothing runs on it. */
-  public final long idleSince() {
-    return idleSince;
+  /** Returns since when no attempt has held resources on the machine, in steady time. */
+  public final long idleSinceMs() {
+    return idleSinceMs;
   }
 
-  /** True while nothing is to start here, since it has less room than the records say. */
-  public final boolean overfull() {
+  /**
+   * Returns true while nothing is to start here because the machine has less room than the records
+   * say.
+   */
+  public final boolean isOverfull() {
     return overfull;
   }
 
-  /** How often it had less room than the records say since it last took a start. */
-  final int timesOverfull() {
-    return timesOverfull;
+  /** Returns how often the machine refused a start as full since it last accepted one. */
+  final int consecutiveOverfullCount() {
+    return consecutiveOverfullCount;
   }
 
-  final void overfull(boolean value) {
+  final void setOverfull(boolean value) {
     overfull = value;
-    timesOverfull += value ? 1 : 0;
+    consecutiveOverfullCount += value ? 1 : 0;
   }
 
-  final void tookStart() {
-    timesOverfull = 0;
+  final void resetOverfullCount() {
+    consecutiveOverfullCount = 0;
   }
 
-  /** Attempts on it. */
+  /** Returns the attempts on the machine. */
   public final Collection<Attempt> attempts() {
     return attempts.values();
   }
 
-  /** The attempt at this task on it, or null. */
+  /** Returns the attempt of this task on the machine, or null. */
   public final Attempt attempt(String key) {
     return attempts.get(key);
   }
 
-  /** True when no attempt holds room on it. */
-  public final boolean idle() {
-    return holding == 0;
+  /** Returns true if no attempt holds resources on the machine. */
+  public final boolean isIdle() {
+    return attemptsHoldingRoom == 0;
   }
 
-  /** Gives an attempt its room. */
-  public final void hold(Attempt attempt) {
+  /** Reserves an attempt's resources. */
+  public final void reserve(Attempt attempt) {
     attempts.put(attempt.key(), attempt);
-    use(attempt.spec(), 1);
+    addUsage(attempt.spec(), 1);
     Submission submission = attempt.spec();
-    images.used(submission.image(), submission.imageGb(), fetchS(submission), attempt.plannedAt());
+    images.used(
+        submission.image(), submission.imageGb(), imageFetchS(submission), attempt.plannedAtMs());
     if (type != null) {
-      images.fit(type.cacheGb(), this::inUse);
+      images.fit(type.cacheGb(), this::isImageInUse);
     }
   }
 
-  private boolean inUse(String image) {
+  private boolean isImageInUse(String image) {
     return attempts.values().stream().anyMatch(a -> !a.exited() && a.spec().image().equals(image));
   }
 
-  /** Takes the room back; the attempt itself stays known until {@link #forget}. */
-  public final void vacate(Attempt attempt, long now) {
-    use(attempt.spec(), -1);
-    if (holding == 0) {
+  /** Releases an attempt's resources; the attempt itself stays known until {@link #forget}. */
+  public final void release(Attempt attempt, long nowMs) {
+    addUsage(attempt.spec(), -1);
+    if (attemptsHoldingRoom == 0) {
       cpusUsed = 0;
       gpusUsed = 0;
-      memoryUsed = 0;
+      memoryUsedGb = 0;
       serviceCpus = 0;
-      idleSince = now;
+      idleSinceMs = nowMs;
     }
   }
 
-  /** Forgets an attempt. */
+  /** Removes an attempt from the machine's attempts. */
   public final void forget(Attempt attempt) {
     attempts.remove(attempt.key(), attempt);
   }
 
-  private void use(Submission submission, int sign) {
+  private void addUsage(Submission submission, int sign) {
     cpusUsed += sign * submission.cpus();
-    holding += sign;
+    attemptsHoldingRoom += sign;
     if (submission.service()) {
       serviceCpus = Math.max(0, serviceCpus + sign * submission.cpus());
     }
     gpusUsed += sign * submission.gpus();
-    memoryUsed += sign * submission.memoryGb();
+    memoryUsedGb += sign * submission.memoryGb();
   }
 
-  /** CPUs in use. */
+  /** Returns the CPUs in use. */
   public final double cpusUsed() {
     return cpusUsed;
   }
 
-  /** CPUs free. */
+  /** Returns the free CPUs; 0 while the type is unknown. */
   public final double cpusFree() {
     return type == null ? 0 : type.cpus() - cpusUsed;
   }
 
-  /** Memory free. */
-  public final double memoryFree() {
-    return type == null ? 0 : type.memoryGb() - memoryUsed;
+  /** Returns the free memory in GB; 0 while the type is unknown. */
+  public final double memoryFreeGb() {
+    return type == null ? 0 : type.memoryGb() - memoryUsedGb;
   }
 
-  /** Accelerators free. */
+  /** Returns the free accelerators; 0 while the type is unknown. */
   public final double gpusFree() {
     return type == null ? 0 : type.gpus() - gpusUsed;
   }
 
-  /** True when one more task of the job fits now. */
+  /** Returns true if one more task of the job fits now. */
   public final boolean fits(Submission submission) {
     return submission.cpus() <= cpusFree() + 1e-9
-        && submission.memoryGb() <= memoryFree() + 1e-9
+        && submission.memoryGb() <= memoryFreeGb() + 1e-9
         && submission.gpus() <= gpusFree() + 1e-9;
   }
 
-  /** True when the job allows this machine. */
-  public final boolean allowed(Submission submission) {
+  /** Returns true if the job allows this machine's type, zone and pricing. */
+  public final boolean isAllowedBy(Submission submission) {
     return type != null
         && type.suits(submission)
         && (submission.zone() == null || submission.zone().equals(zone))
         && (submission.spot() || !spot);
   }
 
-  /** Seconds until a task that needs this image could start here; fetches share one rate. */
-  public final double imageWaitS(Submission submission, long now) {
-    return images.waitS(submission.image(), fetchS(submission), now);
+  /**
+   * Returns the seconds until a task that needs this image could start here; all fetches of a
+   * machine share one rate.
+   */
+  public final double imageWaitS(Submission submission, long nowMs) {
+    return images.waitS(submission.image(), imageFetchS(submission), nowMs);
   }
 
-  private double fetchS(Submission submission) {
+  private double imageFetchS(Submission submission) {
     return type == null ? 0 : submission.imageGb() / type.fetchGbPerS();
   }
 
-  /** The task's image was seen in use here. */
-  public final void imageSeen(Submission submission, long now) {
-    images.seen(submission.image(), submission.imageGb(), now);
+  /** Marks the task's image as seen in use here. */
+  public final void markImageInUse(Submission submission, long nowMs) {
+    images.seen(submission.image(), submission.imageGb(), nowMs);
   }
 
-  /** What is believed of its images. */
+  /** Returns what is assumed about the machine's images. */
   public final ImageCache images() {
     return images;
   }
--- a/src/main/java/dapplestair/ledger/Takeover.java
+++ b/src/main/java/dapplestair/ledger/Takeover.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** How a new leader comes to its attempts: from the records of the leaders before it. */
+/** Builds a new leader's attempts from the records of the leaders before it. */
 final class Takeover {
   private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
 
@@ -26,11 +26,11 @@
   private final AttemptReconciler reconciler;
   private final int chunkSize;
 
-  // The chunks that each earlier launch batch still counts for.
-  private final Map<String, Set<Chunk>> claims = new HashMap<>();
-  // Jobs that are over since a moment that is not known here.
-  private final Deque<Job> endUnread = new ArrayDeque<>();
-  private int orphans;
+  // The chunks for which each earlier launch batch still counts.
+  private final Map<String, Set<Chunk>> chunksByLaunchBatch = new HashMap<>();
+  // Ended jobs whose time of end this leader has not read yet.
+  private final Deque<Job> jobsWithUnreadEnd = new ArrayDeque<>();
+  private int unresolvedJobs;
 
   Takeover(
       LedgerContext context,
@@ -52,183 +52,201 @@
   }
 
   void clear() {
-    claims.clear();
-    endUnread.clear();
+    chunksByLaunchBatch.clear();
+    jobsWithUnreadEnd.clear();
   }
 
-  /** Builds attempts from the records; launches begin once nothing is unaccounted for. */
-  void begin(long newTerm) {
-    context.take(newTerm);
-    orphans = 1;
-    for (String ref : rawRecords.refs()) {
+  /**
+   * Builds attempts from the records; launches are allowed once every recorded attempt is accounted
+   * for.
+   */
+  void beginTerm(long newTerm) {
+    context.beginTerm(newTerm);
+    unresolvedJobs = 1;
+    for (String ref : rawRecords.jobRefs()) {
       Job job = jobs.get(ref);
-      LaunchBatch.JobSummary brief = rawRecords.brief(ref);
+      LaunchBatch.JobSummary summary = rawRecords.summaryOf(ref);
       if (job != null) {
-        build(job);
-      } else if (brief != null) {
-        // The replica is complete, and the job is not there: it is over.
-        Job ended = new Job(brief.spec(), 0, chunkSize, 0);
-        over(ended, 0);
-        endUnread.add(ended);
+        buildAttempts(job);
+      } else if (summary != null) {
+        // The replica is complete and does not have the job, so the job is over.
+        Job ended = new Job(summary.spec(), 0, chunkSize, 0);
+        addEndedJob(ended, 0);
+        jobsWithUnreadEnd.add(ended);
       } else {
-        orphans++;
-        fetchOrphan(newTerm, ref);
+        unresolvedJobs++;
+        fetchEndedJob(newTerm, ref);
       }
     }
-    orphanFound();
-    context.timers.after(context.settings.workers().cancelMs() / 16, () -> readEnds(newTerm));
+    onJobResolved();
+    context.timers.after(context.settings.workers().cancelMs() / 16, () -> readNextEnd(newTerm));
   }
 
   /**
-   * Since when jobs are over of which only launch batches told. Most are gone by now; of what does
-   * not stop it has to be known, since the time allowed for it does not begin anew with each
-   * leader.
+   * Reads the times of end, one by one, of ended jobs that only launch batches tell of. Most of
+   * their tasks are gone by now. For tasks that do not stop the time is needed, since the time
+   * allowed for stopping them does not begin anew with each leader.
    */
-  private void readEnds(long forTerm) {
-    Job job = endUnread.poll();
-    while (job != null && job.held() == 0) {
-      job = endUnread.poll();
+  private void readNextEnd(long forTerm) {
+    Job job = jobsWithUnreadEnd.poll();
+    while (job != null && job.heldAttempts() == 0) {
+      job = jobsWithUnreadEnd.poll();
     }
     if (job == null) {
       return;
     }
-    Job held = job;
+    Job jobToRead = job;
     context.state.get(
-        StateKeys.finishedJob(held.spec().ref()),
+        StateKeys.finishedJob(jobToRead.spec().ref()),
         read -> {
-          if (!context.still(forTerm)) {
+          if (!context.isCurrentTerm(forTerm)) {
             return;
           }
           if (read.exists()) {
-            overFor(held, JobRecordCodec.overForMs(read.value(), context.clock.wall()));
+            setEndedAgo(jobToRead, JobRecordCodec.endedAgoMs(read.value(), context.clock.wall()));
           } else {
-            endUnread.add(held);
+            jobsWithUnreadEnd.add(jobToRead);
           }
-          context.timers.after(context.retryMs, () -> readEnds(forTerm));
+          context.timers.after(context.retryMs, () -> readNextEnd(forTerm));
         });
   }
 
-  private void overFor(Job job, long ms) {
-    job.overAt = Math.min(job.overAt, context.clock.now() - ms);
+  private void setEndedAgo(Job job, long agoMs) {
+    job.endedAtMs = Math.min(job.endedAtMs, context.clock.now() - agoMs);
   }
 
-  /** Attempts of a job that is over still use its team's share: its description is needed. */
-  private void fetchOrphan(long forTerm, String ref) {
+  /** Fetches the description of an ended job whose attempts still count as its team's usage. */
+  private void fetchEndedJob(long forTerm, String ref) {
     context.state.get(
         StateKeys.finishedJob(ref),
         read -> {
-          if (!context.still(forTerm)) {
+          if (!context.isCurrentTerm(forTerm)) {
             return;
           }
           Job job = read.exists() ? JobRecordCodec.read(read.value(), 0, chunkSize) : null;
           if (job == null) {
             if (read.known()) {
-              LOG.error("attempts of {} are recorded, but no such job", ref);
+              LOG.error(
+                  "attempts of {} are recorded, but the job's record is missing or cannot be read; retrying",
+                  ref);
             }
-            context.timers.after(context.retryMs, () -> fetchOrphan(forTerm, ref));
+            context.timers.after(context.retryMs, () -> fetchEndedJob(forTerm, ref));
             return;
           }
-          over(job, JobRecordCodec.overForMs(read.value(), context.clock.wall()));
-          orphanFound();
+          addEndedJob(job, JobRecordCodec.endedAgoMs(read.value(), context.clock.wall()));
+          onJobResolved();
         });
   }
 
-  /** Enters the attempts of a job that is over: they are stopped where they still run. */
-  private void over(Job job, long ms) {
+  /** Adds an ended job with its attempts, which are stopped where they still run. */
+  private void addEndedJob(Job job, long endedAgoMs) {
     jobs.put(job.spec().ref(), job);
-    build(job);
-    jobFinalizer.end(job);
-    overFor(job, ms);
+    buildAttempts(job);
+    jobFinalizer.endJob(job);
+    setEndedAgo(job, endedAgoMs);
   }
 
-  private void orphanFound() {
-    if (--orphans == 0) {
+  private void onJobResolved() {
+    if (--unresolvedJobs == 0) {
       dropClaimsOfForgottenJobs();
       rawRecords
-          .launchBatches()
+          .stampByLaunchBatch()
           .forEach(
               (key, stamp) ->
-                  writer.launchBatches().adopt(key, stamp, claims.getOrDefault(key, Set.of())));
-      context.arm();
+                  writer
+                      .launchBatches()
+                      .adopt(key, stamp, chunksByLaunchBatch.getOrDefault(key, Set.of())));
+      context.markReady();
       rawRecords.clear();
-      int claimed = claims.size();
-      claims.clear();
+      int claimedBatchCount = chunksByLaunchBatch.size();
+      chunksByLaunchBatch.clear();
       LOG.info(
-          "ledger ready: {} jobs, {} attempts, {} launch batches that still count",
+          "ledger ready: {} jobs, {} attempts, {} launch batches with attempts that only they record",
           jobs.size(),
-          jobs.values().stream().mapToInt(Job::held).sum(),
-          claimed);
+          jobs.values().stream().mapToInt(Job::heldAttempts).sum(),
+          claimedBatchCount);
       for (Job job : List.copyOf(jobs.values())) {
         jobFinalizer.finishIfDone(job);
       }
-      context.callbacks.changed();
+      context.callbacks.onChanged();
     }
   }
 
   /**
-   * While descriptions were fetched, reports may have proved that nothing is left of a job that is
-   * over. It is forgotten then: with its claim a launch batch would stay on record until the next
-   * leader.
+   * Drops the claims of jobs that were forgotten while descriptions were fetched, since reports
+   * proved that none of their tasks is left. With such a claim a launch batch would stay on record
+   * until the next leader.
    */
   private void dropClaimsOfForgottenJobs() {
     Set<Chunk> present = new LinkedHashSet<>();
     jobs.values().forEach(job -> present.addAll(job.chunks.values()));
-    claims.values().forEach(chunks -> chunks.retainAll(present));
+    chunksByLaunchBatch.values().forEach(chunks -> chunks.retainAll(present));
   }
 
   /**
-   * Enters what the launch batches add to a job's own records. Of two launch batches with the same
-   * task the higher number counts: it was given out after the other one was proved absent.
+   * Adds the attempts that launch batches have beyond a job's own records. If two launch batches
+   * have the same task, the higher number counts: it was assigned after the other attempt was
+   * proved absent.
    */
   private void readLaunchBatches(Job job) {
-    Int2ObjectMap<RawAttemptRecords.OnLaunchBatch> newest = new Int2ObjectOpenHashMap<>();
-    for (RawAttemptRecords.OnLaunchBatch on : rawRecords.onLaunchBatches(job.spec().ref())) {
-      LaunchBatch.Entry entry = on.entry();
+    Int2ObjectMap<RawAttemptRecords.BatchedAttempt> newestByStep = new Int2ObjectOpenHashMap<>();
+    for (RawAttemptRecords.BatchedAttempt batched : rawRecords.batchedAttempts(job.spec().ref())) {
+      LaunchBatch.Entry entry = batched.entry();
       if (entry.number() > job.chunkOf(entry.step()).recordedNumber) {
-        newest.merge(entry.step(), on, (a, b) -> a.entry().number() > b.entry().number() ? a : b);
-        claims.computeIfAbsent(on.key(), k -> new LinkedHashSet<>()).add(job.chunkOf(entry.step()));
+        newestByStep.merge(
+            entry.step(), batched, (a, b) -> a.entry().number() > b.entry().number() ? a : b);
+        chunksByLaunchBatch
+            .computeIfAbsent(batched.batchKey(), k -> new LinkedHashSet<>())
+            .add(job.chunkOf(entry.step()));
       }
     }
-    for (RawAttemptRecords.OnLaunchBatch on : newest.values()) {
-      LaunchBatch.Entry entry = on.entry();
+    for (RawAttemptRecords.BatchedAttempt batched : newestByStep.values()) {
+      LaunchBatch.Entry entry = batched.entry();
       Chunk chunk = job.chunkOf(entry.step());
       chunk.lastNumber = Math.max(chunk.lastNumber, entry.number());
       LOG.debug(
-          "{}/{} try {} is read from {}", entry.ref(), entry.step(), entry.number(), on.key());
-      Attempt older = chunk.live.get(entry.step());
-      if (older != null) {
-        attempts.retire(older);
+          "{}/{} attempt {} is adopted from launch batch {}",
+          entry.ref(),
+          entry.step(),
+          entry.number(),
+          batched.batchKey());
+      Attempt olderAttempt = chunk.attemptsByStep.get(entry.step());
+      if (olderAttempt != null) {
+        attempts.remove(olderAttempt);
       }
-      enter(job, chunk, entry.step(), entry.number(), entry.host(), entry.zone(), entry.session());
-      if (!ChunkWriter.single(job)) {
-        // Its own record takes over. A job of one task needs none: hundreds of puts, for nothing.
-        writer.dirty(job, chunk, false);
+      adoptAttempt(
+          job, chunk, entry.step(), entry.number(), entry.host(), entry.zone(), entry.session());
+      if (!ChunkWriter.isSingleTask(job)) {
+        // The chunk's own record replaces the launch batch. A job of one task needs no such record:
+        // that would be hundreds of puts without use.
+        writer.markDirty(job, chunk, false);
       }
     }
   }
 
-  private void enter(
+  private void adoptAttempt(
       Job job, Chunk chunk, int step, long number, String host, String zone, long session) {
     Attempt attempt = new Attempt(job, step, number, host, zone, session, context.clock.now());
-    attempt.adoptedBy(context.term());
-    attempts.enter(chunk, attempt);
+    attempt.markAdopted(context.term());
+    attempts.register(chunk, attempt);
   }
 
-  private void build(Job job) {
+  private void buildAttempts(Job job) {
     for (Int2ObjectMap.Entry<RawAttemptRecords.VersionedRecord> entry :
-        rawRecords.of(job.spec().ref()).int2ObjectEntrySet()) {
-      Chunk c = job.chunk(entry.getIntKey());
+        rawRecords.recordsOf(job.spec().ref()).int2ObjectEntrySet()) {
+      Chunk chunk = job.chunk(entry.getIntKey());
       job.probesFailed = Math.max(job.probesFailed, Chunk.probesFailed(entry.getValue().value()));
-      c.read(
+      chunk.read(
           entry.getValue().value(),
           entry.getValue().stamp(),
-          (step, number, host, zone, session) -> enter(job, c, step, number, host, zone, session));
+          (step, number, host, zone, session) ->
+              adoptAttempt(job, chunk, step, number, host, zone, session));
     }
     readLaunchBatches(job);
-    job.chunks.values().forEach(c -> c.countUnknown(job.spec().gang()));
+    job.chunks.values().forEach(c -> c.computeMaxUnknownInterrupted(job.spec().gang()));
     if (job.probesFailed > 0) {
       job.suspected = true;
-      reconciler.holdBack(job, context.settings.workers().reportMs());
+      reconciler.delayStarts(job, context.settings.workers().reportMs());
     }
   }
 }
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -89,7 +89,7 @@
     double bootMs = 1000 * types.all().stream().mapToDouble(MachineType::bootS).max().orElse(0);
     double waiting = 0;
     for (Job job : ledger.jobs()) {
-      if (clock.wall() - job.acceptedWall() > bootMs) {
+      if (clock.wall() - job.acceptedWallMs() > bootMs) {
         waiting += wanted(job) * job.spec().cpus();
       }
     }
@@ -105,8 +105,8 @@
    * rented for it, except where there is none at all, and for a gang, of which no task alone tells.
    */
   private int wanted(Job job) {
-    boolean onWhatThereIs = job.suspected() && !job.spec().gang() && !workers.hosts().isEmpty();
-    return onWhatThereIs ? 0 : job.wanted(clock.now());
+    boolean onWhatThereIs = job.isSuspected() && !job.spec().gang() && !workers.hosts().isEmpty();
+    return onWhatThereIs ? 0 : job.wantedTasks(clock.now());
   }
 
   /** CPUs of all that waits for room. */
@@ -120,7 +120,7 @@
   }
 
   boolean ready() {
-    return ledger.armed();
+    return ledger.canLaunch();
   }
 
   FleetProblem problem(OperatorSettings operatorSettings) {
@@ -143,7 +143,7 @@
   private double laneCpus(List<Submission> soon) {
     double[] sizes =
         java.util.stream.Stream.concat(
-                ledger.jobs().stream().filter(j -> !j.over()).map(Job::spec), soon.stream())
+                ledger.jobs().stream().filter(j -> !j.isOver()).map(Job::spec), soon.stream())
             .filter(s -> !s.service())
             .mapToDouble(Submission::cpus)
             .sorted()
@@ -166,7 +166,7 @@
         up.add(host);
         // Arrays that overflowed onto steady machines must not keep those for ever: such a machine
         // may be planned away, gets no new work then, and is returned once it is idle.
-        if (spot ? !host.idle() : host.serviceCpus() > 0) {
+        if (spot ? !host.isIdle() : host.serviceCpus() > 0) {
           busy++;
         }
       } else {
@@ -261,7 +261,7 @@
     for (Job job : ledger.jobs()) {
       int count = wanted(job);
       if (count > 0) {
-        double age = (clock.wall() - job.acceptedWall()) / 1000.0;
+        double age = (clock.wall() - job.acceptedWallMs()) / 1000.0;
         pending.add(new DryRunEntries.PendingTasks(job.spec(), count, slack(job.spec()) - age, 0));
       }
     }
@@ -289,8 +289,9 @@
     double floor = slots.stream().mapToDouble(s -> s.least() * s.price()).sum();
     double demand = 0;
     for (Job job : ledger.jobs()) {
-      if (!job.over()) {
-        demand += cheapest(slots, job.spec()) * job.spec().cpus() * (wanted(job) + job.held());
+      if (!job.isOver()) {
+        demand +=
+            cheapest(slots, job.spec()) * job.spec().cpus() * (wanted(job) + job.heldAttempts());
       }
     }
     for (Submission s : soon) {
--- a/src/main/java/dapplestair/planning/ZoneDemand.java
+++ b/src/main/java/dapplestair/planning/ZoneDemand.java
@@ -56,7 +56,7 @@
           host.type(),
           host.spot(),
           host.cpusFree(),
-          host.memoryFree(),
+          host.memoryFreeGb(),
           host.gpusFree());
     }
 
@@ -134,10 +134,10 @@
 
   /** Tasks that may start nowhere but in one zone and that the team's limit allows now. */
   private int waitingInOneZone(Job job) {
-    if (job.over() || job.spec().zone() == null) {
+    if (job.isOver() || job.spec().zone() == null) {
       return 0;
     }
-    return Math.min(job.wanted(clock.now()), ledger.teamRoom(job.spec(), false));
+    return Math.min(job.wantedTasks(clock.now()), ledger.maxAdditionalTeamTasks(job.spec(), false));
   }
 
   private List<FreeCapacity> rooms() {
