--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -77,14 +77,14 @@
             .put("term", leadership.term())
             .put("jobs", ledger.jobs().size())
             .put("attempts", ledger.attemptCount())
-            .put("jobs_suspected", faultAttribution.suspects());
+            .put("jobs_suspected", faultAttribution.countSuspectedJobs());
     Map<String, Integer> states = new TreeMap<>();
     workers.hosts().forEach(h -> states.merge(machines.state(h), 1, Integer::sum));
     ObjectNode m = object.putObject("machines");
     states.forEach(m::put);
-    if (lanes.any()) {
+    if (lanes.hasLanes()) {
       ObjectNode claims = object.putObject("lane_claims");
-      lanes.claims().forEach(claims::put);
+      lanes.openClaimCounts().forEach(claims::put);
     }
     if (!calendars.statuses().isEmpty()) {
       ArrayNode list = object.putArray("calendars");
--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -69,27 +69,29 @@
     String ref = job.spec().ref();
     int[] counts = ledger.counts(job);
     ObjectNode object = nothing(ref, JobViews.status(counts));
-    object.put("waiting_tasks", explanation.waiting());
+    object.put("waiting_tasks", explanation.waitingTasks());
     DisruptionRefusal refusal = disruptionGate.refused(job);
     if (refusal != null) {
       object.put("not_moved", refusal.words());
     }
-    FaultAttribution.JobFailureStatus standing = faultAttribution.standing(job);
+    FaultAttribution.JobFailureStatus standing = faultAttribution.failureStatus(job);
     if (standing != null) {
       object
           .putObject("failing")
           .put("failures", standing.failures())
           .put("machines", standing.machines())
           .put("one_at_a_time", standing.suspected())
-          .put("next_s", standing.nextS());
+          .put("next_s", standing.nextAttemptS());
     }
-    if (explanation.waiting() == 0) {
+    if (explanation.waitingTasks() == 0) {
       return object;
     }
     PendingCapacity pendingCapacity = fleet.prospects(job.spec());
     ArrayNode reasons = object.putArray("reasons");
-    explanation.job().forEach((v, n) -> add(reasons, v, "tasks", n, job, explanation));
-    explanation.machines().forEach((v, n) -> add(reasons, v, "machines", n, job, explanation));
+    explanation.jobVerdicts().forEach((v, n) -> add(reasons, v, "tasks", n, job, explanation));
+    explanation
+        .machineVerdicts()
+        .forEach((v, n) -> add(reasons, v, "machines", n, job, explanation));
     if (pendingCapacity.booting() > 0) {
       reasons
           .addObject()
@@ -130,14 +132,17 @@
       Job job,
       PlacementExplanation explanation) {
     ObjectNode object =
-        to.addObject().put("reason", verdict.shown()).put(of, count).put("words", verdict.words());
+        to.addObject()
+            .put("reason", verdict.code())
+            .put(of, count)
+            .put("words", verdict.description());
     Settings.Team team = settings.teams().get(job.spec().team());
     if (verdict == PlacementVerdict.TEAM_LIMIT && team != null) {
       object.put("limit_cpus", team.cpusMax()).put("use_cpus", ledger.teamCpus(team.name()));
     } else if (verdict == PlacementVerdict.BACKED_OFF) {
       object.put("in_s", explanation.heldBackS());
-    } else if (verdict == PlacementVerdict.GANG && explanation.gangRoom() >= 0) {
-      object.put("room_for", explanation.gangRoom());
+    } else if (verdict == PlacementVerdict.GANG && explanation.gangCapacity() >= 0) {
+      object.put("room_for", explanation.gangCapacity());
     } else if (verdict == PlacementVerdict.FULL && explanation.freeInS() >= 0) {
       object.put("in_s", explanation.freeInS());
     }
@@ -146,8 +151,8 @@
   /** The earliest of what is on its way, but not before the job may start at all; -1: unknown. */
   private double expected(PlacementExplanation explanation, PendingCapacity pendingCapacity) {
     double first = Double.POSITIVE_INFINITY;
-    if (explanation.machines().containsKey(PlacementVerdict.FITS)
-        || explanation.job().containsKey(PlacementVerdict.ROOM_ON_ITS_WAY)) {
+    if (explanation.machineVerdicts().containsKey(PlacementVerdict.FITS)
+        || explanation.jobVerdicts().containsKey(PlacementVerdict.ROOM_ON_ITS_WAY)) {
       first = 0;
     }
     if (explanation.freeInS() >= 0) {
@@ -159,7 +164,7 @@
     for (PendingCapacity.CapacityRefusal refusal : pendingCapacity.refusals()) {
       first = Math.min(first, refusal.againS());
     }
-    boolean limited = explanation.job().containsKey(PlacementVerdict.TEAM_LIMIT);
+    boolean limited = explanation.jobVerdicts().containsKey(PlacementVerdict.TEAM_LIMIT);
     if (limited && explanation.freeInS() < 0 || Double.isInfinite(first)) {
       return -1;
     }
--- a/src/main/java/dapplestair/blame/FaultAttribution.java
+++ b/src/main/java/dapplestair/blame/FaultAttribution.java
@@ -23,18 +23,18 @@
 public final class FaultAttribution implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
-  private static final int MOST_PAUSE = 20;
+  private static final int MAX_PAUSE_REPORTS = 20;
 
   /** Told of machines that are judged. */
   public interface Listener {
     /** It fails what others complete. */
-    void faulty(Host host);
+    void onFaultyMachine(Host host);
 
     /** The job fails wherever it runs, and is tried again after this pause. */
-    void wrong(Job job, int failures, int machines, long pauseMs);
+    void onSuspectedJob(Job job, int failures, int machines, long pauseMs);
 
     /** A job that failed everywhere works after all. */
-    void works(Job job);
+    void onJobCleared(Job job);
   }
 
   private final Clock clock;
@@ -44,9 +44,9 @@
   private final Listener listener;
   private final long reportMs;
   private final FailureRecords records;
-  private final Set<String> due = new LinkedHashSet<>();
-  private Cancellable timer = () -> {};
-  private Cancellable judging = () -> {};
+  private final Set<String> refsToEvaluate = new LinkedHashSet<>();
+  private Cancellable reviewTimer = () -> {};
+  private Cancellable evaluationTimer = () -> {};
 
   /** No evidence yet. */
   public FaultAttribution(
@@ -67,27 +67,29 @@
 
   /** Begins to look whether probes live on. */
   public void lead() {
-    tick();
+    reviewProbes();
   }
 
   /** Forgets all evidence; which jobs are suspected is on record. */
   public void clear() {
-    timer.cancel();
-    judging.cancel();
+    reviewTimer.cancel();
+    evaluationTimer.cancel();
     records.clear();
-    due.clear();
+    refsToEvaluate.clear();
   }
 
   /** How a job stands that has failed, or null. */
-  public JobFailureStatus standing(Job job) {
-    JobFailures jobFailures = records.of(job.spec().ref());
+  public JobFailureStatus failureStatus(Job job) {
+    JobFailures jobFailures = records.failuresOf(job.spec().ref());
     if (jobFailures == null && !job.suspected()) {
       return null;
     }
-    double next = job.suspected() ? Math.max(0, job.heldBackUntil() - clock.now()) / 1000.0 : 0;
+    double nextAttemptS =
+        job.suspected() ? Math.max(0, job.heldBackUntil() - clock.now()) / 1000.0 : 0;
     return jobFailures == null
-        ? new JobFailureStatus(0, 0, job.suspected(), next)
-        : new JobFailureStatus(jobFailures.failures, jobFailures.machines, job.suspected(), next);
+        ? new JobFailureStatus(0, 0, job.suspected(), nextAttemptS)
+        : new JobFailureStatus(
+            jobFailures.failureCount, jobFailures.machineCount, job.suspected(), nextAttemptS);
   }
 
   /**
@@ -96,36 +98,38 @@
    * @param failures of its tasks, since this controller leads
    * @param machines on which they failed
    * @param suspected true when it is tried by one task at a time
-   * @param nextS seconds until it is tried again
+   * @param nextAttemptS seconds until it is tried again
    */
-  public record JobFailureStatus(int failures, int machines, boolean suspected, double nextS) {}
+  public record JobFailureStatus(
+      int failures, int machines, boolean suspected, double nextAttemptS) {}
 
   /** Jobs that are tried by one task at a time. */
-  public int suspects() {
+  public int countSuspectedJobs() {
     return (int) ledger.jobs().stream().filter(j -> j.suspected() && !j.over()).count();
   }
 
   // ---- evidence ----
 
   /** A task failed by itself. */
-  public void failed(Attempt attempt, Host host) {
+  public void recordFailure(Attempt attempt, Host host) {
     Job job = attempt.job();
     if (job.over()) {
       return;
     }
-    JobFailures jobFailures = records.failed(attempt, host);
-    ledger.failedStep(attempt, reportMs, MOST_PAUSE * reportMs);
+    JobFailures jobFailures = records.recordFailure(attempt, host);
+    ledger.failedStep(attempt, reportMs, MAX_PAUSE_REPORTS * reportMs);
     if (job.suspected()) {
       // A probe, or what still ran when the verdict was given.
-      pause(job, jobFailures);
+      pauseJob(job, jobFailures);
       return;
     }
-    if (due.isEmpty()) {
-      judging = timers.after(reportMs / 60, this::judge);
+    if (refsToEvaluate.isEmpty()) {
+      evaluationTimer = timers.after(reportMs / 60, this::evaluateJobs);
     }
-    boolean first = due.add(job.spec().ref());
-    long works = job.doneCount() + job.worked() + records.working(job, jobFailures, null);
-    if (first && works == 0) {
+    boolean newlyDue = refsToEvaluate.add(job.spec().ref());
+    long workingTasks =
+        job.doneCount() + job.worked() + records.countWorking(job, jobFailures, null);
+    if (newlyDue && workingTasks == 0) {
       // Failures come in crowds: what is lost starts again after the verdict, not before. Until one
       // of its tasks is known to work that is when no more fail.
       ledger.holdBack(job, reportMs / 2);
@@ -133,58 +137,59 @@
   }
 
   /** A task completed. */
-  public void completed(Attempt attempt, Host host) {
+  public void recordCompletion(Attempt attempt, Host host) {
     Job job = attempt.job();
-    records.completed(attempt, host);
+    records.recordCompletion(attempt, host);
     if (job.suspected()) {
-      works(job);
+      clearSuspicion(job);
       return;
     }
-    JobFailures jobFailures = records.of(job.spec().ref());
+    JobFailures jobFailures = records.failuresOf(job.spec().ref());
     if (jobFailures != null) {
       ledger.goOn(job);
       // Now it is known to be good, so what failed it may be judged.
-      judgeMachines(jobFailures);
+      evaluateMachines(jobFailures);
     }
   }
 
   /** A job is over: nothing is held against it any more. */
-  public void over(String ref) {
-    due.remove(ref);
-    records.over(ref);
+  public void closeJob(String ref) {
+    refsToEvaluate.remove(ref);
+    records.closeJob(ref);
   }
 
   // ---- verdicts ----
 
-  private void judge() {
-    List<String> refs = List.copyOf(due);
-    due.clear();
+  private void evaluateJobs() {
+    List<String> refs = List.copyOf(refsToEvaluate);
+    refsToEvaluate.clear();
     for (String ref : refs) {
-      JobFailures jobFailures = records.of(ref);
+      JobFailures jobFailures = records.failuresOf(ref);
       Job job = ledger.job(ref);
       if (jobFailures != null && job != null && !job.over() && !job.suspected()) {
-        if (jobFailures.failedOn.size() >= 2
-            && FailureLogOdds.sure(records.jobOdds(job, jobFailures))) {
+        if (jobFailures.failuresByHost.size() >= 2
+            && FailureLogOdds.isSure(records.jobLogOdds(job, jobFailures))) {
           suspect(job, jobFailures);
         } else {
-          judgeMachines(jobFailures);
+          evaluateMachines(jobFailures);
         }
       }
     }
   }
 
-  private void judgeMachines(JobFailures jobFailures) {
-    List.copyOf(jobFailures.failedOn.keySet()).forEach(this::judgeMachine);
+  private void evaluateMachines(JobFailures jobFailures) {
+    List.copyOf(jobFailures.failuresByHost.keySet()).forEach(this::evaluateMachine);
   }
 
-  private void judgeMachine(String id) {
-    Host host = workers.known(id);
-    if (host != null && !host.draining() && FailureLogOdds.sure(records.machineOdds(id))) {
-      LOG.info("{} fails what others complete: it is emptied", id);
+  private void evaluateMachine(String hostId) {
+    Host host = workers.known(hostId);
+    if (host != null && !host.draining() && FailureLogOdds.isSure(records.machineLogOdds(hostId))) {
+      LOG.info("{} fails what others complete: it is emptied", hostId);
       host.setDraining(true);
       // What a faulty machine explains is held against no job, and no step waits for it.
-      records.explainedBy(id, (job, steps) -> steps.forEach(step -> ledger.forgive(job, step)));
-      listener.faulty(host);
+      records.discountFailuresOn(
+          hostId, (job, steps) -> steps.forEach(step -> ledger.forgive(job, step)));
+      listener.onFaultyMachine(host);
     }
   }
 
@@ -192,50 +197,50 @@
     LOG.info(
         "{} fails wherever it runs, {} times on {} machines: one task at a time from now on",
         job.spec().ref(),
-        jobFailures.failures,
-        jobFailures.failedOn.size());
-    pause(job, jobFailures);
+        jobFailures.failureCount,
+        jobFailures.failuresByHost.size());
+    pauseJob(job, jobFailures);
     // Its failures are explained, and say nothing of the machines for as long as that holds.
     records.verdictChanged(jobFailures);
   }
 
-  private void pause(Job job, JobFailures jobFailures) {
+  private void pauseJob(Job job, JobFailures jobFailures) {
     if (job.suspected() && job.held() > 1) {
       // Others of the same wave, or of the same gang, still run: one pause for all of them.
       return;
     }
-    long pause = reportMs * Math.min(MOST_PAUSE, 1L << Math.min(10, job.probesFailed()));
-    ledger.suspect(job, pause);
-    listener.wrong(job, jobFailures.failures, jobFailures.machines, pause);
+    long pauseMs = reportMs * Math.min(MAX_PAUSE_REPORTS, 1L << Math.min(10, job.probesFailed()));
+    ledger.suspect(job, pauseMs);
+    listener.onSuspectedJob(job, jobFailures.failureCount, jobFailures.machineCount, pauseMs);
   }
 
-  private void works(Job job) {
+  private void clearSuspicion(Job job) {
     LOG.info("{} works after all", job.spec().ref());
     ledger.trust(job);
-    JobFailures jobFailures = records.of(job.spec().ref());
+    JobFailures jobFailures = records.failuresOf(job.spec().ref());
     if (jobFailures != null) {
       // What its being wrong explained is held against the machines again.
       records.verdictChanged(jobFailures);
-      judgeMachines(jobFailures);
+      evaluateMachines(jobFailures);
     }
-    listener.works(job);
+    listener.onJobCleared(job);
   }
 
-  private void tick() {
+  private void reviewProbes() {
     for (Job job : List.copyOf(ledger.jobs())) {
       if (job.suspected() && !job.over() && job.held() > 0) {
-        if (records.working(job, records.of(job.spec().ref()), null) > 0) {
-          works(job);
+        if (records.countWorking(job, records.failuresOf(job.spec().ref()), null) > 0) {
+          clearSuspicion(job);
         }
       }
     }
-    records.forgetGone();
-    timer = timers.after(reportMs, this::tick);
+    records.forgetGoneMachines();
+    reviewTimer = timers.after(reportMs, this::reviewProbes);
   }
 
   @Override
   public void close() {
-    timer.cancel();
-    judging.cancel();
+    reviewTimer.cancel();
+    evaluationTimer.cancel();
   }
 }
--- a/src/main/java/dapplestair/blame/JobFailures.java
+++ b/src/main/java/dapplestair/blame/JobFailures.java
@@ -5,34 +5,34 @@
 /** What is known of one job whose tasks have failed. */
 final class JobFailures {
   // More machines say nothing new of the job.
-  private static final int MOST_MACHINES = 64;
+  private static final int MAX_MACHINES = 64;
 
   /** Failures by machine, of those not yet explained. */
-  final Object2IntOpenHashMap<String> failedOn = new Object2IntOpenHashMap<>();
+  final Object2IntOpenHashMap<String> failuresByHost = new Object2IntOpenHashMap<>();
 
   /** All failures since this controller leads, and the machines of the last verdict. */
-  int failures;
+  int failureCount;
 
-  int machines;
+  int machineCount;
 
   /** Of those that failed, the longest run, seconds. */
-  double longestS;
+  double longestRunS;
 
-  void failed(String host, double ranS) {
-    failures++;
-    longestS = Math.max(longestS, ranS);
-    if (failedOn.containsKey(host) || failedOn.size() < MOST_MACHINES) {
-      failedOn.addTo(host, 1);
+  void recordFailure(String hostId, double ranS) {
+    failureCount++;
+    longestRunS = Math.max(longestRunS, ranS);
+    if (failuresByHost.containsKey(hostId) || failuresByHost.size() < MAX_MACHINES) {
+      failuresByHost.addTo(hostId, 1);
     }
-    machines = Math.max(machines, failedOn.size());
+    machineCount = Math.max(machineCount, failuresByHost.size());
   }
 
   /** Failures on other machines than this one. */
-  int elsewhere(String host) {
-    int sum = 0;
-    for (int count : failedOn.values()) {
-      sum += count;
+  int failuresElsewhere(String hostId) {
+    int total = 0;
+    for (int count : failuresByHost.values()) {
+      total += count;
     }
-    return sum - failedOn.getInt(host);
+    return total - failuresByHost.getInt(hostId);
   }
 }
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -143,7 +143,7 @@
   /** The recorded types have this value. */
   public void typesKey(JsonNode value, long stamp) {
     typesStamp = stamp;
-    if (value != null && !types.known()) {
+    if (value != null && !types.isLoaded()) {
       types.read(value);
     }
   }
@@ -182,7 +182,7 @@
   }
 
   private void tick() {
-    long every = types.known() ? 5 * settings.workers().reportMs() : 500;
+    long every = types.isLoaded() ? 5 * settings.workers().reportMs() : 500;
     if (clock.now() - typesAt > every && !typing) {
       askTypes();
     }
@@ -202,7 +202,7 @@
           if (!leading || !reply.ok()) {
             return;
           }
-          boolean knewNone = !types.known() || typesStamp == 0;
+          boolean knewNone = !types.isLoaded() || typesStamp == 0;
           if (types.read(Json.parse(reply.body()))) {
             spotHistory.notePrices(types.all());
             if (knewNone) {
--- a/src/main/java/dapplestair/lane/Claim.java
+++ b/src/main/java/dapplestair/lane/Claim.java
@@ -15,29 +15,29 @@
 record Claim(String ref, String host, int tasks, List<String> victims) {
   private static final int SEPARATOR = '#';
 
-  static String victim(String key, long number) {
-    return key + (char) SEPARATOR + number;
+  static String formatVictim(String taskKey, long attemptNumber) {
+    return taskKey + (char) SEPARATOR + attemptNumber;
   }
 
-  static String key(String victim) {
+  static String victimTaskKey(String victim) {
     return victim.substring(0, victim.lastIndexOf(SEPARATOR));
   }
 
-  static long number(String victim) {
+  static long victimAttemptNumber(String victim) {
     return Long.parseLong(victim.substring(victim.lastIndexOf(SEPARATOR) + 1));
   }
 
   ObjectNode toJson() {
     ObjectNode object = Json.object().put("ref", ref).put("host", host).put("tasks", tasks);
-    ArrayNode list = object.putArray("victims");
-    victims.forEach(list::add);
+    ArrayNode victimsArray = object.putArray("victims");
+    victims.forEach(victimsArray::add);
     return object;
   }
 
-  static Claim parse(JsonNode in) {
+  static Claim parse(JsonNode json) {
     List<String> victims = new ArrayList<>();
-    in.path("victims").forEach(v -> victims.add(v.asText()));
+    json.path("victims").forEach(v -> victims.add(v.asText()));
     return new Claim(
-        in.path("ref").asText(), in.path("host").asText(), in.path("tasks").asInt(), victims);
+        json.path("ref").asText(), json.path("host").asText(), json.path("tasks").asInt(), victims);
   }
 }
--- a/src/main/java/dapplestair/lane/ClaimWriter.java
+++ b/src/main/java/dapplestair/lane/ClaimWriter.java
@@ -25,13 +25,13 @@
   /** Whose claims are written. */
   interface Source {
     /** True while this lane's claims are to be kept on record. */
-    boolean has(String lane);
+    boolean keepsRecordOf(String lane);
 
     /** The open claims of a lane, as they are now. */
-    List<OpenClaim> open(String lane);
+    List<OpenClaim> openClaims(String lane);
 
     /** These claims of a lane are on record. */
-    void written(String lane, List<OpenClaim> claims);
+    void onWritten(String lane, List<OpenClaim> claims);
   }
 
   private final TermTimers timers;
@@ -43,10 +43,10 @@
   private final Source source;
 
   // By lane; true when it has changed since its write that is under way.
-  private final Map<String, Boolean> writing = new HashMap<>();
+  private final Map<String, Boolean> changedDuringWrite = new HashMap<>();
 
   // Of the last put that was answered: a copy of an earlier one, come late, is refused.
-  private final Map<String, Long> stamps = new HashMap<>();
+  private final Map<String, Long> stampByLane = new HashMap<>();
   private int generation;
 
   ClaimWriter(
@@ -75,51 +75,52 @@
   void clear() {
     writer.reset();
     generation++;
-    writing.clear();
-    stamps.clear();
+    changedDuringWrite.clear();
+    stampByLane.clear();
   }
 
   /** Puts a lane's claims on record. */
   void write(String lane, Priority priority) {
-    if (writing.putIfAbsent(lane, false) != null) {
+    if (changedDuringWrite.putIfAbsent(lane, false) != null) {
       // After the one under way, once for all that changes until then.
-      writing.put(lane, true);
+      changedDuringWrite.put(lane, true);
       return;
     }
-    List<OpenClaim> claims = source.open(lane);
-    writer.commit(transaction(lane, claims), priority, outcome -> written(lane, claims, outcome));
+    List<OpenClaim> claims = source.openClaims(lane);
+    writer.commit(
+        transaction(lane, claims), priority, outcome -> handleOutcome(lane, claims, outcome));
   }
 
   private Txn transaction(String lane, List<OpenClaim> claims) {
     String key = StateKeys.LANE + lane;
-    long stamp = stamps.computeIfAbsent(lane, l -> replica.stamp(key));
+    long stamp = stampByLane.computeIfAbsent(lane, l -> replica.stamp(key));
     Txn txn = writer.transaction().when(key, stamp);
     return claims.isEmpty() ? txn.remove(key) : txn.put(key, toJson(claims));
   }
 
-  private static ObjectNode toJson(List<OpenClaim> open) {
+  private static ObjectNode toJson(List<OpenClaim> openClaims) {
     ObjectNode record = Json.object();
     ArrayNode claims = record.putArray("claims");
-    open.forEach(o -> claims.add(o.claim().toJson()));
+    openClaims.forEach(o -> claims.add(o.claim().toJson()));
     return record;
   }
 
-  private void written(String lane, List<OpenClaim> claims, TxnOutcome outcome) {
+  private void handleOutcome(String lane, List<OpenClaim> claims, TxnOutcome outcome) {
     if (leadership.deposedBy(outcome)) {
       return;
     }
     if (outcome instanceof TxnOutcome.Applied applied) {
-      onRecord(lane, claims, claims.isEmpty() ? 0 : applied.stamp());
+      markRecorded(lane, claims, claims.isEmpty() ? 0 : applied.stamp());
     } else {
       readBack(lane, claims);
     }
   }
 
-  private void onRecord(String lane, List<OpenClaim> claims, long stamp) {
-    boolean changed = Boolean.TRUE.equals(writing.remove(lane));
-    stamps.put(lane, stamp);
+  private void markRecorded(String lane, List<OpenClaim> claims, long stamp) {
+    boolean changed = Boolean.TRUE.equals(changedDuringWrite.remove(lane));
+    stampByLane.put(lane, stamp);
     claims.forEach(OpenClaim::setRecorded);
-    source.written(lane, claims);
+    source.onWritten(lane, claims);
     if (changed) {
       rewriteAfter(lane, 0);
     }
@@ -131,22 +132,22 @@
    * by what the replica holds is refused meanwhile.
    */
   private void readBack(String lane, List<OpenClaim> claims) {
-    int readIn = generation;
+    int readGeneration = generation;
     state.get(
         StateKeys.LANE + lane,
         read -> {
-          if (readIn != generation) {
+          if (readGeneration != generation) {
             return;
           }
           if (read.known() && !claims.isEmpty() && isRecord(claims, read.value())) {
-            onRecord(lane, claims, read.stamp());
+            markRecorded(lane, claims, read.stamp());
             return;
           }
-          writing.remove(lane);
+          changedDuringWrite.remove(lane);
           if (read.known()) {
-            stamps.put(lane, read.stamp());
+            stampByLane.put(lane, read.stamp());
           } else {
-            stamps.remove(lane);
+            stampByLane.remove(lane);
           }
           rewriteAfter(lane, settings.workers().reportMs() / RETRIES_PER_REPORT);
         });
@@ -157,11 +158,11 @@
     return value != null && toJson(claims).toString().equals(value.toString());
   }
 
-  private void rewriteAfter(String lane, long ms) {
+  private void rewriteAfter(String lane, long delayMs) {
     timers.after(
-        ms,
+        delayMs,
         () -> {
-          if (leadership.leading() && source.has(lane)) {
+          if (leadership.leading() && source.keepsRecordOf(lane)) {
             write(lane, Priority.REPLICA);
           }
         });
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -50,15 +50,15 @@
   private final ClaimWriter writer;
 
   // What the records say, for whoever leads next.
-  private final Map<String, JsonNode> records = new HashMap<>();
+  private final Map<String, JsonNode> recordByLane = new HashMap<>();
 
   // By lane, while leading.
-  private final Map<String, List<OpenClaim>> open = new TreeMap<>();
-  private final Set<Host> claimed = new LinkedHashSet<>();
-  private final ReserveCapacity reserve = new ReserveCapacity();
-  private Runnable changed = () -> {};
+  private final Map<String, List<OpenClaim>> openClaimsByLane = new TreeMap<>();
+  private final Set<Host> claimedHosts = new LinkedHashSet<>();
+  private final ReserveCapacity reserveCapacity = new ReserveCapacity();
+  private Runnable roomListener = () -> {};
   private Cancellable timer = () -> {};
-  private long stops;
+  private long stopCount;
 
   /** The lanes of the operators' file; without any, nothing here costs anything. */
   public Lanes(
@@ -79,34 +79,34 @@
     this.workers = workers;
     this.disruptionGate = disruptionGate;
     this.victimSelector = new VictimSelector(ledger, workers, disruptionGate);
-    this.writer = new ClaimWriter(timers, settings, state, replica, leadership, new Claims());
+    this.writer = new ClaimWriter(timers, settings, state, replica, leadership, new ClaimSource());
     lanes.forEach(l -> this.lanes.put(l.name(), l));
   }
 
-  /** {@code change} hears of room that comes; {@code sheltered} attempts go last. */
-  public void wire(Runnable change, Predicate<Attempt> sheltered) {
-    changed = change;
-    victimSelector.shelter(sheltered);
+  /** {@code listener} hears of room that comes; {@code isProtected} attempts go last. */
+  public void setCallbacks(Runnable listener, Predicate<Attempt> isProtected) {
+    roomListener = listener;
+    victimSelector.setProtection(isProtected);
   }
 
   // ---- what the replica says ----
 
   /** A lane's key has this value, or is gone. */
-  public void recorded(String key, JsonNode value) {
+  public void applyRecord(String key, JsonNode value) {
     String name = key.substring(StateKeys.LANE.length());
     if (value == null) {
-      records.remove(name);
+      recordByLane.remove(name);
     } else {
-      records.put(name, value);
+      recordByLane.put(name, value);
     }
   }
 
   /** Forgets all: the replica tells its records again. */
   public void clear() {
     timer.cancel();
-    records.clear();
-    open.clear();
-    claimed.clear();
+    recordByLane.clear();
+    openClaimsByLane.clear();
+    claimedHosts.clear();
     writer.clear();
   }
 
@@ -115,67 +115,70 @@
   /** Goes on with the claims on record; to be called before anything is placed. */
   public void lead() {
     writer.lead();
-    if (lanes.isEmpty() && records.isEmpty()) {
+    if (lanes.isEmpty() && recordByLane.isEmpty()) {
       return;
     }
-    records.forEach(
+    recordByLane.forEach(
         (name, value) -> {
-          List<OpenClaim> list = open.computeIfAbsent(name, n -> new ArrayList<>());
+          List<OpenClaim> list = openClaimsByLane.computeIfAbsent(name, n -> new ArrayList<>());
           value
               .path("claims")
               .forEach(c -> list.add(new OpenClaim(Claim.parse(c), clock.now(), true)));
         });
-    recount();
-    tick();
+    rebuildClaimedHosts();
+    reviewClaims();
   }
 
-  private void tick() {
-    for (String name : List.copyOf(open.keySet())) {
+  private void reviewClaims() {
+    for (String name : List.copyOf(openClaimsByLane.keySet())) {
       if (lanes.containsKey(name)) {
-        if (prune(name)) {
+        if (pruneClaims(name)) {
           writer.write(name, Priority.BOOKKEEPING);
         }
-        carryOn(name);
+        stopVictims(name);
       } else {
         // Removed from the settings meanwhile: its claims end with it.
-        open.get(name).clear();
-        recount();
+        openClaimsByLane.get(name).clear();
+        rebuildClaimedHosts();
         writer.write(name, Priority.BOOKKEEPING);
       }
     }
-    timer = timers.after(settings.workers().reportMs() / 12, this::tick);
+    timer = timers.after(settings.workers().reportMs() / 12, this::reviewClaims);
   }
 
   /** Drops what is not needed any more. */
-  private boolean prune(String name) {
+  private boolean pruneClaims(String name) {
     Lane lane = lanes.get(name);
-    Map<String, Integer> needed = new HashMap<>();
-    int before = open.get(name).size();
-    open.get(name)
+    Map<String, Integer> missingTasksByJob = new HashMap<>();
+    int sizeBefore = openClaimsByLane.get(name).size();
+    openClaimsByLane
+        .get(name)
         .removeIf(
-            o -> {
-              Job job = ledger.job(o.claim().ref());
-              Host host = workers.known(o.claim().host());
+            openClaim -> {
+              Job job = ledger.job(openClaim.claim().ref());
+              Host host = workers.known(openClaim.claim().host());
               if (job == null
                   || job.over()
                   || host == null
                   || host.closed() && host.acknowledged()) {
                 return true;
               }
-              if (o.recorded() && taken(o.claim(), job, host)) {
+              if (openClaim.isRecorded() && isRoomTaken(openClaim.claim(), job, host)) {
                 return true;
               }
-              int left = needed.computeIfAbsent(o.claim().ref(), r -> job.waiting());
-              needed.put(o.claim().ref(), left - o.claim().tasks());
-              boolean tooLong =
-                  clock.now() - o.since()
+              int missingTasks =
+                  missingTasksByJob.computeIfAbsent(openClaim.claim().ref(), r -> job.waiting());
+              missingTasksByJob.put(
+                  openClaim.claim().ref(), missingTasks - openClaim.claim().tasks());
+              boolean expired =
+                  clock.now() - openClaim.sinceMs()
                       > 2 * (lane.beginWithinMs() + settings.workers().leaseMs());
-              return left <= 0 || tooLong;
+              return missingTasks <= 0 || expired;
             });
-    boolean dropped = open.get(name).size() < before;
+    boolean dropped = openClaimsByLane.get(name).size() < sizeBefore;
     if (dropped) {
-      recount();
-      changed.run();
+      rebuildClaimedHosts();
+      roomListener.run();
     }
     return dropped;
   }
@@ -184,24 +187,26 @@
    * True when all who had to go are gone, and another rider that was accepted later has their room:
    * as long as this claim stood, no other room would be claimed instead.
    */
-  private static boolean taken(Claim claim, Job job, Host host) {
+  private static boolean isRoomTaken(Claim claim, Job job, Host host) {
     return !host.fits(job.spec())
         && claim.victims().stream()
-            .map(victim -> host.attempt(Claim.key(victim)))
+            .map(victim -> host.attempt(Claim.victimTaskKey(victim)))
             .allMatch(Objects::isNull);
   }
 
   /** Stops whoever has to go for claims on record, and at once whoever saves for too long. */
-  private void carryOn(String name) {
+  private void stopVictims(String name) {
     Lane lane = lanes.get(name);
-    for (OpenClaim openClaim : open.getOrDefault(name, List.of())) {
-      Host host = openClaim.recorded() ? workers.known(openClaim.claim().host()) : null;
+    for (OpenClaim openClaim : openClaimsByLane.getOrDefault(name, List.of())) {
+      Host host = openClaim.isRecorded() ? workers.known(openClaim.claim().host()) : null;
       if (host == null) {
         continue;
       }
       for (String victim : openClaim.claim().victims()) {
-        Attempt attempt = host.attempt(Claim.key(victim));
-        if (attempt != null && attempt.number() == Claim.number(victim) && !attempt.exited()) {
+        Attempt attempt = host.attempt(Claim.victimTaskKey(victim));
+        if (attempt != null
+            && attempt.number() == Claim.victimAttemptNumber(victim)
+            && !attempt.exited()) {
           stop(lane, attempt);
         }
       }
@@ -210,7 +215,7 @@
 
   private void stop(Lane lane, Attempt attempt) {
     if (!attempt.halting()) {
-      stops++;
+      stopCount++;
       disruptionGate.ride(attempt, lane.windDownS(attempt.spec()));
     } else if (attempt.windDownS() > 0 && clock.now() - attempt.haltAt() > lane.beginWithinMs()) {
       disruptionGate.ride(attempt, 0);
@@ -220,16 +225,16 @@
   // ---- asked by placement ----
 
   /** True when any lane is set. */
-  public boolean any() {
+  public boolean hasLanes() {
     return !lanes.isEmpty();
   }
 
   /** True for a job that rides. */
-  public boolean rides(Submission submission) {
-    return lane(submission) != null;
+  public boolean isRider(Submission submission) {
+    return findLane(submission) != null;
   }
 
-  private Lane lane(Submission submission) {
+  private Lane findLane(Submission submission) {
     for (Lane lane : lanes.values()) {
       if (lane.rides(submission)) {
         return lane;
@@ -239,21 +244,21 @@
   }
 
   /** True when this machine is claimed by riders, and this job is none. */
-  public boolean keptFrom(Submission submission, Host host) {
-    return !claimed.isEmpty() && claimed.contains(host) && !rides(submission);
+  public boolean isKeptForRiders(Submission submission, Host host) {
+    return !claimedHosts.isEmpty() && claimedHosts.contains(host) && !isRider(submission);
   }
 
-  /** A turn of placing begins: {@code free} machines may be used. */
-  public void begin(List<Host> free) {
-    if (any()) {
-      reserve.begin(free);
+  /** A turn of placing begins: {@code usableHosts} machines may be used. */
+  public void beginTurn(List<Host> usableHosts) {
+    if (hasLanes()) {
+      reserveCapacity.beginTurn(usableHosts);
     }
   }
 
   /** So many CPUs more are free on a machine. */
-  public void add(Host host, double cpus) {
-    if (any()) {
-      reserve.add(host, cpus);
+  public void addFreeCpus(Host host, double cpus) {
+    if (hasLanes()) {
+      reserveCapacity.addFreeCpus(host, cpus);
     }
   }
 
@@ -265,7 +270,7 @@
     for (Lane lane : lanes.values()) {
       if (lane.over(submission)
           && !lane.goneInTime(submission)
-          && !reserve.leaves(lane, submission, host)) {
+          && !reserveCapacity.leavesReserve(lane, submission, host)) {
         return false;
       }
     }
@@ -273,59 +278,62 @@
   }
 
   /** Claims room for what still waits of these riders, in their order, with one put a lane. */
-  public void claim(List<Job> riders) {
-    Set<String> more = new TreeSet<>();
-    int most = settings.state().valueBytes() / BYTES_PER_CLAIM;
+  public void claimRoom(List<Job> riders) {
+    Set<String> changedLanes = new TreeSet<>();
+    int maxClaims = settings.state().valueBytes() / BYTES_PER_CLAIM;
     for (Job job : riders) {
-      Lane lane = lane(job.spec());
+      Lane lane = findLane(job.spec());
       if (lane == null || job.suspected()) {
         continue;
       }
-      List<OpenClaim> list = open.computeIfAbsent(lane.name(), n -> new ArrayList<>());
-      int claimedFor =
+      List<OpenClaim> list = openClaimsByLane.computeIfAbsent(lane.name(), n -> new ArrayList<>());
+      int claimedTasks =
           list.stream()
               .filter(o -> o.claim().ref().equals(job.spec().ref()))
               .mapToInt(o -> o.claim().tasks())
               .sum();
-      int wanted = Math.min(job.waiting() - claimedFor, ledger.teamRoom(job.spec(), false));
-      if (wanted <= 0 || list.size() >= most) {
+      int wantedTasks = Math.min(job.waiting() - claimedTasks, ledger.teamRoom(job.spec(), false));
+      if (wantedTasks <= 0 || list.size() >= maxClaims) {
         continue;
       }
-      for (Claim claim : victimSelector.claims(lane, job, wanted, h -> !claimed.contains(h))) {
-        if (list.size() < most) {
+      for (Claim claim :
+          victimSelector.selectClaims(lane, job, wantedTasks, h -> !claimedHosts.contains(h))) {
+        if (list.size() < maxClaims) {
           list.add(new OpenClaim(claim, clock.now(), false));
-          claimed.add(workers.host(claim.host()));
-          more.add(lane.name());
+          claimedHosts.add(workers.host(claim.host()));
+          changedLanes.add(lane.name());
         }
       }
     }
-    more.forEach(name -> writer.write(name, Priority.REPLICA));
+    changedLanes.forEach(name -> writer.write(name, Priority.REPLICA));
   }
 
-  private void recount() {
-    claimed.clear();
-    open.values().forEach(list -> list.forEach(o -> claimed.add(workers.host(o.claim().host()))));
+  private void rebuildClaimedHosts() {
+    claimedHosts.clear();
+    openClaimsByLane
+        .values()
+        .forEach(list -> list.forEach(o -> claimedHosts.add(workers.host(o.claim().host()))));
   }
 
   // ---- the record ----
 
-  private final class Claims implements ClaimWriter.Source {
+  private final class ClaimSource implements ClaimWriter.Source {
     @Override
-    public boolean has(String name) {
-      return open.containsKey(name);
+    public boolean keepsRecordOf(String name) {
+      return openClaimsByLane.containsKey(name);
     }
 
     @Override
-    public List<OpenClaim> open(String name) {
-      return List.copyOf(open.getOrDefault(name, List.of()));
+    public List<OpenClaim> openClaims(String name) {
+      return List.copyOf(openClaimsByLane.getOrDefault(name, List.of()));
     }
 
     @Override
-    public void written(String name, List<OpenClaim> claims) {
+    public void onWritten(String name, List<OpenClaim> claims) {
       if (lanes.containsKey(name)) {
-        carryOn(name);
+        stopVictims(name);
       } else if (claims.isEmpty()) {
-        open.remove(name);
+        openClaimsByLane.remove(name);
       }
     }
   }
@@ -333,15 +341,15 @@
   // ---- views ----
 
   /** OpenClaim claims by lane. */
-  public Map<String, Integer> claims() {
-    Map<String, Integer> out = new TreeMap<>();
-    lanes.keySet().forEach(n -> out.put(n, open.getOrDefault(n, List.of()).size()));
-    return out;
+  public Map<String, Integer> openClaimCounts() {
+    Map<String, Integer> counts = new TreeMap<>();
+    lanes.keySet().forEach(n -> counts.put(n, openClaimsByLane.getOrDefault(n, List.of()).size()));
+    return counts;
   }
 
   /** Tasks stopped for riders since this process began. */
-  public long stops() {
-    return stops;
+  public long stopCount() {
+    return stopCount;
   }
 
   @Override
--- a/src/main/java/dapplestair/lane/OpenClaim.java
+++ b/src/main/java/dapplestair/lane/OpenClaim.java
@@ -3,13 +3,13 @@
 /** A claim that has not been carried to its end. */
 final class OpenClaim {
   private final Claim claim;
-  private final long since;
-  private boolean recorded;
+  private final long sinceMs;
+  private boolean isRecorded;
 
-  OpenClaim(Claim claim, long since, boolean recorded) {
+  OpenClaim(Claim claim, long sinceMs, boolean recorded) {
     this.claim = claim;
-    this.since = since;
-    this.recorded = recorded;
+    this.sinceMs = sinceMs;
+    this.isRecorded = recorded;
   }
 
   Claim claim() {
@@ -17,16 +17,16 @@
   }
 
   /** When it was made, or taken over. */
-  long since() {
-    return since;
+  long sinceMs() {
+    return sinceMs;
   }
 
   /** True once it is known to be on record, so that others may be stopped for it. */
-  boolean recorded() {
-    return recorded;
+  boolean isRecorded() {
+    return isRecorded;
   }
 
   void setRecorded() {
-    recorded = true;
+    isRecorded = true;
   }
 }
--- a/src/main/java/dapplestair/lane/ReserveCapacity.java
+++ b/src/main/java/dapplestair/lane/ReserveCapacity.java
@@ -8,30 +8,32 @@
 
 /** CPUs free on steady machines in a turn of placing, by zone, of which a lane keeps its part. */
 final class ReserveCapacity {
-  private final Object2DoubleOpenHashMap<String> free = new Object2DoubleOpenHashMap<>();
+  private final Object2DoubleOpenHashMap<String> freeCpusByZone = new Object2DoubleOpenHashMap<>();
 
-  void begin(List<Host> usable) {
-    free.clear();
-    usable.forEach(h -> add(h, h.cpusFree()));
+  void beginTurn(List<Host> usableHosts) {
+    freeCpusByZone.clear();
+    usableHosts.forEach(h -> addFreeCpus(h, h.cpusFree()));
   }
 
-  void add(Host host, double cpus) {
+  void addFreeCpus(Host host, double cpus) {
     if (!host.spot()) {
-      free.addTo(host.zone(), cpus);
+      freeCpusByZone.addTo(host.zone(), cpus);
     }
   }
 
   /** True when the zone keeps its part, or the others hold it meanwhile. */
-  boolean leaves(Lane lane, Submission submission, Host host) {
+  boolean leavesReserve(Lane lane, Submission submission, Host host) {
     if (host.spot() || lane.reserveCpus() <= 0) {
       return true;
     }
-    double part = lane.reserveCpus() / Math.max(1, free.size());
-    double others = 0;
-    for (var e : free.object2DoubleEntrySet()) {
-      others += e.getKey().equals(host.zone()) ? 0 : Math.max(0, e.getDoubleValue());
+    double zoneShareCpus = lane.reserveCpus() / Math.max(1, freeCpusByZone.size());
+    double freeElsewhereCpus = 0;
+    for (var entry : freeCpusByZone.object2DoubleEntrySet()) {
+      freeElsewhereCpus +=
+          entry.getKey().equals(host.zone()) ? 0 : Math.max(0, entry.getDoubleValue());
     }
-    double here = free.getDouble(host.zone()) - submission.cpus();
-    return here >= part - 1e-9 && here + others >= lane.reserveCpus() - 1e-9;
+    double freeHereCpus = freeCpusByZone.getDouble(host.zone()) - submission.cpus();
+    return freeHereCpus >= zoneShareCpus - 1e-9
+        && freeHereCpus + freeElsewhereCpus >= lane.reserveCpus() - 1e-9;
   }
 }
--- a/src/main/java/dapplestair/lane/VictimSelector.java
+++ b/src/main/java/dapplestair/lane/VictimSelector.java
@@ -20,18 +20,18 @@
  */
 final class VictimSelector {
   // What has waited for long is left alone while anything else can go.
-  private static final double SHELTERED = 1e9;
+  private static final double PROTECTED_PENALTY_CPU_S = 1e9;
 
-  private record VictimCandidate(Host host, int tasks, List<Attempt> victims, double loss) {
-    double each() {
-      return loss / tasks;
+  private record VictimCandidate(Host host, int tasks, List<Attempt> victims, double lossCpuS) {
+    double lossPerTask() {
+      return lossCpuS / tasks;
     }
   }
 
   private final Ledger ledger;
   private final WorkerManager workers;
   private final DisruptionGate disruptionGate;
-  private Predicate<Attempt> sheltered = a -> false;
+  private Predicate<Attempt> isProtected = a -> false;
 
   VictimSelector(Ledger ledger, WorkerManager workers, DisruptionGate disruptionGate) {
     this.ledger = ledger;
@@ -39,61 +39,64 @@
     this.disruptionGate = disruptionGate;
   }
 
-  void shelter(Predicate<Attempt> attempts) {
-    sheltered = attempts;
+  void setProtection(Predicate<Attempt> protection) {
+    isProtected = protection;
   }
 
-  /** Claims for up to {@code wanted} tasks on machines that are not claimed yet. */
-  List<Claim> claims(Lane lane, Job rider, int wanted, Predicate<Host> unclaimed) {
-    List<VictimCandidate> offers = new ArrayList<>();
+  /** Claims for up to {@code wantedTasks} tasks on machines that are not claimed yet. */
+  List<Claim> selectClaims(Lane lane, Job rider, int wantedTasks, Predicate<Host> unclaimed) {
+    List<VictimCandidate> candidates = new ArrayList<>();
     for (Host host : workers.hosts()) {
       if (!host.closed()
           && workers.fresh(host)
           && host.allowed(rider.spec())
           && unclaimed.test(host)
           && ledger.zoneAllows(rider, host.zone())) {
-        VictimCandidate candidate = offer(lane, rider.spec(), host, wanted);
+        VictimCandidate candidate = findCandidate(lane, rider.spec(), host, wantedTasks);
         if (candidate != null) {
-          offers.add(candidate);
+          candidates.add(candidate);
         }
       }
     }
-    offers.sort(
-        Comparator.comparingDouble(VictimCandidate::each).thenComparing(o -> o.host().id()));
-    return take(lane, rider, wanted, offers);
+    candidates.sort(
+        Comparator.comparingDouble(VictimCandidate::lossPerTask).thenComparing(o -> o.host().id()));
+    return toClaims(lane, rider, wantedTasks, candidates);
   }
 
-  private List<Claim> take(Lane lane, Job rider, int wanted, List<VictimCandidate> offers) {
+  private List<Claim> toClaims(
+      Lane lane, Job rider, int wantedTasks, List<VictimCandidate> candidates) {
     Submission submission = rider.spec();
-    Map<String, Integer> perZone = new HashMap<>();
-    List<Claim> out = new ArrayList<>();
-    int left = wanted;
-    for (VictimCandidate candidate : offers) {
+    Map<String, Integer> tasksByZone = new HashMap<>();
+    List<Claim> claims = new ArrayList<>();
+    int remainingTasks = wantedTasks;
+    for (VictimCandidate candidate : candidates) {
       String zone = candidate.host().zone();
-      int allowed = submission.mostPerZone() - rider.inZone(zone) - perZone.getOrDefault(zone, 0);
-      int tasks = Math.min(Math.min(left, candidate.tasks()), allowed);
-      if (tasks > 0 && (!submission.together() || perZone.isEmpty() || perZone.containsKey(zone))) {
+      int allowedInZone =
+          submission.mostPerZone() - rider.inZone(zone) - tasksByZone.getOrDefault(zone, 0);
+      int tasks = Math.min(Math.min(remainingTasks, candidate.tasks()), allowedInZone);
+      if (tasks > 0
+          && (!submission.together() || tasksByZone.isEmpty() || tasksByZone.containsKey(zone))) {
         // Fewer than it has room for: then fewer have to go.
-        VictimCandidate exact =
+        VictimCandidate trimmed =
             tasks < candidate.tasks()
-                ? offer(lane, submission, candidate.host(), tasks)
+                ? findCandidate(lane, submission, candidate.host(), tasks)
                 : candidate;
         List<String> victims = new ArrayList<>();
-        exact.victims().forEach(a -> victims.add(Claim.victim(a.key(), a.number())));
-        out.add(new Claim(submission.ref(), candidate.host().id(), tasks, victims));
-        perZone.merge(zone, tasks, Integer::sum);
-        left -= tasks;
+        trimmed.victims().forEach(a -> victims.add(Claim.formatVictim(a.key(), a.number())));
+        claims.add(new Claim(submission.ref(), candidate.host().id(), tasks, victims));
+        tasksByZone.merge(zone, tasks, Integer::sum);
+        remainingTasks -= tasks;
       }
     }
-    return out;
+    return claims;
   }
 
-  /** The cheapest room for up to {@code most} tasks on this machine; null without any. */
-  private VictimCandidate offer(Lane lane, Submission submission, Host host, int most) {
+  /** The cheapest room for up to {@code maxTasks} tasks on this machine; null without any. */
+  private VictimCandidate findCandidate(Lane lane, Submission submission, Host host, int maxTasks) {
     double cpus = host.cpusFree();
     double memory = host.memoryFree();
     double gpus = host.gpusFree();
-    List<Attempt> may = new ArrayList<>();
+    List<Attempt> evictable = new ArrayList<>();
     for (Attempt attempt : host.attempts()) {
       if (!attempt.exited() && attempt.halting()) {
         // On its way there already.
@@ -101,34 +104,37 @@
         memory += attempt.spec().memoryGb();
         gpus += attempt.spec().gpus();
       } else if (!attempt.exited() && lane.over(attempt.spec())) {
-        may.add(attempt);
+        evictable.add(attempt);
       }
     }
-    may.sort(Comparator.comparingDouble(this::loss));
+    evictable.sort(Comparator.comparingDouble(this::lossCpuS));
     int tasks = submission.fitting(cpus, memory, gpus);
     List<Attempt> victims = new ArrayList<>();
-    double loss = 0;
-    List<Attempt> counted = new ArrayList<>();
-    for (Attempt attempt : may) {
-      if (tasks >= most) {
+    double lossCpuS = 0;
+    List<Attempt> addedSinceFit = new ArrayList<>();
+    for (Attempt attempt : evictable) {
+      if (tasks >= maxTasks) {
         break;
       }
-      counted.add(attempt);
+      addedSinceFit.add(attempt);
       cpus += attempt.spec().cpus();
       memory += attempt.spec().memoryGb();
       gpus += attempt.spec().gpus();
-      int now = submission.fitting(cpus, memory, gpus);
-      if (now > tasks) {
-        tasks = now;
-        victims.addAll(counted);
-        loss += counted.stream().mapToDouble(this::loss).sum();
-        counted.clear();
+      int fittingTasks = submission.fitting(cpus, memory, gpus);
+      if (fittingTasks > tasks) {
+        tasks = fittingTasks;
+        victims.addAll(addedSinceFit);
+        lossCpuS += addedSinceFit.stream().mapToDouble(this::lossCpuS).sum();
+        addedSinceFit.clear();
       }
     }
-    return tasks == 0 ? null : new VictimCandidate(host, Math.min(tasks, most), victims, loss);
+    return tasks == 0
+        ? null
+        : new VictimCandidate(host, Math.min(tasks, maxTasks), victims, lossCpuS);
   }
 
-  private double loss(Attempt attempt) {
-    return disruptionGate.lossCpuS(attempt) + (sheltered.test(attempt) ? SHELTERED : 0);
+  private double lossCpuS(Attempt attempt) {
+    return disruptionGate.lossCpuS(attempt)
+        + (isProtected.test(attempt) ? PROTECTED_PENALTY_CPU_S : 0);
   }
 }
--- a/src/main/java/dapplestair/ledger/Machine.java
+++ b/src/main/java/dapplestair/ledger/Machine.java
@@ -125,9 +125,10 @@
     attempts.put(attempt.key(), attempt);
     use(attempt.spec(), 1);
     Submission submission = attempt.spec();
-    images.used(submission.image(), submission.imageGb(), fetchS(submission), attempt.plannedAt());
+    images.recordUse(
+        submission.image(), submission.imageGb(), fetchS(submission), attempt.plannedAt());
     if (type != null) {
-      images.fit(type.cacheGb(), this::inUse);
+      images.evictToFit(type.cacheGb(), this::inUse);
     }
   }
 
@@ -208,7 +209,7 @@
 
   /** The task's image was seen in use here. */
   public final void imageSeen(Submission submission, long now) {
-    images.seen(submission.image(), submission.imageGb(), now);
+    images.recordPresent(submission.image(), submission.imageGb(), now);
   }
 
   /** What is believed of its images. */
--- a/src/main/java/dapplestair/machines/ImageCache.java
+++ b/src/main/java/dapplestair/machines/ImageCache.java
@@ -12,84 +12,84 @@
  */
 public final class ImageCache {
   private static final class Image {
-    long readyAt;
-    double gb;
-    long usedAt;
+    long readyAtMs;
+    double sizeGb;
+    long lastUse;
 
-    Image(long readyAt, double gb, long usedAt) {
-      this.readyAt = readyAt;
-      this.gb = gb;
-      this.usedAt = usedAt;
+    Image(long readyAtMs, double sizeGb, long lastUse) {
+      this.readyAtMs = readyAtMs;
+      this.sizeGb = sizeGb;
+      this.lastUse = lastUse;
     }
   }
 
   private final Map<String, Image> images = new HashMap<>();
-  private long fetchesEndAt;
-  private long uses;
+  private long fetchesEndAtMs;
+  private long useCounter;
 
   /**
    * Seconds until a task that needs this image could start; fetches share one rate.
    *
    * @param fetchS how long a fetch of it takes alone
    */
-  public double waitS(String image, double fetchS, long now) {
-    Image here = images.get(image);
-    if (here != null) {
-      return Math.max(0, here.readyAt - now) / 1000.0;
+  public double waitS(String image, double fetchS, long nowMs) {
+    Image cached = images.get(image);
+    if (cached != null) {
+      return Math.max(0, cached.readyAtMs - nowMs) / 1000.0;
     }
-    return Math.max(0, fetchesEndAt - now) / 1000.0 + fetchS;
+    return Math.max(0, fetchesEndAtMs - nowMs) / 1000.0 + fetchS;
   }
 
   /** A task that needs it is launched: it is fetched, or used again. */
-  public void used(String image, double gb, double fetchS, long now) {
-    Image here = images.get(image);
-    if (here == null) {
-      fetchesEndAt = now + Math.round(1000 * waitS(image, fetchS, now));
-      here = new Image(fetchesEndAt, gb, 0);
-      images.put(image, here);
+  public void recordUse(String image, double sizeGb, double fetchS, long nowMs) {
+    Image cached = images.get(image);
+    if (cached == null) {
+      fetchesEndAtMs = nowMs + Math.round(1000 * waitS(image, fetchS, nowMs));
+      cached = new Image(fetchesEndAtMs, sizeGb, 0);
+      images.put(image, cached);
     }
-    here.gb = gb;
-    here.usedAt = ++uses;
+    cached.sizeGb = sizeGb;
+    cached.lastUse = ++useCounter;
   }
 
   /** A task that needs it runs: it is surely there. */
-  public void seen(String image, double gb, long now) {
-    Image here = images.computeIfAbsent(image, i -> new Image(now, gb, ++uses));
-    here.readyAt = Math.min(now, here.readyAt);
-    here.gb = gb;
+  public void recordPresent(String image, double sizeGb, long nowMs) {
+    Image cached = images.computeIfAbsent(image, i -> new Image(nowMs, sizeGb, ++useCounter));
+    cached.readyAtMs = Math.min(nowMs, cached.readyAtMs);
+    cached.sizeGb = sizeGb;
   }
 
   /** Somebody said that it is there; what is known better is not touched. */
-  public void hinted(String image, double gb) {
-    images.putIfAbsent(image, new Image(Long.MIN_VALUE / 2, gb, 0));
+  public void recordHint(String image, double sizeGb) {
+    images.putIfAbsent(image, new Image(Long.MIN_VALUE / 2, sizeGb, 0));
   }
 
   /** Gives up the least recently used until the rest fits, but for those in use. */
-  public void fit(double cacheGb, Predicate<String> inUse) {
-    double sum = images.values().stream().mapToDouble(i -> i.gb).sum();
-    while (sum > cacheGb) {
+  public void evictToFit(double cacheGb, Predicate<String> inUse) {
+    double totalGb = images.values().stream().mapToDouble(i -> i.sizeGb).sum();
+    while (totalGb > cacheGb) {
       String eldest =
           images.entrySet().stream()
               .filter(e -> !inUse.test(e.getKey()))
-              .min(Comparator.comparingLong(e -> e.getValue().usedAt))
+              .min(Comparator.comparingLong(e -> e.getValue().lastUse))
               .map(Map.Entry::getKey)
               .orElse(null);
       if (eldest == null) {
         return;
       }
-      sum -= images.remove(eldest).gb;
+      totalGb -= images.remove(eldest).sizeGb;
     }
   }
 
   /** Those that are there now, with their sizes. */
-  public Map<String, Double> ready(long now) {
-    Map<String, Double> out = new HashMap<>();
+  public Map<String, Double> readyImages(long nowMs) {
+    Map<String, Double> sizes = new HashMap<>();
     images.forEach(
         (name, image) -> {
-          if (image.readyAt <= now) {
-            out.put(name, image.gb);
+          if (image.readyAtMs <= nowMs) {
+            sizes.put(name, image.sizeGb);
           }
         });
-    return out;
+    return sizes;
   }
 }
--- a/src/main/java/dapplestair/machines/MachineTypes.java
+++ b/src/main/java/dapplestair/machines/MachineTypes.java
@@ -14,30 +14,30 @@
 
   /** Reads the cloud's answer or our own record of it. False when there is nothing in it. */
   public boolean read(JsonNode body) {
-    Map<String, MachineType> fresh = new LinkedHashMap<>();
+    Map<String, MachineType> readTypes = new LinkedHashMap<>();
     for (JsonNode node : body.path("hulls")) {
       MachineType type = MachineType.parse(node);
       if (type != null) {
-        fresh.put(type.name(), type);
+        readTypes.put(type.name(), type);
       }
     }
-    if (fresh.isEmpty()) {
+    if (readTypes.isEmpty()) {
       return false;
     }
-    types = fresh;
+    types = readTypes;
     return true;
   }
 
   /** For the record that every controller reads. */
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
-    var hulls = object.putArray("hulls");
-    types.values().forEach(t -> hulls.add(t.toJson()));
+    var typeArray = object.putArray("hulls");
+    types.values().forEach(t -> typeArray.add(t.toJson()));
     return object;
   }
 
   /** False until types have been read. */
-  public boolean known() {
+  public boolean isLoaded() {
     return !types.isEmpty();
   }
 
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -129,7 +129,7 @@
 
   /** True once this controller leads and may launch tasks, so that a lone one serves fully. */
   public boolean serving() {
-    return core.ledger.armed() && core.types.known();
+    return core.ledger.armed() && core.types.isLoaded();
   }
 
   /** Gives the lead away and ends; what is recorded stays. */
@@ -172,9 +172,9 @@
   private void hostChanged(Host host) {
     operations.drains.mark(host);
     if (host.recalled() && !host.gone()) {
-      scheduling.reclaimNoticeHandler.leave(host);
+      scheduling.reclaimNoticeHandler.handleNotice(host);
     }
-    scheduling.placer.nudge();
+    scheduling.placer.scheduleTurn();
   }
 
   /** Leadership is made before those that hear of it. */
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -55,7 +55,7 @@
         .gauge(
             "jobs_suspected",
             "Jobs that fail wherever they run, tried by one task at a time.",
-            () -> components.faultAttribution().suspects())
+            () -> components.faultAttribution().countSuspectedJobs())
         .gauge(
             "withdrawals_known_to_age_seconds",
             "Age of the knowledge of all confirmed cancellations; leases are kept only while it is small.",
@@ -189,8 +189,11 @@
             "lane_claims",
             "Open claims of a lane's riders.",
             "lane",
-            () -> components.lanes().claims())
-        .gauge("lane_stops", "Tasks stopped for riders of lanes.", () -> components.lanes().stops())
+            () -> components.lanes().openClaimCounts())
+        .gauge(
+            "lane_stops",
+            "Tasks stopped for riders of lanes.",
+            () -> components.lanes().stopCount())
         .gauge(
             "stops_granted",
             "Stops that asked for a budget and were granted.",
--- a/src/main/java/dapplestair/node/FaultAttributionEvents.java
+++ b/src/main/java/dapplestair/node/FaultAttributionEvents.java
@@ -9,7 +9,7 @@
 record FaultAttributionEvents(Events events, Runnable roomLost)
     implements FaultAttribution.Listener {
   @Override
-  public void faulty(Host host) {
+  public void onFaultyMachine(Host host) {
     events.note(
         Events.Kind.FAULTY,
         o -> o.put("machine", host.id()).put("zone", host.zone()).put("failures", host.failures()));
@@ -17,7 +17,7 @@
   }
 
   @Override
-  public void wrong(Job job, int failures, int machines, long pauseMs) {
+  public void onSuspectedJob(Job job, int failures, int machines, long pauseMs) {
     events.note(
         Events.Kind.SUSPECTED,
         o ->
@@ -28,7 +28,7 @@
   }
 
   @Override
-  public void works(Job job) {
+  public void onJobCleared(Job job) {
     events.note(Events.Kind.WORKS, o -> EventFields.of(o, job));
   }
 }
--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -81,12 +81,12 @@
 
   @Override
   public void changed() {
-    placer.nudge();
+    placer.scheduleTurn();
   }
 
   @Override
   public void cancelled(Job job) {
-    faultAttribution.over(job.spec().ref());
+    faultAttribution.closeJob(job.spec().ref());
     events.note(Events.Kind.OVER, o -> EventFields.of(o, job).put("status", "aborted"));
   }
 
@@ -102,7 +102,7 @@
 
   @Override
   public void ended(String ref, boolean done) {
-    faultAttribution.over(ref);
+    faultAttribution.closeJob(ref);
     submissions.ended(ref, done);
     events.note(Events.Kind.OVER, o -> o.put("job", ref).put("status", done ? "done" : "aborted"));
   }
@@ -119,19 +119,19 @@
     events.note(Events.Kind.COMPLETED, o -> EventFields.of(o, attempt));
     Host host = workers.host(machine.id());
     host.taskCompleted();
-    double expected = estimates.runS(attempt.spec());
+    double expected = estimates.expectedRunS(attempt.spec());
     if (expected > 0 && seconds > 0) {
       host.observeSlowness(seconds / expected);
     }
     estimates.observe(attempt.spec(), seconds);
-    faultAttribution.completed(attempt, host);
+    faultAttribution.recordCompletion(attempt, host);
   }
 
   @Override
   public void failed(Attempt attempt, Machine machine) {
     metrics.lost();
     events.note(Events.Kind.FAILED, o -> EventFields.of(o, attempt));
-    faultAttribution.failed(attempt, workers.host(machine.id()));
+    faultAttribution.recordFailure(attempt, workers.host(machine.id()));
   }
 
   @Override
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -92,7 +92,7 @@
     } else if (key.startsWith(StateKeys.ZONE)) {
       zones.recorded(key, value);
     } else if (key.startsWith(StateKeys.LANE)) {
-      lanes.recorded(key, value);
+      lanes.applyRecord(key, value);
     } else if (key.startsWith(StateKeys.CALENDAR)) {
       calendars.recorded(key, value);
     } else if (key.startsWith(StateKeys.WEIGHTS)) {
@@ -127,11 +127,11 @@
       fleet.typesKey(null, 0);
     } else if (key.startsWith(StateKeys.DRAIN) || key.startsWith(StateKeys.DRAIN_ZONE)) {
       drains.recorded(key, null);
-      placer.nudge();
+      placer.scheduleTurn();
     } else if (key.startsWith(StateKeys.ZONE)) {
       zones.recorded(key, null);
     } else if (key.startsWith(StateKeys.LANE)) {
-      lanes.recorded(key, null);
+      lanes.applyRecord(key, null);
     } else if (key.startsWith(StateKeys.CALENDAR)) {
       calendars.recorded(key, null);
     } else if (key.startsWith(StateKeys.WEIGHTS)) {
@@ -146,6 +146,6 @@
   @Override
   public void loaded() {
     leadership.replicaReady();
-    placer.nudge();
+    placer.scheduleTurn();
   }
 }
--- a/src/main/java/dapplestair/node/SchedulingComponents.java
+++ b/src/main/java/dapplestair/node/SchedulingComponents.java
@@ -95,7 +95,7 @@
             calendars,
             demand::roomForServices,
             operatorSettings.beginWithinMs());
-    lanes.wire(placer::nudge, placer::shelters);
+    lanes.setCallbacks(placer::scheduleTurn, placer::isProtectedFromEviction);
     reclaimNoticeHandler = new ReclaimNoticeHandler(clock, disruptionGate, core.estimates);
     autoscaler =
         new Autoscaler(
@@ -113,7 +113,7 @@
     fleet.weigh(demand::waitingCpus, autoscaler::soon);
     calendars.wire(
         () -> {
-          placer.nudge();
+          placer.scheduleTurn();
           autoscaler.soon();
         },
         () -> core.types.bootS(null));
--- a/src/main/java/dapplestair/node/StatusReporter.java
+++ b/src/main/java/dapplestair/node/StatusReporter.java
@@ -41,7 +41,7 @@
   }
 
   private boolean ready() {
-    return replica.ready() && types.known();
+    return replica.ready() && types.isLoaded();
   }
 
   PeerStatus toPeers() {
--- a/src/main/java/dapplestair/placement/DecisionRecorder.java
+++ b/src/main/java/dapplestair/placement/DecisionRecorder.java
@@ -28,9 +28,10 @@
   private final WorkerManager workers;
   private final RuntimeEstimates estimates;
   private final Calendars calendars;
-  private final Map<String, List<Consumer<PlacementExplanation>>> asked = new LinkedHashMap<>();
-  private final Map<String, Map<PlacementVerdict, Integer>> found = new LinkedHashMap<>();
-  private final Object2IntOpenHashMap<String> gangRoom = new Object2IntOpenHashMap<>();
+  private final Map<String, List<Consumer<PlacementExplanation>>> callbacksByJob =
+      new LinkedHashMap<>();
+  private final Map<String, Map<PlacementVerdict, Integer>> jobVerdicts = new LinkedHashMap<>();
+  private final Object2IntOpenHashMap<String> gangCapacityByJob = new Object2IntOpenHashMap<>();
 
   DecisionRecorder(
       Clock clock,
@@ -43,105 +44,114 @@
     this.ledger = ledger;
     this.workers = workers;
     this.estimates = estimates;
-    gangRoom.defaultReturnValue(-1);
+    gangCapacityByJob.defaultReturnValue(-1);
   }
 
-  void ask(String ref, Consumer<PlacementExplanation> answer) {
-    asked.computeIfAbsent(ref, r -> new ArrayList<>()).add(answer);
+  void addRequest(String ref, Consumer<PlacementExplanation> callback) {
+    callbacksByJob.computeIfAbsent(ref, r -> new ArrayList<>()).add(callback);
   }
 
   /** The turn decided this about the job as a whole. */
-  void found(Job job, PlacementVerdict verdict, int count) {
-    if (asked.containsKey(job.spec().ref())) {
-      found
+  void recordJobVerdict(Job job, PlacementVerdict verdict, int count) {
+    if (callbacksByJob.containsKey(job.spec().ref())) {
+      jobVerdicts
           .computeIfAbsent(job.spec().ref(), r -> new EnumMap<>(PlacementVerdict.class))
           .merge(verdict, count, Integer::sum);
     }
   }
 
-  void gangRoom(Job job, int room) {
-    if (asked.containsKey(job.spec().ref())) {
-      gangRoom.mergeInt(job.spec().ref(), room, Math::max);
+  void recordGangCapacity(Job job, int taskCount) {
+    if (callbacksByJob.containsKey(job.spec().ref())) {
+      gangCapacityByJob.mergeInt(job.spec().ref(), taskCount, Math::max);
     }
   }
 
   /** Ends the turn: {@code judge} is the same that placed. Nothing is asked afterwards. */
-  void answer(BiFunction<Job, Host, PlacementVerdict> filter) {
-    asked.forEach(
-        (ref, answers) -> {
+  void answerRequests(BiFunction<Job, Host, PlacementVerdict> filter) {
+    callbacksByJob.forEach(
+        (ref, callbacks) -> {
           PlacementExplanation explanation = explain(ref, filter);
-          answers.forEach(a -> a.accept(explanation));
+          callbacks.forEach(callback -> callback.accept(explanation));
         });
   }
 
   /** Nothing is placed here any more: every answer is null. */
-  void giveUp() {
-    asked.values().forEach(answers -> answers.forEach(a -> a.accept(null)));
+  void cancelRequests() {
+    callbacksByJob.values().forEach(answers -> answers.forEach(a -> a.accept(null)));
   }
 
   private PlacementExplanation explain(String ref, BiFunction<Job, Host, PlacementVerdict> filter) {
     Job job = ledger.job(ref);
     if (job == null || job.waiting() == 0) {
-      return PlacementExplanation.nothingWaits();
+      return PlacementExplanation.noWaitingTasks();
     }
-    Map<PlacementVerdict, Integer> machines = new EnumMap<>(PlacementVerdict.class);
-    double free = -1;
+    Map<PlacementVerdict, Integer> machineVerdicts = new EnumMap<>(PlacementVerdict.class);
+    double earliestFreeS = -1;
     for (Host host : workers.hosts()) {
       PlacementVerdict verdict = filter.apply(job, host);
-      machines.merge(verdict, 1, Integer::sum);
+      machineVerdicts.merge(verdict, 1, Integer::sum);
       if (verdict == PlacementVerdict.FULL) {
-        double s = freeInS(job.spec(), host);
-        free = free < 0 || s >= 0 && s < free ? s : free;
+        double hostFreeS = secondsUntilRoom(job.spec(), host);
+        earliestFreeS =
+            earliestFreeS < 0 || hostFreeS >= 0 && hostFreeS < earliestFreeS
+                ? hostFreeS
+                : earliestFreeS;
       }
     }
-    Map<PlacementVerdict, Integer> whole = new EnumMap<>(PlacementVerdict.class);
-    whole.putAll(found.getOrDefault(ref, Map.of()));
-    double heldBack = Math.max(0, job.heldBackUntil() - clock.now()) / 1000.0;
+    Map<PlacementVerdict, Integer> obstacles = new EnumMap<>(PlacementVerdict.class);
+    obstacles.putAll(jobVerdicts.getOrDefault(ref, Map.of()));
+    double heldBackS = Math.max(0, job.heldBackUntil() - clock.now()) / 1000.0;
     if (calendars.holds(job)) {
-      whole.put(PlacementVerdict.CYCLE, job.waiting());
+      obstacles.put(PlacementVerdict.CYCLE, job.waiting());
     }
-    if (heldBack > 0) {
-      whole.put(PlacementVerdict.BACKED_OFF, job.waiting());
+    if (heldBackS > 0) {
+      obstacles.put(PlacementVerdict.BACKED_OFF, job.waiting());
     } else if (job.suspected()) {
-      whole.put(PlacementVerdict.PROBING, job.waiting());
+      obstacles.put(PlacementVerdict.PROBING, job.waiting());
     } else if (job.heldSteps() > 0) {
-      whole.put(PlacementVerdict.STEPS_BACKED_OFF, job.heldSteps());
+      obstacles.put(PlacementVerdict.STEPS_BACKED_OFF, job.heldSteps());
     }
-    int byLimit = job.waiting() - Math.min(job.waiting(), ledger.teamRoom(job.spec(), false));
+    int blockedByLimit =
+        job.waiting() - Math.min(job.waiting(), ledger.teamRoom(job.spec(), false));
     if (!ledger.teamAllows(job.spec())) {
-      whole.put(PlacementVerdict.TEAM_LIMIT, Math.max(1, byLimit));
+      obstacles.put(PlacementVerdict.TEAM_LIMIT, Math.max(1, blockedByLimit));
     }
     return new PlacementExplanation(
-        job.waiting(), machines, whole, free, heldBack, gangRoom.getInt(ref));
+        job.waiting(),
+        machineVerdicts,
+        obstacles,
+        earliestFreeS,
+        heldBackS,
+        gangCapacityByJob.getInt(ref));
   }
 
   /** When enough is expected to have ended on a full machine, or -1. */
-  private double freeInS(Submission submission, Host host) {
+  private double secondsUntilRoom(Submission submission, Host host) {
     double cpus = submission.cpus() - host.cpusFree();
     double memory = submission.memoryGb() - host.memoryFree();
     double gpus = submission.gpus() - host.gpusFree();
-    List<Attempt> ending = new ArrayList<>();
-    for (Attempt a : host.attempts()) {
-      if (!a.exited() && (!a.spec().service() || a.halting())) {
-        ending.add(a);
+    List<Attempt> endingAttempts = new ArrayList<>();
+    for (Attempt attempt : host.attempts()) {
+      if (!attempt.exited() && (!attempt.spec().service() || attempt.halting())) {
+        endingAttempts.add(attempt);
       }
     }
-    long now = clock.now();
-    ending.sort(Comparator.comparingDouble(a -> endsInS(a, host, now)));
-    for (Attempt a : ending) {
-      cpus -= a.spec().cpus();
-      memory -= a.spec().memoryGb();
-      gpus -= a.spec().gpus();
+    long nowMs = clock.now();
+    endingAttempts.sort(Comparator.comparingDouble(a -> secondsUntilEnd(a, host, nowMs)));
+    for (Attempt attempt : endingAttempts) {
+      cpus -= attempt.spec().cpus();
+      memory -= attempt.spec().memoryGb();
+      gpus -= attempt.spec().gpus();
       if (cpus <= 1e-9 && memory <= 1e-9 && gpus <= 1e-9) {
-        return endsInS(a, host, now);
+        return secondsUntilEnd(attempt, host, nowMs);
       }
     }
     return -1;
   }
 
-  private double endsInS(Attempt attempt, Host host, long now) {
+  private double secondsUntilEnd(Attempt attempt, Host host, long nowMs) {
     return attempt.halting()
         ? attempt.windDownS() / 2
-        : Math.max(0, estimates.leftS(attempt, host, now));
+        : Math.max(0, estimates.remainingRunS(attempt, host, nowMs));
   }
 }
--- a/src/main/java/dapplestair/placement/EarliestFinishSelector.java
+++ b/src/main/java/dapplestair/placement/EarliestFinishSelector.java
@@ -12,96 +12,96 @@
 
 /** Where a task completes earliest, its image's fetch included. */
 final class EarliestFinishSelector {
-  private static final double FAILED_HERE_S = 1e4;
+  private static final double FAILED_HERE_PENALTY_S = 1e4;
 
   // What stands against this job there, and not against others of its size.
-  private static final Set<PlacementVerdict> ROOM_FOR_OTHERS =
+  private static final Set<PlacementVerdict> JOB_SPECIFIC_VERDICTS =
       EnumSet.of(PlacementVerdict.SPREAD, PlacementVerdict.TOGETHER, PlacementVerdict.FAILED_HERE);
 
   private final Clock clock;
   private final Ledger ledger;
   private final RuntimeEstimates estimates;
-  private final SteadyCapacity steady;
+  private final SteadyCapacity steadyCapacity;
   private final PlacementFilter filter;
   private final Reservations reservations;
-  private final List<NoRoom> noRoom = new ArrayList<>();
+  private final List<UnplaceableSize> sizesWithoutRoom = new ArrayList<>();
 
   EarliestFinishSelector(
       Clock clock,
       Ledger ledger,
       RuntimeEstimates estimates,
-      SteadyCapacity steady,
+      SteadyCapacity steadyCapacity,
       PlacementFilter filter,
       Reservations reservations) {
     this.clock = clock;
     this.ledger = ledger;
     this.estimates = estimates;
-    this.steady = steady;
+    this.steadyCapacity = steadyCapacity;
     this.filter = filter;
     this.reservations = reservations;
   }
 
   /** A turn begins. */
-  void begin() {
-    noRoom.clear();
+  void beginTurn() {
+    sizesWithoutRoom.clear();
   }
 
   /** The best of these machines for the job's next task, or null. */
-  Host best(Job job, List<Host> usable, boolean explain) {
+  Host selectHost(Job job, List<Host> usable, boolean explain) {
     Submission submission = job.spec();
     // What is kept for a job is room for it alone, so others' search says nothing.
-    boolean keeps = reservations.holds(job);
+    boolean hasReservation = reservations.hasReservation(job);
     if (!ledger.teamAllows(submission)
-        || !keeps && noRoom.stream().anyMatch(n -> n.covers(submission))) {
+        || !hasReservation && sizesWithoutRoom.stream().anyMatch(n -> n.covers(submission))) {
       return null;
     }
-    Host best = null;
+    Host bestHost = null;
     double bestScore = Double.POSITIVE_INFINITY;
-    boolean room = false;
+    boolean roomFound = false;
     for (Host host : usable) {
       PlacementVerdict verdict = filter.filter(job, host, explain);
       if (verdict == PlacementVerdict.FITS) {
-        room = true;
-        double score = score(job, host);
+        roomFound = true;
+        double score = completionScore(job, host);
         if (score < bestScore) {
           bestScore = score;
-          best = host;
+          bestHost = host;
         }
-      } else if (ROOM_FOR_OTHERS.contains(verdict)) {
-        room = true;
+      } else if (JOB_SPECIFIC_VERDICTS.contains(verdict)) {
+        roomFound = true;
       }
     }
-    if (!room && !keeps) {
-      noRoom.add(new NoRoom(submission));
+    if (!roomFound && !hasReservation) {
+      sizesWithoutRoom.add(new UnplaceableSize(submission));
     }
-    return best;
+    return bestHost;
   }
 
   /** A size for which no machine had room in this turn: nothing larger of its kind finds any. */
-  private record NoRoom(Submission of) {
+  private record UnplaceableSize(Submission rejected) {
     boolean covers(Submission submission) {
-      return submission.cpus() >= of.cpus()
-          && submission.memoryGb() >= of.memoryGb()
-          && submission.gpus() >= of.gpus()
-          && submission.spot() == of.spot()
-          && submission.service() == of.service()
-          && (of.zone() == null || of.zone().equals(submission.zone()))
-          && (of.types() == null || of.types().equals(submission.types()));
+      return submission.cpus() >= rejected.cpus()
+          && submission.memoryGb() >= rejected.memoryGb()
+          && submission.gpus() >= rejected.gpus()
+          && submission.spot() == rejected.spot()
+          && submission.service() == rejected.service()
+          && (rejected.zone() == null || rejected.zone().equals(submission.zone()))
+          && (rejected.types() == null || rejected.types().equals(submission.types()));
     }
   }
 
   /** Seconds until completion there; ties go to cheap, then to full machines. */
-  private double score(Job job, Host host) {
+  private double completionScore(Job job, Host host) {
     Submission submission = job.spec();
-    double fetch = host.imageWaitS(submission, clock.now());
-    double run = submission.service() ? 0 : estimates.runS(submission) * host.slowness();
+    double fetchS = host.imageWaitS(submission, clock.now());
+    double runS = submission.service() ? 0 : estimates.expectedRunS(submission) * host.slowness();
     double tieBreak = host.cpusFree() / host.type().cpus();
     if (submission.service()) {
       // Replicas gather on few machines, so that the others can become idle.
       tieBreak = 1 - host.serviceCpus() / host.type().cpus();
       if (submission.apart()) {
         // The fullest zone last: room that is left in one zone alone is none for half of a job.
-        tieBreak += steady.fullness(host.zone());
+        tieBreak += steadyCapacity.fullness(host.zone());
       }
     }
     if (!submission.service() && !host.spot()) {
@@ -109,9 +109,9 @@
       tieBreak += 1;
     }
     // Where it failed before, it expects to fail again: any other machine completes it earlier.
-    double again = ledger.failedOn(job, host) ? FAILED_HERE_S : 0;
+    double failurePenaltyS = ledger.failedOn(job, host) ? FAILED_HERE_PENALTY_S : 0;
     // Nobody knows yet who is to blame for those: each may cost a second run.
-    again += host.failures() * (1 + run);
-    return fetch + run + tieBreak + again;
+    failurePenaltyS += host.failures() * (1 + runS);
+    return fetchS + runS + tieBreak + failurePenaltyS;
   }
 }
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -26,10 +26,10 @@
  */
 final class Evictions {
   // Each scan looks at all machines; who is left out has its turn a moment later.
-  private static final int MOST_SCANS = 4;
+  private static final int MAX_SCANS = 4;
 
   /** One task's room on one machine, and what it costs. */
-  private record EvictionCandidate(Host host, List<Attempt> victims, double loss) {}
+  private record EvictionCandidate(Host host, List<Attempt> victims, double lossScore) {}
 
   private final Clock clock;
   private final Settings settings;
@@ -40,11 +40,12 @@
   private final PlacementFilter filter;
 
   // Of this turn: teams' use beyond their guarantees, machines whose coming room is spoken for.
-  private final Object2DoubleOpenHashMap<String> excess = new Object2DoubleOpenHashMap<>();
-  private final Set<Host> spokenFor = new LinkedHashSet<>();
+  private final Object2DoubleOpenHashMap<String> borrowedCpusByTeam =
+      new Object2DoubleOpenHashMap<>();
+  private final Set<Host> selectedHosts = new LinkedHashSet<>();
   private int scans;
-  private boolean looked;
-  private Rank lowest;
+  private boolean attemptsScanned;
+  private Rank lowestRank;
 
   Evictions(
       Clock clock,
@@ -64,30 +65,30 @@
   }
 
   /** A new turn of placing. */
-  void begin() {
-    looked = false;
+  void beginTurn() {
+    attemptsScanned = false;
     scans = 0;
-    spokenFor.clear();
+    selectedHosts.clear();
   }
 
   /** One look over all attempts a turn: who borrows, and the lowest rank that runs. */
-  private void look() {
-    looked = true;
-    lowest = Rank.values()[0];
-    excess.clear();
+  private void scanAttempts() {
+    attemptsScanned = true;
+    lowestRank = Rank.values()[0];
+    borrowedCpusByTeam.clear();
     for (Settings.Team team : settings.teams().values()) {
       if (team.bounded()) {
-        excess.put(team.name(), ledger.teamCpus(team.name()) - team.cpus());
+        borrowedCpusByTeam.put(team.name(), ledger.teamCpus(team.name()) - team.cpus());
       }
     }
     for (Host host : workers.hosts()) {
       for (Attempt attempt : host.attempts()) {
         if (!attempt.exited()) {
-          if (lowest.above(attempt.spec().rank())) {
-            lowest = attempt.spec().rank();
+          if (lowestRank.above(attempt.spec().rank())) {
+            lowestRank = attempt.spec().rank();
           }
-          if (attempt.halting() && excess.containsKey(attempt.spec().team())) {
-            excess.addTo(attempt.spec().team(), -attempt.spec().cpus());
+          if (attempt.halting() && borrowedCpusByTeam.containsKey(attempt.spec().team())) {
+            borrowedCpusByTeam.addTo(attempt.spec().team(), -attempt.spec().cpus());
           }
         }
       }
@@ -99,21 +100,22 @@
    * many room is on its way.
    */
   int makeRoom(Job job, boolean guaranteed) {
-    if (!looked) {
-      look();
+    if (!attemptsScanned) {
+      scanAttempts();
     }
     Submission submission = job.spec();
-    boolean fromBorrowers =
+    boolean mayEvictBorrowers =
         guaranteed
-            && excess.object2DoubleEntrySet().stream()
+            && borrowedCpusByTeam.object2DoubleEntrySet().stream()
                 .anyMatch(e -> e.getDoubleValue() > 0 && !e.getKey().equals(submission.team()));
-    boolean byRank = submission.rank().above(lowest);
-    if (scans >= MOST_SCANS || !byRank && !fromBorrowers) {
+    boolean mayEvictByRank = submission.rank().above(lowestRank);
+    if (scans >= MAX_SCANS || !mayEvictByRank && !mayEvictBorrowers) {
       return 0;
     }
     scans++;
-    int wanted = Math.max(0, Math.min(job.waiting(), ledger.teamRoom(submission, !byRank)));
-    return take(offers(job, fromBorrowers, h -> true), wanted);
+    int wantedTasks =
+        Math.max(0, Math.min(job.waiting(), ledger.teamRoom(submission, !mayEvictByRank)));
+    return evictCheapest(findCandidates(job, mayEvictBorrowers, h -> true), wantedTasks);
   }
 
   /**
@@ -122,66 +124,69 @@
    * many room is on its way.
    */
   int makeRoomAtImage(Job job) {
-    if (!looked) {
-      look();
+    if (!attemptsScanned) {
+      scanAttempts();
     }
     Submission submission = job.spec();
-    if (scans >= MOST_SCANS || !submission.rank().above(lowest)) {
+    if (scans >= MAX_SCANS || !submission.rank().above(lowestRank)) {
       return 0;
     }
     scans++;
     long now = clock.now();
-    List<EvictionCandidate> offers = offers(job, false, h -> h.imageWaitS(submission, now) == 0);
-    offers.removeIf(o -> o.victims().stream().anyMatch(a -> a.spec().saves()));
-    return take(offers, job.waiting());
+    List<EvictionCandidate> candidates =
+        findCandidates(job, false, h -> h.imageWaitS(submission, now) == 0);
+    candidates.removeIf(o -> o.victims().stream().anyMatch(a -> a.spec().saves()));
+    return evictCheapest(candidates, job.waiting());
   }
 
   /** Takes up the cheapest offers; returns how many. */
-  private int take(List<EvictionCandidate> offers, int wanted) {
-    offers.sort(
-        Comparator.comparingDouble(EvictionCandidate::loss).thenComparing(o -> o.host().id()));
-    List<EvictionCandidate> taken = offers.subList(0, Math.min(wanted, offers.size()));
-    for (EvictionCandidate o : taken) {
-      spokenFor.add(o.host());
-      o.victims().forEach(this::stop);
+  private int evictCheapest(List<EvictionCandidate> candidates, int maxCount) {
+    candidates.sort(
+        Comparator.comparingDouble(EvictionCandidate::lossScore).thenComparing(o -> o.host().id()));
+    List<EvictionCandidate> selected = candidates.subList(0, Math.min(maxCount, candidates.size()));
+    for (EvictionCandidate candidate : selected) {
+      selectedHosts.add(candidate.host());
+      candidate.victims().forEach(this::evict);
     }
-    return taken.size();
+    return selected.size();
   }
 
-  private List<EvictionCandidate> offers(Job job, boolean fromBorrowers, Predicate<Host> where) {
+  private List<EvictionCandidate> findCandidates(
+      Job job, boolean mayEvictBorrowers, Predicate<Host> hostFilter) {
     Submission submission = job.spec();
-    List<EvictionCandidate> offers = new ArrayList<>();
+    List<EvictionCandidate> candidates = new ArrayList<>();
     for (Host host : workers.hosts()) {
       if (!host.closed()
-          && !spokenFor.contains(host)
-          && !filter.keptFrom(job, host)
+          && !selectedHosts.contains(host)
+          && !filter.isKeptForOthers(job, host)
           && host.allowed(submission)
-          && where.test(host)
+          && hostFilter.test(host)
           && workers.fresh(host)
           && ledger.zoneAllows(job, host.zone())) {
-        EvictionCandidate candidate = offer(submission, host, fromBorrowers);
+        EvictionCandidate candidate = findCandidate(submission, host, mayEvictBorrowers);
         if (candidate != null) {
-          offers.add(candidate);
+          candidates.add(candidate);
         }
       }
     }
-    return offers;
+    return candidates;
   }
 
-  private void stop(Attempt attempt) {
-    if (excess.containsKey(attempt.spec().team())) {
-      excess.addTo(attempt.spec().team(), -attempt.spec().cpus());
+  private void evict(Attempt attempt) {
+    if (borrowedCpusByTeam.containsKey(attempt.spec().team())) {
+      borrowedCpusByTeam.addTo(attempt.spec().team(), -attempt.spec().cpus());
     }
     // Rank and guarantee cannot wait (PROTOCOL, Preemption): debited, never refused.
     disruptionGate.must(
         attempt, attempt.spec().saves() ? 2 * attempt.spec().saveS() : 0, StopReason.ROOM_NEEDED);
   }
 
-  private EvictionCandidate offer(Submission submission, Host host, boolean fromBorrowers) {
+  private EvictionCandidate findCandidate(
+      Submission submission, Host host, boolean mayEvictBorrowers) {
     double cpus = submission.cpus() - host.cpusFree();
     double memory = submission.memoryGb() - host.memoryFree();
     double gpus = submission.gpus() - host.gpusFree();
-    List<Attempt> may = new ArrayList<>();
+    List<Attempt> evictable = new ArrayList<>();
     for (Attempt attempt : host.attempts()) {
       if (attempt.exited()) {
         continue;
@@ -191,51 +196,54 @@
         cpus -= attempt.spec().cpus();
         memory -= attempt.spec().memoryGb();
         gpus -= attempt.spec().gpus();
-      } else if (mayStop(submission, attempt, fromBorrowers)) {
-        may.add(attempt);
+      } else if (mayEvict(submission, attempt, mayEvictBorrowers)) {
+        evictable.add(attempt);
       }
     }
-    may.sort(Comparator.comparingDouble(this::loss));
+    evictable.sort(Comparator.comparingDouble(this::lossScore));
     List<Attempt> victims = new ArrayList<>();
-    double loss = 0;
-    for (Attempt attempt : may) {
+    double lossScore = 0;
+    for (Attempt attempt : evictable) {
       if (cpus <= 1e-9 && memory <= 1e-9 && gpus <= 1e-9) {
         break;
       }
       victims.add(attempt);
-      loss += loss(attempt);
+      lossScore += lossScore(attempt);
       cpus -= attempt.spec().cpus();
       memory -= attempt.spec().memoryGb();
       gpus -= attempt.spec().gpus();
     }
-    boolean enough = cpus <= 1e-9 && memory <= 1e-9 && gpus <= 1e-9;
-    return enough ? new EvictionCandidate(host, victims, loss) : null;
+    boolean hasRoom = cpus <= 1e-9 && memory <= 1e-9 && gpus <= 1e-9;
+    return hasRoom ? new EvictionCandidate(host, victims, lossScore) : null;
   }
 
-  private boolean mayStop(Submission submission, Attempt attempt, boolean fromBorrowers) {
-    Submission other = attempt.spec();
-    if (!StarvationGuard.critical(submission) && starvationGuard.shelters(attempt)) {
+  private boolean mayEvict(Submission submission, Attempt attempt, boolean mayEvictBorrowers) {
+    Submission victim = attempt.spec();
+    if (!StarvationGuard.isCritical(submission)
+        && starvationGuard.isProtectedFromEviction(attempt)) {
       // It has waited for long: stopped at once, it would not have begun at all.
       return false;
     }
-    if (submission.rank().above(other.rank())) {
+    if (submission.rank().above(victim.rank())) {
       return true;
     }
     // Borrowed room goes back to its owner, whatever the rank; replicas of services last of all.
-    return fromBorrowers
-        && !other.team().equals(submission.team())
-        && (!other.service() || submission.service())
-        && excess.getDouble(other.team()) >= other.cpus() - 1e-9;
+    return mayEvictBorrowers
+        && !victim.team().equals(submission.team())
+        && (!victim.service() || submission.service())
+        && borrowedCpusByTeam.getDouble(victim.team()) >= victim.cpus() - 1e-9;
   }
 
   /** Work that stopping an attempt would throw away, in CPU seconds; low ranks lose first. */
-  private double loss(Attempt attempt) {
-    double ran = attempt.ranS(clock.now());
-    double lost =
-        attempt.spec().saves() ? Math.min(ran - attempt.keptS(ran), attempt.spec().saveS()) : ran;
-    double rank = (Rank.values().length - attempt.spec().rank().ordinal()) * 1e6;
+  private double lossScore(Attempt attempt) {
+    double ranS = attempt.ranS(clock.now());
+    double lostS =
+        attempt.spec().saves()
+            ? Math.min(ranS - attempt.keptS(ranS), attempt.spec().saveS())
+            : ranS;
+    double rankWeight = (Rank.values().length - attempt.spec().rank().ordinal()) * 1e6;
     // With one member a gang loses all of them.
     int tasks = attempt.spec().gang() ? attempt.job().held() : 1;
-    return rank + lost * attempt.spec().cpus() * tasks;
+    return rankWeight + lostS * attempt.spec().cpus() * tasks;
   }
 }
--- a/src/main/java/dapplestair/placement/PlacementFilter.java
+++ b/src/main/java/dapplestair/placement/PlacementFilter.java
@@ -17,17 +17,17 @@
 final class PlacementFilter {
   // For so long a job stays away from a machine on which one of its tasks failed. By then either
   // side is judged, or other room is free; if not, nothing waits for longer.
-  private static final int AVOIDED_REPORTS = 10;
+  private static final int AVOID_FAILED_HOST_REPORTS = 10;
 
   private final Clock clock;
   private final Ledger ledger;
   private final WorkerManager workers;
   private final RuntimeEstimates estimates;
-  private final SteadyCapacity steady;
+  private final SteadyCapacity steadyCapacity;
   private final Reservations reservations;
   private final Lanes lanes;
-  private final long avoidedMs;
-  private double serviceRoom;
+  private final long avoidFailedHostMs;
+  private double reservedServiceCpus;
 
   PlacementFilter(
       Clock clock,
@@ -35,41 +35,41 @@
       Ledger ledger,
       WorkerManager workers,
       RuntimeEstimates estimates,
-      SteadyCapacity steady,
+      SteadyCapacity steadyCapacity,
       Reservations reservations,
       Lanes lanes) {
     this.clock = clock;
-    this.avoidedMs = AVOIDED_REPORTS * reportMs;
+    this.avoidFailedHostMs = AVOID_FAILED_HOST_REPORTS * reportMs;
     this.ledger = ledger;
     this.workers = workers;
     this.estimates = estimates;
-    this.steady = steady;
+    this.steadyCapacity = steadyCapacity;
     this.reservations = reservations;
     this.lanes = lanes;
   }
 
   /** A turn begins, in which so many CPUs of steady machines are left to services. */
-  void begin(double cpusForServices) {
-    serviceRoom = cpusForServices;
+  void beginTurn(double cpusForServices) {
+    reservedServiceCpus = cpusForServices;
   }
 
   /** What stands against starting a task of the job on this machine now. */
   PlacementVerdict filter(Job job, Host host, boolean explain) {
     Submission submission = job.spec();
-    boolean kept = keptFrom(job, host);
+    boolean keptForOthers = isKeptForOthers(job, host);
     if (host.fits(submission)
         && host.allowed(submission)
         && !host.closed()
-        && leavesRoom(submission, host)
-        && !kept) {
-      if (failedHere(job, host)) {
+        && leavesReservedRoom(submission, host)
+        && !keptForOthers) {
+      if (failedHereRecently(job, host)) {
         return PlacementVerdict.FAILED_HERE;
       }
       if (host.probed(clock.now())) {
         return PlacementVerdict.PROBATION;
       }
       if (host.leavesAt() != Long.MAX_VALUE
-          && !estimates.endsBefore(submission, host, clock.now())) {
+          && !estimates.endsBeforeHostLeaves(submission, host, clock.now())) {
         return PlacementVerdict.LEAVING;
       }
       if (ledger.zoneAllows(job, host.zone())) {
@@ -80,7 +80,7 @@
           : PlacementVerdict.TOGETHER;
     }
     // Which obstacle it is matters only to whoever asked.
-    return explain ? obstacle(submission, host, kept) : PlacementVerdict.FULL;
+    return explain ? findObstacle(submission, host, keptForOthers) : PlacementVerdict.FULL;
   }
 
   /**
@@ -88,28 +88,29 @@
    * the one that has room again first, so the others of the job would run into it one after the
    * other. A job that fails wherever it runs is tried by one task at a time anyway.
    */
-  private boolean failedHere(Job job, Host host) {
-    return !job.suspected() && ledger.failedOn(job, host, avoidedMs);
+  private boolean failedHereRecently(Job job, Host host) {
+    return !job.suspected() && ledger.failedOn(job, host, avoidFailedHostMs);
   }
 
   /** True when this room is promised to others: to a rider, or to who has waited for long. */
-  boolean keptFrom(Job job, Host host) {
-    return lanes.keptFrom(job.spec(), host)
-        || !lanes.rides(job.spec()) && reservations.keptFrom(job, host);
+  boolean isKeptForOthers(Job job, Host host) {
+    return lanes.isKeptForRiders(job.spec(), host)
+        || !lanes.isRider(job.spec()) && reservations.isReservedForOther(job, host);
   }
 
   /** The same for any machine, also those that a turn does not look at. */
-  PlacementVerdict judgeAny(Job job, Host host) {
+  PlacementVerdict filterAnyHost(Job job, Host host) {
     return !host.closed() && !workers.fresh(host)
         ? PlacementVerdict.SILENT
         : filter(job, host, true);
   }
 
-  private static PlacementVerdict obstacle(Submission submission, Host host, boolean kept) {
+  private static PlacementVerdict findObstacle(
+      Submission submission, Host host, boolean keptForOthers) {
     if (host.type() == null || !host.up() || !host.acknowledged()) {
-      boolean allowed =
+      boolean machineAllowed =
           host.type() == null || host.allowed(submission) || !submission.spot() && host.spot();
-      return allowed ? PlacementVerdict.NOT_UP : PlacementVerdict.NOT_ALLOWED;
+      return machineAllowed ? PlacementVerdict.NOT_UP : PlacementVerdict.NOT_ALLOWED;
     }
     if (!host.type().suits(submission)
         || submission.zone() != null && !submission.zone().equals(host.zone())) {
@@ -139,32 +140,34 @@
     if (host.overfull() || !host.fits(submission)) {
       return PlacementVerdict.FULL;
     }
-    return kept ? PlacementVerdict.KEPT : PlacementVerdict.HELD_FOR_SERVICES;
+    return keptForOthers ? PlacementVerdict.KEPT : PlacementVerdict.HELD_FOR_SERVICES;
   }
 
   /** How many more of the job's tasks these machines can take together. */
-  int room(Job job, List<Host> machines) {
+  int countFitting(Job job, List<Host> hosts) {
     Submission submission = job.spec();
-    Map<String, Integer> perZone = new HashMap<>();
-    for (Host host : machines) {
-      if (ledger.mayStart(job, host) && !keptFrom(job, host) && !failedHere(job, host)) {
-        perZone.merge(host.zone(), roomFor(host, submission), Integer::sum);
+    Map<String, Integer> fittingByZone = new HashMap<>();
+    for (Host host : hosts) {
+      if (ledger.mayStart(job, host)
+          && !isKeptForOthers(job, host)
+          && !failedHereRecently(job, host)) {
+        fittingByZone.merge(host.zone(), countFittingOn(host, submission), Integer::sum);
       }
     }
-    int sum = 0;
-    for (Map.Entry<String, Integer> zone : perZone.entrySet()) {
-      sum += Math.min(zone.getValue(), submission.mostPerZone() - job.inZone(zone.getKey()));
+    int total = 0;
+    for (Map.Entry<String, Integer> zone : fittingByZone.entrySet()) {
+      total += Math.min(zone.getValue(), submission.mostPerZone() - job.inZone(zone.getKey()));
     }
-    return sum;
+    return total;
   }
 
-  private int roomFor(Host host, Submission submission) {
-    long now = clock.now();
+  private int countFittingOn(Host host, Submission submission) {
+    long nowMs = clock.now();
     int fitting = submission.fitting(host.cpusFree(), host.memoryFree(), host.gpusFree());
-    if (!host.onProbation(now)) {
+    if (!host.onProbation(nowMs)) {
       return fitting;
     }
-    return host.probed(now) ? 0 : Math.min(1, fitting);
+    return host.probed(nowMs) ? 0 : Math.min(1, fitting);
   }
 
   /**
@@ -172,16 +175,16 @@
    * once instead of after somebody else has saved and stopped; and batches leave the riders'
    * reserve.
    */
-  boolean leavesRoom(Submission submission, Host host) {
+  boolean leavesReservedRoom(Submission submission, Host host) {
     return (submission.service()
             || !submission.spot()
             || host.spot()
-            || steady.free() - submission.cpus() >= serviceRoom)
+            || steadyCapacity.freeCpus() - submission.cpus() >= reservedServiceCpus)
         && lanes.leavesReserve(submission, host);
   }
 
-  static Map<String, List<Host>> byZone(List<Host> machines) {
-    return machines.stream()
+  static Map<String, List<Host>> groupByZone(List<Host> hosts) {
+    return hosts.stream()
         .collect(Collectors.groupingBy(Host::zone, TreeMap::new, Collectors.toList()));
   }
 }
--- a/src/main/java/dapplestair/placement/PlacementVerdict.java
+++ b/src/main/java/dapplestair/placement/PlacementVerdict.java
@@ -71,11 +71,11 @@
   }
 
   private final Scope scope;
-  private final String words;
+  private final String description;
 
-  PlacementVerdict(Scope scope, String words) {
+  PlacementVerdict(Scope scope, String description) {
     this.scope = scope;
-    this.words = words;
+    this.description = description;
   }
 
   /** What it speaks of. */
@@ -84,12 +84,12 @@
   }
 
   /** For people. */
-  public String words() {
-    return words;
+  public String description() {
+    return description;
   }
 
   /** For scripts. */
-  public String shown() {
+  public String code() {
     return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
   }
 }
--- a/src/main/java/dapplestair/placement/Placer.java
+++ b/src/main/java/dapplestair/placement/Placer.java
@@ -28,18 +28,18 @@
   private final WorkerManager workers;
   private final RuntimeEstimates estimates;
   private final Ranking ranking;
-  private final long pauseMs;
-  private final DoubleSupplier roomForServices;
+  private final long batchDelayMs;
+  private final DoubleSupplier cpusForServices;
   private final Evictions evictions;
   private final Lanes lanes;
   private final Calendars calendars;
-  private final SteadyCapacity steady = new SteadyCapacity();
+  private final SteadyCapacity steadyCapacity = new SteadyCapacity();
   private final StarvationGuard starvationGuard;
   private final Reservations reservations;
   private final PlacementFilter filter;
   private final EarliestFinishSelector earliestFinish;
-  private boolean awaitsImage;
-  private boolean due;
+  private boolean awaitingImage;
+  private boolean turnScheduled;
   private DecisionRecorder recorder;
 
   /** Places what the ledger holds on what the desk knows. */
@@ -53,9 +53,9 @@
       DisruptionGate disruptionGate,
       Lanes lanes,
       Calendars calendars,
-      DoubleSupplier roomForServices,
+      DoubleSupplier cpusForServices,
       long beginWithinMs) {
-    this.roomForServices = roomForServices;
+    this.cpusForServices = cpusForServices;
     this.lanes = lanes;
     this.clock = clock;
     this.timers = timers;
@@ -72,27 +72,27 @@
             ledger,
             workers,
             estimates,
-            steady,
+            steadyCapacity,
             reservations,
             lanes);
     this.earliestFinish =
-        new EarliestFinishSelector(clock, ledger, estimates, steady, filter, reservations);
+        new EarliestFinishSelector(clock, ledger, estimates, steadyCapacity, filter, reservations);
     this.evictions =
         new Evictions(clock, settings, ledger, workers, disruptionGate, starvationGuard, filter);
     this.calendars = calendars;
     this.ranking = new Ranking(clock, settings, ledger, estimates, calendars);
-    this.pauseMs = settings.workers().reportMs() / 60;
+    this.batchDelayMs = settings.workers().reportMs() / 60;
   }
 
   /** Something changed: look again soon, once for all changes of the moment. */
-  public void nudge() {
-    if (!due) {
-      due = true;
+  public void scheduleTurn() {
+    if (!turnScheduled) {
+      turnScheduled = true;
       timers.after(
-          pauseMs,
+          batchDelayMs,
           () -> {
-            due = false;
-            place();
+            turnScheduled = false;
+            runTurn();
           });
     }
   }
@@ -101,188 +101,192 @@
    * Answers what the next turn, brought forward, finds in the way of a job; null when this
    * controller places nothing.
    */
-  public void explain(String ref, Consumer<PlacementExplanation> answer) {
+  public void explain(String ref, Consumer<PlacementExplanation> callback) {
     if (!ledger.armed()) {
-      answer.accept(null);
+      callback.accept(null);
       return;
     }
-    boolean first = recorder == null;
-    if (first) {
+    boolean firstRequest = recorder == null;
+    if (firstRequest) {
       recorder = new DecisionRecorder(clock, ledger, workers, estimates, calendars);
     }
-    recorder.ask(ref, answer);
-    if (first) {
-      timers.after(0, this::place);
+    recorder.addRequest(ref, callback);
+    if (firstRequest) {
+      timers.after(0, this::runTurn);
     }
   }
 
-  private void place() {
+  private void runTurn() {
     if (ledger.armed()) {
-      turn();
+      placeWaitingJobs();
     } else {
       reservations.clear();
     }
     if (recorder != null) {
       if (ledger.armed()) {
         // Judged once more with the state in which the turn left everything.
-        recorder.answer(filter::judgeAny);
+        recorder.answerRequests(filter::filterAnyHost);
       } else {
-        recorder.giveUp();
+        recorder.cancelRequests();
       }
       recorder = null;
     }
   }
 
-  private void turn() {
-    List<Job> waiting = ranking.ordered();
-    if (waiting.isEmpty()) {
+  private void placeWaitingJobs() {
+    List<Job> waitingJobs = ranking.orderedJobs();
+    if (waitingJobs.isEmpty()) {
       return;
     }
     // In a full cluster few machines have any room: the others are not looked at for each task.
-    double least = waiting.stream().mapToDouble(j -> j.spec().cpus()).min().orElse(0);
+    double minCpus = waitingJobs.stream().mapToDouble(j -> j.spec().cpus()).min().orElse(0);
     List<Host> usable = new ArrayList<>();
-    double cpus = 0;
-    steady.clear();
+    double clusterCpus = 0;
+    steadyCapacity.clear();
     for (Host host : workers.hosts()) {
       if (!host.closed() && workers.fresh(host)) {
-        cpus += host.type().cpus();
-        if (host.cpusFree() >= least - 1e-9) {
+        clusterCpus += host.type().cpus();
+        if (host.cpusFree() >= minCpus - 1e-9) {
           usable.add(host);
-          steady.add(host, host.cpusFree());
+          steadyCapacity.addFreeCpus(host, host.cpusFree());
         }
       }
     }
-    filter.begin(roomForServices.getAsDouble());
-    earliestFinish.begin();
-    evictions.begin();
-    reservations.begin(starvationGuard);
-    lanes.begin(usable);
-    List<Job> others = placeAhead(waiting, usable);
-    placeFirst(others, usable, cpus);
+    filter.beginTurn(cpusForServices.getAsDouble());
+    earliestFinish.beginTurn();
+    evictions.beginTurn();
+    reservations.beginTurn(starvationGuard);
+    lanes.beginTurn(usable);
+    List<Job> others = placeCriticalAndRiders(waitingJobs, usable);
+    placeLongWaiting(others, usable, clusterCpus);
     placeInOrder(others, usable);
   }
 
   /** Critical services and riders, who wait for nobody; returns the others. */
-  private List<Job> placeAhead(List<Job> waiting, List<Host> usable) {
+  private List<Job> placeCriticalAndRiders(List<Job> waitingJobs, List<Host> usable) {
     List<Job> others = new ArrayList<>();
     List<Job> riders = new ArrayList<>();
-    for (Job job : waiting) {
-      boolean rides = lanes.rides(job.spec());
-      if (!rides && !StarvationGuard.critical(job.spec())) {
+    for (Job job : waitingJobs) {
+      boolean rider = lanes.isRider(job.spec());
+      if (!rider && !StarvationGuard.isCritical(job.spec())) {
         others.add(job);
         continue;
       }
-      place(job, usable, Integer.MAX_VALUE);
-      if (rides && job.waiting() > 0) {
+      placeJob(job, usable, Integer.MAX_VALUE);
+      if (rider && job.waiting() > 0) {
         riders.add(job);
       }
     }
     if (!riders.isEmpty()) {
-      lanes.claim(riders);
+      lanes.claimRoom(riders);
     }
     return others;
   }
 
   /** True for an attempt that has waited for long before it ran: it is stopped last. */
-  public boolean shelters(Attempt attempt) {
-    return starvationGuard.shelters(attempt);
+  public boolean isProtectedFromEviction(Attempt attempt) {
+    return starvationGuard.isProtectedFromEviction(attempt);
   }
 
   /** Who has waited for long begins before the others, with a few tasks (docs/known.md). */
-  private void placeFirst(List<Job> waiting, List<Host> usable, double cpus) {
-    Map<Job, Integer> first = starvationGuard.first(waiting, cpus);
-    List<Job> order = new ArrayList<>(first.keySet());
+  private void placeLongWaiting(List<Job> waitingJobs, List<Host> usable, double clusterCpus) {
+    Map<Job, Integer> quotas = starvationGuard.assignQuotas(waitingJobs, clusterCpus);
+    List<Job> quotaJobs = new ArrayList<>(quotas.keySet());
     // Machines may be kept for it: found before anything else is looked for.
-    order.sort(Comparator.comparing(j -> !reservations.holds(j)));
-    for (Job job : order) {
-      place(job, usable, first.get(job));
-      int lacking = job.spec().service() || job.spec().gang() ? job.waiting() : 1;
-      if (job.waiting() > 0 && (StarvationGuard.idle(job) || job.spec().service())) {
-        reservations.keep(job, lacking, cpus);
+    quotaJobs.sort(Comparator.comparing(j -> !reservations.hasReservation(j)));
+    for (Job job : quotaJobs) {
+      placeJob(job, usable, quotas.get(job));
+      int missingTasks = job.spec().service() || job.spec().gang() ? job.waiting() : 1;
+      if (job.waiting() > 0 && (StarvationGuard.hasNotBegun(job) || job.spec().service())) {
+        reservations.reserve(job, missingTasks, clusterCpus);
       }
     }
   }
 
-  private void placeInOrder(List<Job> waiting, List<Host> usable) {
-    for (Job job : waiting) {
-      if (!place(job, usable, Integer.MAX_VALUE) && starving(job)) {
+  private void placeInOrder(List<Job> waitingJobs, List<Host> usable) {
+    for (Job job : waitingJobs) {
+      if (!placeJob(job, usable, Integer.MAX_VALUE) && isStarving(job)) {
         // Machines must empty for it: what is less pressing would fill them again for ever.
-        noteBehind(waiting, job);
+        recordBehindGang(waitingJobs, job);
         return;
       }
     }
   }
 
-  /** Starts up to {@code most} of a job's tasks; false when it is a gang and has no room. */
-  private boolean place(Job job, List<Host> usable, int most) {
+  /** Starts up to {@code maxTasks} of a job's tasks; false when it is a gang and has no room. */
+  private boolean placeJob(Job job, List<Host> usable, int maxTasks) {
     if (job.spec().gang()) {
       return placeGang(job, usable);
     }
     if (job.spec().together()) {
-      placeTogether(job, usable, most);
+      placeTogether(job, usable, maxTasks);
     } else {
-      placeEach(job, usable, most);
+      placeEach(job, usable, maxTasks);
     }
     return true;
   }
 
-  private void noteBehind(List<Job> order, Job gang) {
+  private void recordBehindGang(List<Job> orderedJobs, Job gang) {
     if (recorder != null) {
-      order.stream()
-          .skip(order.indexOf(gang) + 1L)
-          .forEach(j -> recorder.found(j, PlacementVerdict.BEHIND_GANG, j.waiting()));
+      orderedJobs.stream()
+          .skip(orderedJobs.indexOf(gang) + 1L)
+          .forEach(j -> recorder.recordJobVerdict(j, PlacementVerdict.BEHIND_GANG, j.waiting()));
     }
   }
 
-  private boolean starving(Job job) {
+  private boolean isStarving(Job job) {
     return job.held() == 0
         && ledger.teamAllows(job.spec(), job.waiting())
         && clock.wall() - job.acceptedWall() > 10 * settings.workers().reportMs();
   }
 
   /** The first task chooses the zone for all: the one with the most room for them. */
-  private void placeTogether(Job job, List<Host> usable, int most) {
-    String best = null;
-    int largest = 0;
-    for (Map.Entry<String, List<Host>> zone : PlacementFilter.byZone(usable).entrySet()) {
-      int room = filter.room(job, zone.getValue());
-      if (room > largest) {
-        largest = room;
-        best = zone.getKey();
+  private void placeTogether(Job job, List<Host> usable, int maxTasks) {
+    String bestZone = null;
+    int bestRoom = 0;
+    for (Map.Entry<String, List<Host>> zone : PlacementFilter.groupByZone(usable).entrySet()) {
+      int room = filter.countFitting(job, zone.getValue());
+      if (room > bestRoom) {
+        bestRoom = room;
+        bestZone = zone.getKey();
       }
     }
-    if (best != null) {
-      placeEach(job, PlacementFilter.byZone(usable).get(best), most);
+    if (bestZone != null) {
+      placeEach(job, PlacementFilter.groupByZone(usable).get(bestZone), maxTasks);
     }
   }
 
-  /** Starts up to {@code most} of a job's tasks, each where it completes earliest. */
-  private void placeEach(Job job, List<Host> usable, int most) {
-    awaitsImage = false;
-    int waited = job.waiting();
+  /** Starts up to {@code maxTasks} of a job's tasks, each where it completes earliest. */
+  private void placeEach(Job job, List<Host> usable, int maxTasks) {
+    awaitingImage = false;
+    int waitingBefore = job.waiting();
     int step = job.nextFree(0);
-    while (step >= 0 && waited - job.waiting() < most) {
-      Host best = earliestFinish.best(job, usable, recorder != null);
-      if (best == null || !lanes.rides(job.spec()) && awaitsImage(job, best)) {
+    while (step >= 0 && waitingBefore - job.waiting() < maxTasks) {
+      Host host = earliestFinish.selectHost(job, usable, recorder != null);
+      if (host == null || !lanes.isRider(job.spec()) && shouldAwaitImage(job, host)) {
         break;
       }
-      int before = step;
-      step = fill(job, step, best, most - (waited - job.waiting()));
-      if (step == before || probes(job)) {
+      int previousStep = step;
+      step = startOnHost(job, step, host, maxTasks - (waitingBefore - job.waiting()));
+      if (step == previousStep || isProbing(job)) {
         break;
       }
     }
-    if (awaitsImage && recorder != null) {
-      recorder.found(job, PlacementVerdict.AWAITS_IMAGE, job.waiting());
+    if (awaitingImage && recorder != null) {
+      recorder.recordJobVerdict(job, PlacementVerdict.AWAITS_IMAGE, job.waiting());
     }
     // Others do not make room for a job that fails wherever it runs.
-    boolean whole = most == Integer.MAX_VALUE;
+    boolean mayMakeRoom = maxTasks == Integer.MAX_VALUE;
     // A rider claims its room by its lane.
-    whole &= !lanes.rides(job.spec());
-    if (step >= 0 && whole && ledger.teamAllows(job.spec()) && !awaitsImage && !job.suspected()) {
-      int onItsWay = evictions.makeRoom(job, ranking.guaranteed(job));
-      if (onItsWay > 0 && recorder != null) {
-        recorder.found(job, PlacementVerdict.ROOM_ON_ITS_WAY, onItsWay);
+    mayMakeRoom &= !lanes.isRider(job.spec());
+    if (step >= 0
+        && mayMakeRoom
+        && ledger.teamAllows(job.spec())
+        && !awaitingImage
+        && !job.suspected()) {
+      int roomComing = evictions.makeRoom(job, ranking.isWithinGuarantee(job));
+      if (roomComing > 0 && recorder != null) {
+        recorder.recordJobVerdict(job, PlacementVerdict.ROOM_ON_ITS_WAY, roomComing);
       }
     }
   }
@@ -291,30 +295,30 @@
    * True when a replica had better wait for room at a machine that has its image than start with a
    * fetch here. Only for as long as the fetch would take: later, any start is better than none.
    */
-  private boolean awaitsImage(Job job, Host best) {
+  private boolean shouldAwaitImage(Job job, Host host) {
     Submission submission = job.spec();
-    double fetchS = best.imageWaitS(submission, clock.now());
-    double age = (clock.wall() - job.acceptedWall()) / 1000.0;
-    awaitsImage =
+    double fetchS = host.imageWaitS(submission, clock.now());
+    double ageS = (clock.wall() - job.acceptedWall()) / 1000.0;
+    awaitingImage =
         submission.service()
             && fetchS > 0
-            && age < fetchS / 2
+            && ageS < fetchS / 2
             && evictions.makeRoomAtImage(job) > 0;
-    return awaitsImage;
+    return awaitingImage;
   }
 
   /** Starts as many of a job's tasks on a machine as fit; returns the next step, or -1. */
-  private int fill(Job job, int from, Host host, int most) {
-    int step = from;
-    int left = most;
+  private int startOnHost(Job job, int firstStep, Host host, int maxTasks) {
+    int step = firstStep;
+    int remainingTasks = maxTasks;
     while (step >= 0
-        && left-- > 0
-        && filter.leavesRoom(job.spec(), host)
+        && remainingTasks-- > 0
+        && filter.leavesReservedRoom(job.spec(), host)
         && ledger.launch(job, step, host)) {
-      steady.add(host, -job.spec().cpus());
-      lanes.add(host, -job.spec().cpus());
+      steadyCapacity.addFreeCpus(host, -job.spec().cpus());
+      lanes.addFreeCpus(host, -job.spec().cpus());
       step = job.nextFree(step + 1);
-      if (probes(job) || host.onProbation(clock.now())) {
+      if (isProbing(job) || host.onProbation(clock.now())) {
         break;
       }
     }
@@ -322,7 +326,7 @@
   }
 
   /** One task alone tells whether a job still fails wherever it runs; of a gang it takes all. */
-  private static boolean probes(Job job) {
+  private static boolean isProbing(Job job) {
     return job.suspected() && !job.spec().gang();
   }
 
@@ -332,22 +336,22 @@
     if (!ledger.teamAllows(submission, job.waiting()) || job.held() > 0) {
       return false;
     }
-    List<List<Host>> choices =
+    List<List<Host>> hostGroups =
         submission.together()
-            ? List.copyOf(PlacementFilter.byZone(usable).values())
+            ? List.copyOf(PlacementFilter.groupByZone(usable).values())
             : List.of(usable);
-    for (List<Host> machines : choices) {
-      int room = filter.room(job, machines);
+    for (List<Host> hosts : hostGroups) {
+      int room = filter.countFitting(job, hosts);
       if (recorder != null) {
-        recorder.gangRoom(job, room);
+        recorder.recordGangCapacity(job, room);
       }
       if (room >= job.waiting()) {
-        placeEach(job, machines, Integer.MAX_VALUE);
+        placeEach(job, hosts, Integer.MAX_VALUE);
         return true;
       }
     }
     if (recorder != null) {
-      recorder.found(job, PlacementVerdict.GANG, job.waiting());
+      recorder.recordJobVerdict(job, PlacementVerdict.GANG, job.waiting());
     }
     return false;
   }
--- a/src/main/java/dapplestair/placement/Ranking.java
+++ b/src/main/java/dapplestair/placement/Ranking.java
@@ -12,7 +12,7 @@
 
 /** Which waiting job is placed first. */
 final class Ranking {
-  private static final double LARGE_BEFORE_S = 1e6;
+  private static final double LARGE_JOB_LEAD_S = 1e6;
 
   private final Clock clock;
   private final Settings settings;
@@ -35,52 +35,54 @@
     this.objectives = new ServiceObjectives(settings.objectives());
   }
 
-  private record Ranked(Job job, int urgency, boolean borrows, int broken, double order) {}
+  private record Ranked(
+      Job job, int urgency, boolean exceedsGuarantee, int brokenObjectives, double sortKey) {}
 
   /**
    * Waiting jobs: by rank, guaranteed ones before borrowers, then those with the most promises left
    * to keep, the least work first; those with none left, the largest of their class before others,
    * oldest first; those without any, by slack.
    */
-  List<Job> ordered() {
-    long now = clock.now();
+  List<Job> orderedJobs() {
+    long nowMs = clock.now();
     List<Ranked> waiting = new ArrayList<>();
     for (Job job : ledger.jobs()) {
       // One that fails wherever it runs waits for its probe to end.
       boolean probing = job.suspected() && job.held() > 0;
       if (!job.over()
           && !probing
-          && job.heldBackUntil() <= now
+          && job.heldBackUntil() <= nowMs
           && job.nextFree(0) >= 0
           && !calendars.holds(job)) {
-        waiting.add(ranked(job));
+        waiting.add(toRanked(job));
       }
     }
     waiting.sort(
         Comparator.comparingInt(Ranked::urgency)
             .thenComparing(r -> !calendars.goesFirst(r.job()))
-            .thenComparing(Ranked::borrows)
-            .thenComparingInt(Ranked::broken)
-            .thenComparingDouble(Ranked::order)
+            .thenComparing(Ranked::exceedsGuarantee)
+            .thenComparingInt(Ranked::brokenObjectives)
+            .thenComparingDouble(Ranked::sortKey)
             .thenComparing(r -> r.job().spec().ref()));
     return waiting.stream().map(Ranked::job).toList();
   }
 
-  private Ranked ranked(Job job) {
+  private Ranked toRanked(Job job) {
     Submission submission = job.spec();
-    double age = (clock.wall() - job.askedWall()) / 1000.0;
-    double run = estimates.runS(submission);
-    int broken = objectives.broken(submission, age, run);
-    double order;
-    if (objectives.allBroken(submission, broken)) {
+    double ageS = (clock.wall() - job.askedWall()) / 1000.0;
+    double runS = estimates.expectedRunS(submission);
+    int brokenObjectives = objectives.countBroken(submission, ageS, runS);
+    double sortKey;
+    if (objectives.allBroken(submission, brokenObjectives)) {
       // Nobody else's promise is at stake here, and the largest have to begin in time as well.
-      order = ledger.served().isLarge(job) ? -LARGE_BEFORE_S - age : -age;
-    } else if (broken > 0 || objectives.promised(submission)) {
-      order = job.waiting() * submission.cpus() * Math.max(1, run);
+      sortKey = ledger.served().isLarge(job) ? -LARGE_JOB_LEAD_S - ageS : -ageS;
+    } else if (brokenObjectives > 0 || objectives.hasObjectives(submission)) {
+      sortKey = job.waiting() * submission.cpus() * Math.max(1, runS);
     } else {
-      order = (Double.isFinite(submission.dueS()) ? submission.dueS() : 10 * run + 60) - age - run;
+      sortKey =
+          (Double.isFinite(submission.dueS()) ? submission.dueS() : 10 * runS + 60) - ageS - runS;
     }
-    return new Ranked(job, urgency(submission), !guaranteed(job), broken, order);
+    return new Ranked(job, urgency(submission), !isWithinGuarantee(job), brokenObjectives, sortKey);
   }
 
   private static int urgency(Submission submission) {
@@ -88,7 +90,7 @@
   }
 
   /** True when one more of its tasks lies within its team's guarantee. */
-  boolean guaranteed(Job job) {
+  boolean isWithinGuarantee(Job job) {
     Settings.Team team = settings.teams().get(job.spec().team());
     return team != null
         && team.cpus() > 0
--- a/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
+++ b/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
@@ -13,7 +13,7 @@
  */
 public final class ReclaimNoticeHandler {
   // Owners' guesses are often wrong by half: unsaved work is given up only when it is well over.
-  private static final double SURELY_LATE = 1.5;
+  private static final double SURELY_LATE_FACTOR = 1.5;
 
   private final Clock clock;
   private final DisruptionGate disruptionGate;
@@ -28,17 +28,18 @@
   }
 
   /** A notice has come for this machine. */
-  public void leave(Host host) {
+  public void handleNotice(Host host) {
     double noticeS = (host.recallAt() - clock.now()) / 1000.0;
     for (Attempt attempt : List.copyOf(host.attempts())) {
       if (attempt.exited() || attempt.halting() || attempt.spec().gang()) {
         continue;
       }
       double saveS = attempt.spec().saves() ? attempt.spec().saveS() : 0;
-      double left =
-          attempt.spec().service() ? noticeS : estimates.leftS(attempt, host, clock.now());
-      double most = attempt.spec().saves() ? noticeS - saveS : SURELY_LATE * noticeS;
-      if (left > most) {
+      double remainingS =
+          attempt.spec().service() ? noticeS : estimates.remainingRunS(attempt, host, clock.now());
+      double maxRemainingS =
+          attempt.spec().saves() ? noticeS - saveS : SURELY_LATE_FACTOR * noticeS;
+      if (remainingS > maxRemainingS) {
         disruptionGate.must(attempt, Math.max(0, Math.min(2 * saveS, noticeS)), StopReason.NOTICE);
       }
     }
--- a/src/main/java/dapplestair/placement/Reservations.java
+++ b/src/main/java/dapplestair/placement/Reservations.java
@@ -22,12 +22,12 @@
 final class Reservations {
   // Most of the cluster's CPUs that are kept at once; the first job's machines are, whatever they
   // come to.
-  private static final double SHARE = 0.25;
+  private static final double MAX_RESERVED_CPU_SHARE = 0.25;
 
   private final Ledger ledger;
   private final WorkerManager workers;
-  private final Map<String, List<Host>> byJob = new LinkedHashMap<>();
-  private final Map<Host, String> kept = new LinkedHashMap<>();
+  private final Map<String, List<Host>> hostsByJob = new LinkedHashMap<>();
+  private final Map<Host, String> ownerByHost = new LinkedHashMap<>();
 
   Reservations(Ledger ledger, WorkerManager workers) {
     this.ledger = ledger;
@@ -35,25 +35,25 @@
   }
 
   /** True when this machine is kept for another job, and this one has to look elsewhere. */
-  boolean keptFrom(Job job, Host host) {
-    if (kept.isEmpty() || StarvationGuard.critical(job.spec())) {
+  boolean isReservedForOther(Job job, Host host) {
+    if (ownerByHost.isEmpty() || StarvationGuard.isCritical(job.spec())) {
       return false;
     }
-    String owner = kept.get(host);
+    String owner = ownerByHost.get(host);
     return owner != null && !owner.equals(job.spec().ref());
   }
 
   /** True when machines are kept for this job. */
-  boolean holds(Job job) {
-    return byJob.containsKey(job.spec().ref());
+  boolean hasReservation(Job job) {
+    return hostsByJob.containsKey(job.spec().ref());
   }
 
   /** Gives up what is kept for jobs that need it no more, and machines that are of no use. */
-  void begin(StarvationGuard starvationGuard) {
-    if (byJob.isEmpty()) {
+  void beginTurn(StarvationGuard starvationGuard) {
+    if (hostsByJob.isEmpty()) {
       return;
     }
-    byJob
+    hostsByJob
         .keySet()
         .removeIf(
             ref -> {
@@ -62,90 +62,93 @@
                   || starvationGuard.quota(job) == 0
                   || !ledger.teamAllows(job.spec());
             });
-    byJob.values().forEach(hosts -> hosts.removeIf(h -> h.closed() || !workers.fresh(h)));
-    byJob.values().removeIf(List::isEmpty);
-    kept.clear();
-    byJob.forEach((ref, hosts) -> hosts.forEach(h -> kept.put(h, ref)));
+    hostsByJob.values().forEach(hosts -> hosts.removeIf(h -> h.closed() || !workers.fresh(h)));
+    hostsByJob.values().removeIf(List::isEmpty);
+    ownerByHost.clear();
+    hostsByJob.forEach((ref, hosts) -> hosts.forEach(h -> ownerByHost.put(h, ref)));
   }
 
   /** Gives all up: this controller leads no more. */
   void clear() {
-    byJob.clear();
-    kept.clear();
+    hostsByJob.clear();
+    ownerByHost.clear();
   }
 
   /** Keeps machines for {@code tasks} of the job at once, if there are any to be kept. */
-  void keep(Job job, int tasks, double clusterCpus) {
-    if (holds(job)) {
+  void reserve(Job job, int tasks, double clusterCpus) {
+    if (hasReservation(job)) {
       return;
     }
-    List<Host> hosts = choose(job, tasks);
-    double cpus = hosts.stream().mapToDouble(h -> h.type().cpus()).sum();
-    double before = kept.keySet().stream().mapToDouble(h -> h.type().cpus()).sum();
-    if (hosts.isEmpty() || before > 0 && before + cpus > SHARE * clusterCpus) {
+    List<Host> hosts = chooseHosts(job, tasks);
+    double addedCpus = hosts.stream().mapToDouble(h -> h.type().cpus()).sum();
+    double reservedCpus = ownerByHost.keySet().stream().mapToDouble(h -> h.type().cpus()).sum();
+    if (hosts.isEmpty()
+        || reservedCpus > 0 && reservedCpus + addedCpus > MAX_RESERVED_CPU_SHARE * clusterCpus) {
       return;
     }
-    byJob.put(job.spec().ref(), new ArrayList<>(hosts));
-    hosts.forEach(h -> kept.put(h, job.spec().ref()));
+    hostsByJob.put(job.spec().ref(), new ArrayList<>(hosts));
+    hosts.forEach(h -> ownerByHost.put(h, job.spec().ref()));
   }
 
   /** Those that lack least, as many as the tasks take once all but services has left them. */
-  private List<Host> choose(Job job, int tasks) {
+  private List<Host> chooseHosts(Job job, int tasks) {
     Submission submission = job.spec();
-    TreeMap<String, List<Host>> zones = new TreeMap<>();
+    TreeMap<String, List<Host>> hostsByZone = new TreeMap<>();
     for (Host host : workers.hosts()) {
       if (!host.closed()
           && workers.fresh(host)
-          && !kept.containsKey(host)
+          && !ownerByHost.containsKey(host)
           && host.allowed(submission)
           && ledger.zoneAllows(job, host.zone())
-          && emptied(submission, host) > 0) {
+          && countFittingWhenEmptied(submission, host) > 0) {
         String zone = submission.together() ? host.zone() : "";
-        zones.computeIfAbsent(zone, z -> new ArrayList<>()).add(host);
+        hostsByZone.computeIfAbsent(zone, z -> new ArrayList<>()).add(host);
       }
     }
-    List<Host> best = List.of();
-    double bestFree = -1;
-    for (List<Host> zone : zones.values()) {
-      List<Host> enough = enough(job, tasks, zone);
-      double free = enough.stream().mapToDouble(Host::cpusFree).sum();
-      if (!enough.isEmpty() && free > bestFree) {
-        best = enough;
-        bestFree = free;
+    List<Host> bestHosts = List.of();
+    double bestFreeCpus = -1;
+    for (List<Host> zone : hostsByZone.values()) {
+      List<Host> selected = selectEnough(job, tasks, zone);
+      double freeCpus = selected.stream().mapToDouble(Host::cpusFree).sum();
+      if (!selected.isEmpty() && freeCpus > bestFreeCpus) {
+        bestHosts = selected;
+        bestFreeCpus = freeCpus;
       }
     }
-    return best;
+    return bestHosts;
   }
 
-  private static List<Host> enough(Job job, int tasks, List<Host> hosts) {
+  private static List<Host> selectEnough(Job job, int tasks, List<Host> hosts) {
     Submission submission = job.spec();
     hosts.sort(Comparator.comparingDouble((Host host) -> -host.cpusFree()).thenComparing(Host::id));
-    Map<String, Integer> perZone = new HashMap<>();
-    List<Host> out = new ArrayList<>();
-    int found = 0;
+    Map<String, Integer> selectedByZone = new HashMap<>();
+    List<Host> selected = new ArrayList<>();
+    int foundTasks = 0;
     for (Host host : hosts) {
-      int left =
-          submission.mostPerZone() - job.inZone(host.zone()) - perZone.getOrDefault(host.zone(), 0);
-      int here = Math.min(emptied(submission, host), left);
-      if (here > 0) {
-        out.add(host);
-        found += here;
-        perZone.merge(host.zone(), here, Integer::sum);
+      int allowedInZone =
+          submission.mostPerZone()
+              - job.inZone(host.zone())
+              - selectedByZone.getOrDefault(host.zone(), 0);
+      int tasksHere = Math.min(countFittingWhenEmptied(submission, host), allowedInZone);
+      if (tasksHere > 0) {
+        selected.add(host);
+        foundTasks += tasksHere;
+        selectedByZone.merge(host.zone(), tasksHere, Integer::sum);
       }
-      if (found >= tasks) {
-        return out;
+      if (foundTasks >= tasks) {
+        return selected;
       }
     }
     // A gang that fits nowhere even then waits for machines, and keeps none idle meanwhile.
-    return submission.gang() ? List.of() : out;
+    return submission.gang() ? List.of() : selected;
   }
 
   /** How many of its tasks a machine holds without all but its services. */
-  private static int emptied(Submission submission, Host host) {
-    double share = 1 - host.serviceCpus() / host.type().cpus();
+  private static int countFittingWhenEmptied(Submission submission, Host host) {
+    double memoryShare = 1 - host.serviceCpus() / host.type().cpus();
     return submission.fitting(
         host.type().cpus() - host.serviceCpus(),
-        host.type().memoryGb() * share,
+        host.type().memoryGb() * memoryShare,
         host.type().gpus());
   }
 }
--- a/src/main/java/dapplestair/placement/ServiceObjectives.java
+++ b/src/main/java/dapplestair/placement/ServiceObjectives.java
@@ -13,37 +13,40 @@
  * cannot.
  */
 final class ServiceObjectives {
-  private final Map<String, List<Settings.Objective>> byClass = new HashMap<>();
+  private final Map<String, List<Settings.Objective>> objectivesByClass = new HashMap<>();
 
   ServiceObjectives(List<Settings.Objective> objectives) {
     for (Settings.Objective objective : objectives) {
       if (objective.withinS() > 0
           && (objective.kind().equals("wait") || objective.kind().equals("finished"))) {
-        byClass.computeIfAbsent(objective.jobClass(), c -> new ArrayList<>()).add(objective);
+        objectivesByClass
+            .computeIfAbsent(objective.jobClass(), c -> new ArrayList<>())
+            .add(objective);
       }
     }
   }
 
   /** How many promises to this job can no longer be kept, if all of it starts now. */
-  int broken(Submission submission, double ageS, double runS) {
-    int broken = 0;
-    for (Settings.Objective objective : byClass.getOrDefault(submission.jobClass(), List.of())) {
-      double earliest = objective.kind().equals("wait") ? ageS : ageS + runS;
-      if (earliest > objective.withinS()) {
-        broken++;
+  int countBroken(Submission submission, double ageS, double runS) {
+    int brokenCount = 0;
+    for (Settings.Objective objective :
+        objectivesByClass.getOrDefault(submission.jobClass(), List.of())) {
+      double earliestS = objective.kind().equals("wait") ? ageS : ageS + runS;
+      if (earliestS > objective.withinS()) {
+        brokenCount++;
       }
     }
-    return broken;
+    return brokenCount;
   }
 
   /** True when anything is promised of this job's class. */
-  boolean promised(Submission submission) {
-    return byClass.containsKey(submission.jobClass());
+  boolean hasObjectives(Submission submission) {
+    return objectivesByClass.containsKey(submission.jobClass());
   }
 
   /** True when none can be kept any more. */
-  boolean allBroken(Submission submission, int broken) {
-    List<Settings.Objective> of = byClass.get(submission.jobClass());
-    return of != null && broken == of.size();
+  boolean allBroken(Submission submission, int brokenCount) {
+    List<Settings.Objective> classObjectives = objectivesByClass.get(submission.jobClass());
+    return classObjectives != null && brokenCount == classObjectives.size();
   }
 }
--- a/src/main/java/dapplestair/placement/StarvationGuard.java
+++ b/src/main/java/dapplestair/placement/StarvationGuard.java
@@ -27,17 +27,17 @@
  */
 final class StarvationGuard {
   // From this part of the bound on a job begins: what is left is for room to become free.
-  private static final double NEAR = 0.6;
+  private static final double NEAR_BOUND_FRACTION = 0.6;
 
   // Most of the cluster's CPUs that windows hold together.
-  private static final double SHARE = 0.25;
+  private static final double MAX_WINDOW_CPU_SHARE = 0.25;
 
   // An array begins with this part of its tasks, and past the bound goes on with this one.
-  private static final int STARTER = 16;
-  private static final int WINDOW = 8;
+  private static final int INITIAL_WINDOW_DIVISOR = 16;
+  private static final int OVERDUE_WINDOW_DIVISOR = 8;
 
   // A replica that has just begun is left alone for this part of the bound.
-  private static final int SETTLED = 6;
+  private static final int SETTLING_TIME_DIVISOR = 6;
 
   private final Clock clock;
   private final Ledger ledger;
@@ -51,7 +51,7 @@
   }
 
   /** True for work that no bound of others may delay. */
-  static boolean critical(Submission submission) {
+  static boolean isCritical(Submission submission) {
     return submission.service() && submission.rank() == Rank.CRITICAL;
   }
 
@@ -60,12 +60,12 @@
   }
 
   /** True when a job has waited for so long that its first tasks go before others. */
-  boolean near(Job job) {
-    return ageMs(job) > NEAR * boundMs;
+  boolean isNearBound(Job job) {
+    return ageMs(job) > NEAR_BOUND_FRACTION * boundMs;
   }
 
   /** True when nothing of it runs, has completed or is about to run. */
-  static boolean idle(Job job) {
+  static boolean hasNotBegun(Job job) {
     return job.held() == 0 && job.doneCount() == 0;
   }
 
@@ -73,35 +73,39 @@
    * How many of its tasks at once go first: services, gangs and the largest arrays of each class
    * whole, other arrays by their first.
    */
-  private int window(Job job) {
+  private int windowTasks(Job job) {
     Submission submission = job.spec();
     if (submission.service() || submission.gang() || ledger.served().isLarge(job)) {
       return submission.steps();
     }
-    int part = ageMs(job) > boundMs ? WINDOW : STARTER;
-    return (submission.steps() + part - 1) / part;
+    int divisor = ageMs(job) > boundMs ? OVERDUE_WINDOW_DIVISOR : INITIAL_WINDOW_DIVISOR;
+    return (submission.steps() + divisor - 1) / divisor;
   }
 
   /** How many more of its tasks go first now; 0 when it has to take its turn. */
   int quota(Job job) {
-    if (!near(job) || job.suspected() || critical(job.spec())) {
+    if (!isNearBound(job) || job.suspected() || isCritical(job.spec())) {
       return 0;
     }
-    boolean begins =
-        idle(job) || ageMs(job) > boundMs || job.spec().service() || ledger.served().isLarge(job);
-    return begins ? Math.max(0, Math.min(job.waiting(), window(job) - job.held())) : 0;
+    boolean mayGoFirst =
+        hasNotBegun(job)
+            || ageMs(job) > boundMs
+            || job.spec().service()
+            || ledger.served().isLarge(job);
+    return mayGoFirst ? Math.max(0, Math.min(job.waiting(), windowTasks(job) - job.held())) : 0;
   }
 
   /** True for an attempt that runs in its job's window: nothing but a critical service stops it. */
-  boolean shelters(Attempt attempt) {
+  boolean isProtectedFromEviction(Attempt attempt) {
     Job job = attempt.job();
-    if (job.over() || !near(job) || critical(attempt.spec())) {
+    if (job.over() || !isNearBound(job) || isCritical(attempt.spec())) {
       return false;
     }
     if (attempt.spec().service()) {
-      return clock.now() - Math.max(attempt.plannedAt(), attempt.statusAt()) < boundMs / SETTLED;
+      return clock.now() - Math.max(attempt.plannedAt(), attempt.statusAt())
+          < boundMs / SETTLING_TIME_DIVISOR;
     }
-    return job.held() <= window(job);
+    return job.held() <= windowTasks(job);
   }
 
   /**
@@ -109,53 +113,59 @@
    * have not begun before the others, one of each team and class in turn, the one that holds least
    * first, oldest first within each (deficit round robin with a job's window as the quantum).
    *
-   * @param cpus of all machines that may be used
+   * @param clusterCpus of all machines that may be used
    */
-  Map<Job, Integer> first(List<Job> waiting, double cpus) {
-    TreeMap<String, Deque<Job>> groups = new TreeMap<>();
-    waiting.stream()
+  Map<Job, Integer> assignQuotas(List<Job> waitingJobs, double clusterCpus) {
+    TreeMap<String, Deque<Job>> jobsByGroup = new TreeMap<>();
+    waitingJobs.stream()
         .filter(j -> quota(j) > 0 && ledger.teamAllows(j.spec()))
         .sorted(
-            Comparator.comparing((Job j) -> !idle(j))
+            Comparator.comparing((Job j) -> !hasNotBegun(j))
                 .thenComparingLong(Job::askedWall)
                 .thenComparing(j -> j.spec().ref()))
-        .forEach(j -> groups.computeIfAbsent(group(j), g -> new ArrayDeque<>()).add(j));
-    return groups.isEmpty() ? Map.of() : take(groups, cpus * SHARE);
+        .forEach(j -> jobsByGroup.computeIfAbsent(groupKey(j), g -> new ArrayDeque<>()).add(j));
+    return jobsByGroup.isEmpty()
+        ? Map.of()
+        : shareWindows(jobsByGroup, clusterCpus * MAX_WINDOW_CPU_SHARE);
   }
 
-  private Map<Job, Integer> take(Map<String, Deque<Job>> groups, double most) {
-    Object2DoubleOpenHashMap<String> held = new Object2DoubleOpenHashMap<>();
+  private Map<Job, Integer> shareWindows(Map<String, Deque<Job>> jobsByGroup, double maxCpus) {
+    Object2DoubleOpenHashMap<String> heldCpusByGroup = new Object2DoubleOpenHashMap<>();
     for (Job job : ledger.jobs()) {
-      if (!job.over() && job.held() > 0 && near(job) && !job.spec().service()) {
-        held.addTo(group(job), Math.min(job.held(), window(job)) * job.spec().cpus());
+      if (!job.over() && job.held() > 0 && isNearBound(job) && !job.spec().service()) {
+        heldCpusByGroup.addTo(
+            groupKey(job), Math.min(job.held(), windowTasks(job)) * job.spec().cpus());
       }
     }
-    double left = most - held.values().doubleStream().sum();
-    Map<Job, Integer> out = new LinkedHashMap<>();
-    while (!groups.isEmpty()) {
-      String next =
-          groups.keySet().stream().min(Comparator.comparingDouble(held::getDouble)).orElseThrow();
-      Deque<Job> of = groups.get(next);
-      Job job = of.remove();
-      int fit = (int) Math.floor(Math.max(0, left) / job.spec().cpus());
+    double remainingCpus = maxCpus - heldCpusByGroup.values().doubleStream().sum();
+    Map<Job, Integer> quotas = new LinkedHashMap<>();
+    while (!jobsByGroup.isEmpty()) {
+      String group =
+          jobsByGroup.keySet().stream()
+              .min(Comparator.comparingDouble(heldCpusByGroup::getDouble))
+              .orElseThrow();
+      Deque<Job> groupJobs = jobsByGroup.get(group);
+      Job job = groupJobs.remove();
+      int fittingTasks = (int) Math.floor(Math.max(0, remainingCpus) / job.spec().cpus());
       // Whatever the others hold, one job of each team and class begins, and every array with one
       // task: windows may be full for as long as an overload lasts.
-      int least = idle(job) && !job.spec().service() && !job.spec().gang() ? 1 : 0;
-      int allowed = held.getDouble(next) == 0 ? quota(job) : Math.max(least, fit);
-      int tasks = Math.min(quota(job), allowed);
+      int minTasks = hasNotBegun(job) && !job.spec().service() && !job.spec().gang() ? 1 : 0;
+      int allowedTasks =
+          heldCpusByGroup.getDouble(group) == 0 ? quota(job) : Math.max(minTasks, fittingTasks);
+      int tasks = Math.min(quota(job), allowedTasks);
       if (tasks > 0) {
-        out.put(job, tasks);
-        left -= tasks * job.spec().cpus();
-        held.addTo(next, tasks * job.spec().cpus());
+        quotas.put(job, tasks);
+        remainingCpus -= tasks * job.spec().cpus();
+        heldCpusByGroup.addTo(group, tasks * job.spec().cpus());
       }
-      if (of.isEmpty() || tasks == 0) {
-        groups.remove(next);
+      if (groupJobs.isEmpty() || tasks == 0) {
+        jobsByGroup.remove(group);
       }
     }
-    return out;
+    return quotas;
   }
 
-  private static String group(Job job) {
+  private static String groupKey(Job job) {
     return job.spec().team() + '\n' + job.spec().jobClass();
   }
 }
--- a/src/main/java/dapplestair/placement/SteadyCapacity.java
+++ b/src/main/java/dapplestair/placement/SteadyCapacity.java
@@ -5,33 +5,33 @@
 
 /** CPUs that are free on steady machines in a turn of placing, in all and by zone. */
 final class SteadyCapacity {
-  private final Object2DoubleOpenHashMap<String> byZone = new Object2DoubleOpenHashMap<>();
-  private double free;
+  private final Object2DoubleOpenHashMap<String> freeCpusByZone = new Object2DoubleOpenHashMap<>();
+  private double freeCpus;
 
   void clear() {
-    free = 0;
-    byZone.clear();
+    freeCpus = 0;
+    freeCpusByZone.clear();
   }
 
   /** So many more are free on a machine, if it is a steady one. */
-  void add(Host host, double cpus) {
+  void addFreeCpus(Host host, double cpus) {
     if (!host.spot()) {
-      free += cpus;
-      byZone.addTo(host.zone(), cpus);
+      freeCpus += cpus;
+      freeCpusByZone.addTo(host.zone(), cpus);
     }
   }
 
-  double free() {
-    return free;
+  double freeCpus() {
+    return freeCpus;
   }
 
   /** 0 for the zone with most room, 1 for one without any. */
   double fullness(String zone) {
     // Asked for each machine that a replica might go to, so without a stream.
-    double most = 0;
-    for (double cpus : byZone.values()) {
-      most = Math.max(most, cpus);
+    double maxCpus = 0;
+    for (double cpus : freeCpusByZone.values()) {
+      maxCpus = Math.max(maxCpus, cpus);
     }
-    return most > 0 ? 1 - Math.max(0, byZone.getDouble(zone)) / most : 0;
+    return maxCpus > 0 ? 1 - Math.max(0, freeCpusByZone.getDouble(zone)) / maxCpus : 0;
   }
 }
--- a/src/main/java/dapplestair/planning/Autoscaler.java
+++ b/src/main/java/dapplestair/planning/Autoscaler.java
@@ -163,7 +163,7 @@
   }
 
   private void round() {
-    if (!demand.ready() || !types.known()) {
+    if (!demand.ready() || !types.isLoaded()) {
       // Nothing can be planned yet: look again soon rather than a whole round later.
       roundIn(operatorSettings.planIntervalMs() / 10);
       return;
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -230,7 +230,7 @@
         services += attempt.spec().cpus();
         continue;
       }
-      double left = Math.max(1, estimates.leftS(attempt, host, clock.now()));
+      double left = Math.max(1, estimates.remainingRunS(attempt, host, clock.now()));
       for (long l = Math.max(1, Math.round(attempt.spec().cpus() / laneCpus));
           l > 0 && used < perMachine;
           l--) {
@@ -276,7 +276,7 @@
   }
 
   private double slack(Submission submission) {
-    double run = estimates.runS(submission);
+    double run = estimates.expectedRunS(submission);
     return (Double.isFinite(submission.dueS()) ? submission.dueS() : 10 * run + 60) - run;
   }
 
--- a/src/main/java/dapplestair/planning/DryRunEntries.java
+++ b/src/main/java/dapplestair/planning/DryRunEntries.java
@@ -75,7 +75,7 @@
         submission.service(),
         lanes(submission),
         // Within a half of each other.
-        (int) Math.round(Math.log(1 + estimates.runS(submission)) / Math.log(1.5)),
+        (int) Math.round(Math.log(1 + estimates.expectedRunS(submission)) / Math.log(1.5)),
         (int) Math.round(submission.imageGb()),
         (int) Math.ceil(4 * pending.arrivesS() / Math.max(1, aheadS)));
   }
@@ -115,7 +115,7 @@
         allowed,
         of.count,
         lanes(submission),
-        submission.service() ? serviceS : estimates.runS(submission),
+        submission.service() ? serviceS : estimates.expectedRunS(submission),
         submission.service(),
         submission.imageGb(),
         of.arrivesS / of.jobs);
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -90,7 +90,7 @@
    * which any controller may say at any time.
    */
   private boolean passedOn(Exchange exchange, String ref) {
-    boolean served = replica.ready() && types.known() && state.reachable();
+    boolean served = replica.ready() && types.isLoaded() && state.reachable();
     return !served
         && !finder.over(ref)
         && relay.pass(exchange, answer -> relayed(exchange, ref, answer));
@@ -139,7 +139,7 @@
       refuseUnlessKnown(exchange, 400, e.getMessage());
       return;
     }
-    if (!replica.ready() || !types.known() || !state.reachable() || pending > MOST_PENDING) {
+    if (!replica.ready() || !types.isLoaded() || !state.reachable() || pending > MOST_PENDING) {
       turnAway(exchange, submission, 1);
       return;
     }
--- a/src/main/java/dapplestair/weights/ImageLocations.java
+++ b/src/main/java/dapplestair/weights/ImageLocations.java
@@ -113,7 +113,7 @@
       for (String id : holders.machines()) {
         Host host = workers.known(id);
         if (host != null) {
-          host.images().hinted(holders.image(), holders.gb());
+          host.images().recordHint(holders.image(), holders.gb());
         }
       }
     }
@@ -155,7 +155,7 @@
     for (Host host : workers.hosts()) {
       if (host.up() && !host.gone() && !host.releasing()) {
         host.images()
-            .ready(at)
+            .readyImages(at)
             .forEach(
                 (image, gb) ->
                     out.computeIfAbsent(
