--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -123,7 +123,7 @@
     if (expected > 0 && seconds > 0) {
       host.observeSlowness(seconds / expected);
     }
-    estimates.observe(attempt.spec(), seconds);
+    estimates.recordRunTime(attempt.spec(), seconds);
     faultAttribution.recordCompletion(attempt, host);
   }
 
--- a/src/main/java/dapplestair/placement/DecisionRecorder.java
+++ b/src/main/java/dapplestair/placement/DecisionRecorder.java
@@ -19,8 +19,8 @@
 import java.util.function.Consumer;
 
 /**
- * Writes down what a turn of placing decides about the jobs that somebody asked for. It exists only
- * while a question is open; without one, placing does nothing for it.
+ * Records what a placement turn decides about the jobs that operators asked about. An instance
+ * exists only while such a request is open; otherwise placement does no work for it.
  */
 final class DecisionRecorder {
   private final Clock clock;
@@ -51,7 +51,7 @@
     callbacksByJob.computeIfAbsent(ref, r -> new ArrayList<>()).add(callback);
   }
 
-  /** The turn decided this about the job as a whole. */
+  /** Records an obstacle that the turn found for the job as a whole. */
   void recordJobVerdict(Job job, PlacementVerdict verdict, int count) {
     if (callbacksByJob.containsKey(job.spec().ref())) {
       jobVerdicts
@@ -66,7 +66,10 @@
     }
   }
 
-  /** Ends the turn: {@code judge} is the same that placed. Nothing is asked afterwards. */
+  /**
+   * Answers all requests at the end of the turn; {@code filter} is the filter that the turn used.
+   * No request is added afterwards.
+   */
   void answerRequests(BiFunction<Job, Host, PlacementVerdict> filter) {
     callbacksByJob.forEach(
         (ref, callbacks) -> {
@@ -75,7 +78,7 @@
         });
   }
 
-  /** Nothing is placed here any more: every answer is null. */
+  /** Answers all requests with null, because this controller no longer places tasks. */
   void cancelRequests() {
     callbacksByJob.values().forEach(answers -> answers.forEach(a -> a.accept(null)));
   }
@@ -125,7 +128,7 @@
         gangCapacityByJob.getInt(ref));
   }
 
-  /** When enough is expected to have ended on a full machine, or -1. */
+  /** Returns the seconds until enough tasks are expected to have ended on a full machine, or -1. */
   private double secondsUntilRoom(Submission submission, Host host) {
     double cpus = submission.cpus() - host.cpusFree();
     double memory = submission.memoryGb() - host.memoryFree();
--- a/src/main/java/dapplestair/placement/EarliestFinishSelector.java
+++ b/src/main/java/dapplestair/placement/EarliestFinishSelector.java
@@ -10,11 +10,13 @@
 import java.util.List;
 import java.util.Set;
 
-/** Where a task completes earliest, its image's fetch included. */
+/**
+ * Selects the machine on which a task completes earliest, including the time to fetch its image.
+ */
 final class EarliestFinishSelector {
   private static final double FAILED_HERE_PENALTY_S = 1e4;
 
-  // What stands against this job there, and not against others of its size.
+  // Obstacles that concern this job alone: other jobs of its size may still fit on the machine.
   private static final Set<PlacementVerdict> JOB_SPECIFIC_VERDICTS =
       EnumSet.of(PlacementVerdict.SPREAD, PlacementVerdict.TOGETHER, PlacementVerdict.FAILED_HERE);
 
@@ -41,15 +43,16 @@
     this.reservations = reservations;
   }
 
-  /** A turn begins. */
+  /** Forgets the sizes that did not fit in the previous turn. */
   void beginTurn() {
     sizesWithoutRoom.clear();
   }
 
-  /** The best of these machines for the job's next task, or null. */
+  /** Returns the best of these machines for the job's next task, or null. */
   Host selectHost(Job job, List<Host> usable, boolean explain) {
     Submission submission = job.spec();
-    // What is kept for a job is room for it alone, so others' search says nothing.
+    // A job may use machines that are reserved for it alone, so failed searches of other jobs do
+    // not apply to it.
     boolean hasReservation = reservations.hasReservation(job);
     if (!ledger.teamAllows(submission)
         || !hasReservation && sizesWithoutRoom.stream().anyMatch(n -> n.covers(submission))) {
@@ -77,7 +80,10 @@
     return bestHost;
   }
 
-  /** A size for which no machine had room in this turn: nothing larger of its kind finds any. */
+  /**
+   * A task size that no machine could take in this turn: no larger task with the same constraints
+   * fits.
+   */
   private record UnplaceableSize(Submission rejected) {
     boolean covers(Submission submission) {
       return submission.cpus() >= rejected.cpus()
@@ -90,27 +96,34 @@
     }
   }
 
-  /** Seconds until completion there; ties go to cheap, then to full machines. */
+  /**
+   * Returns the seconds until completion on the machine, plus penalties and a tie-break that
+   * prefers spot machines for batch tasks, then full machines.
+   */
   private double completionScore(Job job, Host host) {
     Submission submission = job.spec();
     double fetchS = host.imageWaitS(submission, clock.now());
     double runS = submission.service() ? 0 : estimates.expectedRunS(submission) * host.slowness();
     double tieBreak = host.cpusFree() / host.type().cpus();
     if (submission.service()) {
-      // Replicas gather on few machines, so that the others can become idle.
+      // Replicas are packed on few machines, so that the others can become idle.
       tieBreak = 1 - host.serviceCpus() / host.type().cpus();
       if (submission.apart()) {
-        // The fullest zone last: room that is left in one zone alone is none for half of a job.
+        // The fullest zone comes last: a job that has to spread over zones cannot use capacity that
+        // is left in a single zone for more than half of its tasks.
         tieBreak += steadyCapacity.fullness(host.zone());
       }
     }
     if (!submission.service() && !host.spot()) {
-      // Steady machines are left to those who need them, if completion is about the same.
+      // When the completion times are about the same, steady machines are left to the jobs that
+      // need them.
       tieBreak += 1;
     }
-    // Where it failed before, it expects to fail again: any other machine completes it earlier.
+    // A job that failed on a machine is expected to fail there again, so any other machine
+    // completes it earlier.
     double failurePenaltyS = ledger.failedOn(job, host) ? FAILED_HERE_PENALTY_S : 0;
-    // Nobody knows yet who is to blame for those: each may cost a second run.
+    // Failures on this machine that are not yet attributed to a job or to the machine: each may
+    // cost a second run.
     failurePenaltyS += host.failures() * (1 + runS);
     return fetchS + runS + tieBreak + failurePenaltyS;
   }
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -20,15 +20,19 @@
 import java.util.function.Predicate;
 
 /**
- * Stops work to make room: of a lower rank, or, for a team within its guarantee, of any rank that
- * another team runs beyond its own. What loses least goes first, and room already on its way is
- * counted before more is stopped.
+ * Evicts running work to make room for waiting jobs. A job may evict work of a lower rank; a job of
+ * a team within its guarantee may also evict work of any rank that another team runs beyond its own
+ * guarantee. The work whose eviction loses least goes first, and capacity that is already becoming
+ * free is counted before more is evicted.
  */
 final class Evictions {
-  // Each scan looks at all machines; who is left out has its turn a moment later.
+  // Each scan goes over all machines; jobs that this limit leaves out have their turn a moment
+  // later.
   private static final int MAX_SCANS = 4;
 
-  /** One task's room on one machine, and what it costs. */
+  /**
+   * Capacity for one task on one machine, with the attempts to evict for it and what that loses.
+   */
   private record EvictionCandidate(Host host, List<Attempt> victims, double lossScore) {}
 
   private final Clock clock;
@@ -39,7 +43,8 @@
   private final StarvationGuard starvationGuard;
   private final PlacementFilter filter;
 
-  // Of this turn: teams' use beyond their guarantees, machines whose coming room is spoken for.
+  // Per turn: each team's CPUs beyond its guarantee, and the machines on which capacity is already
+  // being made free for a job.
   private final Object2DoubleOpenHashMap<String> borrowedCpusByTeam =
       new Object2DoubleOpenHashMap<>();
   private final Set<Host> selectedHosts = new LinkedHashSet<>();
@@ -64,14 +69,17 @@
     this.filter = filter;
   }
 
-  /** A new turn of placing. */
+  /** Resets the state of the previous turn. */
   void beginTurn() {
     attemptsScanned = false;
     scans = 0;
     selectedHosts.clear();
   }
 
-  /** One look over all attempts a turn: who borrows, and the lowest rank that runs. */
+  /**
+   * Goes over all attempts, once a turn: finds the teams that run more than their guarantee, and
+   * the lowest rank that runs.
+   */
   private void scanAttempts() {
     attemptsScanned = true;
     lowestRank = Rank.values()[0];
@@ -96,8 +104,8 @@
   }
 
   /**
-   * Stops what is in the way of a job's waiting tasks, one task's worth a machine. Returns for how
-   * many room is on its way.
+   * Evicts work to make room for a job's waiting tasks, at most one task's worth on each machine.
+   * Returns the number of tasks for which capacity is becoming free.
    */
   int makeRoom(Job job, boolean guaranteed) {
     if (!attemptsScanned) {
@@ -119,9 +127,9 @@
   }
 
   /**
-   * Makes room for replicas where their image is, when all room there is means a fetch. Only for
-   * what is gone at once: work that has to be saved first is not worth a fetch. Returns for how
-   * many room is on its way.
+   * Evicts work for replicas on machines that have their image, when all free capacity would
+   * require a fetch. Evicts only work that stops at once: waiting until work has been saved is not
+   * worth an avoided fetch. Returns the number of tasks for which capacity is becoming free.
    */
   int makeRoomAtImage(Job job) {
     if (!attemptsScanned) {
@@ -139,7 +147,7 @@
     return evictCheapest(candidates, job.waiting());
   }
 
-  /** Takes up the cheapest offers; returns how many. */
+  /** Evicts the victims of the cheapest candidates; returns the number of these candidates. */
   private int evictCheapest(List<EvictionCandidate> candidates, int maxCount) {
     candidates.sort(
         Comparator.comparingDouble(EvictionCandidate::lossScore).thenComparing(o -> o.host().id()));
@@ -176,7 +184,8 @@
     if (borrowedCpusByTeam.containsKey(attempt.spec().team())) {
       borrowedCpusByTeam.addTo(attempt.spec().team(), -attempt.spec().cpus());
     }
-    // Rank and guarantee cannot wait (PROTOCOL, Preemption): debited, never refused.
+    // Evictions for rank and guarantee cannot wait (PROTOCOL, Preemption): they are debited, never
+    // refused.
     disruptionGate.must(
         attempt, attempt.spec().saves() ? 2 * attempt.spec().saveS() : 0, StopReason.ROOM_NEEDED);
   }
@@ -192,7 +201,7 @@
         continue;
       }
       if (attempt.halting()) {
-        // Room is on its way there already; do not stop more for the same need.
+        // Capacity is already becoming free here; do not evict more for the same need.
         cpus -= attempt.spec().cpus();
         memory -= attempt.spec().memoryGb();
         gpus -= attempt.spec().gpus();
@@ -221,20 +230,25 @@
     Submission victim = attempt.spec();
     if (!StarvationGuard.isCritical(submission)
         && starvationGuard.isProtectedFromEviction(attempt)) {
-      // It has waited for long: stopped at once, it would not have begun at all.
+      // This attempt's job has waited for long; if it were evicted right away, it would in effect
+      // never have begun.
       return false;
     }
     if (submission.rank().above(victim.rank())) {
       return true;
     }
-    // Borrowed room goes back to its owner, whatever the rank; replicas of services last of all.
+    // Borrowed capacity returns to the team that owns it, whatever the rank; service replicas are
+    // evicted only for other services.
     return mayEvictBorrowers
         && !victim.team().equals(submission.team())
         && (!victim.service() || submission.service())
         && borrowedCpusByTeam.getDouble(victim.team()) >= victim.cpus() - 1e-9;
   }
 
-  /** Work that stopping an attempt would throw away, in CPU seconds; low ranks lose first. */
+  /**
+   * Returns the work, in CPU seconds, that evicting an attempt would throw away, plus a weight by
+   * rank: low ranks are evicted first.
+   */
   private double lossScore(Attempt attempt) {
     double ranS = attempt.ranS(clock.now());
     double lostS =
@@ -242,7 +256,7 @@
             ? Math.min(ranS - attempt.keptS(ranS), attempt.spec().saveS())
             : ranS;
     double rankWeight = (Rank.values().length - attempt.spec().rank().ordinal()) * 1e6;
-    // With one member a gang loses all of them.
+    // Evicting one member of a gang loses the work of all its members.
     int tasks = attempt.spec().gang() ? attempt.job().held() : 1;
     return rankWeight + lostS * attempt.spec().cpus() * tasks;
   }
--- a/src/main/java/dapplestair/placement/PlacementExplanation.java
+++ b/src/main/java/dapplestair/placement/PlacementExplanation.java
@@ -4,14 +4,16 @@
 import java.util.Map;
 
 /**
- * What one turn of placing found in the way of a job's waiting tasks.
+ * Obstacles that one placement turn found for a job's waiting tasks.
  *
- * @param waitingTasks tasks that wait after that turn
- * @param machineVerdicts how many machines each verdict was given to; empty when nothing waits
- * @param jobVerdicts what stands in the way wherever it might run
- * @param freeInS seconds until the first allowed machine is expected to have room, or -1
- * @param heldBackS seconds for which the job is held back, 0 when it is not
- * @param gangCapacity for a gang, how many of its tasks there is room for; else -1
+ * @param waitingTasks tasks that still wait after that turn
+ * @param machineVerdicts number of machines for each verdict; empty when no task waits
+ * @param jobVerdicts number of tasks for each verdict that holds on whichever machine they might
+ *     run
+ * @param freeInS seconds until the first allowed machine is expected to have enough free capacity,
+ *     or -1
+ * @param heldBackS seconds for which the job is still held back, or 0 when it is not
+ * @param gangCapacity for a gang, the number of its tasks that fit now; otherwise -1
  */
 public record PlacementExplanation(
     int waitingTasks,
--- a/src/main/java/dapplestair/placement/PlacementFilter.java
+++ b/src/main/java/dapplestair/placement/PlacementFilter.java
@@ -13,10 +13,14 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** Which room a task may take: what the job, its team, the machine and kept room say of it. */
+/**
+ * Decides which capacity a task may use, by the constraints of its job, its team, the machine and
+ * reservations.
+ */
 final class PlacementFilter {
-  // For so long a job stays away from a machine on which one of its tasks failed. By then either
-  // side is judged, or other room is free; if not, nothing waits for longer.
+  // Number of report intervals for which a job avoids a machine on which one of its tasks failed.
+  // By then the fault has been attributed to the job or the machine, or capacity elsewhere has
+  // become free; otherwise, no task waits for longer than this.
   private static final int AVOID_FAILED_HOST_REPORTS = 10;
 
   private final Clock clock;
@@ -48,12 +52,15 @@
     this.lanes = lanes;
   }
 
-  /** A turn begins, in which so many CPUs of steady machines are left to services. */
+  /**
+   * Begins a turn in which {@code cpusForServices} CPUs of steady machines are reserved for
+   * services.
+   */
   void beginTurn(double cpusForServices) {
     reservedServiceCpus = cpusForServices;
   }
 
-  /** What stands against starting a task of the job on this machine now. */
+  /** Returns the obstacle to starting a task of the job on this machine now, or {@code FITS}. */
   PlacementVerdict filter(Job job, Host host, boolean explain) {
     Submission submission = job.spec();
     boolean keptForOthers = isKeptForOthers(job, host);
@@ -79,26 +86,30 @@
           ? PlacementVerdict.SPREAD
           : PlacementVerdict.TOGETHER;
     }
-    // Which obstacle it is matters only to whoever asked.
+    // The exact obstacle matters only when somebody asked for an explanation.
     return explain ? findObstacle(submission, host, keptForOthers) : PlacementVerdict.FULL;
   }
 
   /**
-   * True when a task of the job failed there a moment ago. A machine that fails what it starts is
-   * the one that has room again first, so the others of the job would run into it one after the
-   * other. A job that fails wherever it runs is tried by one task at a time anyway.
+   * Returns whether a task of the job failed on this machine recently. A machine that fails the
+   * tasks it starts is the first one with free capacity again, so the job's other tasks would fail
+   * there one after another. A job that fails wherever it runs is exempt: it runs one task at a
+   * time anyway.
    */
   private boolean failedHereRecently(Job job, Host host) {
     return !job.suspected() && ledger.failedOn(job, host, avoidFailedHostMs);
   }
 
-  /** True when this room is promised to others: to a rider, or to who has waited for long. */
+  /**
+   * Returns whether the machine's capacity is promised to other jobs: to a lane's riders, or to a
+   * job that has waited for long.
+   */
   boolean isKeptForOthers(Job job, Host host) {
     return lanes.isKeptForRiders(job.spec(), host)
         || !lanes.isRider(job.spec()) && reservations.isReservedForOther(job, host);
   }
 
-  /** The same for any machine, also those that a turn does not look at. */
+  /** Filters any machine, including those that a placement turn leaves out. */
   PlacementVerdict filterAnyHost(Job job, Host host) {
     return !host.closed() && !workers.fresh(host)
         ? PlacementVerdict.SILENT
@@ -143,7 +154,7 @@
     return keptForOthers ? PlacementVerdict.KEPT : PlacementVerdict.HELD_FOR_SERVICES;
   }
 
-  /** How many more of the job's tasks these machines can take together. */
+  /** Returns how many more of the job's tasks these machines can take together. */
   int countFitting(Job job, List<Host> hosts) {
     Submission submission = job.spec();
     Map<String, Integer> fittingByZone = new HashMap<>();
@@ -171,9 +182,10 @@
   }
 
   /**
-   * Work that may run on spot machines leaves some room on steady ones, so that a replica starts at
-   * once instead of after somebody else has saved and stopped; and batches leave the riders'
-   * reserve.
+   * Returns whether a task of the job would leave reserved capacity untouched. Work that may run on
+   * spot machines leaves some capacity on steady ones, so that a replica starts at once and need
+   * not wait until other work has saved and stopped; batch tasks leave the reserve of the lanes'
+   * riders.
    */
   boolean leavesReservedRoom(Submission submission, Host host) {
     return (submission.service()
--- a/src/main/java/dapplestair/placement/PlacementVerdict.java
+++ b/src/main/java/dapplestair/placement/PlacementVerdict.java
@@ -1,72 +1,72 @@
 package dapplestair.placement;
 
-/** What placement says of one machine, or of the cluster as a whole, for a task that waits. */
+/** Verdict of placement on one machine, or on the cluster as a whole, for a waiting task. */
 public enum PlacementVerdict {
-  /** A task may start there. */
+  /** A task may start on the machine. */
   FITS(Scope.MACHINE, "it may start there: the next turn places it"),
-  /** Wrong type or zone. */
+  /** The job does not allow the machine's type or zone. */
   NOT_ALLOWED(Scope.MACHINE, "its job does not allow this type or zone"),
-  /** A spot machine, and the job wants none. */
+  /** The machine is a spot machine, and the job allows none. */
   SPOT(Scope.MACHINE, "its job may not use spot machines"),
-  /** No room. */
+  /** The machine has too little free capacity. */
   FULL(Scope.MACHINE, "not enough free CPUs, memory or accelerators"),
-  /** Not heard by this leader yet. */
+  /** The machine is booting, or this leader has not received a report from it yet. */
   NOT_UP(Scope.MACHINE, "booting, or not heard yet"),
-  /** Silent of late. */
+  /** The machine has not reported lately. */
   SILENT(Scope.MACHINE, "has not reported lately"),
-  /** Being returned. */
+  /** The machine is being returned to the cloud. */
   RETURNING(Scope.MACHINE, "being returned to the cloud"),
-  /** Fails what it starts. */
+  /** The machine fails the tasks that it starts, so it is being drained. */
   FAULTY(Scope.MACHINE, "fails what it starts, so it is emptied"),
-  /** Emptied by operators. */
+  /** Operators have drained the machine. */
   DRAINED(Scope.MACHINE, "drained by operators"),
-  /** To be replaced soon. */
+  /** The machine will be replaced before the task would end. */
   LEAVING(Scope.MACHINE, "to be replaced before it would end there"),
-  /** The plan wants fewer. */
+  /** The plan wants fewer machines of this kind. */
   CORDONED(Scope.MACHINE, "the plan wants fewer of its kind"),
-  /** The cloud takes it. */
+  /** The cloud is about to reclaim the machine. */
   NOTICE(Scope.MACHINE, "the cloud is about to take it"),
-  /** Something unexplained runs there. */
+  /** The machine runs a task that no record explains. */
   STRAYS(Scope.MACHINE, "runs something that no record explains"),
-  /** A task of the job failed there a moment ago. */
+  /** A task of the job failed on the machine recently. */
   FAILED_HERE(Scope.MACHINE, "a task of the job failed there a moment ago"),
-  /** Tasks of several jobs failed there: one task at a time. */
+  /** Tasks of several jobs failed on the machine: it gets one task at a time. */
   PROBATION(Scope.MACHINE, "tasks of several jobs failed there: it is tried by one at a time"),
-  /** Room kept for replicas. */
+  /** The free capacity is reserved for service replicas. */
   HELD_FOR_SERVICES(Scope.MACHINE, "its room is held for services"),
-  /** Room kept for a job that has waited for long. */
+  /** The machine is reserved for a job that has waited for long. */
   KEPT(Scope.MACHINE, "it is kept for a job that has waited for long"),
-  /** The job's tasks would crowd one zone. */
+  /** Too many of the job's tasks would run in one zone. */
   SPREAD(Scope.MACHINE, "half of the job's tasks are in its zone already"),
-  /** The job's tasks are in another zone. */
+  /** The job's tasks must share a zone, and the others run in another one. */
   TOGETHER(Scope.MACHINE, "the job's other tasks are in another zone"),
 
-  /** The team's limit. */
+  /** The team has reached its limit. */
   TEAM_LIMIT(Scope.JOB, "its team's limit"),
-  /** Failing everywhere, and its pause lasts. */
+  /** The job fails wherever it runs, and its pause has not ended. */
   BACKED_OFF(Scope.JOB, "held back for a while after its tasks failed"),
-  /** Failing everywhere: the others wait for the one that is tried. */
+  /** The job fails wherever it runs: its other tasks wait for the probe. */
   PROBING(Scope.JOB, "it fails wherever it runs: one task at a time is tried"),
-  /** Steps that failed again and again. */
+  /** Steps that failed repeatedly are held back. */
   STEPS_BACKED_OFF(Scope.JOB, "these tasks failed again and again: each waits for a while"),
-  /** Its run calendar has not released its cycle. */
+  /** The job's run calendar has not released its cycle. */
   CYCLE(Scope.JOB, "its run calendar waits for deliveries, or for the cut-off"),
-  /** A gang needs room for all. */
+  /** Not all tasks of the gang fit at once. */
   GANG(Scope.JOB, "a gang starts only when there is room for all of it"),
-  /** A starving gang goes first. */
+  /** A gang that has waited for long goes first. */
   BEHIND_GANG(Scope.JOB, "a gang that has waited long goes first"),
-  /** Better to wait for an image. */
+  /** Waiting for a machine that has the image is faster than a fetch. */
   AWAITS_IMAGE(Scope.JOB, "room where its image is comes sooner than a fetch would end"),
-  /** Borrowed or lower-ranked work is being stopped for it. */
+  /** Borrowed or lower-ranked work is being evicted for the job. */
   ROOM_ON_ITS_WAY(Scope.JOB, "other work is being stopped to make room"),
-  /** Its attempts are not over: it was cancelled or is done. */
+  /** The job was cancelled or is done, but has attempts that are not over. */
   OVER(Scope.JOB, "its job is over");
 
-  /** What a verdict speaks of. */
+  /** What a verdict is about. */
   public enum Scope {
     /** One machine. */
     MACHINE,
-    /** The job, wherever it might run. */
+    /** The job, on whichever machine it might run. */
     JOB
   }
 
@@ -78,17 +78,17 @@
     this.description = description;
   }
 
-  /** What it speaks of. */
+  /** Returns whether this verdict is about one machine or about the job. */
   public Scope scope() {
     return scope;
   }
 
-  /** For people. */
+  /** Returns the description shown to people. */
   public String description() {
     return description;
   }
 
-  /** For scripts. */
+  /** Returns the identifier shown to scripts. */
   public String code() {
     return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
   }
--- a/src/main/java/dapplestair/placement/Placer.java
+++ b/src/main/java/dapplestair/placement/Placer.java
@@ -19,7 +19,7 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 
-/** Starts each waiting task where it completes earliest, the most pressing first. */
+/** Starts each waiting task on the machine where it completes earliest, in order of urgency. */
 public final class Placer {
   private final Clock clock;
   private final Timers timers;
@@ -42,7 +42,9 @@
   private boolean turnScheduled;
   private DecisionRecorder recorder;
 
-  /** Places what the ledger holds on what the desk knows. */
+  /**
+   * Creates a placer that starts the ledger's waiting tasks on the machines of the worker manager.
+   */
   public Placer(
       Clock clock,
       Timers timers,
@@ -84,7 +86,7 @@
     this.batchDelayMs = settings.workers().reportMs() / 60;
   }
 
-  /** Something changed: look again soon, once for all changes of the moment. */
+  /** Schedules a placement turn after a short delay; all changes until then share that turn. */
   public void scheduleTurn() {
     if (!turnScheduled) {
       turnScheduled = true;
@@ -98,8 +100,8 @@
   }
 
   /**
-   * Answers what the next turn, brought forward, finds in the way of a job; null when this
-   * controller places nothing.
+   * Runs a placement turn at once and passes the obstacles that it finds for a job to the callback;
+   * passes null when this controller does not place tasks.
    */
   public void explain(String ref, Consumer<PlacementExplanation> callback) {
     if (!ledger.armed()) {
@@ -124,7 +126,7 @@
     }
     if (recorder != null) {
       if (ledger.armed()) {
-        // Judged once more with the state in which the turn left everything.
+        // Filters all machines again, with the state that the turn has left behind.
         recorder.answerRequests(filter::filterAnyHost);
       } else {
         recorder.cancelRequests();
@@ -138,7 +140,8 @@
     if (waitingJobs.isEmpty()) {
       return;
     }
-    // In a full cluster few machines have any room: the others are not looked at for each task.
+    // In a full cluster few machines have free capacity; the others are left out here, so that they
+    // are not checked for each task.
     double minCpus = waitingJobs.stream().mapToDouble(j -> j.spec().cpus()).min().orElse(0);
     List<Host> usable = new ArrayList<>();
     double clusterCpus = 0;
@@ -162,7 +165,9 @@
     placeInOrder(others, usable);
   }
 
-  /** Critical services and riders, who wait for nobody; returns the others. */
+  /**
+   * Places critical services and lane riders, which wait for no other job; returns the other jobs.
+   */
   private List<Job> placeCriticalAndRiders(List<Job> waitingJobs, List<Host> usable) {
     List<Job> others = new ArrayList<>();
     List<Job> riders = new ArrayList<>();
@@ -183,16 +188,23 @@
     return others;
   }
 
-  /** True for an attempt that has waited for long before it ran: it is stopped last. */
+  /**
+   * Returns whether the attempt belongs to a job that waited for long before it ran; such attempts
+   * are evicted last.
+   */
   public boolean isProtectedFromEviction(Attempt attempt) {
     return starvationGuard.isProtectedFromEviction(attempt);
   }
 
-  /** Who has waited for long begins before the others, with a few tasks (docs/known.md). */
+  /**
+   * Starts a few tasks of each job that has waited for long, ahead of all other jobs
+   * (docs/known.md).
+   */
   private void placeLongWaiting(List<Job> waitingJobs, List<Host> usable, double clusterCpus) {
     Map<Job, Integer> quotas = starvationGuard.assignQuotas(waitingJobs, clusterCpus);
     List<Job> quotaJobs = new ArrayList<>(quotas.keySet());
-    // Machines may be kept for it: found before anything else is looked for.
+    // Jobs with reserved machines come first, so that they get this capacity before other jobs are
+    // placed.
     quotaJobs.sort(Comparator.comparing(j -> !reservations.hasReservation(j)));
     for (Job job : quotaJobs) {
       placeJob(job, usable, quotas.get(job));
@@ -206,14 +218,18 @@
   private void placeInOrder(List<Job> waitingJobs, List<Host> usable) {
     for (Job job : waitingJobs) {
       if (!placeJob(job, usable, Integer.MAX_VALUE) && isStarving(job)) {
-        // Machines must empty for it: what is less pressing would fill them again for ever.
+        // Machines must become free for this starving gang; less urgent jobs would keep filling
+        // them.
         recordBehindGang(waitingJobs, job);
         return;
       }
     }
   }
 
-  /** Starts up to {@code maxTasks} of a job's tasks; false when it is a gang and has no room. */
+  /**
+   * Starts up to {@code maxTasks} of a job's tasks; returns false when the job is a gang that does
+   * not fit.
+   */
   private boolean placeJob(Job job, List<Host> usable, int maxTasks) {
     if (job.spec().gang()) {
       return placeGang(job, usable);
@@ -240,7 +256,10 @@
         && clock.wall() - job.acceptedWall() > 10 * settings.workers().reportMs();
   }
 
-  /** The first task chooses the zone for all: the one with the most room for them. */
+  /**
+   * Starts tasks that must share a zone; while none of them has started, the zone with capacity for
+   * most of them is chosen.
+   */
   private void placeTogether(Job job, List<Host> usable, int maxTasks) {
     String bestZone = null;
     int bestRoom = 0;
@@ -256,7 +275,10 @@
     }
   }
 
-  /** Starts up to {@code maxTasks} of a job's tasks, each where it completes earliest. */
+  /**
+   * Starts up to {@code maxTasks} of a job's tasks, each on the machine where it completes
+   * earliest.
+   */
   private void placeEach(Job job, List<Host> usable, int maxTasks) {
     awaitingImage = false;
     int waitingBefore = job.waiting();
@@ -275,9 +297,9 @@
     if (awaitingImage && recorder != null) {
       recorder.recordJobVerdict(job, PlacementVerdict.AWAITS_IMAGE, job.waiting());
     }
-    // Others do not make room for a job that fails wherever it runs.
+    // No other work is evicted for a job that fails wherever it runs.
     boolean mayMakeRoom = maxTasks == Integer.MAX_VALUE;
-    // A rider claims its room by its lane.
+    // Capacity for riders is claimed through their lane instead.
     mayMakeRoom &= !lanes.isRider(job.spec());
     if (step >= 0
         && mayMakeRoom
@@ -292,8 +314,9 @@
   }
 
   /**
-   * True when a replica had better wait for room at a machine that has its image than start with a
-   * fetch here. Only for as long as the fetch would take: later, any start is better than none.
+   * Returns whether a replica should wait for capacity on a machine that has its image, instead of
+   * fetching the image here. It waits at most for as long as half of the fetch takes; after that,
+   * any start is better than none.
    */
   private boolean shouldAwaitImage(Job job, Host host) {
     Submission submission = job.spec();
@@ -307,7 +330,7 @@
     return awaitingImage;
   }
 
-  /** Starts as many of a job's tasks on a machine as fit; returns the next step, or -1. */
+  /** Starts as many of a job's tasks on a machine as fit; returns the next waiting step, or -1. */
   private int startOnHost(Job job, int firstStep, Host host, int maxTasks) {
     int step = firstStep;
     int remainingTasks = maxTasks;
@@ -325,12 +348,15 @@
     return step;
   }
 
-  /** One task alone tells whether a job still fails wherever it runs; of a gang it takes all. */
+  /**
+   * Returns whether the job may run one task only, as a probe of whether it still fails wherever it
+   * runs. A gang cannot be probed by one task, so all of it starts.
+   */
   private static boolean isProbing(Job job) {
     return job.suspected() && !job.spec().gang();
   }
 
-  /** A gang starts only when all of it fits now, in one zone where its job wants that. */
+  /** Starts a gang if all of its tasks fit now, within one zone if the job requires that. */
   private boolean placeGang(Job job, List<Host> usable) {
     Submission submission = job.spec();
     if (!ledger.teamAllows(submission, job.waiting()) || job.held() > 0) {
--- a/src/main/java/dapplestair/placement/Ranking.java
+++ b/src/main/java/dapplestair/placement/Ranking.java
@@ -10,7 +10,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Which waiting job is placed first. */
+/** Orders the waiting jobs for placement. */
 final class Ranking {
   private static final double LARGE_JOB_LEAD_S = 1e6;
 
@@ -39,15 +39,16 @@
       Job job, int urgency, boolean exceedsGuarantee, int brokenObjectives, double sortKey) {}
 
   /**
-   * Waiting jobs: by rank, guaranteed ones before borrowers, then those with the most promises left
-   * to keep, the least work first; those with none left, the largest of their class before others,
-   * oldest first; those without any, by slack.
+   * Returns the waiting jobs in the order of placement: by rank; within a rank, jobs within their
+   * team's guarantee before those that borrow; then the jobs with the fewest objectives missed,
+   * those with the least work first. Among jobs whose objectives are all missed, the largest of
+   * their class go first, oldest first; jobs without objectives are ordered by slack.
    */
   List<Job> orderedJobs() {
     long nowMs = clock.now();
     List<Ranked> waiting = new ArrayList<>();
     for (Job job : ledger.jobs()) {
-      // One that fails wherever it runs waits for its probe to end.
+      // A job that fails wherever it runs waits until its probe has ended.
       boolean probing = job.suspected() && job.held() > 0;
       if (!job.over()
           && !probing
@@ -74,7 +75,8 @@
     int brokenObjectives = objectives.countBroken(submission, ageS, runS);
     double sortKey;
     if (objectives.allBroken(submission, brokenObjectives)) {
-      // Nobody else's promise is at stake here, and the largest have to begin in time as well.
+      // These jobs cannot make others miss an objective here, and the largest must begin in time as
+      // well.
       sortKey = ledger.served().isLarge(job) ? -LARGE_JOB_LEAD_S - ageS : -ageS;
     } else if (brokenObjectives > 0 || objectives.hasObjectives(submission)) {
       sortKey = job.waiting() * submission.cpus() * Math.max(1, runS);
@@ -89,7 +91,7 @@
     return 2 * submission.rank().ordinal() + (submission.service() ? 0 : 1);
   }
 
-  /** True when one more of its tasks lies within its team's guarantee. */
+  /** Returns whether one more task of the job stays within its team's guarantee. */
   boolean isWithinGuarantee(Job job) {
     Settings.Team team = settings.teams().get(job.spec().team());
     return team != null
--- a/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
+++ b/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
@@ -8,18 +8,20 @@
 import java.util.List;
 
 /**
- * Stops what cannot end on a machine before the cloud takes it, so that it begins elsewhere at once
- * instead of after the machine is gone. What may still end there stays.
+ * Stops tasks that cannot end before the cloud reclaims their machine, so that they restart
+ * elsewhere at once instead of after the machine is gone. Tasks that may still end in time keep
+ * running.
  */
 public final class ReclaimNoticeHandler {
-  // Owners' guesses are often wrong by half: unsaved work is given up only when it is well over.
+  // Owners' runtime guesses are often wrong by half, so unsaved work is given up only when its
+  // remaining time clearly exceeds the notice.
   private static final double SURELY_LATE_FACTOR = 1.5;
 
   private final Clock clock;
   private final DisruptionGate disruptionGate;
   private final RuntimeEstimates estimates;
 
-  /** Judges by these estimates. */
+  /** Creates a handler that decides by these runtime estimates. */
   public ReclaimNoticeHandler(
       Clock clock, DisruptionGate disruptionGate, RuntimeEstimates estimates) {
     this.clock = clock;
@@ -27,7 +29,7 @@
     this.estimates = estimates;
   }
 
-  /** A notice has come for this machine. */
+  /** Handles the reclaim notice that the cloud gave for this machine. */
   public void handleNotice(Host host) {
     double noticeS = (host.recallAt() - clock.now()) / 1000.0;
     for (Attempt attempt : List.copyOf(host.attempts())) {
--- a/src/main/java/dapplestair/placement/Reservations.java
+++ b/src/main/java/dapplestair/placement/Reservations.java
@@ -14,14 +14,15 @@
 import java.util.TreeMap;
 
 /**
- * Machines that are kept from others until a job that has waited for long fits there, as backfill
- * does with a reservation for the first job that does not fit (docs/known.md). A machine is kept
- * for one job at a time, so room is promised once. Which ones follows from what is on record: a new
- * leader keeps about the same, those with most free room.
+ * Machines that are reserved for a job that has waited for long until it fits there, as backfill
+ * scheduling reserves for the first job that does not fit (docs/known.md). A machine is reserved
+ * for one job at a time, so its capacity is promised only once. The choice follows from recorded
+ * state (the machines with the most free capacity), so a new leader reserves about the same
+ * machines.
  */
 final class Reservations {
-  // Most of the cluster's CPUs that are kept at once; the first job's machines are, whatever they
-  // come to.
+  // Maximum share of the cluster's CPUs that is reserved at once. The first job's machines are
+  // reserved even if they exceed it.
   private static final double MAX_RESERVED_CPU_SHARE = 0.25;
 
   private final Ledger ledger;
@@ -34,7 +35,7 @@
     this.workers = workers;
   }
 
-  /** True when this machine is kept for another job, and this one has to look elsewhere. */
+  /** Returns whether this machine is reserved for another job, so that this job may not use it. */
   boolean isReservedForOther(Job job, Host host) {
     if (ownerByHost.isEmpty() || StarvationGuard.isCritical(job.spec())) {
       return false;
@@ -43,12 +44,15 @@
     return owner != null && !owner.equals(job.spec().ref());
   }
 
-  /** True when machines are kept for this job. */
+  /** Returns whether machines are reserved for this job. */
   boolean hasReservation(Job job) {
     return hostsByJob.containsKey(job.spec().ref());
   }
 
-  /** Gives up what is kept for jobs that need it no more, and machines that are of no use. */
+  /**
+   * Drops the reservations of jobs that no longer need them, and machines that can no longer be
+   * used.
+   */
   void beginTurn(StarvationGuard starvationGuard) {
     if (hostsByJob.isEmpty()) {
       return;
@@ -68,13 +72,13 @@
     hostsByJob.forEach((ref, hosts) -> hosts.forEach(h -> ownerByHost.put(h, ref)));
   }
 
-  /** Gives all up: this controller leads no more. */
+  /** Drops all reservations, because this controller no longer leads. */
   void clear() {
     hostsByJob.clear();
     ownerByHost.clear();
   }
 
-  /** Keeps machines for {@code tasks} of the job at once, if there are any to be kept. */
+  /** Reserves machines for {@code tasks} tasks of the job at once, if suitable ones exist. */
   void reserve(Job job, int tasks, double clusterCpus) {
     if (hasReservation(job)) {
       return;
@@ -90,7 +94,10 @@
     hosts.forEach(h -> ownerByHost.put(h, job.spec().ref()));
   }
 
-  /** Those that lack least, as many as the tasks take once all but services has left them. */
+  /**
+   * Chooses the machines with the most free capacity, as many as the tasks need once everything but
+   * services has left these machines.
+   */
   private List<Host> chooseHosts(Job job, int tasks) {
     Submission submission = job.spec();
     TreeMap<String, List<Host>> hostsByZone = new TreeMap<>();
@@ -139,11 +146,11 @@
         return selected;
       }
     }
-    // A gang that fits nowhere even then waits for machines, and keeps none idle meanwhile.
+    // A gang that does not fit even then waits for new machines, and leaves none idle meanwhile.
     return submission.gang() ? List.of() : selected;
   }
 
-  /** How many of its tasks a machine holds without all but its services. */
+  /** Returns how many of the job's tasks the machine holds when only its services keep running. */
   private static int countFittingWhenEmptied(Submission submission, Host host) {
     double memoryShare = 1 - host.serviceCpus() / host.type().cpus();
     return submission.fitting(
--- a/src/main/java/dapplestair/placement/RuntimeEstimates.java
+++ b/src/main/java/dapplestair/placement/RuntimeEstimates.java
@@ -5,41 +5,48 @@
 import dapplestair.workers.Host;
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 
-/** How long tasks take: the owners' guesses, corrected by what was seen of each class. */
+/**
+ * Estimates how long tasks take: the owners' guesses, corrected by the run times observed for each
+ * job class.
+ */
 public final class RuntimeEstimates {
   private static final double SMOOTHING_WEIGHT = 0.1;
   private final Object2DoubleOpenHashMap<String> correctionByClass =
       new Object2DoubleOpenHashMap<>();
 
-  /** No corrections yet. */
+  /** Creates estimates without corrections. */
   public RuntimeEstimates() {
     correctionByClass.defaultReturnValue(1);
   }
 
-  /** A task of this class took {@code seconds} where its owner guessed otherwise. */
-  public void observe(Submission submission, double seconds) {
+  /** Records that a task of this class took {@code seconds}, to correct its owner's guess. */
+  public void recordRunTime(Submission submission, double seconds) {
     if (submission.guessS() <= 0 || seconds <= 0) {
       return;
     }
-    // In logarithms, so that twice too long and twice too short weigh the same.
+    // Averages the logarithms of the ratios, so that twice too long and twice too short weigh the
+    // same.
     double ratio = Math.max(0.1, Math.min(10, seconds / submission.guessS()));
     double oldCorrection = correctionByClass.getDouble(submission.jobClass());
     correctionByClass.put(
         submission.jobClass(), oldCorrection * Math.pow(ratio / oldCorrection, SMOOTHING_WEIGHT));
   }
 
-  /** Run time to expect on an ordinary machine. */
+  /** Returns the expected run time on an ordinary machine, in seconds. */
   public double expectedRunS(Submission submission) {
     return submission.guessS() * correctionByClass.getDouble(submission.jobClass());
   }
 
-  /** Run time left to an attempt on its machine; what earlier attempts saved counts as done. */
+  /**
+   * Returns the remaining run time of an attempt on its machine, in seconds; work saved by earlier
+   * attempts counts as done.
+   */
   public double remainingRunS(Attempt attempt, Host host, long nowMs) {
     return Math.max(0, expectedRunS(attempt.spec()) - attempt.savedS()) * host.slowness()
         - attempt.ranS(nowMs);
   }
 
-  /** True when a task that begins on a machine now ends before that is emptied. */
+  /** Returns whether a task that begins on the machine now ends before that machine is emptied. */
   boolean endsBeforeHostLeaves(Submission submission, Host host, long nowMs) {
     double durationMs =
         1000 * (host.imageWaitS(submission, nowMs) + expectedRunS(submission) * host.slowness());
--- a/src/main/java/dapplestair/placement/ServiceObjectives.java
+++ b/src/main/java/dapplestair/placement/ServiceObjectives.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * What is promised of each class, in seconds from submission. Under overload, work in order of
- * least slack makes everything late; work that can still keep a promise goes before work that
+ * The objectives of each job class, in seconds from submission. Under overload, placing work by
+ * least slack makes all of it late, so work that can still meet an objective goes before work that
  * cannot.
  */
 final class ServiceObjectives {
@@ -26,7 +26,7 @@
     }
   }
 
-  /** How many promises to this job can no longer be kept, if all of it starts now. */
+  /** Returns how many objectives of this job can no longer be met, even if all of it starts now. */
   int countBroken(Submission submission, double ageS, double runS) {
     int brokenCount = 0;
     for (Settings.Objective objective :
@@ -39,12 +39,12 @@
     return brokenCount;
   }
 
-  /** True when anything is promised of this job's class. */
+  /** Returns whether the job's class has any objectives. */
   boolean hasObjectives(Submission submission) {
     return objectivesByClass.containsKey(submission.jobClass());
   }
 
-  /** True when none can be kept any more. */
+  /** Returns whether the job's class has objectives and none of them can be met any more. */
   boolean allBroken(Submission submission, int brokenCount) {
     List<Settings.Objective> classObjectives = objectivesByClass.get(submission.jobClass());
     return classObjectives != null && brokenCount == classObjectives.size();
--- a/src/main/java/dapplestair/placement/StarvationGuard.java
+++ b/src/main/java/dapplestair/placement/StarvationGuard.java
@@ -16,41 +16,46 @@
 import java.util.TreeMap;
 
 /**
- * The bound in the order: whoever has waited for long begins, whatever its size and rank
- * (docs/known.md). All of it follows from what is on record, when a job was asked for and which of
- * its tasks are held, so a new leader decides as the one before did.
+ * Ensures that every job that has waited for long begins, whatever its size and rank
+ * (docs/known.md). Decisions follow from recorded state alone (when a job was requested and which
+ * of its tasks are held), so a new leader decides like its predecessor.
  *
- * <p>A job near the bound goes before all but critical services with its first tasks, its window.
- * What runs in the windows of all jobs is a part of the cluster at the most, one job of each team
- * and class apart, and is not stopped to make room. An array that has not begun begins with one
- * task even when that part is used up.
+ * <p>A job that comes near the waiting bound places its first tasks, its window, before all jobs
+ * but critical services. The windows of all jobs together hold at most a share of the cluster,
+ * apart from one job of each team and class, and their tasks are not evicted. An array that has not
+ * begun starts one task even when that share is used up.
  */
 final class StarvationGuard {
-  // From this part of the bound on a job begins: what is left is for room to become free.
+  // Fraction of the bound from which a job goes first; the rest of the bound is time for capacity
+  // to become free.
   private static final double NEAR_BOUND_FRACTION = 0.6;
 
-  // Most of the cluster's CPUs that windows hold together.
+  // Maximum share of the cluster's CPUs that all windows hold together.
   private static final double MAX_WINDOW_CPU_SHARE = 0.25;
 
-  // An array begins with this part of its tasks, and past the bound goes on with this one.
+  // An array's first window is its task count divided by the first number; past the bound its
+  // window is the task count divided by the second.
   private static final int INITIAL_WINDOW_DIVISOR = 16;
   private static final int OVERDUE_WINDOW_DIVISOR = 8;
 
-  // A replica that has just begun is left alone for this part of the bound.
+  // A replica is not evicted until it has run for the bound divided by this number.
   private static final int SETTLING_TIME_DIVISOR = 6;
 
   private final Clock clock;
   private final Ledger ledger;
   private final long boundMs;
 
-  /** {@code boundMs} is within what every job is to begin. */
+  /** Creates a guard; {@code boundMs} is the time within which every job has to begin. */
   StarvationGuard(Clock clock, Ledger ledger, long boundMs) {
     this.clock = clock;
     this.ledger = ledger;
     this.boundMs = boundMs;
   }
 
-  /** True for work that no bound of others may delay. */
+  /**
+   * Returns whether the job is a critical service, which the waiting bounds of other jobs may not
+   * delay.
+   */
   static boolean isCritical(Submission submission) {
     return submission.service() && submission.rank() == Rank.CRITICAL;
   }
@@ -59,19 +64,19 @@
     return clock.wall() - job.askedWall();
   }
 
-  /** True when a job has waited for so long that its first tasks go before others. */
+  /** Returns whether a job has waited for so long that its first tasks go before other jobs. */
   boolean isNearBound(Job job) {
     return ageMs(job) > NEAR_BOUND_FRACTION * boundMs;
   }
 
-  /** True when nothing of it runs, has completed or is about to run. */
+  /** Returns whether no task of the job runs, has completed or is about to run. */
   static boolean hasNotBegun(Job job) {
     return job.held() == 0 && job.doneCount() == 0;
   }
 
   /**
-   * How many of its tasks at once go first: services, gangs and the largest arrays of each class
-   * whole, other arrays by their first.
+   * Returns how many of the job's tasks go first at once: all tasks of services, gangs and the
+   * largest arrays of each class; the first tasks of other arrays.
    */
   private int windowTasks(Job job) {
     Submission submission = job.spec();
@@ -82,7 +87,9 @@
     return (submission.steps() + divisor - 1) / divisor;
   }
 
-  /** How many more of its tasks go first now; 0 when it has to take its turn. */
+  /**
+   * Returns how many more of the job's tasks go first now; 0 when the job has to wait for its turn.
+   */
   int quota(Job job) {
     if (!isNearBound(job) || job.suspected() || isCritical(job.spec())) {
       return 0;
@@ -95,7 +102,10 @@
     return mayGoFirst ? Math.max(0, Math.min(job.waiting(), windowTasks(job) - job.held())) : 0;
   }
 
-  /** True for an attempt that runs in its job's window: nothing but a critical service stops it. */
+  /**
+   * Returns whether the attempt runs in its job's window, where only a critical service may evict
+   * it.
+   */
   boolean isProtectedFromEviction(Attempt attempt) {
     Job job = attempt.job();
     if (job.over() || !isNearBound(job) || isCritical(attempt.spec())) {
@@ -109,11 +119,12 @@
   }
 
   /**
-   * Those of the waiting jobs that go first, in their order, and how many tasks of each: those that
-   * have not begun before the others, one of each team and class in turn, the one that holds least
-   * first, oldest first within each (deficit round robin with a job's window as the quantum).
+   * Returns the waiting jobs that go first, in their order, with the number of tasks for each. Jobs
+   * that have not begun come before the others; one job of each team and class in turn, the group
+   * that holds least first, oldest first within each group (deficit round robin with a job's window
+   * as the quantum).
    *
-   * @param clusterCpus of all machines that may be used
+   * @param clusterCpus CPUs of all machines that may be used
    */
   Map<Job, Integer> assignQuotas(List<Job> waitingJobs, double clusterCpus) {
     TreeMap<String, Deque<Job>> jobsByGroup = new TreeMap<>();
@@ -147,8 +158,8 @@
       Deque<Job> groupJobs = jobsByGroup.get(group);
       Job job = groupJobs.remove();
       int fittingTasks = (int) Math.floor(Math.max(0, remainingCpus) / job.spec().cpus());
-      // Whatever the others hold, one job of each team and class begins, and every array with one
-      // task: windows may be full for as long as an overload lasts.
+      // Whatever the other windows hold, one job of each team and class begins, and every array
+      // starts one task: windows may stay full for as long as an overload lasts.
       int minTasks = hasNotBegun(job) && !job.spec().service() && !job.spec().gang() ? 1 : 0;
       int allowedTasks =
           heldCpusByGroup.getDouble(group) == 0 ? quota(job) : Math.max(minTasks, fittingTasks);
--- a/src/main/java/dapplestair/placement/SteadyCapacity.java
+++ b/src/main/java/dapplestair/placement/SteadyCapacity.java
@@ -3,7 +3,7 @@
 import dapplestair.workers.Host;
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 
-/** CPUs that are free on steady machines in a turn of placing, in all and by zone. */
+/** Free CPUs of steady machines in a placement turn, in total and by zone. */
 final class SteadyCapacity {
   private final Object2DoubleOpenHashMap<String> freeCpusByZone = new Object2DoubleOpenHashMap<>();
   private double freeCpus;
@@ -13,7 +13,7 @@
     freeCpusByZone.clear();
   }
 
-  /** So many more are free on a machine, if it is a steady one. */
+  /** Adds free CPUs of a machine, if it is a steady one. */
   void addFreeCpus(Host host, double cpus) {
     if (!host.spot()) {
       freeCpus += cpus;
@@ -25,9 +25,9 @@
     return freeCpus;
   }
 
-  /** 0 for the zone with most room, 1 for one without any. */
+  /** Returns how full a zone is: 0 for the zone with the most free CPUs, 1 for one without any. */
   double fullness(String zone) {
-    // Asked for each machine that a replica might go to, so without a stream.
+    // Called for each machine that a replica might run on, so it avoids a stream.
     double maxCpus = 0;
     for (double cpus : freeCpusByZone.values()) {
       maxCpus = Math.max(maxCpus, cpus);
--- a/src/main/java/dapplestair/placement/package-info.java
+++ b/src/main/java/dapplestair/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Which waiting task goes to which machine: earliest completion, guarantees, preemption. */
+/** Chooses a machine for each waiting task: earliest completion, guarantees, preemption. */
 package dapplestair.placement;
