--- a/src/main/java/dapplestair/lane/Claim.java
+++ b/src/main/java/dapplestair/lane/Claim.java
@@ -8,9 +8,9 @@
 import java.util.List;
 
 /**
- * Room on one machine for some of a rider's tasks, and whose attempts have to go for it.
+ * Capacity on one machine for some of a rider's tasks, with the attempts to evict for it.
  *
- * @param victims attempts, as task and number
+ * @param victims attempts to evict, each as its task's key and its attempt number
  */
 record Claim(String ref, String host, int tasks, List<String> victims) {
   private static final int SEPARATOR = '#';
--- a/src/main/java/dapplestair/lane/ClaimWriter.java
+++ b/src/main/java/dapplestair/lane/ClaimWriter.java
@@ -18,19 +18,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Keeps each lane's open claims on record, one write of a lane at a time. */
+/** Keeps each lane's open claims on record; at most one write of a lane is under way at a time. */
 final class ClaimWriter {
   private static final int RETRIES_PER_REPORT = 12;
 
-  /** Whose claims are written. */
+  /** Provides the claims that are written. */
   interface Source {
-    /** True while this lane's claims are to be kept on record. */
+    /** Returns whether this lane's claims are still to be kept on record. */
     boolean keepsRecordOf(String lane);
 
-    /** The open claims of a lane, as they are now. */
+    /** Returns a lane's open claims as they are now. */
     List<OpenClaim> openClaims(String lane);
 
-    /** These claims of a lane are on record. */
+    /** Notes that these claims of a lane are on record. */
     void onWritten(String lane, List<OpenClaim> claims);
   }
 
@@ -42,10 +42,10 @@
   private final Leadership leadership;
   private final Source source;
 
-  // By lane; true when it has changed since its write that is under way.
+  // Lanes with a write under way; true when the lane's claims have changed since it began.
   private final Map<String, Boolean> changedDuringWrite = new HashMap<>();
 
-  // Of the last put that was answered: a copy of an earlier one, come late, is refused.
+  // Stamp of each lane's last answered put: a delayed copy of an earlier put is refused.
   private final Map<String, Long> stampByLane = new HashMap<>();
   private int generation;
 
@@ -65,13 +65,13 @@
     this.source = source;
   }
 
-  /** Answers to earlier writes count no more. */
+  /** Begins to lead; answers to earlier writes are ignored. */
   void lead() {
     writer.reset();
     generation++;
   }
 
-  /** Forgets all that is under way. */
+  /** Forgets all writes that are under way. */
   void clear() {
     writer.reset();
     generation++;
@@ -79,10 +79,10 @@
     stampByLane.clear();
   }
 
-  /** Puts a lane's claims on record. */
+  /** Writes a lane's claims to the state service. */
   void write(String lane, Priority priority) {
     if (changedDuringWrite.putIfAbsent(lane, false) != null) {
-      // After the one under way, once for all that changes until then.
+      // Written again after the current write, once for all changes until then.
       changedDuringWrite.put(lane, true);
       return;
     }
@@ -127,9 +127,10 @@
   }
 
   /**
-   * Without an answer it may be on record or not, and nobody is stopped before it surely is. The
-   * record itself tells; the replica may hear nothing of it for as long, and each write that goes
-   * by what the replica holds is refused meanwhile.
+   * Reads the record back when a write got no answer: the claims may be on record or not, and no
+   * victim may be stopped before they surely are. The replica may lag for just as long, and until
+   * it catches up each write based on its stamp would be refused, so the state service itself is
+   * asked.
    */
   private void readBack(String lane, List<OpenClaim> claims) {
     int readGeneration = generation;
@@ -153,7 +154,10 @@
         });
   }
 
-  /** Compared as text: what was read holds its numbers in the smallest type. */
+  /**
+   * Compares the claims as text, because numbers read back from the record have the smallest type
+   * that holds them.
+   */
   private static boolean isRecord(List<OpenClaim> claims, JsonNode value) {
     return value != null && toJson(claims).toString().equals(value.toString());
   }
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -31,10 +31,11 @@
 import java.util.function.Predicate;
 
 /**
- * Lanes: riders go over batches. Which rider takes which room, and whose tasks go for it, is on
- * record before the first of them is stopped, a put for all claims of a turn; the next leader reads
- * it before it launches anything and carries each claim to its end. Nothing here is a proof: what
- * is stopped is gone when that is proved, as ever.
+ * Lanes let some jobs (riders) evict batch tasks. Which rider takes which capacity, and whose tasks
+ * are evicted for it, is recorded before the first of them is stopped, with one put for all claims
+ * of a turn. The next leader reads this record before it launches anything and carries each claim
+ * to its end. A claim proves nothing about evicted tasks: as everywhere, a stopped task counts as
+ * gone only once that is proved.
  */
 public final class Lanes implements AutoCloseable {
   private static final int BYTES_PER_CLAIM = 400;
@@ -49,10 +50,10 @@
   private final VictimSelector victimSelector;
   private final ClaimWriter writer;
 
-  // What the records say, for whoever leads next.
+  // Claims as the replica has them on record, for whichever controller leads next.
   private final Map<String, JsonNode> recordByLane = new HashMap<>();
 
-  // By lane, while leading.
+  // Open claims by lane; filled only while this controller leads.
   private final Map<String, List<OpenClaim>> openClaimsByLane = new TreeMap<>();
   private final Set<Host> claimedHosts = new LinkedHashSet<>();
   private final ReserveCapacity reserveCapacity = new ReserveCapacity();
@@ -60,7 +61,7 @@
   private Cancellable timer = () -> {};
   private long stopCount;
 
-  /** The lanes of the operators' file; without any, nothing here costs anything. */
+  /** Creates the lanes of the operators' file; without any lane, this class does no work. */
   public Lanes(
       Clock clock,
       TermTimers timers,
@@ -83,15 +84,18 @@
     lanes.forEach(l -> this.lanes.put(l.name(), l));
   }
 
-  /** {@code listener} hears of room that comes; {@code isProtected} attempts go last. */
+  /**
+   * Sets the listener to call when claims are dropped and their capacity is free for others, and
+   * the predicate of protected attempts, which are evicted last.
+   */
   public void setCallbacks(Runnable listener, Predicate<Attempt> isProtected) {
     roomListener = listener;
     victimSelector.setProtection(isProtected);
   }
 
-  // ---- what the replica says ----
+  // ---- records from the replica ----
 
-  /** A lane's key has this value, or is gone. */
+  /** Takes over the recorded value of a lane's key; null when the key was removed. */
   public void applyRecord(String key, JsonNode value) {
     String name = key.substring(StateKeys.LANE.length());
     if (value == null) {
@@ -101,7 +105,7 @@
     }
   }
 
-  /** Forgets all: the replica tells its records again. */
+  /** Discards all state, because the replica will deliver its records again. */
   public void clear() {
     timer.cancel();
     recordByLane.clear();
@@ -112,7 +116,7 @@
 
   // ---- leading ----
 
-  /** Goes on with the claims on record; to be called before anything is placed. */
+  /** Continues the claims on record; must be called before anything is placed. */
   public void lead() {
     writer.lead();
     if (lanes.isEmpty() && recordByLane.isEmpty()) {
@@ -137,7 +141,7 @@
         }
         stopVictims(name);
       } else {
-        // Removed from the settings meanwhile: its claims end with it.
+        // The lane was removed from the settings, so its claims end.
         openClaimsByLane.get(name).clear();
         rebuildClaimedHosts();
         writer.write(name, Priority.BOOKKEEPING);
@@ -146,7 +150,7 @@
     timer = timers.after(settings.workers().reportMs() / 12, this::reviewClaims);
   }
 
-  /** Drops what is not needed any more. */
+  /** Drops claims that are no longer needed; returns whether there were any. */
   private boolean pruneClaims(String name) {
     Lane lane = lanes.get(name);
     Map<String, Integer> missingTasksByJob = new HashMap<>();
@@ -184,8 +188,8 @@
   }
 
   /**
-   * True when all who had to go are gone, and another rider that was accepted later has their room:
-   * as long as this claim stood, no other room would be claimed instead.
+   * Returns whether all victims of a claim are gone and a rider that was accepted later uses their
+   * capacity. While such a claim stood, no other capacity would be claimed for its rider.
    */
   private static boolean isRoomTaken(Claim claim, Job job, Host host) {
     return !host.fits(job.spec())
@@ -194,7 +198,10 @@
             .allMatch(Objects::isNull);
   }
 
-  /** Stops whoever has to go for claims on record, and at once whoever saves for too long. */
+  /**
+   * Stops the victims of recorded claims, and stops at once those that take too long to save their
+   * work.
+   */
   private void stopVictims(String name) {
     Lane lane = lanes.get(name);
     for (OpenClaim openClaim : openClaimsByLane.getOrDefault(name, List.of())) {
@@ -222,14 +229,14 @@
     }
   }
 
-  // ---- asked by placement ----
+  // ---- queries by placement ----
 
-  /** True when any lane is set. */
+  /** Returns whether any lane is configured. */
   public boolean hasLanes() {
     return !lanes.isEmpty();
   }
 
-  /** True for a job that rides. */
+  /** Returns whether the job is a rider of some lane. */
   public boolean isRider(Submission submission) {
     return findLane(submission) != null;
   }
@@ -243,19 +250,19 @@
     return null;
   }
 
-  /** True when this machine is claimed by riders, and this job is none. */
+  /** Returns whether this machine is claimed by riders and this job is not a rider. */
   public boolean isKeptForRiders(Submission submission, Host host) {
     return !claimedHosts.isEmpty() && claimedHosts.contains(host) && !isRider(submission);
   }
 
-  /** A turn of placing begins: {@code usableHosts} machines may be used. */
+  /** Begins a placement turn in which {@code usableHosts} may be used. */
   public void beginTurn(List<Host> usableHosts) {
     if (hasLanes()) {
       reserveCapacity.beginTurn(usableHosts);
     }
   }
 
-  /** So many CPUs more are free on a machine. */
+  /** Adds free CPUs of a machine to the reserve of this turn. */
   public void addFreeCpus(Host host, double cpus) {
     if (hasLanes()) {
       reserveCapacity.addFreeCpus(host, cpus);
@@ -263,8 +270,8 @@
   }
 
   /**
-   * True when riders find their reserve after this task has started there: each zone holds its part
-   * of it, but for what can be gone in time.
+   * Returns whether the riders' reserve remains after a task of the job starts on the machine: each
+   * zone holds its share of the reserve, not counting work that can be gone in time.
    */
   public boolean leavesReserve(Submission submission, Host host) {
     for (Lane lane : lanes.values()) {
@@ -277,7 +284,10 @@
     return true;
   }
 
-  /** Claims room for what still waits of these riders, in their order, with one put a lane. */
+  /**
+   * Claims capacity for the waiting tasks of these riders, in their order, with one put for each
+   * lane.
+   */
   public void claimRoom(List<Job> riders) {
     Set<String> changedLanes = new TreeSet<>();
     int maxClaims = settings.state().valueBytes() / BYTES_PER_CLAIM;
@@ -315,7 +325,7 @@
         .forEach(list -> list.forEach(o -> claimedHosts.add(workers.host(o.claim().host()))));
   }
 
-  // ---- the record ----
+  // ---- source of the claim records ----
 
   private final class ClaimSource implements ClaimWriter.Source {
     @Override
@@ -340,14 +350,14 @@
 
   // ---- views ----
 
-  /** OpenClaim claims by lane. */
+  /** Returns the number of open claims by lane. */
   public Map<String, Integer> openClaimCounts() {
     Map<String, Integer> counts = new TreeMap<>();
     lanes.keySet().forEach(n -> counts.put(n, openClaimsByLane.getOrDefault(n, List.of()).size()));
     return counts;
   }
 
-  /** Tasks stopped for riders since this process began. */
+  /** Returns how many tasks were stopped for riders since this process began. */
   public long stopCount() {
     return stopCount;
   }
--- a/src/main/java/dapplestair/lane/OpenClaim.java
+++ b/src/main/java/dapplestair/lane/OpenClaim.java
@@ -1,6 +1,6 @@
 package dapplestair.lane;
 
-/** A claim that has not been carried to its end. */
+/** A claim that has not been completed or dropped. */
 final class OpenClaim {
   private final Claim claim;
   private final long sinceMs;
@@ -16,12 +16,12 @@
     return claim;
   }
 
-  /** When it was made, or taken over. */
+  /** Returns the time at which the claim was made or taken over by this leader, in milliseconds. */
   long sinceMs() {
     return sinceMs;
   }
 
-  /** True once it is known to be on record, so that others may be stopped for it. */
+  /** Returns whether the claim is known to be on record, so that its victims may be stopped. */
   boolean isRecorded() {
     return isRecorded;
   }
--- a/src/main/java/dapplestair/lane/ReserveCapacity.java
+++ b/src/main/java/dapplestair/lane/ReserveCapacity.java
@@ -6,7 +6,7 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.util.List;
 
-/** CPUs free on steady machines in a turn of placing, by zone, of which a lane keeps its part. */
+/** Free CPUs of steady machines in a placement turn, by zone; a lane reserves a share of them. */
 final class ReserveCapacity {
   private final Object2DoubleOpenHashMap<String> freeCpusByZone = new Object2DoubleOpenHashMap<>();
 
@@ -21,7 +21,10 @@
     }
   }
 
-  /** True when the zone keeps its part, or the others hold it meanwhile. */
+  /**
+   * Returns whether, after a task starts on the machine, its zone holds its share of the lane's
+   * reserve and all zones together hold the whole reserve.
+   */
   boolean leavesReserve(Lane lane, Submission submission, Host host) {
     if (host.spot() || lane.reserveCpus() <= 0) {
       return true;
--- a/src/main/java/dapplestair/lane/VictimSelector.java
+++ b/src/main/java/dapplestair/lane/VictimSelector.java
@@ -16,10 +16,12 @@
 import java.util.function.Predicate;
 
 /**
- * Which batches go for a rider: those that lose least, each machine for as many tasks as it can.
+ * Selects the batch tasks to evict for a rider: those whose eviction loses least per rider task;
+ * each machine makes room for as many of the rider's tasks as it can.
  */
 final class VictimSelector {
-  // What has waited for long is left alone while anything else can go.
+  // Added to the loss of protected attempts: jobs that have waited for long are evicted only when
+  // nothing else can be.
   private static final double PROTECTED_PENALTY_CPU_S = 1e9;
 
   private record VictimCandidate(Host host, int tasks, List<Attempt> victims, double lossCpuS) {
@@ -43,7 +45,7 @@
     isProtected = protection;
   }
 
-  /** Claims for up to {@code wantedTasks} tasks on machines that are not claimed yet. */
+  /** Returns claims for up to {@code wantedTasks} tasks on machines that are not claimed yet. */
   List<Claim> selectClaims(Lane lane, Job rider, int wantedTasks, Predicate<Host> unclaimed) {
     List<VictimCandidate> candidates = new ArrayList<>();
     for (Host host : workers.hosts()) {
@@ -76,7 +78,7 @@
       int tasks = Math.min(Math.min(remainingTasks, candidate.tasks()), allowedInZone);
       if (tasks > 0
           && (!submission.together() || tasksByZone.isEmpty() || tasksByZone.containsKey(zone))) {
-        // Fewer than it has room for: then fewer have to go.
+        // The rider needs less than this machine could make room for, so fewer victims are evicted.
         VictimCandidate trimmed =
             tasks < candidate.tasks()
                 ? findCandidate(lane, submission, candidate.host(), tasks)
@@ -91,7 +93,10 @@
     return claims;
   }
 
-  /** The cheapest room for up to {@code maxTasks} tasks on this machine; null without any. */
+  /**
+   * Returns the cheapest capacity for up to {@code maxTasks} tasks on this machine, or null when
+   * none can be made.
+   */
   private VictimCandidate findCandidate(Lane lane, Submission submission, Host host, int maxTasks) {
     double cpus = host.cpusFree();
     double memory = host.memoryFree();
@@ -99,7 +104,7 @@
     List<Attempt> evictable = new ArrayList<>();
     for (Attempt attempt : host.attempts()) {
       if (!attempt.exited() && attempt.halting()) {
-        // On its way there already.
+        // This attempt's capacity is already becoming free.
         cpus += attempt.spec().cpus();
         memory += attempt.spec().memoryGb();
         gpus += attempt.spec().gpus();
--- a/src/main/java/dapplestair/lane/package-info.java
+++ b/src/main/java/dapplestair/lane/package-info.java
@@ -1,2 +1,5 @@
-/** Work that always goes over other work, with its claims on record (docs/lane.md). */
+/**
+ * Lanes: work that always takes precedence over other work, with its claims on record
+ * (docs/lane.md).
+ */
 package dapplestair.lane;
--- a/src/main/java/dapplestair/machines/ImageCache.java
+++ b/src/main/java/dapplestair/machines/ImageCache.java
@@ -6,9 +6,9 @@
 import java.util.function.Predicate;
 
 /**
- * The images on one machine as a controller believes them to be: those that are there, those that
- * are being fetched, and which of them the machine has given up again, since it keeps those most
- * recently used. All of it is hints for placing; a task that starts tells the truth.
+ * A controller's view of the images on one machine: which are present, which are being fetched, and
+ * which the machine has dropped, since it keeps the most recently used ones. The view is only a
+ * hint for placement; the truth shows when a task starts.
  */
 public final class ImageCache {
   private static final class Image {
@@ -28,9 +28,9 @@
   private long useCounter;
 
   /**
-   * Seconds until a task that needs this image could start; fetches share one rate.
+   * Returns the seconds until a task that needs this image could start; all fetches share one rate.
    *
-   * @param fetchS how long a fetch of it takes alone
+   * @param fetchS seconds that a fetch of the image takes when it runs alone
    */
   public double waitS(String image, double fetchS, long nowMs) {
     Image cached = images.get(image);
@@ -40,7 +40,7 @@
     return Math.max(0, fetchesEndAtMs - nowMs) / 1000.0 + fetchS;
   }
 
-  /** A task that needs it is launched: it is fetched, or used again. */
+  /** Records that a task that needs the image is launched: the image is fetched, or used again. */
   public void recordUse(String image, double sizeGb, double fetchS, long nowMs) {
     Image cached = images.get(image);
     if (cached == null) {
@@ -52,19 +52,21 @@
     cached.lastUse = ++useCounter;
   }
 
-  /** A task that needs it runs: it is surely there. */
+  /** Records that a task that needs the image runs, so the image is certainly present. */
   public void recordPresent(String image, double sizeGb, long nowMs) {
     Image cached = images.computeIfAbsent(image, i -> new Image(nowMs, sizeGb, ++useCounter));
     cached.readyAtMs = Math.min(nowMs, cached.readyAtMs);
     cached.sizeGb = sizeGb;
   }
 
-  /** Somebody said that it is there; what is known better is not touched. */
+  /**
+   * Records a hint that the image is present; never overrides what is already known of the image.
+   */
   public void recordHint(String image, double sizeGb) {
     images.putIfAbsent(image, new Image(Long.MIN_VALUE / 2, sizeGb, 0));
   }
 
-  /** Gives up the least recently used until the rest fits, but for those in use. */
+  /** Evicts the least recently used images until the others fit, except those in use. */
   public void evictToFit(double cacheGb, Predicate<String> inUse) {
     double totalGb = images.values().stream().mapToDouble(i -> i.sizeGb).sum();
     while (totalGb > cacheGb) {
@@ -81,7 +83,7 @@
     }
   }
 
-  /** Those that are there now, with their sizes. */
+  /** Returns the images that are present now, with their sizes in gigabytes. */
   public Map<String, Double> readyImages(long nowMs) {
     Map<String, Double> sizes = new HashMap<>();
     images.forEach(
--- a/src/main/java/dapplestair/machines/MachineType.java
+++ b/src/main/java/dapplestair/machines/MachineType.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A kind of machine that the cloud rents. Prices are per hour. */
+/** A type of machine that the cloud rents. Prices are per hour. */
 public record MachineType(
     String name,
     double cpus,
@@ -20,7 +20,7 @@
     double bootS,
     List<String> zones) {
 
-  /** Reads one entry, or null when it makes no sense. */
+  /** Parses one entry; returns null when its name, CPUs or memory are missing or not positive. */
   static MachineType parse(JsonNode node) {
     String name = Json.text(node, "label");
     double cpus = Json.decimal(node, "vcpus", -1);
@@ -60,7 +60,9 @@
     return object;
   }
 
-  /** True when one task of the job fits an empty machine of this type and the job allows it. */
+  /**
+   * Returns whether one task of the job fits an empty machine of this type and the job allows it.
+   */
   public boolean suits(Submission submission) {
     return (submission.types() == null || submission.types().contains(name))
         && (submission.zone() == null || zones.contains(submission.zone()))
@@ -69,7 +71,7 @@
         && submission.memoryGb() <= memoryGb;
   }
 
-  /** What one hour costs now. */
+  /** Returns the current price for one hour. */
   public double price(boolean spot) {
     return spot ? spotPrice : price;
   }
--- a/src/main/java/dapplestair/machines/MachineTypes.java
+++ b/src/main/java/dapplestair/machines/MachineTypes.java
@@ -12,7 +12,9 @@
 public final class MachineTypes {
   private Map<String, MachineType> types = Map.of();
 
-  /** Reads the cloud's answer or our own record of it. False when there is nothing in it. */
+  /**
+   * Reads the types from the cloud's response or the recorded copy; returns false when it has none.
+   */
   public boolean read(JsonNode body) {
     Map<String, MachineType> readTypes = new LinkedHashMap<>();
     for (JsonNode node : body.path("hulls")) {
@@ -28,7 +30,7 @@
     return true;
   }
 
-  /** For the record that every controller reads. */
+  /** Returns the types as the record that every controller reads. */
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
     var typeArray = object.putArray("hulls");
@@ -36,27 +38,30 @@
     return object;
   }
 
-  /** False until types have been read. */
+  /** Returns whether types have been read. */
   public boolean isLoaded() {
     return !types.isEmpty();
   }
 
-  /** A type by name, or null. */
+  /** Returns the type with this name, or null. */
   public MachineType get(String name) {
     return types.get(name);
   }
 
-  /** All types. */
+  /** Returns all types. */
   public Collection<MachineType> all() {
     return types.values();
   }
 
-  /** True when some type can hold a task of this job. */
+  /** Returns whether some type can hold a task of this job. */
   public boolean anySuits(Submission submission) {
     return types.values().stream().anyMatch(t -> t.suits(submission));
   }
 
-  /** Seconds that a machine of this type takes to boot; of an unknown one, null, at most. */
+  /**
+   * Returns the seconds that a machine of this type takes to boot; for null, an unknown type, the
+   * longest boot time of all types.
+   */
   public double bootS(MachineType type) {
     return type != null
         ? type.bootS()
--- a/src/main/java/dapplestair/machines/package-info.java
+++ b/src/main/java/dapplestair/machines/package-info.java
@@ -1,2 +1,2 @@
-/** Kinds of machines that the cloud rents. */
+/** Types of machines that the cloud rents. */
 package dapplestair.machines;
