--- a/src/main/java/dapplestair/blame/FailureRecords.java
+++ b/src/main/java/dapplestair/blame/FailureRecords.java
@@ -12,12 +12,16 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-/** Which tasks of which jobs failed on which machines, and what that says of either side. */
+/**
+ * Records which tasks of which jobs failed on which machines, and computes the evidence against
+ * each job and machine.
+ */
 final class FailureRecords {
   private static final int MAX_STEPS_PER_JOB = 4;
 
-  // A machine on which so many jobs failed, and none completed since, is tried by one task at a
-  // time, whoever is to blame. A healthy one hardly ever gets two wrong jobs in a row.
+  // Once this many jobs have failed on a machine, and no task has completed there since, it gets
+  // one task at a time, whoever is to blame. A healthy machine hardly ever gets two wrong jobs in a
+  // row.
   private static final int PROBATION_MIN_JOBS = 2;
   private static final int PROBATION_REPORTS = 10;
 
@@ -40,7 +44,7 @@
     failuresByMachine.clear();
   }
 
-  /** What is held against a job, or null. */
+  /** Returns the failures held against a job, or null. */
   JobFailures failuresOf(String ref) {
     return failuresByJob.get(ref);
   }
@@ -50,7 +54,7 @@
     failuresByMachine.keySet().removeIf(id -> workers.known(id) == null);
   }
 
-  /** A task failed by itself. */
+  /** Records that a task failed by itself. */
   JobFailures recordFailure(Attempt attempt, Host host) {
     String ref = attempt.job().spec().ref();
     JobFailures jobFailures = failuresByJob.computeIfAbsent(ref, r -> new JobFailures());
@@ -66,7 +70,10 @@
     return jobFailures;
   }
 
-  /** A task completed: a machine on which it began after the first failure is cleared. */
+  /**
+   * Records that a task completed; if it began after the first failure on its machine, the machine
+   * is cleared.
+   */
   void recordCompletion(Attempt attempt, Host host) {
     MachineFailures machineFailures = failuresByMachine.get(host.id());
     if (machineFailures != null && attempt.plannedAt() > machineFailures.sinceMs) {
@@ -77,8 +84,8 @@
   }
 
   /**
-   * A job is over: nothing is held against it. Those of its steps that failed on a machine and have
-   * completed elsewhere still say of that machine what they said before.
+   * Closes the records of a job that is over; nothing is held against it any more. Its steps that
+   * failed on a machine and completed elsewhere remain as evidence against that machine.
    */
   void closeJob(String ref) {
     JobFailures jobFailures = failuresByJob.get(ref);
@@ -94,7 +101,7 @@
       if (steps == null) {
         continue;
       }
-      int completedSteps = trusted ? completedElsewhere(job, steps) : 0;
+      int completedSteps = trusted ? countCompletedElsewhere(job, steps) : 0;
       if (completedSteps > 0) {
         machineFailures.settleJob(
             evidenceAgainst(hostId, jobFailures, job.doneCount(), completedSteps), completedSteps);
@@ -107,11 +114,14 @@
     failuresByJob.remove(ref);
   }
 
-  private static int completedElsewhere(Job job, IntOpenHashSet steps) {
+  private static int countCompletedElsewhere(Job job, IntOpenHashSet steps) {
     return (int) steps.intStream().filter(job::done).count();
   }
 
-  /** The verdict on a job has changed: its failures are explained, or no longer. */
+  /**
+   * Updates the failure counts of machines after the verdict on a job has changed, so that its
+   * failures are now explained or no longer explained.
+   */
   void verdictChanged(JobFailures jobFailures) {
     jobFailures.failuresByHost.keySet().forEach(this::updateFailureCount);
   }
@@ -125,13 +135,18 @@
     }
   }
 
-  /** True when this job is wrong by the verdict of now, which explains its failures anywhere. */
+  /**
+   * Returns whether this job is currently suspected, which explains its failures on any machine.
+   */
   private boolean isSuspected(String ref) {
     Job job = ledger.job(ref);
     return job != null && job.suspected();
   }
 
-  /** Tells of each job of which something failed on a machine that turned out to be faulty. */
+  /**
+   * Removes the failures on a machine that proved faulty from the records of each unsuspected job,
+   * and passes each such job and its failed steps to the action.
+   */
   void discountFailuresOn(String hostId, BiConsumer<Job, IntOpenHashSet> action) {
     failuresByMachine
         .get(hostId)
@@ -147,9 +162,9 @@
             });
   }
 
-  // ---- what it says ----
+  // ---- evidence ----
 
-  /** Log odds that a job is wrong. */
+  /** Returns the log odds that a job is wrong. */
   double jobLogOdds(Job job, JobFailures jobFailures) {
     long nowMs = clock.now();
     long workingTasks = countWorking(job, jobFailures, null);
@@ -167,7 +182,10 @@
         + FailureLogOdds.outlivedEvidence(outlivedTasks / (double) jobFailures.failureCount);
   }
 
-  /** Tasks that live on, on other machines than this one. */
+  /**
+   * Returns the number of the job's tasks that keep running on machines other than the excluded
+   * one.
+   */
   long countWorking(Job job, JobFailures jobFailures, String excludedHostId) {
     long nowMs = clock.now();
     return ledger.attempts(job).stream()
@@ -175,20 +193,26 @@
         .count();
   }
 
-  /** Services never complete: a task that outlives by far what failed says as much. */
+  /**
+   * Returns the run time, in seconds, from which a task counts as working. Services never complete,
+   * so a task that runs far longer than the failed ones counts like a completion.
+   */
   private double workingAfterS(JobFailures jobFailures) {
     return Math.max(reportMs / 1000.0, jobFailures == null ? 0 : 2 * jobFailures.longestRunS);
   }
 
-  /** Log odds that a machine is faulty, by what completed elsewhere. */
+  /**
+   * Returns the log odds that a machine is faulty, judging only by steps that completed elsewhere.
+   */
   double machineLogOdds(String hostId) {
     return machineLogOdds(hostId, null, true);
   }
 
   /**
-   * Log odds that a machine is faulty, by other jobs than {@code excludedRef}; with {@code
-   * provenOnly} only by steps that have completed elsewhere, which is what it takes to empty a
-   * machine: a job of which some tasks alone are wrong would have it emptied otherwise.
+   * Returns the log odds that a machine is faulty, by the failures of all jobs but {@code
+   * excludedRef}. With {@code provenOnly}, only steps that have completed elsewhere count; draining
+   * a machine requires this, since a job of which only some tasks are wrong would otherwise have it
+   * drained.
    */
   private double machineLogOdds(String hostId, String excludedRef, boolean provenOnly) {
     double logOdds = FailureLogOdds.logit(FailureLogOdds.MACHINE_FAULTY_PROBABILITY);
@@ -216,27 +240,28 @@
       JobFailures jobFailures,
       IntOpenHashSet failedHere,
       boolean provenOnly) {
-    // Replicas are alike, and never complete: others that live on elsewhere say as much.
+    // Replicas are alike and never complete, so replicas that keep running elsewhere count like
+    // completions.
     boolean isService = job.spec().service();
     long succeededTasks =
         isService ? countWorking(job, jobFailures, hostId) + job.worked() : job.doneCount();
     int steps = failedHere.size();
     if (provenOnly && isService) {
-      // The same replica that fails here again and again says as much as another one.
+      // Repeated failures of one replica here count like failures of several replicas.
       steps = succeededTasks > 0 ? jobFailures.failuresByHost.getInt(hostId) : 0;
     } else if (provenOnly) {
-      steps = completedElsewhere(job, failedHere);
+      steps = countCompletedElsewhere(job, failedHere);
     }
     return steps == 0 ? 0 : evidenceAgainst(hostId, jobFailures, succeededTasks, steps);
   }
 
-  /** What so many steps of one job that failed on a machine say against it. */
+  /** Returns the evidence against a machine from this many steps of one job that failed on it. */
   private static double evidenceAgainst(
       String hostId, JobFailures jobFailures, long succeededTasks, int steps) {
     double stepEvidence =
         FailureLogOdds.failureEvidence(
             FailureLogOdds.failureRate(jobFailures.failuresElsewhere(hostId), succeededTasks));
-    // More tasks of one job say less than those of another job.
+    // Further tasks of one job are weaker evidence than a task of another job.
     return stepEvidence * (1 + (Math.min(MAX_STEPS_PER_JOB, steps) - 1) / 2.0);
   }
 }
--- a/src/main/java/dapplestair/blame/FaultAttribution.java
+++ b/src/main/java/dapplestair/blame/FaultAttribution.java
@@ -15,25 +15,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells a job that is wrong from a machine that is. A machine that fails what others complete is
- * emptied; a job that fails on several machines, of which no task completes, is tried again by one
- * task at a time, after growing pauses. Neither verdict ends a job: it is still accepted, and goes
- * on as before once one of its tasks works.
+ * Distinguishes faulty jobs from faulty machines. A machine that fails tasks which other machines
+ * complete is drained. A job that fails on several machines, and of which no task completes, is
+ * retried one task at a time, after growing pauses. Neither verdict ends a job: it stays accepted,
+ * and runs as before once one of its tasks works.
  */
 public final class FaultAttribution implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
   private static final int MAX_PAUSE_REPORTS = 20;
 
-  /** Told of machines that are judged. */
+  /** Listens to verdicts on machines and jobs. */
   public interface Listener {
-    /** It fails what others complete. */
+    /** Called when a machine fails tasks that other machines complete. */
     void onFaultyMachine(Host host);
 
-    /** The job fails wherever it runs, and is tried again after this pause. */
+    /** Called when a job fails wherever it runs; it is retried after this pause. */
     void onSuspectedJob(Job job, int failures, int machines, long pauseMs);
 
-    /** A job that failed everywhere works after all. */
+    /** Called when a job that failed wherever it ran works after all. */
     void onJobCleared(Job job);
   }
 
@@ -48,7 +48,7 @@
   private Cancellable reviewTimer = () -> {};
   private Cancellable evaluationTimer = () -> {};
 
-  /** No evidence yet. */
+  /** Creates an instance without any evidence. */
   public FaultAttribution(
       Clock clock,
       TermTimers timers,
@@ -65,12 +65,12 @@
     this.records = new FailureRecords(clock, reportMs, ledger, workers);
   }
 
-  /** Begins to look whether probes live on. */
+  /** Begins to check periodically whether the probes of suspected jobs keep running. */
   public void lead() {
     reviewProbes();
   }
 
-  /** Forgets all evidence; which jobs are suspected is on record. */
+  /** Forgets all evidence; which jobs are suspected remains on record. */
   public void clear() {
     reviewTimer.cancel();
     evaluationTimer.cancel();
@@ -78,7 +78,9 @@
     refsToEvaluate.clear();
   }
 
-  /** How a job stands that has failed, or null. */
+  /**
+   * Returns the failures held against a job, or null when there are none and it is not suspected.
+   */
   public JobFailureStatus failureStatus(Job job) {
     JobFailures jobFailures = records.failuresOf(job.spec().ref());
     if (jobFailures == null && !job.suspected()) {
@@ -93,24 +95,24 @@
   }
 
   /**
-   * What is held against a job.
+   * Failures that are held against a job.
    *
-   * @param failures of its tasks, since this controller leads
-   * @param machines on which they failed
-   * @param suspected true when it is tried by one task at a time
+   * @param failures number of its task failures since this controller began to lead
+   * @param machines number of machines on which they failed
+   * @param suspected whether the job runs one task at a time
    * @param nextAttemptS seconds until it is tried again
    */
   public record JobFailureStatus(
       int failures, int machines, boolean suspected, double nextAttemptS) {}
 
-  /** Jobs that are tried by one task at a time. */
+  /** Returns the number of unfinished jobs that are limited to one task at a time. */
   public int countSuspectedJobs() {
     return (int) ledger.jobs().stream().filter(j -> j.suspected() && !j.over()).count();
   }
 
   // ---- evidence ----
 
-  /** A task failed by itself. */
+  /** Records that a task failed by itself, not because it was stopped or lost its machine. */
   public void recordFailure(Attempt attempt, Host host) {
     Job job = attempt.job();
     if (job.over()) {
@@ -119,7 +121,7 @@
     JobFailures jobFailures = records.recordFailure(attempt, host);
     ledger.failedStep(attempt, reportMs, MAX_PAUSE_REPORTS * reportMs);
     if (job.suspected()) {
-      // A probe, or what still ran when the verdict was given.
+      // The task was a probe, or still ran when the job became suspected.
       pauseJob(job, jobFailures);
       return;
     }
@@ -130,13 +132,13 @@
     long workingTasks =
         job.doneCount() + job.worked() + records.countWorking(job, jobFailures, null);
     if (newlyDue && workingTasks == 0) {
-      // Failures come in crowds: what is lost starts again after the verdict, not before. Until one
-      // of its tasks is known to work that is when no more fail.
+      // Tasks tend to fail in groups, so lost tasks restart only after the verdict. Until one of
+      // the job's tasks is known to work, the verdict comes when no more of them fail.
       ledger.holdBack(job, reportMs / 2);
     }
   }
 
-  /** A task completed. */
+  /** Records that a task completed. */
   public void recordCompletion(Attempt attempt, Host host) {
     Job job = attempt.job();
     records.recordCompletion(attempt, host);
@@ -147,12 +149,12 @@
     JobFailures jobFailures = records.failuresOf(job.spec().ref());
     if (jobFailures != null) {
       ledger.goOn(job);
-      // Now it is known to be good, so what failed it may be judged.
+      // The job is now known to be good, so a machine that failed its tasks may be evaluated.
       evaluateMachines(jobFailures);
     }
   }
 
-  /** A job is over: nothing is held against it any more. */
+  /** Closes the records of a job that is over: nothing is held against it any more. */
   public void closeJob(String ref) {
     refsToEvaluate.remove(ref);
     records.closeJob(ref);
@@ -184,9 +186,10 @@
   private void evaluateMachine(String hostId) {
     Host host = workers.known(hostId);
     if (host != null && !host.draining() && FailureLogOdds.isSure(records.machineLogOdds(hostId))) {
-      LOG.info("{} fails what others complete: it is emptied", hostId);
+      LOG.info("machine {} fails tasks that other machines complete; draining it", hostId);
       host.setDraining(true);
-      // What a faulty machine explains is held against no job, and no step waits for it.
+      // Failures that a faulty machine explains are not held against any job, and their steps are
+      // not delayed.
       records.discountFailuresOn(
           hostId, (job, steps) -> steps.forEach(step -> ledger.forgive(job, step)));
       listener.onFaultyMachine(host);
@@ -195,18 +198,18 @@
 
   private void suspect(Job job, JobFailures jobFailures) {
     LOG.info(
-        "{} fails wherever it runs, {} times on {} machines: one task at a time from now on",
+        "job {} fails wherever it runs ({} failures on {} machines); limiting it to one task at a time",
         job.spec().ref(),
         jobFailures.failureCount,
         jobFailures.failuresByHost.size());
     pauseJob(job, jobFailures);
-    // Its failures are explained, and say nothing of the machines for as long as that holds.
+    // The job's failures are explained now and do not count against machines while it is suspected.
     records.verdictChanged(jobFailures);
   }
 
   private void pauseJob(Job job, JobFailures jobFailures) {
     if (job.suspected() && job.held() > 1) {
-      // Others of the same wave, or of the same gang, still run: one pause for all of them.
+      // Other tasks of the same wave or gang still run: all of them share one pause.
       return;
     }
     long pauseMs = reportMs * Math.min(MAX_PAUSE_REPORTS, 1L << Math.min(10, job.probesFailed()));
@@ -215,11 +218,12 @@
   }
 
   private void clearSuspicion(Job job) {
-    LOG.info("{} works after all", job.spec().ref());
+    LOG.info(
+        "job {} works after all; no longer limiting it to one task at a time", job.spec().ref());
     ledger.trust(job);
     JobFailures jobFailures = records.failuresOf(job.spec().ref());
     if (jobFailures != null) {
-      // What its being wrong explained is held against the machines again.
+      // Failures that the suspicion of this job explained count against the machines again.
       records.verdictChanged(jobFailures);
       evaluateMachines(jobFailures);
     }
--- a/src/main/java/dapplestair/blame/JobFailures.java
+++ b/src/main/java/dapplestair/blame/JobFailures.java
@@ -2,20 +2,23 @@
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 
-/** What is known of one job whose tasks have failed. */
+/** Evidence about one job whose tasks have failed. */
 final class JobFailures {
-  // More machines say nothing new of the job.
+  // Failures on further machines add no evidence about the job.
   private static final int MAX_MACHINES = 64;
 
-  /** Failures by machine, of those not yet explained. */
+  /** Failures that are not yet explained, by machine. */
   final Object2IntOpenHashMap<String> failuresByHost = new Object2IntOpenHashMap<>();
 
-  /** All failures since this controller leads, and the machines of the last verdict. */
+  /**
+   * All failures since this controller began to lead, and the largest number of machines on which
+   * unexplained failures were recorded at once.
+   */
   int failureCount;
 
   int machineCount;
 
-  /** Of those that failed, the longest run, seconds. */
+  /** The longest run time of a failed task, in seconds. */
   double longestRunS;
 
   void recordFailure(String hostId, double ranS) {
@@ -27,7 +30,7 @@
     machineCount = Math.max(machineCount, failuresByHost.size());
   }
 
-  /** Failures on other machines than this one. */
+  /** Returns the number of unexplained failures on other machines than this one. */
   int failuresElsewhere(String hostId) {
     int total = 0;
     for (int count : failuresByHost.values()) {
--- a/src/main/java/dapplestair/blame/MachineFailures.java
+++ b/src/main/java/dapplestair/blame/MachineFailures.java
@@ -5,14 +5,17 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** Failures on one machine since a task that began after the first of them completed there. */
+/**
+ * Failures on one machine. They are forgotten when a task that began there after the first failure
+ * completes.
+ */
 final class MachineFailures {
   final long sinceMs;
 
-  /** Steps that failed here, by job, of jobs that are not over. */
+  /** Steps that failed here, by job, for jobs that are not over. */
   final Map<String, IntOpenHashSet> failedStepsByJob = new HashMap<>();
 
-  // The same of jobs that are over, as far as their steps have completed elsewhere.
+  // Evidence of jobs that are over, from failed steps that completed elsewhere.
   private double settledLogOdds;
   private int settledSteps;
   private int settledJobs;
@@ -25,29 +28,29 @@
     failedStepsByJob.computeIfAbsent(ref, r -> new IntOpenHashSet(2)).add(step);
   }
 
-  /** A job is over: what so many of its steps say of the machine, in log odds, stays. */
+  /** Keeps the evidence of a job that is over: the log odds from this many of its steps. */
   void settleJob(double logOdds, int steps) {
     settledLogOdds += logOdds;
     settledSteps += steps;
     settledJobs++;
   }
 
-  /** Log odds against the machine by jobs that are over. */
+  /** Returns the log odds against the machine from jobs that are over. */
   double settledLogOdds() {
     return settledLogOdds;
   }
 
-  /** True when nothing is held against the machine. */
+  /** Returns whether nothing is held against the machine. */
   boolean isEmpty() {
     return failedStepsByJob.isEmpty() && settledJobs == 0;
   }
 
-  /** How many jobs have failed here, whoever is to blame. */
+  /** Returns how many jobs have failed here, whoever is to blame. */
   int jobCount() {
     return failedStepsByJob.size() + settledJobs;
   }
 
-  /** Steps that failed here and that nothing explains. */
+  /** Returns the number of steps that failed here and whose failure no job's verdict explains. */
   int countUnexplainedSteps(Predicate<String> isExplained) {
     int steps = settledSteps;
     for (Map.Entry<String, IntOpenHashSet> entry : failedStepsByJob.entrySet()) {
--- a/src/main/java/dapplestair/blame/package-info.java
+++ b/src/main/java/dapplestair/blame/package-info.java
@@ -1,2 +1,2 @@
-/** Whether a job is wrong or a machine is, when tasks fail by themselves (docs/blame.md). */
+/** Attributes failures of tasks to a faulty job or a faulty machine (docs/blame.md). */
 package dapplestair.blame;
--- a/src/test/java/dapplestair/blame/MachineFailuresTest.java
+++ b/src/test/java/dapplestair/blame/MachineFailuresTest.java
@@ -12,7 +12,10 @@
 
   private final MachineFailures machineFailures = new MachineFailures(0);
 
-  /** Its proof is that it completed elsewhere: a job that is over has just given it. */
+  /**
+   * Evidence against a machine is settled when a job ends after completing elsewhere the steps that
+   * failed here. It must not disappear with the job's own records.
+   */
   @Test
   void evidenceOfEndedJobsRemains() {
     machineFailures.recordFailure(GOOD_JOB, 3);
@@ -24,7 +27,10 @@
     assertEquals(1, machineFailures.countUnexplainedSteps(ref -> true));
   }
 
-  /** A verdict on a job may be taken back, and then its failures count again. */
+  /**
+   * Failures explained by a suspected job stay recorded, because they count again when the
+   * suspicion is withdrawn.
+   */
   @Test
   void failuresExplainedByAJobStayRecorded() {
     machineFailures.recordFailure(GOOD_JOB, 3);
