--- a/src/main/java/dapplestair/placement/EarliestFinishSelector.java
+++ b/src/main/java/dapplestair/placement/EarliestFinishSelector.java
@@ -49,7 +49,7 @@
   }
 
   /** Returns the best of these machines for the job's next task, or null. */
-  Host selectHost(Job job, List<Host> usable, boolean explain) {
+  Host selectHost(Job job, List<Host> usableHosts, boolean explain) {
     Submission submission = job.spec();
     // A job may use machines that are reserved for it alone, so failed searches of other jobs do
     // not apply to it.
@@ -61,7 +61,7 @@
     Host bestHost = null;
     double bestScore = Double.POSITIVE_INFINITY;
     boolean roomFound = false;
-    for (Host host : usable) {
+    for (Host host : usableHosts) {
       PlacementVerdict verdict = filter.filter(job, host, explain);
       if (verdict == PlacementVerdict.FITS) {
         roomFound = true;
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -107,13 +107,13 @@
    * Evicts work to make room for a job's waiting tasks, at most one task's worth on each machine.
    * Returns the number of tasks for which capacity is becoming free.
    */
-  int makeRoom(Job job, boolean guaranteed) {
+  int makeRoom(Job job, boolean withinGuarantee) {
     if (!attemptsScanned) {
       scanAttempts();
     }
     Submission submission = job.spec();
     boolean mayEvictBorrowers =
-        guaranteed
+        withinGuarantee
             && borrowedCpusByTeam.object2DoubleEntrySet().stream()
                 .anyMatch(e -> e.getDoubleValue() > 0 && !e.getKey().equals(submission.team()));
     boolean mayEvictByRank = submission.rank().above(lowestRank);
--- a/src/main/java/dapplestair/placement/Placer.java
+++ b/src/main/java/dapplestair/placement/Placer.java
@@ -143,14 +143,14 @@
     // In a full cluster few machines have free capacity; the others are left out here, so that they
     // are not checked for each task.
     double minCpus = waitingJobs.stream().mapToDouble(j -> j.spec().cpus()).min().orElse(0);
-    List<Host> usable = new ArrayList<>();
+    List<Host> usableHosts = new ArrayList<>();
     double clusterCpus = 0;
     steadyCapacity.clear();
     for (Host host : workers.hosts()) {
       if (!host.closed() && workers.fresh(host)) {
         clusterCpus += host.type().cpus();
         if (host.cpusFree() >= minCpus - 1e-9) {
-          usable.add(host);
+          usableHosts.add(host);
           steadyCapacity.addFreeCpus(host, host.cpusFree());
         }
       }
@@ -159,25 +159,25 @@
     earliestFinish.beginTurn();
     evictions.beginTurn();
     reservations.beginTurn(starvationGuard);
-    lanes.beginTurn(usable);
-    List<Job> others = placeCriticalAndRiders(waitingJobs, usable);
-    placeLongWaiting(others, usable, clusterCpus);
-    placeInOrder(others, usable);
+    lanes.beginTurn(usableHosts);
+    List<Job> otherJobs = placeCriticalAndRiders(waitingJobs, usableHosts);
+    placeLongWaiting(otherJobs, usableHosts, clusterCpus);
+    placeInOrder(otherJobs, usableHosts);
   }
 
   /**
    * Places critical services and lane riders, which wait for no other job; returns the other jobs.
    */
-  private List<Job> placeCriticalAndRiders(List<Job> waitingJobs, List<Host> usable) {
-    List<Job> others = new ArrayList<>();
+  private List<Job> placeCriticalAndRiders(List<Job> waitingJobs, List<Host> usableHosts) {
+    List<Job> otherJobs = new ArrayList<>();
     List<Job> riders = new ArrayList<>();
     for (Job job : waitingJobs) {
       boolean rider = lanes.isRider(job.spec());
       if (!rider && !StarvationGuard.isCritical(job.spec())) {
-        others.add(job);
+        otherJobs.add(job);
         continue;
       }
-      placeJob(job, usable, Integer.MAX_VALUE);
+      placeJob(job, usableHosts, Integer.MAX_VALUE);
       if (rider && job.waiting() > 0) {
         riders.add(job);
       }
@@ -185,7 +185,7 @@
     if (!riders.isEmpty()) {
       lanes.claimRoom(riders);
     }
-    return others;
+    return otherJobs;
   }
 
   /**
@@ -200,14 +200,14 @@
    * Starts a few tasks of each job that has waited for long, ahead of all other jobs
    * (docs/known.md).
    */
-  private void placeLongWaiting(List<Job> waitingJobs, List<Host> usable, double clusterCpus) {
+  private void placeLongWaiting(List<Job> waitingJobs, List<Host> usableHosts, double clusterCpus) {
     Map<Job, Integer> quotas = starvationGuard.assignQuotas(waitingJobs, clusterCpus);
     List<Job> quotaJobs = new ArrayList<>(quotas.keySet());
     // Jobs with reserved machines come first, so that they get this capacity before other jobs are
     // placed.
     quotaJobs.sort(Comparator.comparing(j -> !reservations.hasReservation(j)));
     for (Job job : quotaJobs) {
-      placeJob(job, usable, quotas.get(job));
+      placeJob(job, usableHosts, quotas.get(job));
       int missingTasks = job.spec().service() || job.spec().gang() ? job.waiting() : 1;
       if (job.waiting() > 0 && (StarvationGuard.hasNotBegun(job) || job.spec().service())) {
         reservations.reserve(job, missingTasks, clusterCpus);
@@ -215,9 +215,9 @@
     }
   }
 
-  private void placeInOrder(List<Job> waitingJobs, List<Host> usable) {
+  private void placeInOrder(List<Job> waitingJobs, List<Host> usableHosts) {
     for (Job job : waitingJobs) {
-      if (!placeJob(job, usable, Integer.MAX_VALUE) && isStarving(job)) {
+      if (!placeJob(job, usableHosts, Integer.MAX_VALUE) && isStarving(job)) {
         // Machines must become free for this starving gang; less urgent jobs would keep filling
         // them.
         recordBehindGang(waitingJobs, job);
@@ -230,14 +230,14 @@
    * Starts up to {@code maxTasks} of a job's tasks; returns false when the job is a gang that does
    * not fit.
    */
-  private boolean placeJob(Job job, List<Host> usable, int maxTasks) {
+  private boolean placeJob(Job job, List<Host> usableHosts, int maxTasks) {
     if (job.spec().gang()) {
-      return placeGang(job, usable);
+      return placeGang(job, usableHosts);
     }
     if (job.spec().together()) {
-      placeTogether(job, usable, maxTasks);
+      placeTogether(job, usableHosts, maxTasks);
     } else {
-      placeEach(job, usable, maxTasks);
+      placeEach(job, usableHosts, maxTasks);
     }
     return true;
   }
@@ -260,10 +260,10 @@
    * Starts tasks that must share a zone; while none of them has started, the zone with capacity for
    * most of them is chosen.
    */
-  private void placeTogether(Job job, List<Host> usable, int maxTasks) {
+  private void placeTogether(Job job, List<Host> usableHosts, int maxTasks) {
     String bestZone = null;
     int bestRoom = 0;
-    for (Map.Entry<String, List<Host>> zone : PlacementFilter.groupByZone(usable).entrySet()) {
+    for (Map.Entry<String, List<Host>> zone : PlacementFilter.groupByZone(usableHosts).entrySet()) {
       int room = filter.countFitting(job, zone.getValue());
       if (room > bestRoom) {
         bestRoom = room;
@@ -271,7 +271,7 @@
       }
     }
     if (bestZone != null) {
-      placeEach(job, PlacementFilter.groupByZone(usable).get(bestZone), maxTasks);
+      placeEach(job, PlacementFilter.groupByZone(usableHosts).get(bestZone), maxTasks);
     }
   }
 
@@ -279,12 +279,12 @@
    * Starts up to {@code maxTasks} of a job's tasks, each on the machine where it completes
    * earliest.
    */
-  private void placeEach(Job job, List<Host> usable, int maxTasks) {
+  private void placeEach(Job job, List<Host> usableHosts, int maxTasks) {
     awaitingImage = false;
     int waitingBefore = job.waiting();
     int step = job.nextFree(0);
     while (step >= 0 && waitingBefore - job.waiting() < maxTasks) {
-      Host host = earliestFinish.selectHost(job, usable, recorder != null);
+      Host host = earliestFinish.selectHost(job, usableHosts, recorder != null);
       if (host == null || !lanes.isRider(job.spec()) && shouldAwaitImage(job, host)) {
         break;
       }
@@ -357,15 +357,15 @@
   }
 
   /** Starts a gang if all of its tasks fit now, within one zone if the job requires that. */
-  private boolean placeGang(Job job, List<Host> usable) {
+  private boolean placeGang(Job job, List<Host> usableHosts) {
     Submission submission = job.spec();
     if (!ledger.teamAllows(submission, job.waiting()) || job.held() > 0) {
       return false;
     }
     List<List<Host>> hostGroups =
         submission.together()
-            ? List.copyOf(PlacementFilter.groupByZone(usable).values())
-            : List.of(usable);
+            ? List.copyOf(PlacementFilter.groupByZone(usableHosts).values())
+            : List.of(usableHosts);
     for (List<Host> hosts : hostGroups) {
       int room = filter.countFitting(job, hosts);
       if (recorder != null) {
