--- a/src/main/java/dapplestair/blame/FaultAttribution.java
+++ b/src/main/java/dapplestair/blame/FaultAttribution.java
@@ -15,26 +15,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells a job that is wrong from a machine that is. A machine that fails what others complete is
- * emptied; a job that fails on several machines, of which no task completes, is tried again by one
- * task at a time, after growing pauses. Neither verdict ends a job: it is still accepted, and goes
- * on as before once one of its tasks works.
+ * Distinguishes faulty jobs from faulty machines. A machine that fails tasks which other machines
+ * complete is drained. A job that fails on several machines, and of which no task completes, is
+ * retried one task at a time, after growing pauses. Neither verdict ends a job: it stays accepted,
+ * and runs as before once one of its tasks works.
  */
 public final class FaultAttribution implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
-  private static final int MOST_PAUSE = 20;
+  private static final int MAX_PAUSE_REPORTS = 20;
 
-  /** Told of machines that are judged. */
+  /** Listens to verdicts on machines and jobs. */
   public interface Listener {
-    /** It fails what others complete. */
-    void faulty(Host host);
+    /** Called when a machine fails tasks that other machines complete. */
+    void onFaultyMachine(Host host);
 
-    /** The job fails wherever it runs, and is tried again after this pause. */
-    void wrong(Job job, int failures, int machines, long pauseMs);
+    /** Called when a job fails wherever it runs; it is retried after this pause. */
+    void onSuspectedJob(Job job, int failures, int machines, long pauseMs);
 
-    /** A job that failed everywhere works after all. */
-    void works(Job job);
+    /** Called when a job that failed wherever it ran works after all. */
+    void onJobCleared(Job job);
   }
 
   private final Clock clock;
@@ -44,11 +44,11 @@
   private final Listener listener;
   private final long reportMs;
   private final FailureRecords records;
-  private final Set<String> due = new LinkedHashSet<>();
-  private Cancellable timer = () -> {};
-  private Cancellable judging = () -> {};
+  private final Set<String> refsToEvaluate = new LinkedHashSet<>();
+  private Cancellable reviewTimer = () -> {};
+  private Cancellable evaluationTimer = () -> {};
 
-  /** No evidence yet. */
+  /** Creates an instance without any evidence. */
   public FaultAttribution(
       Clock clock,
       TermTimers timers,
@@ -65,180 +65,186 @@
     this.records = new FailureRecords(clock, reportMs, ledger, workers);
   }
 
-  /** Begins to look whether probes live on. */
+  /** Begins to check periodically whether the probes of suspected jobs keep running. */
   public void lead() {
-    tick();
+    reviewProbes();
   }
 
-  /** Forgets all evidence; which jobs are suspected is on record. */
+  /** Forgets all evidence; which jobs are suspected remains on record. */
   public void clear() {
-    timer.cancel();
-    judging.cancel();
+    reviewTimer.cancel();
+    evaluationTimer.cancel();
     records.clear();
-    due.clear();
+    refsToEvaluate.clear();
   }
 
-  /** How a job stands that has failed, or null. */
-  public JobFailureStatus standing(Job job) {
-    JobFailures jobFailures = records.of(job.spec().ref());
+  /**
+   * Returns the failures held against a job, or null when there are none and it is not suspected.
+   */
+  public JobFailureStatus failureStatus(Job job) {
+    JobFailures jobFailures = records.failuresOf(job.spec().ref());
     if (jobFailures == null && !job.isSuspected()) {
       return null;
     }
-    double next =
+    double nextAttemptS =
         job.isSuspected() ? Math.max(0, job.startsDelayedUntilMs() - clock.now()) / 1000.0 : 0;
     return jobFailures == null
-        ? new JobFailureStatus(0, 0, job.isSuspected(), next)
-        : new JobFailureStatus(jobFailures.failures, jobFailures.machines, job.isSuspected(), next);
+        ? new JobFailureStatus(0, 0, job.isSuspected(), nextAttemptS)
+        : new JobFailureStatus(
+            jobFailures.failureCount, jobFailures.machineCount, job.isSuspected(), nextAttemptS);
   }
 
   /**
-   * What is held against a job.
+   * Failures that are held against a job.
    *
-   * @param failures of its tasks, since this controller leads
-   * @param machines on which they failed
-   * @param suspected true when it is tried by one task at a time
-   * @param nextS seconds until it is tried again
+   * @param failures number of its task failures since this controller began to lead
+   * @param machines number of machines on which they failed
+   * @param suspected whether the job runs one task at a time
+   * @param nextAttemptS seconds until it is tried again
    */
-  public record JobFailureStatus(int failures, int machines, boolean suspected, double nextS) {}
+  public record JobFailureStatus(
+      int failures, int machines, boolean suspected, double nextAttemptS) {}
 
-  /** Jobs that are tried by one task at a time. */
-  public int suspects() {
+  /** Returns the number of unfinished jobs that are limited to one task at a time. */
+  public int countSuspectedJobs() {
     return (int) ledger.jobs().stream().filter(j -> j.isSuspected() && !j.isOver()).count();
   }
 
   // ---- evidence ----
 
-  /** A task failed by itself. */
-  public void failed(Attempt attempt, Host host) {
+  /** Records that a task failed by itself, not because it was stopped or lost its machine. */
+  public void recordFailure(Attempt attempt, Host host) {
     Job job = attempt.job();
     if (job.isOver()) {
       return;
     }
-    JobFailures jobFailures = records.failed(attempt, host);
-    ledger.recordStepFailure(attempt, reportMs, MOST_PAUSE * reportMs);
+    JobFailures jobFailures = records.recordFailure(attempt, host);
+    ledger.recordStepFailure(attempt, reportMs, MAX_PAUSE_REPORTS * reportMs);
     if (job.isSuspected()) {
-      // A probe, or what still ran when the verdict was given.
-      pause(job, jobFailures);
+      // The task was a probe, or still ran when the job became suspected.
+      pauseJob(job, jobFailures);
       return;
     }
-    if (due.isEmpty()) {
-      judging = timers.after(reportMs / 60, this::judge);
+    if (refsToEvaluate.isEmpty()) {
+      evaluationTimer = timers.after(reportMs / 60, this::evaluateJobs);
     }
-    boolean first = due.add(job.spec().ref());
-    long works =
-        job.doneCount() + job.interruptedReplicas() + records.working(job, jobFailures, null);
-    if (first && works == 0) {
-      // Failures come in crowds: what is lost starts again after the verdict, not before. Until one
-      // of its tasks is known to work that is when no more fail.
+    boolean newlyDue = refsToEvaluate.add(job.spec().ref());
+    long workingTasks =
+        job.doneCount() + job.interruptedReplicas() + records.countWorking(job, jobFailures, null);
+    if (newlyDue && workingTasks == 0) {
+      // Tasks tend to fail in groups, so lost tasks restart only after the verdict. Until one of
+      // the job's tasks is known to work, the verdict comes when no more of them fail.
       ledger.delayStarts(job, reportMs / 2);
     }
   }
 
-  /** A task completed. */
-  public void completed(Attempt attempt, Host host) {
+  /** Records that a task completed. */
+  public void recordCompletion(Attempt attempt, Host host) {
     Job job = attempt.job();
-    records.completed(attempt, host);
+    records.recordCompletion(attempt, host);
     if (job.isSuspected()) {
-      works(job);
+      clearSuspicion(job);
       return;
     }
-    JobFailures jobFailures = records.of(job.spec().ref());
+    JobFailures jobFailures = records.failuresOf(job.spec().ref());
     if (jobFailures != null) {
       ledger.resumeStarts(job);
-      // Now it is known to be good, so what failed it may be judged.
-      judgeMachines(jobFailures);
+      // The job is now known to be good, so a machine that failed its tasks may be evaluated.
+      evaluateMachines(jobFailures);
     }
   }
 
-  /** A job is over: nothing is held against it any more. */
-  public void over(String ref) {
-    due.remove(ref);
-    records.over(ref);
+  /** Closes the records of a job that is over: nothing is held against it any more. */
+  public void closeJob(String ref) {
+    refsToEvaluate.remove(ref);
+    records.closeJob(ref);
   }
 
   // ---- verdicts ----
 
-  private void judge() {
-    List<String> refs = List.copyOf(due);
-    due.clear();
+  private void evaluateJobs() {
+    List<String> refs = List.copyOf(refsToEvaluate);
+    refsToEvaluate.clear();
     for (String ref : refs) {
-      JobFailures jobFailures = records.of(ref);
+      JobFailures jobFailures = records.failuresOf(ref);
       Job job = ledger.job(ref);
       if (jobFailures != null && job != null && !job.isOver() && !job.isSuspected()) {
-        if (jobFailures.failedOn.size() >= 2
-            && FailureLogOdds.sure(records.jobOdds(job, jobFailures))) {
+        if (jobFailures.failuresByHost.size() >= 2
+            && FailureLogOdds.isSure(records.jobLogOdds(job, jobFailures))) {
           suspect(job, jobFailures);
         } else {
-          judgeMachines(jobFailures);
+          evaluateMachines(jobFailures);
         }
       }
     }
   }
 
-  private void judgeMachines(JobFailures jobFailures) {
-    List.copyOf(jobFailures.failedOn.keySet()).forEach(this::judgeMachine);
+  private void evaluateMachines(JobFailures jobFailures) {
+    List.copyOf(jobFailures.failuresByHost.keySet()).forEach(this::evaluateMachine);
   }
 
-  private void judgeMachine(String id) {
-    Host host = workers.known(id);
-    if (host != null && !host.draining() && FailureLogOdds.sure(records.machineOdds(id))) {
-      LOG.info("{} fails what others complete: it is emptied", id);
+  private void evaluateMachine(String hostId) {
+    Host host = workers.known(hostId);
+    if (host != null && !host.draining() && FailureLogOdds.isSure(records.machineLogOdds(hostId))) {
+      LOG.info("machine {} fails tasks that other machines complete; draining it", hostId);
       host.setDraining(true);
-      // What a faulty machine explains is held against no job, and no step waits for it.
-      records.explainedBy(
-          id, (job, steps) -> steps.forEach(step -> ledger.clearStepFailures(job, step)));
-      listener.faulty(host);
+      // Failures that a faulty machine explains are not held against any job, and their steps are
+      // not delayed.
+      records.discountFailuresOn(
+          hostId, (job, steps) -> steps.forEach(step -> ledger.clearStepFailures(job, step)));
+      listener.onFaultyMachine(host);
     }
   }
 
   private void suspect(Job job, JobFailures jobFailures) {
     LOG.info(
-        "{} fails wherever it runs, {} times on {} machines: one task at a time from now on",
+        "job {} fails wherever it runs ({} failures on {} machines); limiting it to one task at a time",
         job.spec().ref(),
-        jobFailures.failures,
-        jobFailures.failedOn.size());
-    pause(job, jobFailures);
-    // Its failures are explained, and say nothing of the machines for as long as that holds.
+        jobFailures.failureCount,
+        jobFailures.failuresByHost.size());
+    pauseJob(job, jobFailures);
+    // The job's failures are explained now and do not count against machines while it is suspected.
     records.verdictChanged(jobFailures);
   }
 
-  private void pause(Job job, JobFailures jobFailures) {
+  private void pauseJob(Job job, JobFailures jobFailures) {
     if (job.isSuspected() && job.heldAttempts() > 1) {
-      // Others of the same wave, or of the same gang, still run: one pause for all of them.
+      // Other tasks of the same wave or gang still run: all of them share one pause.
       return;
     }
-    long pause = reportMs * Math.min(MOST_PAUSE, 1L << Math.min(10, job.probesFailed()));
-    ledger.markSuspected(job, pause);
-    listener.wrong(job, jobFailures.failures, jobFailures.machines, pause);
+    long pauseMs = reportMs * Math.min(MAX_PAUSE_REPORTS, 1L << Math.min(10, job.probesFailed()));
+    ledger.markSuspected(job, pauseMs);
+    listener.onSuspectedJob(job, jobFailures.failureCount, jobFailures.machineCount, pauseMs);
   }
 
-  private void works(Job job) {
-    LOG.info("{} works after all", job.spec().ref());
+  private void clearSuspicion(Job job) {
+    LOG.info(
+        "job {} works after all; no longer limiting it to one task at a time", job.spec().ref());
     ledger.clearSuspicion(job);
-    JobFailures jobFailures = records.of(job.spec().ref());
+    JobFailures jobFailures = records.failuresOf(job.spec().ref());
     if (jobFailures != null) {
-      // What its being wrong explained is held against the machines again.
+      // Failures that the suspicion of this job explained count against the machines again.
       records.verdictChanged(jobFailures);
-      judgeMachines(jobFailures);
+      evaluateMachines(jobFailures);
     }
-    listener.works(job);
+    listener.onJobCleared(job);
   }
 
-  private void tick() {
+  private void reviewProbes() {
     for (Job job : List.copyOf(ledger.jobs())) {
       if (job.isSuspected() && !job.isOver() && job.heldAttempts() > 0) {
-        if (records.working(job, records.of(job.spec().ref()), null) > 0) {
-          works(job);
+        if (records.countWorking(job, records.failuresOf(job.spec().ref()), null) > 0) {
+          clearSuspicion(job);
         }
       }
     }
-    records.forgetGone();
-    timer = timers.after(reportMs, this::tick);
+    records.forgetGoneMachines();
+    reviewTimer = timers.after(reportMs, this::reviewProbes);
   }
 
   @Override
   public void close() {
-    timer.cancel();
-    judging.cancel();
+    reviewTimer.cancel();
+    evaluationTimer.cancel();
   }
 }
--- a/src/main/java/dapplestair/blame/JobFailures.java
+++ b/src/main/java/dapplestair/blame/JobFailures.java
@@ -2,37 +2,40 @@
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 
-/** What is known of one job whose tasks have failed. */
+/** Evidence about one job whose tasks have failed. */
 final class JobFailures {
-  // More machines say nothing new of the job.
-  private static final int MOST_MACHINES = 64;
+  // Failures on further machines add no evidence about the job.
+  private static final int MAX_MACHINES = 64;
 
-  /** Failures by machine, of those not yet explained. */
-  final Object2IntOpenHashMap<String> failedOn = new Object2IntOpenHashMap<>();
+  /** Failures that are not yet explained, by machine. */
+  final Object2IntOpenHashMap<String> failuresByHost = new Object2IntOpenHashMap<>();
 
-  /** All failures since this controller leads, and the machines of the last verdict. */
-  int failures;
+  /**
+   * All failures since this controller began to lead, and the largest number of machines on which
+   * unexplained failures were recorded at once.
+   */
+  int failureCount;
 
-  int machines;
+  int machineCount;
 
-  /** Of those that failed, the longest run, seconds. */
-  double longestS;
+  /** The longest run time of a failed task, in seconds. */
+  double longestRunS;
 
-  void failed(String host, double ranS) {
-    failures++;
-    longestS = Math.max(longestS, ranS);
-    if (failedOn.containsKey(host) || failedOn.size() < MOST_MACHINES) {
-      failedOn.addTo(host, 1);
+  void recordFailure(String hostId, double ranS) {
+    failureCount++;
+    longestRunS = Math.max(longestRunS, ranS);
+    if (failuresByHost.containsKey(hostId) || failuresByHost.size() < MAX_MACHINES) {
+      failuresByHost.addTo(hostId, 1);
     }
-    machines = Math.max(machines, failedOn.size());
+    machineCount = Math.max(machineCount, failuresByHost.size());
   }
 
-  /** Failures on other machines than this one. */
-  int elsewhere(String host) {
-    int sum = 0;
-    for (int count : failedOn.values()) {
-      sum += count;
+  /** Returns the number of unexplained failures on other machines than this one. */
+  int failuresElsewhere(String hostId) {
+    int total = 0;
+    for (int count : failuresByHost.values()) {
+      total += count;
     }
-    return sum - failedOn.getInt(host);
+    return total - failuresByHost.getInt(hostId);
   }
 }
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -144,7 +144,7 @@
   /** Applies the record of the machine types. */
   public void applyTypesRecord(JsonNode value, long stamp) {
     typesStamp = stamp;
-    if (value != null && !types.known()) {
+    if (value != null && !types.isLoaded()) {
       types.read(value);
     }
   }
@@ -183,7 +183,7 @@
   }
 
   private void tick() {
-    long intervalMs = types.known() ? 5 * settings.workers().reportMs() : 500;
+    long intervalMs = types.isLoaded() ? 5 * settings.workers().reportMs() : 500;
     if (clock.now() - typesFetchedAtMs > intervalMs && !fetchingTypes) {
       fetchTypes();
     }
@@ -203,7 +203,7 @@
           if (!leading || !reply.ok()) {
             return;
           }
-          boolean hadNoTypes = !types.known() || typesStamp == 0;
+          boolean hadNoTypes = !types.isLoaded() || typesStamp == 0;
           if (types.read(Json.parse(reply.body()))) {
             spotHistory.notePrices(types.all());
             if (hadNoTypes) {
--- a/src/main/java/dapplestair/lane/ClaimWriter.java
+++ b/src/main/java/dapplestair/lane/ClaimWriter.java
@@ -18,20 +18,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** Keeps each lane's open claims on record, one write of a lane at a time. */
+/** Keeps each lane's open claims on record; at most one write of a lane is under way at a time. */
 final class ClaimWriter {
   private static final int RETRIES_PER_REPORT = 12;
 
-  /** Whose claims are written. */
+  /** Provides the claims that are written. */
   interface Source {
-    /** True while this lane's claims are to be kept on record. */
-    boolean has(String lane);
+    /** Returns whether this lane's claims are still to be kept on record. */
+    boolean keepsRecordOf(String lane);
 
-    /** The open claims of a lane, as they are now. */
-    List<OpenClaim> open(String lane);
+    /** Returns a lane's open claims as they are now. */
+    List<OpenClaim> openClaims(String lane);
 
-    /** These claims of a lane are on record. */
-    void written(String lane, List<OpenClaim> claims);
+    /** Notes that these claims of a lane are on record. */
+    void onWritten(String lane, List<OpenClaim> claims);
   }
 
   private final TermTimers timers;
@@ -42,11 +42,11 @@
   private final Leadership leadership;
   private final Source source;
 
-  // By lane; true when it has changed since its write that is under way.
-  private final Map<String, Boolean> writing = new HashMap<>();
+  // Lanes with a write under way; true when the lane's claims have changed since it began.
+  private final Map<String, Boolean> changedDuringWrite = new HashMap<>();
 
-  // Of the last put that was answered: a copy of an earlier one, come late, is refused.
-  private final Map<String, Long> stamps = new HashMap<>();
+  // Stamp of each lane's last answered put: a delayed copy of an earlier put is refused.
+  private final Map<String, Long> stampByLane = new HashMap<>();
   private int generation;
 
   ClaimWriter(
@@ -65,103 +65,108 @@
     this.source = source;
   }
 
-  /** Answers to earlier writes count no more. */
+  /** Begins to lead; answers to earlier writes are ignored. */
   void lead() {
     writer.reset();
     generation++;
   }
 
-  /** Forgets all that is under way. */
+  /** Forgets all writes that are under way. */
   void clear() {
     writer.reset();
     generation++;
-    writing.clear();
-    stamps.clear();
+    changedDuringWrite.clear();
+    stampByLane.clear();
   }
 
-  /** Puts a lane's claims on record. */
+  /** Writes a lane's claims to the state service. */
   void write(String lane, Priority priority) {
-    if (writing.putIfAbsent(lane, false) != null) {
-      // After the one under way, once for all that changes until then.
-      writing.put(lane, true);
+    if (changedDuringWrite.putIfAbsent(lane, false) != null) {
+      // Written again after the current write, once for all changes until then.
+      changedDuringWrite.put(lane, true);
       return;
     }
-    List<OpenClaim> claims = source.open(lane);
-    writer.commit(transaction(lane, claims), priority, outcome -> written(lane, claims, outcome));
+    List<OpenClaim> claims = source.openClaims(lane);
+    writer.commit(
+        transaction(lane, claims), priority, outcome -> handleOutcome(lane, claims, outcome));
   }
 
   private Txn transaction(String lane, List<OpenClaim> claims) {
     String key = StateKeys.LANE + lane;
-    long stamp = stamps.computeIfAbsent(lane, l -> replica.stamp(key));
+    long stamp = stampByLane.computeIfAbsent(lane, l -> replica.stamp(key));
     Txn txn = writer.transaction().when(key, stamp);
     return claims.isEmpty() ? txn.remove(key) : txn.put(key, toJson(claims));
   }
 
-  private static ObjectNode toJson(List<OpenClaim> open) {
+  private static ObjectNode toJson(List<OpenClaim> openClaims) {
     ObjectNode record = Json.object();
     ArrayNode claims = record.putArray("claims");
-    open.forEach(o -> claims.add(o.claim().toJson()));
+    openClaims.forEach(o -> claims.add(o.claim().toJson()));
     return record;
   }
 
-  private void written(String lane, List<OpenClaim> claims, TxnOutcome outcome) {
+  private void handleOutcome(String lane, List<OpenClaim> claims, TxnOutcome outcome) {
     if (leadership.stepDownIfDeposed(outcome)) {
       return;
     }
     if (outcome instanceof TxnOutcome.Applied applied) {
-      onRecord(lane, claims, claims.isEmpty() ? 0 : applied.stamp());
+      markRecorded(lane, claims, claims.isEmpty() ? 0 : applied.stamp());
     } else {
       readBack(lane, claims);
     }
   }
 
-  private void onRecord(String lane, List<OpenClaim> claims, long stamp) {
-    boolean changed = Boolean.TRUE.equals(writing.remove(lane));
-    stamps.put(lane, stamp);
+  private void markRecorded(String lane, List<OpenClaim> claims, long stamp) {
+    boolean changed = Boolean.TRUE.equals(changedDuringWrite.remove(lane));
+    stampByLane.put(lane, stamp);
     claims.forEach(OpenClaim::setRecorded);
-    source.written(lane, claims);
+    source.onWritten(lane, claims);
     if (changed) {
       rewriteAfter(lane, 0);
     }
   }
 
   /**
-   * Without an answer it may be on record or not, and nobody is stopped before it surely is. The
-   * record itself tells; the replica may hear nothing of it for as long, and each write that goes
-   * by what the replica holds is refused meanwhile.
+   * Reads the record back when a write got no answer: the claims may be on record or not, and no
+   * victim may be stopped before they surely are. The replica may lag for just as long, and until
+   * it catches up each write based on its stamp would be refused, so the state service itself is
+   * asked.
    */
   private void readBack(String lane, List<OpenClaim> claims) {
-    int readIn = generation;
+    int readGeneration = generation;
     state.get(
         StateKeys.LANE + lane,
         read -> {
-          if (readIn != generation) {
+          if (readGeneration != generation) {
             return;
           }
           if (read.known() && !claims.isEmpty() && isRecord(claims, read.value())) {
-            onRecord(lane, claims, read.stamp());
+            markRecorded(lane, claims, read.stamp());
             return;
           }
-          writing.remove(lane);
+          changedDuringWrite.remove(lane);
           if (read.known()) {
-            stamps.put(lane, read.stamp());
+            stampByLane.put(lane, read.stamp());
           } else {
-            stamps.remove(lane);
+            stampByLane.remove(lane);
           }
           rewriteAfter(lane, settings.workers().reportMs() / RETRIES_PER_REPORT);
         });
   }
 
-  /** Compared as text: what was read holds its numbers in the smallest type. */
+  /**
+   * Compares the claims as text, because numbers read back from the record have the smallest type
+   * that holds them.
+   */
   private static boolean isRecord(List<OpenClaim> claims, JsonNode value) {
     return value != null && toJson(claims).toString().equals(value.toString());
   }
 
-  private void rewriteAfter(String lane, long ms) {
+  private void rewriteAfter(String lane, long delayMs) {
     timers.after(
-        ms,
+        delayMs,
         () -> {
-          if (leadership.isLeading() && source.has(lane)) {
+          if (leadership.isLeading() && source.keepsRecordOf(lane)) {
             write(lane, Priority.REPLICA);
           }
         });
--- a/src/main/java/dapplestair/lane/OpenClaim.java
+++ b/src/main/java/dapplestair/lane/OpenClaim.java
@@ -1,32 +1,32 @@
 package dapplestair.lane;
 
-/** A claim that has not been carried to its end. */
+/** A claim that has not been completed or dropped. */
 final class OpenClaim {
   private final Claim claim;
-  private final long since;
-  private boolean recorded;
+  private final long sinceMs;
+  private boolean isRecorded;
 
-  OpenClaim(Claim claim, long since, boolean recorded) {
+  OpenClaim(Claim claim, long sinceMs, boolean recorded) {
     this.claim = claim;
-    this.since = since;
-    this.recorded = recorded;
+    this.sinceMs = sinceMs;
+    this.isRecorded = recorded;
   }
 
   Claim claim() {
     return claim;
   }
 
-  /** When it was made, or taken over. */
-  long since() {
-    return since;
+  /** Returns the time at which the claim was made or taken over by this leader, in milliseconds. */
+  long sinceMs() {
+    return sinceMs;
   }
 
-  /** True once it is known to be on record, so that others may be stopped for it. */
-  boolean recorded() {
-    return recorded;
+  /** Returns whether the claim is known to be on record, so that its victims may be stopped. */
+  boolean isRecorded() {
+    return isRecorded;
   }
 
   void setRecorded() {
-    recorded = true;
+    isRecorded = true;
   }
 }
--- a/src/main/java/dapplestair/ledger/Machine.java
+++ b/src/main/java/dapplestair/ledger/Machine.java
@@ -130,10 +130,10 @@
     attempts.put(attempt.key(), attempt);
     addUsage(attempt.spec(), 1);
     Submission submission = attempt.spec();
-    images.used(
+    images.recordUse(
         submission.image(), submission.imageGb(), imageFetchS(submission), attempt.plannedAtMs());
     if (type != null) {
-      images.fit(type.cacheGb(), this::isImageInUse);
+      images.evictToFit(type.cacheGb(), this::isImageInUse);
     }
   }
 
@@ -217,7 +217,7 @@
 
   /** Marks the task's image as seen in use here. */
   public final void markImageInUse(Submission submission, long nowMs) {
-    images.seen(submission.image(), submission.imageGb(), nowMs);
+    images.recordPresent(submission.image(), submission.imageGb(), nowMs);
   }
 
   /** Returns what is assumed about the machine's images. */
--- a/src/main/java/dapplestair/node/StatusReporter.java
+++ b/src/main/java/dapplestair/node/StatusReporter.java
@@ -41,7 +41,7 @@
   }
 
   private boolean ready() {
-    return replica.isReady() && types.known();
+    return replica.isReady() && types.isLoaded();
   }
 
   PeerStatus toPeers() {
--- a/src/main/java/dapplestair/placement/PlacementFilter.java
+++ b/src/main/java/dapplestair/placement/PlacementFilter.java
@@ -13,21 +13,25 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** Which room a task may take: what the job, its team, the machine and kept room say of it. */
+/**
+ * Decides which capacity a task may use, by the constraints of its job, its team, the machine and
+ * reservations.
+ */
 final class PlacementFilter {
-  // For so long a job stays away from a machine on which one of its tasks failed. By then either
-  // side is judged, or other room is free; if not, nothing waits for longer.
-  private static final int AVOIDED_REPORTS = 10;
+  // Number of report intervals for which a job avoids a machine on which one of its tasks failed.
+  // By then the fault has been attributed to the job or the machine, or capacity elsewhere has
+  // become free; otherwise, no task waits for longer than this.
+  private static final int AVOID_FAILED_HOST_REPORTS = 10;
 
   private final Clock clock;
   private final Ledger ledger;
   private final WorkerManager workers;
   private final RuntimeEstimates estimates;
-  private final SteadyCapacity steady;
+  private final SteadyCapacity steadyCapacity;
   private final Reservations reservations;
   private final Lanes lanes;
-  private final long avoidedMs;
-  private double serviceRoom;
+  private final long avoidFailedHostMs;
+  private double reservedServiceCpus;
 
   PlacementFilter(
       Clock clock,
@@ -35,41 +39,44 @@
       Ledger ledger,
       WorkerManager workers,
       RuntimeEstimates estimates,
-      SteadyCapacity steady,
+      SteadyCapacity steadyCapacity,
       Reservations reservations,
       Lanes lanes) {
     this.clock = clock;
-    this.avoidedMs = AVOIDED_REPORTS * reportMs;
+    this.avoidFailedHostMs = AVOID_FAILED_HOST_REPORTS * reportMs;
     this.ledger = ledger;
     this.workers = workers;
     this.estimates = estimates;
-    this.steady = steady;
+    this.steadyCapacity = steadyCapacity;
     this.reservations = reservations;
     this.lanes = lanes;
   }
 
-  /** A turn begins, in which so many CPUs of steady machines are left to services. */
-  void begin(double cpusForServices) {
-    serviceRoom = cpusForServices;
+  /**
+   * Begins a turn in which {@code cpusForServices} CPUs of steady machines are reserved for
+   * services.
+   */
+  void beginTurn(double cpusForServices) {
+    reservedServiceCpus = cpusForServices;
   }
 
-  /** What stands against starting a task of the job on this machine now. */
+  /** Returns the obstacle to starting a task of the job on this machine now, or {@code FITS}. */
   PlacementVerdict filter(Job job, Host host, boolean explain) {
     Submission submission = job.spec();
-    boolean kept = keptFrom(job, host);
+    boolean keptForOthers = isKeptForOthers(job, host);
     if (host.fits(submission)
         && host.isAllowedBy(submission)
         && !host.closed()
-        && leavesRoom(submission, host)
-        && !kept) {
-      if (failedHere(job, host)) {
+        && leavesReservedRoom(submission, host)
+        && !keptForOthers) {
+      if (failedHereRecently(job, host)) {
         return PlacementVerdict.FAILED_HERE;
       }
       if (host.probed(clock.now())) {
         return PlacementVerdict.PROBATION;
       }
       if (host.leavesAt() != Long.MAX_VALUE
-          && !estimates.endsBefore(submission, host, clock.now())) {
+          && !estimates.endsBeforeHostLeaves(submission, host, clock.now())) {
         return PlacementVerdict.LEAVING;
       }
       if (ledger.zoneAllows(job, host.zone())) {
@@ -79,37 +86,42 @@
           ? PlacementVerdict.SPREAD
           : PlacementVerdict.TOGETHER;
     }
-    // Which obstacle it is matters only to whoever asked.
-    return explain ? obstacle(submission, host, kept) : PlacementVerdict.FULL;
+    // The exact obstacle matters only when somebody asked for an explanation.
+    return explain ? findObstacle(submission, host, keptForOthers) : PlacementVerdict.FULL;
   }
 
   /**
-   * True when a task of the job failed there a moment ago. A machine that fails what it starts is
-   * the one that has room again first, so the others of the job would run into it one after the
-   * other. A job that fails wherever it runs is tried by one task at a time anyway.
+   * Returns whether a task of the job failed on this machine recently. A machine that fails the
+   * tasks it starts is the first one with free capacity again, so the job's other tasks would fail
+   * there one after another. A job that fails wherever it runs is exempt: it runs one task at a
+   * time anyway.
    */
-  private boolean failedHere(Job job, Host host) {
-    return !job.isSuspected() && ledger.hasFailedOn(job, host, avoidedMs);
+  private boolean failedHereRecently(Job job, Host host) {
+    return !job.isSuspected() && ledger.hasFailedOn(job, host, avoidFailedHostMs);
   }
 
-  /** True when this room is promised to others: to a rider, or to who has waited for long. */
-  boolean keptFrom(Job job, Host host) {
-    return lanes.keptFrom(job.spec(), host)
-        || !lanes.rides(job.spec()) && reservations.keptFrom(job, host);
+  /**
+   * Returns whether the machine's capacity is promised to other jobs: to a lane's riders, or to a
+   * job that has waited for long.
+   */
+  boolean isKeptForOthers(Job job, Host host) {
+    return lanes.isKeptForRiders(job.spec(), host)
+        || !lanes.isRider(job.spec()) && reservations.isReservedForOther(job, host);
   }
 
-  /** The same for any machine, also those that a turn does not look at. */
-  PlacementVerdict judgeAny(Job job, Host host) {
+  /** Filters any machine, including those that a placement turn leaves out. */
+  PlacementVerdict filterAnyHost(Job job, Host host) {
     return !host.closed() && !workers.fresh(host)
         ? PlacementVerdict.SILENT
         : filter(job, host, true);
   }
 
-  private static PlacementVerdict obstacle(Submission submission, Host host, boolean kept) {
+  private static PlacementVerdict findObstacle(
+      Submission submission, Host host, boolean keptForOthers) {
     if (host.type() == null || !host.up() || !host.acknowledged()) {
-      boolean allowed =
+      boolean machineAllowed =
           host.type() == null || host.isAllowedBy(submission) || !submission.spot() && host.spot();
-      return allowed ? PlacementVerdict.NOT_UP : PlacementVerdict.NOT_ALLOWED;
+      return machineAllowed ? PlacementVerdict.NOT_UP : PlacementVerdict.NOT_ALLOWED;
     }
     if (!host.type().suits(submission)
         || submission.zone() != null && !submission.zone().equals(host.zone())) {
@@ -139,50 +151,53 @@
     if (host.isOverfull() || !host.fits(submission)) {
       return PlacementVerdict.FULL;
     }
-    return kept ? PlacementVerdict.KEPT : PlacementVerdict.HELD_FOR_SERVICES;
+    return keptForOthers ? PlacementVerdict.KEPT : PlacementVerdict.HELD_FOR_SERVICES;
   }
 
-  /** How many more of the job's tasks these machines can take together. */
-  int room(Job job, List<Host> machines) {
+  /** Returns how many more of the job's tasks these machines can take together. */
+  int countFitting(Job job, List<Host> hosts) {
     Submission submission = job.spec();
-    Map<String, Integer> perZone = new HashMap<>();
-    for (Host host : machines) {
-      if (ledger.mayStart(job, host) && !keptFrom(job, host) && !failedHere(job, host)) {
-        perZone.merge(host.zone(), roomFor(host, submission), Integer::sum);
+    Map<String, Integer> fittingByZone = new HashMap<>();
+    for (Host host : hosts) {
+      if (ledger.mayStart(job, host)
+          && !isKeptForOthers(job, host)
+          && !failedHereRecently(job, host)) {
+        fittingByZone.merge(host.zone(), countFittingOn(host, submission), Integer::sum);
       }
     }
-    int sum = 0;
-    for (Map.Entry<String, Integer> zone : perZone.entrySet()) {
-      sum +=
+    int total = 0;
+    for (Map.Entry<String, Integer> zone : fittingByZone.entrySet()) {
+      total +=
           Math.min(zone.getValue(), submission.mostPerZone() - job.attemptsInZone(zone.getKey()));
     }
-    return sum;
+    return total;
   }
 
-  private int roomFor(Host host, Submission submission) {
-    long now = clock.now();
+  private int countFittingOn(Host host, Submission submission) {
+    long nowMs = clock.now();
     int fitting = submission.fitting(host.cpusFree(), host.memoryFreeGb(), host.gpusFree());
-    if (!host.onProbation(now)) {
+    if (!host.onProbation(nowMs)) {
       return fitting;
     }
-    return host.probed(now) ? 0 : Math.min(1, fitting);
+    return host.probed(nowMs) ? 0 : Math.min(1, fitting);
   }
 
   /**
-   * Work that may run on spot machines leaves some room on steady ones, so that a replica starts at
-   * once instead of after somebody else has saved and stopped; and batches leave the riders'
-   * reserve.
+   * Returns whether a task of the job would leave reserved capacity untouched. Work that may run on
+   * spot machines leaves some capacity on steady ones, so that a replica starts at once and need
+   * not wait until other work has saved and stopped; batch tasks leave the reserve of the lanes'
+   * riders.
    */
-  boolean leavesRoom(Submission submission, Host host) {
+  boolean leavesReservedRoom(Submission submission, Host host) {
     return (submission.service()
             || !submission.spot()
             || host.spot()
-            || steady.free() - submission.cpus() >= serviceRoom)
+            || steadyCapacity.freeCpus() - submission.cpus() >= reservedServiceCpus)
         && lanes.leavesReserve(submission, host);
   }
 
-  static Map<String, List<Host>> byZone(List<Host> machines) {
-    return machines.stream()
+  static Map<String, List<Host>> groupByZone(List<Host> hosts) {
+    return hosts.stream()
         .collect(Collectors.groupingBy(Host::zone, TreeMap::new, Collectors.toList()));
   }
 }
--- a/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
+++ b/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
@@ -8,18 +8,20 @@
 import java.util.List;
 
 /**
- * Stops what cannot end on a machine before the cloud takes it, so that it begins elsewhere at once
- * instead of after the machine is gone. What may still end there stays.
+ * Stops tasks that cannot end before the cloud reclaims their machine, so that they restart
+ * elsewhere at once instead of after the machine is gone. Tasks that may still end in time keep
+ * running.
  */
 public final class ReclaimNoticeHandler {
-  // Owners' guesses are often wrong by half: unsaved work is given up only when it is well over.
-  private static final double SURELY_LATE = 1.5;
+  // Owners' runtime guesses are often wrong by half, so unsaved work is given up only when its
+  // remaining time clearly exceeds the notice.
+  private static final double SURELY_LATE_FACTOR = 1.5;
 
   private final Clock clock;
   private final DisruptionGate disruptionGate;
   private final RuntimeEstimates estimates;
 
-  /** Judges by these estimates. */
+  /** Creates a handler that decides by these runtime estimates. */
   public ReclaimNoticeHandler(
       Clock clock, DisruptionGate disruptionGate, RuntimeEstimates estimates) {
     this.clock = clock;
@@ -27,18 +29,19 @@
     this.estimates = estimates;
   }
 
-  /** A notice has come for this machine. */
-  public void leave(Host host) {
+  /** Handles the reclaim notice that the cloud gave for this machine. */
+  public void handleNotice(Host host) {
     double noticeS = (host.recallAt() - clock.now()) / 1000.0;
     for (Attempt attempt : List.copyOf(host.attempts())) {
       if (attempt.exited() || attempt.halting() || attempt.spec().gang()) {
         continue;
       }
       double saveS = attempt.spec().saves() ? attempt.spec().saveS() : 0;
-      double left =
-          attempt.spec().service() ? noticeS : estimates.leftS(attempt, host, clock.now());
-      double most = attempt.spec().saves() ? noticeS - saveS : SURELY_LATE * noticeS;
-      if (left > most) {
+      double remainingS =
+          attempt.spec().service() ? noticeS : estimates.remainingRunS(attempt, host, clock.now());
+      double maxRemainingS =
+          attempt.spec().saves() ? noticeS - saveS : SURELY_LATE_FACTOR * noticeS;
+      if (remainingS > maxRemainingS) {
         disruptionGate.must(attempt, Math.max(0, Math.min(2 * saveS, noticeS)), StopReason.NOTICE);
       }
     }
--- a/src/main/java/dapplestair/placement/Reservations.java
+++ b/src/main/java/dapplestair/placement/Reservations.java
@@ -14,46 +14,50 @@
 import java.util.TreeMap;
 
 /**
- * Machines that are kept from others until a job that has waited for long fits there, as backfill
- * does with a reservation for the first job that does not fit (docs/known.md). A machine is kept
- * for one job at a time, so room is promised once. Which ones follows from what is on record: a new
- * leader keeps about the same, those with most free room.
+ * Machines that are reserved for a job that has waited for long until it fits there, as backfill
+ * scheduling reserves for the first job that does not fit (docs/known.md). A machine is reserved
+ * for one job at a time, so its capacity is promised only once. The choice follows from recorded
+ * state (the machines with the most free capacity), so a new leader reserves about the same
+ * machines.
  */
 final class Reservations {
-  // Most of the cluster's CPUs that are kept at once; the first job's machines are, whatever they
-  // come to.
-  private static final double SHARE = 0.25;
+  // Maximum share of the cluster's CPUs that is reserved at once. The first job's machines are
+  // reserved even if they exceed it.
+  private static final double MAX_RESERVED_CPU_SHARE = 0.25;
 
   private final Ledger ledger;
   private final WorkerManager workers;
-  private final Map<String, List<Host>> byJob = new LinkedHashMap<>();
-  private final Map<Host, String> kept = new LinkedHashMap<>();
+  private final Map<String, List<Host>> hostsByJob = new LinkedHashMap<>();
+  private final Map<Host, String> ownerByHost = new LinkedHashMap<>();
 
   Reservations(Ledger ledger, WorkerManager workers) {
     this.ledger = ledger;
     this.workers = workers;
   }
 
-  /** True when this machine is kept for another job, and this one has to look elsewhere. */
-  boolean keptFrom(Job job, Host host) {
-    if (kept.isEmpty() || StarvationGuard.critical(job.spec())) {
+  /** Returns whether this machine is reserved for another job, so that this job may not use it. */
+  boolean isReservedForOther(Job job, Host host) {
+    if (ownerByHost.isEmpty() || StarvationGuard.isCritical(job.spec())) {
       return false;
     }
-    String owner = kept.get(host);
+    String owner = ownerByHost.get(host);
     return owner != null && !owner.equals(job.spec().ref());
   }
 
-  /** True when machines are kept for this job. */
-  boolean holds(Job job) {
-    return byJob.containsKey(job.spec().ref());
+  /** Returns whether machines are reserved for this job. */
+  boolean hasReservation(Job job) {
+    return hostsByJob.containsKey(job.spec().ref());
   }
 
-  /** Gives up what is kept for jobs that need it no more, and machines that are of no use. */
-  void begin(StarvationGuard starvationGuard) {
-    if (byJob.isEmpty()) {
+  /**
+   * Drops the reservations of jobs that no longer need them, and machines that can no longer be
+   * used.
+   */
+  void beginTurn(StarvationGuard starvationGuard) {
+    if (hostsByJob.isEmpty()) {
       return;
     }
-    byJob
+    hostsByJob
         .keySet()
         .removeIf(
             ref -> {
@@ -62,92 +66,96 @@
                   || starvationGuard.quota(job) == 0
                   || !ledger.teamAllows(job.spec());
             });
-    byJob.values().forEach(hosts -> hosts.removeIf(h -> h.closed() || !workers.fresh(h)));
-    byJob.values().removeIf(List::isEmpty);
-    kept.clear();
-    byJob.forEach((ref, hosts) -> hosts.forEach(h -> kept.put(h, ref)));
+    hostsByJob.values().forEach(hosts -> hosts.removeIf(h -> h.closed() || !workers.fresh(h)));
+    hostsByJob.values().removeIf(List::isEmpty);
+    ownerByHost.clear();
+    hostsByJob.forEach((ref, hosts) -> hosts.forEach(h -> ownerByHost.put(h, ref)));
   }
 
-  /** Gives all up: this controller leads no more. */
+  /** Drops all reservations, because this controller no longer leads. */
   void clear() {
-    byJob.clear();
-    kept.clear();
+    hostsByJob.clear();
+    ownerByHost.clear();
   }
 
-  /** Keeps machines for {@code tasks} of the job at once, if there are any to be kept. */
-  void keep(Job job, int tasks, double clusterCpus) {
-    if (holds(job)) {
+  /** Reserves machines for {@code tasks} tasks of the job at once, if suitable ones exist. */
+  void reserve(Job job, int tasks, double clusterCpus) {
+    if (hasReservation(job)) {
       return;
     }
-    List<Host> hosts = choose(job, tasks);
-    double cpus = hosts.stream().mapToDouble(h -> h.type().cpus()).sum();
-    double before = kept.keySet().stream().mapToDouble(h -> h.type().cpus()).sum();
-    if (hosts.isEmpty() || before > 0 && before + cpus > SHARE * clusterCpus) {
+    List<Host> hosts = chooseHosts(job, tasks);
+    double addedCpus = hosts.stream().mapToDouble(h -> h.type().cpus()).sum();
+    double reservedCpus = ownerByHost.keySet().stream().mapToDouble(h -> h.type().cpus()).sum();
+    if (hosts.isEmpty()
+        || reservedCpus > 0 && reservedCpus + addedCpus > MAX_RESERVED_CPU_SHARE * clusterCpus) {
       return;
     }
-    byJob.put(job.spec().ref(), new ArrayList<>(hosts));
-    hosts.forEach(h -> kept.put(h, job.spec().ref()));
+    hostsByJob.put(job.spec().ref(), new ArrayList<>(hosts));
+    hosts.forEach(h -> ownerByHost.put(h, job.spec().ref()));
   }
 
-  /** Those that lack least, as many as the tasks take once all but services has left them. */
-  private List<Host> choose(Job job, int tasks) {
+  /**
+   * Chooses the machines with the most free capacity, as many as the tasks need once everything but
+   * services has left these machines.
+   */
+  private List<Host> chooseHosts(Job job, int tasks) {
     Submission submission = job.spec();
-    TreeMap<String, List<Host>> zones = new TreeMap<>();
+    TreeMap<String, List<Host>> hostsByZone = new TreeMap<>();
     for (Host host : workers.hosts()) {
       if (!host.closed()
           && workers.fresh(host)
-          && !kept.containsKey(host)
+          && !ownerByHost.containsKey(host)
           && host.isAllowedBy(submission)
           && ledger.zoneAllows(job, host.zone())
-          && emptied(submission, host) > 0) {
+          && countFittingWhenEmptied(submission, host) > 0) {
         String zone = submission.together() ? host.zone() : "";
-        zones.computeIfAbsent(zone, z -> new ArrayList<>()).add(host);
+        hostsByZone.computeIfAbsent(zone, z -> new ArrayList<>()).add(host);
       }
     }
-    List<Host> best = List.of();
-    double bestFree = -1;
-    for (List<Host> zone : zones.values()) {
-      List<Host> enough = enough(job, tasks, zone);
-      double free = enough.stream().mapToDouble(Host::cpusFree).sum();
-      if (!enough.isEmpty() && free > bestFree) {
-        best = enough;
-        bestFree = free;
+    List<Host> bestHosts = List.of();
+    double bestFreeCpus = -1;
+    for (List<Host> zone : hostsByZone.values()) {
+      List<Host> selected = selectEnough(job, tasks, zone);
+      double freeCpus = selected.stream().mapToDouble(Host::cpusFree).sum();
+      if (!selected.isEmpty() && freeCpus > bestFreeCpus) {
+        bestHosts = selected;
+        bestFreeCpus = freeCpus;
       }
     }
-    return best;
+    return bestHosts;
   }
 
-  private static List<Host> enough(Job job, int tasks, List<Host> hosts) {
+  private static List<Host> selectEnough(Job job, int tasks, List<Host> hosts) {
     Submission submission = job.spec();
     hosts.sort(Comparator.comparingDouble((Host host) -> -host.cpusFree()).thenComparing(Host::id));
-    Map<String, Integer> perZone = new HashMap<>();
-    List<Host> out = new ArrayList<>();
-    int found = 0;
+    Map<String, Integer> selectedByZone = new HashMap<>();
+    List<Host> selected = new ArrayList<>();
+    int foundTasks = 0;
     for (Host host : hosts) {
-      int left =
+      int allowedInZone =
           submission.mostPerZone()
               - job.attemptsInZone(host.zone())
-              - perZone.getOrDefault(host.zone(), 0);
-      int here = Math.min(emptied(submission, host), left);
-      if (here > 0) {
-        out.add(host);
-        found += here;
-        perZone.merge(host.zone(), here, Integer::sum);
+              - selectedByZone.getOrDefault(host.zone(), 0);
+      int tasksHere = Math.min(countFittingWhenEmptied(submission, host), allowedInZone);
+      if (tasksHere > 0) {
+        selected.add(host);
+        foundTasks += tasksHere;
+        selectedByZone.merge(host.zone(), tasksHere, Integer::sum);
       }
-      if (found >= tasks) {
-        return out;
+      if (foundTasks >= tasks) {
+        return selected;
       }
     }
-    // A gang that fits nowhere even then waits for machines, and keeps none idle meanwhile.
-    return submission.gang() ? List.of() : out;
+    // A gang that does not fit even then waits for new machines, and leaves none idle meanwhile.
+    return submission.gang() ? List.of() : selected;
   }
 
-  /** How many of its tasks a machine holds without all but its services. */
-  private static int emptied(Submission submission, Host host) {
-    double share = 1 - host.serviceCpus() / host.type().cpus();
+  /** Returns how many of the job's tasks the machine holds when only its services keep running. */
+  private static int countFittingWhenEmptied(Submission submission, Host host) {
+    double memoryShare = 1 - host.serviceCpus() / host.type().cpus();
     return submission.fitting(
         host.type().cpus() - host.serviceCpus(),
-        host.type().memoryGb() * share,
+        host.type().memoryGb() * memoryShare,
         host.type().gpus());
   }
 }
--- a/src/main/java/dapplestair/placement/StarvationGuard.java
+++ b/src/main/java/dapplestair/placement/StarvationGuard.java
@@ -16,42 +16,47 @@
 import java.util.TreeMap;
 
 /**
- * The bound in the order: whoever has waited for long begins, whatever its size and rank
- * (docs/known.md). All of it follows from what is on record, when a job was asked for and which of
- * its tasks are held, so a new leader decides as the one before did.
+ * Ensures that every job that has waited for long begins, whatever its size and rank
+ * (docs/known.md). Decisions follow from recorded state alone (when a job was requested and which
+ * of its tasks are held), so a new leader decides like its predecessor.
  *
- * <p>A job near the bound goes before all but critical services with its first tasks, its window.
- * What runs in the windows of all jobs is a part of the cluster at the most, one job of each team
- * and class apart, and is not stopped to make room. An array that has not begun begins with one
- * task even when that part is used up.
+ * <p>A job that comes near the waiting bound places its first tasks, its window, before all jobs
+ * but critical services. The windows of all jobs together hold at most a share of the cluster,
+ * apart from one job of each team and class, and their tasks are not evicted. An array that has not
+ * begun starts one task even when that share is used up.
  */
 final class StarvationGuard {
-  // From this part of the bound on a job begins: what is left is for room to become free.
-  private static final double NEAR = 0.6;
+  // Fraction of the bound from which a job goes first; the rest of the bound is time for capacity
+  // to become free.
+  private static final double NEAR_BOUND_FRACTION = 0.6;
 
-  // Most of the cluster's CPUs that windows hold together.
-  private static final double SHARE = 0.25;
+  // Maximum share of the cluster's CPUs that all windows hold together.
+  private static final double MAX_WINDOW_CPU_SHARE = 0.25;
 
-  // An array begins with this part of its tasks, and past the bound goes on with this one.
-  private static final int STARTER = 16;
-  private static final int WINDOW = 8;
+  // An array's first window is its task count divided by the first number; past the bound its
+  // window is the task count divided by the second.
+  private static final int INITIAL_WINDOW_DIVISOR = 16;
+  private static final int OVERDUE_WINDOW_DIVISOR = 8;
 
-  // A replica that has just begun is left alone for this part of the bound.
-  private static final int SETTLED = 6;
+  // A replica is not evicted until it has run for the bound divided by this number.
+  private static final int SETTLING_TIME_DIVISOR = 6;
 
   private final Clock clock;
   private final Ledger ledger;
   private final long boundMs;
 
-  /** {@code boundMs} is within what every job is to begin. */
+  /** Creates a guard; {@code boundMs} is the time within which every job has to begin. */
   StarvationGuard(Clock clock, Ledger ledger, long boundMs) {
     this.clock = clock;
     this.ledger = ledger;
     this.boundMs = boundMs;
   }
 
-  /** True for work that no bound of others may delay. */
-  static boolean critical(Submission submission) {
+  /**
+   * Returns whether the job is a critical service, which the waiting bounds of other jobs may not
+   * delay.
+   */
+  static boolean isCritical(Submission submission) {
     return submission.service() && submission.rank() == Rank.CRITICAL;
   }
 
@@ -59,107 +64,121 @@
     return clock.wall() - job.firstRequestWallMs();
   }
 
-  /** True when a job has waited for so long that its first tasks go before others. */
-  boolean near(Job job) {
-    return ageMs(job) > NEAR * boundMs;
+  /** Returns whether a job has waited for so long that its first tasks go before other jobs. */
+  boolean isNearBound(Job job) {
+    return ageMs(job) > NEAR_BOUND_FRACTION * boundMs;
   }
 
-  /** True when nothing of it runs, has completed or is about to run. */
-  static boolean idle(Job job) {
+  /** Returns whether no task of the job runs, has completed or is about to run. */
+  static boolean hasNotBegun(Job job) {
     return job.heldAttempts() == 0 && job.doneCount() == 0;
   }
 
   /**
-   * How many of its tasks at once go first: services, gangs and the largest arrays of each class
-   * whole, other arrays by their first.
+   * Returns how many of the job's tasks go first at once: all tasks of services, gangs and the
+   * largest arrays of each class; the first tasks of other arrays.
    */
-  private int window(Job job) {
+  private int windowTasks(Job job) {
     Submission submission = job.spec();
     if (submission.service() || submission.gang() || ledger.jobStatistics().isLarge(job)) {
       return submission.steps();
     }
-    int part = ageMs(job) > boundMs ? WINDOW : STARTER;
-    return (submission.steps() + part - 1) / part;
+    int divisor = ageMs(job) > boundMs ? OVERDUE_WINDOW_DIVISOR : INITIAL_WINDOW_DIVISOR;
+    return (submission.steps() + divisor - 1) / divisor;
   }
 
-  /** How many more of its tasks go first now; 0 when it has to take its turn. */
+  /**
+   * Returns how many more of the job's tasks go first now; 0 when the job has to wait for its turn.
+   */
   int quota(Job job) {
-    if (!near(job) || job.isSuspected() || critical(job.spec())) {
+    if (!isNearBound(job) || job.isSuspected() || isCritical(job.spec())) {
       return 0;
     }
-    boolean begins =
-        idle(job)
+    boolean mayGoFirst =
+        hasNotBegun(job)
             || ageMs(job) > boundMs
             || job.spec().service()
             || ledger.jobStatistics().isLarge(job);
-    return begins ? Math.max(0, Math.min(job.waitingTasks(), window(job) - job.heldAttempts())) : 0;
+    return mayGoFirst
+        ? Math.max(0, Math.min(job.waitingTasks(), windowTasks(job) - job.heldAttempts()))
+        : 0;
   }
 
-  /** True for an attempt that runs in its job's window: nothing but a critical service stops it. */
-  boolean shelters(Attempt attempt) {
+  /**
+   * Returns whether the attempt runs in its job's window, where only a critical service may evict
+   * it.
+   */
+  boolean isProtectedFromEviction(Attempt attempt) {
     Job job = attempt.job();
-    if (job.isOver() || !near(job) || critical(attempt.spec())) {
+    if (job.isOver() || !isNearBound(job) || isCritical(attempt.spec())) {
       return false;
     }
     if (attempt.spec().service()) {
       return clock.now() - Math.max(attempt.plannedAtMs(), attempt.statusSinceMs())
-          < boundMs / SETTLED;
+          < boundMs / SETTLING_TIME_DIVISOR;
     }
-    return job.heldAttempts() <= window(job);
+    return job.heldAttempts() <= windowTasks(job);
   }
 
   /**
-   * Those of the waiting jobs that go first, in their order, and how many tasks of each: those that
-   * have not begun before the others, one of each team and class in turn, the one that holds least
-   * first, oldest first within each (deficit round robin with a job's window as the quantum).
+   * Returns the waiting jobs that go first, in their order, with the number of tasks for each. Jobs
+   * that have not begun come before the others; one job of each team and class in turn, the group
+   * that holds least first, oldest first within each group (deficit round robin with a job's window
+   * as the quantum).
    *
-   * @param cpus of all machines that may be used
+   * @param clusterCpus CPUs of all machines that may be used
    */
-  Map<Job, Integer> first(List<Job> waiting, double cpus) {
-    TreeMap<String, Deque<Job>> groups = new TreeMap<>();
-    waiting.stream()
+  Map<Job, Integer> assignQuotas(List<Job> waitingJobs, double clusterCpus) {
+    TreeMap<String, Deque<Job>> jobsByGroup = new TreeMap<>();
+    waitingJobs.stream()
         .filter(j -> quota(j) > 0 && ledger.teamAllows(j.spec()))
         .sorted(
-            Comparator.comparing((Job j) -> !idle(j))
+            Comparator.comparing((Job j) -> !hasNotBegun(j))
                 .thenComparingLong(Job::firstRequestWallMs)
                 .thenComparing(j -> j.spec().ref()))
-        .forEach(j -> groups.computeIfAbsent(group(j), g -> new ArrayDeque<>()).add(j));
-    return groups.isEmpty() ? Map.of() : take(groups, cpus * SHARE);
+        .forEach(j -> jobsByGroup.computeIfAbsent(groupKey(j), g -> new ArrayDeque<>()).add(j));
+    return jobsByGroup.isEmpty()
+        ? Map.of()
+        : shareWindows(jobsByGroup, clusterCpus * MAX_WINDOW_CPU_SHARE);
   }
 
-  private Map<Job, Integer> take(Map<String, Deque<Job>> groups, double most) {
-    Object2DoubleOpenHashMap<String> held = new Object2DoubleOpenHashMap<>();
+  private Map<Job, Integer> shareWindows(Map<String, Deque<Job>> jobsByGroup, double maxCpus) {
+    Object2DoubleOpenHashMap<String> heldCpusByGroup = new Object2DoubleOpenHashMap<>();
     for (Job job : ledger.jobs()) {
-      if (!job.isOver() && job.heldAttempts() > 0 && near(job) && !job.spec().service()) {
-        held.addTo(group(job), Math.min(job.heldAttempts(), window(job)) * job.spec().cpus());
+      if (!job.isOver() && job.heldAttempts() > 0 && isNearBound(job) && !job.spec().service()) {
+        heldCpusByGroup.addTo(
+            groupKey(job), Math.min(job.heldAttempts(), windowTasks(job)) * job.spec().cpus());
       }
     }
-    double left = most - held.values().doubleStream().sum();
-    Map<Job, Integer> out = new LinkedHashMap<>();
-    while (!groups.isEmpty()) {
-      String next =
-          groups.keySet().stream().min(Comparator.comparingDouble(held::getDouble)).orElseThrow();
-      Deque<Job> of = groups.get(next);
-      Job job = of.remove();
-      int fit = (int) Math.floor(Math.max(0, left) / job.spec().cpus());
-      // Whatever the others hold, one job of each team and class begins, and every array with one
-      // task: windows may be full for as long as an overload lasts.
-      int least = idle(job) && !job.spec().service() && !job.spec().gang() ? 1 : 0;
-      int allowed = held.getDouble(next) == 0 ? quota(job) : Math.max(least, fit);
-      int tasks = Math.min(quota(job), allowed);
+    double remainingCpus = maxCpus - heldCpusByGroup.values().doubleStream().sum();
+    Map<Job, Integer> quotas = new LinkedHashMap<>();
+    while (!jobsByGroup.isEmpty()) {
+      String group =
+          jobsByGroup.keySet().stream()
+              .min(Comparator.comparingDouble(heldCpusByGroup::getDouble))
+              .orElseThrow();
+      Deque<Job> groupJobs = jobsByGroup.get(group);
+      Job job = groupJobs.remove();
+      int fittingTasks = (int) Math.floor(Math.max(0, remainingCpus) / job.spec().cpus());
+      // Whatever the other windows hold, one job of each team and class begins, and every array
+      // starts one task: windows may stay full for as long as an overload lasts.
+      int minTasks = hasNotBegun(job) && !job.spec().service() && !job.spec().gang() ? 1 : 0;
+      int allowedTasks =
+          heldCpusByGroup.getDouble(group) == 0 ? quota(job) : Math.max(minTasks, fittingTasks);
+      int tasks = Math.min(quota(job), allowedTasks);
       if (tasks > 0) {
-        out.put(job, tasks);
-        left -= tasks * job.spec().cpus();
-        held.addTo(next, tasks * job.spec().cpus());
+        quotas.put(job, tasks);
+        remainingCpus -= tasks * job.spec().cpus();
+        heldCpusByGroup.addTo(group, tasks * job.spec().cpus());
       }
-      if (of.isEmpty() || tasks == 0) {
-        groups.remove(next);
+      if (groupJobs.isEmpty() || tasks == 0) {
+        jobsByGroup.remove(group);
       }
     }
-    return out;
+    return quotas;
   }
 
-  private static String group(Job job) {
+  private static String groupKey(Job job) {
     return job.spec().team() + '\n' + job.spec().jobClass();
   }
 }
--- a/src/main/java/dapplestair/placement/SteadyCapacity.java
+++ b/src/main/java/dapplestair/placement/SteadyCapacity.java
@@ -3,35 +3,35 @@
 import dapplestair.workers.Host;
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 
-/** CPUs that are free on steady machines in a turn of placing, in all and by zone. */
+/** Free CPUs of steady machines in a placement turn, in total and by zone. */
 final class SteadyCapacity {
-  private final Object2DoubleOpenHashMap<String> byZone = new Object2DoubleOpenHashMap<>();
-  private double free;
+  private final Object2DoubleOpenHashMap<String> freeCpusByZone = new Object2DoubleOpenHashMap<>();
+  private double freeCpus;
 
   void clear() {
-    free = 0;
-    byZone.clear();
+    freeCpus = 0;
+    freeCpusByZone.clear();
   }
 
-  /** So many more are free on a machine, if it is a steady one. */
-  void add(Host host, double cpus) {
+  /** Adds free CPUs of a machine, if it is a steady one. */
+  void addFreeCpus(Host host, double cpus) {
     if (!host.spot()) {
-      free += cpus;
-      byZone.addTo(host.zone(), cpus);
+      freeCpus += cpus;
+      freeCpusByZone.addTo(host.zone(), cpus);
     }
   }
 
-  double free() {
-    return free;
+  double freeCpus() {
+    return freeCpus;
   }
 
-  /** 0 for the zone with most room, 1 for one without any. */
+  /** Returns how full a zone is: 0 for the zone with the most free CPUs, 1 for one without any. */
   double fullness(String zone) {
-    // Asked for each machine that a replica might go to, so without a stream.
-    double most = 0;
-    for (double cpus : byZone.values()) {
-      most = Math.max(most, cpus);
+    // Called for each machine that a replica might run on, so it avoids a stream.
+    double maxCpus = 0;
+    for (double cpus : freeCpusByZone.values()) {
+      maxCpus = Math.max(maxCpus, cpus);
     }
-    return most > 0 ? 1 - Math.max(0, byZone.getDouble(zone)) / most : 0;
+    return maxCpus > 0 ? 1 - Math.max(0, freeCpusByZone.getDouble(zone)) / maxCpus : 0;
   }
 }
--- a/src/main/java/dapplestair/weights/ImageLocations.java
+++ b/src/main/java/dapplestair/weights/ImageLocations.java
@@ -118,7 +118,7 @@
       for (String id : holders.machineIds()) {
         Host host = workers.known(id);
         if (host != null) {
-          host.images().hinted(holders.image(), holders.sizeGb());
+          host.images().recordHint(holders.image(), holders.sizeGb());
         }
       }
     }
@@ -163,7 +163,7 @@
     for (Host host : workers.hosts()) {
       if (host.up() && !host.gone() && !host.releasing()) {
         host.images()
-            .ready(nowMs)
+            .readyImages(nowMs)
             .forEach(
                 (image, gb) ->
                     holdersByKey
