--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -227,13 +227,13 @@
                 if (!zone.equals(host.zone())) {
                   continue;
                 }
-                boolean lost = host.outOfReach() || host.zoneSilentMs() > 0;
+                boolean lost = host.unreachable() || host.zoneSilentMs() > 0;
                 there++;
                 unheard += lost ? 1 : 0;
                 for (Attempt attempt : host.attempts()) {
                   if (!attempt.exited()) {
-                    replicas += attempt.spec().service() ? 1 : 0;
-                    tasks += attempt.spec().service() ? 0 : 1;
+                    replicas += attempt.spec().isService() ? 1 : 0;
+                    tasks += attempt.spec().isService() ? 0 : 1;
                     unproved += lost ? 1 : 0;
                   }
                 }
--- a/src/main/java/dapplestair/admin/DrainHandler.java
+++ b/src/main/java/dapplestair/admin/DrainHandler.java
@@ -34,7 +34,7 @@
   void machine(AdminRequest request, String id, boolean on, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
     // A drain may outlive its machine for a moment; it can be ended all the same.
-    if (workers.known(id) == null && !drains.machines().containsKey(id)) {
+    if (workers.findHost(id) == null && !drains.machines().containsKey(id)) {
       done.accept(AdminResponse.error(404, "no machine " + id));
       return;
     }
--- a/src/main/java/dapplestair/admin/JobViews.java
+++ b/src/main/java/dapplestair/admin/JobViews.java
@@ -70,7 +70,7 @@
         status(counts),
         counts[0],
         counts[1],
-        Math.max(0, job.spec().steps() - counts[0] - counts[1]),
+        Math.max(0, job.spec().taskCount() - counts[0] - counts[1]),
         age(job.acceptedWall()));
   }
 
@@ -113,7 +113,7 @@
       return null;
     }
     String status = Json.text(record, "status");
-    int done = "done".equals(status) ? submission.steps() : 0;
+    int done = "done".equals(status) ? submission.taskCount() : 0;
     return new JobRow(submission, status, done, 0, 0, age(Json.number(record, "at", 0)));
   }
 
@@ -138,7 +138,7 @@
         case "shape" -> job.shape().wire();
         case "rank" -> job.rank().wire();
         case "status" -> status;
-        case "tasks" -> (double) job.steps();
+        case "tasks" -> (double) job.taskCount();
         case "done" -> (double) done;
         case "running" -> (double) running;
         case "waiting_tasks" -> (double) waiting;
@@ -160,7 +160,7 @@
       out.writeStringField("team", job.team());
       out.writeStringField("shape", job.shape().wire());
       out.writeStringField("rank", job.rank().wire());
-      out.writeNumberField("tasks", job.steps());
+      out.writeNumberField("tasks", job.taskCount());
       out.writeNumberField("done", done);
       out.writeNumberField("running", running);
       out.writeNumberField("waiting_tasks", waiting);
@@ -223,7 +223,7 @@
             .put("status", status(counts))
             .put("accepted", job.acceptedWall())
             .put("age", age(job.acceptedWall()))
-            .put("tasks", submission.steps())
+            .put("tasks", submission.taskCount())
             .put("done", counts[0])
             .put("running", counts[1])
             .put("waiting_tasks", job.waiting());
--- a/src/main/java/dapplestair/admin/MachineViews.java
+++ b/src/main/java/dapplestair/admin/MachineViews.java
@@ -48,7 +48,7 @@
   }
 
   private PagedListing.WritableRow row(String id) {
-    Host host = workers.known(id);
+    Host host = workers.findHost(id);
     return host == null ? null : new MachineRow(host, state(host), clock.now());
   }
 
@@ -57,22 +57,22 @@
     if (host.releasing()) {
       return "returning";
     }
-    if (host.outOfReach()) {
+    if (host.unreachable()) {
       return "silent";
     }
-    if (!host.up()) {
+    if (!host.isUp()) {
       return "booting";
     }
-    if (host.drained()) {
+    if (host.drainedByOperator()) {
       return host.idle() ? "drained" : "draining";
     }
     if (host.draining()) {
       return "faulty";
     }
-    if (host.recalled()) {
+    if (host.hasReclaimNotice()) {
       return "notice";
     }
-    if (!host.acknowledged()) {
+    if (!host.termAcknowledged()) {
       return "unheard";
     }
     return host.cordoned() ? "cordoned" : "up";
@@ -93,7 +93,7 @@
         case "tasks" -> (double) tasks();
         case "age" -> age();
         case "idle" -> idle();
-        case "drained" -> host.drained();
+        case "drained" -> host.drainedByOperator();
         case "silent" -> silent();
         default -> null;
       };
@@ -112,7 +112,7 @@
     }
 
     private double silent() {
-      return host.up() ? (now - host.heardAt()) / 1000.0 : 0;
+      return host.isUp() ? (now - host.lastReachedAt()) / 1000.0 : 0;
     }
 
     @Override
@@ -128,14 +128,14 @@
       out.writeNumberField("tasks", tasks());
       out.writeNumberField("age", age());
       out.writeNumberField("idle", idle());
-      out.writeBooleanField("drained", host.drained());
+      out.writeBooleanField("drained", host.drainedByOperator());
       out.writeNumberField("silent", silent());
       out.writeEndObject();
     }
   }
 
   void show(String id, Consumer<AdminResponse> done) {
-    Host host = workers.known(id);
+    Host host = workers.findHost(id);
     if (host == null) {
       done.accept(AdminResponse.error(404, "no machine " + id));
       return;
@@ -154,9 +154,9 @@
             .put("memory_gb", host.type() == null ? 0 : host.type().memoryGb())
             .put("memory_used_gb", host.memoryUsed())
             .put("slowness", host.slowness())
-            .put("orders_waiting", host.queued());
-    if (host.recalled()) {
-      object.put("taken_in_s", Math.max(0, host.recallAt() - clock.now()) / 1000.0);
+            .put("orders_waiting", host.queuedCommands());
+    if (host.hasReclaimNotice()) {
+      object.put("taken_in_s", Math.max(0, host.reclaimAt() - clock.now()) / 1000.0);
     }
     Drain drain = drains.of(host);
     if (drain != null) {
@@ -201,7 +201,7 @@
         .machines()
         .forEach(
             (id, d) -> {
-              Host host = workers.known(id);
+              Host host = workers.findHost(id);
               list.add(drain(d, host == null ? null : drains.progress(host)).put("machine", id));
             });
     return object;
--- a/src/main/java/dapplestair/blame/FailureRecords.java
+++ b/src/main/java/dapplestair/blame/FailureRecords.java
@@ -47,7 +47,7 @@
 
   /** Forgets machines that are gone. */
   void forgetGone() {
-    machines.keySet().removeIf(id -> workers.known(id) == null);
+    machines.keySet().removeIf(id -> workers.findHost(id) == null);
   }
 
   /** A task failed by itself. */
@@ -115,7 +115,7 @@
   }
 
   private void countFailures(String id) {
-    Host host = workers.known(id);
+    Host host = workers.findHost(id);
     MachineFailures machineFailures = machines.get(id);
     if (host != null) {
       host.setFailures(machineFailures == null ? 0 : machineFailures.unexplained(this::explains));
@@ -208,7 +208,7 @@
   private double says(
       String id, Job job, JobFailures jobFailures, IntOpenHashSet failedHere, boolean knownGood) {
     // Replicas are alike, and never complete: others that live on elsewhere say as much.
-    boolean service = job.spec().service();
+    boolean service = job.spec().isService();
     long good = service ? working(job, jobFailures, id) + job.worked() : job.doneCount();
     int steps = failedHere.size();
     if (knownGood && service) {
--- a/src/main/java/dapplestair/blame/FaultAttribution.java
+++ b/src/main/java/dapplestair/blame/FaultAttribution.java
@@ -178,7 +178,7 @@
   }
 
   private void judgeMachine(String id) {
-    Host host = workers.known(id);
+    Host host = workers.findHost(id);
     if (host != null && !host.draining() && FailureLogOdds.sure(records.machineOdds(id))) {
       LOG.info("{} fails what others complete: it is emptied", id);
       host.setDraining(true);
--- a/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
+++ b/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
@@ -154,7 +154,7 @@
         tasks.stream()
             .map(t -> new WorkerCommand.Halt(t.place().key(t.ref()), t.place().number(), 0))
             .toList();
-    ObjectNode body = WorkerCommand.call(token, report.session(), halts);
+    ObjectNode body = WorkerCommand.callMessage(token, report.session(), halts);
     long sentAt = clock.now();
     http.call(
         endpoint,
--- a/src/main/java/dapplestair/disruption/DisruptionGate.java
+++ b/src/main/java/dapplestair/disruption/DisruptionGate.java
@@ -106,8 +106,8 @@
   private void count(Job job) {
     UnavailableTasks unavailable = ledger.out(job, this::reached);
     Sum sum = sum(job.spec().team());
-    if (job.spec().service()) {
-      sum.wanted += job.spec().steps();
+    if (job.spec().isService()) {
+      sum.wanted += job.spec().taskCount();
       sum.out += unavailable.disrupted();
       sum.stopping += unavailable.stopping();
       missing.put(job, unavailable.missing());
@@ -122,10 +122,10 @@
    * still be carried out on it, and what it said may be older than that.
    */
   private boolean reached(Attempt attempt) {
-    Host host = workers.known(attempt.host());
+    Host host = workers.findHost(attempt.host());
     return host != null
-        && host.acknowledged()
-        && !host.outOfReach()
+        && host.termAcknowledged()
+        && !host.unreachable()
         && !host.hanging()
         && !host.releasing()
         && !host.gone();
@@ -148,7 +148,7 @@
 
   private void take(Attempt attempt) {
     Sum sum = sum(attempt.spec().team());
-    if (attempt.spec().service()) {
+    if (attempt.spec().isService()) {
       sum.out++;
       sum.stopping++;
       missing.merge(attempt.job(), 1, Integer::sum);
@@ -166,13 +166,13 @@
     String team = attempt.spec().team();
     DisruptionBudget budget = budgets.of(team);
     Sum sum = sum(team);
-    if (attempt.spec().service()) {
+    if (attempt.spec().isService()) {
       int ofTeam = budget.ofTeam(sum.wanted);
       if (sum.out >= ofTeam) {
         return new DisruptionRefusal(
             team, "replicas of the team", ofTeam, sum.out, because(sum.out, sum.stopping));
       }
-      int steps = attempt.spec().steps();
+      int steps = attempt.spec().taskCount();
       int ofJob = budget.ofJob(steps);
       int gone = missing.getOrDefault(attempt.job(), steps);
       return gone < ofJob
@@ -203,7 +203,7 @@
    * is not known: then at most since its job was accepted.
    */
   public double lossCpuS(Attempt attempt) {
-    if (attempt.spec().service()) {
+    if (attempt.spec().isService()) {
       return 0;
     }
     double ran = (clock.now() - attempt.plannedAt()) / 1000.0;
@@ -212,7 +212,8 @@
     }
     // It runs on until the stop has arrived.
     ran += MESSAGE_S;
-    double unsaved = attempt.spec().saves() ? Math.min(ran, attempt.spec().saveEveryS()) : ran;
+    double unsaved =
+        attempt.spec().savesProgress() ? Math.min(ran, attempt.spec().saveIntervalS()) : ran;
     return unsaved * attempt.spec().cpus();
   }
 
--- a/src/main/java/dapplestair/drain/DrainExecutor.java
+++ b/src/main/java/dapplestair/drain/DrainExecutor.java
@@ -94,7 +94,7 @@
           empty(h, attempt, drain.overdue(nowWall));
         }
       }
-      if (drain.giveBack() && h.attempts().isEmpty() && h.up()) {
+      if (drain.giveBack() && h.attempts().isEmpty() && h.isUp()) {
         fleet.release(h);
       }
     }
@@ -102,7 +102,7 @@
 
   private void empty(Host host, Attempt attempt, boolean overdue) {
     Submission submission = attempt.spec();
-    if (submission.service()) {
+    if (submission.isService()) {
       Host to = attempt.job().over() ? null : place(attempt.job(), host);
       if (to == null) {
         standing.putIfAbsent(host, NO_PLACE.formatted(attempt.key()));
@@ -110,12 +110,12 @@
       } else if (ask(host, attempt, 0)) {
         promised.computeIfAbsent(to, x -> new ArrayList<>()).add(submission);
       }
-    } else if (submission.saves()
-        && !submission.gang()
+    } else if (submission.savesProgress()
+        && !submission.isGang()
         && attempt.status() == Report.Status.RUNNING) {
-      ask(host, attempt, 2 * submission.saveS());
+      ask(host, attempt, 2 * submission.saveDurationS());
     } else if (overdue) {
-      ask(host, attempt, submission.saves() ? 2 * submission.saveS() : 0);
+      ask(host, attempt, submission.savesProgress() ? 2 * submission.saveDurationS() : 0);
     }
   }
 
@@ -139,7 +139,7 @@
     for (Host host : workers.hosts()) {
       if (host != from
           && !host.closed()
-          && workers.fresh(host)
+          && workers.isResponsive(host)
           && host.allowed(submission)
           && roomBeside(host, submission)
           && zoneAllowsMove(job, from.zone(), host.zone())) {
@@ -175,7 +175,7 @@
     Submission submission = job.spec();
     int there = job.inZone(to) - (to.equals(from) ? 1 : 0);
     int others = job.held() - 1;
-    if (submission.apart() && there >= submission.mostPerZone()) {
+    if (submission.apart() && there >= submission.maxTasksPerZone()) {
       return false;
     }
     return !submission.together() || others == 0 || there == others;
@@ -190,7 +190,7 @@
         continue;
       }
       tasks++;
-      if (attempt.spec().service()) {
+      if (attempt.spec().isService()) {
         services++;
         if (!attempt.halting()) {
           held++;
--- a/src/main/java/dapplestair/drain/Drains.java
+++ b/src/main/java/dapplestair/drain/Drains.java
@@ -168,7 +168,7 @@
   /** A machine is newly heard of: it is closed at once if it is drained. */
   public void mark(Host host) {
     if (leading && any()) {
-      host.setDrained(of(host) != null);
+      host.setDrainedByOperator(of(host) != null);
     }
   }
 
@@ -199,7 +199,7 @@
     Map<Host, Drain> drained = new LinkedHashMap<>();
     for (Host h : workers.hosts()) {
       Drain drain = of(h);
-      h.setDrained(drain != null);
+      h.setDrainedByOperator(drain != null);
       if (drain != null) {
         drained.put(h, drain);
       }
@@ -217,7 +217,7 @@
   private void forget() {
     for (String id : List.copyOf(machines.keySet())) {
       boolean never =
-          workers.known(id) == null && clock.now() - leadingSince > settings.workers().leaseMs();
+          workers.findHost(id) == null && clock.now() - leadingSince > settings.workers().leaseMs();
       if ((workers.isGone(id) || never) && forgetting.add(id)) {
         forget(StateKeys.DRAIN + id, id);
       }
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -346,10 +346,10 @@
     int booting = 0;
     double next = -1;
     for (Host host : workers.hosts()) {
-      if (!host.up()
+      if (!host.isUp()
           && !host.gone()
           && !host.releasing()
-          && !host.drained()
+          && !host.drainedByOperator()
           && host.allowed(submission)) {
         booting++;
         double due = Math.max(0, host.type().bootS() - Math.max(0, now - host.rentedAt()) / 1000.0);
--- a/src/main/java/dapplestair/fleet/FleetCapacity.java
+++ b/src/main/java/dapplestair/fleet/FleetCapacity.java
@@ -31,8 +31,8 @@
     return !host.gone()
         && !host.releasing()
         && !host.draining()
-        && !host.drained()
-        && !host.recalled()
+        && !host.drainedByOperator()
+        && !host.hasReclaimNotice()
         && awaited(host)
         && host.type() != null
         && host.type().name().equals(kind.type())
@@ -46,11 +46,11 @@
   private boolean awaited(Host host) {
     // What runs on a mute machine will be lost with its lease, so others are rented in time. If
     // nobody reports at all, new ones could not either.
-    if (host.mute() && workers.anyReports()) {
+    if (host.notReporting() && workers.hasRecentReports()) {
       return false;
     }
     if (host.zoneSilentMs() == 0 && !host.hanging()) {
-      return !host.outOfReach();
+      return !host.unreachable();
     }
     return host.serviceCpus() == 0 || workers.silentMs(host) < timeouts.prepareAfterMs();
   }
@@ -69,7 +69,7 @@
   int staying(CapacityPool pool) {
     int count = 0;
     for (Host host : workers.hosts()) {
-      if (host.leavesAt() == Long.MAX_VALUE
+      if (host.drainAt() == Long.MAX_VALUE
           && counts(host, pool.kind())
           && pool.zone().equals(host.zone())) {
         count++;
@@ -103,7 +103,7 @@
     }
     List<Host> up = new ArrayList<>();
     for (Host h : workers.hosts()) {
-      if (counts(h, kind) && h.up()) {
+      if (counts(h, kind) && h.isUp()) {
         up.add(h);
       }
     }
@@ -125,7 +125,7 @@
     List<Host> out = new ArrayList<>();
     for (Host host : workers.hosts()) {
       // What a silent machine does is not known.
-      boolean idle = host.up() && host.idle() && host.zoneSilentMs() == 0 && !host.hanging();
+      boolean idle = host.isUp() && host.idle() && host.zoneSilentMs() == 0 && !host.hanging();
       if (idle && counts(host, kind) && now - host.rentedAt() >= CHARGED_MS) {
         out.add(host);
       }
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -98,7 +98,7 @@
     boolean anyAwaited = false;
     expectedUp.clear();
     for (Host host : workers.hosts()) {
-      anyFresh |= workers.fresh(host);
+      anyFresh |= workers.isResponsive(host);
       anyAwaited |= host.zoneSilentMs() > 0;
       prepare(host);
       if (host.expectedUp()) {
@@ -115,7 +115,7 @@
   public void failed(Host host) {
     LOG.info("{} has failed", host.id());
     lost(host, "failed");
-    workers.gone(host);
+    workers.markGone(host);
     releases.addGone(host.id());
   }
 
@@ -124,7 +124,7 @@
     LOG.info("{} was taken", host.id());
     lost(host, "taken by the cloud");
     spotHistory.noteTaken(host);
-    workers.gone(host);
+    workers.markGone(host);
   }
 
   private void inspect(Host host, long now) {
@@ -149,10 +149,10 @@
   }
 
   private void judge(Host host, long now) {
-    if (workers.saidGone(host)) {
+    if (workers.goneByPreviousLeader(host)) {
       LOG.info("{} was returned by the leader before: once more", host.id());
       releases.add(host);
-    } else if (host.outOfReach() && givenUp(host)) {
+    } else if (host.unreachable() && givenUp(host)) {
       LOG.info("{} is silent: returning it", host.id());
       LOG.debug(
           "{} in {}: silent for {} ms, its zone for {} ms, hangs {}, mute {}, "
@@ -162,7 +162,7 @@
           workers.silentMs(host),
           host.zoneSilentMs(),
           host.hanging(),
-          host.mute(),
+          host.notReporting(),
           host.attempts().size(),
           host.serviceCpus());
       lost(host, "silent");
@@ -175,7 +175,9 @@
     } else if (neverListed(host, now)) {
       LOG.info("{} is recorded but not listed: returning it", host.id());
       releases.add(host);
-    } else if ((host.draining() || host.recalled()) && host.idle() && host.attempts().isEmpty()) {
+    } else if ((host.draining() || host.hasReclaimNotice())
+        && host.idle()
+        && host.attempts().isEmpty()) {
       spotHistory.noteTaken(host);
       releases.add(host);
     }
@@ -189,7 +191,7 @@
   private boolean givenUp(Host silent) {
     boolean replicas = silent.serviceCpus() > 0;
     double bootS = types.bootS(silent.type());
-    if (workers.zoneHeard(silent)) {
+    if (workers.zoneHeardContinuously(silent)) {
       return !silent.hanging() || timeouts.hangsTooLong(workers.silentMs(silent), replicas, bootS);
     }
     if (!anyFresh) {
@@ -228,7 +230,7 @@
   private double freeCpus() {
     double free = -waitingCpus.getAsDouble();
     for (Host host : workers.hosts()) {
-      free += !host.closed() && workers.fresh(host) ? Math.max(0, host.cpusFree()) : 0;
+      free += !host.closed() && workers.isResponsive(host) ? Math.max(0, host.cpusFree()) : 0;
     }
     return free;
   }
@@ -262,8 +264,8 @@
    * the machine has long been returned. Then it must not make its zone look silent for long.
    */
   private boolean neverListed(Host host, long now) {
-    boolean ghost = host.up() && workers.silentMs(host) > 2 * settings.workers().reportMs();
-    return (!host.up() || ghost)
+    boolean ghost = host.isUp() && workers.silentMs(host) > 2 * settings.workers().reportMs();
+    return (!host.isUp() || ghost)
         && host.firstListedAt() == Long.MAX_VALUE
         && list.listedAt() - host.knownSince() > list.longestLag()
         && now - Math.min(host.rentedAt(), host.knownSince()) > list.longestLag();
@@ -274,7 +276,7 @@
     // Behind a cut it may yet be proved otherwise, and a release would end all else there: half of
     // the time is left for the cloud's own troubles.
     long cancelMs = settings.workers().cancelMs();
-    long timeouts = cancelMs / (host.outOfReach() ? 2 : 4);
+    long timeouts = cancelMs / (host.unreachable() ? 2 : 4);
     for (Attempt attempt : host.attempts()) {
       if (attempt.job().over() && attempt.halting() && !attempt.exited()) {
         long haltedMs = now - attempt.haltAt();
--- a/src/main/java/dapplestair/fleet/MachineList.java
+++ b/src/main/java/dapplestair/fleet/MachineList.java
@@ -110,22 +110,22 @@
       return;
     }
     long now = clock.now();
-    Host host = workers.host(id);
-    boolean addressed = host.addressed();
+    Host host = workers.getOrCreateHost(id);
+    boolean addressed = host.hasEndpoint();
     host.describe(
         Json.text(node, "endpoint"),
         types.get(node.path("hull").asText()),
         node.path("basin").asText(),
         Json.flag(node, "loaners"));
     host.setRentedAt(now - Math.round(1000 * Json.decimal(node, "ageS", 0)));
-    host.listed(now);
+    host.markListed(now);
     String status = node.path("status").asText();
     if (status.equals("failed")) {
       listener.failed(host);
     } else if (status.equals("running")) {
-      host.saidUp();
+      host.markExpectedUp();
       if (!addressed) {
-        workers.reach(host);
+        workers.probe(host);
       }
     }
   }
--- a/src/main/java/dapplestair/fleet/Releases.java
+++ b/src/main/java/dapplestair/fleet/Releases.java
@@ -75,11 +75,11 @@
   private void returned(String id) {
     urgent.remove(id);
     waiting.remove(id);
-    Host host = workers.known(id);
+    Host host = workers.findHost(id);
     if (host != null) {
       LOG.debug("{} is returned", id);
       events.note(Events.Kind.RETURNED, o -> o.put("machine", id).put("zone", host.zone()));
-      workers.gone(host);
+      workers.markGone(host);
     }
   }
 }
--- a/src/main/java/dapplestair/fleet/Rentals.java
+++ b/src/main/java/dapplestair/fleet/Rentals.java
@@ -307,7 +307,7 @@
   private void adopt(Rental rental) {
     for (String id : rental.hosts) {
       if (!workers.isGone(id)) {
-        Host host = workers.host(id);
+        Host host = workers.getOrCreateHost(id);
         host.describe(
             null,
             types.get(rental.pool.kind().type()),
@@ -327,7 +327,7 @@
       boolean over =
           rental.refused
               || (rental.hosts != null
-                  && rental.hosts.stream().allMatch(h -> workers.known(h) == null));
+                  && rental.hosts.stream().allMatch(h -> workers.findHost(h) == null));
       if (!over) {
         shorten(rental);
       } else if (rental.stamp == 0) {
@@ -345,7 +345,7 @@
   private void shorten(Rental rental) {
     if (rental.hosts != null
         && clock.now() - rental.writtenAt > settings.workers().leaseMs()
-        && rental.hosts.removeIf(h -> workers.known(h) == null)) {
+        && rental.hosts.removeIf(h -> workers.findHost(h) == null)) {
       write(rental, false);
     }
   }
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -155,11 +155,11 @@
         .removeIf(
             o -> {
               Job job = ledger.job(o.claim().ref());
-              Host host = workers.known(o.claim().host());
+              Host host = workers.findHost(o.claim().host());
               if (job == null
                   || job.over()
                   || host == null
-                  || host.closed() && host.acknowledged()) {
+                  || host.closed() && host.termAcknowledged()) {
                 return true;
               }
               if (o.recorded() && taken(o.claim(), job, host)) {
@@ -195,7 +195,7 @@
   private void carryOn(String name) {
     Lane lane = lanes.get(name);
     for (OpenClaim openClaim : open.getOrDefault(name, List.of())) {
-      Host host = openClaim.recorded() ? workers.known(openClaim.claim().host()) : null;
+      Host host = openClaim.recorded() ? workers.findHost(openClaim.claim().host()) : null;
       if (host == null) {
         continue;
       }
@@ -294,7 +294,7 @@
       for (Claim claim : victimSelector.claims(lane, job, wanted, h -> !claimed.contains(h))) {
         if (list.size() < most) {
           list.add(new OpenClaim(claim, clock.now(), false));
-          claimed.add(workers.host(claim.host()));
+          claimed.add(workers.getOrCreateHost(claim.host()));
           more.add(lane.name());
         }
       }
@@ -304,7 +304,8 @@
 
   private void recount() {
     claimed.clear();
-    open.values().forEach(list -> list.forEach(o -> claimed.add(workers.host(o.claim().host()))));
+    open.values()
+        .forEach(list -> list.forEach(o -> claimed.add(workers.getOrCreateHost(o.claim().host()))));
   }
 
   // ---- the record ----
--- a/src/main/java/dapplestair/lane/VictimSelector.java
+++ b/src/main/java/dapplestair/lane/VictimSelector.java
@@ -48,7 +48,7 @@
     List<VictimCandidate> offers = new ArrayList<>();
     for (Host host : workers.hosts()) {
       if (!host.closed()
-          && workers.fresh(host)
+          && workers.isResponsive(host)
           && host.allowed(rider.spec())
           && unclaimed.test(host)
           && ledger.zoneAllows(rider, host.zone())) {
@@ -70,7 +70,8 @@
     int left = wanted;
     for (VictimCandidate candidate : offers) {
       String zone = candidate.host().zone();
-      int allowed = submission.mostPerZone() - rider.inZone(zone) - perZone.getOrDefault(zone, 0);
+      int allowed =
+          submission.maxTasksPerZone() - rider.inZone(zone) - perZone.getOrDefault(zone, 0);
       int tasks = Math.min(Math.min(left, candidate.tasks()), allowed);
       if (tasks > 0 && (!submission.together() || perZone.isEmpty() || perZone.containsKey(zone))) {
         // Fewer than it has room for: then fewer have to go.
@@ -105,7 +106,7 @@
       }
     }
     may.sort(Comparator.comparingDouble(this::loss));
-    int tasks = submission.fitting(cpus, memory, gpus);
+    int tasks = submission.fittingTasks(cpus, memory, gpus);
     List<Attempt> victims = new ArrayList<>();
     double loss = 0;
     List<Attempt> counted = new ArrayList<>();
@@ -117,7 +118,7 @@
       cpus += attempt.spec().cpus();
       memory += attempt.spec().memoryGb();
       gpus += attempt.spec().gpus();
-      int now = submission.fitting(cpus, memory, gpus);
+      int now = submission.fittingTasks(cpus, memory, gpus);
       if (now > tasks) {
         tasks = now;
         victims.addAll(counted);
--- a/src/main/java/dapplestair/ledger/Attempt.java
+++ b/src/main/java/dapplestair/ledger/Attempt.java
@@ -110,7 +110,7 @@
 
   /** Of {@code ranS} seconds run, those that its own checkpoints keep. */
   public double keptS(double ranS) {
-    double every = spec().saveEveryS();
+    double every = spec().saveIntervalS();
     return every > 0 ? Math.floor(ranS / every) * every : 0;
   }
 
--- a/src/main/java/dapplestair/ledger/AttemptReconciler.java
+++ b/src/main/java/dapplestair/ledger/AttemptReconciler.java
@@ -101,7 +101,7 @@
           LOG.debug(
               "{} of {} tasks begins {} ms after it was asked for, {} ms after it was accepted",
               attempt.job.spec().ref(),
-              attempt.spec().steps(),
+              attempt.spec().taskCount(),
               attempt.job.begunAfterMs,
               context.clock.wall() - attempt.job.acceptedWall());
         }
@@ -127,7 +127,7 @@
   private void exited(Machine host, Attempt attempt, Report.Task task) {
     String cause = task.cause();
     LOG.debug("{} try {} exited on {}: {}", attempt.key(), attempt.number, host.id(), cause);
-    if (cause.equals("done") && !attempt.spec().service()) {
+    if (cause.equals("done") && !attempt.spec().isService()) {
       completed(host, attempt);
       return;
     }
@@ -169,12 +169,12 @@
   void failedStep(Attempt attempt, long firstMs, long mostMs) {
     Job job = attempt.job;
     int before = job.stepFailures.addTo(attempt.step, 1);
-    if (before == 0 || job.spec().gang()) {
+    if (before == 0 || job.spec().isGang()) {
       // A gang starts as a whole, so it waits as a whole.
       return;
     }
     // A replica is missed each second, and a service that is wrong waits as a whole.
-    long most = job.spec().service() ? Math.min(mostMs, 4 * firstMs) : mostMs;
+    long most = job.spec().isService() ? Math.min(mostMs, 4 * firstMs) : mostMs;
     long ms = Math.min(most, firstMs << Math.min(10, before - 1));
     if (job.heldSteps.size() >= MOST_HELD_STEPS) {
       holdBack(job, ms);
--- a/src/main/java/dapplestair/ledger/Attempts.java
+++ b/src/main/java/dapplestair/ledger/Attempts.java
@@ -57,11 +57,11 @@
    */
   private void stopRestOfGang(Attempt missing) {
     Job job = missing.job;
-    if (!job.spec().gang() || job.over() || missing.done || job.gangStopping) {
+    if (!job.spec().isGang() || job.over() || missing.done || job.gangStopping) {
       return;
     }
     job.gangStopping = true;
-    double windDownS = job.spec().saves() ? 2 * job.spec().saveS() : 0;
+    double windDownS = job.spec().savesProgress() ? 2 * job.spec().saveDurationS() : 0;
     for (Chunk chunk : List.copyOf(job.chunks.values())) {
       for (Attempt attempt : List.copyOf(chunk.live.values())) {
         if (!attempt.exited && !attempt.halting) {
@@ -93,7 +93,8 @@
     }
     attempt.exited = true;
     Job job = attempt.job;
-    if (attempt.spec().service() && ranS(attempt) > context.settings.workers().reportMs() / 500.0) {
+    if (attempt.spec().isService()
+        && ranS(attempt) > context.settings.workers().reportMs() / 500.0) {
       job.worked++;
     }
     if (!attempt.done) {
--- a/src/main/java/dapplestair/ledger/ChunkWriter.java
+++ b/src/main/java/dapplestair/ledger/ChunkWriter.java
@@ -73,7 +73,7 @@
     // Both may be queued for one chunk: launches must not wait behind a put that nobody waits for.
     if (urgent && !chunk.launchQueued) {
       chunk.launchQueued = true;
-      boolean shared = job.spec().service() || single(job);
+      boolean shared = job.spec().isService() || single(job);
       context.timers.after(
           0, shared ? () -> launchBatches.add(job, chunk) : () -> alone(job, chunk));
     } else if (!urgent && gathering.add(chunk)) {
@@ -83,12 +83,12 @@
 
   /** Its one launch is all that is ever recorded of it, if nothing goes wrong. */
   static boolean single(Job job) {
-    return job.spec().steps() == 1 && !job.spec().service() && !job.spec().gang();
+    return job.spec().taskCount() == 1 && !job.spec().isService() && !job.spec().isGang();
   }
 
   @Override
   public void alone(Job job, Chunk chunk) {
-    enqueue(job, chunk, job.spec().service() ? Priority.REPLICA : Priority.LAUNCH);
+    enqueue(job, chunk, job.spec().isService() ? Priority.REPLICA : Priority.LAUNCH);
   }
 
   @Override
--- a/src/main/java/dapplestair/ledger/Job.java
+++ b/src/main/java/dapplestair/ledger/Job.java
@@ -148,7 +148,7 @@
     }
     if (suspected) {
       boolean due = !over() && held == 0 && heldBackUntil <= now;
-      return !due ? 0 : spec.gang() ? waiting() : 1;
+      return !due ? 0 : spec.isGang() ? waiting() : 1;
     }
     return Math.max(0, waiting() - heldSteps.size());
   }
@@ -196,7 +196,7 @@
   Chunk chunk(int index) {
     Chunk chunk = chunks.get(index);
     if (chunk == null) {
-      chunk = new Chunk(index, chunkSize, spec.steps());
+      chunk = new Chunk(index, chunkSize, spec.taskCount());
       chunks.put(index, chunk);
     }
     return chunk;
@@ -208,12 +208,12 @@
 
   /** Number of steps neither done nor held. */
   public int waiting() {
-    return over() ? 0 : spec.steps() - doneCount() - held;
+    return over() ? 0 : spec.taskCount() - doneCount() - held;
   }
 
   /** First step at or after {@code from} that may be started, or -1. */
   public int nextFree(int from) {
-    int chunkCount = (spec.steps() + chunkSize - 1) / chunkSize;
+    int chunkCount = (spec.taskCount() + chunkSize - 1) / chunkSize;
     int start = Math.max(from / chunkSize, firstOpen);
     for (int i = start; i < chunkCount; i++) {
       Chunk chunk = chunks.get(i);
@@ -238,6 +238,6 @@
   }
 
   boolean allDone() {
-    return !spec.service() && doneCount() == spec.steps();
+    return !spec.isService() && doneCount() == spec.taskCount();
   }
 }
--- a/src/main/java/dapplestair/ledger/JobStatistics.java
+++ b/src/main/java/dapplestair/ledger/JobStatistics.java
@@ -106,7 +106,7 @@
     return new JobCounts(
         1,
         job.begun || job.doneCount() > 0 ? 1 : 0,
-        job.spec().service() || cancelled ? 0 : 1,
+        job.spec().isService() || cancelled ? 0 : 1,
         done ? 1 : 0);
   }
 
--- a/src/main/java/dapplestair/ledger/LargestJobs.java
+++ b/src/main/java/dapplestair/ledger/LargestJobs.java
@@ -50,7 +50,7 @@
   }
 
   static double cpus(Job job) {
-    return job.spec().steps() * job.spec().cpus();
+    return job.spec().taskCount() * job.spec().cpus();
   }
 
   void clear() {
--- a/src/main/java/dapplestair/ledger/LaunchBatches.java
+++ b/src/main/java/dapplestair/ledger/LaunchBatches.java
@@ -100,7 +100,7 @@
       chunks.alone(job, chunk);
       return;
     }
-    Group group = job.spec().service() ? replicas : singles;
+    Group group = job.spec().isService() ? replicas : singles;
     group.waiting.put(chunk, job);
     if (!group.queued) {
       group.queued = true;
--- a/src/main/java/dapplestair/ledger/LaunchGate.java
+++ b/src/main/java/dapplestair/ledger/LaunchGate.java
@@ -24,7 +24,7 @@
   static boolean zoneAllows(Job job, String zone) {
     Submission submission = job.spec();
     // Attempts out of reach count as well: they may still be there.
-    if (submission.apart() && job.inZone(zone) >= submission.mostPerZone()) {
+    if (submission.apart() && job.inZone(zone) >= submission.maxTasksPerZone()) {
       return false;
     }
     return !submission.together() || job.held() == 0 || job.inZone(zone) == job.held();
@@ -46,7 +46,7 @@
     }
     Chunk chunk = job.chunkOf(step);
     // An earlier attempt without proof of absence may still run somewhere.
-    if (!chunk.free(step) || (job.spec().gang() && !joinsGang(job, step))) {
+    if (!chunk.free(step) || (job.spec().isGang() && !joinsGang(job, step))) {
       return false;
     }
     long number = number(job, chunk);
@@ -59,7 +59,7 @@
 
   /** A number that no earlier attempt at this task has; a gang's members share theirs. */
   private static long number(Job job, Chunk chunk) {
-    chunk.lastNumber = job.spec().gang() ? job.gangNumber : chunk.lastNumber + 1;
+    chunk.lastNumber = job.spec().isGang() ? job.gangNumber : chunk.lastNumber + 1;
     return chunk.lastNumber;
   }
 
--- a/src/main/java/dapplestair/ledger/Machine.java
+++ b/src/main/java/dapplestair/ledger/Machine.java
@@ -155,7 +155,7 @@
   private void use(Submission submission, int sign) {
     cpusUsed += sign * submission.cpus();
     holding += sign;
-    if (submission.service()) {
+    if (submission.isService()) {
       serviceCpus = Math.max(0, serviceCpus + sign * submission.cpus());
     }
     gpusUsed += sign * submission.gpus();
--- a/src/main/java/dapplestair/ledger/Takeover.java
+++ b/src/main/java/dapplestair/ledger/Takeover.java
@@ -225,7 +225,7 @@
           (step, number, host, zone, session) -> enter(job, c, step, number, host, zone, session));
     }
     readLaunchBatches(job);
-    job.chunks.values().forEach(c -> c.countUnknown(job.spec().gang()));
+    job.chunks.values().forEach(c -> c.countUnknown(job.spec().isGang()));
     if (job.probesFailed > 0) {
       job.suspected = true;
       reconciler.holdBack(job, context.settings.workers().reportMs());
--- a/src/main/java/dapplestair/ledger/UnavailableTasks.java
+++ b/src/main/java/dapplestair/ledger/UnavailableTasks.java
@@ -37,7 +37,7 @@
       }
       disrupted += chunk.awaitedAgain(starting + ended);
     }
-    return new UnavailableTasks(job.spec().steps() - done - in, disrupted + stopping, stopping);
+    return new UnavailableTasks(job.spec().taskCount() - done - in, disrupted + stopping, stopping);
   }
 
   private static boolean runs(Attempt attempt) {
--- a/src/main/java/dapplestair/node/EventFields.java
+++ b/src/main/java/dapplestair/node/EventFields.java
@@ -22,6 +22,6 @@
     return object
         .put("job", job.spec().ref())
         .put("team", job.spec().team())
-        .put("tasks", job.spec().steps());
+        .put("tasks", job.spec().taskCount());
   }
 }
--- a/src/main/java/dapplestair/node/HttpRouter.java
+++ b/src/main/java/dapplestair/node/HttpRouter.java
@@ -43,7 +43,7 @@
     String path = exchange.path();
     if (path.equals("/agent/beat")) {
       if (method(exchange, "POST")) {
-        workers.beat(exchange);
+        workers.handleReport(exchange);
       }
     } else if (path.equals("/up")) {
       if (method(exchange, "GET")) {
--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -117,7 +117,7 @@
   public void completed(Attempt attempt, Machine machine, double ranS) {
     double seconds = ranS > 0 ? ranS + attempt.savedS() : 0;
     events.note(Events.Kind.COMPLETED, o -> EventFields.of(o, attempt));
-    Host host = workers.host(machine.id());
+    Host host = workers.getOrCreateHost(machine.id());
     host.taskCompleted();
     double expected = estimates.runS(attempt.spec());
     if (expected > 0 && seconds > 0) {
@@ -131,11 +131,11 @@
   public void failed(Attempt attempt, Machine machine) {
     metrics.lost();
     events.note(Events.Kind.FAILED, o -> EventFields.of(o, attempt));
-    faultAttribution.failed(attempt, workers.host(machine.id()));
+    faultAttribution.failed(attempt, workers.getOrCreateHost(machine.id()));
   }
 
   @Override
   public Host host(String id) {
-    return workers.host(id);
+    return workers.getOrCreateHost(id);
   }
 }
--- a/src/main/java/dapplestair/node/RoleChangeNotifier.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -33,7 +33,7 @@
     core.ledger.lead(term);
     core.accepted.lead();
     scheduling.disruptionGate.lead();
-    core.workers.lead();
+    core.workers.startLeading();
     // Before anything is placed: room that was freed for a rider is its own.
     scheduling.lanes.lead();
     scheduling.calendars.lead();
--- a/src/main/java/dapplestair/node/StatusReporter.java
+++ b/src/main/java/dapplestair/node/StatusReporter.java
@@ -50,7 +50,7 @@
         leadership.leader(),
         state.reachable(),
         ready(),
-        workers.beatsLately(),
+        workers.recentReportCount(),
         (float) state.wanted());
   }
 
--- a/src/main/java/dapplestair/placement/DecisionRecorder.java
+++ b/src/main/java/dapplestair/placement/DecisionRecorder.java
@@ -122,7 +122,7 @@
     double gpus = submission.gpus() - host.gpusFree();
     List<Attempt> ending = new ArrayList<>();
     for (Attempt a : host.attempts()) {
-      if (!a.exited() && (!a.spec().service() || a.halting())) {
+      if (!a.exited() && (!a.spec().isService() || a.halting())) {
         ending.add(a);
       }
     }
--- a/src/main/java/dapplestair/placement/EarliestFinishSelector.java
+++ b/src/main/java/dapplestair/placement/EarliestFinishSelector.java
@@ -84,7 +84,7 @@
           && submission.memoryGb() >= of.memoryGb()
           && submission.gpus() >= of.gpus()
           && submission.spot() == of.spot()
-          && submission.service() == of.service()
+          && submission.isService() == of.isService()
           && (of.zone() == null || of.zone().equals(submission.zone()))
           && (of.types() == null || of.types().equals(submission.types()));
     }
@@ -94,9 +94,9 @@
   private double score(Job job, Host host) {
     Submission submission = job.spec();
     double fetch = host.imageWaitS(submission, clock.now());
-    double run = submission.service() ? 0 : estimates.runS(submission) * host.slowness();
+    double run = submission.isService() ? 0 : estimates.runS(submission) * host.slowness();
     double tieBreak = host.cpusFree() / host.type().cpus();
-    if (submission.service()) {
+    if (submission.isService()) {
       // Replicas gather on few machines, so that the others can become idle.
       tieBreak = 1 - host.serviceCpus() / host.type().cpus();
       if (submission.apart()) {
@@ -104,7 +104,7 @@
         tieBreak += steady.fullness(host.zone());
       }
     }
-    if (!submission.service() && !host.spot()) {
+    if (!submission.isService() && !host.spot()) {
       // Steady machines are left to those who need them, if completion is about the same.
       tieBreak += 1;
     }
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -83,7 +83,7 @@
     for (Host host : workers.hosts()) {
       for (Attempt attempt : host.attempts()) {
         if (!attempt.exited()) {
-          if (lowest.above(attempt.spec().rank())) {
+          if (lowest.outranks(attempt.spec().rank())) {
             lowest = attempt.spec().rank();
           }
           if (attempt.halting() && excess.containsKey(attempt.spec().team())) {
@@ -107,7 +107,7 @@
         guaranteed
             && excess.object2DoubleEntrySet().stream()
                 .anyMatch(e -> e.getDoubleValue() > 0 && !e.getKey().equals(submission.team()));
-    boolean byRank = submission.rank().above(lowest);
+    boolean byRank = submission.rank().outranks(lowest);
     if (scans >= MOST_SCANS || !byRank && !fromBorrowers) {
       return 0;
     }
@@ -126,13 +126,13 @@
       look();
     }
     Submission submission = job.spec();
-    if (scans >= MOST_SCANS || !submission.rank().above(lowest)) {
+    if (scans >= MOST_SCANS || !submission.rank().outranks(lowest)) {
       return 0;
     }
     scans++;
     long now = clock.now();
     List<EvictionCandidate> offers = offers(job, false, h -> h.imageWaitS(submission, now) == 0);
-    offers.removeIf(o -> o.victims().stream().anyMatch(a -> a.spec().saves()));
+    offers.removeIf(o -> o.victims().stream().anyMatch(a -> a.spec().savesProgress()));
     return take(offers, job.waiting());
   }
 
@@ -157,7 +157,7 @@
           && !filter.keptFrom(job, host)
           && host.allowed(submission)
           && where.test(host)
-          && workers.fresh(host)
+          && workers.isResponsive(host)
           && ledger.zoneAllows(job, host.zone())) {
         EvictionCandidate candidate = offer(submission, host, fromBorrowers);
         if (candidate != null) {
@@ -174,7 +174,9 @@
     }
     // Rank and guarantee cannot wait (PROTOCOL, Preemption): debited, never refused.
     disruptionGate.must(
-        attempt, attempt.spec().saves() ? 2 * attempt.spec().saveS() : 0, StopReason.ROOM_NEEDED);
+        attempt,
+        attempt.spec().savesProgress() ? 2 * attempt.spec().saveDurationS() : 0,
+        StopReason.ROOM_NEEDED);
   }
 
   private EvictionCandidate offer(Submission submission, Host host, boolean fromBorrowers) {
@@ -218,13 +220,13 @@
       // It has waited for long: stopped at once, it would not have begun at all.
       return false;
     }
-    if (submission.rank().above(other.rank())) {
+    if (submission.rank().outranks(other.rank())) {
       return true;
     }
     // Borrowed room goes back to its owner, whatever the rank; replicas of services last of all.
     return fromBorrowers
         && !other.team().equals(submission.team())
-        && (!other.service() || submission.service())
+        && (!other.isService() || submission.isService())
         && excess.getDouble(other.team()) >= other.cpus() - 1e-9;
   }
 
@@ -232,10 +234,12 @@
   private double loss(Attempt attempt) {
     double ran = attempt.ranS(clock.now());
     double lost =
-        attempt.spec().saves() ? Math.min(ran - attempt.keptS(ran), attempt.spec().saveS()) : ran;
+        attempt.spec().savesProgress()
+            ? Math.min(ran - attempt.keptS(ran), attempt.spec().saveDurationS())
+            : ran;
     double rank = (Rank.values().length - attempt.spec().rank().ordinal()) * 1e6;
     // With one member a gang loses all of them.
-    int tasks = attempt.spec().gang() ? attempt.job().held() : 1;
+    int tasks = attempt.spec().isGang() ? attempt.job().held() : 1;
     return rank + lost * attempt.spec().cpus() * tasks;
   }
 }
--- a/src/main/java/dapplestair/placement/PlacementFilter.java
+++ b/src/main/java/dapplestair/placement/PlacementFilter.java
@@ -65,17 +65,17 @@
       if (failedHere(job, host)) {
         return PlacementVerdict.FAILED_HERE;
       }
-      if (host.probed(clock.now())) {
+      if (host.hasProbationTask(clock.now())) {
         return PlacementVerdict.PROBATION;
       }
-      if (host.leavesAt() != Long.MAX_VALUE
+      if (host.drainAt() != Long.MAX_VALUE
           && !estimates.endsBefore(submission, host, clock.now())) {
         return PlacementVerdict.LEAVING;
       }
       if (ledger.zoneAllows(job, host.zone())) {
         return PlacementVerdict.FITS;
       }
-      return submission.apart() && job.inZone(host.zone()) >= submission.mostPerZone()
+      return submission.apart() && job.inZone(host.zone()) >= submission.maxTasksPerZone()
           ? PlacementVerdict.SPREAD
           : PlacementVerdict.TOGETHER;
     }
@@ -100,13 +100,13 @@
 
   /** The same for any machine, also those that a turn does not look at. */
   PlacementVerdict judgeAny(Job job, Host host) {
-    return !host.closed() && !workers.fresh(host)
+    return !host.closed() && !workers.isResponsive(host)
         ? PlacementVerdict.SILENT
         : filter(job, host, true);
   }
 
   private static PlacementVerdict obstacle(Submission submission, Host host, boolean kept) {
-    if (host.type() == null || !host.up() || !host.acknowledged()) {
+    if (host.type() == null || !host.isUp() || !host.termAcknowledged()) {
       boolean allowed =
           host.type() == null || host.allowed(submission) || !submission.spot() && host.spot();
       return allowed ? PlacementVerdict.NOT_UP : PlacementVerdict.NOT_ALLOWED;
@@ -121,16 +121,16 @@
     if (host.releasing() || host.gone()) {
       return PlacementVerdict.RETURNING;
     }
-    if (host.drained()) {
+    if (host.drainedByOperator()) {
       return PlacementVerdict.DRAINED;
     }
     if (host.draining()) {
       return PlacementVerdict.FAULTY;
     }
-    if (host.recalled()) {
+    if (host.hasReclaimNotice()) {
       return PlacementVerdict.NOTICE;
     }
-    if (host.hasStrays()) {
+    if (host.hasStrayTasks()) {
       return PlacementVerdict.STRAYS;
     }
     if (host.cordoned()) {
@@ -153,18 +153,18 @@
     }
     int sum = 0;
     for (Map.Entry<String, Integer> zone : perZone.entrySet()) {
-      sum += Math.min(zone.getValue(), submission.mostPerZone() - job.inZone(zone.getKey()));
+      sum += Math.min(zone.getValue(), submission.maxTasksPerZone() - job.inZone(zone.getKey()));
     }
     return sum;
   }
 
   private int roomFor(Host host, Submission submission) {
     long now = clock.now();
-    int fitting = submission.fitting(host.cpusFree(), host.memoryFree(), host.gpusFree());
+    int fitting = submission.fittingTasks(host.cpusFree(), host.memoryFree(), host.gpusFree());
     if (!host.onProbation(now)) {
       return fitting;
     }
-    return host.probed(now) ? 0 : Math.min(1, fitting);
+    return host.hasProbationTask(now) ? 0 : Math.min(1, fitting);
   }
 
   /**
@@ -173,7 +173,7 @@
    * reserve.
    */
   boolean leavesRoom(Submission submission, Host host) {
-    return (submission.service()
+    return (submission.isService()
             || !submission.spot()
             || host.spot()
             || steady.free() - submission.cpus() >= serviceRoom)
--- a/src/main/java/dapplestair/placement/Placer.java
+++ b/src/main/java/dapplestair/placement/Placer.java
@@ -144,7 +144,7 @@
     double cpus = 0;
     steady.clear();
     for (Host host : workers.hosts()) {
-      if (!host.closed() && workers.fresh(host)) {
+      if (!host.closed() && workers.isResponsive(host)) {
         cpus += host.type().cpus();
         if (host.cpusFree() >= least - 1e-9) {
           usable.add(host);
@@ -196,8 +196,8 @@
     order.sort(Comparator.comparing(j -> !reservations.holds(j)));
     for (Job job : order) {
       place(job, usable, first.get(job));
-      int lacking = job.spec().service() || job.spec().gang() ? job.waiting() : 1;
-      if (job.waiting() > 0 && (StarvationGuard.idle(job) || job.spec().service())) {
+      int lacking = job.spec().isService() || job.spec().isGang() ? job.waiting() : 1;
+      if (job.waiting() > 0 && (StarvationGuard.idle(job) || job.spec().isService())) {
         reservations.keep(job, lacking, cpus);
       }
     }
@@ -215,7 +215,7 @@
 
   /** Starts up to {@code most} of a job's tasks; false when it is a gang and has no room. */
   private boolean place(Job job, List<Host> usable, int most) {
-    if (job.spec().gang()) {
+    if (job.spec().isGang()) {
       return placeGang(job, usable);
     }
     if (job.spec().together()) {
@@ -296,7 +296,7 @@
     double fetchS = best.imageWaitS(submission, clock.now());
     double age = (clock.wall() - job.acceptedWall()) / 1000.0;
     awaitsImage =
-        submission.service()
+        submission.isService()
             && fetchS > 0
             && age < fetchS / 2
             && evictions.makeRoomAtImage(job) > 0;
@@ -323,7 +323,7 @@
 
   /** One task alone tells whether a job still fails wherever it runs; of a gang it takes all. */
   private static boolean probes(Job job) {
-    return job.suspected() && !job.spec().gang();
+    return job.suspected() && !job.spec().isGang();
   }
 
   /** A gang starts only when all of it fits now, in one zone where its job wants that. */
--- a/src/main/java/dapplestair/placement/Ranking.java
+++ b/src/main/java/dapplestair/placement/Ranking.java
@@ -84,7 +84,7 @@
   }
 
   private static int urgency(Submission submission) {
-    return 2 * submission.rank().ordinal() + (submission.service() ? 0 : 1);
+    return 2 * submission.rank().ordinal() + (submission.isService() ? 0 : 1);
   }
 
   /** True when one more of its tasks lies within its team's guarantee. */
--- a/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
+++ b/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
@@ -29,15 +29,15 @@
 
   /** A notice has come for this machine. */
   public void leave(Host host) {
-    double noticeS = (host.recallAt() - clock.now()) / 1000.0;
+    double noticeS = (host.reclaimAt() - clock.now()) / 1000.0;
     for (Attempt attempt : List.copyOf(host.attempts())) {
-      if (attempt.exited() || attempt.halting() || attempt.spec().gang()) {
+      if (attempt.exited() || attempt.halting() || attempt.spec().isGang()) {
         continue;
       }
-      double saveS = attempt.spec().saves() ? attempt.spec().saveS() : 0;
+      double saveS = attempt.spec().savesProgress() ? attempt.spec().saveDurationS() : 0;
       double left =
-          attempt.spec().service() ? noticeS : estimates.leftS(attempt, host, clock.now());
-      double most = attempt.spec().saves() ? noticeS - saveS : SURELY_LATE * noticeS;
+          attempt.spec().isService() ? noticeS : estimates.leftS(attempt, host, clock.now());
+      double most = attempt.spec().savesProgress() ? noticeS - saveS : SURELY_LATE * noticeS;
       if (left > most) {
         disruptionGate.must(attempt, Math.max(0, Math.min(2 * saveS, noticeS)), StopReason.NOTICE);
       }
--- a/src/main/java/dapplestair/placement/Reservations.java
+++ b/src/main/java/dapplestair/placement/Reservations.java
@@ -62,7 +62,7 @@
                   || starvationGuard.quota(job) == 0
                   || !ledger.teamAllows(job.spec());
             });
-    byJob.values().forEach(hosts -> hosts.removeIf(h -> h.closed() || !workers.fresh(h)));
+    byJob.values().forEach(hosts -> hosts.removeIf(h -> h.closed() || !workers.isResponsive(h)));
     byJob.values().removeIf(List::isEmpty);
     kept.clear();
     byJob.forEach((ref, hosts) -> hosts.forEach(h -> kept.put(h, ref)));
@@ -95,7 +95,7 @@
     TreeMap<String, List<Host>> zones = new TreeMap<>();
     for (Host host : workers.hosts()) {
       if (!host.closed()
-          && workers.fresh(host)
+          && workers.isResponsive(host)
           && !kept.containsKey(host)
           && host.allowed(submission)
           && ledger.zoneAllows(job, host.zone())
@@ -125,7 +125,9 @@
     int found = 0;
     for (Host host : hosts) {
       int left =
-          submission.mostPerZone() - job.inZone(host.zone()) - perZone.getOrDefault(host.zone(), 0);
+          submission.maxTasksPerZone()
+              - job.inZone(host.zone())
+              - perZone.getOrDefault(host.zone(), 0);
       int here = Math.min(emptied(submission, host), left);
       if (here > 0) {
         out.add(host);
@@ -137,13 +139,13 @@
       }
     }
     // A gang that fits nowhere even then waits for machines, and keeps none idle meanwhile.
-    return submission.gang() ? List.of() : out;
+    return submission.isGang() ? List.of() : out;
   }
 
   /** How many of its tasks a machine holds without all but its services. */
   private static int emptied(Submission submission, Host host) {
     double share = 1 - host.serviceCpus() / host.type().cpus();
-    return submission.fitting(
+    return submission.fittingTasks(
         host.type().cpus() - host.serviceCpus(),
         host.type().memoryGb() * share,
         host.type().gpus());
--- a/src/main/java/dapplestair/placement/RuntimeEstimates.java
+++ b/src/main/java/dapplestair/placement/RuntimeEstimates.java
@@ -17,18 +17,18 @@
 
   /** A task of this class took {@code seconds} where its owner guessed otherwise. */
   public void observe(Submission submission, double seconds) {
-    if (submission.guessS() <= 0 || seconds <= 0) {
+    if (submission.estimatedRuntimeS() <= 0 || seconds <= 0) {
       return;
     }
     // In logarithms, so that twice too long and twice too short weigh the same.
-    double ratio = Math.max(0.1, Math.min(10, seconds / submission.guessS()));
+    double ratio = Math.max(0.1, Math.min(10, seconds / submission.estimatedRuntimeS()));
     double old = correction.getDouble(submission.jobClass());
     correction.put(submission.jobClass(), old * Math.pow(ratio / old, WEIGHT));
   }
 
   /** Run time to expect on an ordinary machine. */
   public double runS(Submission submission) {
-    return submission.guessS() * correction.getDouble(submission.jobClass());
+    return submission.estimatedRuntimeS() * correction.getDouble(submission.jobClass());
   }
 
   /** Run time left to an attempt on its machine; what earlier attempts saved counts as done. */
@@ -40,6 +40,6 @@
   /** True when a task that begins on a machine now ends before that is emptied. */
   boolean endsBefore(Submission submission, Host host, long now) {
     double ms = 1000 * (host.imageWaitS(submission, now) + runS(submission) * host.slowness());
-    return !submission.service() && now + ms < host.leavesAt();
+    return !submission.isService() && now + ms < host.drainAt();
   }
 }
--- a/src/main/java/dapplestair/placement/StarvationGuard.java
+++ b/src/main/java/dapplestair/placement/StarvationGuard.java
@@ -52,7 +52,7 @@
 
   /** True for work that no bound of others may delay. */
   static boolean critical(Submission submission) {
-    return submission.service() && submission.rank() == Rank.CRITICAL;
+    return submission.isService() && submission.rank() == Rank.CRITICAL;
   }
 
   private long ageMs(Job job) {
@@ -75,11 +75,11 @@
    */
   private int window(Job job) {
     Submission submission = job.spec();
-    if (submission.service() || submission.gang() || ledger.served().isLarge(job)) {
-      return submission.steps();
+    if (submission.isService() || submission.isGang() || ledger.served().isLarge(job)) {
+      return submission.taskCount();
     }
     int part = ageMs(job) > boundMs ? WINDOW : STARTER;
-    return (submission.steps() + part - 1) / part;
+    return (submission.taskCount() + part - 1) / part;
   }
 
   /** How many more of its tasks go first now; 0 when it has to take its turn. */
@@ -88,7 +88,7 @@
       return 0;
     }
     boolean begins =
-        idle(job) || ageMs(job) > boundMs || job.spec().service() || ledger.served().isLarge(job);
+        idle(job) || ageMs(job) > boundMs || job.spec().isService() || ledger.served().isLarge(job);
     return begins ? Math.max(0, Math.min(job.waiting(), window(job) - job.held())) : 0;
   }
 
@@ -98,7 +98,7 @@
     if (job.over() || !near(job) || critical(attempt.spec())) {
       return false;
     }
-    if (attempt.spec().service()) {
+    if (attempt.spec().isService()) {
       return clock.now() - Math.max(attempt.plannedAt(), attempt.statusAt()) < boundMs / SETTLED;
     }
     return job.held() <= window(job);
@@ -126,7 +126,7 @@
   private Map<Job, Integer> take(Map<String, Deque<Job>> groups, double most) {
     Object2DoubleOpenHashMap<String> held = new Object2DoubleOpenHashMap<>();
     for (Job job : ledger.jobs()) {
-      if (!job.over() && job.held() > 0 && near(job) && !job.spec().service()) {
+      if (!job.over() && job.held() > 0 && near(job) && !job.spec().isService()) {
         held.addTo(group(job), Math.min(job.held(), window(job)) * job.spec().cpus());
       }
     }
@@ -140,7 +140,7 @@
       int fit = (int) Math.floor(Math.max(0, left) / job.spec().cpus());
       // Whatever the others hold, one job of each team and class begins, and every array with one
       // task: windows may be full for as long as an overload lasts.
-      int least = idle(job) && !job.spec().service() && !job.spec().gang() ? 1 : 0;
+      int least = idle(job) && !job.spec().isService() && !job.spec().isGang() ? 1 : 0;
       int allowed = held.getDouble(next) == 0 ? quota(job) : Math.max(least, fit);
       int tasks = Math.min(quota(job), allowed);
       if (tasks > 0) {
--- a/src/main/java/dapplestair/planning/CapacityFloors.java
+++ b/src/main/java/dapplestair/planning/CapacityFloors.java
@@ -39,7 +39,7 @@
     }
     for (Submission s : soon) {
       if (!s.spot()) {
-        need += s.cpus() * s.steps();
+        need += s.cpus() * s.taskCount();
       }
     }
     double room = 0;
@@ -103,7 +103,7 @@
     Set<String> waiting = new HashSet<>();
     double sum = 0;
     for (Job job : ledger.jobs()) {
-      if (job.spec().service() && !job.over() && job.wanted(now) > 0) {
+      if (job.spec().isService() && !job.over() && job.wanted(now) > 0) {
         waiting.add(job.spec().ref());
         long since = waitingSince.computeIfAbsent(job.spec().ref(), r -> now);
         sum += now - since > bootMs ? job.wanted(now) * job.spec().cpus() : 0;
@@ -122,7 +122,7 @@
     List<MachineKindState> out = new ArrayList<>(slots);
     for (Job job : ledger.jobs()) {
       Submission submission = job.spec();
-      if (!submission.gang()
+      if (!submission.isGang()
           || job.held() > 0
           || job.wanted(clock.now()) == 0
           || clock.wall() - job.acceptedWall() < afterMs) {
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -73,8 +73,8 @@
     double sum = 0;
     double largest = 0;
     for (Submission submission : arrivalForecast.expected(clock.now(), bootMs)) {
-      if (submission.service()) {
-        sum += submission.cpus() * submission.steps();
+      if (submission.isService()) {
+        sum += submission.cpus() * submission.taskCount();
         largest = Math.max(largest, submission.cpus());
       }
     }
@@ -105,7 +105,7 @@
    * rented for it, except where there is none at all, and for a gang, of which no task alone tells.
    */
   private int wanted(Job job) {
-    boolean onWhatThereIs = job.suspected() && !job.spec().gang() && !workers.hosts().isEmpty();
+    boolean onWhatThereIs = job.suspected() && !job.spec().isGang() && !workers.hosts().isEmpty();
     return onWhatThereIs ? 0 : job.wanted(clock.now());
   }
 
@@ -144,7 +144,7 @@
     double[] sizes =
         java.util.stream.Stream.concat(
                 ledger.jobs().stream().filter(j -> !j.over()).map(Job::spec), soon.stream())
-            .filter(s -> !s.service())
+            .filter(s -> !s.isService())
             .mapToDouble(Submission::cpus)
             .sorted()
             .toArray();
@@ -162,7 +162,7 @@
       if (!fleet.counts(host, kind)) {
         continue;
       }
-      if (host.up()) {
+      if (host.isUp()) {
         up.add(host);
         // Arrays that overflowed onto steady machines must not keep those for ever: such a machine
         // may be planned away, gets no new work then, and is returned once it is idle.
@@ -226,7 +226,7 @@
       if (attempt.exited()) {
         continue;
       }
-      if (attempt.spec().service()) {
+      if (attempt.spec().isService()) {
         services += attempt.spec().cpus();
         continue;
       }
@@ -250,7 +250,7 @@
       sum += wanted(job) * job.spec().cpus();
     }
     for (Submission submission : soon) {
-      sum += submission.steps() * submission.cpus();
+      sum += submission.taskCount() * submission.cpus();
     }
     return sum;
   }
@@ -270,7 +270,7 @@
       Submission submission = soon.get(i);
       pending.add(
           new DryRunEntries.PendingTasks(
-              submission, submission.steps(), slack(submission) + arrives, arrives));
+              submission, submission.taskCount(), slack(submission) + arrives, arrives));
     }
     return new DryRunEntries(slots, laneCpus, aheadS, windowMs / 1000.0, estimates).of(pending);
   }
@@ -294,7 +294,7 @@
       }
     }
     for (Submission s : soon) {
-      demand += cheapest(slots, s) * s.cpus() * s.steps();
+      demand += cheapest(slots, s) * s.cpus() * s.taskCount();
     }
     double oneMore = slots.stream().mapToDouble(MachineKindState::price).max().orElse(0);
     return Math.max(operatorSettings.budgetRatio() * demand, floor + oneMore);
--- a/src/main/java/dapplestair/planning/DryRunEntries.java
+++ b/src/main/java/dapplestair/planning/DryRunEntries.java
@@ -60,7 +60,7 @@
   }
 
   private static boolean small(Submission submission) {
-    return submission.service() || submission.steps() == 1;
+    return submission.isService() || submission.taskCount() == 1;
   }
 
   /** What makes small jobs alike. */
@@ -72,7 +72,7 @@
     return new Traits(
         submission.types(),
         submission.spot(),
-        submission.service(),
+        submission.isService(),
         lanes(submission),
         // Within a half of each other.
         (int) Math.round(Math.log(1 + estimates.runS(submission)) / Math.log(1.5)),
@@ -115,8 +115,8 @@
         allowed,
         of.count,
         lanes(submission),
-        submission.service() ? serviceS : estimates.runS(submission),
-        submission.service(),
+        submission.isService() ? serviceS : estimates.runS(submission),
+        submission.isService(),
         submission.imageGb(),
         of.arrivesS / of.jobs);
   }
--- a/src/main/java/dapplestair/planning/ZoneDemand.java
+++ b/src/main/java/dapplestair/planning/ZoneDemand.java
@@ -72,7 +72,8 @@
         return 0;
       }
       int tasks =
-          Math.min(most, submission.fitting(cpus + EPSILON, memoryGb + EPSILON, gpus + EPSILON));
+          Math.min(
+              most, submission.fittingTasks(cpus + EPSILON, memoryGb + EPSILON, gpus + EPSILON));
       cpus -= tasks * submission.cpus();
       memoryGb -= tasks * submission.memoryGb();
       gpus -= tasks * submission.gpus();
@@ -146,7 +147,7 @@
       boolean ofUse =
           host.type() != null
               && fleet.counts(host, new MachineKind(host.type().name(), host.spot()));
-      if (ofUse && (!host.up() || !host.closed())) {
+      if (ofUse && (!host.isUp() || !host.closed())) {
         out.add(FreeCapacity.of(host));
       }
     }
--- a/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
+++ b/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
@@ -168,7 +168,7 @@
       return;
     }
     List<Host> fresh = targets.fresh(replacement.order, replacement.progress.judgedWall());
-    int up = (int) fresh.stream().filter(Host::up).count();
+    int up = (int) fresh.stream().filter(Host::isUp).count();
     if (up == 0 && !fresh.isEmpty()) {
       // They are there, and not one of them boots: that is their fault, not the cloud's.
       if (since > 2 * BOOT_OVERDUE * 1000 * bootS) {
--- a/src/main/java/dapplestair/replacement/ReplacementTargets.java
+++ b/src/main/java/dapplestair/replacement/ReplacementTargets.java
@@ -91,7 +91,7 @@
   List<Host> left(Set<String> batch) {
     List<Host> out = new ArrayList<>();
     for (String id : batch) {
-      Host host = workers.known(id);
+      Host host = workers.findHost(id);
       if (host != null && !host.gone()) {
         out.add(host);
       }
@@ -126,7 +126,7 @@
     }
     Set<String> lastZones = new HashSet<>();
     before.stream()
-        .map(workers::known)
+        .map(workers::findHost)
         .filter(h -> h != null)
         .forEach(h -> lastZones.add(h.zone()));
     String zone =
--- a/src/main/java/dapplestair/replacement/Replacements.java
+++ b/src/main/java/dapplestair/replacement/Replacements.java
@@ -158,13 +158,13 @@
       if (replacement.active() && replacement.progress.phase() == Phase.RAISE) {
         for (Host h : targets.left(replacement.progress.batch())) {
           long bootMs = Math.round(1000 * types.bootS(h.type()));
-          h.setLeavesAt(clock.now() - (clock.wall() - replacement.progress.stepWall()) + bootMs);
+          h.setDrainAt(clock.now() - (clock.wall() - replacement.progress.stepWall()) + bootMs);
           now.add(h);
         }
       }
     }
     leaving.removeAll(now);
-    leaving.forEach(h -> h.setLeavesAt(Long.MAX_VALUE));
+    leaving.forEach(h -> h.setDrainAt(Long.MAX_VALUE));
     leaving.clear();
     leaving.addAll(now);
   }
--- a/src/main/java/dapplestair/replacement/StepHealthCheck.java
+++ b/src/main/java/dapplestair/replacement/StepHealthCheck.java
@@ -51,7 +51,7 @@
   /** What is wrong with the new machines, or null; only an operator's word ends such a pause. */
   String newMachines(ReplacementOrder order, long since) {
     List<Host> fresh = targets.fresh(order, since);
-    long up = fresh.stream().filter(Host::up).count();
+    long up = fresh.stream().filter(Host::isUp).count();
     List<Host> failing = fresh.stream().filter(h -> h.draining() || h.failures() > ENOUGH).toList();
     // One bad machine in many is chance, and is given up as ever.
     if (!failing.isEmpty() && failing.size() * 4L >= up) {
@@ -68,7 +68,7 @@
 
   private static double slowness(List<Host> of) {
     return of.stream()
-        .filter(h -> h.completed() >= ENOUGH)
+        .filter(h -> h.completedTasks() >= ENOUGH)
         .mapToDouble(Host::slowness)
         .average()
         .orElse(1);
--- a/src/main/java/dapplestair/replacement/SurgeCapacity.java
+++ b/src/main/java/dapplestair/replacement/SurgeCapacity.java
@@ -74,10 +74,10 @@
     }
     MachineKind kind = ReplacementTargets.slot(stuck);
     for (Host host : workers.hosts()) {
-      if (host.up()
+      if (host.isUp()
           && host.idle()
           && fleet.counts(host, kind)
-          && workers.fresh(host)
+          && workers.isResponsive(host)
           && !stuck.zone().equals(host.zone())
           && fleet.rentIn(kind, stuck.zone())) {
         return fleet.release(host);
@@ -100,7 +100,10 @@
     for (MachineKind kind : batch.keySet()) {
       int up = 0;
       for (Host host : workers.hosts()) {
-        up += fleet.counts(host, kind) && host.acknowledged() && workers.fresh(host) ? 1 : 0;
+        up +=
+            fleet.counts(host, kind) && host.termAcknowledged() && workers.isResponsive(host)
+                ? 1
+                : 0;
       }
       if (up < plan.counts().getOrDefault(kind, 0) + extra.applyAsInt(kind)) {
         return false;
--- a/src/main/java/dapplestair/settings/Lane.java
+++ b/src/main/java/dapplestair/settings/Lane.java
@@ -27,22 +27,22 @@
   public boolean rides(Submission submission) {
     return riders.contains(submission.jobClass())
         && (teams.isEmpty() || teams.contains(submission.team()))
-        && !rank.above(submission.rank());
+        && !rank.outranks(submission.rank());
   }
 
   /** True when this job is one that riders go over. */
   public boolean over(Submission submission) {
-    return over.contains(submission.jobClass()) && !submission.rank().above(overRank);
+    return over.contains(submission.jobClass()) && !submission.rank().outranks(overRank);
   }
 
   /** Seconds that a task is given to save before it makes room; 0 when that would be too long. */
   public double windDownS(Submission submission) {
-    double saving = submission.saves() ? 2 * submission.saveS() : 0;
+    double saving = submission.savesProgress() ? 2 * submission.saveDurationS() : 0;
     return 1000 * saving <= beginWithinMs ? saving : 0;
   }
 
   /** True when a task can be gone within the lane's time with all that it has done. */
   public boolean goneInTime(Submission submission) {
-    return !submission.saves() || windDownS(submission) > 0;
+    return !submission.savesProgress() || windDownS(submission) > 0;
   }
 }
--- a/src/main/java/dapplestair/settings/LanesLoader.java
+++ b/src/main/java/dapplestair/settings/LanesLoader.java
@@ -40,7 +40,7 @@
     }
     Rank rank = rank(path, "rank", in.getRank());
     Rank overRank = rank(path, "over_rank", in.getOverRank());
-    if (!rank.above(overRank)) {
+    if (!rank.outranks(overRank)) {
       throw wrong(
           path,
           "over_rank",
@@ -64,7 +64,7 @@
   }
 
   private static Rank rank(Path path, String field, String word) throws SettingsException {
-    Rank rank = Rank.of(word);
+    Rank rank = Rank.fromWire(word);
     if (rank == null) {
       throw wrong(path, field, word, "must be critical, high, standard or low");
     }
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -206,10 +206,12 @@
     if (team == null) {
       return "owner: unknown team " + submission.team();
     }
-    if (team.cpusMax() > 0 && submission.cpus() * submission.atOnce() > team.cpusMax() + 1e-6) {
+    if (team.cpusMax() > 0
+        && submission.cpus() * submission.minSimultaneousTasks() > team.cpusMax() + 1e-6) {
       return "vcpus: more than the team's limit of " + team.cpusMax();
     }
-    if (team.gpusMax() > 0 && submission.gpus() * submission.atOnce() > team.gpusMax() + 1e-6) {
+    if (team.gpusMax() > 0
+        && submission.gpus() * submission.minSimultaneousTasks() > team.gpusMax() + 1e-6) {
       return "accelerators: more than the team's limit of " + team.gpusMax();
     }
     if (!types.anySuits(submission)) {
--- a/src/main/java/dapplestair/weights/ImageLocations.java
+++ b/src/main/java/dapplestair/weights/ImageLocations.java
@@ -111,7 +111,7 @@
   private void hint() {
     for (ImageHolders holders : records.values()) {
       for (String id : holders.machines()) {
-        Host host = workers.known(id);
+        Host host = workers.findHost(id);
         if (host != null) {
           host.images().hinted(holders.image(), holders.gb());
         }
@@ -153,7 +153,7 @@
     Map<String, ImageHolders> out = new TreeMap<>();
     long at = clock.now();
     for (Host host : workers.hosts()) {
-      if (host.up() && !host.gone() && !host.releasing()) {
+      if (host.isUp() && !host.gone() && !host.releasing()) {
         host.images()
             .ready(at)
             .forEach(
--- a/src/main/java/dapplestair/work/BoundedMap.java
+++ b/src/main/java/dapplestair/work/BoundedMap.java
@@ -7,15 +7,15 @@
 public final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
   private static final long serialVersionUID = 1L;
 
-  private final int most;
+  private final int maxEntries;
 
-  /** Keeps {@code most} entries. */
+  /** Keeps {@code maxEntries} entries. */
   public BoundedMap(int most) {
-    this.most = most;
+    this.maxEntries = most;
   }
 
   @Override
   protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-    return size() > most;
+    return size() > maxEntries;
   }
 }
--- a/src/main/java/dapplestair/work/ExpiringLruMap.java
+++ b/src/main/java/dapplestair/work/ExpiringLruMap.java
@@ -10,17 +10,17 @@
 /** Entries in the order of their last use, dropped once they are too old or too many. */
 public final class ExpiringLruMap<K, V> {
   private final Clock clock;
-  private final long keptMs;
-  private final int most;
-  private final ToLongFunction<V> usedAt;
+  private final long maxAgeMs;
+  private final int maxEntries;
+  private final ToLongFunction<V> lastUsedAt;
   private final Map<K, V> entries = new LinkedHashMap<>();
 
-  /** Keeps {@code most} entries at the most, each for {@code keptMs} after its last use. */
+  /** Keeps {@code maxEntries} entries at the most, each for {@code maxAgeMs} after its last use. */
   public ExpiringLruMap(Clock clock, long keptMs, int most, ToLongFunction<V> usedAt) {
     this.clock = clock;
-    this.keptMs = keptMs;
-    this.most = most;
-    this.usedAt = usedAt;
+    this.maxAgeMs = keptMs;
+    this.maxEntries = most;
+    this.lastUsedAt = usedAt;
   }
 
   /** Takes an entry out; null if there was none. */
@@ -30,25 +30,25 @@
 
   /** Puts an entry that is not there, as the one used last. */
   public void put(K key, V value) {
-    dropOldest();
+    removeExpired();
     entries.put(key, value);
   }
 
   /** What is kept now, the oldest first. */
   public Collection<V> values() {
-    dropOldest();
+    removeExpired();
     return entries.values();
   }
 
-  private void dropOldest() {
+  private void removeExpired() {
     long now = clock.now();
     Iterator<V> oldest = entries.values().iterator();
-    while (oldest.hasNext() && (isOld(oldest.next(), now) || entries.size() >= most)) {
+    while (oldest.hasNext() && (isExpired(oldest.next(), now) || entries.size() >= maxEntries)) {
       oldest.remove();
     }
   }
 
-  private boolean isOld(V value, long now) {
-    return now - usedAt.applyAsLong(value) > keptMs;
+  private boolean isExpired(V value, long now) {
+    return now - lastUsedAt.applyAsLong(value) > maxAgeMs;
   }
 }
--- a/src/main/java/dapplestair/work/FrontCodedNames.java
+++ b/src/main/java/dapplestair/work/FrontCodedNames.java
@@ -5,21 +5,21 @@
 
 /** Names in order, each written as what it shares with the one before and its rest. */
 public final class FrontCodedNames {
-  private static final int LONGEST = 200;
+  private static final int MAX_NAME_LENGTH = 200;
 
-  private String before = "";
+  private String previous = "";
 
   /** Writes the next name; they come in order. */
   public void write(Output out, String name) {
     int shared = 0;
     while (shared < name.length()
-        && shared < before.length()
-        && name.charAt(shared) == before.charAt(shared)) {
+        && shared < previous.length()
+        && name.charAt(shared) == previous.charAt(shared)) {
       shared++;
     }
     out.writeVarInt(shared, true);
     out.writeString(name.substring(shared));
-    before = name;
+    previous = name;
   }
 
   /**
@@ -29,11 +29,11 @@
    * @throws IndexOutOfBoundsException when it shares more than there is
    */
   public String read(Input in) {
-    String name = before.substring(0, in.readVarInt(true)) + in.readString();
-    if (name.length() > LONGEST) {
+    String name = previous.substring(0, in.readVarInt(true)) + in.readString();
+    if (name.length() > MAX_NAME_LENGTH) {
       throw new IllegalArgumentException("a name of " + name.length() + " characters");
     }
-    before = name;
+    previous = name;
     return name;
   }
 }
--- a/src/main/java/dapplestair/work/JobShape.java
+++ b/src/main/java/dapplestair/work/JobShape.java
@@ -15,7 +15,7 @@
     this.wire = wire;
   }
 
-  static JobShape of(String wire) {
+  static JobShape fromWire(String wire) {
     for (JobShape shape : values()) {
       if (shape.wire.equals(wire)) {
         return shape;
--- a/src/main/java/dapplestair/work/Rank.java
+++ b/src/main/java/dapplestair/work/Rank.java
@@ -12,7 +12,7 @@
   LOW;
 
   /** The rank of this word, or null. */
-  public static Rank of(String wire) {
+  public static Rank fromWire(String wire) {
     for (Rank rank : values()) {
       if (rank.wire().equals(wire)) {
         return rank;
@@ -27,7 +27,7 @@
   }
 
   /** True when this one may take the other's room. */
-  public boolean above(Rank other) {
+  public boolean outranks(Rank other) {
     return ordinal() < other.ordinal();
   }
 }
--- a/src/main/java/dapplestair/work/Report.java
+++ b/src/main/java/dapplestair/work/Report.java
@@ -11,7 +11,7 @@
  * @param session rises each time the worker's lease has run out ({@code tenure} on the wire)
  * @param tick rises with every report of a session
  * @param token highest token the worker has seen ({@code baton})
- * @param recallS seconds until the cloud takes the machine, or NaN
+ * @param reclaimInS seconds until the cloud takes the machine, or NaN
  */
 public record Report(
     String host,
@@ -22,7 +22,7 @@
     long session,
     long tick,
     long token,
-    double recallS,
+    double reclaimInS,
     List<Task> tasks) {
 
   /** State of a task on its machine. */
@@ -40,7 +40,7 @@
     }
 
     /** Its job. */
-    public String ref() {
+    public String jobRef() {
       int slash = key.lastIndexOf('/');
       return slash < 0 ? key : key.substring(0, slash);
     }
@@ -60,13 +60,13 @@
         || endpoint == null
         || session < 0
         || tick < 0
-        || !addressLike(endpoint)
+        || !isAddress(endpoint)
         || !node.path("steps").isArray()) {
       return null;
     }
     List<Task> tasks = new ArrayList<>();
     for (JsonNode t : node.get("steps")) {
-      Task task = task(t);
+      Task task = parseTask(t);
       if (task == null) {
         return null;
       }
@@ -85,7 +85,7 @@
         tasks);
   }
 
-  private static Task task(JsonNode node) {
+  private static Task parseTask(JsonNode node) {
     String key = Json.text(node, "step");
     long attempt = Json.number(node, "try", -1);
     String status = Json.text(node, "status");
@@ -110,7 +110,7 @@
     };
   }
 
-  private static boolean addressLike(String endpoint) {
+  private static boolean isAddress(String endpoint) {
     int colon = endpoint.lastIndexOf(':');
     if (colon < 1 || endpoint.length() - colon > 6) {
       return false;
@@ -124,7 +124,7 @@
   }
 
   /** True when it was sent after the one of this session and tick (PROTOCOL, "tick"). */
-  public boolean after(long otherSession, long otherTick) {
+  public boolean isNewerThan(long otherSession, long otherTick) {
     return session() > otherSession || session() == otherSession && tick() > otherTick;
   }
 }
--- a/src/main/java/dapplestair/work/Submission.java
+++ b/src/main/java/dapplestair/work/Submission.java
@@ -23,7 +23,7 @@
     String team,
     JobShape shape,
     Rank rank,
-    int steps,
+    int taskCount,
     double cpus,
     double gpus,
     double memoryGb,
@@ -34,12 +34,12 @@
     boolean together,
     boolean apart,
     boolean spot,
-    double guessS,
-    double saveEveryS,
-    double saveS,
+    double estimatedRuntimeS,
+    double saveIntervalS,
+    double saveDurationS,
     double dueS) {
 
-  private static final int MOST_STEPS = 100_000;
+  private static final int MAX_TASKS = 100_000;
 
   /** What is wrong with a body; the message names the field. */
   public static final class InvalidSubmissionException extends Exception {
@@ -51,28 +51,28 @@
   }
 
   /** True when its tasks run until it is cancelled. */
-  public boolean service() {
+  public boolean isService() {
     return shape == JobShape.SERVICE;
   }
 
   /** True when none of its tasks is of use before all of them run. */
-  public boolean gang() {
+  public boolean isGang() {
     return shape == JobShape.GANG;
   }
 
   /** Tasks that must have room at the same time for the job to make sense. */
-  public int atOnce() {
-    return shape == JobShape.ARRAY ? 1 : steps;
+  public int minSimultaneousTasks() {
+    return shape == JobShape.ARRAY ? 1 : taskCount;
   }
 
   /** Most tasks that may be in one zone. */
-  public int mostPerZone() {
-    return apart ? (steps + 1) / 2 : steps;
+  public int maxTasksPerZone() {
+    return apart ? (taskCount + 1) / 2 : taskCount;
   }
 
   /** True when a stopped task can keep its progress. */
-  public boolean saves() {
-    return saveEveryS > 0;
+  public boolean savesProgress() {
+    return saveIntervalS > 0;
   }
 
   /** Reads and checks a user's body. */
@@ -84,11 +84,11 @@
     if (!validRef(ref)) {
       throw new InvalidSubmissionException("ref: not a job id");
     }
-    JobShape shape = JobShape.of(text(body, "shape"));
+    JobShape shape = JobShape.fromWire(text(body, "shape"));
     if (shape == null) {
       throw new InvalidSubmissionException("shape: must be sweep, gang or daemon");
     }
-    Rank rank = Rank.of(text(body, "rank"));
+    Rank rank = Rank.fromWire(text(body, "rank"));
     if (rank == null) {
       throw new InvalidSubmissionException("rank: must be critical, high, standard or low");
     }
@@ -96,8 +96,8 @@
     if (!steps.isIntegralNumber()
         || !steps.canConvertToInt()
         || steps.intValue() < 1
-        || steps.intValue() > MOST_STEPS) {
-      throw new InvalidSubmissionException("steps: must be a whole number from 1 to " + MOST_STEPS);
+        || steps.intValue() > MAX_TASKS) {
+      throw new InvalidSubmissionException("steps: must be a whole number from 1 to " + MAX_TASKS);
     }
     double cpus = amount(body, "vcpus");
     double memory = amount(body, "memoryGb");
@@ -154,7 +154,7 @@
             .put("owner", team)
             .put("shape", shape.wire())
             .put("rank", rank.wire())
-            .put("steps", steps)
+            .put("steps", taskCount)
             .put("vcpus", cpus)
             .put("accelerators", gpus)
             .put("memoryGb", memoryGb)
@@ -170,9 +170,9 @@
         .put("together", together)
         .put("apart", apart)
         .put("loaners", spot)
-        .put("guessS", guessS)
-        .put("snapshotEveryS", saveEveryS)
-        .put("snapshotS", saveS);
+        .put("guessS", estimatedRuntimeS)
+        .put("snapshotEveryS", saveIntervalS)
+        .put("snapshotS", saveDurationS);
     if (Double.isFinite(dueS)) {
       object.put("dueS", dueS);
     }
@@ -237,7 +237,7 @@
   }
 
   /** How many of its tasks so much room is for. */
-  public int fitting(double cpusFree, double memoryGbFree, double gpusFree) {
+  public int fittingTasks(double cpusFree, double memoryGbFree, double gpusFree) {
     double n = Math.min(cpusFree / cpus(), memoryGbFree / Math.max(1e-9, memoryGb()));
     if (gpus() > 0) {
       n = Math.min(n, gpusFree / gpus());
--- a/src/main/java/dapplestair/work/WorkerCommand.java
+++ b/src/main/java/dapplestair/work/WorkerCommand.java
@@ -25,7 +25,7 @@
   record Launch(String key, long attempt) implements WorkerCommand {
     @Override
     public ObjectNode toJson() {
-      return base("launch", this);
+      return commandJson("launch", this);
     }
   }
 
@@ -33,7 +33,7 @@
   record Halt(String key, long attempt, double windDownS) implements WorkerCommand {
     @Override
     public ObjectNode toJson() {
-      return base("halt", this).put("windDownS", windDownS);
+      return commandJson("halt", this).put("windDownS", windDownS);
     }
   }
 
@@ -41,7 +41,7 @@
   record Clear(String key, long attempt) implements WorkerCommand {
     @Override
     public ObjectNode toJson() {
-      return base("clear", this);
+      return commandJson("clear", this);
     }
   }
 
@@ -54,11 +54,12 @@
   }
 
   /** The same as a call to a worker in a session. */
-  static ObjectNode call(long token, long session, Collection<? extends WorkerCommand> orders) {
+  static ObjectNode callMessage(
+      long token, long session, Collection<? extends WorkerCommand> orders) {
     return message(token, orders).put("tenure", session);
   }
 
-  private static ObjectNode base(String verb, WorkerCommand command) {
+  private static ObjectNode commandJson(String verb, WorkerCommand command) {
     return Json.object().put("verb", verb).put("step", command.key()).put("try", command.attempt());
   }
 }
--- a/src/main/java/dapplestair/workers/CommandSender.java
+++ b/src/main/java/dapplestair/workers/CommandSender.java
@@ -26,15 +26,15 @@
   /** Told of what machines answer. */
   interface Listener {
     /** A machine's report after its orders. */
-    void report(Host host, Report report);
+    void reportReceived(Host host, Report report);
 
     /** Two calls in a row were not answered. */
-    void unanswered(Host host);
+    void becameUnresponsive(Host host);
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
-  private static final int MOST_ORDERS = 200;
-  private static final int MOST_DOUBLINGS = 4;
+  private static final int MAX_COMMANDS_PER_CALL = 200;
+  private static final int MAX_TIMEOUT_DOUBLINGS = 4;
 
   private final Clock clock;
   private final Timers timers;
@@ -44,8 +44,8 @@
   private final HostRegistry hostRegistry;
   private final Listener listener;
   private final long reportMs;
-  private final long callMs;
-  private final Set<String> flushing = new HashSet<>();
+  private final long baseCallTimeoutMs;
+  private final Set<String> hostIdsWithScheduledSend = new HashSet<>();
   private boolean leading;
 
   CommandSender(
@@ -65,45 +65,45 @@
     this.hostRegistry = hostRegistry;
     this.listener = listener;
     this.reportMs = settings.workers().reportMs();
-    this.callMs = Math.min(reportMs / 2, settings.workers().leaseMs() / 16);
+    this.baseCallTimeoutMs = Math.min(reportMs / 2, settings.workers().leaseMs() / 16);
   }
 
-  void lead() {
+  void startLeading() {
     leading = true;
   }
 
-  void clear() {
+  void stopLeading() {
     leading = false;
-    flushing.clear();
+    hostIdsWithScheduledSend.clear();
   }
 
   /** The token to show to a machine: the term, and its fence. */
-  long token(Host host) {
+  long fencingToken(Host host) {
     return FencingToken.of(leadership.term(), host.fence);
   }
 
   /** Sends an order with all others of this turn. */
   void queue(String hostId, WorkerCommand command) {
-    Host host = hostRegistry.known(hostId);
+    Host host = hostRegistry.find(hostId);
     if (host == null || !leading) {
       return;
     }
     host.outbox.put(command.id(), command);
-    if (flushing.add(hostId)) {
+    if (hostIdsWithScheduledSend.add(hostId)) {
       timers.after(
           0,
           () -> {
-            flushing.remove(hostId);
-            Host h = hostRegistry.known(hostId);
+            hostIdsWithScheduledSend.remove(hostId);
+            Host h = hostRegistry.find(hostId);
             if (h != null) {
-              send(h);
+              sendQueued(h);
             }
           });
     }
   }
 
   /** Sends what waits for a machine. */
-  void send(Host host) {
+  void sendQueued(Host host) {
     if (!host.outbox.isEmpty()) {
       call(host, false);
     }
@@ -117,34 +117,38 @@
   private void call(Host host, boolean evenEmpty) {
     if (!leading
         || !leadership.leading()
-        || host.calling
+        || host.callInProgress
         || host.endpoint == null
-        || clock.now() < host.callAgainAt) {
+        || clock.now() < host.nextCallAt) {
       return;
     }
     List<WorkerCommand> orders = new ArrayList<>();
     List<Attempt> launches = new ArrayList<>();
-    take(host, orders, launches);
+    takeSendableCommands(host, orders, launches);
     if (orders.isEmpty() && !evenEmpty) {
       return;
     }
-    Fencing.sending(host, orders, launches);
-    ObjectNode body = WorkerCommand.call(token(host), host.session, orders);
+    Fencing.beforeSend(host, orders, launches);
+    ObjectNode body = WorkerCommand.callMessage(fencingToken(host), host.session, orders);
     if (!launches.isEmpty()) {
-      LOG.debug("{} launches leave for {} under token {}", launches.size(), host.id(), token(host));
+      LOG.debug(
+          "{} launches leave for {} under token {}",
+          launches.size(),
+          host.id(),
+          fencingToken(host));
     }
-    host.calling = true;
+    host.callInProgress = true;
     long term = leadership.term();
     relay.command(
         // After a call that failed on its way through another controller, the next one is direct.
-        host.failedCalls > 0 ? null : host.relay,
+        host.failedCalls > 0 ? null : host.relayController,
         host.endpoint,
         Json.bytes(body),
-        patienceMs(host),
+        replyTimeoutMs(host),
         reply -> {
           if (leading && leadership.term() == term) {
-            host.calling = false;
-            answered(host, orders, launches, reply);
+            host.callInProgress = false;
+            handleReply(host, orders, launches, reply);
           }
         });
   }
@@ -154,22 +158,22 @@
    * though their answers came too late, is behind a slow link: with one patience for all it took no
    * work for as long as its link was slow (OverloadTest). One that is not reached hangs or is deaf.
    */
-  private long patienceMs(Host host) {
-    boolean reached = clock.now() - host.heardAt < 2 * reportMs;
-    int doublings = reached ? Math.min(MOST_DOUBLINGS, host.failedCalls) : 0;
-    return Math.min(reportMs, callMs << doublings);
+  private long replyTimeoutMs(Host host) {
+    boolean reached = clock.now() - host.lastReachedAt < 2 * reportMs;
+    int doublings = reached ? Math.min(MAX_TIMEOUT_DOUBLINGS, host.failedCalls) : 0;
+    return Math.min(reportMs, baseCallTimeoutMs << doublings);
   }
 
-  private void take(Host host, List<WorkerCommand> orders, List<Attempt> launches) {
+  private void takeSendableCommands(Host host, List<WorkerCommand> orders, List<Attempt> launches) {
     Iterator<WorkerCommand> it = host.outbox.values().iterator();
-    while (it.hasNext() && orders.size() < MOST_ORDERS) {
+    while (it.hasNext() && orders.size() < MAX_COMMANDS_PER_CALL) {
       WorkerCommand command = it.next();
       if (command instanceof WorkerCommand.Launch && !mayLaunch(host)) {
         continue;
       }
       it.remove();
       if (command instanceof WorkerCommand.Launch) {
-        Attempt attempt = Fencing.due(host, command);
+        Attempt attempt = Fencing.findDueAttempt(host, command);
         if (attempt == null) {
           continue;
         }
@@ -185,42 +189,42 @@
    * package cancellations.
    */
   private boolean mayLaunch(Host host) {
-    return cancellations.mayLaunch() && Fencing.launchesMayLeave(host, leadership.term());
+    return cancellations.mayLaunch() && Fencing.maySendLaunches(host, leadership.term());
   }
 
-  private void answered(
+  private void handleReply(
       Host host, List<WorkerCommand> orders, List<Attempt> launches, HttpReply reply) {
     boolean executed = reply.status() == 200;
     if (executed || reply.status() == 409) {
       host.failedCalls = 0;
-      Fencing.answered(launches);
+      Fencing.callAnswered(launches);
       Report report = Report.parse(Json.parse(reply.body()));
       if (report != null && report.host().equals(host.id())) {
-        listener.report(host, report);
+        listener.reportReceived(host, report);
       }
       if (!executed) {
         requeue(host, orders);
       }
-      send(host);
+      sendQueued(host);
       return;
     }
     host.failedCalls++;
     boolean sent = reply.status() != HttpReply.NOT_SENT;
-    Fencing.unanswered(host, leadership.term(), launches, sent);
+    Fencing.callUnanswered(host, leadership.term(), launches, sent);
     // A report that shows the raised token was sent since.
-    if (host.tokenSeen >= host.challenge) {
-      host.challenge = token(host);
+    if (host.tokenSeen >= host.reachabilityToken) {
+      host.reachabilityToken = fencingToken(host);
     }
     // The connection of the first failed call was closed, so a later call has made a new one.
     host.lastCallConnected = sent;
-    host.callAgainAt = clock.now() + Math.min(reportMs / 3, 100L << Math.min(4, host.failedCalls));
+    host.nextCallAt = clock.now() + Math.min(reportMs / 3, 100L << Math.min(4, host.failedCalls));
     if (sent) {
       requeue(host, orders);
     } else {
       orders.forEach(o -> host.outbox.putIfAbsent(o.id(), o));
     }
     if (host.failedCalls == 2) {
-      listener.unanswered(host);
+      listener.becameUnresponsive(host);
     }
   }
 
--- a/src/main/java/dapplestair/workers/Fencing.java
+++ b/src/main/java/dapplestair/workers/Fencing.java
@@ -13,7 +13,7 @@
   private Fencing() {}
 
   /** The attempt that this launch is still due for, or null. */
-  static Attempt due(Host host, WorkerCommand launch) {
+  static Attempt findDueAttempt(Host host, WorkerCommand launch) {
     Attempt attempt = host.attempt(launch.key());
     // Dropped meanwhile, or planned for a session that has ended.
     boolean due =
@@ -29,13 +29,13 @@
    * Whether launches may be sent under the machine's token: it must lie below all that another
    * controller raises the worker's token to in order to keep them out.
    */
-  static boolean launchesMayLeave(Host host, long term) {
+  static boolean maySendLaunches(Host host, long term) {
     long shown = FencingToken.term(host.tokenSeen) == term ? FencingToken.fence(host.tokenSeen) : 0;
     return host.fence - shown < FencingToken.MOST_AHEAD;
   }
 
   /** A message with these orders is about to leave; its token is read after this. */
-  static void sending(Host host, List<WorkerCommand> orders, List<Attempt> launches) {
+  static void beforeSend(Host host, List<WorkerCommand> orders, List<Attempt> launches) {
     if (orders.stream().anyMatch(o -> o instanceof WorkerCommand.Clear)) {
       // Once cleared, an attempt is forgotten: a copy of the message that launched it, come late,
       // would start it again. It carries a lower token than this one.
@@ -45,7 +45,7 @@
   }
 
   /** The worker answered: the whole message was executed or refused. */
-  static void answered(List<Attempt> launches) {
+  static void callAnswered(List<Attempt> launches) {
     launches.forEach(Attempt::launchAnswered);
   }
 
@@ -54,7 +54,7 @@
    * until the worker has seen the token that is raised here: nothing is concluded before it is
    * shown.
    */
-  static void unanswered(Host host, long term, List<Attempt> launches, boolean sent) {
+  static void callUnanswered(Host host, long term, List<Attempt> launches, boolean sent) {
     host.fence++;
     long token = FencingToken.of(term, host.fence);
     launches.forEach(
@@ -71,7 +71,7 @@
    * The worker shows this token. Another controller may have raised it within the term: what lies
    * below is not executed any more.
    */
-  static void shown(Host host, long term, long token) {
+  static void tokenShown(Host host, long term, long token) {
     if (FencingToken.term(token) == term) {
       host.fence = Math.max(host.fence, FencingToken.fence(token));
     }
--- a/src/main/java/dapplestair/workers/Host.java
+++ b/src/main/java/dapplestair/workers/Host.java
@@ -14,16 +14,16 @@
   long session;
   long tick = -1;
   long tokenSeen;
-  long heardAt = Long.MIN_VALUE / 2;
+  long lastReachedAt = Long.MIN_VALUE / 2;
 
   /**
    * When its worker last reported by itself, as one that hears us; until it does, when it was first
    * reached. Answers to calls don't count: they renew no lease.
    */
-  long reportedAt = Long.MIN_VALUE / 2;
+  long lastReportedAt = Long.MIN_VALUE / 2;
 
-  long recallAt = Long.MAX_VALUE;
-  int strays;
+  long reclaimAt = Long.MAX_VALUE;
+  int strayTaskCount;
 
   // What we may conclude from it.
   long fence;
@@ -32,20 +32,20 @@
    * The token that a report has to show before it says that our answers reach the machine: the
    * first of the term, then the one raised by the first call of several that got no answer.
    */
-  long challenge;
+  long reachabilityToken;
 
-  boolean acknowledged;
+  boolean termAcknowledged;
 
   // Orders.
   final Map<String, WorkerCommand> outbox = new LinkedHashMap<>();
-  boolean calling;
+  boolean callInProgress;
   int failedCalls;
 
   /** The controller that holds its connection and passes its reports on, or null for this one. */
-  String relay;
+  String relayController;
 
   boolean lastCallConnected;
-  long callAgainAt;
+  long nextCallAt;
 
   // Rental.
   private final long knownSince;
@@ -55,14 +55,14 @@
   private boolean gone;
   private boolean draining;
   private boolean cordoned;
-  private boolean drained;
-  private boolean saidUp;
-  private long leavesAt = Long.MAX_VALUE;
-  private boolean outOfReach;
-  private boolean mute;
+  private boolean drainedByOperator;
+  private boolean markExpectedUp;
+  private long drainAt = Long.MAX_VALUE;
+  private boolean unreachable;
+  private boolean notReporting;
   private long zoneSilentMs;
 
-  private int completed;
+  private int completedTasks;
   private Probation probation = Probation.NONE;
   private int failures;
   private double slowness = 1;
@@ -81,21 +81,21 @@
   }
 
   /** True once its worker has reported. */
-  public boolean up() {
+  public boolean isUp() {
     return tick >= 0;
   }
 
   /** True once it was reached: heard, and known to have heard us. */
-  boolean reached() {
-    return heardAt > Long.MIN_VALUE / 2;
+  boolean wasReached() {
+    return lastReachedAt > Long.MIN_VALUE / 2;
   }
 
   /**
    * When its worker was last reached, in steady time: it reported, and showed that our answers come
    * through.
    */
-  public long heardAt() {
-    return heardAt;
+  public long lastReachedAt() {
+    return lastReachedAt;
   }
 
   /** When this controller first knew of it. */
@@ -109,25 +109,25 @@
   }
 
   /** True once a notice says that it will be taken. */
-  public boolean recalled() {
-    return recallAt != Long.MAX_VALUE;
+  public boolean hasReclaimNotice() {
+    return reclaimAt != Long.MAX_VALUE;
   }
 
   /** When it will be taken. */
-  public long recallAt() {
-    return recallAt;
+  public long reclaimAt() {
+    return reclaimAt;
   }
 
   @Override
   public boolean closed() {
-    return !acknowledged
+    return !termAcknowledged
         || gone
         || releasing
         || draining
-        || drained
+        || drainedByOperator
         || cordoned
-        || recalled()
-        || strays > 0
+        || hasReclaimNotice()
+        || strayTaskCount > 0
         || overfull()
         || type() == null;
   }
@@ -163,27 +163,27 @@
   }
 
   /** True when operators have it emptied; it stays rented, and is no room to plan with. */
-  public boolean drained() {
-    return drained;
+  public boolean drainedByOperator() {
+    return drainedByOperator;
   }
 
   /** Operators want it emptied, or not any more. */
-  public void setDrained(boolean value) {
-    drained = value;
+  public void setDrainedByOperator(boolean value) {
+    drainedByOperator = value;
   }
 
   /** True when its worker has shown a token of this term, so that reports prove something. */
-  public boolean acknowledged() {
-    return acknowledged;
+  public boolean termAcknowledged() {
+    return termAcknowledged;
   }
 
   /** True while something runs on it that no record accounts for. */
-  public boolean hasStrays() {
-    return strays > 0;
+  public boolean hasStrayTasks() {
+    return strayTaskCount > 0;
   }
 
   /** Orders that wait to be sent to it. */
-  public int queued() {
+  public int queuedCommands() {
     return outbox.size();
   }
 
@@ -218,36 +218,36 @@
   }
 
   /** A list holds it. */
-  public void listed(long at) {
+  public void markListed(long at) {
     firstListedAt = Math.min(firstListedAt, at);
   }
 
   /** The cloud says that it is up, so its worker should answer. */
-  public void saidUp() {
-    saidUp = true;
+  public void markExpectedUp() {
+    markExpectedUp = true;
   }
 
   /** True when its worker should answer. */
   public boolean expectedUp() {
-    return up() || saidUp;
+    return isUp() || markExpectedUp;
   }
 
   /** True when it has been silent for long enough that its room is no room. */
-  public boolean outOfReach() {
-    return outOfReach;
+  public boolean unreachable() {
+    return unreachable;
   }
 
-  void setOutOfReach(boolean value) {
-    outOfReach = value;
+  void setUnreachable(boolean value) {
+    unreachable = value;
   }
 
   /** True when it answers calls but does not report, so that its lease runs out. */
-  public boolean mute() {
-    return mute;
+  public boolean notReporting() {
+    return notReporting;
   }
 
-  void setMute(boolean value) {
-    mute = value;
+  void setNotReporting(boolean value) {
+    notReporting = value;
   }
 
   /**
@@ -268,28 +268,28 @@
   }
 
   /** True when its address is known. */
-  public boolean addressed() {
+  public boolean hasEndpoint() {
     return endpoint != null;
   }
 
   /** A task completed here. */
   public void taskCompleted() {
-    completed++;
+    completedTasks++;
   }
 
   /** Tasks completed here, as far as this leader has seen. */
-  public int completed() {
-    return completed;
+  public int completedTasks() {
+    return completedTasks;
   }
 
   /** When it is to be emptied, steady time, or {@link Long#MAX_VALUE}. */
-  public long leavesAt() {
-    return leavesAt;
+  public long drainAt() {
+    return drainAt;
   }
 
   /** It is to be emptied then: it takes only what ends before. */
-  public void setLeavesAt(long at) {
-    leavesAt = at;
+  public void setDrainAt(long at) {
+    drainAt = at;
   }
 
   /** Failures here that no wrong job explains, since a task last began and completed here. */
@@ -313,7 +313,7 @@
   }
 
   /** True when it gets one task at a time, and has it. */
-  public boolean probed(long now) {
+  public boolean hasProbationTask(long now) {
     return onProbation(now)
         && attempts().stream().anyMatch(a -> !a.exited() && a.plannedAt() > probation.since());
   }
--- a/src/main/java/dapplestair/workers/HostRegistry.java
+++ b/src/main/java/dapplestair/workers/HostRegistry.java
@@ -9,14 +9,14 @@
 
 /** The machines that are not proved to be gone, and for a while the names of those that are. */
 final class HostRegistry {
-  private static final int MOST_GONE_REMEMBERED = 4000;
+  private static final int MAX_REMEMBERED_GONE_HOSTS = 4000;
 
   private final Clock clock;
   private final Map<String, Host> hosts = new LinkedHashMap<>();
-  private final Map<String, GoneHost> gone = new LinkedHashMap<>();
+  private final Map<String, GoneHost> goneHosts = new LinkedHashMap<>();
 
   /** When it was proved to be gone, and its newest report that was heard. */
-  private record GoneHost(long at, long session, long tick) {}
+  private record GoneHost(long goneAt, long session, long tick) {}
 
   HostRegistry(Clock clock) {
     this.clock = clock;
@@ -27,51 +27,52 @@
   }
 
   /** A machine by name, made known if it was not. */
-  Host host(String id) {
+  Host getOrCreate(String id) {
     return hosts.computeIfAbsent(id, i -> new Host(i, clock.now()));
   }
 
   /** A machine by name, or null. */
-  Host known(String id) {
+  Host find(String id) {
     return hosts.get(id);
   }
 
   boolean isGone(String id) {
-    return gone.containsKey(id);
+    return goneHosts.containsKey(id);
   }
 
   /** Its name is kept, so that a late report or list does not bring it back. */
   void markGone(Host host) {
     host.setGone();
-    if (gone.size() >= MOST_GONE_REMEMBERED) {
+    if (goneHosts.size() >= MAX_REMEMBERED_GONE_HOSTS) {
       // The oldest: a copy of a report comes late, but not by thousands of machines.
-      gone.remove(gone.keySet().iterator().next());
+      goneHosts.remove(goneHosts.keySet().iterator().next());
     }
-    gone.put(host.id(), new GoneHost(clock.now(), host.session, host.tick));
+    goneHosts.put(host.id(), new GoneHost(clock.now(), host.session, host.tick));
   }
 
   /**
    * True when a machine that is gone sent this report after the newest one that was heard of it: a
    * cut has held it back, and is over. A copy of a report that was heard is not newer.
    */
-  boolean sentSince(Report report) {
-    GoneHost last = gone.get(report.host());
-    boolean newer = report.after(last.session(), last.tick());
+  boolean noteNewerReport(Report report) {
+    GoneHost last = goneHosts.get(report.host());
+    boolean newer = report.isNewerThan(last.session(), last.tick());
     if (newer) {
-      gone.replace(report.host(), new GoneHost(last.at(), report.session(), report.tick()));
+      goneHosts.replace(
+          report.host(), new GoneHost(last.goneAt(), report.session(), report.tick()));
     }
     // Without one that was heard nobody can tell.
     return newer && last.tick() >= 0;
   }
 
   /** How long ago those machines were proved to be gone that were so within {@code ms}. */
-  Map<String, Long> goneWithin(long ms) {
+  Map<String, Long> goneAgesMs(long ms) {
     long now = clock.now();
     Map<String, Long> out = new HashMap<>();
-    gone.forEach(
+    goneHosts.forEach(
         (id, g) -> {
-          if (now - g.at() <= ms) {
-            out.put(id, now - g.at());
+          if (now - g.goneAt() <= ms) {
+            out.put(id, now - g.goneAt());
           }
         });
     return out;
@@ -83,6 +84,6 @@
 
   void clear() {
     hosts.clear();
-    gone.clear();
+    goneHosts.clear();
   }
 }
--- a/src/main/java/dapplestair/workers/LeaseRenewal.java
+++ b/src/main/java/dapplestair/workers/LeaseRenewal.java
@@ -26,21 +26,21 @@
   private static final Logger LOG = LoggerFactory.getLogger(LeaseRenewal.class);
 
   // A line of an answer may take 64 KiB: some 100 bytes for each.
-  private static final int MOST_HALTS = 500;
-  private static final int MOST_KEPT = 4000;
+  private static final int MAX_HALTS_PER_ANSWER = 500;
+  private static final int MAX_RAISED_TOKENS = 4000;
 
   /** The token that was shown to a worker to keep launches out, and when. */
-  private record Raised(long token, long at) {}
+  private record RaisedToken(long token, long raisedAt) {}
 
   private final Clock clock;
   private final CommandSender commandSender;
   private final Ledger ledger;
   private final Cancellations cancellations;
-  private final Predicate<String> notOverWhenRead;
-  private final Map<String, Raised> raised = new BoundedMap<>(MOST_KEPT);
+  private final Predicate<String> wasLiveWhenRead;
+  private final Map<String, RaisedToken> raisedTokensByHost = new BoundedMap<>(MAX_RAISED_TOKENS);
 
   /**
-   * {@code notOverWhenRead} tells of a job that is not in the ledger that it was not over when the
+   * {@code wasLiveWhenRead} tells of a job that is not in the ledger that it was not over when the
    * records were last read here.
    */
   LeaseRenewal(
@@ -53,14 +53,14 @@
     this.commandSender = commandSender;
     this.ledger = ledger;
     this.cancellations = cancellations;
-    this.notOverWhenRead = notOverWhenRead;
+    this.wasLiveWhenRead = notOverWhenRead;
   }
 
   /**
    * A leader's answer, or null when it may not keep the lease. All its own attempts there count,
    * not only those in the report: one may have been launched since that was sent.
    */
-  ObjectNode byLeader(Host host, Report report) {
+  ObjectNode renewAsLeader(Host host, Report report) {
     if (!cancellations.mayRenew()) {
       return null;
     }
@@ -68,21 +68,21 @@
     boolean launchOpen = false;
     for (Attempt attempt : host.attempts()) {
       if (attempt.job().over() && attempt.sent() && !attempt.exited()) {
-        add(halts, attempt.key(), attempt.number());
+        addHalt(halts, attempt.key(), attempt.number());
         launchOpen |= attempt.launchOpen();
       }
     }
     for (Report.Task task : report.tasks()) {
-      boolean over = cancellations.knows(task.ref()) || !ledger.live(task.ref());
+      boolean over = cancellations.knows(task.jobRef()) || !ledger.live(task.jobRef());
       if (task.status() != Report.Status.EXITED && over) {
-        add(halts, task.key(), task.attempt());
+        addHalt(halts, task.key(), task.attempt());
       }
     }
     if (launchOpen) {
       // The launch is under way: after this answer it is executed no more.
       host.fence++;
     }
-    return answer(commandSender.token(host), halts);
+    return buildAnswer(commandSender.fencingToken(host), halts);
   }
 
   /**
@@ -91,7 +91,7 @@
    * none of its records it cannot, since it may have begun after that job was over, unless it is
    * known that the job was not over when the records were read.
    */
-  ObjectNode byOther(Report report) {
+  ObjectNode renewAsFollower(Report report) {
     if (!cancellations.mayRenew()) {
       return null;
     }
@@ -100,44 +100,46 @@
       if (task.status() == Report.Status.EXITED) {
         continue;
       }
-      if (cancellations.knows(task.ref())) {
-        add(halts, task.key(), task.attempt());
-      } else if (!ledger.live(task.ref()) && !notOverWhenRead.test(task.ref())) {
-        LOG.debug("no lease for {}: {} is on no record here", report.host(), task.ref());
+      if (cancellations.knows(task.jobRef())) {
+        addHalt(halts, task.key(), task.attempt());
+      } else if (!ledger.live(task.jobRef()) && !wasLiveWhenRead.test(task.jobRef())) {
+        LOG.debug("no lease for {}: {} is on no record here", report.host(), task.jobRef());
         return null;
       }
     }
     for (KnownCancellations.CancelledTask task :
         cancellations.on(report.host(), report.session())) {
-      add(halts, task.place().key(task.ref()), task.place().number());
+      addHalt(halts, task.place().key(task.ref()), task.place().number());
     }
-    long token = raisedFor(report);
-    return token < 0 ? null : answer(token, halts);
+    long token = tokenFor(report);
+    return token < 0 ? null : buildAnswer(token, halts);
   }
 
   /**
    * The worker's own token, or one raised above any that a launch on its way can carry, once after
    * each cancellation: when no such launch can be sent any more, and not before.
    */
-  private long raisedFor(Report report) {
-    Raised last = raised.get(report.host());
+  private long tokenFor(Report report) {
+    RaisedToken last = raisedTokensByHost.get(report.host());
     long needed = cancellations.newestAt() + cancellations.launchMs();
-    boolean shown = last != null && last.at() > needed && report.token() >= last.token();
+    boolean shown = last != null && last.raisedAt() > needed && report.token() >= last.token();
     if (shown || clock.now() - cancellations.newestAt() > cancellations.keptMs()) {
       return report.token();
     }
     long token = FencingToken.raisedByOther(report.token());
-    raised.remove(report.host());
-    raised.put(report.host(), new Raised(token, clock.now()));
+    raisedTokensByHost.remove(report.host());
+    raisedTokensByHost.put(report.host(), new RaisedToken(token, clock.now()));
     return token;
   }
 
-  private static void add(Map<String, WorkerCommand> halts, String key, long number) {
+  private static void addHalt(Map<String, WorkerCommand> halts, String key, long number) {
     WorkerCommand.Halt halt = new WorkerCommand.Halt(key, number, 0);
     halts.put(halt.id(), halt);
   }
 
-  private static ObjectNode answer(long token, Map<String, WorkerCommand> halts) {
-    return halts.size() > MOST_HALTS ? null : WorkerCommand.message(token, halts.values());
+  private static ObjectNode buildAnswer(long token, Map<String, WorkerCommand> halts) {
+    return halts.size() > MAX_HALTS_PER_ANSWER
+        ? null
+        : WorkerCommand.message(token, halts.values());
   }
 }
--- a/src/main/java/dapplestair/workers/LivenessTracker.java
+++ b/src/main/java/dapplestair/workers/LivenessTracker.java
@@ -13,74 +13,74 @@
 /** Who was heard when, and whether silence means anything. */
 final class LivenessTracker {
   // Reports are up to a quarter late; two calls without an answer come on top.
-  private static final double OVERDUE = 1.35;
-  private static final double SILENT = 1.9;
+  private static final double OVERDUE_AFTER_REPORTS = 1.35;
+  private static final double SILENT_AFTER_REPORTS = 1.9;
 
   // After this share of a lease without a report, what starts on a machine has too little left.
-  private static final double MUTE = 0.5;
+  private static final double NOT_REPORTING_LEASE_SHARE = 0.5;
 
   // Clocks drift by less than this.
-  private static final double DRIFT = 1.01;
+  private static final double MAX_CLOCK_DRIFT_FACTOR = 1.01;
 
   private final Clock clock;
   private final HostRegistry hostRegistry;
   private final long reportMs;
   private final long leaseMs;
-  private final ZoneContactTracker zones;
-  private final Multiset<String> perZone = HashMultiset.create();
+  private final ZoneContactTracker zoneContacts;
+  private final Multiset<String> upHostsPerZone = HashMultiset.create();
   private final LivenessReports livenessReports = new LivenessReports();
 
   // When a worker of each zone last reported by itself.
-  private final Map<String, Long> zoneReportedAt = new HashMap<>();
+  private final Map<String, Long> lastReportedAtByZone = new HashMap<>();
 
   // Zones of which no machine is heard, and when one last was.
-  private final Map<String, Long> silentZones = new HashMap<>();
-  private long accountNumber;
+  private final Map<String, Long> lastHeardAtBySilentZone = new HashMap<>();
+  private long reportNumber;
   private long leadingSince;
-  private long turnDue;
-  private long judgeAgainAt;
+  private long nextTurnAt;
+  private long silenceConclusiveAt;
 
   LivenessTracker(Clock clock, Settings settings, HostRegistry hostRegistry) {
     this.clock = clock;
     this.hostRegistry = hostRegistry;
     this.reportMs = settings.workers().reportMs();
     this.leaseMs = settings.workers().leaseMs();
-    this.zones = new ZoneContactTracker(Math.round(OVERDUE * reportMs));
+    this.zoneContacts = new ZoneContactTracker(Math.round(OVERDUE_AFTER_REPORTS * reportMs));
   }
 
-  void lead() {
+  void startLeading() {
     leadingSince = clock.now();
-    turnDue = leadingSince;
-    judgeAgainAt = leadingSince + reportMs;
+    nextTurnAt = leadingSince;
+    silenceConclusiveAt = leadingSince + reportMs;
   }
 
   void clear() {
-    zones.clear();
-    perZone.clear();
-    silentZones.clear();
-    zoneReportedAt.clear();
+    zoneContacts.clear();
+    upHostsPerZone.clear();
+    lastHeardAtBySilentZone.clear();
+    lastReportedAtByZone.clear();
   }
 
   /** A turn begins; the next one is due {@code everyMs} later. */
-  void turn(long everyMs) {
+  void beginTurn(long everyMs) {
     long now = clock.now();
-    if (now - turnDue > reportMs / 6) {
+    if (now - nextTurnAt > reportMs / 6) {
       // This process itself was held up: answers wait unread, so silence proves nothing for now.
-      judgeAgainAt = now + 2 * reportMs;
+      silenceConclusiveAt = now + 2 * reportMs;
     }
-    turnDue = now + everyMs;
-    perZone.clear();
+    nextTurnAt = now + everyMs;
+    upHostsPerZone.clear();
     for (Host host : hostRegistry.all()) {
-      if (host.up()) {
-        perZone.add(host.zone());
+      if (host.isUp()) {
+        upHostsPerZone.add(host.zone());
       }
     }
     findSilentZones(now);
   }
 
-  private static final class Heard {
-    int machines;
-    long last = Long.MIN_VALUE / 2;
+  private static final class ZoneObservation {
+    int hostCount;
+    long lastHeardAt = Long.MIN_VALUE / 2;
   }
 
   /**
@@ -91,43 +91,45 @@
    * already.
    */
   private void findSilentZones(long now) {
-    Map<String, Heard> heard = new HashMap<>();
+    Map<String, ZoneObservation> heard = new HashMap<>();
     for (Host host : hostRegistry.all()) {
-      if (host.expectedUp() && host.zone() != null && !ghost(host)) {
-        Heard z = heard.computeIfAbsent(host.zone(), k -> new Heard());
-        z.machines++;
-        z.last = Math.max(z.last, signOfZone(host));
+      if (host.expectedUp() && host.zone() != null && !isPossiblyReturned(host)) {
+        ZoneObservation z = heard.computeIfAbsent(host.zone(), k -> new ZoneObservation());
+        z.hostCount++;
+        z.lastHeardAt = Math.max(z.lastHeardAt, zoneEvidenceAt(host));
       }
     }
     // A zone whose machines have all been given up stays silent until one is heard there: what is
     // rented there would not be. After a while it is tried again.
-    Map<String, Long> before = Map.copyOf(silentZones);
-    silentZones.clear();
+    Map<String, Long> before = Map.copyOf(lastHeardAtBySilentZone);
+    lastHeardAtBySilentZone.clear();
     before.forEach(
         (zone, last) -> {
-          boolean heardAgain = zones.lastHeard(zone) > last;
+          boolean heardAgain = zoneContacts.lastHeard(zone) > last;
           if (!heard.containsKey(zone) && !heardAgain && now - last < 3 * leaseMs) {
-            silentZones.put(zone, last);
+            lastHeardAtBySilentZone.put(zone, last);
           }
         });
     boolean anyHeard = false;
-    long newest = heard.values().stream().mapToLong(z -> z.last).max().orElse(now);
-    for (Map.Entry<String, Heard> entry : heard.entrySet()) {
-      Heard z = entry.getValue();
-      long last = Math.max(z.last, livenessReports.zoneHeardAt(entry.getKey()));
-      long gap = zones.gapMs(z.machines);
-      boolean noticedBefore = succeeded() && livenessReports.at() - last > gap;
+    long newest = heard.values().stream().mapToLong(z -> z.lastHeardAt).max().orElse(now);
+    for (Map.Entry<String, ZoneObservation> entry : heard.entrySet()) {
+      ZoneObservation z = entry.getValue();
+      long last = Math.max(z.lastHeardAt, livenessReports.zoneHeardAt(entry.getKey()));
+      long gap = zoneContacts.gapMs(z.hostCount);
+      boolean noticedBefore = hasPreviousLeaderReport() && livenessReports.at() - last > gap;
       if (now - last <= gap) {
         anyHeard = true;
-      } else if (z.machines > 1 && newest - last > gap && (now > judgeAgainAt || noticedBefore)) {
-        silentZones.put(entry.getKey(), last);
+      } else if (z.hostCount > 1
+          && newest - last > gap
+          && (now > silenceConclusiveAt || noticedBefore)) {
+        lastHeardAtBySilentZone.put(entry.getKey(), last);
       }
     }
     if (!anyHeard) {
-      silentZones.clear();
+      lastHeardAtBySilentZone.clear();
     }
     for (Host host : hostRegistry.all()) {
-      Long last = host.zone() == null ? null : silentZones.get(host.zone());
+      Long last = host.zone() == null ? null : lastHeardAtBySilentZone.get(host.zone());
       host.setZoneSilentMs(last == null ? 0 : now - last);
     }
   }
@@ -137,26 +139,31 @@
    * earlier leader. Nothing more is heard of it, which says nothing of its zone: counted, it made a
    * zone that was back look silent, in which nothing is rented for three leases.
    */
-  private boolean ghost(Host host) {
+  private boolean isPossiblyReturned(Host host) {
     return host.firstListedAt() == Long.MAX_VALUE
         && (host.rentedAt() == Long.MAX_VALUE
-            || succeeded() && livenessReports.saidGone(host.id()));
+            || hasPreviousLeaderReport() && livenessReports.saidGone(host.id()));
   }
 
   /** True when a machine is held in this zone, heard or not. */
-  boolean anyLeftIn(String zone) {
+  boolean hasMachinesIn(String zone) {
     return hostRegistry.all().stream()
-        .anyMatch(h -> zone.equals(h.zone()) && !h.releasing() && !ghost(h) && !saidGone(h));
+        .anyMatch(
+            h ->
+                zone.equals(h.zone())
+                    && !h.releasing()
+                    && !isPossiblyReturned(h)
+                    && !goneByPreviousLeader(h));
   }
 
   /** True when the leader before knew for certain that this machine is gone. */
-  boolean saidGone(Host host) {
-    return !host.up() && succeeded() && livenessReports.saidGone(host.id());
+  boolean goneByPreviousLeader(Host host) {
+    return !host.isUp() && hasPreviousLeaderReport() && livenessReports.saidGone(host.id());
   }
 
   /** How long nothing was heard of this zone; 0 when it is heard or nothing can be said. */
   long zoneSilentMs(String zone) {
-    Long last = silentZones.get(zone);
+    Long last = lastHeardAtBySilentZone.get(zone);
     return last == null ? 0 : clock.now() - last;
   }
 
@@ -164,98 +171,103 @@
    * True when this leader reached one of the zone's machines within the longest time between two
    * reports.
    */
-  boolean zoneHeardNow(String zone) {
-    return clock.now() - zones.lastHeard(zone) < Math.round(OVERDUE * reportMs);
+  boolean isZoneHeard(String zone) {
+    return clock.now() - zoneContacts.lastHeard(zone)
+        < Math.round(OVERDUE_AFTER_REPORTS * reportMs);
   }
 
   // ---- shared with the other controllers ----
 
   /** What another controller heard. */
-  void said(LivenessReport livenessReport) {
+  void receive(LivenessReport livenessReport) {
     livenessReports.said(livenessReport, clock.now());
   }
 
   /** What to tell the other controllers; of single machines only a leader that can judge tells. */
-  LivenessReport account(boolean leading, long term) {
+  LivenessReport createReport(boolean leading, long term) {
     long now = clock.now();
     Map<String, Long> zoneAges = new HashMap<>();
     Map<String, Long> late = new HashMap<>();
-    for (String zone : perZone.elementSet()) {
-      zoneAges.merge(zone, now - zones.lastHeard(zone), Math::min);
+    for (String zone : upHostsPerZone.elementSet()) {
+      zoneAges.merge(zone, now - zoneContacts.lastHeard(zone), Math::min);
     }
-    boolean sure = leading && now > judgeAgainAt;
+    boolean sure = leading && now > silenceConclusiveAt;
     if (sure) {
       for (Host host : hostRegistry.all()) {
-        if (host.expectedUp() && now - lastHeard(host) > OVERDUE * reportMs) {
-          late.put(host.id(), now - lastHeard(host));
+        if (host.expectedUp() && now - lastHeardAt(host) > OVERDUE_AFTER_REPORTS * reportMs) {
+          late.put(host.id(), now - lastHeardAt(host));
         }
       }
     }
-    Map<String, Long> gone = sure ? hostRegistry.goneWithin(leaseMs) : Map.of();
-    return new LivenessReport(sure ? term : 0, ++accountNumber, zoneAges, late, gone);
+    Map<String, Long> gone = sure ? hostRegistry.goneAgesMs(leaseMs) : Map.of();
+    return new LivenessReport(sure ? term : 0, ++reportNumber, zoneAges, late, gone);
   }
 
   /**
    * When this machine was last heard. Before its first report of this term that is, at the latest,
    * when an earlier leader heard it, or else when this one came to know of it.
    */
-  private long lastHeard(Host host) {
-    if (host.reached()) {
-      return mute(host) ? host.reportedAt : host.heardAt;
+  private long lastHeardAt(Host host) {
+    if (host.wasReached()) {
+      return isNotReporting(host) ? host.lastReportedAt : host.lastReachedAt;
     }
-    return succeeded()
+    return hasPreviousLeaderReport()
         ? Math.min(host.knownSince(), livenessReports.machineHeardAt(host.id()))
         : host.knownSince();
   }
 
   /** True when the leader before spoke until shortly before this one began. */
-  private boolean succeeded() {
+  private boolean hasPreviousLeaderReport() {
     return livenessReports.at() > leadingSince - 2 * reportMs;
   }
 
   /** A machine was reached: it reported by itself, or it answered a call. */
-  void reached(Host host, String zone, boolean reported) {
+  void recordContact(Host host, String zone, boolean reported) {
     long now = clock.now();
     if (reported) {
-      host.reportedAt = now;
-    } else if (!host.reached()) {
-      host.reportedAt = firstReportedAt(host);
+      host.lastReportedAt = now;
+    } else if (!host.wasReached()) {
+      host.lastReportedAt = initialReportedAt(host);
     }
-    host.heardAt = now;
-    heard(zone, reported);
+    host.lastReachedAt = now;
+    recordZoneContact(zone, reported);
   }
 
   /** A machine in this zone was heard just now. */
-  void heard(String zone, boolean reported) {
+  void recordZoneContact(String zone, boolean reported) {
     long now = clock.now();
     if (reported) {
-      zoneReportedAt.put(zone, now);
-    } else if (now - Math.max(leadingSince, zoneReportedAt.getOrDefault(zone, 0L)) > muteMs()) {
+      lastReportedAtByZone.put(zone, now);
+    } else if (now - Math.max(leadingSince, lastReportedAtByZone.getOrDefault(zone, 0L))
+        > notReportingAfterMs()) {
       // Nobody there reports: that its machines answer keeps none of their leases.
       return;
     }
-    zones.heard(zone, now, perZone.count(zone));
+    zoneContacts.heard(zone, now, upHostsPerZone.count(zone));
   }
 
   /**
    * What a machine's sign of life says of its zone. While nobody reports there, the first answer of
    * a new machine to a call says nothing: it would make a mute zone look heard (OutboundCutTest).
    */
-  private long signOfZone(Host host) {
-    Long reportedAt = zoneReportedAt.get(host.zone());
+  private long zoneEvidenceAt(Host host) {
+    Long reportedAt = lastReportedAtByZone.get(host.zone());
     boolean mute =
-        reportedAt != null && clock.now() - Math.max(leadingSince, reportedAt) > muteMs();
-    return mute ? Math.min(lastHeard(host), reportedAt) : lastHeard(host);
+        reportedAt != null
+            && clock.now() - Math.max(leadingSince, reportedAt) > notReportingAfterMs();
+    return mute ? Math.min(lastHeardAt(host), reportedAt) : lastHeardAt(host);
   }
 
-  private long muteMs() {
-    return Math.round(MUTE * leaseMs);
+  private long notReportingAfterMs() {
+    return Math.round(NOT_REPORTING_LEASE_SHARE * leaseMs);
   }
 
   /** What the leader before had noticed of a mute machine need not be noticed again. */
-  private long firstReportedAt(Host host) {
+  private long initialReportedAt(Host host) {
     long said = livenessReports.machineHeardAt(host.id());
-    return succeeded() && livenessReports.at() - said > muteMs() ? said : clock.now();
+    return hasPreviousLeaderReport() && livenessReports.at() - said > notReportingAfterMs()
+        ? said
+        : clock.now();
   }
 
   /**
@@ -263,78 +275,81 @@
    * so all that runs there ends with it: such a machine is no better than a silent one, though it
    * can be told to stop something, and its answers prove what they always did.
    */
-  boolean mute(Host host) {
+  boolean isNotReporting(Host host) {
     return host.failedCalls == 0
-        && host.heardAt > host.reportedAt
-        && clock.now() - host.reportedAt > muteMs();
+        && host.lastReachedAt > host.lastReportedAt
+        && clock.now() - host.lastReportedAt > notReportingAfterMs();
   }
 
   /** True when some worker has reported by itself lately. */
-  boolean anyReports() {
+  boolean hasRecentReports() {
     long now = clock.now();
-    return zoneReportedAt.values().stream().anyMatch(at -> now - at <= muteMs());
+    return lastReportedAtByZone.values().stream().anyMatch(at -> now - at <= notReportingAfterMs());
   }
 
   /** True when it has reported lately enough to be worth giving work to. */
-  boolean fresh(Host host) {
-    return clock.now() - host.heardAt < 2 * reportMs && host.failedCalls == 0 && !mute(host);
+  boolean isResponsive(Host host) {
+    return clock.now() - host.lastReachedAt < 2 * reportMs
+        && host.failedCalls == 0
+        && !isNotReporting(host);
   }
 
   /** True when its report is late, so that it should be asked. */
-  boolean overdue(Host host) {
-    return host.up() && clock.now() - host.heardAt > OVERDUE * reportMs;
+  boolean isOverdue(Host host) {
+    return host.isUp() && clock.now() - host.lastReachedAt > OVERDUE_AFTER_REPORTS * reportMs;
   }
 
   /**
    * True when this machine's zone has been heard without a break for long enough that this machine
    * should have been, too.
    */
-  boolean zoneHeard(Host silent) {
-    int machines = perZone.count(silent.zone());
-    return zones.heardForMs(silent.zone(), clock.now(), machines) > 1.5 * reportMs;
+  boolean zoneHeardContinuously(Host silent) {
+    int machines = upHostsPerZone.count(silent.zone());
+    return zoneContacts.heardForMs(silent.zone(), clock.now(), machines) > 1.5 * reportMs;
   }
 
   /** How long nothing was heard of it. */
   long silentMs(Host host) {
-    return clock.now() - lastHeard(host);
+    return clock.now() - lastHeardAt(host);
   }
 
   /**
    * True when it was asked several times and has been silent for a while, or is mute and its lease
    * has run out.
    */
-  boolean silent(Host host) {
+  boolean isSilent(Host host) {
     // What the leader before had missed already needs one call more, not a whole new judgement.
-    boolean missedBefore = missedBefore(host);
+    boolean missedBefore = missedByPreviousLeader(host);
     return host.expectedUp()
-        && silentMs(host) > SILENT * reportMs
-        && (host.failedCalls >= (missedBefore ? 1 : 2) || leaseRanOut(host))
-        && (missedBefore || clock.now() > judgeAgainAt);
+        && silentMs(host) > SILENT_AFTER_REPORTS * reportMs
+        && (host.failedCalls >= (missedBefore ? 1 : 2) || leaseExpired(host))
+        && (missedBefore || clock.now() > silenceConclusiveAt);
   }
 
-  private boolean leaseRanOut(Host host) {
-    return mute(host) && silentMs(host) > DRIFT * leaseMs;
+  private boolean leaseExpired(Host host) {
+    return isNotReporting(host) && silentMs(host) > MAX_CLOCK_DRIFT_FACTOR * leaseMs;
   }
 
-  private boolean missedBefore(Host host) {
-    return !host.reached()
-        && succeeded()
-        && livenessReports.at() - livenessReports.machineHeardAt(host.id()) > OVERDUE * reportMs;
+  private boolean missedByPreviousLeader(Host host) {
+    return !host.wasReached()
+        && hasPreviousLeaderReport()
+        && livenessReports.at() - livenessReports.machineHeardAt(host.id())
+            > OVERDUE_AFTER_REPORTS * reportMs;
   }
 
   /**
    * True when machines are there, and not one of them reported for longer than any report takes.
    * That they answer calls keeps no lease.
    */
-  boolean nobody() {
+  boolean noWorkerReports() {
     long now = clock.now();
     boolean any = false;
     for (Host host : hostRegistry.all()) {
-      if (now - host.reportedAt < SILENT * reportMs) {
+      if (now - host.lastReportedAt < SILENT_AFTER_REPORTS * reportMs) {
         return false;
       }
-      any |= host.up();
+      any |= host.isUp();
     }
-    return any && now > judgeAgainAt && now - leadingSince > 3 * reportMs;
+    return any && now > silenceConclusiveAt && now - leadingSince > 3 * reportMs;
   }
 }
--- a/src/main/java/dapplestair/workers/RecentRedirects.java
+++ b/src/main/java/dapplestair/workers/RecentRedirects.java
@@ -10,26 +10,27 @@
  * Neither says that anybody reaches its zone.
  */
 final class RecentRedirects {
-  private static final int MOST_KEPT = 4000;
+  private static final int MAX_WORKERS = 4000;
 
-  private record Last(long session, long tick, long at) {}
+  private record LastReport(long session, long tick, long redirectedAt) {}
 
   private final Clock clock;
-  private final long keptMs;
-  private final ExpiringLruMap<String, Last> workers;
+  private final long retentionMs;
+  private final ExpiringLruMap<String, LastReport> lastReports;
 
   RecentRedirects(Clock clock, long keptMs) {
     this.clock = clock;
-    this.keptMs = keptMs;
-    this.workers = new ExpiringLruMap<>(clock, keptMs, MOST_KEPT, Last::at);
+    this.retentionMs = keptMs;
+    this.lastReports = new ExpiringLruMap<>(clock, keptMs, MAX_WORKERS, LastReport::redirectedAt);
   }
 
   /** Notes a report that is not taken here; true when its worker was sent on within a lease. */
-  boolean again(Report report) {
+  boolean recordReport(Report report) {
     long now = clock.now();
-    Last last = workers.remove(report.host());
-    boolean newer = last == null || report.after(last.session(), last.tick());
-    workers.put(report.host(), newer ? new Last(report.session(), report.tick(), now) : last);
-    return last != null && (!newer || now - last.at() <= keptMs);
+    LastReport last = lastReports.remove(report.host());
+    boolean newer = last == null || report.isNewerThan(last.session(), last.tick());
+    lastReports.put(
+        report.host(), newer ? new LastReport(report.session(), report.tick(), now) : last);
+    return last != null && (!newer || now - last.redirectedAt() <= retentionMs);
   }
 }
--- a/src/main/java/dapplestair/workers/ReportApplier.java
+++ b/src/main/java/dapplestair/workers/ReportApplier.java
@@ -15,7 +15,7 @@
 /** Applies a report to what the leader knows of its machine, wherever the report came from. */
 final class ReportApplier {
   private static final Logger LOG = LoggerFactory.getLogger(ReportApplier.class);
-  private static final double LONGEST_RECALL_S = 1e6;
+  private static final double MAX_RECLAIM_S = 1e6;
 
   private final Clock clock;
   private final Leadership leadership;
@@ -24,10 +24,10 @@
   private final LivenessTracker liveness;
   private final CommandSender commandSender;
   private final WorkerManager.Listener listener;
-  private final BooleanSupplier leading;
-  private long unaccounted;
+  private final BooleanSupplier isLeading;
+  private long unaccountedTasks;
 
-  /** {@code leading} is true while this controller commands the workers. */
+  /** {@code isLeading} is true while this controller commands the workers. */
   ReportApplier(
       Clock clock,
       Leadership leadership,
@@ -44,7 +44,7 @@
     this.liveness = liveness;
     this.commandSender = commandSender;
     this.listener = listener;
-    this.leading = leading;
+    this.isLeading = leading;
   }
 
   /**
@@ -55,67 +55,67 @@
    */
   void apply(Host host, Report report, boolean answer) {
     leadership.termShown(FencingToken.term(report.token()));
-    if (!leading.getAsBoolean() || !leadership.leading()) {
+    if (!isLeading.getAsBoolean() || !leadership.leading()) {
       return;
     }
-    Fencing.shown(host, leadership.term(), report.token());
-    if (!report.after(host.session, host.tick) || host.gone()) {
+    Fencing.tokenShown(host, leadership.term(), report.token());
+    if (!report.isNewerThan(host.session, host.tick) || host.gone()) {
       return;
     }
-    boolean first = !host.up() || !host.acknowledged;
+    boolean first = !host.isUp() || !host.termAcknowledged;
     host.session = report.session();
     host.tick = report.tick();
     host.tokenSeen = report.token();
-    long challenge = Math.max(host.challenge, FencingToken.of(leadership.term(), 0));
+    long challenge = Math.max(host.reachabilityToken, FencingToken.of(leadership.term(), 0));
     boolean reached = answer || report.token() >= challenge;
     if (reached) {
-      liveness.reached(host, report.zone(), !answer);
+      liveness.recordContact(host, report.zone(), !answer);
     }
     host.describe(report.endpoint(), types.get(report.type()), report.zone(), report.spot());
-    if (!host.acknowledged && report.token() >= FencingToken.of(leadership.term(), 0)) {
-      host.acknowledged = true;
+    if (!host.termAcknowledged && report.token() >= FencingToken.of(leadership.term(), 0)) {
+      host.termAcknowledged = true;
     }
-    boolean recalledBefore = host.recalled();
-    if (reached || !host.recalled()) {
-      host.recallAt = recallAt(report);
+    boolean recalledBefore = host.hasReclaimNotice();
+    if (reached || !host.hasReclaimNotice()) {
+      host.reclaimAt = reclaimAt(report);
     }
     List<Report.Task> strays = ledger.report(host, report);
-    host.strays = 0;
-    if (host.acknowledged) {
-      strays.forEach(t -> stray(host, t));
+    host.strayTaskCount = 0;
+    if (host.termAcknowledged) {
+      strays.forEach(t -> stopStrayTask(host, t));
     }
-    if (host.failedCalls > 0 && !host.calling) {
+    if (host.failedCalls > 0 && !host.callInProgress) {
       // Heard again: it is used as soon as it answers, not when its turn to be asked comes.
-      host.callAgainAt = clock.now();
+      host.nextCallAt = clock.now();
       commandSender.probe(host);
     }
-    if (first || recalledBefore != host.recalled()) {
+    if (first || recalledBefore != host.hasReclaimNotice()) {
       listener.hostChanged(host);
     }
-    if (!host.acknowledged) {
+    if (!host.termAcknowledged) {
       commandSender.probe(host);
     }
   }
 
   /** How often a task was reported that no attempt accounts for, since this process began. */
-  long unaccounted() {
-    return unaccounted;
+  long unaccountedTasks() {
+    return unaccountedTasks;
   }
 
-  private long recallAt(Report report) {
-    return Double.isNaN(report.recallS())
+  private long reclaimAt(Report report) {
+    return Double.isNaN(report.reclaimInS())
         ? Long.MAX_VALUE
         : clock.now()
-            + Math.round(Math.min(LONGEST_RECALL_S, Math.max(0, report.recallS())) * 1000);
+            + Math.round(Math.min(MAX_RECLAIM_S, Math.max(0, report.reclaimInS())) * 1000);
   }
 
   /** A task that no attempt accounts for: it is stopped and taken out of the reports. */
-  private void stray(Host host, Report.Task task) {
+  private void stopStrayTask(Host host, Report.Task task) {
     if (task.status() == Report.Status.EXITED) {
       commandSender.queue(host.id(), new WorkerCommand.Clear(task.key(), task.attempt()));
     } else {
-      host.strays++;
-      unaccounted++;
+      host.strayTaskCount++;
+      unaccountedTasks++;
       LOG.warn("{} try {} on {} is unaccounted for", task.key(), task.attempt(), host.id());
       commandSender.queue(host.id(), new WorkerCommand.Halt(task.key(), task.attempt(), 0));
     }
--- a/src/main/java/dapplestair/workers/ReportHandler.java
+++ b/src/main/java/dapplestair/workers/ReportHandler.java
@@ -34,16 +34,16 @@
   private final Cancellations cancellations;
   private final HostRegistry hostRegistry;
   private final LivenessTracker liveness;
-  private final RecentRedirects redirects;
+  private final RecentRedirects recentRedirects;
   private final LeaseRenewal renewal;
   private final ReportApplier applier;
   private final Relay relay;
-  private final BooleanSupplier leading;
-  private Cancellable counting = () -> {};
-  private int beats;
-  private int beatsBefore;
+  private final BooleanSupplier isLeading;
+  private Cancellable rotationTimer = () -> {};
+  private int currentCount;
+  private int previousCount;
 
-  /** {@code leading} is true while this controller commands the workers. */
+  /** {@code isLeading} is true while this controller commands the workers. */
   ReportHandler(
       Clock clock,
       Timers timers,
@@ -66,21 +66,21 @@
     this.cancellations = cancellations;
     this.hostRegistry = hostRegistry;
     this.liveness = liveness;
-    this.redirects = new RecentRedirects(clock, settings.workers().leaseMs());
+    this.recentRedirects = new RecentRedirects(clock, settings.workers().leaseMs());
     this.renewal = renewal;
     this.applier = applier;
     this.relay = relay;
-    this.leading = leading;
+    this.isLeading = leading;
   }
 
   /** Begins to count what comes. */
   void start() {
-    relay.start(this::beat, () -> hostRegistry.all().size());
-    countBeats();
+    relay.start(this::handle, () -> hostRegistry.all().size());
+    rotateCounts();
   }
 
   /** Answers a worker's report. */
-  void beat(Exchange exchange) {
+  void handle(Exchange exchange) {
     JsonNode body = Json.parse(exchange.body());
     Report report = Report.parse(body);
     if (report == null) {
@@ -91,33 +91,33 @@
     // worker that has to drop a 200 stays here while its lease runs out.
     leadership.termShown(FencingToken.term(report.token()));
     cancellations.addressed(report.host(), report.endpoint());
-    beats++;
-    if (!leading.getAsBoolean() || !leadership.leading()) {
-      if (!relay.take(exchange, report, () -> redirect(exchange, report))) {
-        redirect(exchange, report);
+    currentCount++;
+    if (!isLeading.getAsBoolean() || !leadership.leading()) {
+      if (!relay.take(exchange, report, () -> redirectOrRenew(exchange, report))) {
+        redirectOrRenew(exchange, report);
       }
       return;
     }
     String elsewhere = relay.elsewhere(exchange, report);
     if (elsewhere != null) {
-      sendTo(exchange, elsewhere);
+      redirectTo(exchange, elsewhere);
       return;
     }
     if (hostRegistry.isGone(report.host())) {
-      if (hostRegistry.sentSince(report)) {
-        liveness.heard(report.zone(), true);
+      if (hostRegistry.noteNewerReport(report)) {
+        liveness.recordZoneContact(report.zone(), true);
       }
-      keep(exchange, null);
+      replyWithLease(exchange, null);
       return;
     }
-    Host host = hostRegistry.host(report.host());
-    host.relay = RelayedReport.relayOf(exchange);
+    Host host = hostRegistry.getOrCreate(report.host());
+    host.relayController = RelayedReport.relayOf(exchange);
     applier.apply(host, report, false);
-    keep(exchange, leading.getAsBoolean() ? renewal.byLeader(host, report) : null);
+    replyWithLease(exchange, isLeading.getAsBoolean() ? renewal.renewAsLeader(host, report) : null);
   }
 
   /** Keeps the worker's lease, or sends it on to somebody who may. */
-  private static void keep(Exchange exchange, ObjectNode answer) {
+  private static void replyWithLease(Exchange exchange, ObjectNode answer) {
     if (answer == null) {
       exchange.reply(503, Json.bytes(Json.object()), 1);
     } else {
@@ -132,8 +132,8 @@
    * end of a lease for a proof of absence, so this starts no task twice. A cancelled task must not
    * live by it: {@link LeaseRenewal} sees to that.
    */
-  private void redirect(Exchange exchange, Report report) {
-    boolean again = redirects.again(report);
+  private void redirectOrRenew(Exchange exchange, Report report) {
+    boolean again = recentRedirects.recordReport(report);
     String leader = leadership.leader();
     boolean known = leader != null && !leader.equals(settings.member());
     // One that comes back from a living leader was not taken there. In an outage of all the reason
@@ -144,18 +144,18 @@
       // Somebody leads whom we cannot ask, and reaches this worker: it had better report there.
       // Where reports are relayed, a relay that is cut off cannot tell whether somebody does.
       // One that comes back was not taken; it is kept as below.
-      keep(exchange, null);
+      replyWithLease(exchange, null);
       return;
     }
     if (alone && FencingToken.term(report.token()) >= leadership.termSeen()) {
-      keep(exchange, renewal.byOther(report));
+      replyWithLease(exchange, renewal.renewAsFollower(report));
       return;
     }
-    sendTo(exchange, known ? leader : null);
+    redirectTo(exchange, known ? leader : null);
   }
 
   /** Sends a worker on to another controller, or to any if {@code member} is null. */
-  private static void sendTo(Exchange exchange, String member) {
+  private static void redirectTo(Exchange exchange, String member) {
     ObjectNode answer = Json.object();
     if (member != null) {
       answer.put("steward", member);
@@ -164,18 +164,18 @@
   }
 
   /** Reports that came to this controller lately, whoever leads. */
-  int lately() {
-    return beats + beatsBefore;
+  int recentCount() {
+    return currentCount + previousCount;
   }
 
-  private void countBeats() {
-    beatsBefore = beats;
-    beats = 0;
-    counting = timers.after(settings.workers().reportMs() / 2, this::countBeats);
+  private void rotateCounts() {
+    previousCount = currentCount;
+    currentCount = 0;
+    rotationTimer = timers.after(settings.workers().reportMs() / 2, this::rotateCounts);
   }
 
   @Override
   public void close() {
-    counting.cancel();
+    rotationTimer.cancel();
   }
 }
--- a/src/main/java/dapplestair/workers/WorkerManager.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -32,7 +32,7 @@
   }
 
   /** What peers tell each other about whom they heard; older ones do not know the topic. */
-  private static final String HEARD = "heard";
+  private static final String LIVENESS_TOPIC = "heard";
 
   private final Clock clock;
   private final Timers timers;
@@ -44,10 +44,10 @@
   private final LivenessTracker liveness;
   private final CommandSender commandSender;
   private final ReportApplier applier;
-  private final ReportHandler reports;
+  private final ReportHandler reportHandler;
   private final Peers peers;
-  private Cancellable timer = () -> {};
-  private Cancellable sharing = () -> {};
+  private Cancellable tickTimer = () -> {};
+  private Cancellable sharingTimer = () -> {};
   private boolean leading;
 
   /**
@@ -78,11 +78,18 @@
     this.liveness = new LivenessTracker(clock, settings, hostRegistry);
     this.commandSender =
         new CommandSender(
-            clock, timers, relay, settings, leadership, cancellations, hostRegistry, new Answers());
+            clock,
+            timers,
+            relay,
+            settings,
+            leadership,
+            cancellations,
+            hostRegistry,
+            new CallReplyListener());
     this.applier =
         new ReportApplier(
             clock, leadership, types, ledger, liveness, commandSender, listener, this::isLeading);
-    this.reports =
+    this.reportHandler =
         new ReportHandler(
             clock,
             timers,
@@ -101,25 +108,25 @@
 
   /** Begins to count what comes, and to share what is heard. */
   public void start() {
-    peers.questions().answer(HEARD, (body, reply) -> heardByOthers(body));
-    reports.start();
-    share();
+    peers.questions().answer(LIVENESS_TOPIC, (body, reply) -> receiveLivenessReport(body));
+    reportHandler.start();
+    shareLiveness();
   }
 
-  private void heardByOthers(byte[] body) {
+  private void receiveLivenessReport(byte[] body) {
     LivenessReport livenessReport = LivenessReport.decode(body);
     if (livenessReport != null) {
-      liveness.said(livenessReport);
+      liveness.receive(livenessReport);
     }
   }
 
-  private void share() {
+  private void shareLiveness() {
     LivenessReport livenessReport =
-        liveness.account(leading && leadership.leading(), leadership.term());
+        liveness.createReport(leading && leadership.leading(), leadership.term());
     if (livenessReport.term() > 0 || !livenessReport.zones().isEmpty()) {
-      peers.state(HEARD, livenessReport.encode());
+      peers.state(LIVENESS_TOPIC, livenessReport.encode());
     }
-    sharing = timers.after(reportMs / 8, this::share);
+    sharingTimer = timers.after(reportMs / 8, this::shareLiveness);
   }
 
   // ---- machines ----
@@ -130,13 +137,13 @@
   }
 
   /** A machine by name, made known if it was not. */
-  public Host host(String id) {
-    return hostRegistry.host(id);
+  public Host getOrCreateHost(String id) {
+    return hostRegistry.getOrCreate(id);
   }
 
   /** A machine by name, or null. */
-  public Host known(String id) {
-    return hostRegistry.known(id);
+  public Host findHost(String id) {
+    return hostRegistry.find(id);
   }
 
   /** True when this machine was proved to be gone. */
@@ -145,7 +152,7 @@
   }
 
   /** The machine is proved to be gone, with everything on it. */
-  public void gone(Host host) {
+  public void markGone(Host host) {
     if (host.gone()) {
       return;
     }
@@ -156,24 +163,24 @@
   }
 
   /** True when it has reported lately enough to be worth giving work to. */
-  public boolean fresh(Host host) {
-    return liveness.fresh(host);
+  public boolean isResponsive(Host host) {
+    return liveness.isResponsive(host);
   }
 
   /**
    * True when this machine's zone has been heard without a break for long enough that this machine
    * should have been, too.
    */
-  public boolean zoneHeard(Host silent) {
-    return liveness.zoneHeard(silent);
+  public boolean zoneHeardContinuously(Host silent) {
+    return liveness.zoneHeardContinuously(silent);
   }
 
   /**
    * True when the leader before had a proof that this machine is gone, which it could not put on
    * record. That is hearsay here; returning the machine once more proves it again.
    */
-  public boolean saidGone(Host host) {
-    return liveness.saidGone(host);
+  public boolean goneByPreviousLeader(Host host) {
+    return liveness.goneByPreviousLeader(host);
   }
 
   /** How long nothing was heard of any machine in this zone while others were; 0 if any was. */
@@ -182,18 +189,18 @@
   }
 
   /** True when a machine is held in this zone, heard or not. */
-  public boolean anyLeftIn(String zone) {
-    return liveness.anyLeftIn(zone);
+  public boolean hasMachinesIn(String zone) {
+    return liveness.hasMachinesIn(zone);
   }
 
   /** True when this leader reached one of the zone's machines lately. */
-  public boolean zoneHeardNow(String zone) {
-    return liveness.zoneHeardNow(zone);
+  public boolean isZoneHeard(String zone) {
+    return liveness.isZoneHeard(zone);
   }
 
   /** True when some worker has reported by itself lately. */
-  public boolean anyReports() {
-    return liveness.anyReports();
+  public boolean hasRecentReports() {
+    return liveness.hasRecentReports();
   }
 
   /** How long nothing was heard of it. */
@@ -204,27 +211,27 @@
   // ---- leading ----
 
   /** Begins to command: every known machine is shown the new token at once. */
-  public void lead() {
+  public void startLeading() {
     leading = true;
-    commandSender.lead();
+    commandSender.startLeading();
     for (Host host : hostRegistry.all()) {
-      reach(host);
+      probe(host);
     }
-    liveness.lead();
+    liveness.startLeading();
     tick();
   }
 
   /** Gives all up. */
   public void clear() {
     leading = false;
-    timer.cancel();
-    commandSender.clear();
+    tickTimer.cancel();
+    commandSender.stopLeading();
     hostRegistry.clear();
     liveness.clear();
   }
 
   /** Shows the token to a machine, and learns what is on it. */
-  public void reach(Host host) {
+  public void probe(Host host) {
     if (host.endpoint != null && !host.gone()) {
       commandSender.probe(host);
     }
@@ -232,25 +239,25 @@
 
   private void tick() {
     long now = clock.now();
-    liveness.turn(reportMs / 8);
+    liveness.beginTurn(reportMs / 8);
     for (Host host : List.copyOf(hostRegistry.all())) {
-      host.setOutOfReach(liveness.silent(host));
-      host.setMute(liveness.mute(host));
+      host.setUnreachable(liveness.isSilent(host));
+      host.setNotReporting(liveness.isNotReporting(host));
       repeatHalts(host, now);
       // A machine that misses its report is asked at once.
-      boolean unknown = !host.acknowledged && host.endpoint != null;
-      if (liveness.overdue(host) || (unknown && host.expectedUp())) {
+      boolean unknown = !host.termAcknowledged && host.endpoint != null;
+      if (liveness.isOverdue(host) || (unknown && host.expectedUp())) {
         commandSender.probe(host);
       } else {
-        commandSender.send(host);
+        commandSender.sendQueued(host);
       }
     }
-    if (liveness.nobody() && peers.othersHear()) {
+    if (liveness.noWorkerReports() && peers.othersHear()) {
       // Cut off from the workers alone: their leases would run out while this controller leads.
       leadership.resign("the workers are heard by others only");
       return;
     }
-    timer = timers.after(reportMs / 8, this::tick);
+    tickTimer = timers.after(reportMs / 8, this::tick);
   }
 
   private void repeatHalts(Host host, long now) {
@@ -283,18 +290,18 @@
   // ---- reports ----
 
   /** Answers a worker's report. */
-  public void beat(Exchange exchange) {
-    reports.beat(exchange);
+  public void handleReport(Exchange exchange) {
+    reportHandler.handle(exchange);
   }
 
   /** How often a task was reported that no attempt accounts for, since this process began. */
   public long unaccountedTasks() {
-    return applier.unaccounted();
+    return applier.unaccountedTasks();
   }
 
   /** Reports that came to this controller lately, whoever leads. */
-  public int beatsLately() {
-    return reports.lately();
+  public int recentReportCount() {
+    return reportHandler.recentCount();
   }
 
   private boolean isLeading() {
@@ -302,22 +309,22 @@
   }
 
   /** What machines answer to orders is worth as much as what they report by themselves. */
-  private final class Answers implements CommandSender.Listener {
+  private final class CallReplyListener implements CommandSender.Listener {
     @Override
-    public void report(Host host, Report report) {
+    public void reportReceived(Host host, Report report) {
       applier.apply(host, report, true);
     }
 
     @Override
-    public void unanswered(Host host) {
+    public void becameUnresponsive(Host host) {
       listener.hostChanged(host);
     }
   }
 
   @Override
   public void close() {
-    reports.close();
-    sharing.cancel();
-    timer.cancel();
+    reportHandler.close();
+    sharingTimer.cancel();
+    tickTimer.cancel();
   }
 }
--- a/src/main/java/dapplestair/zones/Zones.java
+++ b/src/main/java/dapplestair/zones/Zones.java
@@ -184,8 +184,8 @@
    */
   private void returnIfHeard(String zone, ZoneStatus status, long silentMs) {
     long now = clock.now();
-    boolean heard = silentMs == 0 && workers.zoneHeardNow(zone);
-    boolean none = !workers.anyLeftIn(zone);
+    boolean heard = silentMs == 0 && workers.isZoneHeard(zone);
+    boolean none = !workers.hasMachinesIn(zone);
     if (none) {
       probes.emptied(zone, status);
     } else if (heard) {
--- a/src/test/java/dapplestair/model/Cluster.java
+++ b/src/test/java/dapplestair/model/Cluster.java
@@ -97,7 +97,7 @@
       return true;
     }
     for (Leader l : leaders) {
-      if (l.leading && r.after(l.machines[machine].session, l.machines[machine].tick)) {
+      if (l.leading && r.isNewerThan(l.machines[machine].session, l.machines[machine].tick)) {
         return true;
       }
     }
--- a/src/test/java/dapplestair/model/Leader.java
+++ b/src/test/java/dapplestair/model/Leader.java
@@ -174,7 +174,7 @@
     List<Attempt> launches = new ArrayList<>();
     for (WorkerCommand command : m.outbox.values()) {
       if (command instanceof WorkerCommand.Launch) {
-        if (!FencingRules.due(m.session, isOn(machine) ? attempt : null, command)) {
+        if (!FencingRules.isDue(m.session, isOn(machine) ? attempt : null, command)) {
           continue;
         }
         launches.add(attempt);
@@ -185,7 +185,7 @@
     if (orders.isEmpty()) {
       return null;
     }
-    m.fence = FencingRules.sending(m.fence, orders, launches);
+    m.fence = FencingRules.beforeSend(m.fence, orders, launches);
     Message message = new Message(token(machine), m.session, orders);
     m.call = new Call(message, false, null);
     return message;
@@ -206,7 +206,7 @@
     Machine m = machines[machine];
     Call call = m.call;
     m.call = null;
-    FencingRules.answered(launched(call.message()));
+    FencingRules.callAnswered(launched(call.message()));
     List<Long> ended = apply(machine, call.response());
     if (leading && !call.executed()) {
       requeueHalts(m, call.message());
@@ -219,7 +219,7 @@
     Machine m = machines[machine];
     Call call = m.call;
     m.call = null;
-    m.fence = FencingRules.unanswered(m.fence, term, launched(call.message()), sent);
+    m.fence = FencingRules.callUnanswered(m.fence, term, launched(call.message()), sent);
     if (sent) {
       requeueHalts(m, call.message());
     } else {
@@ -244,8 +244,8 @@
       return List.of();
     }
     Machine m = machines[machine];
-    m.fence = FencingRules.shown(m.fence, term, r.token());
-    if (!r.after(m.session, m.tick)) {
+    m.fence = FencingRules.tokenShown(m.fence, term, r.token());
+    if (!r.isNewerThan(m.session, m.tick)) {
       return List.of();
     }
     m.session = r.session();
--- a/src/test/java/dapplestair/workers/CancellationCosts.java
+++ b/src/test/java/dapplestair/workers/CancellationCosts.java
@@ -357,14 +357,14 @@
     for (int m = 0; m < reports.size(); m++) {
       Report r = Report.parse(Json.parse(reports.get(m)));
       read.add(r);
-      if (Json.bytes(leader.renewal.byLeader(hosts.get(m), r)).length == 0) {
+      if (Json.bytes(leader.renewal.renewAsLeader(hosts.get(m), r)).length == 0) {
         throw new IllegalStateException("no lease is kept");
       }
     }
     long cpuBetween = THREADS.getCurrentThreadCpuTime();
     long bytesAfter = THREADS.getCurrentThreadAllocatedBytes();
     for (int m = 0; m < read.size(); m++) {
-      leader.renewal.byLeader(hosts.get(m), read.get(m));
+      leader.renewal.renewAsLeader(hosts.get(m), read.get(m));
     }
     if (counts) {
       double perReport = reports.size();
--- a/src/test/java/dapplestair/workers/FencingRules.java
+++ b/src/test/java/dapplestair/workers/FencingRules.java
@@ -17,37 +17,37 @@
   }
 
   /** True when the launch is still due for the attempt, which may be null. */
-  public static boolean due(long session, Attempt attempt, WorkerCommand launch) {
+  public static boolean isDue(long session, Attempt attempt, WorkerCommand launch) {
     Host host = host(0, session);
     if (attempt != null) {
       host.hold(attempt);
     }
-    return Fencing.due(host, launch) != null;
+    return Fencing.findDueAttempt(host, launch) != null;
   }
 
   /** The fence after a message with these orders was made up. */
-  public static long sending(long fence, List<WorkerCommand> orders, List<Attempt> launches) {
+  public static long beforeSend(long fence, List<WorkerCommand> orders, List<Attempt> launches) {
     Host host = host(fence, 0);
-    Fencing.sending(host, orders, launches);
+    Fencing.beforeSend(host, orders, launches);
     return host.fence;
   }
 
   /** A message with these launches was answered. */
-  public static void answered(List<Attempt> launches) {
-    Fencing.answered(launches);
+  public static void callAnswered(List<Attempt> launches) {
+    Fencing.callAnswered(launches);
   }
 
   /** The fence after a message got no answer. */
-  public static long unanswered(long fence, long term, List<Attempt> launches, boolean sent) {
+  public static long callUnanswered(long fence, long term, List<Attempt> launches, boolean sent) {
     Host host = host(fence, 0);
-    Fencing.unanswered(host, term, launches, sent);
+    Fencing.callUnanswered(host, term, launches, sent);
     return host.fence;
   }
 
   /** The fence after a worker has shown this token. */
-  public static long shown(long fence, long term, long token) {
+  public static long tokenShown(long fence, long term, long token) {
     Host host = host(fence, 0);
-    Fencing.shown(host, term, token);
+    Fencing.tokenShown(host, term, token);
     return host.fence;
   }
 }
--- a/src/test/java/dapplestair/workers/FencingTest.java
+++ b/src/test/java/dapplestair/workers/FencingTest.java
@@ -25,13 +25,13 @@
       long token = FencingToken.of(TERM, shown);
       long raised = FencingToken.raisedByOther(token);
       long fence = shown;
-      while (Fencing.launchesMayLeave(host(token, fence), TERM)) {
+      while (Fencing.maySendLaunches(host(token, fence), TERM)) {
         fence += 1 + FencingToken.MOST_AHEAD / 16;
         assertTrue(FencingToken.of(TERM, fence) < raised, "shown " + shown + ", fence " + fence);
       }
       long last = shown + FencingToken.MOST_AHEAD - 1;
-      assertTrue(Fencing.launchesMayLeave(host(token, last), TERM), "shown " + shown);
-      assertFalse(Fencing.launchesMayLeave(host(token, last + 1), TERM), "shown " + shown);
+      assertTrue(Fencing.maySendLaunches(host(token, last), TERM), "shown " + shown);
+      assertFalse(Fencing.maySendLaunches(host(token, last + 1), TERM), "shown " + shown);
     }
   }
 
@@ -39,7 +39,7 @@
   @Test
   void aTokenOfAnotherTermCountsAsNone() {
     long earlier = FencingToken.of(TERM - 1, MOST_SHOWN);
-    assertTrue(Fencing.launchesMayLeave(host(earlier, 0), TERM));
-    assertFalse(Fencing.launchesMayLeave(host(earlier, FencingToken.MOST_AHEAD), TERM));
+    assertTrue(Fencing.maySendLaunches(host(earlier, 0), TERM));
+    assertFalse(Fencing.maySendLaunches(host(earlier, FencingToken.MOST_AHEAD), TERM));
   }
 }
