--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -227,7 +227,7 @@
                 if (!zone.equals(host.zone())) {
                   continue;
                 }
-                boolean lost = host.unreachable() || host.zoneSilentMs() > 0;
+                boolean lost = host.isUnreachable() || host.zoneSilentMs() > 0;
                 there++;
                 unheard += lost ? 1 : 0;
                 for (Attempt attempt : host.attempts()) {
--- a/src/main/java/dapplestair/admin/JobViews.java
+++ b/src/main/java/dapplestair/admin/JobViews.java
@@ -135,8 +135,8 @@
         case "ref" -> job.ref();
         case "class" -> job.jobClass();
         case "team" -> job.team();
-        case "shape" -> job.shape().wire();
-        case "rank" -> job.rank().wire();
+        case "shape" -> job.shape().wireName();
+        case "rank" -> job.rank().wireName();
         case "status" -> status;
         case "tasks" -> (double) job.taskCount();
         case "done" -> (double) done;
@@ -158,8 +158,8 @@
       out.writeStringField("status", status);
       out.writeStringField("class", job.jobClass());
       out.writeStringField("team", job.team());
-      out.writeStringField("shape", job.shape().wire());
-      out.writeStringField("rank", job.rank().wire());
+      out.writeStringField("shape", job.shape().wireName());
+      out.writeStringField("rank", job.rank().wireName());
       out.writeNumberField("tasks", job.taskCount());
       out.writeNumberField("done", done);
       out.writeNumberField("running", running);
--- a/src/main/java/dapplestair/admin/MachineViews.java
+++ b/src/main/java/dapplestair/admin/MachineViews.java
@@ -54,28 +54,28 @@
 
   /** One word for what matters most about a machine. */
   String state(Host host) {
-    if (host.releasing()) {
+    if (host.isReleasing()) {
       return "returning";
     }
-    if (host.unreachable()) {
+    if (host.isUnreachable()) {
       return "silent";
     }
     if (!host.isUp()) {
       return "booting";
     }
-    if (host.drainedByOperator()) {
+    if (host.isDrainedByOperator()) {
       return host.idle() ? "drained" : "draining";
     }
-    if (host.draining()) {
+    if (host.isDraining()) {
       return "faulty";
     }
     if (host.hasReclaimNotice()) {
       return "notice";
     }
-    if (!host.termAcknowledged()) {
+    if (!host.hasAcknowledgedTerm()) {
       return "unheard";
     }
-    return host.cordoned() ? "cordoned" : "up";
+    return host.isCordoned() ? "cordoned" : "up";
   }
 
   /** One row of a listing. */
@@ -93,7 +93,7 @@
         case "tasks" -> (double) tasks();
         case "age" -> age();
         case "idle" -> idle();
-        case "drained" -> host.drainedByOperator();
+        case "drained" -> host.isDrainedByOperator();
         case "silent" -> silent();
         default -> null;
       };
@@ -128,7 +128,7 @@
       out.writeNumberField("tasks", tasks());
       out.writeNumberField("age", age());
       out.writeNumberField("idle", idle());
-      out.writeBooleanField("drained", host.drainedByOperator());
+      out.writeBooleanField("drained", host.isDrainedByOperator());
       out.writeNumberField("silent", silent());
       out.writeEndObject();
     }
--- a/src/main/java/dapplestair/blame/FaultAttribution.java
+++ b/src/main/java/dapplestair/blame/FaultAttribution.java
@@ -179,7 +179,7 @@
 
   private void judgeMachine(String id) {
     Host host = workers.findHost(id);
-    if (host != null && !host.draining() && FailureLogOdds.sure(records.machineOdds(id))) {
+    if (host != null && !host.isDraining() && FailureLogOdds.sure(records.machineOdds(id))) {
       LOG.info("{} fails what others complete: it is emptied", id);
       host.setDraining(true);
       // What a faulty machine explains is held against no job, and no step waits for it.
--- a/src/main/java/dapplestair/disruption/DisruptionGate.java
+++ b/src/main/java/dapplestair/disruption/DisruptionGate.java
@@ -124,11 +124,11 @@
   private boolean reached(Attempt attempt) {
     Host host = workers.findHost(attempt.host());
     return host != null
-        && host.termAcknowledged()
-        && !host.unreachable()
-        && !host.hanging()
-        && !host.releasing()
-        && !host.gone();
+        && host.hasAcknowledgedTerm()
+        && !host.isUnreachable()
+        && !host.isHanging()
+        && !host.isReleasing()
+        && !host.isGone();
   }
 
   /** Stops a task if its team's budget allows that now; null, or what stands against it. */
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -240,7 +240,7 @@
 
   /** Returns an idle machine; false when something holds room on it. */
   public boolean release(Host host) {
-    if (!host.idle() || host.releasing() || !healthMonitor.mayJudge()) {
+    if (!host.idle() || host.isReleasing() || !healthMonitor.mayJudge()) {
       return false;
     }
     releases.add(host);
@@ -347,9 +347,9 @@
     double next = -1;
     for (Host host : workers.hosts()) {
       if (!host.isUp()
-          && !host.gone()
-          && !host.releasing()
-          && !host.drainedByOperator()
+          && !host.isGone()
+          && !host.isReleasing()
+          && !host.isDrainedByOperator()
           && host.allowed(submission)) {
         booting++;
         double due = Math.max(0, host.type().bootS() - Math.max(0, now - host.rentedAt()) / 1000.0);
--- a/src/main/java/dapplestair/fleet/FleetCapacity.java
+++ b/src/main/java/dapplestair/fleet/FleetCapacity.java
@@ -28,10 +28,10 @@
 
   /** True when a machine is, or will be, of use in this slot. */
   boolean counts(Host host, MachineKind kind) {
-    return !host.gone()
-        && !host.releasing()
-        && !host.draining()
-        && !host.drainedByOperator()
+    return !host.isGone()
+        && !host.isReleasing()
+        && !host.isDraining()
+        && !host.isDrainedByOperator()
         && !host.hasReclaimNotice()
         && awaited(host)
         && host.type() != null
@@ -46,11 +46,11 @@
   private boolean awaited(Host host) {
     // What runs on a mute machine will be lost with its lease, so others are rented in time. If
     // nobody reports at all, new ones could not either.
-    if (host.notReporting() && workers.hasRecentReports()) {
+    if (host.isNotReporting() && workers.hasRecentReports()) {
       return false;
     }
-    if (host.zoneSilentMs() == 0 && !host.hanging()) {
-      return !host.unreachable();
+    if (host.zoneSilentMs() == 0 && !host.isHanging()) {
+      return !host.isUnreachable();
     }
     return host.serviceCpus() == 0 || workers.silentMs(host) < timeouts.prepareAfterMs();
   }
@@ -110,7 +110,7 @@
     up.sort(
         Comparator.comparing((Host h) -> spared.test(h.zone()))
             .thenComparingDouble(Host::serviceCpus)
-            .thenComparing(h -> !h.cordoned())
+            .thenComparing(h -> !h.isCordoned())
             .thenComparingDouble(Host::cpusUsed)
             .thenComparing(Host::id));
     for (int i = 0; i < up.size(); i++) {
@@ -125,7 +125,7 @@
     List<Host> out = new ArrayList<>();
     for (Host host : workers.hosts()) {
       // What a silent machine does is not known.
-      boolean idle = host.isUp() && host.idle() && host.zoneSilentMs() == 0 && !host.hanging();
+      boolean idle = host.isUp() && host.idle() && host.zoneSilentMs() == 0 && !host.isHanging();
       if (idle && counts(host, kind) && now - host.rentedAt() >= CHARGED_MS) {
         out.add(host);
       }
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -128,7 +128,7 @@
   }
 
   private void inspect(Host host, long now) {
-    if (host.releasing()) {
+    if (host.isReleasing()) {
       return;
     }
     if (unstoppable(host, now)) {
@@ -152,7 +152,7 @@
     if (workers.goneByPreviousLeader(host)) {
       LOG.info("{} was returned by the leader before: once more", host.id());
       releases.add(host);
-    } else if (host.unreachable() && givenUp(host)) {
+    } else if (host.isUnreachable() && givenUp(host)) {
       LOG.info("{} is silent: returning it", host.id());
       LOG.debug(
           "{} in {}: silent for {} ms, its zone for {} ms, hangs {}, mute {}, "
@@ -161,8 +161,8 @@
           host.zone(),
           workers.silentMs(host),
           host.zoneSilentMs(),
-          host.hanging(),
-          host.notReporting(),
+          host.isHanging(),
+          host.isNotReporting(),
           host.attempts().size(),
           host.serviceCpus());
       lost(host, "silent");
@@ -175,7 +175,7 @@
     } else if (neverListed(host, now)) {
       LOG.info("{} is recorded but not listed: returning it", host.id());
       releases.add(host);
-    } else if ((host.draining() || host.hasReclaimNotice())
+    } else if ((host.isDraining() || host.hasReclaimNotice())
         && host.idle()
         && host.attempts().isEmpty()) {
       spotHistory.noteTaken(host);
@@ -192,7 +192,8 @@
     boolean replicas = silent.serviceCpus() > 0;
     double bootS = types.bootS(silent.type());
     if (workers.zoneHeardContinuously(silent)) {
-      return !silent.hanging() || timeouts.hangsTooLong(workers.silentMs(silent), replicas, bootS);
+      return !silent.isHanging()
+          || timeouts.hangsTooLong(workers.silentMs(silent), replicas, bootS);
     }
     if (!anyFresh) {
       return false;
@@ -276,7 +277,7 @@
     // Behind a cut it may yet be proved otherwise, and a release would end all else there: half of
     // the time is left for the cloud's own troubles.
     long cancelMs = settings.workers().cancelMs();
-    long timeouts = cancelMs / (host.unreachable() ? 2 : 4);
+    long timeouts = cancelMs / (host.isUnreachable() ? 2 : 4);
     for (Attempt attempt : host.attempts()) {
       if (attempt.job().over() && attempt.halting() && !attempt.exited()) {
         long haltedMs = now - attempt.haltAt();
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -159,7 +159,7 @@
               if (job == null
                   || job.over()
                   || host == null
-                  || host.closed() && host.termAcknowledged()) {
+                  || host.closed() && host.hasAcknowledgedTerm()) {
                 return true;
               }
               if (o.recorded() && taken(o.claim(), job, host)) {
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -171,7 +171,7 @@
 
   private void hostChanged(Host host) {
     operations.drains.mark(host);
-    if (host.hasReclaimNotice() && !host.gone()) {
+    if (host.hasReclaimNotice() && !host.isGone()) {
       scheduling.reclaimNoticeHandler.leave(host);
     }
     scheduling.placer.nudge();
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -219,7 +219,7 @@
   }
 
   private static double drained(ControllerComponents components) {
-    return components.workers().hosts().stream().filter(h -> h.drainedByOperator()).count();
+    return components.workers().hosts().stream().filter(h -> h.isDrainedByOperator()).count();
   }
 
   private static double reachable(ControllerComponents components) {
--- a/src/main/java/dapplestair/placement/PlacementFilter.java
+++ b/src/main/java/dapplestair/placement/PlacementFilter.java
@@ -106,7 +106,7 @@
   }
 
   private static PlacementVerdict obstacle(Submission submission, Host host, boolean kept) {
-    if (host.type() == null || !host.isUp() || !host.termAcknowledged()) {
+    if (host.type() == null || !host.isUp() || !host.hasAcknowledgedTerm()) {
       boolean allowed =
           host.type() == null || host.allowed(submission) || !submission.spot() && host.spot();
       return allowed ? PlacementVerdict.NOT_UP : PlacementVerdict.NOT_ALLOWED;
@@ -118,13 +118,13 @@
     if (!host.allowed(submission)) {
       return PlacementVerdict.SPOT;
     }
-    if (host.releasing() || host.gone()) {
+    if (host.isReleasing() || host.isGone()) {
       return PlacementVerdict.RETURNING;
     }
-    if (host.drainedByOperator()) {
+    if (host.isDrainedByOperator()) {
       return PlacementVerdict.DRAINED;
     }
-    if (host.draining()) {
+    if (host.isDraining()) {
       return PlacementVerdict.FAULTY;
     }
     if (host.hasReclaimNotice()) {
@@ -133,7 +133,7 @@
     if (host.hasStrayTasks()) {
       return PlacementVerdict.STRAYS;
     }
-    if (host.cordoned()) {
+    if (host.isCordoned()) {
       return PlacementVerdict.CORDONED;
     }
     if (host.overfull() || !host.fits(submission)) {
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -214,7 +214,7 @@
 
   /** What is silent and waited for is expected back after as long again as it has been so. */
   private double backS(Host host) {
-    return host.zoneSilentMs() > 0 || host.hanging() ? workers.silentMs(host) / 1000.0 : 0;
+    return host.zoneSilentMs() > 0 || host.isHanging() ? workers.silentMs(host) / 1000.0 : 0;
   }
 
   /** When each lane of a machine is free, from now. */
--- a/src/main/java/dapplestair/replacement/ReplacementTargets.java
+++ b/src/main/java/dapplestair/replacement/ReplacementTargets.java
@@ -47,8 +47,8 @@
   List<Host> selected(MachineSelector selection) {
     List<Host> out = new ArrayList<>();
     for (Host host : workers.hosts()) {
-      if (!host.gone()
-          && !host.releasing()
+      if (!host.isGone()
+          && !host.isReleasing()
           && rentedWall(host) <= clock.wall()
           && covers(selection, host)) {
         out.add(host);
@@ -61,7 +61,7 @@
   List<Host> old(ReplacementOrder order) {
     List<Host> out = new ArrayList<>();
     for (Host host : workers.hosts()) {
-      if (!host.gone() && rentedWall(host) < order.atWall() && covers(order.selection(), host)) {
+      if (!host.isGone() && rentedWall(host) < order.atWall() && covers(order.selection(), host)) {
         out.add(host);
       }
     }
@@ -75,7 +75,7 @@
     MachineSelector selection = order.selection();
     List<Host> out = new ArrayList<>();
     for (Host host : workers.hosts()) {
-      if (!host.gone()
+      if (!host.isGone()
           && host.type() != null
           && rentedWall(host) >= Math.max(order.atWall(), since)
           && rentedWall(host) != Long.MAX_VALUE
@@ -92,7 +92,7 @@
     List<Host> out = new ArrayList<>();
     for (String id : batch) {
       Host host = workers.findHost(id);
-      if (host != null && !host.gone()) {
+      if (host != null && !host.isGone()) {
         out.add(host);
       }
     }
@@ -117,7 +117,10 @@
   Set<String> next(Collection<Host> old, Set<String> taken, Set<String> before, int most) {
     Map<String, List<Host>> zones = new TreeMap<>();
     for (Host h : old) {
-      if (!taken.contains(h.id()) && !h.releasing() && h.zoneSilentMs() == 0 && h.zone() != null) {
+      if (!taken.contains(h.id())
+          && !h.isReleasing()
+          && h.zoneSilentMs() == 0
+          && h.zone() != null) {
         zones.computeIfAbsent(h.zone(), z -> new ArrayList<>()).add(h);
       }
     }
--- a/src/main/java/dapplestair/replacement/StepHealthCheck.java
+++ b/src/main/java/dapplestair/replacement/StepHealthCheck.java
@@ -52,7 +52,8 @@
   String newMachines(ReplacementOrder order, long since) {
     List<Host> fresh = targets.fresh(order, since);
     long up = fresh.stream().filter(Host::isUp).count();
-    List<Host> failing = fresh.stream().filter(h -> h.draining() || h.failures() > ENOUGH).toList();
+    List<Host> failing =
+        fresh.stream().filter(h -> h.isDraining() || h.failures() > ENOUGH).toList();
     // One bad machine in many is chance, and is given up as ever.
     if (!failing.isEmpty() && failing.size() * 4L >= up) {
       return "new machines fail tasks: %d of %d, such as %s"
--- a/src/main/java/dapplestair/replacement/SurgeCapacity.java
+++ b/src/main/java/dapplestair/replacement/SurgeCapacity.java
@@ -101,7 +101,7 @@
       int up = 0;
       for (Host host : workers.hosts()) {
         up +=
-            fleet.counts(host, kind) && host.termAcknowledged() && workers.isResponsive(host)
+            fleet.counts(host, kind) && host.hasAcknowledgedTerm() && workers.isResponsive(host)
                 ? 1
                 : 0;
       }
--- a/src/main/java/dapplestair/weights/ImageLocations.java
+++ b/src/main/java/dapplestair/weights/ImageLocations.java
@@ -153,7 +153,7 @@
     Map<String, ImageHolders> out = new TreeMap<>();
     long at = clock.now();
     for (Host host : workers.hosts()) {
-      if (host.isUp() && !host.gone() && !host.releasing()) {
+      if (host.isUp() && !host.isGone() && !host.isReleasing()) {
         host.images()
             .ready(at)
             .forEach(
--- a/src/main/java/dapplestair/work/FrontCodedNames.java
+++ b/src/main/java/dapplestair/work/FrontCodedNames.java
@@ -11,14 +11,14 @@
 
   /** Writes the next name; they come in order. */
   public void write(Output out, String name) {
-    int shared = 0;
-    while (shared < name.length()
-        && shared < previous.length()
-        && name.charAt(shared) == previous.charAt(shared)) {
-      shared++;
+    int sharedLength = 0;
+    while (sharedLength < name.length()
+        && sharedLength < previous.length()
+        && name.charAt(sharedLength) == previous.charAt(sharedLength)) {
+      sharedLength++;
     }
-    out.writeVarInt(shared, true);
-    out.writeString(name.substring(shared));
+    out.writeVarInt(sharedLength, true);
+    out.writeString(name.substring(sharedLength));
     previous = name;
   }
 
--- a/src/main/java/dapplestair/work/JobShape.java
+++ b/src/main/java/dapplestair/work/JobShape.java
@@ -9,15 +9,15 @@
   /** Replicas that run until the job is cancelled. */
   SERVICE("daemon");
 
-  private final String wire;
+  private final String wireName;
 
-  JobShape(String wire) {
-    this.wire = wire;
+  JobShape(String wireName) {
+    this.wireName = wireName;
   }
 
-  static JobShape fromWire(String wire) {
+  static JobShape fromWire(String wireName) {
     for (JobShape shape : values()) {
-      if (shape.wire.equals(wire)) {
+      if (shape.wireName.equals(wireName)) {
         return shape;
       }
     }
@@ -25,7 +25,7 @@
   }
 
   /** The word on the wire. */
-  public String wire() {
-    return wire;
+  public String wireName() {
+    return wireName;
   }
 }
--- a/src/main/java/dapplestair/work/Rank.java
+++ b/src/main/java/dapplestair/work/Rank.java
@@ -12,9 +12,9 @@
   LOW;
 
   /** The rank of this word, or null. */
-  public static Rank fromWire(String wire) {
+  public static Rank fromWire(String wireName) {
     for (Rank rank : values()) {
-      if (rank.wire().equals(wire)) {
+      if (rank.wireName().equals(wireName)) {
         return rank;
       }
     }
@@ -22,7 +22,7 @@
   }
 
   /** The word on the wire. */
-  public String wire() {
+  public String wireName() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 
--- a/src/main/java/dapplestair/work/Report.java
+++ b/src/main/java/dapplestair/work/Report.java
@@ -65,8 +65,8 @@
       return null;
     }
     List<Task> tasks = new ArrayList<>();
-    for (JsonNode t : node.get("steps")) {
-      Task task = parseTask(t);
+    for (JsonNode taskNode : node.get("steps")) {
+      Task task = parseTask(taskNode);
       if (task == null) {
         return null;
       }
--- a/src/main/java/dapplestair/work/Submission.java
+++ b/src/main/java/dapplestair/work/Submission.java
@@ -92,29 +92,29 @@
     if (rank == null) {
       throw new InvalidSubmissionException("rank: must be critical, high, standard or low");
     }
-    JsonNode steps = body.path("steps");
-    if (!steps.isIntegralNumber()
-        || !steps.canConvertToInt()
-        || steps.intValue() < 1
-        || steps.intValue() > MAX_TASKS) {
+    JsonNode taskCount = body.path("steps");
+    if (!taskCount.isIntegralNumber()
+        || !taskCount.canConvertToInt()
+        || taskCount.intValue() < 1
+        || taskCount.intValue() > MAX_TASKS) {
       throw new InvalidSubmissionException("steps: must be a whole number from 1 to " + MAX_TASKS);
     }
     double cpus = amount(body, "vcpus");
-    double memory = amount(body, "memoryGb");
+    double memoryGb = amount(body, "memoryGb");
     if (cpus <= 0) {
       throw new InvalidSubmissionException("vcpus: must be above 0");
     }
-    JsonNode due = body.path("dueS");
+    JsonNode deadline = body.path("dueS");
     return new Submission(
         ref,
         text(body, "jobclass"),
         text(body, "owner"),
         shape,
         rank,
-        steps.intValue(),
+        taskCount.intValue(),
         cpus,
         amount(body, "accelerators"),
-        memory,
+        memoryGb,
         text(body, "bundle"),
         amount(body, "imageGb"),
         types(body.path("hulls")),
@@ -125,7 +125,9 @@
         amount(body, "guessS"),
         amount(body, "snapshotEveryS"),
         amount(body, "snapshotS"),
-        due.isNull() || due.isMissingNode() ? Double.POSITIVE_INFINITY : amount(body, "dueS"));
+        deadline.isNull() || deadline.isMissingNode()
+            ? Double.POSITIVE_INFINITY
+            : amount(body, "dueS"));
   }
 
   /** True for anything that can be a job id. */
@@ -135,10 +137,11 @@
       return false;
     }
     for (int i = 0; i < ref.length(); i++) {
-      char c = ref.charAt(i);
-      boolean digit = c >= '0' && c <= '9';
-      boolean letter = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
-      if (i < dash ? !(digit || letter) : i > dash && !digit) {
+      char character = ref.charAt(i);
+      boolean isDigit = character >= '0' && character <= '9';
+      boolean isLetter =
+          (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z');
+      if (i < dash ? !(isDigit || isLetter) : i > dash && !isDigit) {
         return false;
       }
     }
@@ -152,8 +155,8 @@
             .put("ref", ref)
             .put("jobclass", jobClass)
             .put("owner", team)
-            .put("shape", shape.wire())
-            .put("rank", rank.wire())
+            .put("shape", shape.wireName())
+            .put("rank", rank.wireName())
             .put("steps", taskCount)
             .put("vcpus", cpus)
             .put("accelerators", gpus)
@@ -183,25 +186,25 @@
     if (node.isNull() || node.isMissingNode()) {
       return null;
     }
-    List<String> out = new ArrayList<>();
+    List<String> names = new ArrayList<>();
     if (node.isArray()) {
-      for (JsonNode t : node) {
-        if (!t.isTextual()) {
+      for (JsonNode name : node) {
+        if (!name.isTextual()) {
           throw new InvalidSubmissionException("hulls: must hold names");
         }
-        out.add(t.textValue());
+        names.add(name.textValue());
       }
-      return List.copyOf(out);
+      return List.copyOf(names);
     }
     throw new InvalidSubmissionException("hulls: must be an array or null");
   }
 
   private static String text(JsonNode body, String field) throws InvalidSubmissionException {
-    String v = optionalText(body, field);
-    if (v == null || v.isEmpty()) {
+    String value = optionalText(body, field);
+    if (value == null || value.isEmpty()) {
       throw new InvalidSubmissionException(field + ": missing");
     }
-    return v;
+    return value;
   }
 
   private static String optionalText(JsonNode body, String field)
@@ -221,11 +224,11 @@
     if (node.isNull() || node.isMissingNode()) {
       throw new InvalidSubmissionException(field + ": missing");
     }
-    double d = node.isNumber() ? node.doubleValue() : Double.NaN;
-    if (!Double.isFinite(d) || d < 0 || d > 1e9) {
+    double value = node.isNumber() ? node.doubleValue() : Double.NaN;
+    if (!Double.isFinite(value) || value < 0 || value > 1e9) {
       throw new InvalidSubmissionException(field + ": must be a number from 0 to 1e9");
     }
-    return d;
+    return value;
   }
 
   private static boolean flag(JsonNode body, String field) throws InvalidSubmissionException {
@@ -238,10 +241,10 @@
 
   /** How many of its tasks so much room is for. */
   public int fittingTasks(double cpusFree, double memoryGbFree, double gpusFree) {
-    double n = Math.min(cpusFree / cpus(), memoryGbFree / Math.max(1e-9, memoryGb()));
+    double count = Math.min(cpusFree / cpus(), memoryGbFree / Math.max(1e-9, memoryGb()));
     if (gpus() > 0) {
-      n = Math.min(n, gpusFree / gpus());
+      count = Math.min(count, gpusFree / gpus());
     }
-    return (int) Math.max(0, Math.floor(n + 1e-9));
+    return (int) Math.max(0, Math.floor(count + 1e-9));
   }
 }
--- a/src/main/java/dapplestair/work/WorkerCommand.java
+++ b/src/main/java/dapplestair/work/WorkerCommand.java
@@ -46,17 +46,17 @@
   }
 
   /** Orders under a token, as the answer to a report; a call names the session as well. */
-  static ObjectNode message(long token, Collection<? extends WorkerCommand> orders) {
+  static ObjectNode message(long token, Collection<? extends WorkerCommand> commands) {
     ObjectNode message = Json.object().put("baton", token);
     ArrayNode list = message.putArray("orders");
-    orders.forEach(o -> list.add(o.toJson()));
+    commands.forEach(command -> list.add(command.toJson()));
     return message;
   }
 
   /** The same as a call to a worker in a session. */
   static ObjectNode callMessage(
-      long token, long session, Collection<? extends WorkerCommand> orders) {
-    return message(token, orders).put("tenure", session);
+      long token, long session, Collection<? extends WorkerCommand> commands) {
+    return message(token, commands).put("tenure", session);
   }
 
   private static ObjectNode commandJson(String verb, WorkerCommand command) {
--- a/src/main/java/dapplestair/workers/CommandSender.java
+++ b/src/main/java/dapplestair/workers/CommandSender.java
@@ -94,9 +94,9 @@
           0,
           () -> {
             hostIdsWithScheduledSend.remove(hostId);
-            Host h = hostRegistry.find(hostId);
-            if (h != null) {
-              sendQueued(h);
+            Host currentHost = hostRegistry.find(hostId);
+            if (currentHost != null) {
+              sendQueued(currentHost);
             }
           });
     }
@@ -114,7 +114,7 @@
     call(host, true);
   }
 
-  private void call(Host host, boolean evenEmpty) {
+  private void call(Host host, boolean allowEmpty) {
     if (!leading
         || !leadership.leading()
         || host.callInProgress
@@ -122,14 +122,14 @@
         || clock.now() < host.nextCallAt) {
       return;
     }
-    List<WorkerCommand> orders = new ArrayList<>();
+    List<WorkerCommand> commands = new ArrayList<>();
     List<Attempt> launches = new ArrayList<>();
-    takeSendableCommands(host, orders, launches);
-    if (orders.isEmpty() && !evenEmpty) {
+    takeSendableCommands(host, commands, launches);
+    if (commands.isEmpty() && !allowEmpty) {
       return;
     }
-    Fencing.beforeSend(host, orders, launches);
-    ObjectNode body = WorkerCommand.callMessage(fencingToken(host), host.session, orders);
+    Fencing.beforeSend(host, commands, launches);
+    ObjectNode body = WorkerCommand.callMessage(fencingToken(host), host.session, commands);
     if (!launches.isEmpty()) {
       LOG.debug(
           "{} launches leave for {} under token {}",
@@ -148,7 +148,7 @@
         reply -> {
           if (leading && leadership.term() == term) {
             host.callInProgress = false;
-            handleReply(host, orders, launches, reply);
+            handleReply(host, commands, launches, reply);
           }
         });
   }
@@ -159,19 +159,20 @@
    * work for as long as its link was slow (OverloadTest). One that is not reached hangs or is deaf.
    */
   private long replyTimeoutMs(Host host) {
-    boolean reached = clock.now() - host.lastReachedAt < 2 * reportMs;
-    int doublings = reached ? Math.min(MAX_TIMEOUT_DOUBLINGS, host.failedCalls) : 0;
+    boolean reportsArrive = clock.now() - host.lastReachedAt < 2 * reportMs;
+    int doublings = reportsArrive ? Math.min(MAX_TIMEOUT_DOUBLINGS, host.failedCalls) : 0;
     return Math.min(reportMs, baseCallTimeoutMs << doublings);
   }
 
-  private void takeSendableCommands(Host host, List<WorkerCommand> orders, List<Attempt> launches) {
-    Iterator<WorkerCommand> it = host.outbox.values().iterator();
-    while (it.hasNext() && orders.size() < MAX_COMMANDS_PER_CALL) {
-      WorkerCommand command = it.next();
+  private void takeSendableCommands(
+      Host host, List<WorkerCommand> commands, List<Attempt> launches) {
+    Iterator<WorkerCommand> queuedCommands = host.outbox.values().iterator();
+    while (queuedCommands.hasNext() && commands.size() < MAX_COMMANDS_PER_CALL) {
+      WorkerCommand command = queuedCommands.next();
       if (command instanceof WorkerCommand.Launch && !mayLaunch(host)) {
         continue;
       }
-      it.remove();
+      queuedCommands.remove();
       if (command instanceof WorkerCommand.Launch) {
         Attempt attempt = Fencing.findDueAttempt(host, command);
         if (attempt == null) {
@@ -179,7 +180,7 @@
         }
         launches.add(attempt);
       }
-      orders.add(command);
+      commands.add(command);
     }
   }
 
@@ -193,7 +194,7 @@
   }
 
   private void handleReply(
-      Host host, List<WorkerCommand> orders, List<Attempt> launches, HttpReply reply) {
+      Host host, List<WorkerCommand> commands, List<Attempt> launches, HttpReply reply) {
     boolean executed = reply.status() == 200;
     if (executed || reply.status() == 409) {
       host.failedCalls = 0;
@@ -203,25 +204,25 @@
         listener.reportReceived(host, report);
       }
       if (!executed) {
-        requeue(host, orders);
+        requeue(host, commands);
       }
       sendQueued(host);
       return;
     }
     host.failedCalls++;
-    boolean sent = reply.status() != HttpReply.NOT_SENT;
-    Fencing.callUnanswered(host, leadership.term(), launches, sent);
+    boolean mayHaveArrived = reply.status() != HttpReply.NOT_SENT;
+    Fencing.callUnanswered(host, leadership.term(), launches, mayHaveArrived);
     // A report that shows the raised token was sent since.
     if (host.tokenSeen >= host.reachabilityToken) {
       host.reachabilityToken = fencingToken(host);
     }
     // The connection of the first failed call was closed, so a later call has made a new one.
-    host.lastCallConnected = sent;
+    host.lastCallConnected = mayHaveArrived;
     host.nextCallAt = clock.now() + Math.min(reportMs / 3, 100L << Math.min(4, host.failedCalls));
-    if (sent) {
-      requeue(host, orders);
+    if (mayHaveArrived) {
+      requeue(host, commands);
     } else {
-      orders.forEach(o -> host.outbox.putIfAbsent(o.id(), o));
+      commands.forEach(command -> host.outbox.putIfAbsent(command.id(), command));
     }
     if (host.failedCalls == 2) {
       listener.becameUnresponsive(host);
@@ -229,8 +230,8 @@
   }
 
   /** Stops may be repeated; a launch never is, nor a clear whose launch may still be on its way. */
-  private static void requeue(Host host, List<WorkerCommand> orders) {
-    for (WorkerCommand command : orders) {
+  private static void requeue(Host host, List<WorkerCommand> commands) {
+    for (WorkerCommand command : commands) {
       if (command instanceof WorkerCommand.Halt halt) {
         host.outbox.putIfAbsent(halt.id(), halt);
       }
--- a/src/main/java/dapplestair/workers/Fencing.java
+++ b/src/main/java/dapplestair/workers/Fencing.java
@@ -16,13 +16,13 @@
   static Attempt findDueAttempt(Host host, WorkerCommand launch) {
     Attempt attempt = host.attempt(launch.key());
     // Dropped meanwhile, or planned for a session that has ended.
-    boolean due =
+    boolean isDue =
         attempt != null
             && attempt.number() == launch.attempt()
             && !attempt.sent()
             && !attempt.job().over()
             && attempt.session() == host.session;
-    return due ? attempt : null;
+    return isDue ? attempt : null;
   }
 
   /**
@@ -30,13 +30,14 @@
    * controller raises the worker's token to in order to keep them out.
    */
   static boolean maySendLaunches(Host host, long term) {
-    long shown = FencingToken.term(host.tokenSeen) == term ? FencingToken.fence(host.tokenSeen) : 0;
-    return host.fence - shown < FencingToken.MOST_AHEAD;
+    long shownFence =
+        FencingToken.term(host.tokenSeen) == term ? FencingToken.fence(host.tokenSeen) : 0;
+    return host.fence - shownFence < FencingToken.MOST_AHEAD;
   }
 
   /** A message with these orders is about to leave; its token is read after this. */
-  static void beforeSend(Host host, List<WorkerCommand> orders, List<Attempt> launches) {
-    if (orders.stream().anyMatch(o -> o instanceof WorkerCommand.Clear)) {
+  static void beforeSend(Host host, List<WorkerCommand> commands, List<Attempt> launches) {
+    if (commands.stream().anyMatch(command -> command instanceof WorkerCommand.Clear)) {
       // Once cleared, an attempt is forgotten: a copy of the message that launched it, come late,
       // would start it again. It carries a lower token than this one.
       host.fence++;
@@ -58,11 +59,11 @@
     host.fence++;
     long token = FencingToken.of(term, host.fence);
     launches.forEach(
-        a -> {
+        attempt -> {
           if (sent) {
-            a.launchUnknown(token);
+            attempt.launchUnknown(token);
           } else {
-            a.launchNotSent();
+            attempt.launchNotSent();
           }
         });
   }
--- a/src/main/java/dapplestair/workers/Host.java
+++ b/src/main/java/dapplestair/workers/Host.java
@@ -56,7 +56,7 @@
   private boolean draining;
   private boolean cordoned;
   private boolean drainedByOperator;
-  private boolean markExpectedUp;
+  private boolean reportedUpByCloud;
   private long drainAt = Long.MAX_VALUE;
   private boolean unreachable;
   private boolean notReporting;
@@ -133,7 +133,7 @@
   }
 
   /** True while a release is under way. */
-  public boolean releasing() {
+  public boolean isReleasing() {
     return releasing;
   }
 
@@ -143,17 +143,17 @@
   }
 
   /** True when it is proved to be gone. */
-  public boolean gone() {
+  public boolean isGone() {
     return gone;
   }
 
   /** Marks it as proved to be gone. */
-  public void setGone() {
+  public void markGone() {
     gone = true;
   }
 
   /** True when it is being emptied. */
-  public boolean draining() {
+  public boolean isDraining() {
     return draining;
   }
 
@@ -163,7 +163,7 @@
   }
 
   /** True when operators have it emptied; it stays rented, and is no room to plan with. */
-  public boolean drainedByOperator() {
+  public boolean isDrainedByOperator() {
     return drainedByOperator;
   }
 
@@ -173,7 +173,7 @@
   }
 
   /** True when its worker has shown a token of this term, so that reports prove something. */
-  public boolean termAcknowledged() {
+  public boolean hasAcknowledgedTerm() {
     return termAcknowledged;
   }
 
@@ -193,7 +193,7 @@
   }
 
   /** True when it gets no new work, since the plan wants fewer of its kind. */
-  public boolean cordoned() {
+  public boolean isCordoned() {
     return cordoned;
   }
 
@@ -224,16 +224,16 @@
 
   /** The cloud says that it is up, so its worker should answer. */
   public void markExpectedUp() {
-    markExpectedUp = true;
+    reportedUpByCloud = true;
   }
 
   /** True when its worker should answer. */
   public boolean expectedUp() {
-    return isUp() || markExpectedUp;
+    return isUp() || reportedUpByCloud;
   }
 
   /** True when it has been silent for long enough that its room is no room. */
-  public boolean unreachable() {
+  public boolean isUnreachable() {
     return unreachable;
   }
 
@@ -242,7 +242,7 @@
   }
 
   /** True when it answers calls but does not report, so that its lease runs out. */
-  public boolean notReporting() {
+  public boolean isNotReporting() {
     return notReporting;
   }
 
@@ -254,7 +254,7 @@
    * True when it still takes connections, but answers nothing: it hangs, and may go on at any time
    * within its lease. A machine without power, or behind a cut, takes none.
    */
-  public boolean hanging() {
+  public boolean isHanging() {
     return failedCalls >= 2 && lastCallConnected;
   }
 
@@ -315,7 +315,8 @@
   /** True when it gets one task at a time, and has it. */
   public boolean hasProbationTask(long now) {
     return onProbation(now)
-        && attempts().stream().anyMatch(a -> !a.exited() && a.plannedAt() > probation.since());
+        && attempts().stream()
+            .anyMatch(attempt -> !attempt.exited() && attempt.plannedAt() > probation.since());
   }
 
   /** Run time here over the run time expected, smoothed. */
--- a/src/main/java/dapplestair/workers/HostRegistry.java
+++ b/src/main/java/dapplestair/workers/HostRegistry.java
@@ -28,7 +28,7 @@
 
   /** A machine by name, made known if it was not. */
   Host getOrCreate(String id) {
-    return hosts.computeIfAbsent(id, i -> new Host(i, clock.now()));
+    return hosts.computeIfAbsent(id, hostId -> new Host(hostId, clock.now()));
   }
 
   /** A machine by name, or null. */
@@ -42,7 +42,7 @@
 
   /** Its name is kept, so that a late report or list does not bring it back. */
   void markGone(Host host) {
-    host.setGone();
+    host.markGone();
     if (goneHosts.size() >= MAX_REMEMBERED_GONE_HOSTS) {
       // The oldest: a copy of a report comes late, but not by thousands of machines.
       goneHosts.remove(goneHosts.keySet().iterator().next());
@@ -55,27 +55,27 @@
    * cut has held it back, and is over. A copy of a report that was heard is not newer.
    */
   boolean noteNewerReport(Report report) {
-    GoneHost last = goneHosts.get(report.host());
-    boolean newer = report.isNewerThan(last.session(), last.tick());
-    if (newer) {
+    GoneHost lastKnown = goneHosts.get(report.host());
+    boolean isNewer = report.isNewerThan(lastKnown.session(), lastKnown.tick());
+    if (isNewer) {
       goneHosts.replace(
-          report.host(), new GoneHost(last.goneAt(), report.session(), report.tick()));
+          report.host(), new GoneHost(lastKnown.goneAt(), report.session(), report.tick()));
     }
     // Without one that was heard nobody can tell.
-    return newer && last.tick() >= 0;
+    return isNewer && lastKnown.tick() >= 0;
   }
 
-  /** How long ago those machines were proved to be gone that were so within {@code ms}. */
-  Map<String, Long> goneAgesMs(long ms) {
+  /** How long ago those machines were proved to be gone that were so within {@code maxAgeMs}. */
+  Map<String, Long> goneAgesMs(long maxAgeMs) {
     long now = clock.now();
-    Map<String, Long> out = new HashMap<>();
+    Map<String, Long> agesMs = new HashMap<>();
     goneHosts.forEach(
-        (id, g) -> {
-          if (now - g.goneAt() <= ms) {
-            out.put(id, now - g.goneAt());
+        (id, goneHost) -> {
+          if (now - goneHost.goneAt() <= maxAgeMs) {
+            agesMs.put(id, now - goneHost.goneAt());
           }
         });
-    return out;
+    return agesMs;
   }
 
   void remove(Host host) {
--- a/src/main/java/dapplestair/workers/LeaseRenewal.java
+++ b/src/main/java/dapplestair/workers/LeaseRenewal.java
@@ -73,8 +73,8 @@
       }
     }
     for (Report.Task task : report.tasks()) {
-      boolean over = cancellations.knows(task.jobRef()) || !ledger.live(task.jobRef());
-      if (task.status() != Report.Status.EXITED && over) {
+      boolean isOver = cancellations.knows(task.jobRef()) || !ledger.live(task.jobRef());
+      if (task.status() != Report.Status.EXITED && isOver) {
         addHalt(halts, task.key(), task.attempt());
       }
     }
@@ -107,9 +107,9 @@
         return null;
       }
     }
-    for (KnownCancellations.CancelledTask task :
+    for (KnownCancellations.CancelledTask cancelled :
         cancellations.on(report.host(), report.session())) {
-      addHalt(halts, task.place().key(task.ref()), task.place().number());
+      addHalt(halts, cancelled.place().key(cancelled.ref()), cancelled.place().number());
     }
     long token = tokenFor(report);
     return token < 0 ? null : buildAnswer(token, halts);
@@ -120,10 +120,13 @@
    * each cancellation: when no such launch can be sent any more, and not before.
    */
   private long tokenFor(Report report) {
-    RaisedToken last = raisedTokensByHost.get(report.host());
-    long needed = cancellations.newestAt() + cancellations.launchMs();
-    boolean shown = last != null && last.raisedAt() > needed && report.token() >= last.token();
-    if (shown || clock.now() - cancellations.newestAt() > cancellations.keptMs()) {
+    RaisedToken lastRaised = raisedTokensByHost.get(report.host());
+    long launchesEndAt = cancellations.newestAt() + cancellations.launchMs();
+    boolean alreadyShown =
+        lastRaised != null
+            && lastRaised.raisedAt() > launchesEndAt
+            && report.token() >= lastRaised.token();
+    if (alreadyShown || clock.now() - cancellations.newestAt() > cancellations.keptMs()) {
       return report.token();
     }
     long token = FencingToken.raisedByOther(report.token());
--- a/src/main/java/dapplestair/workers/LivenessTracker.java
+++ b/src/main/java/dapplestair/workers/LivenessTracker.java
@@ -61,14 +61,14 @@
     lastReportedAtByZone.clear();
   }
 
-  /** A turn begins; the next one is due {@code everyMs} later. */
-  void beginTurn(long everyMs) {
+  /** A turn begins; the next one is due {@code intervalMs} later. */
+  void beginTurn(long intervalMs) {
     long now = clock.now();
     if (now - nextTurnAt > reportMs / 6) {
       // This process itself was held up: answers wait unread, so silence proves nothing for now.
       silenceConclusiveAt = now + 2 * reportMs;
     }
-    nextTurnAt = now + everyMs;
+    nextTurnAt = now + intervalMs;
     upHostsPerZone.clear();
     for (Host host : hostRegistry.all()) {
       if (host.isUp()) {
@@ -91,46 +91,53 @@
    * already.
    */
   private void findSilentZones(long now) {
-    Map<String, ZoneObservation> heard = new HashMap<>();
+    Map<String, ZoneObservation> observations = new HashMap<>();
     for (Host host : hostRegistry.all()) {
       if (host.expectedUp() && host.zone() != null && !isPossiblyReturned(host)) {
-        ZoneObservation z = heard.computeIfAbsent(host.zone(), k -> new ZoneObservation());
-        z.hostCount++;
-        z.lastHeardAt = Math.max(z.lastHeardAt, zoneEvidenceAt(host));
+        ZoneObservation observation =
+            observations.computeIfAbsent(host.zone(), zone -> new ZoneObservation());
+        observation.hostCount++;
+        observation.lastHeardAt = Math.max(observation.lastHeardAt, zoneEvidenceAt(host));
       }
     }
     // A zone whose machines have all been given up stays silent until one is heard there: what is
     // rented there would not be. After a while it is tried again.
-    Map<String, Long> before = Map.copyOf(lastHeardAtBySilentZone);
+    Map<String, Long> silentBefore = Map.copyOf(lastHeardAtBySilentZone);
     lastHeardAtBySilentZone.clear();
-    before.forEach(
-        (zone, last) -> {
-          boolean heardAgain = zoneContacts.lastHeard(zone) > last;
-          if (!heard.containsKey(zone) && !heardAgain && now - last < 3 * leaseMs) {
-            lastHeardAtBySilentZone.put(zone, last);
+    silentBefore.forEach(
+        (zone, lastHeardAt) -> {
+          boolean heardAgain = zoneContacts.lastHeard(zone) > lastHeardAt;
+          if (!observations.containsKey(zone) && !heardAgain && now - lastHeardAt < 3 * leaseMs) {
+            lastHeardAtBySilentZone.put(zone, lastHeardAt);
           }
         });
-    boolean anyHeard = false;
-    long newest = heard.values().stream().mapToLong(z -> z.lastHeardAt).max().orElse(now);
-    for (Map.Entry<String, ZoneObservation> entry : heard.entrySet()) {
-      ZoneObservation z = entry.getValue();
-      long last = Math.max(z.lastHeardAt, livenessReports.zoneHeardAt(entry.getKey()));
-      long gap = zoneContacts.gapMs(z.hostCount);
-      boolean noticedBefore = hasPreviousLeaderReport() && livenessReports.at() - last > gap;
-      if (now - last <= gap) {
-        anyHeard = true;
-      } else if (z.hostCount > 1
-          && newest - last > gap
-          && (now > silenceConclusiveAt || noticedBefore)) {
-        lastHeardAtBySilentZone.put(entry.getKey(), last);
+    boolean anyZoneHeard = false;
+    long newestContactAt =
+        observations.values().stream()
+            .mapToLong(observation -> observation.lastHeardAt)
+            .max()
+            .orElse(now);
+    for (Map.Entry<String, ZoneObservation> entry : observations.entrySet()) {
+      ZoneObservation observation = entry.getValue();
+      long lastHeardAt =
+          Math.max(observation.lastHeardAt, livenessReports.zoneHeardAt(entry.getKey()));
+      long maxGapMs = zoneContacts.gapMs(observation.hostCount);
+      boolean noticedByPreviousLeader =
+          hasPreviousLeaderReport() && livenessReports.at() - lastHeardAt > maxGapMs;
+      if (now - lastHeardAt <= maxGapMs) {
+        anyZoneHeard = true;
+      } else if (observation.hostCount > 1
+          && newestContactAt - lastHeardAt > maxGapMs
+          && (now > silenceConclusiveAt || noticedByPreviousLeader)) {
+        lastHeardAtBySilentZone.put(entry.getKey(), lastHeardAt);
       }
     }
-    if (!anyHeard) {
+    if (!anyZoneHeard) {
       lastHeardAtBySilentZone.clear();
     }
     for (Host host : hostRegistry.all()) {
-      Long last = host.zone() == null ? null : lastHeardAtBySilentZone.get(host.zone());
-      host.setZoneSilentMs(last == null ? 0 : now - last);
+      Long lastHeardAt = host.zone() == null ? null : lastHeardAtBySilentZone.get(host.zone());
+      host.setZoneSilentMs(lastHeardAt == null ? 0 : now - lastHeardAt);
     }
   }
 
@@ -151,7 +158,7 @@
         .anyMatch(
             h ->
                 zone.equals(h.zone())
-                    && !h.releasing()
+                    && !h.isReleasing()
                     && !isPossiblyReturned(h)
                     && !goneByPreviousLeader(h));
   }
@@ -163,8 +170,8 @@
 
   /** How long nothing was heard of this zone; 0 when it is heard or nothing can be said. */
   long zoneSilentMs(String zone) {
-    Long last = lastHeardAtBySilentZone.get(zone);
-    return last == null ? 0 : clock.now() - last;
+    Long lastHeardAt = lastHeardAtBySilentZone.get(zone);
+    return lastHeardAt == null ? 0 : clock.now() - lastHeardAt;
   }
 
   /**
@@ -186,21 +193,22 @@
   /** What to tell the other controllers; of single machines only a leader that can judge tells. */
   LivenessReport createReport(boolean leading, long term) {
     long now = clock.now();
-    Map<String, Long> zoneAges = new HashMap<>();
-    Map<String, Long> late = new HashMap<>();
+    Map<String, Long> zoneAgesMs = new HashMap<>();
+    Map<String, Long> overdueAgesMs = new HashMap<>();
     for (String zone : upHostsPerZone.elementSet()) {
-      zoneAges.merge(zone, now - zoneContacts.lastHeard(zone), Math::min);
+      zoneAgesMs.merge(zone, now - zoneContacts.lastHeard(zone), Math::min);
     }
-    boolean sure = leading && now > silenceConclusiveAt;
-    if (sure) {
+    boolean isConclusive = leading && now > silenceConclusiveAt;
+    if (isConclusive) {
       for (Host host : hostRegistry.all()) {
         if (host.expectedUp() && now - lastHeardAt(host) > OVERDUE_AFTER_REPORTS * reportMs) {
-          late.put(host.id(), now - lastHeardAt(host));
+          overdueAgesMs.put(host.id(), now - lastHeardAt(host));
         }
       }
     }
-    Map<String, Long> gone = sure ? hostRegistry.goneAgesMs(leaseMs) : Map.of();
-    return new LivenessReport(sure ? term : 0, ++reportNumber, zoneAges, late, gone);
+    Map<String, Long> goneAgesMs = isConclusive ? hostRegistry.goneAgesMs(leaseMs) : Map.of();
+    return new LivenessReport(
+        isConclusive ? term : 0, ++reportNumber, zoneAgesMs, overdueAgesMs, goneAgesMs);
   }
 
   /**
@@ -222,21 +230,21 @@
   }
 
   /** A machine was reached: it reported by itself, or it answered a call. */
-  void recordContact(Host host, String zone, boolean reported) {
+  void recordContact(Host host, String zone, boolean isOwnReport) {
     long now = clock.now();
-    if (reported) {
+    if (isOwnReport) {
       host.lastReportedAt = now;
     } else if (!host.wasReached()) {
       host.lastReportedAt = initialReportedAt(host);
     }
     host.lastReachedAt = now;
-    recordZoneContact(zone, reported);
+    recordZoneContact(zone, isOwnReport);
   }
 
   /** A machine in this zone was heard just now. */
-  void recordZoneContact(String zone, boolean reported) {
+  void recordZoneContact(String zone, boolean isOwnReport) {
     long now = clock.now();
-    if (reported) {
+    if (isOwnReport) {
       lastReportedAtByZone.put(zone, now);
     } else if (now - Math.max(leadingSince, lastReportedAtByZone.getOrDefault(zone, 0L))
         > notReportingAfterMs()) {
@@ -252,10 +260,10 @@
    */
   private long zoneEvidenceAt(Host host) {
     Long reportedAt = lastReportedAtByZone.get(host.zone());
-    boolean mute =
+    boolean zoneNotReporting =
         reportedAt != null
             && clock.now() - Math.max(leadingSince, reportedAt) > notReportingAfterMs();
-    return mute ? Math.min(lastHeardAt(host), reportedAt) : lastHeardAt(host);
+    return zoneNotReporting ? Math.min(lastHeardAt(host), reportedAt) : lastHeardAt(host);
   }
 
   private long notReportingAfterMs() {
@@ -264,9 +272,10 @@
 
   /** What the leader before had noticed of a mute machine need not be noticed again. */
   private long initialReportedAt(Host host) {
-    long said = livenessReports.machineHeardAt(host.id());
-    return hasPreviousLeaderReport() && livenessReports.at() - said > notReportingAfterMs()
-        ? said
+    long previouslyHeardAt = livenessReports.machineHeardAt(host.id());
+    return hasPreviousLeaderReport()
+            && livenessReports.at() - previouslyHeardAt > notReportingAfterMs()
+        ? previouslyHeardAt
         : clock.now();
   }
 
@@ -284,7 +293,8 @@
   /** True when some worker has reported by itself lately. */
   boolean hasRecentReports() {
     long now = clock.now();
-    return lastReportedAtByZone.values().stream().anyMatch(at -> now - at <= notReportingAfterMs());
+    return lastReportedAtByZone.values().stream()
+        .anyMatch(reportedAt -> now - reportedAt <= notReportingAfterMs());
   }
 
   /** True when it has reported lately enough to be worth giving work to. */
@@ -303,9 +313,9 @@
    * True when this machine's zone has been heard without a break for long enough that this machine
    * should have been, too.
    */
-  boolean zoneHeardContinuously(Host silent) {
-    int machines = upHostsPerZone.count(silent.zone());
-    return zoneContacts.heardForMs(silent.zone(), clock.now(), machines) > 1.5 * reportMs;
+  boolean zoneHeardContinuously(Host host) {
+    int machines = upHostsPerZone.count(host.zone());
+    return zoneContacts.heardForMs(host.zone(), clock.now(), machines) > 1.5 * reportMs;
   }
 
   /** How long nothing was heard of it. */
@@ -343,13 +353,13 @@
    */
   boolean noWorkerReports() {
     long now = clock.now();
-    boolean any = false;
+    boolean anyUp = false;
     for (Host host : hostRegistry.all()) {
       if (now - host.lastReportedAt < SILENT_AFTER_REPORTS * reportMs) {
         return false;
       }
-      any |= host.isUp();
+      anyUp |= host.isUp();
     }
-    return any && now > silenceConclusiveAt && now - leadingSince > 3 * reportMs;
+    return anyUp && now > silenceConclusiveAt && now - leadingSince > 3 * reportMs;
   }
 }
--- a/src/main/java/dapplestair/workers/RecentRedirects.java
+++ b/src/main/java/dapplestair/workers/RecentRedirects.java
@@ -27,10 +27,11 @@
   /** Notes a report that is not taken here; true when its worker was sent on within a lease. */
   boolean recordReport(Report report) {
     long now = clock.now();
-    LastReport last = lastReports.remove(report.host());
-    boolean newer = last == null || report.isNewerThan(last.session(), last.tick());
+    LastReport lastReport = lastReports.remove(report.host());
+    boolean isNewer =
+        lastReport == null || report.isNewerThan(lastReport.session(), lastReport.tick());
     lastReports.put(
-        report.host(), newer ? new LastReport(report.session(), report.tick(), now) : last);
-    return last != null && (!newer || now - last.redirectedAt() <= retentionMs);
+        report.host(), isNewer ? new LastReport(report.session(), report.tick(), now) : lastReport);
+    return lastReport != null && (!isNewer || now - lastReport.redirectedAt() <= retentionMs);
   }
 }
--- a/src/main/java/dapplestair/workers/ReportApplier.java
+++ b/src/main/java/dapplestair/workers/ReportApplier.java
@@ -53,43 +53,43 @@
    * no sign of life, neither of the machine nor of its zone: it may be deaf, or the report a copy
    * that comes late. Facts in it are facts all the same, and proofs have their own conditions.
    */
-  void apply(Host host, Report report, boolean answer) {
+  void apply(Host host, Report report, boolean isCallReply) {
     leadership.termShown(FencingToken.term(report.token()));
     if (!isLeading.getAsBoolean() || !leadership.leading()) {
       return;
     }
     Fencing.tokenShown(host, leadership.term(), report.token());
-    if (!report.isNewerThan(host.session, host.tick) || host.gone()) {
+    if (!report.isNewerThan(host.session, host.tick) || host.isGone()) {
       return;
     }
-    boolean first = !host.isUp() || !host.termAcknowledged;
+    boolean isFirstReport = !host.isUp() || !host.termAcknowledged;
     host.session = report.session();
     host.tick = report.tick();
     host.tokenSeen = report.token();
     long challenge = Math.max(host.reachabilityToken, FencingToken.of(leadership.term(), 0));
-    boolean reached = answer || report.token() >= challenge;
-    if (reached) {
-      liveness.recordContact(host, report.zone(), !answer);
+    boolean isReached = isCallReply || report.token() >= challenge;
+    if (isReached) {
+      liveness.recordContact(host, report.zone(), !isCallReply);
     }
     host.describe(report.endpoint(), types.get(report.type()), report.zone(), report.spot());
     if (!host.termAcknowledged && report.token() >= FencingToken.of(leadership.term(), 0)) {
       host.termAcknowledged = true;
     }
-    boolean recalledBefore = host.hasReclaimNotice();
-    if (reached || !host.hasReclaimNotice()) {
+    boolean hadReclaimNotice = host.hasReclaimNotice();
+    if (isReached || !host.hasReclaimNotice()) {
       host.reclaimAt = reclaimAt(report);
     }
-    List<Report.Task> strays = ledger.report(host, report);
+    List<Report.Task> strayTasks = ledger.report(host, report);
     host.strayTaskCount = 0;
     if (host.termAcknowledged) {
-      strays.forEach(t -> stopStrayTask(host, t));
+      strayTasks.forEach(task -> stopStrayTask(host, task));
     }
     if (host.failedCalls > 0 && !host.callInProgress) {
       // Heard again: it is used as soon as it answers, not when its turn to be asked comes.
       host.nextCallAt = clock.now();
       commandSender.probe(host);
     }
-    if (first || recalledBefore != host.hasReclaimNotice()) {
+    if (isFirstReport || hadReclaimNotice != host.hasReclaimNotice()) {
       listener.hostChanged(host);
     }
     if (!host.termAcknowledged) {
--- a/src/main/java/dapplestair/workers/ReportHandler.java
+++ b/src/main/java/dapplestair/workers/ReportHandler.java
@@ -98,9 +98,9 @@
       }
       return;
     }
-    String elsewhere = relay.elsewhere(exchange, report);
-    if (elsewhere != null) {
-      redirectTo(exchange, elsewhere);
+    String otherMember = relay.elsewhere(exchange, report);
+    if (otherMember != null) {
+      redirectTo(exchange, otherMember);
       return;
     }
     if (hostRegistry.isGone(report.host())) {
@@ -133,25 +133,26 @@
    * live by it: {@link LeaseRenewal} sees to that.
    */
   private void redirectOrRenew(Exchange exchange, Report report) {
-    boolean again = recentRedirects.recordReport(report);
+    boolean sentBack = recentRedirects.recordReport(report);
     String leader = leadership.leader();
-    boolean known = leader != null && !leader.equals(settings.member());
+    boolean isLeaderKnown = leader != null && !leader.equals(settings.member());
     // One that comes back from a living leader was not taken there. In an outage of all the reason
     // may be that this leader may not keep leases any more, since it does not hear all others.
-    boolean notTaken = again && !peers.anyServed();
-    boolean alone = !state.reachable() && (notTaken || !(known && peers.alive(leader)));
-    if (alone && !again && (leadership.succeeded() || relay.on())) {
+    boolean notAccepted = sentBack && !peers.anyServed();
+    boolean isOnOwn =
+        !state.reachable() && (notAccepted || !(isLeaderKnown && peers.alive(leader)));
+    if (isOnOwn && !sentBack && (leadership.succeeded() || relay.on())) {
       // Somebody leads whom we cannot ask, and reaches this worker: it had better report there.
       // Where reports are relayed, a relay that is cut off cannot tell whether somebody does.
       // One that comes back was not taken; it is kept as below.
       replyWithLease(exchange, null);
       return;
     }
-    if (alone && FencingToken.term(report.token()) >= leadership.termSeen()) {
+    if (isOnOwn && FencingToken.term(report.token()) >= leadership.termSeen()) {
       replyWithLease(exchange, renewal.renewAsFollower(report));
       return;
     }
-    redirectTo(exchange, known ? leader : null);
+    redirectTo(exchange, isLeaderKnown ? leader : null);
   }
 
   /** Sends a worker on to another controller, or to any if {@code member} is null. */
--- a/src/main/java/dapplestair/workers/WorkerManager.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -153,7 +153,7 @@
 
   /** The machine is proved to be gone, with everything on it. */
   public void markGone(Host host) {
-    if (host.gone()) {
+    if (host.isGone()) {
       return;
     }
     hostRegistry.markGone(host);
@@ -232,7 +232,7 @@
 
   /** Shows the token to a machine, and learns what is on it. */
   public void probe(Host host) {
-    if (host.endpoint != null && !host.gone()) {
+    if (host.endpoint != null && !host.isGone()) {
       commandSender.probe(host);
     }
   }
@@ -245,8 +245,8 @@
       host.setNotReporting(liveness.isNotReporting(host));
       repeatHalts(host, now);
       // A machine that misses its report is asked at once.
-      boolean unknown = !host.termAcknowledged && host.endpoint != null;
-      if (liveness.isOverdue(host) || (unknown && host.expectedUp())) {
+      boolean notAcknowledged = !host.termAcknowledged && host.endpoint != null;
+      if (liveness.isOverdue(host) || (notAcknowledged && host.expectedUp())) {
         commandSender.probe(host);
       } else {
         commandSender.sendQueued(host);
--- a/src/test/java/dapplestair/work/SubmissionTest.java
+++ b/src/test/java/dapplestair/work/SubmissionTest.java
@@ -26,13 +26,13 @@
   }
 
   @Test
-  void survivesBeingRecorded() throws Submission.InvalidSubmissionException {
-    Submission s = Submission.parse(body());
-    assertEquals(s, Submission.parse(Json.parse(Json.bytes(s.toJson()))));
-    assertNull(s.zone());
-    ObjectNode bare = body();
-    bare.remove(java.util.List.of("hulls", "basin", "dueS"));
-    assertEquals(Double.POSITIVE_INFINITY, Submission.parse(bare).dueS());
+  void parsesItsOwnJson() throws Submission.InvalidSubmissionException {
+    Submission submission = Submission.parse(body());
+    assertEquals(submission, Submission.parse(Json.parse(Json.bytes(submission.toJson()))));
+    assertNull(submission.zone());
+    ObjectNode withoutOptionalFields = body();
+    withoutOptionalFields.remove(java.util.List.of("hulls", "basin", "dueS"));
+    assertEquals(Double.POSITIVE_INFINITY, Submission.parse(withoutOptionalFields).dueS());
   }
 
   @ParameterizedTest
@@ -43,11 +43,12 @@
         "steps|1.5", "vcpus|0", "vcpus|-1", "vcpus|\"8\"", "memoryGb|1e400", "together|1",
         "hulls|\"g\"", "hulls|[1]", "dueS|-1", "imageGb|null", "owner|\"\"", "basin|4"
       })
-  void namesTheFieldThatIsWrong(String field, String value) {
-    ObjectNode b = body();
-    b.set(field, Json.parse(("[" + value + "]").getBytes(StandardCharsets.UTF_8)).get(0));
+  void errorNamesTheInvalidField(String field, String value) {
+    ObjectNode invalidBody = body();
+    invalidBody.set(field, Json.parse(("[" + value + "]").getBytes(StandardCharsets.UTF_8)).get(0));
     String message =
-        assertThrows(Submission.InvalidSubmissionException.class, () -> Submission.parse(b))
+        assertThrows(
+                Submission.InvalidSubmissionException.class, () -> Submission.parse(invalidBody))
             .getMessage();
     assertTrue(message.startsWith(field + ":"), message);
   }
--- a/src/test/java/dapplestair/workers/CancellationCosts.java
+++ b/src/test/java/dapplestair/workers/CancellationCosts.java
@@ -48,7 +48,7 @@
   private static final int WARM_UP_ROUNDS = 200;
   private static final long EXCHANGE_MS = 30_000;
   private static final Settings.Workers WORKERS = new Settings.Workers(3000, 17_000, 47_000);
-  private static final int MEMBERS = 3;
+  private static final int MEMBER_COUNT = 3;
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
   private final VirtualTime time = new VirtualTime();
@@ -60,7 +60,7 @@
   private CancellationCosts(int machines, int cancellations) {
     this.machines = machines;
     this.cancellations = cancellations;
-    for (int i = 0; i < MEMBERS; i++) {
+    for (int i = 0; i < MEMBER_COUNT; i++) {
       members.put("node-" + i, new Member("node-" + i));
     }
     members.values().forEach(Member::begin);
@@ -68,12 +68,12 @@
   }
 
   public static void main(String[] args) throws Submission.InvalidSubmissionException {
-    int[] n = Arrays.stream(args).mapToInt(Integer::parseInt).toArray();
+    int[] arguments = Arrays.stream(args).mapToInt(Integer::parseInt).toArray();
     System.out.println(
         "| machines | open | report read, answered, written: us | of it the answer: us "
             + "| allocated, bytes | messages/s at the leader | bytes/s | leader's ms/s for them "
             + "| KiB retained by all three |");
-    new CancellationCosts(n[1], n[2]).measure(n[0]);
+    new CancellationCosts(arguments[1], arguments[2]).measure(arguments[0]);
   }
 
   /** Virtual time: tasks in order, each run when its time has come. */
@@ -87,7 +87,7 @@
 
     private final PriorityQueue<Task> tasks = new PriorityQueue<>();
     private long now = 1_000_000;
-    private long made;
+    private long scheduledCount;
 
     @Override
     public long now() {
@@ -101,15 +101,15 @@
 
     @Override
     public Cancellable after(long delayMs, Runnable task) {
-      boolean[] off = {false};
-      Runnable unlessOff =
+      boolean[] isCancelled = {false};
+      Runnable unlessCancelled =
           () -> {
-            if (!off[0]) {
+            if (!isCancelled[0]) {
               task.run();
             }
           };
-      tasks.add(new Task(now + Math.max(0, delayMs), made++, unlessOff));
-      return () -> off[0] = true;
+      tasks.add(new Task(now + Math.max(0, delayMs), scheduledCount++, unlessCancelled));
+      return () -> isCancelled[0] = true;
     }
 
     void run(long ms) {
@@ -139,10 +139,10 @@
     Member(String name) {
       this.name = name;
       Settings settings = settings(name);
-      HttpCaller nobody =
+      HttpCaller unreachableCaller =
           (endpoint, method, path, body, timeoutMs, done) ->
               after(timeoutMs, () -> done.accept(HttpReply.of(HttpReply.UNKNOWN)));
-      StateClient state = new StateClient(time, this, nobody, settings);
+      StateClient state = new StateClient(time, this, unreachableCaller, settings);
       PeerStatus status = new PeerStatus(1, null, false, true, 0, 0);
       peers = new Peers(time, this, this, settings, () -> status, s -> {});
       var random = RandomSource.XO_RO_SHI_RO_128_PP.create(name.hashCode());
@@ -163,13 +163,13 @@
               state,
               leadership,
               false,
-              noHooks());
+              noCallbacks());
       cancellations =
           new Cancellations(
               time,
               this,
-              nobody,
-              new CloudClient(time, this, nobody, settings),
+              unreachableCaller,
+              new CloudClient(time, this, unreachableCaller, settings),
               settings,
               peers,
               leadership,
@@ -179,7 +179,7 @@
           new CommandSender(
               time,
               this,
-              new Relay(time, this, nobody, settings, 1, leadership, peers),
+              new Relay(time, this, unreachableCaller, settings, 1, leadership, peers),
               settings,
               leadership,
               cancellations,
@@ -199,18 +199,18 @@
     }
 
     private void timed(Runnable task) {
-      long begun = THREADS.getCurrentThreadCpuTime();
+      long startNs = THREADS.getCurrentThreadCpuTime();
       task.run();
-      busyNs += THREADS.getCurrentThreadCpuTime() - begun;
+      busyNs += THREADS.getCurrentThreadCpuTime() - startNs;
     }
 
     @Override
     public void send(String member, Object message) {
-      Member to = members.get(member);
+      Member receiver = members.get(member);
       int size = message instanceof PeerStatus ? 0 : codec.encode(message).length;
       count(size);
-      to.count(size);
-      time.after(1, () -> to.timed(() -> to.listener.message(name, message)));
+      receiver.count(size);
+      time.after(1, () -> receiver.timed(() -> receiver.listener.message(name, message)));
     }
 
     private void count(int size) {
@@ -219,13 +219,13 @@
     }
 
     @Override
-    public void listen(PeerNetwork.Listener l) {
-      listener = l;
+    public void listen(PeerNetwork.Listener newListener) {
+      listener = newListener;
     }
 
     @Override
     public void start() {
-      members.keySet().stream().filter(m -> !m.equals(name)).forEach(listener::up);
+      members.keySet().stream().filter(member -> !member.equals(name)).forEach(listener::up);
     }
 
     private final class Places implements Cancellations.Listener {
@@ -249,7 +249,7 @@
     }
   }
 
-  private static LedgerCallbacks noHooks() {
+  private static LedgerCallbacks noCallbacks() {
     return (LedgerCallbacks)
         Proxy.newProxyInstance(
             LedgerCallbacks.class.getClassLoader(),
@@ -259,7 +259,7 @@
 
   private static Settings settings(String member) {
     List<Settings.Peer> peers = new ArrayList<>();
-    for (int i = 0; i < MEMBERS; i++) {
+    for (int i = 0; i < MEMBER_COUNT; i++) {
       String other = "node-" + i;
       if (!other.equals(member)) {
         peers.add(new Settings.Peer(other, "a", new Settings.Address(other, 8081)));
@@ -287,53 +287,60 @@
   private void measure(int rounds) throws Submission.InvalidSubmissionException {
     Member leader = members.get("node-0");
     List<Host> hosts = new ArrayList<>();
-    List<ArrayNode> reported = new ArrayList<>();
+    List<ArrayNode> tasksByMachine = new ArrayList<>();
     for (int m = 0; m < machines; m++) {
       hosts.add(new Host("n-" + m, 0));
-      reported.add(Json.array());
+      tasksByMachine.add(Json.array());
     }
     int jobs = machines * TASKS_PER_MACHINE / TASKS_PER_CANCELLED;
     for (int j = 0; j < jobs; j++) {
-      place(leader, "wk-" + j, j, hosts, reported);
+      place(leader, "wk-" + j, j, hosts, tasksByMachine);
     }
-    Member teller = members.get("node-1");
-    long before = heapUsed();
+    Member confirmingMember = members.get("node-1");
+    long heapBytesBefore = heapUsed();
     for (int j = 0; j < cancellations; j++) {
-      cancel(teller, "ca-" + j, j);
+      cancel(confirmingMember, "ca-" + j, j);
     }
     time.run(WORKERS.reportMs());
-    long retained = heapUsed() - before;
+    long retainedBytes = heapUsed() - heapBytesBefore;
     for (int j = 0; j < cancellations; j++) {
       for (int step = 0; step < TASKS_PER_CANCELLED; step++) {
-        running(reported.get(machine(j, step)), "ca-" + j + "/" + step);
+        addRunningTask(tasksByMachine.get(machine(j, step)), "ca-" + j + "/" + step);
       }
     }
-    long messages = leader.messages;
-    long bytes = leader.bytes;
-    long busy = leader.busyNs;
+    long messagesBefore = leader.messages;
+    long bytesBefore = leader.bytes;
+    long busyNsBefore = leader.busyNs;
     time.run(EXCHANGE_MS);
     double seconds = EXCHANGE_MS / 1000.0;
-    Spread whole = new Spread();
-    Spread answer = new Spread();
-    Spread allocated = new Spread();
-    List<byte[]> reports = new ArrayList<>();
+    Spread totalUs = new Spread();
+    Spread answerUs = new Spread();
+    Spread allocatedBytes = new Spread();
+    List<byte[]> encodedReports = new ArrayList<>();
     for (int m = 0; m < machines; m++) {
-      reports.add(report("n-" + m, reported.get(m)));
+      encodedReports.add(report("n-" + m, tasksByMachine.get(m)));
     }
     for (int round = 0; round < WARM_UP_ROUNDS + rounds; round++) {
-      round(leader, hosts, reports, round >= WARM_UP_ROUNDS, whole, answer, allocated);
+      round(
+          leader,
+          hosts,
+          encodedReports,
+          round >= WARM_UP_ROUNDS,
+          totalUs,
+          answerUs,
+          allocatedBytes);
     }
     System.out.printf(
         "| %d | %d | %s | %s | %s | %.1f | %.0f | %.2f | %d |%n",
         machines,
         cancellations,
-        whole,
-        answer,
-        allocated,
-        (leader.messages - messages) / seconds,
-        (leader.bytes - bytes) / seconds,
-        (leader.busyNs - busy) / 1e6 / seconds,
-        retained / 1024);
+        totalUs,
+        answerUs,
+        allocatedBytes,
+        (leader.messages - messagesBefore) / seconds,
+        (leader.bytes - bytesBefore) / seconds,
+        (leader.busyNs - busyNsBefore) / 1e6 / seconds,
+        retainedBytes / 1024);
   }
 
   private static long heapUsed() {
@@ -346,42 +353,43 @@
   private void round(
       Member leader,
       List<Host> hosts,
-      List<byte[]> reports,
-      boolean counts,
-      Spread whole,
-      Spread answer,
-      Spread allocated) {
+      List<byte[]> encodedReports,
+      boolean isMeasured,
+      Spread totalUs,
+      Spread answerUs,
+      Spread allocatedBytes) {
     long bytesBefore = THREADS.getCurrentThreadAllocatedBytes();
-    long cpuBefore = THREADS.getCurrentThreadCpuTime();
-    List<Report> read = new ArrayList<>();
-    for (int m = 0; m < reports.size(); m++) {
-      Report r = Report.parse(Json.parse(reports.get(m)));
-      read.add(r);
-      if (Json.bytes(leader.renewal.renewAsLeader(hosts.get(m), r)).length == 0) {
+    long cpuNsBefore = THREADS.getCurrentThreadCpuTime();
+    List<Report> parsedReports = new ArrayList<>();
+    for (int m = 0; m < encodedReports.size(); m++) {
+      Report report = Report.parse(Json.parse(encodedReports.get(m)));
+      parsedReports.add(report);
+      if (Json.bytes(leader.renewal.renewAsLeader(hosts.get(m), report)).length == 0) {
         throw new IllegalStateException("no lease is kept");
       }
     }
-    long cpuBetween = THREADS.getCurrentThreadCpuTime();
+    long cpuNsAfterFirstPass = THREADS.getCurrentThreadCpuTime();
     long bytesAfter = THREADS.getCurrentThreadAllocatedBytes();
-    for (int m = 0; m < read.size(); m++) {
-      leader.renewal.renewAsLeader(hosts.get(m), read.get(m));
+    for (int m = 0; m < parsedReports.size(); m++) {
+      leader.renewal.renewAsLeader(hosts.get(m), parsedReports.get(m));
     }
-    if (counts) {
-      double perReport = reports.size();
-      whole.add((cpuBetween - cpuBefore) / 1e3 / perReport);
-      answer.add((THREADS.getCurrentThreadCpuTime() - cpuBetween) / 1e3 / perReport);
-      allocated.add((bytesAfter - bytesBefore) / perReport);
+    if (isMeasured) {
+      double reportCount = encodedReports.size();
+      totalUs.add((cpuNsAfterFirstPass - cpuNsBefore) / 1e3 / reportCount);
+      answerUs.add((THREADS.getCurrentThreadCpuTime() - cpuNsAfterFirstPass) / 1e3 / reportCount);
+      allocatedBytes.add((bytesAfter - bytesBefore) / reportCount);
     }
   }
 
   /** A live job's tasks, on machines one after another. */
-  private void place(Member leader, String ref, int job, List<Host> hosts, List<ArrayNode> reported)
+  private void place(
+      Member leader, String ref, int job, List<Host> hosts, List<ArrayNode> tasksByMachine)
       throws Submission.InvalidSubmissionException {
     leader.ledger.jobPut(ref, leader.ledger.record(AttemptRules.spec(ref), 0), 1);
     for (int step = 0; step < TASKS_PER_CANCELLED; step++) {
       int m = machine(job, step);
       hosts.get(m).hold(AttemptRules.launched(leader.ledger.job(ref), step, "n-" + m));
-      running(reported.get(m), ref + "/" + step);
+      addRunningTask(tasksByMachine.get(m), ref + "/" + step);
     }
   }
 
@@ -390,19 +398,19 @@
   }
 
   /** Tells a user that a job is cancelled whose tasks go on. */
-  private void cancel(Member teller, String ref, int job) {
+  private void cancel(Member confirmingMember, String ref, int job) {
     List<Cancellation.TaskLocation> places = new ArrayList<>();
     for (int step = 0; step < TASKS_PER_CANCELLED; step++) {
       places.add(new Cancellation.TaskLocation("n-" + machine(job, step), 1, step, 1));
     }
-    teller.places.put(ref, places);
-    teller.cancellations.confirm(ref, () -> {});
+    confirmingMember.places.put(ref, places);
+    confirmingMember.cancellations.confirm(ref, () -> {});
     if (job % 10 == 9) {
       time.run(20);
     }
   }
 
-  private static void running(ArrayNode tasks, String key) {
+  private static void addRunningTask(ArrayNode tasks, String key) {
     tasks.addObject().put("step", key).put("try", 1).put("status", "running");
   }
 
@@ -423,21 +431,21 @@
 
   /** Mean and its standard error over rounds. */
   private static final class Spread {
-    private int n;
+    private int count;
     private double sum;
-    private double squares;
+    private double sumOfSquares;
 
     void add(double value) {
-      n++;
+      count++;
       sum += value;
-      squares += value * value;
+      sumOfSquares += value * value;
     }
 
     @Override
     public String toString() {
-      double mean = sum / n;
-      double variance = Math.max(0, squares / n - mean * mean);
-      return "%.1f ± %.1f".formatted(mean, Math.sqrt(variance / Math.max(1, n - 1)));
+      double mean = sum / count;
+      double variance = Math.max(0, sumOfSquares / count - mean * mean);
+      return "%.1f ± %.1f".formatted(mean, Math.sqrt(variance / Math.max(1, count - 1)));
     }
   }
 }
--- a/src/test/java/dapplestair/workers/FencingTest.java
+++ b/src/test/java/dapplestair/workers/FencingTest.java
@@ -9,7 +9,7 @@
 /** Under which tokens launches may leave. */
 class FencingTest {
   private static final long TERM = 7;
-  private static final long MOST_SHOWN = 20_000;
+  private static final long MAX_SHOWN_FENCE = 20_000;
 
   private static Host host(long tokenSeen, long fence) {
     Host host = new Host("n-1", 0);
@@ -20,25 +20,28 @@
 
   /** Guards against launches that a token raised by another controller does not keep out. */
   @Test
-  void noLaunchLeavesUnderATokenThatOthersDoNotRaiseAbove() {
-    for (long shown = 0; shown < MOST_SHOWN; shown++) {
-      long token = FencingToken.of(TERM, shown);
+  void launchesNeverUseATokenAtOrAboveOneRaisedByAnotherController() {
+    for (long shownFence = 0; shownFence < MAX_SHOWN_FENCE; shownFence++) {
+      long token = FencingToken.of(TERM, shownFence);
       long raised = FencingToken.raisedByOther(token);
-      long fence = shown;
+      long fence = shownFence;
       while (Fencing.maySendLaunches(host(token, fence), TERM)) {
         fence += 1 + FencingToken.MOST_AHEAD / 16;
-        assertTrue(FencingToken.of(TERM, fence) < raised, "shown " + shown + ", fence " + fence);
+        assertTrue(
+            FencingToken.of(TERM, fence) < raised, "shown " + shownFence + ", fence " + fence);
       }
-      long last = shown + FencingToken.MOST_AHEAD - 1;
-      assertTrue(Fencing.maySendLaunches(host(token, last), TERM), "shown " + shown);
-      assertFalse(Fencing.maySendLaunches(host(token, last + 1), TERM), "shown " + shown);
+      long lastAllowedFence = shownFence + FencingToken.MOST_AHEAD - 1;
+      assertTrue(
+          Fencing.maySendLaunches(host(token, lastAllowedFence), TERM), "shown " + shownFence);
+      assertFalse(
+          Fencing.maySendLaunches(host(token, lastAllowedFence + 1), TERM), "shown " + shownFence);
     }
   }
 
   /** Guards against counting from what a worker showed of another term. */
   @Test
-  void aTokenOfAnotherTermCountsAsNone() {
-    long earlier = FencingToken.of(TERM - 1, MOST_SHOWN);
+  void ignoresTokensOfOtherTerms() {
+    long earlier = FencingToken.of(TERM - 1, MAX_SHOWN_FENCE);
     assertTrue(Fencing.maySendLaunches(host(earlier, 0), TERM));
     assertFalse(Fencing.maySendLaunches(host(earlier, FencingToken.MOST_AHEAD), TERM));
   }
--- a/src/test/java/dapplestair/workers/HostTest.java
+++ b/src/test/java/dapplestair/workers/HostTest.java
@@ -12,15 +12,15 @@
 class HostTest {
   private static MachineType type() {
     ObjectNode types = Json.object();
-    ObjectNode t = types.putArray("hulls").addObject();
-    t.put("label", "t8").put("vcpus", 8).put("memoryGb", 64).put("pullGbPerS", 0.5);
-    t.putArray("basins").add("a");
-    MachineTypes read = new MachineTypes();
-    read.read(types);
-    return read.get("t8");
+    ObjectNode typeNode = types.putArray("hulls").addObject();
+    typeNode.put("label", "t8").put("vcpus", 8).put("memoryGb", 64).put("pullGbPerS", 0.5);
+    typeNode.putArray("basins").add("a");
+    MachineTypes machineTypes = new MachineTypes();
+    machineTypes.read(types);
+    return machineTypes.get("t8");
   }
 
-  private static Submission needing(String image, double gb)
+  private static Submission submissionWithImage(String image, double imageGb)
       throws Submission.InvalidSubmissionException {
     return Submission.parse(
         Json.object()
@@ -34,7 +34,7 @@
             .put("accelerators", 0)
             .put("memoryGb", 1)
             .put("bundle", image)
-            .put("imageGb", gb)
+            .put("imageGb", imageGb)
             .put("together", false)
             .put("apart", true)
             .put("loaners", false)
@@ -44,13 +44,13 @@
   }
 
   @Test
-  void anImageIsWaitedForUntilItIsThere() throws Submission.InvalidSubmissionException {
+  void imageWaitEndsOnceTheImageIsPresent() throws Submission.InvalidSubmissionException {
     Host host = new Host("n-1", 0);
     host.describe("n-1:1", type(), "a", false);
-    Submission s = needing("img-1", 1.5);
-    assertEquals(3.0, host.imageWaitS(s, 1000));
-    host.imageSeen(s, 2000);
-    assertEquals(0.0, host.imageWaitS(s, 2000));
-    assertEquals(1.0, host.imageWaitS(needing("img-2", 0.5), 2000));
+    Submission submission = submissionWithImage("img-1", 1.5);
+    assertEquals(3.0, host.imageWaitS(submission, 1000));
+    host.imageSeen(submission, 2000);
+    assertEquals(0.0, host.imageWaitS(submission, 2000));
+    assertEquals(1.0, host.imageWaitS(submissionWithImage("img-2", 0.5), 2000));
   }
 }
