--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -101,7 +101,7 @@
       anyFresh |= workers.isResponsive(host);
       anyAwaited |= host.zoneSilentMs() > 0;
       prepare(host);
-      if (host.expectedUp()) {
+      if (host.isExpectedUp()) {
         expectedUp.add(String.valueOf(host.zone()));
       }
     }
@@ -168,7 +168,7 @@
       lost(host, "silent");
       spotHistory.noteTaken(host);
       giveUp(host);
-    } else if (!host.expectedUp() && bootOverdue(host, now)) {
+    } else if (!host.isExpectedUp() && bootOverdue(host, now)) {
       LOG.info("{} does not come up: returning it", host.id());
       lost(host, "does not come up");
       releases.add(host);
--- a/src/main/java/dapplestair/placement/PlacementFilter.java
+++ b/src/main/java/dapplestair/placement/PlacementFilter.java
@@ -161,7 +161,7 @@
   private int roomFor(Host host, Submission submission) {
     long now = clock.now();
     int fitting = submission.fittingTasks(host.cpusFree(), host.memoryFree(), host.gpusFree());
-    if (!host.onProbation(now)) {
+    if (!host.isOnProbation(now)) {
       return fitting;
     }
     return host.hasProbationTask(now) ? 0 : Math.min(1, fitting);
--- a/src/main/java/dapplestair/placement/Placer.java
+++ b/src/main/java/dapplestair/placement/Placer.java
@@ -314,7 +314,7 @@
       steady.add(host, -job.spec().cpus());
       lanes.add(host, -job.spec().cpus());
       step = job.nextFree(step + 1);
-      if (probes(job) || host.onProbation(clock.now())) {
+      if (probes(job) || host.isOnProbation(clock.now())) {
         break;
       }
     }
--- a/src/main/java/dapplestair/work/BoundedMap.java
+++ b/src/main/java/dapplestair/work/BoundedMap.java
@@ -3,13 +3,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The entries made last, as many as are kept; one that is put again keeps its place. */
+/**
+ * A map of limited size that drops the entry that was inserted first. An entry that is put again
+ * keeps its place.
+ */
 public final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
   private static final long serialVersionUID = 1L;
 
   private final int maxEntries;
 
-  /** Keeps {@code maxEntries} entries. */
+  /** Creates a map that keeps at most {@code maxEntries} entries. */
   public BoundedMap(int most) {
     this.maxEntries = most;
   }
--- a/src/main/java/dapplestair/work/ExpiringLruMap.java
+++ b/src/main/java/dapplestair/work/ExpiringLruMap.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.function.ToLongFunction;
 
-/** Entries in the order of their last use, dropped once they are too old or too many. */
+/**
+ * A map in the order of the entries' last use. Entries are dropped once they are too old or too
+ * many.
+ */
 public final class ExpiringLruMap<K, V> {
   private final Clock clock;
   private final long maxAgeMs;
@@ -15,7 +18,10 @@
   private final ToLongFunction<V> lastUsedAt;
   private final Map<K, V> entries = new LinkedHashMap<>();
 
-  /** Keeps {@code maxEntries} entries at the most, each for {@code maxAgeMs} after its last use. */
+  /**
+   * Creates a map that keeps at most {@code maxEntries} entries, each for {@code maxAgeMs} after
+   * its last use.
+   */
   public ExpiringLruMap(Clock clock, long keptMs, int most, ToLongFunction<V> usedAt) {
     this.clock = clock;
     this.maxAgeMs = keptMs;
@@ -23,18 +29,18 @@
     this.lastUsedAt = usedAt;
   }
 
-  /** Takes an entry out; null if there was none. */
+  /** Removes an entry and returns it, or returns null if there was none. */
   public V remove(K key) {
     return entries.remove(key);
   }
 
-  /** Puts an entry that is not there, as the one used last. */
+  /** Adds an entry under a key that is not in the map, as the one used last. */
   public void put(K key, V value) {
     removeExpired();
     entries.put(key, value);
   }
 
-  /** What is kept now, the oldest first. */
+  /** Returns the entries that have not expired, the oldest first. */
   public Collection<V> values() {
     removeExpired();
     return entries.values();
--- a/src/main/java/dapplestair/work/JobShape.java
+++ b/src/main/java/dapplestair/work/JobShape.java
@@ -1,10 +1,10 @@
 package dapplestair.work;
 
-/** How the tasks of a job belong together. */
+/** How the tasks of a job depend on each other. */
 public enum JobShape {
-  /** Independent tasks, each runs to completion. */
+  /** Independent tasks, each of which runs to completion. */
   ARRAY("sweep"),
-  /** Tasks that run to completion side by side, none before all are there. */
+  /** Tasks that run to completion side by side; none begins before all can run. */
   GANG("gang"),
   /** Replicas that run until the job is cancelled. */
   SERVICE("daemon");
@@ -24,7 +24,7 @@
     return null;
   }
 
-  /** The word on the wire. */
+  /** Returns the name of this shape on the wire. */
   public String wireName() {
     return wireName;
   }
--- a/src/main/java/dapplestair/work/Rank.java
+++ b/src/main/java/dapplestair/work/Rank.java
@@ -2,16 +2,16 @@
 
 /** A job's priority, highest first. */
 public enum Rank {
-  /** Before everything. */
+  /** Before all other work. */
   CRITICAL,
-  /** Before ordinary work. */
+  /** Before work of standard rank. */
   HIGH,
   /** Ordinary work. */
   STANDARD,
-  /** Whenever there is room. */
+  /** Whenever there is free capacity. */
   LOW;
 
-  /** The rank of this word, or null. */
+  /** Returns the rank with this name on the wire, or null. */
   public static Rank fromWire(String wireName) {
     for (Rank rank : values()) {
       if (rank.wireName().equals(wireName)) {
@@ -21,12 +21,12 @@
     return null;
   }
 
-  /** The word on the wire. */
+  /** Returns the name of this rank on the wire. */
   public String wireName() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 
-  /** True when this one may take the other's room. */
+  /** Returns true when work of this rank may take the capacity of work of the other rank. */
   public boolean outranks(Rank other) {
     return ordinal() < other.ordinal();
   }
--- a/src/main/java/dapplestair/work/Report.java
+++ b/src/main/java/dapplestair/work/Report.java
@@ -6,12 +6,14 @@
 import java.util.List;
 
 /**
- * What a worker says of its machine.
+ * A worker's report about its machine.
  *
- * @param session rises each time the worker's lease has run out ({@code tenure} on the wire)
- * @param tick rises with every report of a session
- * @param token highest token the worker has seen ({@code baton})
- * @param reclaimInS seconds until the cloud takes the machine, or NaN
+ * @param session number that rises each time the worker's lease has expired ({@code tenure} on the
+ *     wire)
+ * @param tick number that rises with every report of a session
+ * @param token highest fencing token that the worker has seen ({@code baton} on the wire)
+ * @param reclaimInS seconds until the cloud takes the machine back, or NaN without a notice ({@code
+ *     recallS} on the wire)
  */
 public record Report(
     String host,
@@ -25,7 +27,7 @@
     double reclaimInS,
     List<Task> tasks) {
 
-  /** State of a task on its machine. */
+  /** The state of a task on its machine. */
   public enum Status {
     FETCHING,
     RUNNING,
@@ -33,20 +35,23 @@
     EXITED
   }
 
-  /** One task; {@code cause} is null unless it has exited, {@code stored} if it saved then. */
+  /**
+   * A task on the machine. {@code cause} is null unless the task has exited; {@code stored} is true
+   * when it saved its progress on exit.
+   */
   public record Task(String key, long attempt, Status status, String cause, boolean stored) {
     Task(String key, long attempt, Status status) {
       this(key, attempt, status, null, false);
     }
 
-    /** Its job. */
+    /** Returns the reference of the task's job. */
     public String jobRef() {
       int slash = key.lastIndexOf('/');
       return slash < 0 ? key : key.substring(0, slash);
     }
   }
 
-  /** Reads a report, or gives null when it makes no sense. */
+  /** Parses a report; returns null when it is malformed. */
   public static Report parse(JsonNode node) {
     String host = Json.text(node, "host");
     String type = Json.text(node, "hull");
@@ -105,7 +110,7 @@
             cause == null ? "stopped" : cause,
             Json.flag(node, "stored"));
       }
-      // A state that we do not know of still occupies the machine.
+      // A task in an unknown state still occupies the machine.
       default -> new Task(key, attempt, Status.RUNNING);
     };
   }
@@ -123,7 +128,10 @@
     return colon + 1 < endpoint.length();
   }
 
-  /** True when it was sent after the one of this session and tick (PROTOCOL, "tick"). */
+  /**
+   * Returns true when this report was sent after the one with the given session and tick (PROTOCOL,
+   * "tick").
+   */
   public boolean isNewerThan(long otherSession, long otherTick) {
     return session() > otherSession || session() == otherSession && tick() > otherTick;
   }
--- a/src/main/java/dapplestair/work/Submission.java
+++ b/src/main/java/dapplestair/work/Submission.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * A job as its user described it.
+ * A job as described by the user who submitted it. * @param shape how its tasks depend on each
+ * other
  *
- * @param shape how its tasks belong together
  * @param types allowed machine types, or null for any
  * @param zone the only allowed zone, or null
- * @param together all tasks in one zone
- * @param apart at most half of the tasks, rounded up, in one zone
- * @param spot may use machines that can be taken back
- * @param dueS deadline from submission, or infinity
+ * @param together whether all tasks must run in one zone
+ * @param apart whether at most half of the tasks, rounded up, may run in one zone
+ * @param spot whether it may use machines that the cloud can take back
+ * @param dueS deadline in seconds from submission, or infinity
  */
 public record Submission(
     String ref,
@@ -41,7 +41,7 @@
 
   private static final int MAX_TASKS = 100_000;
 
-  /** What is wrong with a body; the message names the field. */
+  /** Thrown when the body of a submission is invalid; the message names the field. */
   public static final class InvalidSubmissionException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -50,45 +50,45 @@
     }
   }
 
-  /** True when its tasks run until it is cancelled. */
+  /** Returns true when its tasks run until it is cancelled. */
   public boolean isService() {
     return shape == JobShape.SERVICE;
   }
 
-  /** True when none of its tasks is of use before all of them run. */
+  /** Returns true when its tasks make progress only while all of them run. */
   public boolean isGang() {
     return shape == JobShape.GANG;
   }
 
-  /** Tasks that must have room at the same time for the job to make sense. */
+  /** Returns how many of its tasks must have capacity at the same time for the job to be of use. */
   public int minSimultaneousTasks() {
     return shape == JobShape.ARRAY ? 1 : taskCount;
   }
 
-  /** Most tasks that may be in one zone. */
+  /** Returns the maximum number of tasks that may run in one zone. */
   public int maxTasksPerZone() {
     return apart ? (taskCount + 1) / 2 : taskCount;
   }
 
-  /** True when a stopped task can keep its progress. */
+  /** Returns true when a stopped task can keep its progress. */
   public boolean savesProgress() {
     return saveIntervalS > 0;
   }
 
-  /** Reads and checks a user's body. */
+  /** Parses and validates the body of a user's request. */
   public static Submission parse(JsonNode body) throws InvalidSubmissionException {
     if (!body.isObject()) {
       throw new InvalidSubmissionException("the body is not a JSON object");
     }
-    String ref = text(body, "ref");
+    String ref = requiredText(body, "ref");
     if (!validRef(ref)) {
       throw new InvalidSubmissionException("ref: not a job id");
     }
-    JobShape shape = JobShape.fromWire(text(body, "shape"));
+    JobShape shape = JobShape.fromWire(requiredText(body, "shape"));
     if (shape == null) {
       throw new InvalidSubmissionException("shape: must be sweep, gang or daemon");
     }
-    Rank rank = Rank.fromWire(text(body, "rank"));
+    Rank rank = Rank.fromWire(requiredText(body, "rank"));
     if (rank == null) {
       throw new InvalidSubmissionException("rank: must be critical, high, standard or low");
     }
@@ -107,17 +107,17 @@
     JsonNode deadline = body.path("dueS");
     return new Submission(
         ref,
-        text(body, "jobclass"),
-        text(body, "owner"),
+        requiredText(body, "jobclass"),
+        requiredText(body, "owner"),
         shape,
         rank,
         taskCount.intValue(),
         cpus,
         amount(body, "accelerators"),
         memoryGb,
-        text(body, "bundle"),
+        requiredText(body, "bundle"),
         amount(body, "imageGb"),
-        types(body.path("hulls")),
+        parseTypes(body.path("hulls")),
         optionalText(body, "basin"),
         flag(body, "together"),
         flag(body, "apart"),
@@ -130,7 +130,7 @@
             : amount(body, "dueS"));
   }
 
-  /** True for anything that can be a job id. */
+  /** Returns true when the text has the form of a job id. */
   public static boolean validRef(String ref) {
     int dash = ref.indexOf('-');
     if (dash < 1 || dash > 32 || dash + 1 >= ref.length() || ref.length() - dash > 20) {
@@ -148,7 +148,7 @@
     return true;
   }
 
-  /** The form kept in the state service, which {@link #parse} reads back. */
+  /** Returns the form that is stored in the state service, which {@link #parse} reads back. */
   public ObjectNode toJson() {
     ObjectNode object =
         Json.object()
@@ -182,7 +182,7 @@
     return object;
   }
 
-  private static List<String> types(JsonNode node) throws InvalidSubmissionException {
+  private static List<String> parseTypes(JsonNode node) throws InvalidSubmissionException {
     if (node.isNull() || node.isMissingNode()) {
       return null;
     }
@@ -199,7 +199,8 @@
     throw new InvalidSubmissionException("hulls: must be an array or null");
   }
 
-  private static String text(JsonNode body, String field) throws InvalidSubmissionException {
+  private static String requiredText(JsonNode body, String field)
+      throws InvalidSubmissionException {
     String value = optionalText(body, field);
     if (value == null || value.isEmpty()) {
       throw new InvalidSubmissionException(field + ": missing");
@@ -239,7 +240,7 @@
     return node.booleanValue();
   }
 
-  /** How many of its tasks so much room is for. */
+  /** Returns how many of its tasks fit into the given free resources. */
   public int fittingTasks(double cpusFree, double memoryGbFree, double gpusFree) {
     double count = Math.min(cpusFree / cpus(), memoryGbFree / Math.max(1e-9, memoryGb()));
     if (gpus() > 0) {
--- a/src/main/java/dapplestair/work/WorkerCommand.java
+++ b/src/main/java/dapplestair/work/WorkerCommand.java
@@ -5,23 +5,25 @@
 import dapplestair.json.Json;
 import java.util.Collection;
 
-/** One command to a worker. */
+/** A command to a worker. */
 public sealed interface WorkerCommand {
-  /** The task, as in reports. */
+  /** Returns the key of the task, as in reports. */
   String key();
 
-  /** Which attempt at it. */
+  /** Returns the number of the attempt at the task. */
   long attempt();
 
-  /** The wire form. */
+  /** Returns the form of this command on the wire. */
   ObjectNode toJson();
 
-  /** The same for the same order, so that repeating it does not queue it twice. */
+  /**
+   * Returns an id that is equal for equal commands, so that a repeated command is not queued twice.
+   */
   default String id() {
     return getClass().getSimpleName() + key() + "#" + attempt();
   }
 
-  /** Start this attempt. */
+  /** Starts this attempt. */
   record Launch(String key, long attempt) implements WorkerCommand {
     @Override
     public ObjectNode toJson() {
@@ -29,7 +31,7 @@
     }
   }
 
-  /** Stop this attempt, leaving it {@code windDownS} to save. */
+  /** Stops this attempt, leaving it {@code windDownS} seconds to save its progress. */
   record Halt(String key, long attempt, double windDownS) implements WorkerCommand {
     @Override
     public ObjectNode toJson() {
@@ -37,7 +39,7 @@
     }
   }
 
-  /** Take an exited attempt out of the reports. */
+  /** Drops an exited attempt from the worker's reports. */
   record Clear(String key, long attempt) implements WorkerCommand {
     @Override
     public ObjectNode toJson() {
@@ -45,7 +47,10 @@
     }
   }
 
-  /** Orders under a token, as the answer to a report; a call names the session as well. */
+  /**
+   * Returns a message with commands under a fencing token, as the answer to a report. A call to a
+   * worker names the session as well.
+   */
   static ObjectNode message(long token, Collection<? extends WorkerCommand> commands) {
     ObjectNode message = Json.object().put("baton", token);
     ArrayNode list = message.putArray("orders");
@@ -53,7 +58,7 @@
     return message;
   }
 
-  /** The same as a call to a worker in a session. */
+  /** Returns the same message as a call to a worker in a session. */
   static ObjectNode callMessage(
       long token, long session, Collection<? extends WorkerCommand> commands) {
     return message(token, commands).put("tenure", session);
--- a/src/main/java/dapplestair/work/package-info.java
+++ b/src/main/java/dapplestair/work/package-info.java
@@ -1,2 +1,5 @@
-/** What everything else is about: a job as its user described it, and what a worker reports. */
+/**
+ * The basic types of jobs and workers: a job as submitted by its user, a worker's report and the
+ * commands to a worker.
+ */
 package dapplestair.work;
--- a/src/main/java/dapplestair/workers/CommandSender.java
+++ b/src/main/java/dapplestair/workers/CommandSender.java
@@ -21,14 +21,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Brings orders to machines, one message at a time to each, and fences off what got no answer. */
+/**
+ * Sends commands to machines, with at most one call in progress to each machine, and raises the
+ * fencing token after a call that was not answered.
+ */
 final class CommandSender {
-  /** Told of what machines answer. */
+  /** Receives the outcomes of calls to machines. */
   interface Listener {
-    /** A machine's report after its orders. */
+    /** Called with the report that a machine returns after it has received its commands. */
     void reportReceived(Host host, Report report);
 
-    /** Two calls in a row were not answered. */
+    /** Called when two calls in a row to a machine have not been answered. */
     void becameUnresponsive(Host host);
   }
 
@@ -77,12 +80,15 @@
     hostIdsWithScheduledSend.clear();
   }
 
-  /** The token to show to a machine: the term, and its fence. */
+  /** Returns the fencing token to send to a machine: the current term and the machine's fence. */
   long fencingToken(Host host) {
     return FencingToken.of(leadership.term(), host.fence);
   }
 
-  /** Sends an order with all others of this turn. */
+  /**
+   * Queues a command; all commands queued for a machine in the same event loop turn are sent
+   * together.
+   */
   void queue(String hostId, WorkerCommand command) {
     Host host = hostRegistry.find(hostId);
     if (host == null || !leading) {
@@ -102,14 +108,14 @@
     }
   }
 
-  /** Sends what waits for a machine. */
+  /** Sends the commands that are queued for a machine, if there are any. */
   void sendQueued(Host host) {
     if (!host.outbox.isEmpty()) {
       call(host, false);
     }
   }
 
-  /** Sends what waits, or nothing: the answer shows what is on the machine. */
+  /** Calls a machine with its queued commands, or with none: its reply shows what runs on it. */
   void probe(Host host) {
     call(host, true);
   }
@@ -132,7 +138,7 @@
     ObjectNode body = WorkerCommand.callMessage(fencingToken(host), host.session, commands);
     if (!launches.isEmpty()) {
       LOG.debug(
-          "{} launches leave for {} under token {}",
+          "sending {} launches to {} under fencing token {}",
           launches.size(),
           host.id(),
           fencingToken(host));
@@ -140,7 +146,8 @@
     host.callInProgress = true;
     long term = leadership.term();
     relay.command(
-        // After a call that failed on its way through another controller, the next one is direct.
+        // After a failed call, which may have failed at the relaying controller, the next one is
+        // direct.
         host.failedCalls > 0 ? null : host.relayController,
         host.endpoint,
         Json.bytes(body),
@@ -154,9 +161,11 @@
   }
 
   /**
-   * How long an answer is waited for. A machine that reports, and shows what earlier calls told it,
-   * though their answers came too late, is behind a slow link: with one patience for all it took no
-   * work for as long as its link was slow (OverloadTest). One that is not reached hangs or is deaf.
+   * Returns how long to wait for a machine's reply. The timeout is doubled after each failed call
+   * while the machine reports and its reports show the tokens of earlier calls: its link is slow,
+   * and the replies came too late. With the same timeout for all, such a machine took no work for
+   * as long as its link was slow (OverloadTest). A machine whose reports don't arrive hangs, or
+   * receives nothing; its timeout is not extended.
    */
   private long replyTimeoutMs(Host host) {
     boolean reportsArrive = clock.now() - host.lastReachedAt < 2 * reportMs;
@@ -185,9 +194,10 @@
   }
 
   /**
-   * A launch of a job that was cancelled without this leader's knowledge must not leave for long
-   * after that, nor under a token above all that another controller raises to keep it out: see
-   * package cancellations.
+   * Returns true when launches may be sent to this machine. A job may have been cancelled without
+   * this leader's knowledge: its launches may be sent only for a limited time after that, and only
+   * under a token below the one that another controller raises the worker to in order to fence them
+   * off (see package cancellations).
    */
   private boolean mayLaunch(Host host) {
     return cancellations.mayLaunch() && Fencing.maySendLaunches(host, leadership.term());
@@ -212,11 +222,12 @@
     host.failedCalls++;
     boolean mayHaveArrived = reply.status() != HttpReply.NOT_SENT;
     Fencing.callUnanswered(host, leadership.term(), launches, mayHaveArrived);
-    // A report that shows the raised token was sent since.
+    // Only a report that was sent after this failed call can show the raised token.
     if (host.tokenSeen >= host.reachabilityToken) {
       host.reachabilityToken = fencingToken(host);
     }
-    // The connection of the first failed call was closed, so a later call has made a new one.
+    // The connection is closed after a failed call, so a later call that was sent has opened a new
+    // one.
     host.lastCallConnected = mayHaveArrived;
     host.nextCallAt = clock.now() + Math.min(reportMs / 3, 100L << Math.min(4, host.failedCalls));
     if (mayHaveArrived) {
@@ -229,7 +240,10 @@
     }
   }
 
-  /** Stops may be repeated; a launch never is, nor a clear whose launch may still be on its way. */
+  /**
+   * Queues halts again. A launch is never repeated, nor is a clear, whose launch may still be in
+   * transit.
+   */
   private static void requeue(Host host, List<WorkerCommand> commands) {
     for (WorkerCommand command : commands) {
       if (command instanceof WorkerCommand.Halt halt) {
--- a/src/main/java/dapplestair/workers/Fencing.java
+++ b/src/main/java/dapplestair/workers/Fencing.java
@@ -6,16 +6,17 @@
 import java.util.List;
 
 /**
- * How a machine's token rises with the messages sent to it, and what each outcome says about the
- * launches in a message. The rules are explored exhaustively by the tests' package {@code model}.
+ * The rules by which a machine's fencing token is raised with the messages sent to it, and what the
+ * outcome of each message proves about its launches. The test package {@code model} explores these
+ * rules exhaustively.
  */
 final class Fencing {
   private Fencing() {}
 
-  /** The attempt that this launch is still due for, or null. */
+  /** Returns the attempt that this launch command should still start, or null if there is none. */
   static Attempt findDueAttempt(Host host, WorkerCommand launch) {
     Attempt attempt = host.attempt(launch.key());
-    // Dropped meanwhile, or planned for a session that has ended.
+    // The attempt may have been dropped meanwhile, or planned for a session that has ended.
     boolean isDue =
         attempt != null
             && attempt.number() == launch.attempt()
@@ -26,8 +27,8 @@
   }
 
   /**
-   * Whether launches may be sent under the machine's token: it must lie below all that another
-   * controller raises the worker's token to in order to keep them out.
+   * Returns true when launches may be sent under the machine's token. The token must be lower than
+   * any token that another controller may raise the worker to in order to fence them off.
    */
   static boolean maySendLaunches(Host host, long term) {
     long shownFence =
@@ -35,25 +36,28 @@
     return host.fence - shownFence < FencingToken.MOST_AHEAD;
   }
 
-  /** A message with these orders is about to leave; its token is read after this. */
+  /** Prepares for sending a message with these commands; the caller reads its token afterwards. */
   static void beforeSend(Host host, List<WorkerCommand> commands, List<Attempt> launches) {
     if (commands.stream().anyMatch(command -> command instanceof WorkerCommand.Clear)) {
-      // Once cleared, an attempt is forgotten: a copy of the message that launched it, come late,
-      // would start it again. It carries a lower token than this one.
+      // A worker forgets an attempt that was cleared, so a delayed copy of the message that
+      // launched it would start it again. With the raised token that copy is refused, since it
+      // carries a lower one.
       host.fence++;
     }
     launches.forEach(Attempt::launchSent);
   }
 
-  /** The worker answered: the whole message was executed or refused. */
+  /**
+   * Records that the worker replied, which means that the whole message was executed or refused.
+   */
   static void callAnswered(List<Attempt> launches) {
     launches.forEach(Attempt::launchAnswered);
   }
 
   /**
-   * No answer. If the message was {@code sent}, its launches may be executed at any later time
-   * until the worker has seen the token that is raised here: nothing is concluded before it is
-   * shown.
+   * Records that a message got no reply. If the message was {@code sent}, its launches may still be
+   * executed at any time until the worker has seen the token that is raised here, so nothing is
+   * concluded about them before the worker shows that token.
    */
   static void callUnanswered(Host host, long term, List<Attempt> launches, boolean sent) {
     host.fence++;
@@ -69,8 +73,8 @@
   }
 
   /**
-   * The worker shows this token. Another controller may have raised it within the term: what lies
-   * below is not executed any more.
+   * Records the token that the worker shows. Another controller may have raised it within the term,
+   * and the worker executes no message with a lower token any more.
    */
   static void tokenShown(Host host, long term, long token) {
     if (FencingToken.term(token) == term) {
--- a/src/main/java/dapplestair/workers/Host.java
+++ b/src/main/java/dapplestair/workers/Host.java
@@ -6,42 +6,46 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One machine as the leader knows it. */
+/** A machine as the leader knows it. Times are milliseconds of the steady clock. */
 public final class Host extends Machine {
   String endpoint;
 
-  // What its worker last said.
+  // What its worker's newest report says, and when the worker was reached.
   long session;
   long tick = -1;
   long tokenSeen;
   long lastReachedAt = Long.MIN_VALUE / 2;
 
   /**
-   * When its worker last reported by itself, as one that hears us; until it does, when it was first
-   * reached. Answers to calls don't count: they renew no lease.
+   * When its worker last sent a report of its own accord that shows that it receives our replies.
+   * Until the first such report, the time at which the machine was first reached. Replies to calls
+   * don't count, since they renew no lease.
    */
   long lastReportedAt = Long.MIN_VALUE / 2;
 
   long reclaimAt = Long.MAX_VALUE;
   int strayTaskCount;
 
-  // What we may conclude from it.
+  // Fencing: what may be concluded from its reports.
   long fence;
 
   /**
-   * The token that a report has to show before it says that our answers reach the machine: the
-   * first of the term, then the one raised by the first call of several that got no answer.
+   * The lowest token that a report must show to prove that our replies reach the machine: the first
+   * token of the term, and after failed calls the token that was raised by the first of them.
    */
   long reachabilityToken;
 
   boolean termAcknowledged;
 
-  // Orders.
+  // Commands.
   final Map<String, WorkerCommand> outbox = new LinkedHashMap<>();
   boolean callInProgress;
   int failedCalls;
 
-  /** The controller that holds its connection and passes its reports on, or null for this one. */
+  /**
+   * The controller that holds the worker's connection and relays its reports, or null if this
+   * controller does.
+   */
   String relayController;
 
   boolean lastCallConnected;
@@ -72,7 +76,7 @@
     this.knownSince = now;
   }
 
-  /** Fills in what is learnt from the cloud or from the worker itself. */
+  /** Updates what the cloud or the worker itself says about the machine. */
   public void describe(String newEndpoint, MachineType newType, String newZone, boolean isSpot) {
     if (newEndpoint != null) {
       endpoint = newEndpoint;
@@ -80,25 +84,25 @@
     describe(newType, newZone, isSpot);
   }
 
-  /** True once its worker has reported. */
+  /** Returns true once its worker has reported. */
   public boolean isUp() {
     return tick >= 0;
   }
 
-  /** True once it was reached: heard, and known to have heard us. */
+  /** Returns true once it was reached: it was heard, and is known to receive our replies. */
   boolean wasReached() {
     return lastReachedAt > Long.MIN_VALUE / 2;
   }
 
   /**
-   * When its worker was last reached, in steady time: it reported, and showed that our answers come
-   * through.
+   * Returns when its worker was last reached, in steady time: when it last answered a call, or sent
+   * a report that shows that our replies arrive.
    */
   public long lastReachedAt() {
     return lastReachedAt;
   }
 
-  /** When this controller first knew of it. */
+  /** Returns when this controller first learned of it. */
   public long knownSince() {
     return knownSince;
   }
@@ -108,12 +112,12 @@
     return session;
   }
 
-  /** True once a notice says that it will be taken. */
+  /** Returns true once a reclaim notice says that the cloud will take the machine back. */
   public boolean hasReclaimNotice() {
     return reclaimAt != Long.MAX_VALUE;
   }
 
-  /** When it will be taken. */
+  /** Returns when the cloud will take the machine back, or {@link Long#MAX_VALUE}. */
   public long reclaimAt() {
     return reclaimAt;
   }
@@ -132,17 +136,17 @@
         || type() == null;
   }
 
-  /** True while a release is under way. */
+  /** Returns true while it is being returned to the cloud. */
   public boolean isReleasing() {
     return releasing;
   }
 
-  /** Marks it as being returned: nothing may start on it from now on. */
+  /** Marks it as being returned, or not: nothing may start on it while it is. */
   public void setReleasing(boolean value) {
     releasing = value;
   }
 
-  /** True when it is proved to be gone. */
+  /** Returns true when it is proved to be gone. */
   public boolean isGone() {
     return gone;
   }
@@ -152,87 +156,97 @@
     gone = true;
   }
 
-  /** True when it is being emptied. */
+  /** Returns true when it is being emptied because it is found to be faulty. */
   public boolean isDraining() {
     return draining;
   }
 
-  /** Empties it, or not. */
+  /** Sets whether it is being emptied. */
   public void setDraining(boolean value) {
     draining = value;
   }
 
-  /** True when operators have it emptied; it stays rented, and is no room to plan with. */
+  /**
+   * Returns true when operators have ordered it to be emptied. It stays rented, but doesn't count
+   * as capacity for planning.
+   */
   public boolean isDrainedByOperator() {
     return drainedByOperator;
   }
 
-  /** Operators want it emptied, or not any more. */
+  /** Sets whether operators have ordered it to be emptied. */
   public void setDrainedByOperator(boolean value) {
     drainedByOperator = value;
   }
 
-  /** True when its worker has shown a token of this term, so that reports prove something. */
+  /**
+   * Returns true when its worker has shown a token of this term, so that its reports are proofs.
+   */
   public boolean hasAcknowledgedTerm() {
     return termAcknowledged;
   }
 
-  /** True while something runs on it that no record accounts for. */
+  /** Returns true while a task runs on it that no record accounts for. */
   public boolean hasStrayTasks() {
     return strayTaskCount > 0;
   }
 
-  /** Orders that wait to be sent to it. */
+  /** Returns the number of commands that wait to be sent to it. */
   public int queuedCommands() {
     return outbox.size();
   }
 
-  /** Its address, or null. */
+  /** Returns its address, or null while it is unknown. */
   public String endpoint() {
     return endpoint;
   }
 
-  /** True when it gets no new work, since the plan wants fewer of its kind. */
+  /** Returns true when it gets no new work because the plan asks for fewer machines of its kind. */
   public boolean isCordoned() {
     return cordoned;
   }
 
-  /** Gives it new work or not; unlike a drained machine it goes back into use for the asking. */
+  /**
+   * Sets whether it gets no new work. Unlike a drained machine, a cordoned one can be taken back
+   * into use at any time.
+   */
   public void setCordoned(boolean value) {
     cordoned = value;
   }
 
-  /** When it was rented, or {@link Long#MAX_VALUE}. */
+  /** Returns when it was rented, or {@link Long#MAX_VALUE}. */
   public long rentedAt() {
     return rentedAt;
   }
 
-  /** Sets when it was rented. */
+  /** Sets when it was rented; an earlier time that is known already is kept. */
   public void setRentedAt(long at) {
     rentedAt = Math.min(rentedAt, at);
   }
 
-  /** When a list first held it. */
+  /** Returns when a machine list of the cloud first contained it, or {@link Long#MAX_VALUE}. */
   public long firstListedAt() {
     return firstListedAt;
   }
 
-  /** A list holds it. */
+  /** Records that a machine list of the cloud contains it. */
   public void markListed(long at) {
     firstListedAt = Math.min(firstListedAt, at);
   }
 
-  /** The cloud says that it is up, so its worker should answer. */
+  /** Records that the cloud reports it as up, so that its worker is expected to answer. */
   public void markExpectedUp() {
     reportedUpByCloud = true;
   }
 
-  /** True when its worker should answer. */
-  public boolean expectedUp() {
+  /** Returns true when its worker is expected to answer. */
+  public boolean isExpectedUp() {
     return isUp() || reportedUpByCloud;
   }
 
-  /** True when it has been silent for long enough that its room is no room. */
+  /**
+   * Returns true when it has been silent for so long that it doesn't count as capacity any more.
+   */
   public boolean isUnreachable() {
     return unreachable;
   }
@@ -241,7 +255,7 @@
     unreachable = value;
   }
 
-  /** True when it answers calls but does not report, so that its lease runs out. */
+  /** Returns true when it answers calls but doesn't report, so that its lease will expire. */
   public boolean isNotReporting() {
     return notReporting;
   }
@@ -251,14 +265,15 @@
   }
 
   /**
-   * True when it still takes connections, but answers nothing: it hangs, and may go on at any time
-   * within its lease. A machine without power, or behind a cut, takes none.
+   * Returns true when it still accepts connections but doesn't answer: it hangs, and may continue
+   * at any time within its lease. A machine without power, or behind a network cut, accepts no
+   * connections.
    */
   public boolean isHanging() {
     return failedCalls >= 2 && lastCallConnected;
   }
 
-  /** How long its whole zone has been silent; 0 while the zone is heard. */
+  /** Returns how long its whole zone has been silent, or 0 while the zone is heard. */
   public long zoneSilentMs() {
     return zoneSilentMs;
   }
@@ -267,64 +282,67 @@
     zoneSilentMs = value;
   }
 
-  /** True when its address is known. */
+  /** Returns true when its address is known. */
   public boolean hasEndpoint() {
     return endpoint != null;
   }
 
-  /** A task completed here. */
+  /** Records that a task completed on it. */
   public void taskCompleted() {
     completedTasks++;
   }
 
-  /** Tasks completed here, as far as this leader has seen. */
+  /** Returns the number of tasks that completed on it, as far as this leader has seen. */
   public int completedTasks() {
     return completedTasks;
   }
 
-  /** When it is to be emptied, steady time, or {@link Long#MAX_VALUE}. */
+  /** Returns when it is to be emptied, in steady time, or {@link Long#MAX_VALUE}. */
   public long drainAt() {
     return drainAt;
   }
 
-  /** It is to be emptied then: it takes only what ends before. */
+  /** Sets when it is to be emptied: it gets only tasks that end before that time. */
   public void setDrainAt(long at) {
     drainAt = at;
   }
 
-  /** Failures here that no wrong job explains, since a task last began and completed here. */
+  /**
+   * Returns the number of failures on it that no failing job explains, since a task last began and
+   * completed on it.
+   */
   public int failures() {
     return failures;
   }
 
-  /** See package blame. */
+  /** Sets the number of unexplained failures; see package blame. */
   public void setFailures(int count) {
     failures = count;
   }
 
-  /** See package blame. */
+  /** Sets its probation; see package blame. */
   public void setProbation(Probation value) {
     probation = value;
   }
 
-  /** True when it gets one task at a time. */
-  public boolean onProbation(long now) {
+  /** Returns true when it gets only one task at a time. */
+  public boolean isOnProbation(long now) {
     return now < probation.until();
   }
 
-  /** True when it gets one task at a time, and has it. */
+  /** Returns true when it gets only one task at a time, and has that task already. */
   public boolean hasProbationTask(long now) {
-    return onProbation(now)
+    return isOnProbation(now)
         && attempts().stream()
             .anyMatch(attempt -> !attempt.exited() && attempt.plannedAt() > probation.since());
   }
 
-  /** Run time here over the run time expected, smoothed. */
+  /** Returns the smoothed ratio of the run times on it to the expected run times. */
   public double slowness() {
     return slowness;
   }
 
-  /** One more observation of the machine's speed. */
+  /** Adds an observed ratio of actual to expected run time to the smoothed one. */
   public void observeSlowness(double ratio) {
     slowness += 0.3 * (ratio - slowness);
   }
--- a/src/main/java/dapplestair/workers/HostRegistry.java
+++ b/src/main/java/dapplestair/workers/HostRegistry.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The machines that are not proved to be gone, and for a while the names of those that are. */
+/** The machines that are not proved to be gone, and the names of those that recently were. */
 final class HostRegistry {
   private static final int MAX_REMEMBERED_GONE_HOSTS = 4000;
 
@@ -15,7 +15,7 @@
   private final Map<String, Host> hosts = new LinkedHashMap<>();
   private final Map<String, GoneHost> goneHosts = new LinkedHashMap<>();
 
-  /** When it was proved to be gone, and its newest report that was heard. */
+  /** When a machine was proved to be gone, and its newest report that was received. */
   private record GoneHost(long goneAt, long session, long tick) {}
 
   HostRegistry(Clock clock) {
@@ -26,12 +26,12 @@
     return hosts.values();
   }
 
-  /** A machine by name, made known if it was not. */
+  /** Returns a machine by name, and adds it if it is not known yet. */
   Host getOrCreate(String id) {
     return hosts.computeIfAbsent(id, hostId -> new Host(hostId, clock.now()));
   }
 
-  /** A machine by name, or null. */
+  /** Returns a machine by name, or null if it is not known. */
   Host find(String id) {
     return hosts.get(id);
   }
@@ -40,19 +40,24 @@
     return goneHosts.containsKey(id);
   }
 
-  /** Its name is kept, so that a late report or list does not bring it back. */
+  /**
+   * Marks a machine as gone. Its name is kept, so that a delayed report or list doesn't add it
+   * again.
+   */
   void markGone(Host host) {
     host.markGone();
     if (goneHosts.size() >= MAX_REMEMBERED_GONE_HOSTS) {
-      // The oldest: a copy of a report comes late, but not by thousands of machines.
+      // Forgets the oldest one. A copy of a report may be delayed, but not until thousands of other
+      // machines are gone.
       goneHosts.remove(goneHosts.keySet().iterator().next());
     }
     goneHosts.put(host.id(), new GoneHost(clock.now(), host.session, host.tick));
   }
 
   /**
-   * True when a machine that is gone sent this report after the newest one that was heard of it: a
-   * cut has held it back, and is over. A copy of a report that was heard is not newer.
+   * Records a report of a machine that is gone. Returns true when the machine sent it after the
+   * newest report that was received from it: a network cut delayed the report, and is over. A copy
+   * of a report that was received is not newer.
    */
   boolean noteNewerReport(Report report) {
     GoneHost lastKnown = goneHosts.get(report.host());
@@ -61,11 +66,14 @@
       goneHosts.replace(
           report.host(), new GoneHost(lastKnown.goneAt(), report.session(), report.tick()));
     }
-    // Without one that was heard nobody can tell.
+    // If no report was received before, this one may be a copy as well.
     return isNewer && lastKnown.tick() >= 0;
   }
 
-  /** How long ago those machines were proved to be gone that were so within {@code maxAgeMs}. */
+  /**
+   * Returns the machines that were proved to be gone within the last {@code maxAgeMs}, with how
+   * long ago that was.
+   */
   Map<String, Long> goneAgesMs(long maxAgeMs) {
     long now = clock.now();
     Map<String, Long> agesMs = new HashMap<>();
--- a/src/main/java/dapplestair/workers/LeaseRenewal.java
+++ b/src/main/java/dapplestair/workers/LeaseRenewal.java
@@ -17,19 +17,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The answers that keep a worker's lease. A lease is kept only by one who knows of every
- * cancellation that is old enough to matter, and the same answer ends all cancelled tasks there and
- * keeps out what was launched of them and is still on its way. So no cancelled task outlives the
- * lease that somebody who did not know renewed last (docs/cancellations.md).
+ * Builds the answers that renew a worker's lease. A controller renews a lease only if it knows of
+ * every cancellation that is old enough to matter. The same answer stops all cancelled tasks on the
+ * machine, and fences off launches of them that are still in transit. So no cancelled task outlives
+ * the last lease that was renewed by a controller without knowledge of the cancellation
+ * (docs/cancellations.md).
  */
 final class LeaseRenewal {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseRenewal.class);
 
-  // A line of an answer may take 64 KiB: some 100 bytes for each.
+  // A line of an answer may take 64 KiB, and each halt takes about 100 bytes.
   private static final int MAX_HALTS_PER_ANSWER = 500;
   private static final int MAX_RAISED_TOKENS = 4000;
 
-  /** The token that was shown to a worker to keep launches out, and when. */
+  /** The token that was sent to a worker to fence off launches, and when it was sent. */
   private record RaisedToken(long token, long raisedAt) {}
 
   private final Clock clock;
@@ -40,25 +41,26 @@
   private final Map<String, RaisedToken> raisedTokensByHost = new BoundedMap<>(MAX_RAISED_TOKENS);
 
   /**
-   * {@code wasLiveWhenRead} tells of a job that is not in the ledger that it was not over when the
-   * records were last read here.
+   * Creates a lease renewal; {@code wasLiveWhenRead} returns true for a job that is not in the
+   * ledger, but was not over when the records were last read here.
    */
   LeaseRenewal(
       Clock clock,
       CommandSender commandSender,
       Ledger ledger,
       Cancellations cancellations,
-      Predicate<String> notOverWhenRead) {
+      Predicate<String> wasLiveWhenRead) {
     this.clock = clock;
     this.commandSender = commandSender;
     this.ledger = ledger;
     this.cancellations = cancellations;
-    this.wasLiveWhenRead = notOverWhenRead;
+    this.wasLiveWhenRead = wasLiveWhenRead;
   }
 
   /**
-   * A leader's answer, or null when it may not keep the lease. All its own attempts there count,
-   * not only those in the report: one may have been launched since that was sent.
+   * Returns the leader's answer, or null when it may not renew the lease. All of the leader's
+   * attempts on the machine are checked, not only those in the report: an attempt may have been
+   * launched after the report was sent.
    */
   ObjectNode renewAsLeader(Host host, Report report) {
     if (!cancellations.mayRenew()) {
@@ -79,17 +81,19 @@
       }
     }
     if (launchOpen) {
-      // The launch is under way: after this answer it is executed no more.
+      // The launch may still be in transit. The token of this answer is higher, so the launch is
+      // not executed after it.
       host.fence++;
     }
     return buildAnswer(commandSender.fencingToken(host), halts);
   }
 
   /**
-   * The answer of a controller that does not lead, under the worker's own token; null when it may
-   * not keep the lease. It must tell of each task whether its job is cancelled: of a job that is on
-   * none of its records it cannot, since it may have begun after that job was over, unless it is
-   * known that the job was not over when the records were read.
+   * Returns the answer of a controller that doesn't lead, under the worker's own token, or null
+   * when it may not renew the lease. The controller must know for each task whether its job is
+   * cancelled. It cannot know that of a job that is in none of its records, since this process may
+   * have started after the job was over, unless the job is known not to have been over when the
+   * records were read.
    */
   ObjectNode renewAsFollower(Report report) {
     if (!cancellations.mayRenew()) {
@@ -103,7 +107,10 @@
       if (cancellations.knows(task.jobRef())) {
         addHalt(halts, task.key(), task.attempt());
       } else if (!ledger.live(task.jobRef()) && !wasLiveWhenRead.test(task.jobRef())) {
-        LOG.debug("no lease for {}: {} is on no record here", report.host(), task.jobRef());
+        LOG.debug(
+            "not renewing the lease of {}: job {} is in none of the records here",
+            report.host(),
+            task.jobRef());
         return null;
       }
     }
@@ -116,8 +123,9 @@
   }
 
   /**
-   * The worker's own token, or one raised above any that a launch on its way can carry, once after
-   * each cancellation: when no such launch can be sent any more, and not before.
+   * Returns the worker's own token, or one that is higher than that of any launch in transit. The
+   * token is raised once after each cancellation, when launches of the cancelled job can no longer
+   * be sent, and not before.
    */
   private long tokenFor(Report report) {
     RaisedToken lastRaised = raisedTokensByHost.get(report.host());
--- a/src/main/java/dapplestair/workers/LivenessTracker.java
+++ b/src/main/java/dapplestair/workers/LivenessTracker.java
@@ -10,16 +10,21 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Who was heard when, and whether silence means anything. */
+/**
+ * Tracks when each machine and zone was last heard, and decides whether their silence proves that
+ * they are unreachable.
+ */
 final class LivenessTracker {
-  // Reports are up to a quarter late; two calls without an answer come on top.
+  // In report intervals. A report may be up to a quarter of an interval late; a machine counts as
+  // silent only after two more calls have gone unanswered.
   private static final double OVERDUE_AFTER_REPORTS = 1.35;
   private static final double SILENT_AFTER_REPORTS = 1.9;
 
-  // After this share of a lease without a report, what starts on a machine has too little left.
+  // Once this share of its lease has passed without a report, too little of the lease is left for a
+  // task that starts on the machine.
   private static final double NOT_REPORTING_LEASE_SHARE = 0.5;
 
-  // Clocks drift by less than this.
+  // Upper bound on how much the clocks of controllers and workers drift apart.
   private static final double MAX_CLOCK_DRIFT_FACTOR = 1.01;
 
   private final Clock clock;
@@ -30,10 +35,10 @@
   private final Multiset<String> upHostsPerZone = HashMultiset.create();
   private final LivenessReports livenessReports = new LivenessReports();
 
-  // When a worker of each zone last reported by itself.
+  // When any worker of the zone last sent a report of its own accord.
   private final Map<String, Long> lastReportedAtByZone = new HashMap<>();
 
-  // Zones of which no machine is heard, and when one last was.
+  // Zones in which no machine is heard at present, with the time at which one was last heard.
   private final Map<String, Long> lastHeardAtBySilentZone = new HashMap<>();
   private long reportNumber;
   private long leadingSince;
@@ -61,11 +66,15 @@
     lastReportedAtByZone.clear();
   }
 
-  /** A turn begins; the next one is due {@code intervalMs} later. */
+  /**
+   * Begins a turn: counts the machines of each zone and finds the silent zones. The next turn is
+   * due {@code intervalMs} later.
+   */
   void beginTurn(long intervalMs) {
     long now = clock.now();
     if (now - nextTurnAt > reportMs / 6) {
-      // This process itself was held up: answers wait unread, so silence proves nothing for now.
+      // This process itself was paused. Replies may be waiting unread, so silence proves nothing
+      // for now.
       silenceConclusiveAt = now + 2 * reportMs;
     }
     nextTurnAt = now + intervalMs;
@@ -84,24 +93,27 @@
   }
 
   /**
-   * A zone is silent when none of its machines was heard for longer than so many take to report,
-   * while others are heard, so long after its last report: when all fall silent it is we who are
-   * cut off, and one of them is always the first. A single machine is no zone. After a beginning or
-   * a pause of this process all silence is doubtful, unless an earlier leader had noticed it
-   * already.
+   * Finds the zones that are silent. A zone is silent when none of its machines was heard for
+   * longer than the longest gap to expect between the reports of that many machines, and another
+   * zone was heard that long after the zone's last report. If all zones fall silent, this
+   * controller is cut off itself, and one of the zones is always the first to go over its limit. A
+   * zone with a single machine is never called silent. For a while after this controller begins to
+   * lead, or after this process was paused, silence is not conclusive unless the previous leader
+   * had already noticed it.
    */
   private void findSilentZones(long now) {
     Map<String, ZoneObservation> observations = new HashMap<>();
     for (Host host : hostRegistry.all()) {
-      if (host.expectedUp() && host.zone() != null && !isPossiblyReturned(host)) {
+      if (host.isExpectedUp() && host.zone() != null && !isPossiblyReturned(host)) {
         ZoneObservation observation =
             observations.computeIfAbsent(host.zone(), zone -> new ZoneObservation());
         observation.hostCount++;
         observation.lastHeardAt = Math.max(observation.lastHeardAt, zoneEvidenceAt(host));
       }
     }
-    // A zone whose machines have all been given up stays silent until one is heard there: what is
-    // rented there would not be. After a while it is tried again.
+    // A zone whose machines have all been given up stays silent until a machine is heard there,
+    // since a machine rented there would not be heard either. After three leases the zone is tried
+    // again.
     Map<String, Long> silentBefore = Map.copyOf(lastHeardAtBySilentZone);
     lastHeardAtBySilentZone.clear();
     silentBefore.forEach(
@@ -142,9 +154,10 @@
   }
 
   /**
-   * A report that a cut held back may come from a machine that was returned meanwhile, under an
-   * earlier leader. Nothing more is heard of it, which says nothing of its zone: counted, it made a
-   * zone that was back look silent, in which nothing is rented for three leases.
+   * Returns true when this machine may have been returned under an earlier leader, and is known
+   * only from a report that a network cut delayed. Such a machine is never heard again, which says
+   * nothing about its zone. When it was counted, a zone that could be reached again looked silent,
+   * and nothing is rented in a silent zone for three leases.
    */
   private boolean isPossiblyReturned(Host host) {
     return host.firstListedAt() == Long.MAX_VALUE
@@ -152,31 +165,34 @@
             || hasPreviousLeaderReport() && livenessReports.saidGone(host.id()));
   }
 
-  /** True when a machine is held in this zone, heard or not. */
+  /** Returns true when a machine is held in this zone, whether or not it is heard. */
   boolean hasMachinesIn(String zone) {
     return hostRegistry.all().stream()
         .anyMatch(
-            h ->
-                zone.equals(h.zone())
-                    && !h.isReleasing()
-                    && !isPossiblyReturned(h)
-                    && !goneByPreviousLeader(h));
+            host ->
+                zone.equals(host.zone())
+                    && !host.isReleasing()
+                    && !isPossiblyReturned(host)
+                    && !goneByPreviousLeader(host));
   }
 
-  /** True when the leader before knew for certain that this machine is gone. */
+  /** Returns true when the previous leader had proved that this machine is gone. */
   boolean goneByPreviousLeader(Host host) {
     return !host.isUp() && hasPreviousLeaderReport() && livenessReports.saidGone(host.id());
   }
 
-  /** How long nothing was heard of this zone; 0 when it is heard or nothing can be said. */
+  /**
+   * Returns how long no machine of this zone has been heard, or 0 when the zone is heard or its
+   * silence is not conclusive.
+   */
   long zoneSilentMs(String zone) {
     Long lastHeardAt = lastHeardAtBySilentZone.get(zone);
     return lastHeardAt == null ? 0 : clock.now() - lastHeardAt;
   }
 
   /**
-   * True when this leader reached one of the zone's machines within the longest time between two
-   * reports.
+   * Returns true when this leader reached one of the zone's machines within the longest time to
+   * expect between two reports.
    */
   boolean isZoneHeard(String zone) {
     return clock.now() - zoneContacts.lastHeard(zone)
@@ -185,23 +201,26 @@
 
   // ---- shared with the other controllers ----
 
-  /** What another controller heard. */
+  /** Receives what another controller reports about the machines and zones that it hears. */
   void receive(LivenessReport livenessReport) {
     livenessReports.said(livenessReport, clock.now());
   }
 
-  /** What to tell the other controllers; of single machines only a leader that can judge tells. */
-  LivenessReport createReport(boolean leading, long term) {
+  /**
+   * Returns the liveness report for the other controllers. Single machines are included only by a
+   * leader to which silence is conclusive.
+   */
+  LivenessReport createReport(boolean isLeading, long term) {
     long now = clock.now();
     Map<String, Long> zoneAgesMs = new HashMap<>();
     Map<String, Long> overdueAgesMs = new HashMap<>();
     for (String zone : upHostsPerZone.elementSet()) {
       zoneAgesMs.merge(zone, now - zoneContacts.lastHeard(zone), Math::min);
     }
-    boolean isConclusive = leading && now > silenceConclusiveAt;
+    boolean isConclusive = isLeading && now > silenceConclusiveAt;
     if (isConclusive) {
       for (Host host : hostRegistry.all()) {
-        if (host.expectedUp() && now - lastHeardAt(host) > OVERDUE_AFTER_REPORTS * reportMs) {
+        if (host.isExpectedUp() && now - lastHeardAt(host) > OVERDUE_AFTER_REPORTS * reportMs) {
           overdueAgesMs.put(host.id(), now - lastHeardAt(host));
         }
       }
@@ -212,8 +231,9 @@
   }
 
   /**
-   * When this machine was last heard. Before its first report of this term that is, at the latest,
-   * when an earlier leader heard it, or else when this one came to know of it.
+   * Returns when this machine was last heard. Until it is reached in this term, that is the time at
+   * which the previous leader last heard it, and never later than the time at which this controller
+   * came to know of it.
    */
   private long lastHeardAt(Host host) {
     if (host.wasReached()) {
@@ -224,12 +244,17 @@
         : host.knownSince();
   }
 
-  /** True when the leader before spoke until shortly before this one began. */
+  /**
+   * Returns true when the previous leader sent liveness reports until shortly before this
+   * controller began to lead.
+   */
   private boolean hasPreviousLeaderReport() {
     return livenessReports.at() > leadingSince - 2 * reportMs;
   }
 
-  /** A machine was reached: it reported by itself, or it answered a call. */
+  /**
+   * Records that a machine was reached, either by a report of its own or by its reply to a call.
+   */
   void recordContact(Host host, String zone, boolean isOwnReport) {
     long now = clock.now();
     if (isOwnReport) {
@@ -241,22 +266,24 @@
     recordZoneContact(zone, isOwnReport);
   }
 
-  /** A machine in this zone was heard just now. */
+  /** Records that a machine in this zone was heard just now. */
   void recordZoneContact(String zone, boolean isOwnReport) {
     long now = clock.now();
     if (isOwnReport) {
       lastReportedAtByZone.put(zone, now);
     } else if (now - Math.max(leadingSince, lastReportedAtByZone.getOrDefault(zone, 0L))
         > notReportingAfterMs()) {
-      // Nobody there reports: that its machines answer keeps none of their leases.
+      // No worker of the zone reports. Replies to calls renew none of their leases, so they don't
+      // count.
       return;
     }
     zoneContacts.heard(zone, now, upHostsPerZone.count(zone));
   }
 
   /**
-   * What a machine's sign of life says of its zone. While nobody reports there, the first answer of
-   * a new machine to a call says nothing: it would make a mute zone look heard (OutboundCutTest).
+   * Returns the time at which this machine last showed that its zone can be heard. While no worker
+   * of the zone reports, a new machine's first reply to a call doesn't count: it would make a zone
+   * whose reports are lost look heard (OutboundCutTest).
    */
   private long zoneEvidenceAt(Host host) {
     Long reportedAt = lastReportedAtByZone.get(host.zone());
@@ -270,7 +297,11 @@
     return Math.round(NOT_REPORTING_LEASE_SHARE * leaseMs);
   }
 
-  /** What the leader before had noticed of a mute machine need not be noticed again. */
+  /**
+   * Returns the time of the last report to assume for a machine that is reached by a call first. If
+   * the previous leader had already noticed that the machine doesn't report, this leader need not
+   * wait for that again.
+   */
   private long initialReportedAt(Host host) {
     long previouslyHeardAt = livenessReports.machineHeardAt(host.id());
     return hasPreviousLeaderReport()
@@ -280,9 +311,10 @@
   }
 
   /**
-   * True when it answers calls, but its worker has not reported for long. Commands renew no lease,
-   * so all that runs there ends with it: such a machine is no better than a silent one, though it
-   * can be told to stop something, and its answers prove what they always did.
+   * Returns true when the machine answers calls, but its worker has not reported for a long time.
+   * Commands renew no lease, so everything that runs there ends with the lease. Such a machine is
+   * no better than a silent one, although it can still be told to stop a task, and its replies
+   * prove as much as any other reply.
    */
   boolean isNotReporting(Host host) {
     return host.failedCalls == 0
@@ -290,47 +322,48 @@
         && clock.now() - host.lastReportedAt > notReportingAfterMs();
   }
 
-  /** True when some worker has reported by itself lately. */
+  /** Returns true when any worker has recently sent a report of its own accord. */
   boolean hasRecentReports() {
     long now = clock.now();
     return lastReportedAtByZone.values().stream()
         .anyMatch(reportedAt -> now - reportedAt <= notReportingAfterMs());
   }
 
-  /** True when it has reported lately enough to be worth giving work to. */
+  /** Returns true when the machine was reached recently enough to be given work. */
   boolean isResponsive(Host host) {
     return clock.now() - host.lastReachedAt < 2 * reportMs
         && host.failedCalls == 0
         && !isNotReporting(host);
   }
 
-  /** True when its report is late, so that it should be asked. */
+  /** Returns true when the machine's report is late, so that the machine should be probed. */
   boolean isOverdue(Host host) {
     return host.isUp() && clock.now() - host.lastReachedAt > OVERDUE_AFTER_REPORTS * reportMs;
   }
 
   /**
-   * True when this machine's zone has been heard without a break for long enough that this machine
-   * should have been, too.
+   * Returns true when this machine's zone has been heard without a gap for so long that this
+   * machine should have been heard, too.
    */
   boolean zoneHeardContinuously(Host host) {
     int machines = upHostsPerZone.count(host.zone());
     return zoneContacts.heardForMs(host.zone(), clock.now(), machines) > 1.5 * reportMs;
   }
 
-  /** How long nothing was heard of it. */
+  /** Returns how long this machine has not been heard. */
   long silentMs(Host host) {
     return clock.now() - lastHeardAt(host);
   }
 
   /**
-   * True when it was asked several times and has been silent for a while, or is mute and its lease
-   * has run out.
+   * Returns true when the machine has been silent for a while and several calls to it failed, or
+   * when it doesn't report and its lease has expired.
    */
   boolean isSilent(Host host) {
-    // What the leader before had missed already needs one call more, not a whole new judgement.
+    // If the previous leader had already missed this machine, one failed call is enough to confirm
+    // it.
     boolean missedBefore = missedByPreviousLeader(host);
-    return host.expectedUp()
+    return host.isExpectedUp()
         && silentMs(host) > SILENT_AFTER_REPORTS * reportMs
         && (host.failedCalls >= (missedBefore ? 1 : 2) || leaseExpired(host))
         && (missedBefore || clock.now() > silenceConclusiveAt);
@@ -348,8 +381,8 @@
   }
 
   /**
-   * True when machines are there, and not one of them reported for longer than any report takes.
-   * That they answer calls keeps no lease.
+   * Returns true when there are machines that are up, and none of them has reported for longer than
+   * any report is delayed. Replies to calls don't count, since they renew no lease.
    */
   boolean noWorkerReports() {
     long now = clock.now();
--- a/src/main/java/dapplestair/workers/RecentRedirects.java
+++ b/src/main/java/dapplestair/workers/RecentRedirects.java
@@ -5,9 +5,9 @@
 import dapplestair.work.Report;
 
 /**
- * Workers that this controller has lately sent on to another one. One that comes again did not get
- * the answer, or was not taken there; an older report than the last is a copy that comes late.
- * Neither says that anybody reaches its zone.
+ * The workers that this controller has recently redirected to another one. A worker that reports
+ * here again did not receive the redirect, or was not accepted there. A report that is older than
+ * the last one is a delayed copy. Neither shows that any controller reaches the worker's zone.
  */
 final class RecentRedirects {
   private static final int MAX_WORKERS = 4000;
@@ -24,7 +24,10 @@
     this.lastReports = new ExpiringLruMap<>(clock, keptMs, MAX_WORKERS, LastReport::redirectedAt);
   }
 
-  /** Notes a report that is not taken here; true when its worker was sent on within a lease. */
+  /**
+   * Records a report that is not accepted here. Returns true when its worker was already redirected
+   * within the last lease, or when the report is a delayed copy.
+   */
   boolean recordReport(Report report) {
     long now = clock.now();
     LastReport lastReport = lastReports.remove(report.host());
--- a/src/main/java/dapplestair/workers/ReportApplier.java
+++ b/src/main/java/dapplestair/workers/ReportApplier.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Applies a report to what the leader knows of its machine, wherever the report came from. */
+/** Updates what the leader knows of a machine from its report, whichever way the report came. */
 final class ReportApplier {
   private static final Logger LOG = LoggerFactory.getLogger(ReportApplier.class);
   private static final double MAX_RECLAIM_S = 1e6;
@@ -27,7 +27,9 @@
   private final BooleanSupplier isLeading;
   private long unaccountedTasks;
 
-  /** {@code isLeading} is true while this controller commands the workers. */
+  /**
+   * Creates an applier; {@code isLeading} returns true while this controller commands the workers.
+   */
   ReportApplier(
       Clock clock,
       Leadership leadership,
@@ -36,7 +38,7 @@
       LivenessTracker liveness,
       CommandSender commandSender,
       WorkerManager.Listener listener,
-      BooleanSupplier leading) {
+      BooleanSupplier isLeading) {
     this.clock = clock;
     this.leadership = leadership;
     this.types = types;
@@ -44,14 +46,15 @@
     this.liveness = liveness;
     this.commandSender = commandSender;
     this.listener = listener;
-    this.isLeading = leading;
+    this.isLeading = isLeading;
   }
 
   /**
-   * Applies a report. Heard is not reached: whether its machine gets our answers is known when it
-   * answers a call, or shows a token that only an answer since can have shown it. Until then it is
-   * no sign of life, neither of the machine nor of its zone: it may be deaf, or the report a copy
-   * that comes late. Facts in it are facts all the same, and proofs have their own conditions.
+   * Applies a report. A machine that is heard is not necessarily reached: that it receives our
+   * replies is known only when it answers a call, or shows a token that it can have learned only
+   * from a recent reply. Until then a report is no sign of life of the machine or of its zone,
+   * since the machine may receive nothing, or the report may be a delayed copy. What the report
+   * says about tasks is used in any case, and what it proves has conditions of its own.
    */
   void apply(Host host, Report report, boolean isCallReply) {
     leadership.termShown(FencingToken.term(report.token()));
@@ -85,7 +88,8 @@
       strayTasks.forEach(task -> stopStrayTask(host, task));
     }
     if (host.failedCalls > 0 && !host.callInProgress) {
-      // Heard again: it is used as soon as it answers, not when its turn to be asked comes.
+      // The machine is heard again. It is called at once, so that it can be used as soon as it
+      // answers, rather than after the delay for failed calls.
       host.nextCallAt = clock.now();
       commandSender.probe(host);
     }
@@ -97,7 +101,9 @@
     }
   }
 
-  /** How often a task was reported that no attempt accounts for, since this process began. */
+  /**
+   * Returns how often a task was reported that no attempt accounts for, since this process began.
+   */
   long unaccountedTasks() {
     return unaccountedTasks;
   }
@@ -109,14 +115,18 @@
             + Math.round(Math.min(MAX_RECLAIM_S, Math.max(0, report.reclaimInS())) * 1000);
   }
 
-  /** A task that no attempt accounts for: it is stopped and taken out of the reports. */
+  /** Stops a task that no attempt accounts for, or clears it from the reports if it has exited. */
   private void stopStrayTask(Host host, Report.Task task) {
     if (task.status() == Report.Status.EXITED) {
       commandSender.queue(host.id(), new WorkerCommand.Clear(task.key(), task.attempt()));
     } else {
       host.strayTaskCount++;
       unaccountedTasks++;
-      LOG.warn("{} try {} on {} is unaccounted for", task.key(), task.attempt(), host.id());
+      LOG.warn(
+          "stopping task {} attempt {} on {}: no recorded attempt accounts for it",
+          task.key(),
+          task.attempt(),
+          host.id());
       commandSender.queue(host.id(), new WorkerCommand.Halt(task.key(), task.attempt(), 0));
     }
   }
--- a/src/main/java/dapplestair/workers/ReportHandler.java
+++ b/src/main/java/dapplestair/workers/ReportHandler.java
@@ -19,8 +19,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Answers the workers' reports: the leader keeps their leases, the others show the way to it, or
- * keep a lease themselves where nobody else can.
+ * Answers the workers' reports. The leader renews their leases. Other controllers redirect workers
+ * to the leader, or renew a lease themselves where no leader can.
  */
 final class ReportHandler implements AutoCloseable {
   private static final int BAD_REQUEST = 400;
@@ -43,7 +43,9 @@
   private int currentCount;
   private int previousCount;
 
-  /** {@code isLeading} is true while this controller commands the workers. */
+  /**
+   * Creates a handler; {@code isLeading} returns true while this controller commands the workers.
+   */
   ReportHandler(
       Clock clock,
       Timers timers,
@@ -57,7 +59,7 @@
       LeaseRenewal renewal,
       ReportApplier applier,
       Relay relay,
-      BooleanSupplier leading) {
+      BooleanSupplier isLeading) {
     this.timers = timers;
     this.settings = settings;
     this.leadership = leadership;
@@ -70,10 +72,10 @@
     this.renewal = renewal;
     this.applier = applier;
     this.relay = relay;
-    this.isLeading = leading;
+    this.isLeading = isLeading;
   }
 
-  /** Begins to count what comes. */
+  /** Begins to receive relayed reports and to count all reports. */
   void start() {
     relay.start(this::handle, () -> hostRegistry.all().size());
     rotateCounts();
@@ -87,8 +89,9 @@
       exchange.reply(BAD_REQUEST, Json.bytes(Json.object().put("error", "not a report")), 0);
       return;
     }
-    // A higher token means that somebody else leads by now. To be looked at before any 200: a
-    // worker that has to drop a 200 stays here while its lease runs out.
+    // A token of a higher term means that another controller leads by now. This must be checked
+    // before any 200 is sent: a worker that has to ignore a 200 keeps reporting here while its
+    // lease runs out.
     leadership.termShown(FencingToken.term(report.token()));
     cancellations.addressed(report.host(), report.endpoint());
     currentCount++;
@@ -116,7 +119,10 @@
     replyWithLease(exchange, isLeading.getAsBoolean() ? renewal.renewAsLeader(host, report) : null);
   }
 
-  /** Keeps the worker's lease, or sends it on to somebody who may. */
+  /**
+   * Replies with a lease renewal, or with 503 if {@code answer} is null, so that the worker turns
+   * to a controller that may renew its lease.
+   */
   private static void replyWithLease(Exchange exchange, ObjectNode answer) {
     if (answer == null) {
       exchange.reply(503, Json.bytes(Json.object()), 1);
@@ -126,36 +132,39 @@
   }
 
   /**
-   * Shows the way to the leader. In a zone that is cut off, or while nobody can lead, there is none
-   * to be reached, and the worker's tasks would end with its lease for nothing: then its own token
-   * is good, which any controller may show as long as it knows of no higher term. Nobody takes the
-   * end of a lease for a proof of absence, so this starts no task twice. A cancelled task must not
-   * live by it: {@link LeaseRenewal} sees to that.
+   * Redirects a worker to the leader, or renews its lease where no leader can be reached. In a zone
+   * that is cut off, or while no controller can lead, the worker's tasks would otherwise end with
+   * its lease for no reason. In that case this controller answers with the worker's own token,
+   * which any controller may do as long as it knows of no higher term. No controller takes the end
+   * of a lease as proof that a task is absent, so the renewal starts no task twice. {@link
+   * LeaseRenewal} makes sure that it doesn't keep a cancelled task alive.
    */
   private void redirectOrRenew(Exchange exchange, Report report) {
     boolean sentBack = recentRedirects.recordReport(report);
     String leader = leadership.leader();
     boolean isLeaderKnown = leader != null && !leader.equals(settings.member());
-    // One that comes back from a living leader was not taken there. In an outage of all the reason
-    // may be that this leader may not keep leases any more, since it does not hear all others.
+    // A worker that returns here although the leader is alive was not accepted there. If no
+    // controller reaches the state service, the reason may be that the leader may not renew leases
+    // any more, since it doesn't hear all other controllers.
     boolean notAccepted = sentBack && !peers.anyServed();
-    boolean isOnOwn =
+    boolean noLeaderReachable =
         !state.reachable() && (notAccepted || !(isLeaderKnown && peers.alive(leader)));
-    if (isOnOwn && !sentBack && (leadership.succeeded() || relay.on())) {
-      // Somebody leads whom we cannot ask, and reaches this worker: it had better report there.
-      // Where reports are relayed, a relay that is cut off cannot tell whether somebody does.
-      // One that comes back was not taken; it is kept as below.
+    if (noLeaderReachable && !sentBack && (leadership.succeeded() || relay.on())) {
+      // Another controller leads, which this one cannot ask, and it may reach this worker, so the
+      // worker should report there. Where reports are relayed, a relay that is cut off cannot tell
+      // whether a controller leads. If the worker returns here, it was not accepted there, and its
+      // lease is renewed below.
       replyWithLease(exchange, null);
       return;
     }
-    if (isOnOwn && FencingToken.term(report.token()) >= leadership.termSeen()) {
+    if (noLeaderReachable && FencingToken.term(report.token()) >= leadership.termSeen()) {
       replyWithLease(exchange, renewal.renewAsFollower(report));
       return;
     }
     redirectTo(exchange, isLeaderKnown ? leader : null);
   }
 
-  /** Sends a worker on to another controller, or to any if {@code member} is null. */
+  /** Redirects a worker to another controller, or to any other one if {@code member} is null. */
   private static void redirectTo(Exchange exchange, String member) {
     ObjectNode answer = Json.object();
     if (member != null) {
@@ -164,7 +173,9 @@
     exchange.reply(REDIRECTED, Json.bytes(answer), 0);
   }
 
-  /** Reports that came to this controller lately, whoever leads. */
+  /**
+   * Returns the number of reports that this controller received recently, whether or not it leads.
+   */
   int recentCount() {
     return currentCount + previousCount;
   }
--- a/src/main/java/dapplestair/workers/WorkerManager.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -21,17 +21,19 @@
 import java.util.function.Predicate;
 
 /**
- * All machines with their workers: which there are, how long each has been silent, and, at the
- * leader, the orders to them. Reports are answered by {@link ReportHandler}.
+ * Manages all machines and their workers: which ones there are, how long each has been silent, and,
+ * on the leader, the commands to them. Reports are answered by {@link ReportHandler}.
  */
 public final class WorkerManager implements AutoCloseable {
-  /** Told of what happens to machines. */
+  /** Receives changes of machines. */
   public interface Listener {
-    /** A machine's room, notice or reachability changed. */
+    /** Called when a machine's capacity, reclaim notice or reachability has changed. */
     void hostChanged(Host host);
   }
 
-  /** What peers tell each other about whom they heard; older ones do not know the topic. */
+  /**
+   * The topic of liveness reports between controllers. Controllers of older versions don't know it.
+   */
   private static final String LIVENESS_TOPIC = "heard";
 
   private final Clock clock;
@@ -51,8 +53,8 @@
   private boolean leading;
 
   /**
-   * A desk without machines; {@code notOverWhenRead} tells of a job that is not in the ledger that
-   * it was not over when the records were last read.
+   * Creates a manager without machines; {@code wasLiveWhenRead} returns true for a job that is not
+   * in the ledger, but was not over when the records were last read.
    */
   public WorkerManager(
       Clock clock,
@@ -65,7 +67,7 @@
       MachineTypes types,
       Ledger ledger,
       Cancellations cancellations,
-      Predicate<String> notOverWhenRead,
+      Predicate<String> wasLiveWhenRead,
       Listener listener) {
     this.clock = clock;
     this.timers = timers;
@@ -100,13 +102,13 @@
             cancellations,
             hostRegistry,
             liveness,
-            new LeaseRenewal(clock, commandSender, ledger, cancellations, notOverWhenRead),
+            new LeaseRenewal(clock, commandSender, ledger, cancellations, wasLiveWhenRead),
             applier,
             relay,
             this::isLeading);
   }
 
-  /** Begins to count what comes, and to share what is heard. */
+  /** Begins to count reports, and to share with the other controllers which machines are heard. */
   public void start() {
     peers.questions().answer(LIVENESS_TOPIC, (body, reply) -> receiveLivenessReport(body));
     reportHandler.start();
@@ -131,27 +133,27 @@
 
   // ---- machines ----
 
-  /** All machines not proved to be gone. */
+  /** Returns all machines that are not proved to be gone. */
   public Collection<Host> hosts() {
     return hostRegistry.all();
   }
 
-  /** A machine by name, made known if it was not. */
+  /** Returns a machine by name, and adds it if it is not known yet. */
   public Host getOrCreateHost(String id) {
     return hostRegistry.getOrCreate(id);
   }
 
-  /** A machine by name, or null. */
+  /** Returns a machine by name, or null if it is not known. */
   public Host findHost(String id) {
     return hostRegistry.find(id);
   }
 
-  /** True when this machine was proved to be gone. */
+  /** Returns true when this machine was proved to be gone. */
   public boolean isGone(String id) {
     return hostRegistry.isGone(id);
   }
 
-  /** The machine is proved to be gone, with everything on it. */
+  /** Records that the machine is proved to be gone, with all tasks on it. */
   public void markGone(Host host) {
     if (host.isGone()) {
       return;
@@ -162,55 +164,59 @@
     listener.hostChanged(host);
   }
 
-  /** True when it has reported lately enough to be worth giving work to. */
+  /** Returns true when the machine was reached recently enough to be given work. */
   public boolean isResponsive(Host host) {
     return liveness.isResponsive(host);
   }
 
   /**
-   * True when this machine's zone has been heard without a break for long enough that this machine
-   * should have been, too.
+   * Returns true when this machine's zone has been heard without a gap for so long that this
+   * machine should have been heard, too.
    */
   public boolean zoneHeardContinuously(Host silent) {
     return liveness.zoneHeardContinuously(silent);
   }
 
   /**
-   * True when the leader before had a proof that this machine is gone, which it could not put on
-   * record. That is hearsay here; returning the machine once more proves it again.
+   * Returns true when the previous leader had proof that this machine is gone, but could not record
+   * it. To this controller that is no proof; returning the machine to the cloud once more proves it
+   * again.
    */
   public boolean goneByPreviousLeader(Host host) {
     return liveness.goneByPreviousLeader(host);
   }
 
-  /** How long nothing was heard of any machine in this zone while others were; 0 if any was. */
+  /**
+   * Returns how long no machine in this zone has been heard while other zones were, or 0 if any
+   * was.
+   */
   public long zoneSilentMs(String zone) {
     return liveness.zoneSilentMs(zone);
   }
 
-  /** True when a machine is held in this zone, heard or not. */
+  /** Returns true when a machine is held in this zone, whether or not it is heard. */
   public boolean hasMachinesIn(String zone) {
     return liveness.hasMachinesIn(zone);
   }
 
-  /** True when this leader reached one of the zone's machines lately. */
+  /** Returns true when this leader has recently reached one of the zone's machines. */
   public boolean isZoneHeard(String zone) {
     return liveness.isZoneHeard(zone);
   }
 
-  /** True when some worker has reported by itself lately. */
+  /** Returns true when any worker has recently sent a report of its own accord. */
   public boolean hasRecentReports() {
     return liveness.hasRecentReports();
   }
 
-  /** How long nothing was heard of it. */
+  /** Returns how long this machine has not been heard. */
   public long silentMs(Host host) {
     return liveness.silentMs(host);
   }
 
   // ---- leading ----
 
-  /** Begins to command: every known machine is shown the new token at once. */
+  /** Begins to command the workers: the new token is sent to every known machine at once. */
   public void startLeading() {
     leading = true;
     commandSender.startLeading();
@@ -221,7 +227,7 @@
     tick();
   }
 
-  /** Gives all up. */
+  /** Ceases to command the workers, and forgets all machines. */
   public void clear() {
     leading = false;
     tickTimer.cancel();
@@ -230,7 +236,7 @@
     liveness.clear();
   }
 
-  /** Shows the token to a machine, and learns what is on it. */
+  /** Calls a machine to show it the token and to learn what runs on it. */
   public void probe(Host host) {
     if (host.endpoint != null && !host.isGone()) {
       commandSender.probe(host);
@@ -244,16 +250,16 @@
       host.setUnreachable(liveness.isSilent(host));
       host.setNotReporting(liveness.isNotReporting(host));
       repeatHalts(host, now);
-      // A machine that misses its report is asked at once.
+      // A machine whose report is late is probed at once.
       boolean notAcknowledged = !host.termAcknowledged && host.endpoint != null;
-      if (liveness.isOverdue(host) || (notAcknowledged && host.expectedUp())) {
+      if (liveness.isOverdue(host) || (notAcknowledged && host.isExpectedUp())) {
         commandSender.probe(host);
       } else {
         commandSender.sendQueued(host);
       }
     }
     if (liveness.noWorkerReports() && peers.othersHear()) {
-      // Cut off from the workers alone: their leases would run out while this controller leads.
+      // Only this controller is cut off from the workers: their leases would expire while it leads.
       leadership.resign("the workers are heard by others only");
       return;
     }
@@ -268,21 +274,24 @@
     }
   }
 
-  // ---- orders ----
+  // ---- commands ----
 
-  /** Sends a launch. */
+  /** Sends the command to start an attempt. */
   public void launch(Attempt attempt) {
     commandSender.queue(attempt.host(), new WorkerCommand.Launch(attempt.key(), attempt.number()));
   }
 
-  /** Sends a stop. */
+  /**
+   * Sends the command to stop an attempt, leaving it {@code windDownS} seconds to save its
+   * progress.
+   */
   public void halt(Attempt attempt, double windDownS) {
     attempt.haltSent(clock.now(), windDownS);
     commandSender.queue(
         attempt.host(), new WorkerCommand.Halt(attempt.key(), attempt.number(), windDownS));
   }
 
-  /** Takes an exited attempt out of a machine's reports. */
+  /** Sends the command to drop an exited attempt from a machine's reports. */
   public void clear(String hostId, String key, long number) {
     commandSender.queue(hostId, new WorkerCommand.Clear(key, number));
   }
@@ -294,12 +303,16 @@
     reportHandler.handle(exchange);
   }
 
-  /** How often a task was reported that no attempt accounts for, since this process began. */
+  /**
+   * Returns how often a task was reported that no attempt accounts for, since this process began.
+   */
   public long unaccountedTasks() {
     return applier.unaccountedTasks();
   }
 
-  /** Reports that came to this controller lately, whoever leads. */
+  /**
+   * Returns the number of reports that this controller received recently, whether or not it leads.
+   */
   public int recentReportCount() {
     return reportHandler.recentCount();
   }
@@ -308,7 +321,10 @@
     return leading;
   }
 
-  /** What machines answer to orders is worth as much as what they report by themselves. */
+  /**
+   * Applies the reports in machines' replies to commands; they prove as much as the reports that
+   * workers send of their own accord.
+   */
   private final class CallReplyListener implements CommandSender.Listener {
     @Override
     public void reportReceived(Host host, Report report) {
--- a/src/main/java/dapplestair/workers/package-info.java
+++ b/src/main/java/dapplestair/workers/package-info.java
@@ -1,2 +1,2 @@
-/** Machines at work: their reports, the orders sent to them, fencing and leases. */
+/** Machines and their workers: reports, commands, fencing and leases. */
 package dapplestair.workers;
--- a/src/test/java/dapplestair/workers/CancellationCosts.java
+++ b/src/test/java/dapplestair/workers/CancellationCosts.java
@@ -37,10 +37,10 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * What cancellations cost the controller that answers the workers, without network, disk and bench:
- * {@code CancellationCosts ROUNDS MACHINES OPEN} prints processor time and allocation for each
- * report answered, and the messages among three controllers on virtual time, with so many
- * cancellations that are told and not carried out.
+ * Measures what cancellations cost the controller that answers the workers, without network, disk
+ * and bench. {@code CancellationCosts ROUNDS MACHINES OPEN} prints the processor time and the
+ * allocation for each answered report, and the messages among three controllers in virtual time,
+ * with OPEN cancellations that are confirmed but not carried out.
  */
 final class CancellationCosts {
   private static final int TASKS_PER_MACHINE = 8;
@@ -76,7 +76,7 @@
     new CancellationCosts(arguments[1], arguments[2]).measure(arguments[0]);
   }
 
-  /** Virtual time: tasks in order, each run when its time has come. */
+  /** Virtual time: runs tasks in the order of their times. */
   private static final class VirtualTime implements Clock, Timers {
     private record Task(long at, long order, Runnable run) implements Comparable<Task> {
       @Override
@@ -123,14 +123,14 @@
     }
   }
 
-  /** One controller, as far as cancellations and leases go. */
+  /** The parts of a controller that handle cancellations and leases. */
   private final class Member implements PeerNetwork, Timers {
     final String name;
     final Peers peers;
     final Ledger ledger;
     final Cancellations cancellations;
     final LeaseRenewal renewal;
-    final Map<String, List<Cancellation.TaskLocation>> places = new HashMap<>();
+    final Map<String, List<Cancellation.TaskLocation>> locationsByJob = new HashMap<>();
     PeerNetwork.Listener listener;
     long messages;
     long bytes;
@@ -174,7 +174,7 @@
               peers,
               leadership,
               time::now,
-              new Places());
+              new LocationListener());
       CommandSender commandSender =
           new CommandSender(
               time,
@@ -228,13 +228,13 @@
       members.keySet().stream().filter(member -> !member.equals(name)).forEach(listener::up);
     }
 
-    private final class Places implements Cancellations.Listener {
+    private final class LocationListener implements Cancellations.Listener {
       @Override
       public void cancelled(String ref) {}
 
       @Override
       public List<Cancellation.TaskLocation> places(String ref) {
-        return places.getOrDefault(ref, List.of());
+        return locationsByJob.getOrDefault(ref, List.of());
       }
 
       @Override
@@ -282,7 +282,7 @@
         new Settings.Resources(0.425, 263, 1800));
   }
 
-  // ---- what is measured ----
+  // ---- measurement ----
 
   private void measure(int rounds) throws Submission.InvalidSubmissionException {
     Member leader = members.get("node-0");
@@ -294,12 +294,12 @@
     }
     int jobs = machines * TASKS_PER_MACHINE / TASKS_PER_CANCELLED;
     for (int j = 0; j < jobs; j++) {
-      place(leader, "wk-" + j, j, hosts, tasksByMachine);
+      placeJob(leader, "wk-" + j, j, hosts, tasksByMachine);
     }
     Member confirmingMember = members.get("node-1");
     long heapBytesBefore = heapUsed();
     for (int j = 0; j < cancellations; j++) {
-      cancel(confirmingMember, "ca-" + j, j);
+      confirmCancellation(confirmingMember, "ca-" + j, j);
     }
     time.run(WORKERS.reportMs());
     long retainedBytes = heapUsed() - heapBytesBefore;
@@ -318,10 +318,10 @@
     Spread allocatedBytes = new Spread();
     List<byte[]> encodedReports = new ArrayList<>();
     for (int m = 0; m < machines; m++) {
-      encodedReports.add(report("n-" + m, tasksByMachine.get(m)));
+      encodedReports.add(encodeReport("n-" + m, tasksByMachine.get(m)));
     }
     for (int round = 0; round < WARM_UP_ROUNDS + rounds; round++) {
-      round(
+      runRound(
           leader,
           hosts,
           encodedReports,
@@ -350,7 +350,7 @@
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
 
-  private void round(
+  private void runRound(
       Member leader,
       List<Host> hosts,
       List<byte[]> encodedReports,
@@ -358,18 +358,18 @@
       Spread totalUs,
       Spread answerUs,
       Spread allocatedBytes) {
-    long bytesBefore = THREADS.getCurrentThreadAllocatedBytes();
+    long allocatedBytesBefore = THREADS.getCurrentThreadAllocatedBytes();
     long cpuNsBefore = THREADS.getCurrentThreadCpuTime();
     List<Report> parsedReports = new ArrayList<>();
     for (int m = 0; m < encodedReports.size(); m++) {
       Report report = Report.parse(Json.parse(encodedReports.get(m)));
       parsedReports.add(report);
       if (Json.bytes(leader.renewal.renewAsLeader(hosts.get(m), report)).length == 0) {
-        throw new IllegalStateException("no lease is kept");
+        throw new IllegalStateException("the lease was not renewed: the answer is empty");
       }
     }
     long cpuNsAfterFirstPass = THREADS.getCurrentThreadCpuTime();
-    long bytesAfter = THREADS.getCurrentThreadAllocatedBytes();
+    long allocatedBytesAfter = THREADS.getCurrentThreadAllocatedBytes();
     for (int m = 0; m < parsedReports.size(); m++) {
       leader.renewal.renewAsLeader(hosts.get(m), parsedReports.get(m));
     }
@@ -377,12 +377,12 @@
       double reportCount = encodedReports.size();
       totalUs.add((cpuNsAfterFirstPass - cpuNsBefore) / 1e3 / reportCount);
       answerUs.add((THREADS.getCurrentThreadCpuTime() - cpuNsAfterFirstPass) / 1e3 / reportCount);
-      allocatedBytes.add((bytesAfter - bytesBefore) / reportCount);
+      allocatedBytes.add((allocatedBytesAfter - allocatedBytesBefore) / reportCount);
     }
   }
 
-  /** A live job's tasks, on machines one after another. */
-  private void place(
+  /** Places the tasks of a live job on consecutive machines. */
+  private void placeJob(
       Member leader, String ref, int job, List<Host> hosts, List<ArrayNode> tasksByMachine)
       throws Submission.InvalidSubmissionException {
     leader.ledger.jobPut(ref, leader.ledger.record(AttemptRules.spec(ref), 0), 1);
@@ -397,13 +397,13 @@
     return (job * TASKS_PER_CANCELLED + step) % machines;
   }
 
-  /** Tells a user that a job is cancelled whose tasks go on. */
-  private void cancel(Member confirmingMember, String ref, int job) {
-    List<Cancellation.TaskLocation> places = new ArrayList<>();
+  /** Confirms the cancellation of a job whose tasks continue to run. */
+  private void confirmCancellation(Member confirmingMember, String ref, int job) {
+    List<Cancellation.TaskLocation> locations = new ArrayList<>();
     for (int step = 0; step < TASKS_PER_CANCELLED; step++) {
-      places.add(new Cancellation.TaskLocation("n-" + machine(job, step), 1, step, 1));
+      locations.add(new Cancellation.TaskLocation("n-" + machine(job, step), 1, step, 1));
     }
-    confirmingMember.places.put(ref, places);
+    confirmingMember.locationsByJob.put(ref, locations);
     confirmingMember.cancellations.confirm(ref, () -> {});
     if (job % 10 == 9) {
       time.run(20);
@@ -414,7 +414,7 @@
     tasks.addObject().put("step", key).put("try", 1).put("status", "running");
   }
 
-  private static byte[] report(String host, ArrayNode tasks) {
+  private static byte[] encodeReport(String host, ArrayNode tasks) {
     ObjectNode report =
         Json.object()
             .put("host", host)
@@ -429,7 +429,7 @@
     return Json.bytes(report);
   }
 
-  /** Mean and its standard error over rounds. */
+  /** The mean over rounds, with its standard error. */
   private static final class Spread {
     private int count;
     private double sum;
--- a/src/test/java/dapplestair/workers/FencingTest.java
+++ b/src/test/java/dapplestair/workers/FencingTest.java
@@ -6,7 +6,7 @@
 import dapplestair.leadership.FencingToken;
 import org.junit.jupiter.api.Test;
 
-/** Under which tokens launches may leave. */
+/** Tests under which tokens launches may be sent. */
 class FencingTest {
   private static final long TERM = 7;
   private static final long MAX_SHOWN_FENCE = 20_000;
@@ -18,7 +18,10 @@
     return host;
   }
 
-  /** Guards against launches that a token raised by another controller does not keep out. */
+  /**
+   * Guards against launches under a token that is not lower than one raised by another controller:
+   * the worker would execute such a launch after the lease renewal that is to fence it off.
+   */
   @Test
   void launchesNeverUseATokenAtOrAboveOneRaisedByAnotherController() {
     for (long shownFence = 0; shownFence < MAX_SHOWN_FENCE; shownFence++) {
@@ -38,7 +41,7 @@
     }
   }
 
-  /** Guards against counting from what a worker showed of another term. */
+  /** Guards against measuring the distance to the worker's token from a token of another term. */
   @Test
   void ignoresTokensOfOtherTerms() {
     long earlier = FencingToken.of(TERM - 1, MAX_SHOWN_FENCE);
