--- a/src/main/java/dapplestair/accepted/AcceptedJobsCodec.java
+++ b/src/main/java/dapplestair/accepted/AcceptedJobsCodec.java
@@ -55,7 +55,7 @@
       for (int i = 0; i < count; i++) {
         String ref = in.readString();
         long revision = in.readVarLong(true);
-        if (ref == null || !Submission.validRef(ref) || revision <= 0) {
+        if (ref == null || !Submission.isValidRef(ref) || revision <= 0) {
           return null;
         }
         revisions.put(ref, revision);
--- a/src/main/java/dapplestair/admin/Routes.java
+++ b/src/main/java/dapplestair/admin/Routes.java
@@ -95,7 +95,7 @@
           view(
               true,
               (x, done) -> {
-                if (Submission.validRef(name)) {
+                if (Submission.isValidRef(name)) {
                   jobs.show(name, (int) x.number("from", 0, 0, Integer.MAX_VALUE), done);
                 } else {
                   done.accept(AdminResponse.error(404, "no job " + name));
@@ -112,7 +112,7 @@
       return view(
           true,
           (x, done) -> {
-            if (Submission.validRef(name)) {
+            if (Submission.isValidRef(name)) {
               why.why(name, done);
             } else {
               done.accept(AdminResponse.error(404, "no job " + name));
--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -60,7 +60,7 @@
 
   @Override
   public void clear(String host, String key, long number) {
-    workers.clear(host, key, number);
+    workers.clearAttempt(host, key, number);
   }
 
   @Override
--- a/src/main/java/dapplestair/node/RoleChangeNotifier.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -67,7 +67,7 @@
     scheduling.fleet.clear();
     core.ledger.clear();
     scheduling.disruptionGate.clear();
-    core.workers.clear();
+    core.workers.stopLeading();
     // What was in memory may not be what was recorded: read all of it again.
     core.replica.restart();
     core.peers.tell();
--- a/src/main/java/dapplestair/placement/Ranking.java
+++ b/src/main/java/dapplestair/placement/Ranking.java
@@ -78,7 +78,10 @@
     } else if (broken > 0 || objectives.promised(submission)) {
       order = job.waiting() * submission.cpus() * Math.max(1, run);
     } else {
-      order = (Double.isFinite(submission.dueS()) ? submission.dueS() : 10 * run + 60) - age - run;
+      order =
+          (Double.isFinite(submission.deadlineS()) ? submission.deadlineS() : 10 * run + 60)
+              - age
+              - run;
     }
     return new Ranked(job, urgency(submission), !guaranteed(job), broken, order);
   }
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -277,7 +277,7 @@
 
   private double slack(Submission submission) {
     double run = estimates.runS(submission);
-    return (Double.isFinite(submission.dueS()) ? submission.dueS() : 10 * run + 60) - run;
+    return (Double.isFinite(submission.deadlineS()) ? submission.deadlineS() : 10 * run + 60) - run;
   }
 
   /** The operators' budget, or a ratio to what all present work costs where it is cheapest. */
--- a/src/main/java/dapplestair/submissions/JobFinder.java
+++ b/src/main/java/dapplestair/submissions/JobFinder.java
@@ -55,7 +55,7 @@
       done.accept(true, new Found(null, over.get(ref)));
       return;
     }
-    if (!Submission.validRef(ref)) {
+    if (!Submission.isValidRef(ref)) {
       done.accept(true, null);
       return;
     }
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -120,7 +120,7 @@
         return;
       }
       String ref = Json.text(body, "ref");
-      if (ref != null && Submission.validRef(ref)) {
+      if (ref != null && Submission.isValidRef(ref)) {
         // A known job is answered with its state, whatever else the retry holds.
         if (finder.over(ref)) {
           over(exchange, 200, ref, finder.done(ref));
@@ -170,7 +170,7 @@
   private void refuseUnlessKnown(Exchange exchange, int status, String why) {
     LOG.debug("{}: {}", status, why);
     String ref = Json.text(Json.parse(exchange.body()), "ref");
-    if (ref == null || !Submission.validRef(ref)) {
+    if (ref == null || !Submission.isValidRef(ref)) {
       error(exchange, status, why);
       return;
     }
--- a/src/main/java/dapplestair/work/BoundedMap.java
+++ b/src/main/java/dapplestair/work/BoundedMap.java
@@ -13,8 +13,8 @@
   private final int maxEntries;
 
   /** Creates a map that keeps at most {@code maxEntries} entries. */
-  public BoundedMap(int most) {
-    this.maxEntries = most;
+  public BoundedMap(int maxEntries) {
+    this.maxEntries = maxEntries;
   }
 
   @Override
--- a/src/main/java/dapplestair/work/ExpiringLruMap.java
+++ b/src/main/java/dapplestair/work/ExpiringLruMap.java
@@ -22,11 +22,11 @@
    * Creates a map that keeps at most {@code maxEntries} entries, each for {@code maxAgeMs} after
    * its last use.
    */
-  public ExpiringLruMap(Clock clock, long keptMs, int most, ToLongFunction<V> usedAt) {
+  public ExpiringLruMap(Clock clock, long maxAgeMs, int maxEntries, ToLongFunction<V> lastUsedAt) {
     this.clock = clock;
-    this.maxAgeMs = keptMs;
-    this.maxEntries = most;
-    this.lastUsedAt = usedAt;
+    this.maxAgeMs = maxAgeMs;
+    this.maxEntries = maxEntries;
+    this.lastUsedAt = lastUsedAt;
   }
 
   /** Removes an entry and returns it, or returns null if there was none. */
@@ -48,9 +48,10 @@
 
   private void removeExpired() {
     long now = clock.now();
-    Iterator<V> oldest = entries.values().iterator();
-    while (oldest.hasNext() && (isExpired(oldest.next(), now) || entries.size() >= maxEntries)) {
-      oldest.remove();
+    Iterator<V> oldestFirst = entries.values().iterator();
+    while (oldestFirst.hasNext()
+        && (isExpired(oldestFirst.next(), now) || entries.size() >= maxEntries)) {
+      oldestFirst.remove();
     }
   }
 
--- a/src/main/java/dapplestair/work/Submission.java
+++ b/src/main/java/dapplestair/work/Submission.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * A job as described by the user who submitted it. * @param shape how its tasks depend on each
- * other
+ * A job as described by the user who submitted it.
  *
+ * @param shape how its tasks depend on each other
  * @param types allowed machine types, or null for any
  * @param zone the only allowed zone, or null
  * @param together whether all tasks must run in one zone
  * @param apart whether at most half of the tasks, rounded up, may run in one zone
  * @param spot whether it may use machines that the cloud can take back
- * @param dueS deadline in seconds from submission, or infinity
+ * @param deadlineS deadline in seconds from submission, or infinity
  */
 public record Submission(
     String ref,
@@ -37,7 +37,7 @@
     double estimatedRuntimeS,
     double saveIntervalS,
     double saveDurationS,
-    double dueS) {
+    double deadlineS) {
 
   private static final int MAX_TASKS = 100_000;
 
@@ -81,7 +81,7 @@
       throw new InvalidSubmissionException("the body is not a JSON object");
     }
     String ref = requiredText(body, "ref");
-    if (!validRef(ref)) {
+    if (!isValidRef(ref)) {
       throw new InvalidSubmissionException("ref: not a job id");
     }
     JobShape shape = JobShape.fromWire(requiredText(body, "shape"));
@@ -131,7 +131,7 @@
   }
 
   /** Returns true when the text has the form of a job id. */
-  public static boolean validRef(String ref) {
+  public static boolean isValidRef(String ref) {
     int dash = ref.indexOf('-');
     if (dash < 1 || dash > 32 || dash + 1 >= ref.length() || ref.length() - dash > 20) {
       return false;
@@ -176,8 +176,8 @@
         .put("guessS", estimatedRuntimeS)
         .put("snapshotEveryS", saveIntervalS)
         .put("snapshotS", saveDurationS);
-    if (Double.isFinite(dueS)) {
-      object.put("dueS", dueS);
+    if (Double.isFinite(deadlineS)) {
+      object.put("dueS", deadlineS);
     }
     return object;
   }
--- a/src/main/java/dapplestair/workers/CommandSender.java
+++ b/src/main/java/dapplestair/workers/CommandSender.java
@@ -146,8 +146,7 @@
     host.callInProgress = true;
     long term = leadership.term();
     relay.command(
-        // After a failed call, which may have failed at the relaying controller, the next one is
-        // direct.
+        // The relaying controller may be the reason for a failed call, so the next one is direct.
         host.failedCalls > 0 ? null : host.relayController,
         host.endpoint,
         Json.bytes(body),
@@ -226,8 +225,7 @@
     if (host.tokenSeen >= host.reachabilityToken) {
       host.reachabilityToken = fencingToken(host);
     }
-    // The connection is closed after a failed call, so a later call that was sent has opened a new
-    // one.
+    // A failed call's connection is closed, so a later call that was sent has opened a new one.
     host.lastCallConnected = mayHaveArrived;
     host.nextCallAt = clock.now() + Math.min(reportMs / 3, 100L << Math.min(4, host.failedCalls));
     if (mayHaveArrived) {
--- a/src/main/java/dapplestair/workers/LeaseRenewal.java
+++ b/src/main/java/dapplestair/workers/LeaseRenewal.java
@@ -67,11 +67,11 @@
       return null;
     }
     Map<String, WorkerCommand> halts = new LinkedHashMap<>();
-    boolean launchOpen = false;
+    boolean hasOpenLaunch = false;
     for (Attempt attempt : host.attempts()) {
       if (attempt.job().over() && attempt.sent() && !attempt.exited()) {
         addHalt(halts, attempt.key(), attempt.number());
-        launchOpen |= attempt.launchOpen();
+        hasOpenLaunch |= attempt.launchOpen();
       }
     }
     for (Report.Task task : report.tasks()) {
@@ -80,7 +80,7 @@
         addHalt(halts, task.key(), task.attempt());
       }
     }
-    if (launchOpen) {
+    if (hasOpenLaunch) {
       // The launch may still be in transit. The token of this answer is higher, so the launch is
       // not executed after it.
       host.fence++;
--- a/src/main/java/dapplestair/workers/RecentRedirects.java
+++ b/src/main/java/dapplestair/workers/RecentRedirects.java
@@ -18,10 +18,11 @@
   private final long retentionMs;
   private final ExpiringLruMap<String, LastReport> lastReports;
 
-  RecentRedirects(Clock clock, long keptMs) {
+  RecentRedirects(Clock clock, long retentionMs) {
     this.clock = clock;
-    this.retentionMs = keptMs;
-    this.lastReports = new ExpiringLruMap<>(clock, keptMs, MAX_WORKERS, LastReport::redirectedAt);
+    this.retentionMs = retentionMs;
+    this.lastReports =
+        new ExpiringLruMap<>(clock, retentionMs, MAX_WORKERS, LastReport::redirectedAt);
   }
 
   /**
--- a/src/main/java/dapplestair/workers/ReportApplier.java
+++ b/src/main/java/dapplestair/workers/ReportApplier.java
@@ -69,8 +69,8 @@
     host.session = report.session();
     host.tick = report.tick();
     host.tokenSeen = report.token();
-    long challenge = Math.max(host.reachabilityToken, FencingToken.of(leadership.term(), 0));
-    boolean isReached = isCallReply || report.token() >= challenge;
+    long requiredToken = Math.max(host.reachabilityToken, FencingToken.of(leadership.term(), 0));
+    boolean isReached = isCallReply || report.token() >= requiredToken;
     if (isReached) {
       liveness.recordContact(host, report.zone(), !isCallReply);
     }
--- a/src/main/java/dapplestair/workers/WorkerManager.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -173,8 +173,8 @@
    * Returns true when this machine's zone has been heard without a gap for so long that this
    * machine should have been heard, too.
    */
-  public boolean zoneHeardContinuously(Host silent) {
-    return liveness.zoneHeardContinuously(silent);
+  public boolean zoneHeardContinuously(Host host) {
+    return liveness.zoneHeardContinuously(host);
   }
 
   /**
@@ -228,7 +228,7 @@
   }
 
   /** Ceases to command the workers, and forgets all machines. */
-  public void clear() {
+  public void stopLeading() {
     leading = false;
     tickTimer.cancel();
     commandSender.stopLeading();
@@ -250,7 +250,8 @@
       host.setUnreachable(liveness.isSilent(host));
       host.setNotReporting(liveness.isNotReporting(host));
       repeatHalts(host, now);
-      // A machine whose report is late is probed at once.
+      // A machine is probed at once when its report is late, or when it should be up and has not
+      // shown a token of this term.
       boolean notAcknowledged = !host.termAcknowledged && host.endpoint != null;
       if (liveness.isOverdue(host) || (notAcknowledged && host.isExpectedUp())) {
         commandSender.probe(host);
@@ -292,7 +293,7 @@
   }
 
   /** Sends the command to drop an exited attempt from a machine's reports. */
-  public void clear(String hostId, String key, long number) {
+  public void clearAttempt(String hostId, String key, long number) {
     commandSender.queue(hostId, new WorkerCommand.Clear(key, number));
   }
 
--- a/src/test/java/dapplestair/work/SubmissionTest.java
+++ b/src/test/java/dapplestair/work/SubmissionTest.java
@@ -32,7 +32,7 @@
     assertNull(submission.zone());
     ObjectNode withoutOptionalFields = body();
     withoutOptionalFields.remove(java.util.List.of("hulls", "basin", "dueS"));
-    assertEquals(Double.POSITIVE_INFINITY, Submission.parse(withoutOptionalFields).dueS());
+    assertEquals(Double.POSITIVE_INFINITY, Submission.parse(withoutOptionalFields).deadlineS());
   }
 
   @ParameterizedTest
--- a/src/test/java/dapplestair/workers/CancellationCosts.java
+++ b/src/test/java/dapplestair/workers/CancellationCosts.java
@@ -80,8 +80,8 @@
   private static final class VirtualTime implements Clock, Timers {
     private record Task(long at, long order, Runnable run) implements Comparable<Task> {
       @Override
-      public int compareTo(Task o) {
-        return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+      public int compareTo(Task other) {
+        return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
       }
     }
 
