--- a/src/main/java/dapplestair/blame/FailureRecords.java
+++ b/src/main/java/dapplestair/blame/FailureRecords.java
@@ -51,7 +51,7 @@
 
   /** Forgets machines that are gone. */
   void forgetGoneMachines() {
-    failuresByMachine.keySet().removeIf(id -> workers.known(id) == null);
+    failuresByMachine.keySet().removeIf(id -> workers.findHost(id) == null);
   }
 
   /** Records that a task failed by itself. */
@@ -127,7 +127,7 @@
   }
 
   private void updateFailureCount(String hostId) {
-    Host host = workers.known(hostId);
+    Host host = workers.findHost(hostId);
     MachineFailures machineFailures = failuresByMachine.get(hostId);
     if (host != null) {
       host.setFailures(
@@ -246,7 +246,7 @@
       boolean provenOnly) {
     // Replicas are alike and never complete, so replicas that keep running elsewhere count like
     // completions.
-    boolean isService = job.spec().service();
+    boolean isService = job.spec().isService();
     long succeededTasks =
         isService
             ? countWorking(job, jobFailures, hostId) + job.interruptedReplicas()
--- a/src/main/java/dapplestair/blame/FaultAttribution.java
+++ b/src/main/java/dapplestair/blame/FaultAttribution.java
@@ -184,8 +184,10 @@
   }
 
   private void evaluateMachine(String hostId) {
-    Host host = workers.known(hostId);
-    if (host != null && !host.draining() && FailureLogOdds.isSure(records.machineLogOdds(hostId))) {
+    Host host = workers.findHost(hostId);
+    if (host != null
+        && !host.isDraining()
+        && FailureLogOdds.isSure(records.machineLogOdds(hostId))) {
       LOG.info("machine {} fails tasks that other machines complete; draining it", hostId);
       host.setDraining(true);
       // Failures that a faulty machine explains are not held against any job, and their steps are
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -241,7 +241,7 @@
 
   /** Returns an idle machine; false when it is in use or the state service is unreachable. */
   public boolean release(Host host) {
-    if (!host.isIdle() || host.releasing() || !healthMonitor.mayReturnMachines()) {
+    if (!host.isIdle() || host.isReleasing() || !healthMonitor.mayReturnMachines()) {
       return false;
     }
     releases.add(host);
@@ -352,10 +352,10 @@
     int booting = 0;
     double nextDueS = -1;
     for (Host host : workers.hosts()) {
-      if (!host.up()
-          && !host.gone()
-          && !host.releasing()
-          && !host.drained()
+      if (!host.isUp()
+          && !host.isGone()
+          && !host.isReleasing()
+          && !host.isDrainedByOperator()
           && host.isAllowedBy(submission)) {
         booting++;
         double dueS =
--- a/src/main/java/dapplestair/fleet/FleetCapacity.java
+++ b/src/main/java/dapplestair/fleet/FleetCapacity.java
@@ -28,11 +28,11 @@
 
   /** Returns true when a machine is, or will be, usable as one of this kind. */
   boolean isUsableAs(Host host, MachineKind kind) {
-    return !host.gone()
-        && !host.releasing()
-        && !host.draining()
-        && !host.drained()
-        && !host.recalled()
+    return !host.isGone()
+        && !host.isReleasing()
+        && !host.isDraining()
+        && !host.isDrainedByOperator()
+        && !host.hasReclaimNotice()
         && isAwaited(host)
         && host.type() != null
         && host.type().name().equals(kind.type())
@@ -48,11 +48,11 @@
   private boolean isAwaited(Host host) {
     // The work on a mute machine is lost when its lease ends, so replacements are rented in time.
     // If no worker reports at all, new machines could not report either.
-    if (host.mute() && workers.anyReports()) {
+    if (host.isNotReporting() && workers.hasRecentReports()) {
       return false;
     }
-    if (host.zoneSilentMs() == 0 && !host.hanging()) {
-      return !host.outOfReach();
+    if (host.zoneSilentMs() == 0 && !host.isHanging()) {
+      return !host.isUnreachable();
     }
     return host.serviceCpus() == 0 || workers.silentMs(host) < timeouts.prepareAfterMs();
   }
@@ -74,7 +74,7 @@
   int stayingCount(CapacityPool pool) {
     int count = 0;
     for (Host host : workers.hosts()) {
-      if (host.leavesAt() == Long.MAX_VALUE
+      if (host.drainAt() == Long.MAX_VALUE
           && isUsableAs(host, pool.kind())
           && pool.zone().equals(host.zone())) {
         count++;
@@ -108,14 +108,14 @@
     }
     List<Host> candidates = new ArrayList<>();
     for (Host host : workers.hosts()) {
-      if (isUsableAs(host, kind) && host.up()) {
+      if (isUsableAs(host, kind) && host.isUp()) {
         candidates.add(host);
       }
     }
     candidates.sort(
         Comparator.comparing((Host h) -> isZoneSpared.test(h.zone()))
             .thenComparingDouble(Host::serviceCpus)
-            .thenComparing(h -> !h.cordoned())
+            .thenComparing(h -> !h.isCordoned())
             .thenComparingDouble(Host::cpusUsed)
             .thenComparing(Host::id));
     for (int i = 0; i < candidates.size(); i++) {
@@ -130,7 +130,7 @@
     List<Host> idleHosts = new ArrayList<>();
     for (Host host : workers.hosts()) {
       // It is not known whether a silent machine is idle.
-      boolean idle = host.up() && host.isIdle() && host.zoneSilentMs() == 0 && !host.hanging();
+      boolean idle = host.isUp() && host.isIdle() && host.zoneSilentMs() == 0 && !host.isHanging();
       if (idle && isUsableAs(host, kind) && now - host.rentedAt() >= MIN_CHARGED_MS) {
         idleHosts.add(host);
       }
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -104,10 +104,10 @@
     boolean anyZoneSilent = false;
     expectedUpByZone.clear();
     for (Host host : workers.hosts()) {
-      anyHostFresh |= workers.fresh(host);
+      anyHostFresh |= workers.isResponsive(host);
       anyZoneSilent |= host.zoneSilentMs() > 0;
       prepareForZoneLoss(host);
-      if (host.expectedUp()) {
+      if (host.isExpectedUp()) {
         expectedUpByZone.add(String.valueOf(host.zone()));
       }
     }
@@ -121,7 +121,7 @@
   public void onFailed(Host host) {
     LOG.info("machine {} has failed according to the cloud: returning it", host.id());
     reportLost(host, "failed");
-    workers.gone(host);
+    workers.markGone(host);
     releases.addGone(host.id());
   }
 
@@ -130,11 +130,11 @@
     LOG.info("machine {} was reclaimed by the cloud", host.id());
     reportLost(host, "taken by the cloud");
     spotHistory.noteReclaimed(host);
-    workers.gone(host);
+    workers.markGone(host);
   }
 
   private void inspect(Host host, long now) {
-    if (host.releasing()) {
+    if (host.isReleasing()) {
       return;
     }
     if (hasOverdueHalt(host, now)) {
@@ -156,11 +156,11 @@
   }
 
   private void returnIfUnusable(Host host, long now) {
-    if (workers.saidGone(host)) {
+    if (workers.goneByPreviousLeader(host)) {
       LOG.info(
           "machine {} was reported gone by the previous leader: returning it again", host.id());
       releases.add(host);
-    } else if (host.outOfReach() && shouldGiveUp(host)) {
+    } else if (host.isUnreachable() && shouldGiveUp(host)) {
       LOG.info("machine {} has been silent for too long: returning it", host.id());
       LOG.debug(
           "silent machine {} in zone {}: silent for {} ms, its zone for {} ms, hanging: {}, "
@@ -169,21 +169,23 @@
           host.zone(),
           workers.silentMs(host),
           host.zoneSilentMs(),
-          host.hanging(),
-          host.mute(),
+          host.isHanging(),
+          host.isNotReporting(),
           host.attempts().size(),
           host.serviceCpus());
       reportLost(host, "silent");
       spotHistory.noteReclaimed(host);
       giveUp(host);
-    } else if (!host.expectedUp() && isBootOverdue(host, now)) {
+    } else if (!host.isExpectedUp() && isBootOverdue(host, now)) {
       LOG.info("machine {} is overdue in booting: returning it", host.id());
       reportLost(host, "does not come up");
       releases.add(host);
     } else if (isMissingFromLists(host, now)) {
       LOG.info("machine {} is on record but not in the cloud's list: returning it", host.id());
       releases.add(host);
-    } else if ((host.draining() || host.recalled()) && host.isIdle() && host.attempts().isEmpty()) {
+    } else if ((host.isDraining() || host.hasReclaimNotice())
+        && host.isIdle()
+        && host.attempts().isEmpty()) {
       spotHistory.noteReclaimed(host);
       releases.add(host);
     }
@@ -198,8 +200,8 @@
   private boolean shouldGiveUp(Host host) {
     boolean runsReplicas = host.serviceCpus() > 0;
     double bootS = types.bootS(host.type());
-    if (workers.zoneHeard(host)) {
-      return !host.hanging()
+    if (workers.zoneHeardContinuously(host)) {
+      return !host.isHanging()
           || timeouts.shouldGiveUpHanging(workers.silentMs(host), runsReplicas, bootS);
     }
     if (!anyHostFresh) {
@@ -242,7 +244,7 @@
   private double computeFreeCpus() {
     double free = -waitingCpus.getAsDouble();
     for (Host host : workers.hosts()) {
-      free += !host.closed() && workers.fresh(host) ? Math.max(0, host.cpusFree()) : 0;
+      free += !host.closed() && workers.isResponsive(host) ? Math.max(0, host.cpusFree()) : 0;
     }
     return free;
   }
@@ -281,8 +283,8 @@
    * the machine was returned. The machine must then not make its zone look silent for long.
    */
   private boolean isMissingFromLists(Host host, long now) {
-    boolean heardLate = host.up() && workers.silentMs(host) > 2 * settings.workers().reportMs();
-    return (!host.up() || heardLate)
+    boolean heardLate = host.isUp() && workers.silentMs(host) > 2 * settings.workers().reportMs();
+    return (!host.isUp() || heardLate)
         && host.firstListedAt() == Long.MAX_VALUE
         && machineList.lastListedAtMs() - host.knownSince() > machineList.maxLagMs()
         && now - Math.min(host.rentedAt(), host.knownSince()) > machineList.maxLagMs();
@@ -297,7 +299,7 @@
     // release would end all other work there. So half of the allowed time passes first; the rest is
     // left for failures of the cloud.
     long cancelMs = settings.workers().cancelMs();
-    long haltTimeoutMs = cancelMs / (host.outOfReach() ? 2 : 4);
+    long haltTimeoutMs = cancelMs / (host.isUnreachable() ? 2 : 4);
     for (Attempt attempt : host.attempts()) {
       if (attempt.job().isOver() && attempt.halting() && !attempt.exited()) {
         long haltedMs = now - attempt.firstHaltAtMs();
--- a/src/main/java/dapplestair/fleet/Releases.java
+++ b/src/main/java/dapplestair/fleet/Releases.java
@@ -78,11 +78,11 @@
   private void onReturned(String id) {
     urgentIds.remove(id);
     waitingIds.remove(id);
-    Host host = workers.known(id);
+    Host host = workers.findHost(id);
     if (host != null) {
       LOG.debug("the cloud confirmed the return of machine {}", id);
       events.note(Events.Kind.RETURNED, o -> o.put("machine", id).put("zone", host.zone()));
-      workers.gone(host);
+      workers.markGone(host);
     }
   }
 }
--- a/src/main/java/dapplestair/fleet/Rentals.java
+++ b/src/main/java/dapplestair/fleet/Rentals.java
@@ -318,7 +318,7 @@
   private void registerHosts(Rental rental) {
     for (String id : rental.hostIds) {
       if (!workers.isGone(id)) {
-        Host host = workers.host(id);
+        Host host = workers.getOrCreateHost(id);
         host.describe(
             null,
             types.get(rental.pool.kind().type()),
@@ -338,7 +338,7 @@
       boolean finished =
           rental.refused
               || (rental.hostIds != null
-                  && rental.hostIds.stream().allMatch(h -> workers.known(h) == null));
+                  && rental.hostIds.stream().allMatch(h -> workers.findHost(h) == null));
       if (!finished) {
         dropGoneHosts(rental);
       } else if (rental.stamp == 0) {
@@ -357,7 +357,7 @@
   private void dropGoneHosts(Rental rental) {
     if (rental.hostIds != null
         && clock.now() - rental.writtenAtMs > settings.workers().leaseMs()
-        && rental.hostIds.removeIf(h -> workers.known(h) == null)) {
+        && rental.hostIds.removeIf(h -> workers.findHost(h) == null)) {
       write(rental, false);
     }
   }
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -160,11 +160,11 @@
         .removeIf(
             openClaim -> {
               Job job = ledger.job(openClaim.claim().ref());
-              Host host = workers.known(openClaim.claim().host());
+              Host host = workers.findHost(openClaim.claim().host());
               if (job == null
                   || job.isOver()
                   || host == null
-                  || host.closed() && host.acknowledged()) {
+                  || host.closed() && host.hasAcknowledgedTerm()) {
                 return true;
               }
               if (openClaim.isRecorded() && isRoomTaken(openClaim.claim(), job, host)) {
@@ -206,7 +206,7 @@
   private void stopVictims(String name) {
     Lane lane = lanes.get(name);
     for (OpenClaim openClaim : openClaimsByLane.getOrDefault(name, List.of())) {
-      Host host = openClaim.isRecorded() ? workers.known(openClaim.claim().host()) : null;
+      Host host = openClaim.isRecorded() ? workers.findHost(openClaim.claim().host()) : null;
       if (host == null) {
         continue;
       }
@@ -314,7 +314,7 @@
           victimSelector.selectClaims(lane, job, wantedTasks, h -> !claimedHosts.contains(h))) {
         if (list.size() < maxClaims) {
           list.add(new OpenClaim(claim, clock.now(), false));
-          claimedHosts.add(workers.host(claim.host()));
+          claimedHosts.add(workers.getOrCreateHost(claim.host()));
           changedLanes.add(lane.name());
         }
       }
@@ -326,7 +326,8 @@
     claimedHosts.clear();
     openClaimsByLane
         .values()
-        .forEach(list -> list.forEach(o -> claimedHosts.add(workers.host(o.claim().host()))));
+        .forEach(
+            list -> list.forEach(o -> claimedHosts.add(workers.getOrCreateHost(o.claim().host()))));
   }
 
   // ---- source of the claim records ----
--- a/src/main/java/dapplestair/lane/VictimSelector.java
+++ b/src/main/java/dapplestair/lane/VictimSelector.java
@@ -50,7 +50,7 @@
     List<VictimCandidate> candidates = new ArrayList<>();
     for (Host host : workers.hosts()) {
       if (!host.closed()
-          && workers.fresh(host)
+          && workers.isResponsive(host)
           && host.isAllowedBy(rider.spec())
           && unclaimed.test(host)
           && ledger.zoneAllows(rider, host.zone())) {
@@ -74,7 +74,9 @@
     for (VictimCandidate candidate : candidates) {
       String zone = candidate.host().zone();
       int allowedInZone =
-          submission.mostPerZone() - rider.attemptsInZone(zone) - tasksByZone.getOrDefault(zone, 0);
+          submission.maxTasksPerZone()
+              - rider.attemptsInZone(zone)
+              - tasksByZone.getOrDefault(zone, 0);
       int tasks = Math.min(Math.min(remainingTasks, candidate.tasks()), allowedInZone);
       if (tasks > 0
           && (!submission.together() || tasksByZone.isEmpty() || tasksByZone.containsKey(zone))) {
@@ -113,7 +115,7 @@
       }
     }
     evictable.sort(Comparator.comparingDouble(this::lossCpuS));
-    int tasks = submission.fitting(cpus, memory, gpus);
+    int tasks = submission.fittingTasks(cpus, memory, gpus);
     List<Attempt> victims = new ArrayList<>();
     double lossCpuS = 0;
     List<Attempt> addedSinceFit = new ArrayList<>();
@@ -125,7 +127,7 @@
       cpus += attempt.spec().cpus();
       memory += attempt.spec().memoryGb();
       gpus += attempt.spec().gpus();
-      int fittingTasks = submission.fitting(cpus, memory, gpus);
+      int fittingTasks = submission.fittingTasks(cpus, memory, gpus);
       if (fittingTasks > tasks) {
         tasks = fittingTasks;
         victims.addAll(addedSinceFit);
--- a/src/main/java/dapplestair/ledger/Attempt.java
+++ b/src/main/java/dapplestair/ledger/Attempt.java
@@ -118,7 +118,7 @@
    * Returns how many of {@code runTimeS} seconds of run time the attempt's own checkpoints keep.
    */
   public double checkpointedS(double runTimeS) {
-    double saveIntervalS = spec().saveEveryS();
+    double saveIntervalS = spec().saveIntervalS();
     return saveIntervalS > 0 ? Math.floor(runTimeS / saveIntervalS) * saveIntervalS : 0;
   }
 
--- a/src/main/java/dapplestair/ledger/AttemptReconciler.java
+++ b/src/main/java/dapplestair/ledger/AttemptReconciler.java
@@ -105,7 +105,7 @@
           LOG.debug(
               "job {} of {} tasks begins to run {} ms after it was first submitted, {} ms after it was accepted",
               attempt.job.spec().ref(),
-              attempt.spec().steps(),
+              attempt.spec().taskCount(),
               attempt.job.startDelayMs,
               context.clock.wall() - attempt.job.acceptedWallMs());
         }
@@ -132,7 +132,7 @@
     String cause = task.cause();
     LOG.debug(
         "{} attempt {} exited on {}, cause {}", attempt.key(), attempt.number, host.id(), cause);
-    if (cause.equals("done") && !attempt.spec().service()) {
+    if (cause.equals("done") && !attempt.spec().isService()) {
       onCompleted(host, attempt);
       return;
     }
@@ -177,13 +177,14 @@
   void recordStepFailure(Attempt attempt, long firstDelayMs, long maxDelayMs) {
     Job job = attempt.job;
     int earlierFailures = job.stepFailures.addTo(attempt.step, 1);
-    if (earlierFailures == 0 || job.spec().gang()) {
+    if (earlierFailures == 0 || job.spec().isGang()) {
       // A gang starts as a whole, so it is delayed as a whole.
       return;
     }
     // A replica's delay is kept short, since the service lacks it each second; a service that fails
     // everywhere is delayed as a whole.
-    long cappedDelayMs = job.spec().service() ? Math.min(maxDelayMs, 4 * firstDelayMs) : maxDelayMs;
+    long cappedDelayMs =
+        job.spec().isService() ? Math.min(maxDelayMs, 4 * firstDelayMs) : maxDelayMs;
     long delayMs = Math.min(cappedDelayMs, firstDelayMs << Math.min(10, earlierFailures - 1));
     if (job.delayedSteps.size() >= MAX_DELAYED_STEPS) {
       delayStarts(job, delayMs);
--- a/src/main/java/dapplestair/ledger/Attempts.java
+++ b/src/main/java/dapplestair/ledger/Attempts.java
@@ -63,11 +63,11 @@
    */
   private void stopRestOfGang(Attempt missingMember) {
     Job job = missingMember.job;
-    if (!job.spec().gang() || job.isOver() || missingMember.done || job.stoppingGang) {
+    if (!job.spec().isGang() || job.isOver() || missingMember.done || job.stoppingGang) {
       return;
     }
     job.stoppingGang = true;
-    double windDownS = job.spec().saves() ? 2 * job.spec().saveS() : 0;
+    double windDownS = job.spec().savesProgress() ? 2 * job.spec().saveDurationS() : 0;
     for (Chunk chunk : List.copyOf(job.chunks.values())) {
       for (Attempt attempt : List.copyOf(chunk.attemptsByStep.values())) {
         if (!attempt.exited && !attempt.halting) {
@@ -102,7 +102,7 @@
     }
     attempt.exited = true;
     Job job = attempt.job;
-    if (attempt.spec().service()
+    if (attempt.spec().isService()
         && runTimeS(attempt) > context.settings.workers().reportMs() / 500.0) {
       job.interruptedReplicas++;
     }
--- a/src/main/java/dapplestair/ledger/ChunkWriter.java
+++ b/src/main/java/dapplestair/ledger/ChunkWriter.java
@@ -83,7 +83,7 @@
     // behind a put that nobody waits for.
     if (urgent && !chunk.launchQueued) {
       chunk.launchQueued = true;
-      boolean inLaunchBatch = job.spec().service() || isSingleTask(job);
+      boolean inLaunchBatch = job.spec().isService() || isSingleTask(job);
       context.timers.after(
           0,
           inLaunchBatch ? () -> launchBatches.add(job, chunk) : () -> writeSeparately(job, chunk));
@@ -97,12 +97,12 @@
    * fails or is lost.
    */
   static boolean isSingleTask(Job job) {
-    return job.spec().steps() == 1 && !job.spec().service() && !job.spec().gang();
+    return job.spec().taskCount() == 1 && !job.spec().isService() && !job.spec().isGang();
   }
 
   @Override
   public void writeSeparately(Job job, Chunk chunk) {
-    enqueue(job, chunk, job.spec().service() ? Priority.REPLICA : Priority.LAUNCH);
+    enqueue(job, chunk, job.spec().isService() ? Priority.REPLICA : Priority.LAUNCH);
   }
 
   @Override
--- a/src/main/java/dapplestair/ledger/Job.java
+++ b/src/main/java/dapplestair/ledger/Job.java
@@ -159,7 +159,7 @@
     }
     if (suspected) {
       boolean probeDue = !isOver() && heldAttempts == 0 && startsDelayedUntilMs <= nowMs;
-      return !probeDue ? 0 : spec.gang() ? waitingTasks() : 1;
+      return !probeDue ? 0 : spec.isGang() ? waitingTasks() : 1;
     }
     return Math.max(0, waitingTasks() - delayedSteps.size());
   }
@@ -207,7 +207,7 @@
   Chunk chunk(int index) {
     Chunk chunk = chunks.get(index);
     if (chunk == null) {
-      chunk = new Chunk(index, chunkSize, spec.steps());
+      chunk = new Chunk(index, chunkSize, spec.taskCount());
       chunks.put(index, chunk);
     }
     return chunk;
@@ -221,12 +221,12 @@
    * Returns the number of steps that are neither done nor have an attempt; 0 once the job is over.
    */
   public int waitingTasks() {
-    return isOver() ? 0 : spec.steps() - doneCount() - heldAttempts;
+    return isOver() ? 0 : spec.taskCount() - doneCount() - heldAttempts;
   }
 
   /** Returns the first step at or after {@code fromStep} that may be started, or -1. */
   public int nextStartableStep(int fromStep) {
-    int chunkCount = (spec.steps() + chunkSize - 1) / chunkSize;
+    int chunkCount = (spec.taskCount() + chunkSize - 1) / chunkSize;
     int startChunk = Math.max(fromStep / chunkSize, firstIncompleteChunk);
     for (int i = startChunk; i < chunkCount; i++) {
       Chunk chunk = chunks.get(i);
@@ -251,6 +251,6 @@
   }
 
   boolean allDone() {
-    return !spec.service() && doneCount() == spec.steps();
+    return !spec.isService() && doneCount() == spec.taskCount();
   }
 }
--- a/src/main/java/dapplestair/ledger/LaunchBatches.java
+++ b/src/main/java/dapplestair/ledger/LaunchBatches.java
@@ -105,7 +105,7 @@
       chunkRecords.writeSeparately(job, chunk);
       return;
     }
-    Group group = job.spec().service() ? replicas : singleTasks;
+    Group group = job.spec().isService() ? replicas : singleTasks;
     group.jobByWaitingChunk.put(chunk, job);
     if (!group.putQueued) {
       group.putQueued = true;
--- a/src/main/java/dapplestair/ledger/LaunchGate.java
+++ b/src/main/java/dapplestair/ledger/LaunchGate.java
@@ -24,7 +24,7 @@
   static boolean zoneAllows(Job job, String zone) {
     Submission submission = job.spec();
     // Attempts on machines out of contact count as well: they may still be running.
-    if (submission.apart() && job.attemptsInZone(zone) >= submission.mostPerZone()) {
+    if (submission.apart() && job.attemptsInZone(zone) >= submission.maxTasksPerZone()) {
       return false;
     }
     return !submission.together()
@@ -48,7 +48,7 @@
     }
     Chunk chunk = job.chunkOf(step);
     // An earlier attempt whose absence is not proved may still run somewhere.
-    if (!chunk.isFree(step) || (job.spec().gang() && !tryJoinGang(job, step))) {
+    if (!chunk.isFree(step) || (job.spec().isGang() && !tryJoinGang(job, step))) {
       return false;
     }
     long number = assignNumber(job, chunk);
@@ -61,7 +61,7 @@
 
   /** Assigns a number that no earlier attempt of this task has; a gang's members share theirs. */
   private static long assignNumber(Job job, Chunk chunk) {
-    chunk.lastNumber = job.spec().gang() ? job.gangNumber : chunk.lastNumber + 1;
+    chunk.lastNumber = job.spec().isGang() ? job.gangNumber : chunk.lastNumber + 1;
     return chunk.lastNumber;
   }
 
--- a/src/main/java/dapplestair/ledger/Machine.java
+++ b/src/main/java/dapplestair/ledger/Machine.java
@@ -161,7 +161,7 @@
   private void addUsage(Submission submission, int sign) {
     cpusUsed += sign * submission.cpus();
     attemptsHoldingRoom += sign;
-    if (submission.service()) {
+    if (submission.isService()) {
       serviceCpus = Math.max(0, serviceCpus + sign * submission.cpus());
     }
     gpusUsed += sign * submission.gpus();
--- a/src/main/java/dapplestair/ledger/Takeover.java
+++ b/src/main/java/dapplestair/ledger/Takeover.java
@@ -243,7 +243,7 @@
               adoptAttempt(job, chunk, step, number, host, zone, session));
     }
     readLaunchBatches(job);
-    job.chunks.values().forEach(c -> c.computeMaxUnknownInterrupted(job.spec().gang()));
+    job.chunks.values().forEach(c -> c.computeMaxUnknownInterrupted(job.spec().isGang()));
     if (job.probesFailed > 0) {
       job.suspected = true;
       reconciler.delayStarts(job, context.settings.workers().reportMs());
--- a/src/main/java/dapplestair/ledger/UnavailableTasks.java
+++ b/src/main/java/dapplestair/ledger/UnavailableTasks.java
@@ -38,7 +38,7 @@
       disrupted += chunk.maxInterruptedWaiting(starting + completed);
     }
     return new UnavailableTasks(
-        job.spec().steps() - done - running, disrupted + stopping, stopping);
+        job.spec().taskCount() - done - running, disrupted + stopping, stopping);
   }
 
   private static boolean isRunning(Attempt attempt) {
--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -60,7 +60,7 @@
 
   @Override
   public void clear(String host, String key, long number) {
-    workers.clear(host, key, number);
+    workers.clearAttempt(host, key, number);
   }
 
   @Override
@@ -117,7 +117,7 @@
   public void onTaskCompleted(Attempt attempt, Machine machine, double ranS) {
     double seconds = ranS > 0 ? ranS + attempt.savedS() : 0;
     events.note(Events.Kind.COMPLETED, o -> EventFields.of(o, attempt));
-    Host host = workers.host(machine.id());
+    Host host = workers.getOrCreateHost(machine.id());
     host.taskCompleted();
     double expected = estimates.expectedRunS(attempt.spec());
     if (expected > 0 && seconds > 0) {
@@ -131,11 +131,11 @@
   public void onTaskFailed(Attempt attempt, Machine machine) {
     metrics.lost();
     events.note(Events.Kind.FAILED, o -> EventFields.of(o, attempt));
-    faultAttribution.recordFailure(attempt, workers.host(machine.id()));
+    faultAttribution.recordFailure(attempt, workers.getOrCreateHost(machine.id()));
   }
 
   @Override
   public Host host(String id) {
-    return workers.host(id);
+    return workers.getOrCreateHost(id);
   }
 }
--- a/src/main/java/dapplestair/node/RoleChangeNotifier.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -33,7 +33,7 @@
     core.ledger.beginTerm(term);
     core.accepted.lead();
     scheduling.disruptionGate.lead();
-    core.workers.lead();
+    core.workers.startLeading();
     // Before anything is placed: room that was freed for a rider is its own.
     scheduling.lanes.lead();
     scheduling.calendars.lead();
@@ -67,7 +67,7 @@
     scheduling.fleet.clear();
     core.ledger.clear();
     scheduling.disruptionGate.clear();
-    core.workers.clear();
+    core.workers.stopLeading();
     // What was in memory may not be what was recorded: read all of it again.
     core.replica.restart();
     core.peers.tell();
--- a/src/main/java/dapplestair/node/StatusReporter.java
+++ b/src/main/java/dapplestair/node/StatusReporter.java
@@ -50,7 +50,7 @@
         leadership.currentLeader(),
         state.isReachable(),
         ready(),
-        workers.beatsLately(),
+        workers.recentReportCount(),
         (float) state.demandPutsPerSecond());
   }
 
--- a/src/main/java/dapplestair/placement/DecisionRecorder.java
+++ b/src/main/java/dapplestair/placement/DecisionRecorder.java
@@ -136,7 +136,7 @@
     double gpus = submission.gpus() - host.gpusFree();
     List<Attempt> endingAttempts = new ArrayList<>();
     for (Attempt attempt : host.attempts()) {
-      if (!attempt.exited() && (!attempt.spec().service() || attempt.halting())) {
+      if (!attempt.exited() && (!attempt.spec().isService() || attempt.halting())) {
         endingAttempts.add(attempt);
       }
     }
--- a/src/main/java/dapplestair/placement/EarliestFinishSelector.java
+++ b/src/main/java/dapplestair/placement/EarliestFinishSelector.java
@@ -90,7 +90,7 @@
           && submission.memoryGb() >= rejected.memoryGb()
           && submission.gpus() >= rejected.gpus()
           && submission.spot() == rejected.spot()
-          && submission.service() == rejected.service()
+          && submission.isService() == rejected.isService()
           && (rejected.zone() == null || rejected.zone().equals(submission.zone()))
           && (rejected.types() == null || rejected.types().equals(submission.types()));
     }
@@ -103,9 +103,9 @@
   private double completionScore(Job job, Host host) {
     Submission submission = job.spec();
     double fetchS = host.imageWaitS(submission, clock.now());
-    double runS = submission.service() ? 0 : estimates.expectedRunS(submission) * host.slowness();
+    double runS = submission.isService() ? 0 : estimates.expectedRunS(submission) * host.slowness();
     double tieBreak = host.cpusFree() / host.type().cpus();
-    if (submission.service()) {
+    if (submission.isService()) {
       // Replicas are packed on few machines, so that the others can become idle.
       tieBreak = 1 - host.serviceCpus() / host.type().cpus();
       if (submission.apart()) {
@@ -114,7 +114,7 @@
         tieBreak += steadyCapacity.fullness(host.zone());
       }
     }
-    if (!submission.service() && !host.spot()) {
+    if (!submission.isService() && !host.spot()) {
       // When the completion times are about the same, steady machines are left to the jobs that
       // need them.
       tieBreak += 1;
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -92,7 +92,7 @@
     for (Host host : workers.hosts()) {
       for (Attempt attempt : host.attempts()) {
         if (!attempt.exited()) {
-          if (lowestRank.above(attempt.spec().rank())) {
+          if (lowestRank.outranks(attempt.spec().rank())) {
             lowestRank = attempt.spec().rank();
           }
           if (attempt.halting() && borrowedCpusByTeam.containsKey(attempt.spec().team())) {
@@ -116,7 +116,7 @@
         withinGuarantee
             && borrowedCpusByTeam.object2DoubleEntrySet().stream()
                 .anyMatch(e -> e.getDoubleValue() > 0 && !e.getKey().equals(submission.team()));
-    boolean mayEvictByRank = submission.rank().above(lowestRank);
+    boolean mayEvictByRank = submission.rank().outranks(lowestRank);
     if (scans >= MAX_SCANS || !mayEvictByRank && !mayEvictBorrowers) {
       return 0;
     }
@@ -139,14 +139,14 @@
       scanAttempts();
     }
     Submission submission = job.spec();
-    if (scans >= MAX_SCANS || !submission.rank().above(lowestRank)) {
+    if (scans >= MAX_SCANS || !submission.rank().outranks(lowestRank)) {
       return 0;
     }
     scans++;
     long now = clock.now();
     List<EvictionCandidate> candidates =
         findCandidates(job, false, h -> h.imageWaitS(submission, now) == 0);
-    candidates.removeIf(o -> o.victims().stream().anyMatch(a -> a.spec().saves()));
+    candidates.removeIf(o -> o.victims().stream().anyMatch(a -> a.spec().savesProgress()));
     return evictCheapest(candidates, job.waitingTasks());
   }
 
@@ -172,7 +172,7 @@
           && !filter.isKeptForOthers(job, host)
           && host.isAllowedBy(submission)
           && hostFilter.test(host)
-          && workers.fresh(host)
+          && workers.isResponsive(host)
           && ledger.zoneAllows(job, host.zone())) {
         EvictionCandidate candidate = findCandidate(submission, host, mayEvictBorrowers);
         if (candidate != null) {
@@ -190,7 +190,9 @@
     // Evictions for rank and guarantee cannot wait (PROTOCOL, Preemption): they are debited, never
     // refused.
     disruptionGate.must(
-        attempt, attempt.spec().saves() ? 2 * attempt.spec().saveS() : 0, StopReason.ROOM_NEEDED);
+        attempt,
+        attempt.spec().savesProgress() ? 2 * attempt.spec().saveDurationS() : 0,
+        StopReason.ROOM_NEEDED);
   }
 
   private EvictionCandidate findCandidate(
@@ -237,14 +239,14 @@
       // never have begun.
       return false;
     }
-    if (submission.rank().above(victim.rank())) {
+    if (submission.rank().outranks(victim.rank())) {
       return true;
     }
     // Borrowed capacity returns to the team that owns it, whatever the rank; service replicas are
     // evicted only for other services.
     return mayEvictBorrowers
         && !victim.team().equals(submission.team())
-        && (!victim.service() || submission.service())
+        && (!victim.isService() || submission.isService())
         && borrowedCpusByTeam.getDouble(victim.team()) >= victim.cpus() - 1e-9;
   }
 
@@ -255,12 +257,12 @@
   private double lossScore(Attempt attempt) {
     double ranS = attempt.runTimeS(clock.now());
     double lostS =
-        attempt.spec().saves()
-            ? Math.min(ranS - attempt.checkpointedS(ranS), attempt.spec().saveS())
+        attempt.spec().savesProgress()
+            ? Math.min(ranS - attempt.checkpointedS(ranS), attempt.spec().saveDurationS())
             : ranS;
     double rankWeight = (Rank.values().length - attempt.spec().rank().ordinal()) * 1e6;
     // Evicting one member of a gang loses the work of all its members.
-    int tasks = attempt.spec().gang() ? attempt.job().heldAttempts() : 1;
+    int tasks = attempt.spec().isGang() ? attempt.job().heldAttempts() : 1;
     return rankWeight + lostS * attempt.spec().cpus() * tasks;
   }
 }
--- a/src/main/java/dapplestair/placement/PlacementFilter.java
+++ b/src/main/java/dapplestair/placement/PlacementFilter.java
@@ -72,17 +72,17 @@
       if (failedHereRecently(job, host)) {
         return PlacementVerdict.FAILED_HERE;
       }
-      if (host.probed(clock.now())) {
+      if (host.hasProbationTask(clock.now())) {
         return PlacementVerdict.PROBATION;
       }
-      if (host.leavesAt() != Long.MAX_VALUE
+      if (host.drainAt() != Long.MAX_VALUE
           && !estimates.endsBeforeHostLeaves(submission, host, clock.now())) {
         return PlacementVerdict.LEAVING;
       }
       if (ledger.zoneAllows(job, host.zone())) {
         return PlacementVerdict.FITS;
       }
-      return submission.apart() && job.attemptsInZone(host.zone()) >= submission.mostPerZone()
+      return submission.apart() && job.attemptsInZone(host.zone()) >= submission.maxTasksPerZone()
           ? PlacementVerdict.SPREAD
           : PlacementVerdict.TOGETHER;
     }
@@ -111,14 +111,14 @@
 
   /** Filters any machine, including those that a placement turn leaves out. */
   PlacementVerdict filterAnyHost(Job job, Host host) {
-    return !host.closed() && !workers.fresh(host)
+    return !host.closed() && !workers.isResponsive(host)
         ? PlacementVerdict.SILENT
         : filter(job, host, true);
   }
 
   private static PlacementVerdict findObstacle(
       Submission submission, Host host, boolean keptForOthers) {
-    if (host.type() == null || !host.up() || !host.acknowledged()) {
+    if (host.type() == null || !host.isUp() || !host.hasAcknowledgedTerm()) {
       boolean machineAllowed =
           host.type() == null || host.isAllowedBy(submission) || !submission.spot() && host.spot();
       return machineAllowed ? PlacementVerdict.NOT_UP : PlacementVerdict.NOT_ALLOWED;
@@ -130,22 +130,22 @@
     if (!host.isAllowedBy(submission)) {
       return PlacementVerdict.SPOT;
     }
-    if (host.releasing() || host.gone()) {
+    if (host.isReleasing() || host.isGone()) {
       return PlacementVerdict.RETURNING;
     }
-    if (host.drained()) {
+    if (host.isDrainedByOperator()) {
       return PlacementVerdict.DRAINED;
     }
-    if (host.draining()) {
+    if (host.isDraining()) {
       return PlacementVerdict.FAULTY;
     }
-    if (host.recalled()) {
+    if (host.hasReclaimNotice()) {
       return PlacementVerdict.NOTICE;
     }
-    if (host.hasStrays()) {
+    if (host.hasStrayTasks()) {
       return PlacementVerdict.STRAYS;
     }
-    if (host.cordoned()) {
+    if (host.isCordoned()) {
       return PlacementVerdict.CORDONED;
     }
     if (host.isOverfull() || !host.fits(submission)) {
@@ -168,18 +168,19 @@
     int total = 0;
     for (Map.Entry<String, Integer> zone : fittingByZone.entrySet()) {
       total +=
-          Math.min(zone.getValue(), submission.mostPerZone() - job.attemptsInZone(zone.getKey()));
+          Math.min(
+              zone.getValue(), submission.maxTasksPerZone() - job.attemptsInZone(zone.getKey()));
     }
     return total;
   }
 
   private int countFittingOn(Host host, Submission submission) {
     long nowMs = clock.now();
-    int fitting = submission.fitting(host.cpusFree(), host.memoryFreeGb(), host.gpusFree());
-    if (!host.onProbation(nowMs)) {
+    int fitting = submission.fittingTasks(host.cpusFree(), host.memoryFreeGb(), host.gpusFree());
+    if (!host.isOnProbation(nowMs)) {
       return fitting;
     }
-    return host.probed(nowMs) ? 0 : Math.min(1, fitting);
+    return host.hasProbationTask(nowMs) ? 0 : Math.min(1, fitting);
   }
 
   /**
@@ -189,7 +190,7 @@
    * riders.
    */
   boolean leavesReservedRoom(Submission submission, Host host) {
-    return (submission.service()
+    return (submission.isService()
             || !submission.spot()
             || host.spot()
             || steadyCapacity.freeCpus() - submission.cpus() >= reservedServiceCpus)
--- a/src/main/java/dapplestair/placement/Placer.java
+++ b/src/main/java/dapplestair/placement/Placer.java
@@ -147,7 +147,7 @@
     double clusterCpus = 0;
     steadyCapacity.clear();
     for (Host host : workers.hosts()) {
-      if (!host.closed() && workers.fresh(host)) {
+      if (!host.closed() && workers.isResponsive(host)) {
         clusterCpus += host.type().cpus();
         if (host.cpusFree() >= minCpus - 1e-9) {
           usableHosts.add(host);
@@ -208,8 +208,8 @@
     quotaJobs.sort(Comparator.comparing(j -> !reservations.hasReservation(j)));
     for (Job job : quotaJobs) {
       placeJob(job, usableHosts, quotas.get(job));
-      int missingTasks = job.spec().service() || job.spec().gang() ? job.waitingTasks() : 1;
-      if (job.waitingTasks() > 0 && (StarvationGuard.hasNotBegun(job) || job.spec().service())) {
+      int missingTasks = job.spec().isService() || job.spec().isGang() ? job.waitingTasks() : 1;
+      if (job.waitingTasks() > 0 && (StarvationGuard.hasNotBegun(job) || job.spec().isService())) {
         reservations.reserve(job, missingTasks, clusterCpus);
       }
     }
@@ -231,7 +231,7 @@
    * not fit.
    */
   private boolean placeJob(Job job, List<Host> usableHosts, int maxTasks) {
-    if (job.spec().gang()) {
+    if (job.spec().isGang()) {
       return placeGang(job, usableHosts);
     }
     if (job.spec().together()) {
@@ -324,7 +324,7 @@
     double fetchS = host.imageWaitS(submission, clock.now());
     double ageS = (clock.wall() - job.acceptedWallMs()) / 1000.0;
     awaitingImage =
-        submission.service()
+        submission.isService()
             && fetchS > 0
             && ageS < fetchS / 2
             && evictions.makeRoomAtImage(job) > 0;
@@ -342,7 +342,7 @@
       steadyCapacity.addFreeCpus(host, -job.spec().cpus());
       lanes.addFreeCpus(host, -job.spec().cpus());
       step = job.nextStartableStep(step + 1);
-      if (isProbing(job) || host.onProbation(clock.now())) {
+      if (isProbing(job) || host.isOnProbation(clock.now())) {
         break;
       }
     }
@@ -354,7 +354,7 @@
    * runs. A gang cannot be probed by one task, so all of it starts.
    */
   private static boolean isProbing(Job job) {
-    return job.isSuspected() && !job.spec().gang();
+    return job.isSuspected() && !job.spec().isGang();
   }
 
   /** Starts a gang if all of its tasks fit now, within one zone if the job requires that. */
--- a/src/main/java/dapplestair/placement/Ranking.java
+++ b/src/main/java/dapplestair/placement/Ranking.java
@@ -82,13 +82,15 @@
       sortKey = job.waitingTasks() * submission.cpus() * Math.max(1, runS);
     } else {
       sortKey =
-          (Double.isFinite(submission.dueS()) ? submission.dueS() : 10 * runS + 60) - ageS - runS;
+          (Double.isFinite(submission.deadlineS()) ? submission.deadlineS() : 10 * runS + 60)
+              - ageS
+              - runS;
     }
     return new Ranked(job, urgency(submission), !isWithinGuarantee(job), brokenObjectives, sortKey);
   }
 
   private static int urgency(Submission submission) {
-    return 2 * submission.rank().ordinal() + (submission.service() ? 0 : 1);
+    return 2 * submission.rank().ordinal() + (submission.isService() ? 0 : 1);
   }
 
   /** Returns whether one more task of the job stays within its team's guarantee. */
--- a/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
+++ b/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
@@ -31,16 +31,18 @@
 
   /** Handles the reclaim notice that the cloud gave for this machine. */
   public void handleNotice(Host host) {
-    double noticeS = (host.recallAt() - clock.now()) / 1000.0;
+    double noticeS = (host.reclaimAt() - clock.now()) / 1000.0;
     for (Attempt attempt : List.copyOf(host.attempts())) {
-      if (attempt.exited() || attempt.halting() || attempt.spec().gang()) {
+      if (attempt.exited() || attempt.halting() || attempt.spec().isGang()) {
         continue;
       }
-      double saveS = attempt.spec().saves() ? attempt.spec().saveS() : 0;
+      double saveS = attempt.spec().savesProgress() ? attempt.spec().saveDurationS() : 0;
       double remainingS =
-          attempt.spec().service() ? noticeS : estimates.remainingRunS(attempt, host, clock.now());
+          attempt.spec().isService()
+              ? noticeS
+              : estimates.remainingRunS(attempt, host, clock.now());
       double maxRemainingS =
-          attempt.spec().saves() ? noticeS - saveS : SURELY_LATE_FACTOR * noticeS;
+          attempt.spec().savesProgress() ? noticeS - saveS : SURELY_LATE_FACTOR * noticeS;
       if (remainingS > maxRemainingS) {
         disruptionGate.must(attempt, Math.max(0, Math.min(2 * saveS, noticeS)), StopReason.NOTICE);
       }
--- a/src/main/java/dapplestair/placement/Reservations.java
+++ b/src/main/java/dapplestair/placement/Reservations.java
@@ -66,7 +66,9 @@
                   || starvationGuard.quota(job) == 0
                   || !ledger.teamAllows(job.spec());
             });
-    hostsByJob.values().forEach(hosts -> hosts.removeIf(h -> h.closed() || !workers.fresh(h)));
+    hostsByJob
+        .values()
+        .forEach(hosts -> hosts.removeIf(h -> h.closed() || !workers.isResponsive(h)));
     hostsByJob.values().removeIf(List::isEmpty);
     ownerByHost.clear();
     hostsByJob.forEach((ref, hosts) -> hosts.forEach(h -> ownerByHost.put(h, ref)));
@@ -103,7 +105,7 @@
     TreeMap<String, List<Host>> hostsByZone = new TreeMap<>();
     for (Host host : workers.hosts()) {
       if (!host.closed()
-          && workers.fresh(host)
+          && workers.isResponsive(host)
           && !ownerByHost.containsKey(host)
           && host.isAllowedBy(submission)
           && ledger.zoneAllows(job, host.zone())
@@ -133,7 +135,7 @@
     int foundTasks = 0;
     for (Host host : hosts) {
       int allowedInZone =
-          submission.mostPerZone()
+          submission.maxTasksPerZone()
               - job.attemptsInZone(host.zone())
               - selectedByZone.getOrDefault(host.zone(), 0);
       int tasksHere = Math.min(countFittingWhenEmptied(submission, host), allowedInZone);
@@ -147,13 +149,13 @@
       }
     }
     // A gang that does not fit even then waits for new machines, and leaves none idle meanwhile.
-    return submission.gang() ? List.of() : selected;
+    return submission.isGang() ? List.of() : selected;
   }
 
   /** Returns how many of the job's tasks the machine holds when only its services keep running. */
   private static int countFittingWhenEmptied(Submission submission, Host host) {
     double memoryShare = 1 - host.serviceCpus() / host.type().cpus();
-    return submission.fitting(
+    return submission.fittingTasks(
         host.type().cpus() - host.serviceCpus(),
         host.type().memoryGb() * memoryShare,
         host.type().gpus());
--- a/src/main/java/dapplestair/placement/RuntimeEstimates.java
+++ b/src/main/java/dapplestair/placement/RuntimeEstimates.java
@@ -21,12 +21,12 @@
 
   /** Records that a task of this class took {@code seconds}, to correct its owner's guess. */
   public void recordRunTime(Submission submission, double seconds) {
-    if (submission.guessS() <= 0 || seconds <= 0) {
+    if (submission.estimatedRuntimeS() <= 0 || seconds <= 0) {
       return;
     }
     // Averages the logarithms of the ratios, so that twice too long and twice too short weigh the
     // same.
-    double ratio = Math.max(0.1, Math.min(10, seconds / submission.guessS()));
+    double ratio = Math.max(0.1, Math.min(10, seconds / submission.estimatedRuntimeS()));
     double oldCorrection = correctionByClass.getDouble(submission.jobClass());
     correctionByClass.put(
         submission.jobClass(), oldCorrection * Math.pow(ratio / oldCorrection, SMOOTHING_WEIGHT));
@@ -34,7 +34,7 @@
 
   /** Returns the expected run time on an ordinary machine, in seconds. */
   public double expectedRunS(Submission submission) {
-    return submission.guessS() * correctionByClass.getDouble(submission.jobClass());
+    return submission.estimatedRuntimeS() * correctionByClass.getDouble(submission.jobClass());
   }
 
   /**
@@ -50,6 +50,6 @@
   boolean endsBeforeHostLeaves(Submission submission, Host host, long nowMs) {
     double durationMs =
         1000 * (host.imageWaitS(submission, nowMs) + expectedRunS(submission) * host.slowness());
-    return !submission.service() && nowMs + durationMs < host.leavesAt();
+    return !submission.isService() && nowMs + durationMs < host.drainAt();
   }
 }
--- a/src/main/java/dapplestair/placement/StarvationGuard.java
+++ b/src/main/java/dapplestair/placement/StarvationGuard.java
@@ -57,7 +57,7 @@
    * delay.
    */
   static boolean isCritical(Submission submission) {
-    return submission.service() && submission.rank() == Rank.CRITICAL;
+    return submission.isService() && submission.rank() == Rank.CRITICAL;
   }
 
   private long ageMs(Job job) {
@@ -80,11 +80,11 @@
    */
   private int windowTasks(Job job) {
     Submission submission = job.spec();
-    if (submission.service() || submission.gang() || ledger.jobStatistics().isLarge(job)) {
-      return submission.steps();
+    if (submission.isService() || submission.isGang() || ledger.jobStatistics().isLarge(job)) {
+      return submission.taskCount();
     }
     int divisor = ageMs(job) > boundMs ? OVERDUE_WINDOW_DIVISOR : INITIAL_WINDOW_DIVISOR;
-    return (submission.steps() + divisor - 1) / divisor;
+    return (submission.taskCount() + divisor - 1) / divisor;
   }
 
   /**
@@ -97,7 +97,7 @@
     boolean mayGoFirst =
         hasNotBegun(job)
             || ageMs(job) > boundMs
-            || job.spec().service()
+            || job.spec().isService()
             || ledger.jobStatistics().isLarge(job);
     return mayGoFirst
         ? Math.max(0, Math.min(job.waitingTasks(), windowTasks(job) - job.heldAttempts()))
@@ -113,7 +113,7 @@
     if (job.isOver() || !isNearBound(job) || isCritical(attempt.spec())) {
       return false;
     }
-    if (attempt.spec().service()) {
+    if (attempt.spec().isService()) {
       return clock.now() - Math.max(attempt.plannedAtMs(), attempt.statusSinceMs())
           < boundMs / SETTLING_TIME_DIVISOR;
     }
@@ -145,7 +145,7 @@
   private Map<Job, Integer> shareWindows(Map<String, Deque<Job>> jobsByGroup, double maxCpus) {
     Object2DoubleOpenHashMap<String> heldCpusByGroup = new Object2DoubleOpenHashMap<>();
     for (Job job : ledger.jobs()) {
-      if (!job.isOver() && job.heldAttempts() > 0 && isNearBound(job) && !job.spec().service()) {
+      if (!job.isOver() && job.heldAttempts() > 0 && isNearBound(job) && !job.spec().isService()) {
         heldCpusByGroup.addTo(
             groupKey(job), Math.min(job.heldAttempts(), windowTasks(job)) * job.spec().cpus());
       }
@@ -162,7 +162,7 @@
       int fittingTasks = (int) Math.floor(Math.max(0, remainingCpus) / job.spec().cpus());
       // Whatever the other windows hold, one job of each team and class begins, and every array
       // starts one task: windows may stay full for as long as an overload lasts.
-      int minTasks = hasNotBegun(job) && !job.spec().service() && !job.spec().gang() ? 1 : 0;
+      int minTasks = hasNotBegun(job) && !job.spec().isService() && !job.spec().isGang() ? 1 : 0;
       int allowedTasks =
           heldCpusByGroup.getDouble(group) == 0 ? quota(job) : Math.max(minTasks, fittingTasks);
       int tasks = Math.min(quota(job), allowedTasks);
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -73,8 +73,8 @@
     double sum = 0;
     double largest = 0;
     for (Submission submission : arrivalForecast.expected(clock.now(), bootMs)) {
-      if (submission.service()) {
-        sum += submission.cpus() * submission.steps();
+      if (submission.isService()) {
+        sum += submission.cpus() * submission.taskCount();
         largest = Math.max(largest, submission.cpus());
       }
     }
@@ -105,7 +105,7 @@
    * rented for it, except where there is none at all, and for a gang, of which no task alone tells.
    */
   private int wanted(Job job) {
-    boolean onWhatThereIs = job.isSuspected() && !job.spec().gang() && !workers.hosts().isEmpty();
+    boolean onWhatThereIs = job.isSuspected() && !job.spec().isGang() && !workers.hosts().isEmpty();
     return onWhatThereIs ? 0 : job.wantedTasks(clock.now());
   }
 
@@ -144,7 +144,7 @@
     double[] sizes =
         java.util.stream.Stream.concat(
                 ledger.jobs().stream().filter(j -> !j.isOver()).map(Job::spec), soon.stream())
-            .filter(s -> !s.service())
+            .filter(s -> !s.isService())
             .mapToDouble(Submission::cpus)
             .sorted()
             .toArray();
@@ -162,7 +162,7 @@
       if (!fleet.isUsableAs(host, kind)) {
         continue;
       }
-      if (host.up()) {
+      if (host.isUp()) {
         up.add(host);
         // Arrays that overflowed onto steady machines must not keep those for ever: such a machine
         // may be planned away, gets no new work then, and is returned once it is idle.
@@ -214,7 +214,7 @@
 
   /** What is silent and waited for is expected back after as long again as it has been so. */
   private double backS(Host host) {
-    return host.zoneSilentMs() > 0 || host.hanging() ? workers.silentMs(host) / 1000.0 : 0;
+    return host.zoneSilentMs() > 0 || host.isHanging() ? workers.silentMs(host) / 1000.0 : 0;
   }
 
   /** When each lane of a machine is free, from now. */
@@ -226,7 +226,7 @@
       if (attempt.exited()) {
         continue;
       }
-      if (attempt.spec().service()) {
+      if (attempt.spec().isService()) {
         services += attempt.spec().cpus();
         continue;
       }
@@ -250,7 +250,7 @@
       sum += wanted(job) * job.spec().cpus();
     }
     for (Submission submission : soon) {
-      sum += submission.steps() * submission.cpus();
+      sum += submission.taskCount() * submission.cpus();
     }
     return sum;
   }
@@ -270,14 +270,14 @@
       Submission submission = soon.get(i);
       pending.add(
           new DryRunEntries.PendingTasks(
-              submission, submission.steps(), slack(submission) + arrives, arrives));
+              submission, submission.taskCount(), slack(submission) + arrives, arrives));
     }
     return new DryRunEntries(slots, laneCpus, aheadS, windowMs / 1000.0, estimates).of(pending);
   }
 
   private double slack(Submission submission) {
     double run = estimates.expectedRunS(submission);
-    return (Double.isFinite(submission.dueS()) ? submission.dueS() : 10 * run + 60) - run;
+    return (Double.isFinite(submission.deadlineS()) ? submission.deadlineS() : 10 * run + 60) - run;
   }
 
   /** The operators' budget, or a ratio to what all present work costs where it is cheapest. */
@@ -295,7 +295,7 @@
       }
     }
     for (Submission s : soon) {
-      demand += cheapest(slots, s) * s.cpus() * s.steps();
+      demand += cheapest(slots, s) * s.cpus() * s.taskCount();
     }
     double oneMore = slots.stream().mapToDouble(MachineKindState::price).max().orElse(0);
     return Math.max(operatorSettings.budgetRatio() * demand, floor + oneMore);
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -120,7 +120,7 @@
         return;
       }
       String ref = Json.text(body, "ref");
-      if (ref != null && Submission.validRef(ref)) {
+      if (ref != null && Submission.isValidRef(ref)) {
         // A known job is answered with its state, whatever else the retry holds.
         if (finder.over(ref)) {
           over(exchange, 200, ref, finder.done(ref));
@@ -170,7 +170,7 @@
   private void refuseUnlessKnown(Exchange exchange, int status, String why) {
     LOG.debug("{}: {}", status, why);
     String ref = Json.text(Json.parse(exchange.body()), "ref");
-    if (ref == null || !Submission.validRef(ref)) {
+    if (ref == null || !Submission.isValidRef(ref)) {
       error(exchange, status, why);
       return;
     }
@@ -206,10 +206,12 @@
     if (team == null) {
       return "owner: unknown team " + submission.team();
     }
-    if (team.cpusMax() > 0 && submission.cpus() * submission.atOnce() > team.cpusMax() + 1e-6) {
+    if (team.cpusMax() > 0
+        && submission.cpus() * submission.minSimultaneousTasks() > team.cpusMax() + 1e-6) {
       return "vcpus: more than the team's limit of " + team.cpusMax();
     }
-    if (team.gpusMax() > 0 && submission.gpus() * submission.atOnce() > team.gpusMax() + 1e-6) {
+    if (team.gpusMax() > 0
+        && submission.gpus() * submission.minSimultaneousTasks() > team.gpusMax() + 1e-6) {
       return "accelerators: more than the team's limit of " + team.gpusMax();
     }
     if (!types.anySuits(submission)) {
--- a/src/main/java/dapplestair/weights/ImageLocations.java
+++ b/src/main/java/dapplestair/weights/ImageLocations.java
@@ -116,7 +116,7 @@
   private void applyHints() {
     for (ImageHolders holders : recordsByKey.values()) {
       for (String id : holders.machineIds()) {
-        Host host = workers.known(id);
+        Host host = workers.findHost(id);
         if (host != null) {
           host.images().recordHint(holders.image(), holders.sizeGb());
         }
@@ -161,7 +161,7 @@
     Map<String, ImageHolders> holdersByKey = new TreeMap<>();
     long nowMs = clock.now();
     for (Host host : workers.hosts()) {
-      if (host.up() && !host.gone() && !host.releasing()) {
+      if (host.isUp() && !host.isGone() && !host.isReleasing()) {
         host.images()
             .readyImages(nowMs)
             .forEach(
--- a/src/main/java/dapplestair/work/ExpiringLruMap.java
+++ b/src/main/java/dapplestair/work/ExpiringLruMap.java
@@ -7,48 +7,55 @@
 import java.util.Map;
 import java.util.function.ToLongFunction;
 
-/** Entries in the order of their last use, dropped once they are too old or too many. */
+/**
+ * A map in the order of the entries' last use. Entries are dropped once they are too old or too
+ * many.
+ */
 public final class ExpiringLruMap<K, V> {
   private final Clock clock;
-  private final long keptMs;
-  private final int most;
-  private final ToLongFunction<V> usedAt;
+  private final long maxAgeMs;
+  private final int maxEntries;
+  private final ToLongFunction<V> lastUsedAt;
   private final Map<K, V> entries = new LinkedHashMap<>();
 
-  /** Keeps {@code most} entries at the most, each for {@code keptMs} after its last use. */
-  public ExpiringLruMap(Clock clock, long keptMs, int most, ToLongFunction<V> usedAt) {
+  /**
+   * Creates a map that keeps at most {@code maxEntries} entries, each for {@code maxAgeMs} after
+   * its last use.
+   */
+  public ExpiringLruMap(Clock clock, long maxAgeMs, int maxEntries, ToLongFunction<V> lastUsedAt) {
     this.clock = clock;
-    this.keptMs = keptMs;
-    this.most = most;
-    this.usedAt = usedAt;
+    this.maxAgeMs = maxAgeMs;
+    this.maxEntries = maxEntries;
+    this.lastUsedAt = lastUsedAt;
   }
 
-  /** Takes an entry out; null if there was none. */
+  /** Removes an entry and returns it, or returns null if there was none. */
   public V remove(K key) {
     return entries.remove(key);
   }
 
-  /** Puts an entry that is not there, as the one used last. */
+  /** Adds an entry under a key that is not in the map, as the one used last. */
   public void put(K key, V value) {
-    dropOldest();
+    removeExpired();
     entries.put(key, value);
   }
 
-  /** What is kept now, the oldest first. */
+  /** Returns the entries that have not expired, the oldest first. */
   public Collection<V> values() {
-    dropOldest();
+    removeExpired();
     return entries.values();
   }
 
-  private void dropOldest() {
+  private void removeExpired() {
     long now = clock.now();
-    Iterator<V> oldest = entries.values().iterator();
-    while (oldest.hasNext() && (isOld(oldest.next(), now) || entries.size() >= most)) {
-      oldest.remove();
+    Iterator<V> oldestFirst = entries.values().iterator();
+    while (oldestFirst.hasNext()
+        && (isExpired(oldestFirst.next(), now) || entries.size() >= maxEntries)) {
+      oldestFirst.remove();
     }
   }
 
-  private boolean isOld(V value, long now) {
-    return now - usedAt.applyAsLong(value) > keptMs;
+  private boolean isExpired(V value, long now) {
+    return now - lastUsedAt.applyAsLong(value) > maxAgeMs;
   }
 }
--- a/src/main/java/dapplestair/work/JobShape.java
+++ b/src/main/java/dapplestair/work/JobShape.java
@@ -1,31 +1,31 @@
 package dapplestair.work;
 
-/** How the tasks of a job belong together. */
+/** How the tasks of a job depend on each other. */
 public enum JobShape {
-  /** Independent tasks, each runs to completion. */
+  /** Independent tasks, each of which runs to completion. */
   ARRAY("sweep"),
-  /** Tasks that run to completion side by side, none before all are there. */
+  /** Tasks that run to completion side by side; none begins before all can run. */
   GANG("gang"),
   /** Replicas that run until the job is cancelled. */
   SERVICE("daemon");
 
-  private final String wire;
+  private final String wireName;
 
-  JobShape(String wire) {
-    this.wire = wire;
+  JobShape(String wireName) {
+    this.wireName = wireName;
   }
 
-  static JobShape of(String wire) {
+  static JobShape fromWire(String wireName) {
     for (JobShape shape : values()) {
-      if (shape.wire.equals(wire)) {
+      if (shape.wireName.equals(wireName)) {
         return shape;
       }
     }
     return null;
   }
 
-  /** The word on the wire. */
-  public String wire() {
-    return wire;
+  /** Returns the name of this shape on the wire. */
+  public String wireName() {
+    return wireName;
   }
 }
--- a/src/main/java/dapplestair/work/Rank.java
+++ b/src/main/java/dapplestair/work/Rank.java
@@ -2,32 +2,32 @@
 
 /** A job's priority, highest first. */
 public enum Rank {
-  /** Before everything. */
+  /** Before all other work. */
   CRITICAL,
-  /** Before ordinary work. */
+  /** Before work of standard rank. */
   HIGH,
   /** Ordinary work. */
   STANDARD,
-  /** Whenever there is room. */
+  /** Whenever there is free capacity. */
   LOW;
 
-  /** The rank of this word, or null. */
-  public static Rank of(String wire) {
+  /** Returns the rank with this name on the wire, or null. */
+  public static Rank fromWire(String wireName) {
     for (Rank rank : values()) {
-      if (rank.wire().equals(wire)) {
+      if (rank.wireName().equals(wireName)) {
         return rank;
       }
     }
     return null;
   }
 
-  /** The word on the wire. */
-  public String wire() {
+  /** Returns the name of this rank on the wire. */
+  public String wireName() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 
-  /** True when this one may take the other's room. */
-  public boolean above(Rank other) {
+  /** Returns true when work of this rank may take the capacity of work of the other rank. */
+  public boolean outranks(Rank other) {
     return ordinal() < other.ordinal();
   }
 }
--- a/src/main/java/dapplestair/work/Report.java
+++ b/src/main/java/dapplestair/work/Report.java
@@ -6,12 +6,14 @@
 import java.util.List;
 
 /**
- * What a worker says of its machine.
+ * A worker's report about its machine.
  *
- * @param session rises each time the worker's lease has run out ({@code tenure} on the wire)
- * @param tick rises with every report of a session
- * @param token highest token the worker has seen ({@code baton})
- * @param recallS seconds until the cloud takes the machine, or NaN
+ * @param session number that rises each time the worker's lease has expired ({@code tenure} on the
+ *     wire)
+ * @param tick number that rises with every report of a session
+ * @param token highest fencing token that the worker has seen ({@code baton} on the wire)
+ * @param reclaimInS seconds until the cloud takes the machine back, or NaN without a notice ({@code
+ *     recallS} on the wire)
  */
 public record Report(
     String host,
@@ -22,10 +24,10 @@
     long session,
     long tick,
     long token,
-    double recallS,
+    double reclaimInS,
     List<Task> tasks) {
 
-  /** State of a task on its machine. */
+  /** The state of a task on its machine. */
   public enum Status {
     FETCHING,
     RUNNING,
@@ -33,20 +35,23 @@
     EXITED
   }
 
-  /** One task; {@code cause} is null unless it has exited, {@code stored} if it saved then. */
+  /**
+   * A task on the machine. {@code cause} is null unless the task has exited; {@code stored} is true
+   * when it saved its progress on exit.
+   */
   public record Task(String key, long attempt, Status status, String cause, boolean stored) {
     Task(String key, long attempt, Status status) {
       this(key, attempt, status, null, false);
     }
 
-    /** Its job. */
-    public String ref() {
+    /** Returns the reference of the task's job. */
+    public String jobRef() {
       int slash = key.lastIndexOf('/');
       return slash < 0 ? key : key.substring(0, slash);
     }
   }
 
-  /** Reads a report, or gives null when it makes no sense. */
+  /** Parses a report; returns null when it is malformed. */
   public static Report parse(JsonNode node) {
     String host = Json.text(node, "host");
     String type = Json.text(node, "hull");
@@ -60,13 +65,13 @@
         || endpoint == null
         || session < 0
         || tick < 0
-        || !addressLike(endpoint)
+        || !isAddress(endpoint)
         || !node.path("steps").isArray()) {
       return null;
     }
     List<Task> tasks = new ArrayList<>();
-    for (JsonNode t : node.get("steps")) {
-      Task task = task(t);
+    for (JsonNode taskNode : node.get("steps")) {
+      Task task = parseTask(taskNode);
       if (task == null) {
         return null;
       }
@@ -85,7 +90,7 @@
         tasks);
   }
 
-  private static Task task(JsonNode node) {
+  private static Task parseTask(JsonNode node) {
     String key = Json.text(node, "step");
     long attempt = Json.number(node, "try", -1);
     String status = Json.text(node, "status");
@@ -105,12 +110,12 @@
             cause == null ? "stopped" : cause,
             Json.flag(node, "stored"));
       }
-      // A state that we do not know of still occupies the machine.
+      // A task in an unknown state still occupies the machine.
       default -> new Task(key, attempt, Status.RUNNING);
     };
   }
 
-  private static boolean addressLike(String endpoint) {
+  private static boolean isAddress(String endpoint) {
     int colon = endpoint.lastIndexOf(':');
     if (colon < 1 || endpoint.length() - colon > 6) {
       return false;
@@ -123,8 +128,11 @@
     return colon + 1 < endpoint.length();
   }
 
-  /** True when it was sent after the one of this session and tick (PROTOCOL, "tick"). */
-  public boolean after(long otherSession, long otherTick) {
+  /**
+   * Returns true when this report was sent after the one with the given session and tick (PROTOCOL,
+   * "tick").
+   */
+  public boolean isNewerThan(long otherSession, long otherTick) {
     return session() > otherSession || session() == otherSession && tick() > otherTick;
   }
 }
--- a/src/main/java/dapplestair/work/Submission.java
+++ b/src/main/java/dapplestair/work/Submission.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * A job as its user described it.
+ * A job as described by the user who submitted it.
  *
- * @param shape how its tasks belong together
+ * @param shape how its tasks depend on each other
  * @param types allowed machine types, or null for any
  * @param zone the only allowed zone, or null
- * @param together all tasks in one zone
- * @param apart at most half of the tasks, rounded up, in one zone
- * @param spot may use machines that can be taken back
- * @param dueS deadline from submission, or infinity
+ * @param together whether all tasks must run in one zone
+ * @param apart whether at most half of the tasks, rounded up, may run in one zone
+ * @param spot whether it may use machines that the cloud can take back
+ * @param deadlineS deadline in seconds from submission, or infinity
  */
 public record Submission(
     String ref,
@@ -23,7 +23,7 @@
     String team,
     JobShape shape,
     Rank rank,
-    int steps,
+    int taskCount,
     double cpus,
     double gpus,
     double memoryGb,
@@ -34,14 +34,14 @@
     boolean together,
     boolean apart,
     boolean spot,
-    double guessS,
-    double saveEveryS,
-    double saveS,
-    double dueS) {
+    double estimatedRuntimeS,
+    double saveIntervalS,
+    double saveDurationS,
+    double deadlineS) {
 
-  private static final int MOST_STEPS = 100_000;
+  private static final int MAX_TASKS = 100_000;
 
-  /** What is wrong with a body; the message names the field. */
+  /** Thrown when the body of a submission is invalid; the message names the field. */
   public static final class InvalidSubmissionException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -50,74 +50,74 @@
     }
   }
 
-  /** True when its tasks run until it is cancelled. */
-  public boolean service() {
+  /** Returns true when its tasks run until it is cancelled. */
+  public boolean isService() {
     return shape == JobShape.SERVICE;
   }
 
-  /** True when none of its tasks is of use before all of them run. */
-  public boolean gang() {
+  /** Returns true when its tasks make progress only while all of them run. */
+  public boolean isGang() {
     return shape == JobShape.GANG;
   }
 
-  /** Tasks that must have room at the same time for the job to make sense. */
-  public int atOnce() {
-    return shape == JobShape.ARRAY ? 1 : steps;
+  /** Returns how many of its tasks must have capacity at the same time for the job to be of use. */
+  public int minSimultaneousTasks() {
+    return shape == JobShape.ARRAY ? 1 : taskCount;
   }
 
-  /** Most tasks that may be in one zone. */
-  public int mostPerZone() {
-    return apart ? (steps + 1) / 2 : steps;
+  /** Returns the maximum number of tasks that may run in one zone. */
+  public int maxTasksPerZone() {
+    return apart ? (taskCount + 1) / 2 : taskCount;
   }
 
-  /** True when a stopped task can keep its progress. */
-  public boolean saves() {
-    return saveEveryS > 0;
+  /** Returns true when a stopped task can keep its progress. */
+  public boolean savesProgress() {
+    return saveIntervalS > 0;
   }
 
-  /** Reads and checks a user's body. */
+  /** Parses and validates the body of a user's request. */
   public static Submission parse(JsonNode body) throws InvalidSubmissionException {
     if (!body.isObject()) {
       throw new InvalidSubmissionException("the body is not a JSON object");
     }
-    String ref = text(body, "ref");
-    if (!validRef(ref)) {
+    String ref = requiredText(body, "ref");
+    if (!isValidRef(ref)) {
       throw new InvalidSubmissionException("ref: not a job id");
     }
-    JobShape shape = JobShape.of(text(body, "shape"));
+    JobShape shape = JobShape.fromWire(requiredText(body, "shape"));
     if (shape == null) {
       throw new InvalidSubmissionException("shape: must be sweep, gang or daemon");
     }
-    Rank rank = Rank.of(text(body, "rank"));
+    Rank rank = Rank.fromWire(requiredText(body, "rank"));
     if (rank == null) {
       throw new InvalidSubmissionException("rank: must be critical, high, standard or low");
     }
-    JsonNode steps = body.path("steps");
-    if (!steps.isIntegralNumber()
-        || !steps.canConvertToInt()
-        || steps.intValue() < 1
-        || steps.intValue() > MOST_STEPS) {
-      throw new InvalidSubmissionException("steps: must be a whole number from 1 to " + MOST_STEPS);
+    JsonNode taskCount = body.path("steps");
+    if (!taskCount.isIntegralNumber()
+        || !taskCount.canConvertToInt()
+        || taskCount.intValue() < 1
+        || taskCount.intValue() > MAX_TASKS) {
+      throw new InvalidSubmissionException("steps: must be a whole number from 1 to " + MAX_TASKS);
     }
     double cpus = amount(body, "vcpus");
-    double memory = amount(body, "memoryGb");
+    double memoryGb = amount(body, "memoryGb");
     if (cpus <= 0) {
       throw new InvalidSubmissionException("vcpus: must be above 0");
     }
-    JsonNode due = body.path("dueS");
+    JsonNode deadline = body.path("dueS");
     return new Submission(
         ref,
-        text(body, "jobclass"),
-        text(body, "owner"),
+        requiredText(body, "jobclass"),
+        requiredText(body, "owner"),
         shape,
         rank,
-        steps.intValue(),
+        taskCount.intValue(),
         cpus,
         amount(body, "accelerators"),
-        memory,
-        text(body, "bundle"),
+        memoryGb,
+        requiredText(body, "bundle"),
         amount(body, "imageGb"),
-        types(body.path("hulls")),
+        parseTypes(body.path("hulls")),
         optionalText(body, "basin"),
         flag(body, "together"),
         flag(body, "apart"),
@@ -125,36 +125,39 @@
         amount(body, "guessS"),
         amount(body, "snapshotEveryS"),
         amount(body, "snapshotS"),
-        due.isNull() || due.isMissingNode() ? Double.POSITIVE_INFINITY : amount(body, "dueS"));
+        deadline.isNull() || deadline.isMissingNode()
+            ? Double.POSITIVE_INFINITY
+            : amount(body, "dueS"));
   }
 
-  /** True for anything that can be a job id. */
-  public static boolean validRef(String ref) {
+  /** Returns true when the text has the form of a job id. */
+  public static boolean isValidRef(String ref) {
     int dash = ref.indexOf('-');
     if (dash < 1 || dash > 32 || dash + 1 >= ref.length() || ref.length() - dash > 20) {
       return false;
     }
     for (int i = 0; i < ref.length(); i++) {
-      char c = ref.charAt(i);
-      boolean digit = c >= '0' && c <= '9';
-      boolean letter = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
-      if (i < dash ? !(digit || letter) : i > dash && !digit) {
+      char character = ref.charAt(i);
+      boolean isDigit = character >= '0' && character <= '9';
+      boolean isLetter =
+          (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z');
+      if (i < dash ? !(isDigit || isLetter) : i > dash && !isDigit) {
         return false;
       }
     }
     return true;
   }
 
-  /** The form kept in the state service, which {@link #parse} reads back. */
+  /** Returns the form that is stored in the state service, which {@link #parse} reads back. */
   public ObjectNode toJson() {
     ObjectNode object =
         Json.object()
             .put("ref", ref)
             .put("jobclass", jobClass)
             .put("owner", team)
-            .put("shape", shape.wire())
-            .put("rank", rank.wire())
-            .put("steps", steps)
+            .put("shape", shape.wireName())
+            .put("rank", rank.wireName())
+            .put("steps", taskCount)
             .put("vcpus", cpus)
             .put("accelerators", gpus)
             .put("memoryGb", memoryGb)
@@ -170,38 +173,39 @@
         .put("together", together)
         .put("apart", apart)
         .put("loaners", spot)
-        .put("guessS", guessS)
-        .put("snapshotEveryS", saveEveryS)
-        .put("snapshotS", saveS);
-    if (Double.isFinite(dueS)) {
-      object.put("dueS", dueS);
+        .put("guessS", estimatedRuntimeS)
+        .put("snapshotEveryS", saveIntervalS)
+        .put("snapshotS", saveDurationS);
+    if (Double.isFinite(deadlineS)) {
+      object.put("dueS", deadlineS);
     }
     return object;
   }
 
-  private static List<String> types(JsonNode node) throws InvalidSubmissionException {
+  private static List<String> parseTypes(JsonNode node) throws InvalidSubmissionException {
     if (node.isNull() || node.isMissingNode()) {
       return null;
     }
-    List<String> out = new ArrayList<>();
+    List<String> names = new ArrayList<>();
     if (node.isArray()) {
-      for (JsonNode t : node) {
-        if (!t.isTextual()) {
+      for (JsonNode name : node) {
+        if (!name.isTextual()) {
           throw new InvalidSubmissionException("hulls: must hold names");
         }
-        out.add(t.textValue());
+        names.add(name.textValue());
       }
-      return List.copyOf(out);
+      return List.copyOf(names);
     }
     throw new InvalidSubmissionException("hulls: must be an array or null");
   }
 
-  private static String text(JsonNode body, String field) throws InvalidSubmissionException {
-    String v = optionalText(body, field);
-    if (v == null || v.isEmpty()) {
+  private static String requiredText(JsonNode body, String field)
+      throws InvalidSubmissionException {
+    String value = optionalText(body, field);
+    if (value == null || value.isEmpty()) {
       throw new InvalidSubmissionException(field + ": missing");
     }
-    return v;
+    return value;
   }
 
   private static String optionalText(JsonNode body, String field)
@@ -221,11 +225,11 @@
     if (node.isNull() || node.isMissingNode()) {
       throw new InvalidSubmissionException(field + ": missing");
     }
-    double d = node.isNumber() ? node.doubleValue() : Double.NaN;
-    if (!Double.isFinite(d) || d < 0 || d > 1e9) {
+    double value = node.isNumber() ? node.doubleValue() : Double.NaN;
+    if (!Double.isFinite(value) || value < 0 || value > 1e9) {
       throw new InvalidSubmissionException(field + ": must be a number from 0 to 1e9");
     }
-    return d;
+    return value;
   }
 
   private static boolean flag(JsonNode body, String field) throws InvalidSubmissionException {
@@ -236,12 +240,12 @@
     return node.booleanValue();
   }
 
-  /** How many of its tasks so much room is for. */
-  public int fitting(double cpusFree, double memoryGbFree, double gpusFree) {
-    double n = Math.min(cpusFree / cpus(), memoryGbFree / Math.max(1e-9, memoryGb()));
+  /** Returns how many of its tasks fit into the given free resources. */
+  public int fittingTasks(double cpusFree, double memoryGbFree, double gpusFree) {
+    double count = Math.min(cpusFree / cpus(), memoryGbFree / Math.max(1e-9, memoryGb()));
     if (gpus() > 0) {
-      n = Math.min(n, gpusFree / gpus());
+      count = Math.min(count, gpusFree / gpus());
     }
-    return (int) Math.max(0, Math.floor(n + 1e-9));
+    return (int) Math.max(0, Math.floor(count + 1e-9));
   }
 }
--- a/src/main/java/dapplestair/workers/CommandSender.java
+++ b/src/main/java/dapplestair/workers/CommandSender.java
@@ -21,20 +21,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Brings orders to machines, one message at a time to each, and fences off what got no answer. */
+/**
+ * Sends commands to machines, with at most one call in progress to each machine, and raises the
+ * fencing token after a call that was not answered.
+ */
 final class CommandSender {
-  /** Told of what machines answer. */
+  /** Receives the outcomes of calls to machines. */
   interface Listener {
-    /** A machine's report after its orders. */
-    void report(Host host, Report report);
+    /** Called with the report that a machine returns after it has received its commands. */
+    void reportReceived(Host host, Report report);
 
-    /** Two calls in a row were not answered. */
-    void unanswered(Host host);
+    /** Called when two calls in a row to a machine have not been answered. */
+    void becameUnresponsive(Host host);
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
-  private static final int MOST_ORDERS = 200;
-  private static final int MOST_DOUBLINGS = 4;
+  private static final int MAX_COMMANDS_PER_CALL = 200;
+  private static final int MAX_TIMEOUT_DOUBLINGS = 4;
 
   private final Clock clock;
   private final Timers timers;
@@ -44,8 +47,8 @@
   private final HostRegistry hostRegistry;
   private final Listener listener;
   private final long reportMs;
-  private final long callMs;
-  private final Set<String> flushing = new HashSet<>();
+  private final long baseCallTimeoutMs;
+  private final Set<String> hostIdsWithScheduledSend = new HashSet<>();
   private boolean leading;
 
   CommandSender(
@@ -65,168 +68,182 @@
     this.hostRegistry = hostRegistry;
     this.listener = listener;
     this.reportMs = settings.workers().reportMs();
-    this.callMs = Math.min(reportMs / 2, settings.workers().leaseMs() / 16);
+    this.baseCallTimeoutMs = Math.min(reportMs / 2, settings.workers().leaseMs() / 16);
   }
 
-  void lead() {
+  void startLeading() {
     leading = true;
   }
 
-  void clear() {
+  void stopLeading() {
     leading = false;
-    flushing.clear();
+    hostIdsWithScheduledSend.clear();
   }
 
-  /** The token to show to a machine: the term, and its fence. */
-  long token(Host host) {
+  /** Returns the fencing token to send to a machine: the current term and the machine's fence. */
+  long fencingToken(Host host) {
     return FencingToken.of(leadership.term(), host.fence);
   }
 
-  /** Sends an order with all others of this turn. */
+  /**
+   * Queues a command; all commands queued for a machine in the same event loop turn are sent
+   * together.
+   */
   void queue(String hostId, WorkerCommand command) {
-    Host host = hostRegistry.known(hostId);
+    Host host = hostRegistry.find(hostId);
     if (host == null || !leading) {
       return;
     }
     host.outbox.put(command.id(), command);
-    if (flushing.add(hostId)) {
+    if (hostIdsWithScheduledSend.add(hostId)) {
       timers.after(
           0,
           () -> {
-            flushing.remove(hostId);
-            Host h = hostRegistry.known(hostId);
-            if (h != null) {
-              send(h);
+            hostIdsWithScheduledSend.remove(hostId);
+            Host currentHost = hostRegistry.find(hostId);
+            if (currentHost != null) {
+              sendQueued(currentHost);
             }
           });
     }
   }
 
-  /** Sends what waits for a machine. */
-  void send(Host host) {
+  /** Sends the commands that are queued for a machine, if there are any. */
+  void sendQueued(Host host) {
     if (!host.outbox.isEmpty()) {
       call(host, false);
     }
   }
 
-  /** Sends what waits, or nothing: the answer shows what is on the machine. */
+  /** Calls a machine with its queued commands, or with none: its reply shows what runs on it. */
   void probe(Host host) {
     call(host, true);
   }
 
-  private void call(Host host, boolean evenEmpty) {
+  private void call(Host host, boolean allowEmpty) {
     if (!leading
         || !leadership.isLeading()
-        || host.calling
+        || host.callInProgress
         || host.endpoint == null
-        || clock.now() < host.callAgainAt) {
+        || clock.now() < host.nextCallAt) {
       return;
     }
-    List<WorkerCommand> orders = new ArrayList<>();
+    List<WorkerCommand> commands = new ArrayList<>();
     List<Attempt> launches = new ArrayList<>();
-    take(host, orders, launches);
-    if (orders.isEmpty() && !evenEmpty) {
+    takeSendableCommands(host, commands, launches);
+    if (commands.isEmpty() && !allowEmpty) {
       return;
     }
-    Fencing.sending(host, orders, launches);
-    ObjectNode body = WorkerCommand.call(token(host), host.session, orders);
+    Fencing.beforeSend(host, commands, launches);
+    ObjectNode body = WorkerCommand.callMessage(fencingToken(host), host.session, commands);
     if (!launches.isEmpty()) {
-      LOG.debug("{} launches leave for {} under token {}", launches.size(), host.id(), token(host));
+      LOG.debug(
+          "sending {} launches to {} under fencing token {}",
+          launches.size(),
+          host.id(),
+          fencingToken(host));
     }
-    host.calling = true;
+    host.callInProgress = true;
     long term = leadership.term();
     relay.command(
-        // After a call that failed on its way through another controller, the next one is direct.
-        host.failedCalls > 0 ? null : host.relay,
+        // The relaying controller may be the reason for a failed call, so the next one is direct.
+        host.failedCalls > 0 ? null : host.relayController,
         host.endpoint,
         Json.bytes(body),
-        patienceMs(host),
+        replyTimeoutMs(host),
         reply -> {
           if (leading && leadership.term() == term) {
-            host.calling = false;
-            answered(host, orders, launches, reply);
+            host.callInProgress = false;
+            handleReply(host, commands, launches, reply);
           }
         });
   }
 
   /**
-   * How long an answer is waited for. A machine that reports, and shows what earlier calls told it,
-   * though their answers came too late, is behind a slow link: with one patience for all it took no
-   * work for as long as its link was slow (OverloadTest). One that is not reached hangs or is deaf.
+   * Returns how long to wait for a machine's reply. The timeout is doubled after each failed call
+   * while the machine reports and its reports show the tokens of earlier calls: its link is slow,
+   * and the replies came too late. With the same timeout for all, such a machine took no work for
+   * as long as its link was slow (OverloadTest). A machine whose reports don't arrive hangs, or
+   * receives nothing; its timeout is not extended.
    */
-  private long patienceMs(Host host) {
-    boolean reached = clock.now() - host.heardAt < 2 * reportMs;
-    int doublings = reached ? Math.min(MOST_DOUBLINGS, host.failedCalls) : 0;
-    return Math.min(reportMs, callMs << doublings);
+  private long replyTimeoutMs(Host host) {
+    boolean reportsArrive = clock.now() - host.lastReachedAt < 2 * reportMs;
+    int doublings = reportsArrive ? Math.min(MAX_TIMEOUT_DOUBLINGS, host.failedCalls) : 0;
+    return Math.min(reportMs, baseCallTimeoutMs << doublings);
   }
 
-  private void take(Host host, List<WorkerCommand> orders, List<Attempt> launches) {
-    Iterator<WorkerCommand> it = host.outbox.values().iterator();
-    while (it.hasNext() && orders.size() < MOST_ORDERS) {
-      WorkerCommand command = it.next();
+  private void takeSendableCommands(
+      Host host, List<WorkerCommand> commands, List<Attempt> launches) {
+    Iterator<WorkerCommand> queuedCommands = host.outbox.values().iterator();
+    while (queuedCommands.hasNext() && commands.size() < MAX_COMMANDS_PER_CALL) {
+      WorkerCommand command = queuedCommands.next();
       if (command instanceof WorkerCommand.Launch && !mayLaunch(host)) {
         continue;
       }
-      it.remove();
+      queuedCommands.remove();
       if (command instanceof WorkerCommand.Launch) {
-        Attempt attempt = Fencing.due(host, command);
+        Attempt attempt = Fencing.findDueAttempt(host, command);
         if (attempt == null) {
           continue;
         }
         launches.add(attempt);
       }
-      orders.add(command);
+      commands.add(command);
     }
   }
 
   /**
-   * A launch of a job that was cancelled without this leader's knowledge must not leave for long
-   * after that, nor under a token above all that another controller raises to keep it out: see
-   * package cancellations.
+   * Returns true when launches may be sent to this machine. A job may have been cancelled without
+   * this leader's knowledge: its launches may be sent only for a limited time after that, and only
+   * under a token below the one that another controller raises the worker to in order to fence them
+   * off (see package cancellations).
    */
   private boolean mayLaunch(Host host) {
-    return cancellations.mayLaunch() && Fencing.launchesMayLeave(host, leadership.term());
+    return cancellations.mayLaunch() && Fencing.maySendLaunches(host, leadership.term());
   }
 
-  private void answered(
-      Host host, List<WorkerCommand> orders, List<Attempt> launches, HttpReply reply) {
+  private void handleReply(
+      Host host, List<WorkerCommand> commands, List<Attempt> launches, HttpReply reply) {
     boolean executed = reply.status() == 200;
     if (executed || reply.status() == 409) {
       host.failedCalls = 0;
-      Fencing.answered(launches);
+      Fencing.callAnswered(launches);
       Report report = Report.parse(Json.parse(reply.body()));
       if (report != null && report.host().equals(host.id())) {
-        listener.report(host, report);
+        listener.reportReceived(host, report);
       }
       if (!executed) {
-        requeue(host, orders);
+        requeue(host, commands);
       }
-      send(host);
+      sendQueued(host);
       return;
     }
     host.failedCalls++;
-    boolean sent = reply.status() != HttpReply.NOT_SENT;
-    Fencing.unanswered(host, leadership.term(), launches, sent);
-    // A report that shows the raised token was sent since.
-    if (host.tokenSeen >= host.challenge) {
-      host.challenge = token(host);
+    boolean mayHaveArrived = reply.status() != HttpReply.NOT_SENT;
+    Fencing.callUnanswered(host, leadership.term(), launches, mayHaveArrived);
+    // Only a report that was sent after this failed call can show the raised token.
+    if (host.tokenSeen >= host.reachabilityToken) {
+      host.reachabilityToken = fencingToken(host);
     }
-    // The connection of the first failed call was closed, so a later call has made a new one.
-    host.lastCallConnected = sent;
-    host.callAgainAt = clock.now() + Math.min(reportMs / 3, 100L << Math.min(4, host.failedCalls));
-    if (sent) {
-      requeue(host, orders);
+    // A failed call's connection is closed, so a later call that was sent has opened a new one.
+    host.lastCallConnected = mayHaveArrived;
+    host.nextCallAt = clock.now() + Math.min(reportMs / 3, 100L << Math.min(4, host.failedCalls));
+    if (mayHaveArrived) {
+      requeue(host, commands);
     } else {
-      orders.forEach(o -> host.outbox.putIfAbsent(o.id(), o));
+      commands.forEach(command -> host.outbox.putIfAbsent(command.id(), command));
     }
     if (host.failedCalls == 2) {
-      listener.unanswered(host);
+      listener.becameUnresponsive(host);
     }
   }
 
-  /** Stops may be repeated; a launch never is, nor a clear whose launch may still be on its way. */
-  private static void requeue(Host host, List<WorkerCommand> orders) {
-    for (WorkerCommand command : orders) {
+  /**
+   * Queues halts again. A launch is never repeated, nor is a clear, whose launch may still be in
+   * transit.
+   */
+  private static void requeue(Host host, List<WorkerCommand> commands) {
+    for (WorkerCommand command : commands) {
       if (command instanceof WorkerCommand.Halt halt) {
         host.outbox.putIfAbsent(halt.id(), halt);
       }
--- a/src/main/java/dapplestair/workers/HostRegistry.java
+++ b/src/main/java/dapplestair/workers/HostRegistry.java
@@ -7,16 +7,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The machines that are not proved to be gone, and for a while the names of those that are. */
+/** The machines that are not proved to be gone, and the names of those that recently were. */
 final class HostRegistry {
-  private static final int MOST_GONE_REMEMBERED = 4000;
+  private static final int MAX_REMEMBERED_GONE_HOSTS = 4000;
 
   private final Clock clock;
   private final Map<String, Host> hosts = new LinkedHashMap<>();
-  private final Map<String, GoneHost> gone = new LinkedHashMap<>();
+  private final Map<String, GoneHost> goneHosts = new LinkedHashMap<>();
 
-  /** When it was proved to be gone, and its newest report that was heard. */
-  private record GoneHost(long at, long session, long tick) {}
+  /** When a machine was proved to be gone, and its newest report that was received. */
+  private record GoneHost(long goneAt, long session, long tick) {}
 
   HostRegistry(Clock clock) {
     this.clock = clock;
@@ -26,55 +26,64 @@
     return hosts.values();
   }
 
-  /** A machine by name, made known if it was not. */
-  Host host(String id) {
-    return hosts.computeIfAbsent(id, i -> new Host(i, clock.now()));
+  /** Returns a machine by name, and adds it if it is not known yet. */
+  Host getOrCreate(String id) {
+    return hosts.computeIfAbsent(id, hostId -> new Host(hostId, clock.now()));
   }
 
-  /** A machine by name, or null. */
-  Host known(String id) {
+  /** Returns a machine by name, or null if it is not known. */
+  Host find(String id) {
     return hosts.get(id);
   }
 
   boolean isGone(String id) {
-    return gone.containsKey(id);
+    return goneHosts.containsKey(id);
   }
 
-  /** Its name is kept, so that a late report or list does not bring it back. */
+  /**
+   * Marks a machine as gone. Its name is kept, so that a delayed report or list doesn't add it
+   * again.
+   */
   void markGone(Host host) {
-    host.setGone();
-    if (gone.size() >= MOST_GONE_REMEMBERED) {
-      // The oldest: a copy of a report comes late, but not by thousands of machines.
-      gone.remove(gone.keySet().iterator().next());
+    host.markGone();
+    if (goneHosts.size() >= MAX_REMEMBERED_GONE_HOSTS) {
+      // Forgets the oldest one. A copy of a report may be delayed, but not until thousands of other
+      // machines are gone.
+      goneHosts.remove(goneHosts.keySet().iterator().next());
     }
-    gone.put(host.id(), new GoneHost(clock.now(), host.session, host.tick));
+    goneHosts.put(host.id(), new GoneHost(clock.now(), host.session, host.tick));
   }
 
   /**
-   * True when a machine that is gone sent this report after the newest one that was heard of it: a
-   * cut has held it back, and is over. A copy of a report that was heard is not newer.
+   * Records a report of a machine that is gone. Returns true when the machine sent it after the
+   * newest report that was received from it: a network cut delayed the report, and is over. A copy
+   * of a report that was received is not newer.
    */
-  boolean sentSince(Report report) {
-    GoneHost last = gone.get(report.host());
-    boolean newer = report.after(last.session(), last.tick());
-    if (newer) {
-      gone.replace(report.host(), new GoneHost(last.at(), report.session(), report.tick()));
+  boolean noteNewerReport(Report report) {
+    GoneHost lastKnown = goneHosts.get(report.host());
+    boolean isNewer = report.isNewerThan(lastKnown.session(), lastKnown.tick());
+    if (isNewer) {
+      goneHosts.replace(
+          report.host(), new GoneHost(lastKnown.goneAt(), report.session(), report.tick()));
     }
-    // Without one that was heard nobody can tell.
-    return newer && last.tick() >= 0;
+    // If no report was received before, this one may be a copy as well.
+    return isNewer && lastKnown.tick() >= 0;
   }
 
-  /** How long ago those machines were proved to be gone that were so within {@code ms}. */
-  Map<String, Long> goneWithin(long ms) {
+  /**
+   * Returns the machines that were proved to be gone within the last {@code maxAgeMs}, with how
+   * long ago that was.
+   */
+  Map<String, Long> goneAgesMs(long maxAgeMs) {
     long now = clock.now();
-    Map<String, Long> out = new HashMap<>();
-    gone.forEach(
-        (id, g) -> {
-          if (now - g.at() <= ms) {
-            out.put(id, now - g.at());
+    Map<String, Long> agesMs = new HashMap<>();
+    goneHosts.forEach(
+        (id, goneHost) -> {
+          if (now - goneHost.goneAt() <= maxAgeMs) {
+            agesMs.put(id, now - goneHost.goneAt());
           }
         });
-    return out;
+    return agesMs;
   }
 
   void remove(Host host) {
@@ -83,6 +92,6 @@
 
   void clear() {
     hosts.clear();
-    gone.clear();
+    goneHosts.clear();
   }
 }
--- a/src/main/java/dapplestair/workers/LeaseRenewal.java
+++ b/src/main/java/dapplestair/workers/LeaseRenewal.java
@@ -17,81 +17,85 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The answers that keep a worker's lease. A lease is kept only by one who knows of every
- * cancellation that is old enough to matter, and the same answer ends all cancelled tasks there and
- * keeps out what was launched of them and is still on its way. So no cancelled task outlives the
- * lease that somebody who did not know renewed last (docs/cancellations.md).
+ * Builds the answers that renew a worker's lease. A controller renews a lease only if it knows of
+ * every cancellation that is old enough to matter. The same answer stops all cancelled tasks on the
+ * machine, and fences off launches of them that are still in transit. So no cancelled task outlives
+ * the last lease that was renewed by a controller without knowledge of the cancellation
+ * (docs/cancellations.md).
  */
 final class LeaseRenewal {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseRenewal.class);
 
-  // A line of an answer may take 64 KiB: some 100 bytes for each.
-  private static final int MOST_HALTS = 500;
-  private static final int MOST_KEPT = 4000;
+  // A line of an answer may take 64 KiB, and each halt takes about 100 bytes.
+  private static final int MAX_HALTS_PER_ANSWER = 500;
+  private static final int MAX_RAISED_TOKENS = 4000;
 
-  /** The token that was shown to a worker to keep launches out, and when. */
-  private record Raised(long token, long at) {}
+  /** The token that was sent to a worker to fence off launches, and when it was sent. */
+  private record RaisedToken(long token, long raisedAt) {}
 
   private final Clock clock;
   private final CommandSender commandSender;
   private final Ledger ledger;
   private final Cancellations cancellations;
-  private final Predicate<String> notOverWhenRead;
-  private final Map<String, Raised> raised = new BoundedMap<>(MOST_KEPT);
+  private final Predicate<String> wasLiveWhenRead;
+  private final Map<String, RaisedToken> raisedTokensByHost = new BoundedMap<>(MAX_RAISED_TOKENS);
 
   /**
-   * {@code notOverWhenRead} tells of a job that is not in the ledger that it was not over when the
-   * records were last read here.
+   * Creates a lease renewal; {@code wasLiveWhenRead} returns true for a job that is not in the
+   * ledger, but was not over when the records were last read here.
    */
   LeaseRenewal(
       Clock clock,
       CommandSender commandSender,
       Ledger ledger,
       Cancellations cancellations,
-      Predicate<String> notOverWhenRead) {
+      Predicate<String> wasLiveWhenRead) {
     this.clock = clock;
     this.commandSender = commandSender;
     this.ledger = ledger;
     this.cancellations = cancellations;
-    this.notOverWhenRead = notOverWhenRead;
+    this.wasLiveWhenRead = wasLiveWhenRead;
   }
 
   /**
-   * A leader's answer, or null when it may not keep the lease. All its own attempts there count,
-   * not only those in the report: one may have been launched since that was sent.
+   * Returns the leader's answer, or null when it may not renew the lease. All of the leader's
+   * attempts on the machine are checked, not only those in the report: an attempt may have been
+   * launched after the report was sent.
    */
-  ObjectNode byLeader(Host host, Report report) {
+  ObjectNode renewAsLeader(Host host, Report report) {
     if (!cancellations.mayRenew()) {
       return null;
     }
     Map<String, WorkerCommand> halts = new LinkedHashMap<>();
-    boolean launchOpen = false;
+    boolean hasOpenLaunch = false;
     for (Attempt attempt : host.attempts()) {
       if (attempt.job().isOver() && attempt.isSent() && !attempt.exited()) {
-        add(halts, attempt.key(), attempt.number());
-        launchOpen |= attempt.isLaunchOpen();
+        addHalt(halts, attempt.key(), attempt.number());
+        hasOpenLaunch |= attempt.isLaunchOpen();
       }
     }
     for (Report.Task task : report.tasks()) {
-      boolean over = cancellations.knows(task.ref()) || !ledger.isJobActive(task.ref());
-      if (task.status() != Report.Status.EXITED && over) {
-        add(halts, task.key(), task.attempt());
+      boolean isOver = cancellations.knows(task.jobRef()) || !ledger.isJobActive(task.jobRef());
+      if (task.status() != Report.Status.EXITED && isOver) {
+        addHalt(halts, task.key(), task.attempt());
       }
     }
-    if (launchOpen) {
-      // The launch is under way: after this answer it is executed no more.
+    if (hasOpenLaunch) {
+      // The launch may still be in transit. The token of this answer is higher, so the launch is
+      // not executed after it.
       host.fence++;
     }
-    return answer(commandSender.token(host), halts);
+    return buildAnswer(commandSender.fencingToken(host), halts);
   }
 
   /**
-   * The answer of a controller that does not lead, under the worker's own token; null when it may
-   * not keep the lease. It must tell of each task whether its job is cancelled: of a job that is on
-   * none of its records it cannot, since it may have begun after that job was over, unless it is
-   * known that the job was not over when the records were read.
+   * Returns the answer of a controller that doesn't lead, under the worker's own token, or null
+   * when it may not renew the lease. The controller must know for each task whether its job is
+   * cancelled. It cannot know that of a job that is in none of its records, since this process may
+   * have started after the job was over, unless the job is known not to have been over when the
+   * records were read.
    */
-  ObjectNode byOther(Report report) {
+  ObjectNode renewAsFollower(Report report) {
     if (!cancellations.mayRenew()) {
       return null;
     }
@@ -100,44 +104,53 @@
       if (task.status() == Report.Status.EXITED) {
         continue;
       }
-      if (cancellations.knows(task.ref())) {
-        add(halts, task.key(), task.attempt());
-      } else if (!ledger.isJobActive(task.ref()) && !notOverWhenRead.test(task.ref())) {
-        LOG.debug("no lease for {}: {} is on no record here", report.host(), task.ref());
+      if (cancellations.knows(task.jobRef())) {
+        addHalt(halts, task.key(), task.attempt());
+      } else if (!ledger.isJobActive(task.jobRef()) && !wasLiveWhenRead.test(task.jobRef())) {
+        LOG.debug(
+            "not renewing the lease of {}: job {} is in none of the records here",
+            report.host(),
+            task.jobRef());
         return null;
       }
     }
-    for (KnownCancellations.CancelledTask task :
+    for (KnownCancellations.CancelledTask cancelled :
         cancellations.on(report.host(), report.session())) {
-      add(halts, task.place().key(task.ref()), task.place().number());
+      addHalt(halts, cancelled.place().key(cancelled.ref()), cancelled.place().number());
     }
-    long token = raisedFor(report);
-    return token < 0 ? null : answer(token, halts);
+    long token = tokenFor(report);
+    return token < 0 ? null : buildAnswer(token, halts);
   }
 
   /**
-   * The worker's own token, or one raised above any that a launch on its way can carry, once after
-   * each cancellation: when no such launch can be sent any more, and not before.
+   * Returns the worker's own token, or one that is higher than that of any launch in transit. The
+   * token is raised once after each cancellation, when launches of the cancelled job can no longer
+   * be sent, and not before.
    */
-  private long raisedFor(Report report) {
-    Raised last = raised.get(report.host());
-    long needed = cancellations.newestAt() + cancellations.launchMs();
-    boolean shown = last != null && last.at() > needed && report.token() >= last.token();
-    if (shown || clock.now() - cancellations.newestAt() > cancellations.keptMs()) {
+  private long tokenFor(Report report) {
+    RaisedToken lastRaised = raisedTokensByHost.get(report.host());
+    long launchesEndAt = cancellations.newestAt() + cancellations.launchMs();
+    boolean alreadyShown =
+        lastRaised != null
+            && lastRaised.raisedAt() > launchesEndAt
+            && report.token() >= lastRaised.token();
+    if (alreadyShown || clock.now() - cancellations.newestAt() > cancellations.keptMs()) {
       return report.token();
     }
     long token = FencingToken.raisedByNonLeader(report.token());
-    raised.remove(report.host());
-    raised.put(report.host(), new Raised(token, clock.now()));
+    raisedTokensByHost.remove(report.host());
+    raisedTokensByHost.put(report.host(), new RaisedToken(token, clock.now()));
     return token;
   }
 
-  private static void add(Map<String, WorkerCommand> halts, String key, long number) {
+  private static void addHalt(Map<String, WorkerCommand> halts, String key, long number) {
     WorkerCommand.Halt halt = new WorkerCommand.Halt(key, number, 0);
     halts.put(halt.id(), halt);
   }
 
-  private static ObjectNode answer(long token, Map<String, WorkerCommand> halts) {
-    return halts.size() > MOST_HALTS ? null : WorkerCommand.message(token, halts.values());
+  private static ObjectNode buildAnswer(long token, Map<String, WorkerCommand> halts) {
+    return halts.size() > MAX_HALTS_PER_ANSWER
+        ? null
+        : WorkerCommand.message(token, halts.values());
   }
 }
--- a/src/main/java/dapplestair/workers/LivenessTracker.java
+++ b/src/main/java/dapplestair/workers/LivenessTracker.java
@@ -10,332 +10,389 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Who was heard when, and whether silence means anything. */
+/**
+ * Tracks when each machine and zone was last heard, and decides whether their silence proves that
+ * they are unreachable.
+ */
 final class LivenessTracker {
-  // Reports are up to a quarter late; two calls without an answer come on top.
-  private static final double OVERDUE = 1.35;
-  private static final double SILENT = 1.9;
+  // In report intervals. A report may be up to a quarter of an interval late; a machine counts as
+  // silent only after two more calls have gone unanswered.
+  private static final double OVERDUE_AFTER_REPORTS = 1.35;
+  private static final double SILENT_AFTER_REPORTS = 1.9;
 
-  // After this share of a lease without a report, what starts on a machine has too little left.
-  private static final double MUTE = 0.5;
+  // Once this share of its lease has passed without a report, too little of the lease is left for a
+  // task that starts on the machine.
+  private static final double NOT_REPORTING_LEASE_SHARE = 0.5;
 
-  // Clocks drift by less than this.
-  private static final double DRIFT = 1.01;
+  // Upper bound on how much the clocks of controllers and workers drift apart.
+  private static final double MAX_CLOCK_DRIFT_FACTOR = 1.01;
 
   private final Clock clock;
   private final HostRegistry hostRegistry;
   private final long reportMs;
   private final long leaseMs;
-  private final ZoneContactTracker zones;
-  private final Multiset<String> perZone = HashMultiset.create();
+  private final ZoneContactTracker zoneContacts;
+  private final Multiset<String> upHostsPerZone = HashMultiset.create();
   private final LivenessReports livenessReports = new LivenessReports();
 
-  // When a worker of each zone last reported by itself.
-  private final Map<String, Long> zoneReportedAt = new HashMap<>();
+  // When any worker of the zone last sent a report of its own accord.
+  private final Map<String, Long> lastReportedAtByZone = new HashMap<>();
 
-  // Zones of which no machine is heard, and when one last was.
-  private final Map<String, Long> silentZones = new HashMap<>();
-  private long accountNumber;
+  // Zones in which no machine is heard at present, with the time at which one was last heard.
+  private final Map<String, Long> lastHeardAtBySilentZone = new HashMap<>();
+  private long reportNumber;
   private long leadingSince;
-  private long turnDue;
-  private long judgeAgainAt;
+  private long nextTurnAt;
+  private long silenceConclusiveAt;
 
   LivenessTracker(Clock clock, Settings settings, HostRegistry hostRegistry) {
     this.clock = clock;
     this.hostRegistry = hostRegistry;
     this.reportMs = settings.workers().reportMs();
     this.leaseMs = settings.workers().leaseMs();
-    this.zones = new ZoneContactTracker(Math.round(OVERDUE * reportMs));
+    this.zoneContacts = new ZoneContactTracker(Math.round(OVERDUE_AFTER_REPORTS * reportMs));
   }
 
-  void lead() {
+  void startLeading() {
     leadingSince = clock.now();
-    turnDue = leadingSince;
-    judgeAgainAt = leadingSince + reportMs;
+    nextTurnAt = leadingSince;
+    silenceConclusiveAt = leadingSince + reportMs;
   }
 
   void clear() {
-    zones.clear();
-    perZone.clear();
-    silentZones.clear();
-    zoneReportedAt.clear();
+    zoneContacts.clear();
+    upHostsPerZone.clear();
+    lastHeardAtBySilentZone.clear();
+    lastReportedAtByZone.clear();
   }
 
-  /** A turn begins; the next one is due {@code everyMs} later. */
-  void turn(long everyMs) {
+  /**
+   * Begins a turn: counts the machines of each zone and finds the silent zones. The next turn is
+   * due {@code intervalMs} later.
+   */
+  void beginTurn(long intervalMs) {
     long now = clock.now();
-    if (now - turnDue > reportMs / 6) {
-      // This process itself was held up: answers wait unread, so silence proves nothing for now.
-      judgeAgainAt = now + 2 * reportMs;
+    if (now - nextTurnAt > reportMs / 6) {
+      // This process itself was paused. Replies may be waiting unread, so silence proves nothing
+      // for now.
+      silenceConclusiveAt = now + 2 * reportMs;
     }
-    turnDue = now + everyMs;
-    perZone.clear();
+    nextTurnAt = now + intervalMs;
+    upHostsPerZone.clear();
     for (Host host : hostRegistry.all()) {
-      if (host.up()) {
-        perZone.add(host.zone());
+      if (host.isUp()) {
+        upHostsPerZone.add(host.zone());
       }
     }
     findSilentZones(now);
   }
 
-  private static final class Heard {
-    int machines;
-    long last = Long.MIN_VALUE / 2;
+  private static final class ZoneObservation {
+    int hostCount;
+    long lastHeardAt = Long.MIN_VALUE / 2;
   }
 
   /**
-   * A zone is silent when none of its machines was heard for longer than so many take to report,
-   * while others are heard, so long after its last report: when all fall silent it is we who are
-   * cut off, and one of them is always the first. A single machine is no zone. After a beginning or
-   * a pause of this process all silence is doubtful, unless an earlier leader had noticed it
-   * already.
+   * Finds the zones that are silent. A zone is silent when none of its machines was heard for
+   * longer than the longest gap to expect between the reports of that many machines, and another
+   * zone was heard that long after the zone's last report. If all zones fall silent, this
+   * controller is cut off itself, and one of the zones is always the first to go over its limit. A
+   * zone with a single machine is never called silent. For a while after this controller begins to
+   * lead, or after this process was paused, silence is not conclusive unless the previous leader
+   * had already noticed it.
    */
   private void findSilentZones(long now) {
-    Map<String, Heard> heard = new HashMap<>();
+    Map<String, ZoneObservation> observations = new HashMap<>();
     for (Host host : hostRegistry.all()) {
-      if (host.expectedUp() && host.zone() != null && !ghost(host)) {
-        Heard z = heard.computeIfAbsent(host.zone(), k -> new Heard());
-        z.machines++;
-        z.last = Math.max(z.last, signOfZone(host));
+      if (host.isExpectedUp() && host.zone() != null && !isPossiblyReturned(host)) {
+        ZoneObservation observation =
+            observations.computeIfAbsent(host.zone(), zone -> new ZoneObservation());
+        observation.hostCount++;
+        observation.lastHeardAt = Math.max(observation.lastHeardAt, zoneEvidenceAt(host));
       }
     }
-    // A zone whose machines have all been given up stays silent until one is heard there: what is
-    // rented there would not be. After a while it is tried again.
-    Map<String, Long> before = Map.copyOf(silentZones);
-    silentZones.clear();
-    before.forEach(
-        (zone, last) -> {
-          boolean heardAgain = zones.lastHeardMs(zone) > last;
-          if (!heard.containsKey(zone) && !heardAgain && now - last < 3 * leaseMs) {
-            silentZones.put(zone, last);
+    // A zone whose machines have all been given up stays silent until a machine is heard there,
+    // since a machine rented there would not be heard either. After three leases the zone is tried
+    // again.
+    Map<String, Long> silentBefore = Map.copyOf(lastHeardAtBySilentZone);
+    lastHeardAtBySilentZone.clear();
+    silentBefore.forEach(
+        (zone, lastHeardAt) -> {
+          boolean heardAgain = zoneContacts.lastHeardMs(zone) > lastHeardAt;
+          if (!observations.containsKey(zone) && !heardAgain && now - lastHeardAt < 3 * leaseMs) {
+            lastHeardAtBySilentZone.put(zone, lastHeardAt);
           }
         });
-    boolean anyHeard = false;
-    long newest = heard.values().stream().mapToLong(z -> z.last).max().orElse(now);
-    for (Map.Entry<String, Heard> entry : heard.entrySet()) {
-      Heard z = entry.getValue();
-      long last = Math.max(z.last, livenessReports.zoneHeardAtMs(entry.getKey()));
-      long gap = zones.maxGapMs(z.machines);
-      boolean noticedBefore = succeeded() && livenessReports.leaderReportAtMs() - last > gap;
-      if (now - last <= gap) {
-        anyHeard = true;
-      } else if (z.machines > 1 && newest - last > gap && (now > judgeAgainAt || noticedBefore)) {
-        silentZones.put(entry.getKey(), last);
+    boolean anyZoneHeard = false;
+    long newestContactAt =
+        observations.values().stream()
+            .mapToLong(observation -> observation.lastHeardAt)
+            .max()
+            .orElse(now);
+    for (Map.Entry<String, ZoneObservation> entry : observations.entrySet()) {
+      ZoneObservation observation = entry.getValue();
+      long lastHeardAt =
+          Math.max(observation.lastHeardAt, livenessReports.zoneHeardAtMs(entry.getKey()));
+      long maxGapMs = zoneContacts.maxGapMs(observation.hostCount);
+      boolean noticedByPreviousLeader =
+          hasPreviousLeaderReport() && livenessReports.leaderReportAtMs() - lastHeardAt > maxGapMs;
+      if (now - lastHeardAt <= maxGapMs) {
+        anyZoneHeard = true;
+      } else if (observation.hostCount > 1
+          && newestContactAt - lastHeardAt > maxGapMs
+          && (now > silenceConclusiveAt || noticedByPreviousLeader)) {
+        lastHeardAtBySilentZone.put(entry.getKey(), lastHeardAt);
       }
     }
-    if (!anyHeard) {
-      silentZones.clear();
+    if (!anyZoneHeard) {
+      lastHeardAtBySilentZone.clear();
     }
     for (Host host : hostRegistry.all()) {
-      Long last = host.zone() == null ? null : silentZones.get(host.zone());
-      host.setZoneSilentMs(last == null ? 0 : now - last);
+      Long lastHeardAt = host.zone() == null ? null : lastHeardAtBySilentZone.get(host.zone());
+      host.setZoneSilentMs(lastHeardAt == null ? 0 : now - lastHeardAt);
     }
   }
 
   /**
-   * A report that a cut held back may come from a machine that was returned meanwhile, under an
-   * earlier leader. Nothing more is heard of it, which says nothing of its zone: counted, it made a
-   * zone that was back look silent, in which nothing is rented for three leases.
+   * Returns true when this machine may have been returned under an earlier leader, and is known
+   * only from a report that a network cut delayed. Such a machine is never heard again, which says
+   * nothing about its zone. When it was counted, a zone that could be reached again looked silent,
+   * and nothing is rented in a silent zone for three leases.
    */
-  private boolean ghost(Host host) {
+  private boolean isPossiblyReturned(Host host) {
     return host.firstListedAt() == Long.MAX_VALUE
         && (host.rentedAt() == Long.MAX_VALUE
-            || succeeded() && livenessReports.isReportedGone(host.id()));
+            || hasPreviousLeaderReport() && livenessReports.isReportedGone(host.id()));
   }
 
-  /** True when a machine is held in this zone, heard or not. */
-  boolean anyLeftIn(String zone) {
+  /** Returns true when a machine is held in this zone, whether or not it is heard. */
+  boolean hasMachinesIn(String zone) {
     return hostRegistry.all().stream()
-        .anyMatch(h -> zone.equals(h.zone()) && !h.releasing() && !ghost(h) && !saidGone(h));
+        .anyMatch(
+            host ->
+                zone.equals(host.zone())
+                    && !host.isReleasing()
+                    && !isPossiblyReturned(host)
+                    && !goneByPreviousLeader(host));
   }
 
-  /** True when the leader before knew for certain that this machine is gone. */
-  boolean saidGone(Host host) {
-    return !host.up() && succeeded() && livenessReports.isReportedGone(host.id());
+  /** Returns true when the previous leader had proved that this machine is gone. */
+  boolean goneByPreviousLeader(Host host) {
+    return !host.isUp() && hasPreviousLeaderReport() && livenessReports.isReportedGone(host.id());
   }
 
-  /** How long nothing was heard of this zone; 0 when it is heard or nothing can be said. */
+  /**
+   * Returns how long no machine of this zone has been heard, or 0 when the zone is heard or its
+   * silence is not conclusive.
+   */
   long zoneSilentMs(String zone) {
-    Long last = silentZones.get(zone);
-    return last == null ? 0 : clock.now() - last;
+    Long lastHeardAt = lastHeardAtBySilentZone.get(zone);
+    return lastHeardAt == null ? 0 : clock.now() - lastHeardAt;
   }
 
   /**
-   * True when this leader reached one of the zone's machines within the longest time between two
-   * reports.
+   * Returns true when this leader reached one of the zone's machines within the longest time to
+   * expect between two reports.
    */
-  boolean zoneHeardNow(String zone) {
-    return clock.now() - zones.lastHeardMs(zone) < Math.round(OVERDUE * reportMs);
+  boolean isZoneHeard(String zone) {
+    return clock.now() - zoneContacts.lastHeardMs(zone)
+        < Math.round(OVERDUE_AFTER_REPORTS * reportMs);
   }
 
   // ---- shared with the other controllers ----
 
-  /** What another controller heard. */
-  void said(LivenessReport livenessReport) {
+  /** Receives what another controller reports about the machines and zones that it hears. */
+  void receive(LivenessReport livenessReport) {
     livenessReports.add(livenessReport, clock.now());
   }
 
-  /** What to tell the other controllers; of single machines only a leader that can judge tells. */
-  LivenessReport account(boolean leading, long term) {
+  /**
+   * Returns the liveness report for the other controllers. Single machines are included only by a
+   * leader to which silence is conclusive.
+   */
+  LivenessReport createReport(boolean isLeading, long term) {
     long now = clock.now();
-    Map<String, Long> zoneAges = new HashMap<>();
-    Map<String, Long> late = new HashMap<>();
-    for (String zone : perZone.elementSet()) {
-      zoneAges.merge(zone, now - zones.lastHeardMs(zone), Math::min);
+    Map<String, Long> zoneAgesMs = new HashMap<>();
+    Map<String, Long> overdueAgesMs = new HashMap<>();
+    for (String zone : upHostsPerZone.elementSet()) {
+      zoneAgesMs.merge(zone, now - zoneContacts.lastHeardMs(zone), Math::min);
     }
-    boolean sure = leading && now > judgeAgainAt;
-    if (sure) {
+    boolean isConclusive = isLeading && now > silenceConclusiveAt;
+    if (isConclusive) {
       for (Host host : hostRegistry.all()) {
-        if (host.expectedUp() && now - lastHeard(host) > OVERDUE * reportMs) {
-          late.put(host.id(), now - lastHeard(host));
+        if (host.isExpectedUp() && now - lastHeardAt(host) > OVERDUE_AFTER_REPORTS * reportMs) {
+          overdueAgesMs.put(host.id(), now - lastHeardAt(host));
         }
       }
     }
-    Map<String, Long> gone = sure ? hostRegistry.goneWithin(leaseMs) : Map.of();
-    return new LivenessReport(sure ? term : 0, ++accountNumber, zoneAges, late, gone);
+    Map<String, Long> goneAgesMs = isConclusive ? hostRegistry.goneAgesMs(leaseMs) : Map.of();
+    return new LivenessReport(
+        isConclusive ? term : 0, ++reportNumber, zoneAgesMs, overdueAgesMs, goneAgesMs);
   }
 
   /**
-   * When this machine was last heard. Before its first report of this term that is, at the latest,
-   * when an earlier leader heard it, or else when this one came to know of it.
+   * Returns when this machine was last heard. Until it is reached in this term, that is the time at
+   * which the previous leader last heard it, and never later than the time at which this controller
+   * came to know of it.
    */
-  private long lastHeard(Host host) {
-    if (host.reached()) {
-      return mute(host) ? host.reportedAt : host.heardAt;
+  private long lastHeardAt(Host host) {
+    if (host.wasReached()) {
+      return isNotReporting(host) ? host.lastReportedAt : host.lastReachedAt;
     }
-    return succeeded()
+    return hasPreviousLeaderReport()
         ? Math.min(host.knownSince(), livenessReports.machineHeardAtMs(host.id()))
         : host.knownSince();
   }
 
-  /** True when the leader before spoke until shortly before this one began. */
-  private boolean succeeded() {
+  /**
+   * Returns true when the previous leader sent liveness reports until shortly before this
+   * controller began to lead.
+   */
+  private boolean hasPreviousLeaderReport() {
     return livenessReports.leaderReportAtMs() > leadingSince - 2 * reportMs;
   }
 
-  /** A machine was reached: it reported by itself, or it answered a call. */
-  void reached(Host host, String zone, boolean reported) {
+  /**
+   * Records that a machine was reached, either by a report of its own or by its reply to a call.
+   */
+  void recordContact(Host host, String zone, boolean isOwnReport) {
     long now = clock.now();
-    if (reported) {
-      host.reportedAt = now;
-    } else if (!host.reached()) {
-      host.reportedAt = firstReportedAt(host);
+    if (isOwnReport) {
+      host.lastReportedAt = now;
+    } else if (!host.wasReached()) {
+      host.lastReportedAt = initialReportedAt(host);
     }
-    host.heardAt = now;
-    heard(zone, reported);
+    host.lastReachedAt = now;
+    recordZoneContact(zone, isOwnReport);
   }
 
-  /** A machine in this zone was heard just now. */
-  void heard(String zone, boolean reported) {
+  /** Records that a machine in this zone was heard just now. */
+  void recordZoneContact(String zone, boolean isOwnReport) {
     long now = clock.now();
-    if (reported) {
-      zoneReportedAt.put(zone, now);
-    } else if (now - Math.max(leadingSince, zoneReportedAt.getOrDefault(zone, 0L)) > muteMs()) {
-      // Nobody there reports: that its machines answer keeps none of their leases.
+    if (isOwnReport) {
+      lastReportedAtByZone.put(zone, now);
+    } else if (now - Math.max(leadingSince, lastReportedAtByZone.getOrDefault(zone, 0L))
+        > notReportingAfterMs()) {
+      // No worker of the zone reports. Replies to calls renew none of their leases, so they don't
+      // count.
       return;
     }
-    zones.recordHeard(zone, now, perZone.count(zone));
+    zoneContacts.recordHeard(zone, now, upHostsPerZone.count(zone));
   }
 
   /**
-   * What a machine's sign of life says of its zone. While nobody reports there, the first answer of
-   * a new machine to a call says nothing: it would make a mute zone look heard (OutboundCutTest).
+   * Returns the time at which this machine last showed that its zone can be heard. While no worker
+   * of the zone reports, a new machine's first reply to a call doesn't count: it would make a zone
+   * whose reports are lost look heard (OutboundCutTest).
    */
-  private long signOfZone(Host host) {
-    Long reportedAt = zoneReportedAt.get(host.zone());
-    boolean mute =
-        reportedAt != null && clock.now() - Math.max(leadingSince, reportedAt) > muteMs();
-    return mute ? Math.min(lastHeard(host), reportedAt) : lastHeard(host);
+  private long zoneEvidenceAt(Host host) {
+    Long reportedAt = lastReportedAtByZone.get(host.zone());
+    boolean zoneNotReporting =
+        reportedAt != null
+            && clock.now() - Math.max(leadingSince, reportedAt) > notReportingAfterMs();
+    return zoneNotReporting ? Math.min(lastHeardAt(host), reportedAt) : lastHeardAt(host);
   }
 
-  private long muteMs() {
-    return Math.round(MUTE * leaseMs);
+  private long notReportingAfterMs() {
+    return Math.round(NOT_REPORTING_LEASE_SHARE * leaseMs);
   }
 
-  /** What the leader before had noticed of a mute machine need not be noticed again. */
-  private long firstReportedAt(Host host) {
-    long said = livenessReports.machineHeardAtMs(host.id());
-    return succeeded() && livenessReports.leaderReportAtMs() - said > muteMs() ? said : clock.now();
+  /**
+   * Returns the time of the last report to assume for a machine that is reached by a call first. If
+   * the previous leader had already noticed that the machine doesn't report, this leader need not
+   * wait for that again.
+   */
+  private long initialReportedAt(Host host) {
+    long previouslyHeardAt = livenessReports.machineHeardAtMs(host.id());
+    return hasPreviousLeaderReport()
+            && livenessReports.leaderReportAtMs() - previouslyHeardAt > notReportingAfterMs()
+        ? previouslyHeardAt
+        : clock.now();
   }
 
   /**
-   * True when it answers calls, but its worker has not reported for long. Commands renew no lease,
-   * so all that runs there ends with it: such a machine is no better than a silent one, though it
-   * can be told to stop something, and its answers prove what they always did.
+   * Returns true when the machine answers calls, but its worker has not reported for a long time.
+   * Commands renew no lease, so everything that runs there ends with the lease. Such a machine is
+   * no better than a silent one, although it can still be told to stop a task, and its replies
+   * prove as much as any other reply.
    */
-  boolean mute(Host host) {
+  boolean isNotReporting(Host host) {
     return host.failedCalls == 0
-        && host.heardAt > host.reportedAt
-        && clock.now() - host.reportedAt > muteMs();
+        && host.lastReachedAt > host.lastReportedAt
+        && clock.now() - host.lastReportedAt > notReportingAfterMs();
   }
 
-  /** True when some worker has reported by itself lately. */
-  boolean anyReports() {
+  /** Returns true when any worker has recently sent a report of its own accord. */
+  boolean hasRecentReports() {
     long now = clock.now();
-    return zoneReportedAt.values().stream().anyMatch(at -> now - at <= muteMs());
+    return lastReportedAtByZone.values().stream()
+        .anyMatch(reportedAt -> now - reportedAt <= notReportingAfterMs());
   }
 
-  /** True when it has reported lately enough to be worth giving work to. */
-  boolean fresh(Host host) {
-    return clock.now() - host.heardAt < 2 * reportMs && host.failedCalls == 0 && !mute(host);
+  /** Returns true when the machine was reached recently enough to be given work. */
+  boolean isResponsive(Host host) {
+    return clock.now() - host.lastReachedAt < 2 * reportMs
+        && host.failedCalls == 0
+        && !isNotReporting(host);
   }
 
-  /** True when its report is late, so that it should be asked. */
-  boolean overdue(Host host) {
-    return host.up() && clock.now() - host.heardAt > OVERDUE * reportMs;
+  /** Returns true when the machine's report is late, so that the machine should be probed. */
+  boolean isOverdue(Host host) {
+    return host.isUp() && clock.now() - host.lastReachedAt > OVERDUE_AFTER_REPORTS * reportMs;
   }
 
   /**
-   * True when this machine's zone has been heard without a break for long enough that this machine
-   * should have been, too.
+   * Returns true when this machine's zone has been heard without a gap for so long that this
+   * machine should have been heard, too.
    */
-  boolean zoneHeard(Host silent) {
-    int machines = perZone.count(silent.zone());
-    return zones.heardForMs(silent.zone(), clock.now(), machines) > 1.5 * reportMs;
+  boolean zoneHeardContinuously(Host host) {
+    int machines = upHostsPerZone.count(host.zone());
+    return zoneContacts.heardForMs(host.zone(), clock.now(), machines) > 1.5 * reportMs;
   }
 
-  /** How long nothing was heard of it. */
+  /** Returns how long this machine has not been heard. */
   long silentMs(Host host) {
-    return clock.now() - lastHeard(host);
+    return clock.now() - lastHeardAt(host);
   }
 
   /**
-   * True when it was asked several times and has been silent for a while, or is mute and its lease
-   * has run out.
+   * Returns true when the machine has been silent for a while and several calls to it failed, or
+   * when it doesn't report and its lease has expired.
    */
-  boolean silent(Host host) {
-    // What the leader before had missed already needs one call more, not a whole new judgement.
-    boolean missedBefore = missedBefore(host);
-    return host.expectedUp()
-        && silentMs(host) > SILENT * reportMs
-        && (host.failedCalls >= (missedBefore ? 1 : 2) || leaseRanOut(host))
-        && (missedBefore || clock.now() > judgeAgainAt);
+  boolean isSilent(Host host) {
+    // If the previous leader had already missed this machine, one failed call is enough to confirm
+    // it.
+    boolean missedBefore = missedByPreviousLeader(host);
+    return host.isExpectedUp()
+        && silentMs(host) > SILENT_AFTER_REPORTS * reportMs
+        && (host.failedCalls >= (missedBefore ? 1 : 2) || leaseExpired(host))
+        && (missedBefore || clock.now() > silenceConclusiveAt);
   }
 
-  private boolean leaseRanOut(Host host) {
-    return mute(host) && silentMs(host) > DRIFT * leaseMs;
+  private boolean leaseExpired(Host host) {
+    return isNotReporting(host) && silentMs(host) > MAX_CLOCK_DRIFT_FACTOR * leaseMs;
   }
 
-  private boolean missedBefore(Host host) {
-    return !host.reached()
-        && succeeded()
+  private boolean missedByPreviousLeader(Host host) {
+    return !host.wasReached()
+        && hasPreviousLeaderReport()
         && livenessReports.leaderReportAtMs() - livenessReports.machineHeardAtMs(host.id())
-            > OVERDUE * reportMs;
+            > OVERDUE_AFTER_REPORTS * reportMs;
   }
 
   /**
-   * True when machines are there, and not one of them reported for longer than any report takes.
-   * That they answer calls keeps no lease.
+   * Returns true when there are machines that are up, and none of them has reported for longer than
+   * any report is delayed. Replies to calls don't count, since they renew no lease.
    */
-  boolean nobody() {
+  boolean noWorkerReports() {
     long now = clock.now();
-    boolean any = false;
+    boolean anyUp = false;
     for (Host host : hostRegistry.all()) {
-      if (now - host.reportedAt < SILENT * reportMs) {
+      if (now - host.lastReportedAt < SILENT_AFTER_REPORTS * reportMs) {
         return false;
       }
-      any |= host.up();
+      anyUp |= host.isUp();
     }
-    return any && now > judgeAgainAt && now - leadingSince > 3 * reportMs;
+    return anyUp && now > silenceConclusiveAt && now - leadingSince > 3 * reportMs;
   }
 }
--- a/src/main/java/dapplestair/workers/RecentRedirects.java
+++ b/src/main/java/dapplestair/workers/RecentRedirects.java
@@ -5,31 +5,37 @@
 import dapplestair.work.Report;
 
 /**
- * Workers that this controller has lately sent on to another one. One that comes again did not get
- * the answer, or was not taken there; an older report than the last is a copy that comes late.
- * Neither says that anybody reaches its zone.
+ * The workers that this controller has recently redirected to another one. A worker that reports
+ * here again did not receive the redirect, or was not accepted there. A report that is older than
+ * the last one is a delayed copy. Neither shows that any controller reaches the worker's zone.
  */
 final class RecentRedirects {
-  private static final int MOST_KEPT = 4000;
+  private static final int MAX_WORKERS = 4000;
 
-  private record Last(long session, long tick, long at) {}
+  private record LastReport(long session, long tick, long redirectedAt) {}
 
   private final Clock clock;
-  private final long keptMs;
-  private final ExpiringLruMap<String, Last> workers;
+  private final long retentionMs;
+  private final ExpiringLruMap<String, LastReport> lastReports;
 
-  RecentRedirects(Clock clock, long keptMs) {
+  RecentRedirects(Clock clock, long retentionMs) {
     this.clock = clock;
-    this.keptMs = keptMs;
-    this.workers = new ExpiringLruMap<>(clock, keptMs, MOST_KEPT, Last::at);
+    this.retentionMs = retentionMs;
+    this.lastReports =
+        new ExpiringLruMap<>(clock, retentionMs, MAX_WORKERS, LastReport::redirectedAt);
   }
 
-  /** Notes a report that is not taken here; true when its worker was sent on within a lease. */
-  boolean again(Report report) {
+  /**
+   * Records a report that is not accepted here. Returns true when its worker was already redirected
+   * within the last lease, or when the report is a delayed copy.
+   */
+  boolean recordReport(Report report) {
     long now = clock.now();
-    Last last = workers.remove(report.host());
-    boolean newer = last == null || report.after(last.session(), last.tick());
-    workers.put(report.host(), newer ? new Last(report.session(), report.tick(), now) : last);
-    return last != null && (!newer || now - last.at() <= keptMs);
+    LastReport lastReport = lastReports.remove(report.host());
+    boolean isNewer =
+        lastReport == null || report.isNewerThan(lastReport.session(), lastReport.tick());
+    lastReports.put(
+        report.host(), isNewer ? new LastReport(report.session(), report.tick(), now) : lastReport);
+    return lastReport != null && (!isNewer || now - lastReport.redirectedAt() <= retentionMs);
   }
 }
--- a/src/main/java/dapplestair/workers/ReportApplier.java
+++ b/src/main/java/dapplestair/workers/ReportApplier.java
@@ -12,10 +12,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Applies a report to what the leader knows of its machine, wherever the report came from. */
+/** Updates what the leader knows of a machine from its report, whichever way the report came. */
 final class ReportApplier {
   private static final Logger LOG = LoggerFactory.getLogger(ReportApplier.class);
-  private static final double LONGEST_RECALL_S = 1e6;
+  private static final double MAX_RECLAIM_S = 1e6;
 
   private final Clock clock;
   private final Leadership leadership;
@@ -24,10 +24,12 @@
   private final LivenessTracker liveness;
   private final CommandSender commandSender;
   private final WorkerManager.Listener listener;
-  private final BooleanSupplier leading;
-  private long unaccounted;
+  private final BooleanSupplier isLeading;
+  private long unaccountedTasks;
 
-  /** {@code leading} is true while this controller commands the workers. */
+  /**
+   * Creates an applier; {@code isLeading} returns true while this controller commands the workers.
+   */
   ReportApplier(
       Clock clock,
       Leadership leadership,
@@ -36,7 +38,7 @@
       LivenessTracker liveness,
       CommandSender commandSender,
       WorkerManager.Listener listener,
-      BooleanSupplier leading) {
+      BooleanSupplier isLeading) {
     this.clock = clock;
     this.leadership = leadership;
     this.types = types;
@@ -44,79 +46,87 @@
     this.liveness = liveness;
     this.commandSender = commandSender;
     this.listener = listener;
-    this.leading = leading;
+    this.isLeading = isLeading;
   }
 
   /**
-   * Applies a report. Heard is not reached: whether its machine gets our answers is known when it
-   * answers a call, or shows a token that only an answer since can have shown it. Until then it is
-   * no sign of life, neither of the machine nor of its zone: it may be deaf, or the report a copy
-   * that comes late. Facts in it are facts all the same, and proofs have their own conditions.
+   * Applies a report. A machine that is heard is not necessarily reached: that it receives our
+   * replies is known only when it answers a call, or shows a token that it can have learned only
+   * from a recent reply. Until then a report is no sign of life of the machine or of its zone,
+   * since the machine may receive nothing, or the report may be a delayed copy. What the report
+   * says about tasks is used in any case, and what it proves has conditions of its own.
    */
-  void apply(Host host, Report report, boolean answer) {
+  void apply(Host host, Report report, boolean isCallReply) {
     leadership.observeTerm(FencingToken.term(report.token()));
-    if (!leading.getAsBoolean() || !leadership.isLeading()) {
+    if (!isLeading.getAsBoolean() || !leadership.isLeading()) {
       return;
     }
-    Fencing.shown(host, leadership.term(), report.token());
-    if (!report.after(host.session, host.tick) || host.gone()) {
+    Fencing.tokenShown(host, leadership.term(), report.token());
+    if (!report.isNewerThan(host.session, host.tick) || host.isGone()) {
       return;
     }
-    boolean first = !host.up() || !host.acknowledged;
+    boolean isFirstReport = !host.isUp() || !host.termAcknowledged;
     host.session = report.session();
     host.tick = report.tick();
     host.tokenSeen = report.token();
-    long challenge = Math.max(host.challenge, FencingToken.of(leadership.term(), 0));
-    boolean reached = answer || report.token() >= challenge;
-    if (reached) {
-      liveness.reached(host, report.zone(), !answer);
+    long requiredToken = Math.max(host.reachabilityToken, FencingToken.of(leadership.term(), 0));
+    boolean isReached = isCallReply || report.token() >= requiredToken;
+    if (isReached) {
+      liveness.recordContact(host, report.zone(), !isCallReply);
     }
     host.describe(report.endpoint(), types.get(report.type()), report.zone(), report.spot());
-    if (!host.acknowledged && report.token() >= FencingToken.of(leadership.term(), 0)) {
-      host.acknowledged = true;
+    if (!host.termAcknowledged && report.token() >= FencingToken.of(leadership.term(), 0)) {
+      host.termAcknowledged = true;
     }
-    boolean recalledBefore = host.recalled();
-    if (reached || !host.recalled()) {
-      host.recallAt = recallAt(report);
+    boolean hadReclaimNotice = host.hasReclaimNotice();
+    if (isReached || !host.hasReclaimNotice()) {
+      host.reclaimAt = reclaimAt(report);
     }
-    List<Report.Task> strays = ledger.applyReport(host, report);
-    host.strays = 0;
-    if (host.acknowledged) {
-      strays.forEach(t -> stray(host, t));
+    List<Report.Task> strayTasks = ledger.applyReport(host, report);
+    host.strayTaskCount = 0;
+    if (host.termAcknowledged) {
+      strayTasks.forEach(task -> stopStrayTask(host, task));
     }
-    if (host.failedCalls > 0 && !host.calling) {
-      // Heard again: it is used as soon as it answers, not when its turn to be asked comes.
-      host.callAgainAt = clock.now();
+    if (host.failedCalls > 0 && !host.callInProgress) {
+      // The machine is heard again. It is called at once, so that it can be used as soon as it
+      // answers, rather than after the delay for failed calls.
+      host.nextCallAt = clock.now();
       commandSender.probe(host);
     }
-    if (first || recalledBefore != host.recalled()) {
+    if (isFirstReport || hadReclaimNotice != host.hasReclaimNotice()) {
       listener.hostChanged(host);
     }
-    if (!host.acknowledged) {
+    if (!host.termAcknowledged) {
       commandSender.probe(host);
     }
   }
 
-  /** How often a task was reported that no attempt accounts for, since this process began. */
-  long unaccounted() {
-    return unaccounted;
+  /**
+   * Returns how often a task was reported that no attempt accounts for, since this process began.
+   */
+  long unaccountedTasks() {
+    return unaccountedTasks;
   }
 
-  private long recallAt(Report report) {
-    return Double.isNaN(report.recallS())
+  private long reclaimAt(Report report) {
+    return Double.isNaN(report.reclaimInS())
         ? Long.MAX_VALUE
         : clock.now()
-            + Math.round(Math.min(LONGEST_RECALL_S, Math.max(0, report.recallS())) * 1000);
+            + Math.round(Math.min(MAX_RECLAIM_S, Math.max(0, report.reclaimInS())) * 1000);
   }
 
-  /** A task that no attempt accounts for: it is stopped and taken out of the reports. */
-  private void stray(Host host, Report.Task task) {
+  /** Stops a task that no attempt accounts for, or clears it from the reports if it has exited. */
+  private void stopStrayTask(Host host, Report.Task task) {
     if (task.status() == Report.Status.EXITED) {
       commandSender.queue(host.id(), new WorkerCommand.Clear(task.key(), task.attempt()));
     } else {
-      host.strays++;
-      unaccounted++;
-      LOG.warn("{} try {} on {} is unaccounted for", task.key(), task.attempt(), host.id());
+      host.strayTaskCount++;
+      unaccountedTasks++;
+      LOG.warn(
+          "stopping task {} attempt {} on {}: no recorded attempt accounts for it",
+          task.key(),
+          task.attempt(),
+          host.id());
       commandSender.queue(host.id(), new WorkerCommand.Halt(task.key(), task.attempt(), 0));
     }
   }
--- a/src/main/java/dapplestair/workers/ReportHandler.java
+++ b/src/main/java/dapplestair/workers/ReportHandler.java
@@ -19,8 +19,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Answers the workers' reports: the leader keeps their leases, the others show the way to it, or
- * keep a lease themselves where nobody else can.
+ * Answers the workers' reports. The leader renews their leases. Other controllers redirect workers
+ * to the leader, or renew a lease themselves where no leader can.
  */
 final class ReportHandler implements AutoCloseable {
   private static final int BAD_REQUEST = 400;
@@ -34,16 +34,18 @@
   private final Cancellations cancellations;
   private final HostRegistry hostRegistry;
   private final LivenessTracker liveness;
-  private final RecentRedirects redirects;
+  private final RecentRedirects recentRedirects;
   private final LeaseRenewal renewal;
   private final ReportApplier applier;
   private final Relay relay;
-  private final BooleanSupplier leading;
-  private Cancellable counting = () -> {};
-  private int beats;
-  private int beatsBefore;
+  private final BooleanSupplier isLeading;
+  private Cancellable rotationTimer = () -> {};
+  private int currentCount;
+  private int previousCount;
 
-  /** {@code leading} is true while this controller commands the workers. */
+  /**
+   * Creates a handler; {@code isLeading} returns true while this controller commands the workers.
+   */
   ReportHandler(
       Clock clock,
       Timers timers,
@@ -57,7 +59,7 @@
       LeaseRenewal renewal,
       ReportApplier applier,
       Relay relay,
-      BooleanSupplier leading) {
+      BooleanSupplier isLeading) {
     this.timers = timers;
     this.settings = settings;
     this.leadership = leadership;
@@ -66,58 +68,62 @@
     this.cancellations = cancellations;
     this.hostRegistry = hostRegistry;
     this.liveness = liveness;
-    this.redirects = new RecentRedirects(clock, settings.workers().leaseMs());
+    this.recentRedirects = new RecentRedirects(clock, settings.workers().leaseMs());
     this.renewal = renewal;
     this.applier = applier;
     this.relay = relay;
-    this.leading = leading;
+    this.isLeading = isLeading;
   }
 
-  /** Begins to count what comes. */
+  /** Begins to receive relayed reports and to count all reports. */
   void start() {
-    relay.start(this::beat, () -> hostRegistry.all().size());
-    countBeats();
+    relay.start(this::handle, () -> hostRegistry.all().size());
+    rotateCounts();
   }
 
   /** Answers a worker's report. */
-  void beat(Exchange exchange) {
+  void handle(Exchange exchange) {
     JsonNode body = Json.parse(exchange.body());
     Report report = Report.parse(body);
     if (report == null) {
       exchange.reply(BAD_REQUEST, Json.bytes(Json.object().put("error", "not a report")), 0);
       return;
     }
-    // A higher token means that somebody else leads by now. To be looked at before any 200: a
-    // worker that has to drop a 200 stays here while its lease runs out.
+    // A token of a higher term means that another controller leads by now. This must be checked
+    // before any 200 is sent: a worker that has to ignore a 200 keeps reporting here while its
+    // lease runs out.
     leadership.observeTerm(FencingToken.term(report.token()));
     cancellations.addressed(report.host(), report.endpoint());
-    beats++;
-    if (!leading.getAsBoolean() || !leadership.isLeading()) {
-      if (!relay.take(exchange, report, () -> redirect(exchange, report))) {
-        redirect(exchange, report);
+    currentCount++;
+    if (!isLeading.getAsBoolean() || !leadership.isLeading()) {
+      if (!relay.take(exchange, report, () -> redirectOrRenew(exchange, report))) {
+        redirectOrRenew(exchange, report);
       }
       return;
     }
-    String elsewhere = relay.elsewhere(exchange, report);
-    if (elsewhere != null) {
-      sendTo(exchange, elsewhere);
+    String otherMember = relay.elsewhere(exchange, report);
+    if (otherMember != null) {
+      redirectTo(exchange, otherMember);
       return;
     }
     if (hostRegistry.isGone(report.host())) {
-      if (hostRegistry.sentSince(report)) {
-        liveness.heard(report.zone(), true);
+      if (hostRegistry.noteNewerReport(report)) {
+        liveness.recordZoneContact(report.zone(), true);
       }
-      keep(exchange, null);
+      replyWithLease(exchange, null);
       return;
     }
-    Host host = hostRegistry.host(report.host());
-    host.relay = RelayedReport.relayOf(exchange);
+    Host host = hostRegistry.getOrCreate(report.host());
+    host.relayController = RelayedReport.relayOf(exchange);
     applier.apply(host, report, false);
-    keep(exchange, leading.getAsBoolean() ? renewal.byLeader(host, report) : null);
+    replyWithLease(exchange, isLeading.getAsBoolean() ? renewal.renewAsLeader(host, report) : null);
   }
 
-  /** Keeps the worker's lease, or sends it on to somebody who may. */
-  private static void keep(Exchange exchange, ObjectNode answer) {
+  /**
+   * Replies with a lease renewal, or with 503 if {@code answer} is null, so that the worker turns
+   * to a controller that may renew its lease.
+   */
+  private static void replyWithLease(Exchange exchange, ObjectNode answer) {
     if (answer == null) {
       exchange.reply(503, Json.bytes(Json.object()), 1);
     } else {
@@ -126,36 +132,40 @@
   }
 
   /**
-   * Shows the way to the leader. In a zone that is cut off, or while nobody can lead, there is none
-   * to be reached, and the worker's tasks would end with its lease for nothing: then its own token
-   * is good, which any controller may show as long as it knows of no higher term. Nobody takes the
-   * end of a lease for a proof of absence, so this starts no task twice. A cancelled task must not
-   * live by it: {@link LeaseRenewal} sees to that.
+   * Redirects a worker to the leader, or renews its lease where no leader can be reached. In a zone
+   * that is cut off, or while no controller can lead, the worker's tasks would otherwise end with
+   * its lease for no reason. In that case this controller answers with the worker's own token,
+   * which any controller may do as long as it knows of no higher term. No controller takes the end
+   * of a lease as proof that a task is absent, so the renewal starts no task twice. {@link
+   * LeaseRenewal} makes sure that it doesn't keep a cancelled task alive.
    */
-  private void redirect(Exchange exchange, Report report) {
-    boolean again = redirects.again(report);
+  private void redirectOrRenew(Exchange exchange, Report report) {
+    boolean sentBack = recentRedirects.recordReport(report);
     String leader = leadership.currentLeader();
-    boolean known = leader != null && !leader.equals(settings.member());
-    // One that comes back from a living leader was not taken there. In an outage of all the reason
-    // may be that this leader may not keep leases any more, since it does not hear all others.
-    boolean notTaken = again && !peers.anyServed();
-    boolean alone = !state.isReachable() && (notTaken || !(known && peers.alive(leader)));
-    if (alone && !again && (leadership.hasUnrecordedSuccessor() || relay.on())) {
-      // Somebody leads whom we cannot ask, and reaches this worker: it had better report there.
-      // Where reports are relayed, a relay that is cut off cannot tell whether somebody does.
-      // One that comes back was not taken; it is kept as below.
-      keep(exchange, null);
+    boolean isLeaderKnown = leader != null && !leader.equals(settings.member());
+    // A worker that returns here although the leader is alive was not accepted there. If no
+    // controller reaches the state service, the reason may be that the leader may not renew leases
+    // any more, since it doesn't hear all other controllers.
+    boolean notAccepted = sentBack && !peers.anyServed();
+    boolean noLeaderReachable =
+        !state.isReachable() && (notAccepted || !(isLeaderKnown && peers.alive(leader)));
+    if (noLeaderReachable && !sentBack && (leadership.hasUnrecordedSuccessor() || relay.on())) {
+      // Another controller leads, which this one cannot ask, and it may reach this worker, so the
+      // worker should report there. Where reports are relayed, a relay that is cut off cannot tell
+      // whether a controller leads. If the worker returns here, it was not accepted there, and its
+      // lease is renewed below.
+      replyWithLease(exchange, null);
       return;
     }
-    if (alone && FencingToken.term(report.token()) >= leadership.highestTermSeen()) {
-      keep(exchange, renewal.byOther(report));
+    if (noLeaderReachable && FencingToken.term(report.token()) >= leadership.highestTermSeen()) {
+      replyWithLease(exchange, renewal.renewAsFollower(report));
       return;
     }
-    sendTo(exchange, known ? leader : null);
+    redirectTo(exchange, isLeaderKnown ? leader : null);
   }
 
-  /** Sends a worker on to another controller, or to any if {@code member} is null. */
-  private static void sendTo(Exchange exchange, String member) {
+  /** Redirects a worker to another controller, or to any other one if {@code member} is null. */
+  private static void redirectTo(Exchange exchange, String member) {
     ObjectNode answer = Json.object();
     if (member != null) {
       answer.put("steward", member);
@@ -163,19 +173,21 @@
     exchange.reply(REDIRECTED, Json.bytes(answer), 0);
   }
 
-  /** Reports that came to this controller lately, whoever leads. */
-  int lately() {
-    return beats + beatsBefore;
+  /**
+   * Returns the number of reports that this controller received recently, whether or not it leads.
+   */
+  int recentCount() {
+    return currentCount + previousCount;
   }
 
-  private void countBeats() {
-    beatsBefore = beats;
-    beats = 0;
-    counting = timers.after(settings.workers().reportMs() / 2, this::countBeats);
+  private void rotateCounts() {
+    previousCount = currentCount;
+    currentCount = 0;
+    rotationTimer = timers.after(settings.workers().reportMs() / 2, this::rotateCounts);
   }
 
   @Override
   public void close() {
-    counting.cancel();
+    rotationTimer.cancel();
   }
 }
--- a/src/main/java/dapplestair/zones/Zones.java
+++ b/src/main/java/dapplestair/zones/Zones.java
@@ -189,8 +189,8 @@
    */
   private void markReturningIfHeard(String zone, ZoneStatus status, long silentMs) {
     long now = clock.now();
-    boolean heard = silentMs == 0 && workers.zoneHeardNow(zone);
-    boolean noMachineLeft = !workers.anyLeftIn(zone);
+    boolean heard = silentMs == 0 && workers.isZoneHeard(zone);
+    boolean noMachineLeft = !workers.hasMachinesIn(zone);
     if (noMachineLeft) {
       probes.probeIfLost(zone, status);
     } else if (heard) {
