--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -258,7 +258,7 @@
   /** The plan applied last. */
   ObjectNode plan() {
     ObjectNode object = asOf.object();
-    Autoscaler.AppliedPlan applied = autoscaler.applied();
+    Autoscaler.AppliedPlan applied = autoscaler.appliedPlan();
     ArrayNode rows = object.putArray("rows");
     if (applied == null) {
       return object;
@@ -267,19 +267,19 @@
       ObjectNode costs = object.putObject("costs");
       costs
           .put("makespan_s", applied.makespanS())
-          .put("per_hour", applied.perHour())
+          .put("per_hour", applied.costPerHour())
           .put("risk", applied.risk());
     }
     object
         .put("budget_per_hour", applied.budgetPerHour())
-        .put("front", applied.front())
-        .put("age", (clock.now() - applied.at()) / 1000.0);
+        .put("front", applied.frontSize())
+        .put("age", (clock.now() - applied.appliedAtMs()) / 1000.0);
     for (Map.Entry<MachineKind, Integer> entry : applied.counts().entrySet()) {
       rows.addObject()
           .put("type", entry.getKey().type())
           .put("spot", entry.getKey().spot())
           .put("wanted", entry.getValue())
-          .put("held", autoscaler.holding(entry.getKey()));
+          .put("held", autoscaler.heldCount(entry.getKey()));
     }
     return object;
   }
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -211,7 +211,7 @@
         .gauge(
             "plan_spend_per_hour",
             "What the plan applied costs an hour.",
-            () -> plan(components, Autoscaler.AppliedPlan::perHour))
+            () -> plan(components, Autoscaler.AppliedPlan::costPerHour))
         .gauge(
             "plan_risk",
             "Spot CPUs of the plan applied, times their risk.",
@@ -247,7 +247,7 @@
 
   private static double plan(
       ControllerComponents components, ToDoubleFunction<Autoscaler.AppliedPlan> figure) {
-    Autoscaler.AppliedPlan applied = components.autoscaler().applied();
+    Autoscaler.AppliedPlan applied = components.autoscaler().appliedPlan();
     return applied == null ? Double.NaN : figure.applyAsDouble(applied);
   }
 }
--- a/src/main/java/dapplestair/node/OperationsComponents.java
+++ b/src/main/java/dapplestair/node/OperationsComponents.java
@@ -51,7 +51,7 @@
             scheduling.disruptionGate,
             new SurgeCapacity(core.workers, scheduling.fleet, core.types, scheduling.autoscaler),
             core.events);
-    scheduling.autoscaler.beyond(replacements::extra);
+    scheduling.autoscaler.setSurgeMachines(replacements::extra);
     zones =
         new Zones(
             clock,
--- a/src/main/java/dapplestair/node/SchedulingComponents.java
+++ b/src/main/java/dapplestair/node/SchedulingComponents.java
@@ -110,11 +110,11 @@
             fleet,
             core.types,
             demand);
-    fleet.weigh(demand::waitingCpus, autoscaler::soon);
+    fleet.weigh(demand::waitingCpus, autoscaler::scheduleEarlyRound);
     calendars.wire(
         () -> {
           placer.nudge();
-          autoscaler.soon();
+          autoscaler.scheduleEarlyRound();
         },
         () -> core.types.bootS(null));
     faultAttribution =
@@ -124,7 +124,7 @@
             settings.workers().reportMs(),
             core.ledger,
             core.workers,
-            new FaultAttributionEvents(core.events, autoscaler::soon));
+            new FaultAttributionEvents(core.events, autoscaler::scheduleEarlyRound));
   }
 
   @Override
--- a/src/main/java/dapplestair/planning/ArrivalForecast.java
+++ b/src/main/java/dapplestair/planning/ArrivalForecast.java
@@ -7,42 +7,45 @@
 import java.util.List;
 import java.util.Map;
 
-/** Jobs that arrived lately, class by class: what may be expected of the next moments. */
+/** Forecasts the jobs of the near future, per job class, from those that arrived recently. */
 final class ArrivalForecast {
-  private static final int MOST_PER_CLASS = 1024;
+  private static final int MAX_ARRIVALS_PER_CLASS = 1024;
 
-  private record Arrival(long at, Submission job) {}
+  private record Arrival(long atMs, Submission job) {}
 
   private final long windowMs;
-  private final Map<String, ArrayDeque<Arrival>> classes = new HashMap<>();
+  private final Map<String, ArrayDeque<Arrival>> arrivalsByClass = new HashMap<>();
 
   ArrivalForecast(long windowMs) {
     this.windowMs = windowMs;
   }
 
-  void arrived(Submission submission, long now) {
-    ArrayDeque<Arrival> of =
-        classes.computeIfAbsent(submission.jobClass(), c -> new ArrayDeque<>());
-    of.addLast(new Arrival(now, submission));
-    if (of.size() > MOST_PER_CLASS) {
-      of.removeFirst();
+  void addArrival(Submission submission, long nowMs) {
+    ArrayDeque<Arrival> arrivals =
+        arrivalsByClass.computeIfAbsent(submission.jobClass(), c -> new ArrayDeque<>());
+    arrivals.addLast(new Arrival(nowMs, submission));
+    if (arrivals.size() > MAX_ARRIVALS_PER_CLASS) {
+      arrivals.removeFirst();
     }
   }
 
-  /** Jobs to expect within {@code aheadMs}, spread over it, if things go on as they were. */
-  List<Submission> expected(long now, long aheadMs) {
-    List<Submission> out = new ArrayList<>();
-    for (ArrayDeque<Arrival> of : classes.values()) {
-      while (!of.isEmpty() && of.peekFirst().at < now - windowMs) {
-        of.removeFirst();
+  /**
+   * Returns the jobs expected within the next {@code aheadMs} if each class keeps its recent
+   * arrival rate. Callers spread them evenly over that time.
+   */
+  List<Submission> expectedJobs(long nowMs, long aheadMs) {
+    List<Submission> expected = new ArrayList<>();
+    for (ArrayDeque<Arrival> arrivals : arrivalsByClass.values()) {
+      while (!arrivals.isEmpty() && arrivals.peekFirst().atMs < nowMs - windowMs) {
+        arrivals.removeFirst();
       }
-      // The latest stand for the next ones.
-      long n = Math.round(of.size() * (double) aheadMs / windowMs);
-      var it = of.descendingIterator();
-      for (int i = 0; i < n && it.hasNext(); i++) {
-        out.add(it.next().job);
+      // The most recent jobs of the class serve as samples of the next ones.
+      long expectedCount = Math.round(arrivals.size() * (double) aheadMs / windowMs);
+      var latestFirst = arrivals.descendingIterator();
+      for (int i = 0; i < expectedCount && latestFirst.hasNext(); i++) {
+        expected.add(latestFirst.next().job);
       }
     }
-    return out;
+    return expected;
   }
 }
--- a/src/main/java/dapplestair/planning/Autoscaler.java
+++ b/src/main/java/dapplestair/planning/Autoscaler.java
@@ -29,16 +29,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * The autoscaler: at a steady interval it searches for plans, takes the one nearest the origin,
- * records it, rents what it holds beyond the fleet, and returns machines only after several rounds
- * wanting fewer.
+/* * Searches at a fixed interval for plans of how many machines to hold, applies the plan nearest the
+ * origin of the cost space, records it and rents the machines that the fleet lacks. Machines are
+ * returned only after several consecutive rounds in which the plan wants fewer.
  */
 public final class Autoscaler implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
 
-  // Of what waits; where the search begins, so that the front spans the same costs each time.
-  private static final double[] SHARES = {0.25, 0.5, 0.75, 1};
+  // Shares of the waiting work for which the initial candidates of the search have capacity. These
+  // fixed starting points make the front span the same costs in each round.
+  private static final double[] SEED_SHARES = {0.25, 0.5, 0.75, 1};
 
   private final Clock clock;
   private final TermTimers timers;
@@ -52,18 +52,18 @@
   private final MachineTypes types;
   private final DemandView demand;
   private final ZoneDemand zoneDemand;
-  private final Map<MachineKind, Integer> fewer = new HashMap<>();
+  private final Map<MachineKind, Integer> roundsWantingFewer = new HashMap<>();
   private Map<MachineKind, Integer> plan = Map.of();
-  private AppliedPlan applied;
-  private ObjectNode lastWritten;
-  private boolean writing;
-  private ToIntFunction<MachineKind> beyond = s -> 0;
+  private AppliedPlan appliedPlan;
+  private ObjectNode lastRecordedValue;
+  private boolean recordInFlight;
+  private ToIntFunction<MachineKind> surgeMachines = s -> 0;
   private Cancellable timer = () -> {};
-  private long roundAt;
-  private boolean extra;
+  private long nextRoundAtMs;
+  private boolean earlyRound;
   private int generation;
 
-  /** Plans for what {@code demand} sees. */
+  /** Creates an autoscaler that plans for the demand reported by {@code demand}. */
   public Autoscaler(
       Clock clock,
       TermTimers timers,
@@ -93,153 +93,159 @@
   /**
    * The plan applied last, with its three costs.
    *
-   * @param counts machines wanted, by slot
+   * @param counts number of machines wanted, by machine kind
    * @param makespanS mean makespan of the jobs in the dry run, or NaN when the search found no plan
-   * @param perHour what it costs an hour
-   * @param risk spot CPUs times the chance that they are taken back
-   * @param budgetPerHour most that a plan might cost
-   * @param front plans on the front that it was chosen from
-   * @param at when it was chosen, steady time
+   * @param costPerHour cost of the plan per hour
+   * @param risk spot CPUs times the probability that the cloud reclaims them
+   * @param budgetPerHour maximum cost per hour that a plan was allowed to have
+   * @param frontSize number of plans on the front from which this plan was selected
+   * @param appliedAtMs monotonic time at which the plan was applied
    */
   public record AppliedPlan(
       Map<MachineKind, Integer> counts,
       double makespanS,
-      double perHour,
+      double costPerHour,
       double risk,
       double budgetPerHour,
-      int front,
-      long at) {}
+      int frontSize,
+      long appliedAtMs) {}
 
-  /** The plan applied last, or null. */
-  public AppliedPlan applied() {
-    return applied;
+  /** Returns the plan applied last, or null if there is none. */
+  public AppliedPlan appliedPlan() {
+    return appliedPlan;
   }
 
-  /** How many machines of a slot are held beyond the plan while others are replaced. */
-  public void beyond(ToIntFunction<MachineKind> extra) {
-    beyond = extra;
+  /**
+   * Sets the function that returns how many machines of a kind are held in addition to the plan
+   * while machines are being replaced.
+   */
+  public void setSurgeMachines(ToIntFunction<MachineKind> surgeCount) {
+    surgeMachines = surgeCount;
   }
 
-  /** Machines of a slot that are or will be of use. */
-  public int holding(MachineKind kind) {
+  /** Returns the number of machines of a kind that are usable now or will be soon. */
+  public int heldCount(MachineKind kind) {
     return fleet.holding(kind);
   }
 
-  /** Begins. */
+  /** Starts planning when this controller becomes the leader. */
   public void lead() {
     generation++;
-    round();
+    runRound();
   }
 
-  /**
-   * Room was lost: the next round comes soon, once for all that is lost at about the same moment,
-   * and not when its turn would be.
+  /*   * Brings the next round forward because capacity was lost. Losses that occur at about the same
+   * time share one early round.
    */
-  public void soon() {
-    long early = operatorSettings.planIntervalMs() / 10;
-    if (leadership.leading() && roundAt - clock.now() > early) {
+  public void scheduleEarlyRound() {
+    long earlyDelayMs = operatorSettings.planIntervalMs() / 10;
+    if (leadership.leading() && nextRoundAtMs - clock.now() > earlyDelayMs) {
       timer.cancel();
-      roundIn(early);
-      extra = true;
+      scheduleRound(earlyDelayMs);
+      earlyRound = true;
     }
   }
 
-  private void roundIn(long ms) {
-    roundAt = clock.now() + ms;
-    timer = timers.after(ms, this::round);
+  private void scheduleRound(long delayMs) {
+    nextRoundAtMs = clock.now() + delayMs;
+    timer = timers.after(delayMs, this::runRound);
   }
 
-  /** Stops. */
+  /** Stops planning and forgets the plan when this controller ceases to lead. */
   public void clear() {
     generation++;
     timer.cancel();
-    extra = false;
-    fewer.clear();
+    earlyRound = false;
+    roundsWantingFewer.clear();
     zoneDemand.clear();
     plan = Map.of();
-    applied = null;
-    lastWritten = null;
-    writing = false;
+    appliedPlan = null;
+    lastRecordedValue = null;
+    recordInFlight = false;
   }
 
-  private void round() {
+  private void runRound() {
     if (!demand.ready() || !types.known()) {
-      // Nothing can be planned yet: look again soon rather than a whole round later.
-      roundIn(operatorSettings.planIntervalMs() / 10);
+      // The ledger or the machine types are not loaded yet, so nothing can be planned. Retry soon
+      // instead of waiting for a whole interval.
+      scheduleRound(operatorSettings.planIntervalMs() / 10);
       return;
     }
-    roundIn(operatorSettings.planIntervalMs());
+    scheduleRound(operatorSettings.planIntervalMs());
     FleetProblem problem = demand.problem(operatorSettings);
     Nsga2 search = new Nsga2(random, operatorSettings.population(), operatorSettings.evaluations());
-    List<double[]> seeds = new ArrayList<>(List.of(problem.lower(), held(problem)));
-    addShares(problem, seeds);
-    double[] last = last(problem);
-    if (last != null) {
-      seeds.add(last);
+    List<double[]> seeds = new ArrayList<>(List.of(problem.lower(), heldCounts(problem)));
+    addShareSeeds(problem, seeds);
+    double[] lastPlan = clippedLastPlan(problem);
+    if (lastPlan != null) {
+      seeds.add(lastPlan);
     }
-    int planned = generation;
-    boolean only = extra;
-    extra = false;
-    PlanSelector choice = new PlanSelector(operatorSettings, demand.pressure());
+    int generationAtStart = generation;
+    boolean isEarlyRound = earlyRound;
+    earlyRound = false;
+    PlanSelector selector = new PlanSelector(operatorSettings, demand.pressure());
     background.compute(
-        () -> best(search, problem, seeds, last, choice),
+        () -> searchBestPlan(search, problem, seeds, lastPlan, selector),
         chosen -> {
-          if (planned == generation && leadership.leading()) {
-            apply(problem, chosen, only);
+          if (generationAtStart == generation && leadership.leading()) {
+            apply(problem, chosen, isEarlyRound);
           }
         });
   }
 
-  private double[] held(FleetProblem problem) {
-    return problem.slots().stream()
+  private double[] heldCounts(FleetProblem problem) {
+    return problem.machineKinds().stream()
         .mapToDouble(s -> fleet.holding(new MachineKind(s.type().name(), s.spot())))
         .toArray();
   }
 
-  static void addShares(FleetProblem problem, List<double[]> seeds) {
-    for (double share : SHARES) {
-      seeds.add(problem.toward(share));
+  static void addShareSeeds(FleetProblem problem, List<double[]> seeds) {
+    for (double share : SEED_SHARES) {
+      seeds.add(problem.seedForShare(share));
     }
   }
 
-  /** The plan applied last, within the bounds of now; null when there is none. */
-  private double[] last(FleetProblem problem) {
+  /**
+   * Returns the plan applied last, clipped to the current bounds, or null if there is no such plan.
+   */
+  private double[] clippedLastPlan(FleetProblem problem) {
     if (plan.isEmpty()) {
       return null;
     }
-    double[] x = problem.lower();
+    double[] counts = problem.lower();
     double[] upper = problem.upper();
-    for (int i = 0; i < x.length; i++) {
-      FleetProblem.MachineKindState kind = problem.slots().get(i);
-      int wanted = plan.getOrDefault(new MachineKind(kind.type().name(), kind.spot()), 0);
-      x[i] = Math.max(x[i], Math.min(upper[i], wanted));
+    for (int i = 0; i < counts.length; i++) {
+      FleetProblem.MachineKindState kind = problem.machineKinds().get(i);
+      int wantedCount = plan.getOrDefault(new MachineKind(kind.type().name(), kind.spot()), 0);
+      counts[i] = Math.max(counts[i], Math.min(upper[i], wantedCount));
     }
-    return x;
+    return counts;
   }
 
-  private static Nsga2.Individual standing(FleetProblem problem, double[] last) {
-    double[] costs = last == null ? null : problem.evaluate(last);
-    return costs == null ? null : new Nsga2.Individual(last, costs);
+  private static Nsga2.Individual currentIndividual(FleetProblem problem, double[] lastPlan) {
+    double[] costs = lastPlan == null ? null : problem.evaluate(lastPlan);
+    return costs == null ? null : new Nsga2.Individual(lastPlan, costs);
   }
 
-  private record ChosenPlan(int[] counts, double[] costs, int front) {}
+  private record ChosenPlan(int[] counts, double[] costs, int frontSize) {}
 
-  private static ChosenPlan best(
+  private static ChosenPlan searchBestPlan(
       Nsga2 search,
       FleetProblem problem,
       List<double[]> seeds,
-      double[] last,
-      PlanSelector choice) {
+      double[] lastPlan,
+      PlanSelector selector) {
     List<Nsga2.Individual> front = search.search(problem, seeds);
     if (front.isEmpty()) {
       double[] unknown = {Double.NaN, Double.NaN, Double.NaN};
-      return new ChosenPlan(FleetProblem.counts(problem.lower()), unknown, 0);
+      return new ChosenPlan(FleetProblem.roundToCounts(problem.lower()), unknown, 0);
     }
-    Nsga2.Individual nearest = choice.of(front, standing(problem, last));
-    int[] counts = FleetProblem.counts(nearest.variables());
+    Nsga2.Individual nearest = selector.select(front, currentIndividual(problem, lastPlan));
+    int[] counts = FleetProblem.roundToCounts(nearest.variables());
     if (LOG.isDebugEnabled()) {
       LOG.debug(
-          "search: counts {} between {} and {}, makespan {} s of {} to {} s on a front of {}",
+          "plan search selected machine counts {} between {} and {}, with a makespan of {} s; the"
+              + " front has makespans from {} s to {} s in {} plans",
           counts,
           problem.lower(),
           problem.upper(),
@@ -251,87 +257,98 @@
     return new ChosenPlan(counts, nearest.costs(), front.size());
   }
 
-  private void apply(FleetProblem problem, ChosenPlan chosen, boolean extraRound) {
+  private void apply(FleetProblem problem, ChosenPlan chosen, boolean isEarlyRound) {
     int[] counts = chosen.counts();
-    Map<MachineKind, Integer> next = new LinkedHashMap<>();
+    Map<MachineKind, Integer> nextPlan = new LinkedHashMap<>();
     for (int i = 0; i < counts.length; i++) {
-      FleetProblem.MachineKindState s = problem.slots().get(i);
-      next.put(new MachineKind(s.type().name(), s.spot()), counts[i]);
+      FleetProblem.MachineKindState kind = problem.machineKinds().get(i);
+      nextPlan.put(new MachineKind(kind.type().name(), kind.spot()), counts[i]);
     }
-    if (!next.equals(plan)) {
-      LOG.debug("plan {}", next);
+    if (!nextPlan.equals(plan)) {
+      LOG.debug("autoscaler plan changed; machines wanted by kind: {}", nextPlan);
     }
-    plan = next;
+    plan = nextPlan;
     double[] costs = chosen.costs();
-    applied =
+    appliedPlan =
         new AppliedPlan(
-            next, costs[0], costs[1], costs[2], problem.budget(), chosen.front(), clock.now());
-    record();
+            nextPlan,
+            costs[0],
+            costs[1],
+            costs[2],
+            problem.budgetPerHour(),
+            chosen.frontSize(),
+            clock.now());
+    recordPlan();
     zoneDemand.shortages().forEach(this::rentInZone);
-    next.forEach((slot, want) -> steer(slot, want, extraRound));
+    nextPlan.forEach((kind, plannedCount) -> adjustFleet(kind, plannedCount, isEarlyRound));
   }
 
-  /**
-   * What the plan rents anyway is rented first where alone a job may run. A job that lacks its room
-   * for longer than a machine boots gets it beyond the plan: without this an array of one zone
-   * waited for ever beside machines that stood idle in the others (ZoneBoundTest).
+  /*   * Rents machines in the only zone in which some waiting job may run. Machines that the plan rents
+   * anyway are rented there first. A job that has lacked capacity for longer than a machine takes to
+   * boot gets machines in addition to the plan: without this, an array restricted to one zone waited
+   * forever while machines in the other zones stood idle (ZoneBoundTest).
    */
-  private void rentInZone(ZoneDemand.Shortage lack) {
-    int wanted = plan.getOrDefault(lack.kind(), 0) - fleet.holding(lack.kind());
-    int most = lack.overdue() ? lack.machines() : Math.min(lack.machines(), wanted);
-    fleet.rentIn(lack.kind(), lack.zone(), most);
+  private void rentInZone(ZoneDemand.Shortage shortage) {
+    int missingCount = plan.getOrDefault(shortage.kind(), 0) - fleet.holding(shortage.kind());
+    int maxCount =
+        shortage.overdue() ? shortage.machines() : Math.min(shortage.machines(), missingCount);
+    fleet.rentIn(shortage.kind(), shortage.zone(), maxCount);
   }
 
-  private void steer(MachineKind kind, int planned, boolean extraRound) {
-    // Machines that are being replaced: the plan's counts stay as they are.
-    int want = Math.max(0, planned + beyond.applyAsInt(kind));
-    int have = fleet.holding(kind);
-    if (want >= have) {
-      fewer.remove(kind);
+  private void adjustFleet(MachineKind kind, int plannedCount, boolean isEarlyRound) {
+    // Surge machines of a replacement are added here, so that the plan's own counts stay unchanged.
+    int wantedCount = Math.max(0, plannedCount + surgeMachines.applyAsInt(kind));
+    int heldCount = fleet.holding(kind);
+    if (wantedCount >= heldCount) {
+      roundsWantingFewer.remove(kind);
       fleet.cordon(kind, 0, zoneDemand::waitsFor);
-      if (want > have) {
-        fleet.rent(kind, want - have);
+      if (wantedCount > heldCount) {
+        fleet.rent(kind, wantedCount - heldCount);
       }
       return;
     }
-    if (extraRound) {
-      // Delayed return counts rounds at a steady interval.
+    if (isEarlyRound) {
+      // An early round is not counted: the delay before a return is a number of rounds at the
+      // regular interval.
       return;
     }
-    int rounds = fewer.merge(kind, 1, Integer::sum);
+    int rounds = roundsWantingFewer.merge(kind, 1, Integer::sum);
     if (rounds >= operatorSettings.returnAfterRounds() / 2) {
-      fleet.cordon(kind, have - want, zoneDemand::waitsFor);
+      fleet.cordon(kind, heldCount - wantedCount, zoneDemand::waitsFor);
     }
-    if (rounds >= timeouts(kind)) {
+    if (rounds >= roundsBeforeReturn(kind)) {
       List<Host> idle = fleet.returnable(kind);
-      idle.stream().limit(have - want).forEach(fleet::release);
+      idle.stream().limit(heldCount - wantedCount).forEach(fleet::release);
     }
   }
 
-  /**
-   * Rounds before an idle machine is returned: at least as many as the operators say, and as long
-   * as the next one would take to boot, since until then keeping it costs less than what replaces
-   * it.
+  /*   * Returns the number of rounds before an idle machine is returned. It is at least the number that
+   * the operators set, and covers at least the boot time of a new machine, because up to then
+   * keeping the idle machine costs less than renting its successor.
    */
-  private int timeouts(MachineKind kind) {
+  private int roundsBeforeReturn(MachineKind kind) {
     double bootMs = 1000 * types.get(kind.type()).bootS();
     return Math.max(
         operatorSettings.returnAfterRounds(),
         (int) Math.ceil(bootMs / operatorSettings.planIntervalMs()));
   }
 
-  /** The plan is one value in the state service, written when it changes. */
-  private void record() {
+  /** Records the plan, a single value in the state service, if it has changed. */
+  private void recordPlan() {
     ObjectNode value = Json.object().put("term", leadership.term());
     ArrayNode counts = value.putArray("machines");
     plan.forEach(
-        (slot, n) ->
-            counts.addObject().put("type", slot.type()).put("spot", slot.spot()).put("count", n));
-    if (writing || value.equals(lastWritten)) {
+        (kind, count) ->
+            counts
+                .addObject()
+                .put("type", kind.type())
+                .put("spot", kind.spot())
+                .put("count", count));
+    if (recordInFlight || value.equals(lastRecordedValue)) {
       return;
     }
-    writing = true;
-    int written = generation;
+    recordInFlight = true;
+    int generationAtCommit = generation;
     Txn txn =
         leadership
             .guard(new Txn())
@@ -342,12 +359,12 @@
         Priority.BOOKKEEPING,
         operatorSettings.planIntervalMs(),
         outcome -> {
-          if (written != generation) {
+          if (generationAtCommit != generation) {
             return;
           }
-          writing = false;
+          recordInFlight = false;
           if (outcome instanceof TxnOutcome.Applied) {
-            lastWritten = value;
+            lastRecordedValue = value;
           } else {
             leadership.deposedBy(outcome);
           }
--- a/src/main/java/dapplestair/planning/CapacityFloors.java
+++ b/src/main/java/dapplestair/planning/CapacityFloors.java
@@ -13,7 +13,10 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** How few machines a plan may hold: what must start at once has its room whatever it costs. */
+/**
+ * Computes the minimum number of machines that a plan must hold: work that must start at once has
+ * capacity regardless of cost.
+ */
 final class CapacityFloors {
   private final Clock clock;
   private final Ledger ledger;
@@ -25,10 +28,10 @@
     this.ledger = ledger;
   }
 
-  /**
-   * Steady machines are counted as busy up to what services use, what is expected of them within a
-   * boot, and one machine more, so that replicas lost with a machine start again at once. Work that
-   * may be stopped fills that room meanwhile.
+  /*   * Raises the minimum counts of steady machines to hold the CPUs that non-spot jobs use or wait
+   * for, those of the jobs expected while a machine boots, and one spare machine, so that replicas
+   * lost with a machine restart at once. Work that may be stopped uses that capacity in the
+   * meantime.
    */
   List<MachineKindState> forServices(List<MachineKindState> slots, List<Submission> soon) {
     double need = 0;
@@ -45,24 +48,25 @@
     double room = 0;
     double largest = 0;
     for (MachineKindState s : slots) {
-      if (!s.spot() && s.least() > 0) {
-        room += s.least() * s.type().cpus();
+      if (!s.spot() && s.minCount() > 0) {
+        room += s.minCount() * s.type().cpus();
         largest = Math.max(largest, s.type().cpus());
       }
     }
     if (need > 0 && largest == 0) {
       largest = slots.stream().mapToDouble(s -> s.type().cpus()).min().orElse(0);
     }
-    // Replicas on drained machines that have no place: the room that is spare lies in zones that
-    // already have all that they may, so there is some in each.
+    // When replicas on drained machines have nowhere to go, the spare capacity lies in zones that
+    // already have as many replicas as they may, so each zone gets a spare machine.
     need += need > 0 ? largest * (drainsLackRoom.getAsBoolean() ? zones(slots) : 1) : 0;
     double stranded = strandedCpus(slots);
     if (stranded > 0) {
-      // Replicas that the room there is did not take for as long as a boot: it lies in zones that
-      // already have all that they may. The next machine comes where there are fewest.
+      // Replicas have waited for longer than a boot although there is free capacity: it lies in
+      // zones that already have as many replicas as they may. The next machine is rented in the
+      // zone that has the fewest.
       double up = 0;
       for (MachineKindState s : slots) {
-        up += s.spot() ? 0 : s.up() * s.type().cpus();
+        up += s.spot() ? 0 : s.upCount() * s.type().cpus();
       }
       need = Math.max(need, up + stranded);
     }
@@ -72,7 +76,7 @@
       for (int i = 0; i < out.size(); i++) {
         MachineKindState s = out.get(i);
         if (!s.spot()
-            && s.least() < s.most()
+            && s.minCount() < s.maxCount()
             && (cheapest < 0 || perCpu(s) < perCpu(out.get(cheapest)))) {
           cheapest = i;
         }
@@ -81,13 +85,13 @@
         break;
       }
       MachineKindState s = out.get(cheapest);
-      out.set(cheapest, withLeast(s, s.least() + 1));
+      out.set(cheapest, withLeast(s, s.minCount() + 1));
       room += s.type().cpus();
     }
     return out;
   }
 
-  /** {@code lack} tells whether drained machines hold replicas that have no place to go. */
+  /** Sets the check for whether drained machines hold replicas that have nowhere to go. */
   void drainsLackRoom(BooleanSupplier lack) {
     drainsLackRoom = lack;
   }
@@ -96,7 +100,7 @@
     return slots.stream().mapToInt(s -> s.type().zones().size()).max().orElse(1);
   }
 
-  /** CPUs of services that have waited for longer than a machine boots. */
+  /** Returns the CPUs of service replicas that have waited for longer than a machine boots. */
   private double strandedCpus(List<MachineKindState> slots) {
     double bootMs = 1000 * slots.stream().mapToDouble(s -> s.type().bootS()).max().orElse(0);
     long now = clock.now();
@@ -113,10 +117,10 @@
     return sum;
   }
 
-  /**
-   * A gang that has waited for longer than {@code afterMs} gets machines for all of it at once; the
-   * search alone might settle for fewer for ever. Machines are spread over the zones, so one that
-   * must be in one zone needs as many in each.
+  /*   * Raises the minimum counts so that each gang that has waited for longer than {@code afterMs} gets
+   * machines for all of its tasks at once; the search alone might settle for fewer forever. Machines
+   * are spread over the zones, so a gang that must run in a single zone needs that many machines in
+   * each zone.
    */
   List<MachineKindState> forGangs(List<MachineKindState> slots, long afterMs) {
     List<MachineKindState> out = new ArrayList<>(slots);
@@ -137,10 +141,10 @@
               Math.floor(kind.type().cpus() / submission.cpus()) * submission.cpus();
           int want = (int) Math.ceil(need / perMachine);
           want *= zones ? Math.max(1, kind.type().zones().size()) : 1;
-          // Beside what is busy: a gang needs its room all at once.
-          int least = Math.max(kind.least(), Math.min(kind.most(), kind.least() + want));
+          // Added to the busy machines, because a gang needs all of its capacity at once.
+          int least = Math.max(kind.minCount(), Math.min(kind.maxCount(), kind.minCount() + want));
           out.set(i, withLeast(kind, least));
-          need -= (least - kind.least()) * perMachine / (zones ? kind.type().zones().size() : 1);
+          need -= (least - kind.minCount()) * perMachine / (zones ? kind.type().zones().size() : 1);
         }
       }
     }
@@ -152,14 +156,14 @@
         kind.type(),
         kind.spot(),
         least,
-        kind.most(),
-        kind.held(),
-        kind.up(),
-        kind.price(),
-        kind.takeBack());
+        kind.maxCount(),
+        kind.heldSlots(),
+        kind.upCount(),
+        kind.pricePerHour(),
+        kind.reclaimChance());
   }
 
   static double perCpu(MachineKindState kind) {
-    return kind.price() / kind.type().cpus();
+    return kind.pricePerHour() / kind.type().cpus();
   }
 }
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 
-/** What there is to do and to do it with, as one immutable problem for the search. */
+/** Builds the immutable optimization problem of a planning round from the work and the fleet. */
 public final class DemandView {
   private static final int WINDOWS = 10;
 
@@ -36,7 +36,7 @@
   private final CapacityFloors floors;
   private final long windowMs;
 
-  /** Looks at the leader's duties. */
+  /** Creates a view of the leader's components. */
   public DemandView(
       Clock clock,
       Settings settings,
@@ -56,23 +56,26 @@
     this.floors = new CapacityFloors(clock, ledger);
   }
 
-  /** What waits for room in one zone alone. */
+  /** Creates the view of jobs that wait for capacity in a single zone. */
   ZoneDemand inOneZone() {
     return new ZoneDemand(clock, ledger, workers, fleet, types);
   }
 
-  /** A job was accepted just now. */
+  /** Adds a job that was just accepted to the arrival forecast. */
   public void arrived(Submission submission) {
-    arrivalForecast.arrived(submission, clock.now());
+    arrivalForecast.addArrival(submission, clock.now());
   }
 
-  /** CPUs that services are expected to ask for while a machine boots, and one replica more. */
+  /**
+   * Returns the CPUs that services are expected to request while a machine boots, plus those of one
+   * more replica, the largest.
+   */
   public double roomForServices() {
     long bootMs =
         Math.round(1000 * types.all().stream().mapToDouble(MachineType::bootS).max().orElse(0));
     double sum = 0;
     double largest = 0;
-    for (Submission submission : arrivalForecast.expected(clock.now(), bootMs)) {
+    for (Submission submission : arrivalForecast.expectedJobs(clock.now(), bootMs)) {
       if (submission.service()) {
         sum += submission.cpus() * submission.steps();
         largest = Math.max(largest, submission.cpus());
@@ -81,9 +84,9 @@
     return sum + largest;
   }
 
-  /**
-   * CPUs of tasks that wait for longer than a machine boots, over those of the machines held. What
-   * has just come does not count: it is mostly placed a moment later.
+  /*   * Returns the CPUs of tasks that have waited for longer than a machine boots, divided by the CPUs
+   * of the held machines. Jobs that have just arrived do not count, because most of them are placed
+   * a moment later.
    */
   double pressure() {
     double bootMs = 1000 * types.all().stream().mapToDouble(MachineType::bootS).max().orElse(0);
@@ -100,21 +103,21 @@
     return held == 0 ? 1 : waiting / held;
   }
 
-  /**
-   * Tasks to plan for. A job that fails wherever it runs is tried on what there is: no machine is
-   * rented for it, except where there is none at all, and for a gang, of which no task alone tells.
+  /*   * Returns the number of a job's tasks to plan for. A job suspected of failing on any machine is
+   * tried on the existing machines: no machine is rented for it, unless there is none at all or the
+   * job is a gang, where a single task shows nothing about the job.
    */
   private int wanted(Job job) {
     boolean onWhatThereIs = job.suspected() && !job.spec().gang() && !workers.hosts().isEmpty();
     return onWhatThereIs ? 0 : job.wanted(clock.now());
   }
 
-  /** CPUs of all that waits for room. */
+  /** Returns the CPUs of all tasks that wait for capacity. */
   public double waitingCpus() {
     return needCpus(List.of());
   }
 
-  /** {@code lack} tells whether drained machines hold replicas that have no place to go. */
+  /** Sets the check for whether drained machines hold replicas that have nowhere to go. */
   public void drainsLackRoom(BooleanSupplier lack) {
     floors.drainsLackRoom(lack);
   }
@@ -126,7 +129,8 @@
   FleetProblem problem(OperatorSettings operatorSettings) {
     List<MachineType> kinds = List.copyOf(types.all());
     double longestBootS = kinds.stream().mapToDouble(MachineType::bootS).max().orElse(0);
-    List<Submission> soon = arrivalForecast.expected(clock.now(), Math.round(longestBootS * 1000));
+    List<Submission> soon =
+        arrivalForecast.expectedJobs(clock.now(), Math.round(longestBootS * 1000));
     double laneCpus = laneCpus(soon);
     double need = needCpus(soon);
     List<MachineKindState> slots = new ArrayList<>();
@@ -139,7 +143,10 @@
     return new FleetProblem(slots, tasks, laneCpus, budget(operatorSettings, slots, soon));
   }
 
-  /** Half of a typical task: fine enough to pack, coarse enough to be quick. */
+  /**
+   * Returns the CPUs that a task slot represents, half of those of a median task: small enough to
+   * pack tasks well, large enough to keep the dry run fast.
+   */
   private double laneCpus(List<Submission> soon) {
     double[] sizes =
         java.util.stream.Stream.concat(
@@ -164,8 +171,8 @@
       }
       if (host.up()) {
         up.add(host);
-        // Arrays that overflowed onto steady machines must not keep those for ever: such a machine
-        // may be planned away, gets no new work then, and is returned once it is idle.
+        // Tasks of arrays that overflowed onto steady machines must not keep these forever: a plan
+        // may drop such a machine, which then gets no new work and is returned once it is idle.
         if (spot ? !host.idle() : host.serviceCpus() > 0) {
           busy++;
         }
@@ -174,7 +181,7 @@
         booting.add(Math.max(backS(host), Math.max(1, type.bootS() - Math.max(0, age))));
       }
     }
-    // Busy machines come first: idle ones are those that a smaller plan gives up.
+    // Busy machines come first, because a smaller plan gives up the idle ones.
     up.sort(
         Comparator.comparingDouble(Host::serviceCpus)
             .thenComparingDouble(Host::cpusUsed)
@@ -188,7 +195,7 @@
         until[i] = Math.max(until[i], backS);
       }
       for (double at : until) {
-        horizon = at < HeldTaskSlots.FOR_EVER_S ? Math.max(horizon, at) : horizon;
+        horizon = at < HeldTaskSlots.NEVER_FREE_S ? Math.max(horizon, at) : horizon;
       }
       lanes.add(until);
     }
@@ -197,8 +204,8 @@
       Arrays.fill(until, ready);
       lanes.add(until);
     }
-    // All that waits may be rented for at once: a bound that grows with what is held would take
-    // many rounds from nothing.
+    // The upper bound allows renting for all waiting work in one round. A bound that grows with the
+    // held machines would take many rounds when the fleet starts from nothing.
     int forAll = (int) Math.ceil(needCpus / type.cpus() / Math.max(1, type.zones().size()));
     int most = Math.max(busy, fleet.capacity(kind, Math.max(2, forAll)));
     return new MachineKindState(
@@ -212,12 +219,15 @@
         fleet.market().takeBackChance(kind, windowMs, WINDOWS));
   }
 
-  /** What is silent and waited for is expected back after as long again as it has been so. */
+  /**
+   * Returns in how many seconds a silent machine that is still waited for is expected back, which
+   * is as long as it has been silent so far; 0 for other machines.
+   */
   private double backS(Host host) {
     return host.zoneSilentMs() > 0 || host.hanging() ? workers.silentMs(host) / 1000.0 : 0;
   }
 
-  /** When each lane of a machine is free, from now. */
+  /** Returns for each task slot of a machine the time in seconds from now until it is free. */
   private double[] busyUntil(Host host, double laneCpus, int perMachine) {
     double[] until = new double[perMachine];
     int used = 0;
@@ -238,12 +248,12 @@
       }
     }
     for (long l = (long) Math.ceil(services / laneCpus); l > 0 && used < perMachine; l--) {
-      until[used++] = HeldTaskSlots.FOR_EVER_S;
+      until[used++] = HeldTaskSlots.NEVER_FREE_S;
     }
     return until;
   }
 
-  /** CPUs of all that waits and is expected. */
+  /** Returns the CPUs of all waiting and expected tasks. */
   private double needCpus(List<Submission> soon) {
     double sum = 0;
     for (Job job : ledger.jobs()) {
@@ -272,7 +282,8 @@
           new DryRunEntries.PendingTasks(
               submission, submission.steps(), slack(submission) + arrives, arrives));
     }
-    return new DryRunEntries(slots, laneCpus, aheadS, windowMs / 1000.0, estimates).of(pending);
+    return new DryRunEntries(slots, laneCpus, aheadS, windowMs / 1000.0, estimates)
+        .entriesFor(pending);
   }
 
   private double slack(Submission submission) {
@@ -280,13 +291,17 @@
     return (Double.isFinite(submission.dueS()) ? submission.dueS() : 10 * run + 60) - run;
   }
 
-  /** The operators' budget, or a ratio to what all present work costs where it is cheapest. */
+  /**
+   * Returns the operators' budget per hour. If none is set, returns the cost of all present and
+   * expected work on its cheapest machine kinds times the budget ratio, but at least the cost of
+   * the minimum counts plus one machine.
+   */
   private double budget(
       OperatorSettings operatorSettings, List<MachineKindState> slots, List<Submission> soon) {
     if (operatorSettings.budgetPerHour() > 0) {
       return operatorSettings.budgetPerHour();
     }
-    double floor = slots.stream().mapToDouble(s -> s.least() * s.price()).sum();
+    double floor = slots.stream().mapToDouble(s -> s.minCount() * s.pricePerHour()).sum();
     double demand = 0;
     for (Job job : ledger.jobs()) {
       if (!job.over()) {
@@ -296,7 +311,7 @@
     for (Submission s : soon) {
       demand += cheapest(slots, s) * s.cpus() * s.steps();
     }
-    double oneMore = slots.stream().mapToDouble(MachineKindState::price).max().orElse(0);
+    double oneMore = slots.stream().mapToDouble(MachineKindState::pricePerHour).max().orElse(0);
     return Math.max(operatorSettings.budgetRatio() * demand, floor + oneMore);
   }
 
--- a/src/main/java/dapplestair/planning/DryRunEntries.java
+++ b/src/main/java/dapplestair/planning/DryRunEntries.java
@@ -10,62 +10,68 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * The entries of the dry run, least slack first. One stands for all waiting tasks of a job, or for
- * many small jobs that are alike: hundreds of services, or a swarm of single tasks, would otherwise
- * take all entries, and the plan would rent nothing for the arrays behind them.
+/* * Builds the entries of the dry run, least slack first. An entry represents all waiting tasks of a
+ * job, or many similar small jobs: hundreds of services, or many jobs of a single task, would
+ * otherwise use up all entries, and the plan would rent nothing for the arrays behind them.
  */
 final class DryRunEntries {
-  private static final int MOST = 200;
+  private static final int MAX_ENTRIES = 200;
 
-  /** Tasks of one job that wait, or are expected in {@code arrivesS} seconds. */
-  record PendingTasks(Submission job, int count, double slackS, double arrivesS) {}
+  /** Tasks of one job that are waiting, or that are expected in {@code arrivesSumS} seconds. */
+  record PendingTasks(Submission job, int taskCount, double slackS, double arrivesS) {}
 
-  private final List<MachineKindState> slots;
-  private final double laneCpus;
+  private final List<MachineKindState> machineKinds;
+  private final double taskSlotCpus;
   private final double aheadS;
-  private final double serviceS;
+  private final double serviceRunS;
   private final RuntimeEstimates estimates;
 
-  /**
-   * Entries over these variables.
+  /*   * Creates a builder of entries for the given machine kinds.
    *
-   * @param aheadS how far ahead work is expected
-   * @param serviceS what a service counts as running
+   * @param aheadS how many seconds ahead the forecast of arriving jobs reaches
+   * @param serviceRunS run time in seconds that a service is assumed to have
    */
   DryRunEntries(
-      List<MachineKindState> slots,
-      double laneCpus,
+      List<MachineKindState> machineKinds,
+      double taskSlotCpus,
       double aheadS,
-      double serviceS,
+      double serviceRunS,
       RuntimeEstimates estimates) {
-    this.slots = slots;
-    this.laneCpus = laneCpus;
+    this.machineKinds = machineKinds;
+    this.taskSlotCpus = taskSlotCpus;
     this.aheadS = aheadS;
-    this.serviceS = serviceS;
+    this.serviceRunS = serviceRunS;
     this.estimates = estimates;
   }
 
-  List<DryTasks> of(List<PendingTasks> pending) {
+  List<DryTasks> entriesFor(List<PendingTasks> pending) {
     List<PendingTasks> ordered = new ArrayList<>(pending);
     ordered.sort(Comparator.comparingDouble(PendingTasks::slackS));
-    Map<Object, SimilarJobs> entries = new LinkedHashMap<>();
-    for (PendingTasks p : ordered) {
-      Object like = small(p.job()) ? traits(p) : p;
-      if (entries.size() < MOST || entries.containsKey(like)) {
-        entries.computeIfAbsent(like, l -> new SimilarJobs(p.job())).add(p);
+    Map<Object, SimilarJobs> jobsByGroup = new LinkedHashMap<>();
+    for (PendingTasks pendingTasks : ordered) {
+      Object groupKey = isSmall(pendingTasks.job()) ? traits(pendingTasks) : pendingTasks;
+      if (jobsByGroup.size() < MAX_ENTRIES || jobsByGroup.containsKey(groupKey)) {
+        jobsByGroup
+            .computeIfAbsent(groupKey, l -> new SimilarJobs(pendingTasks.job()))
+            .add(pendingTasks);
       }
     }
-    return entries.values().stream().map(this::dryTasks).toList();
+    return jobsByGroup.values().stream().map(this::dryTasks).toList();
   }
 
-  private static boolean small(Submission submission) {
+  private static boolean isSmall(Submission submission) {
     return submission.service() || submission.steps() == 1;
   }
 
-  /** What makes small jobs alike. */
+  /** The traits that similar small jobs have in common. */
   private record Traits(
-      List<String> types, boolean spot, boolean service, int lanes, int run, int image, int due) {}
+      List<String> types,
+      boolean spot,
+      boolean service,
+      int taskSlots,
+      int runBucket,
+      int imageGb,
+      int arrivalQuarter) {}
 
   private Traits traits(PendingTasks pending) {
     Submission submission = pending.job();
@@ -73,51 +79,51 @@
         submission.types(),
         submission.spot(),
         submission.service(),
-        lanes(submission),
-        // Within a half of each other.
+        taskSlots(submission),
+        // Groups run times that are within a factor of 1.5 of each other.
         (int) Math.round(Math.log(1 + estimates.runS(submission)) / Math.log(1.5)),
         (int) Math.round(submission.imageGb()),
         (int) Math.ceil(4 * pending.arrivesS() / Math.max(1, aheadS)));
   }
 
-  private int lanes(Submission submission) {
-    return (int) Math.max(1, Math.round(submission.cpus() / laneCpus));
+  private int taskSlots(Submission submission) {
+    return (int) Math.max(1, Math.round(submission.cpus() / taskSlotCpus));
   }
 
-  /** Jobs that are one entry. */
+  /** Jobs that share one entry. */
   private static final class SimilarJobs {
     final Submission first;
-    int jobs;
-    int count;
-    double arrivesS;
+    int jobCount;
+    int taskCount;
+    double arrivesSumS;
 
     SimilarJobs(Submission first) {
       this.first = first;
     }
 
     void add(PendingTasks pending) {
-      jobs++;
-      count += pending.count();
-      arrivesS += pending.arrivesS();
+      jobCount++;
+      taskCount += pending.taskCount();
+      arrivesSumS += pending.arrivesS();
     }
   }
 
-  private DryTasks dryTasks(SimilarJobs of) {
-    Submission submission = of.first;
-    boolean[] allowed = new boolean[slots.size()];
+  private DryTasks dryTasks(SimilarJobs similarJobs) {
+    Submission submission = similarJobs.first;
+    boolean[] allowed = new boolean[machineKinds.size()];
     for (int i = 0; i < allowed.length; i++) {
-      MachineKindState kind = slots.get(i);
+      MachineKindState kind = machineKinds.get(i);
       allowed[i] = kind.type().suits(submission) && (submission.spot() || !kind.spot());
     }
     return new DryTasks(
-        // Many small jobs alike do not outvote the large ones.
-        (int) Math.round(Math.sqrt(of.jobs)),
+        // The square root keeps many similar small jobs from outweighing the large ones.
+        (int) Math.round(Math.sqrt(similarJobs.jobCount)),
         allowed,
-        of.count,
-        lanes(submission),
-        submission.service() ? serviceS : estimates.runS(submission),
+        similarJobs.taskCount,
+        taskSlots(submission),
+        submission.service() ? serviceRunS : estimates.runS(submission),
         submission.service(),
         submission.imageGb(),
-        of.arrivesS / of.jobs);
+        similarJobs.arrivesSumS / similarJobs.jobCount);
   }
 }
--- a/src/main/java/dapplestair/planning/FleetProblem.java
+++ b/src/main/java/dapplestair/planning/FleetProblem.java
@@ -5,190 +5,201 @@
 import java.util.Comparator;
 import java.util.List;
 
-/**
- * One round's search: how many machines of each type and pricing to hold. Immutable, so that it can
- * be searched beside the loop.
+/* * The optimization problem of one planning round: how many machines of each type and pricing to
+ * hold. It is immutable, so that a background thread can search it outside the event loop.
  *
- * @param slots the variables
+ * @param machineKinds the variables
  * @param tasks waiting and expected tasks, least slack first
- * @param laneCpus CPUs that one lane of the dry run stands for
- * @param budget most that a plan may cost per hour
+ * @param taskSlotCpus number of CPUs that one task slot of the dry run represents
+ * @param budgetPerHour maximum cost of a plan per hour
  */
 record FleetProblem(
-    List<MachineKindState> slots, List<DryTasks> tasks, double laneCpus, double budget)
+    List<MachineKindState> machineKinds,
+    List<DryTasks> tasks,
+    double taskSlotCpus,
+    double budgetPerHour)
     implements Nsga2.Problem {
 
-  // How much longer a job counts as taking when a plan has no place at all for one of its tasks.
-  private static final double NOWHERE = 10;
+  // Factor on the duration of a job when a plan has no machine that can run one of its tasks.
+  private static final double UNPLACEABLE_TASK_FACTOR = 10;
 
-  /**
-   * One variable.
+  /*   * One variable of the problem: the number of machines of one kind.
    *
-   * @param least machines that are busy or must be kept ready
-   * @param most machines that the cloud has shown to give
-   * @param held when the lanes of the machines held are free, booting ones included
-   * @param up held machines that are up
-   * @param price highest price of the last minute
-   * @param takeBack chance that a machine is taken back within a window
+   * @param minCount number of machines that are busy or must be kept ready
+   * @param maxCount number of machines that the cloud is estimated to provide
+   * @param heldSlots when the task slots of the held machines become free, including machines that
+   *     are booting
+   * @param upCount number of held machines that are up
+   * @param pricePerHour highest price of the last minute
+   * @param reclaimChance probability that the cloud reclaims a machine within a window
    */
   record MachineKindState(
       MachineType type,
       boolean spot,
-      int least,
-      int most,
-      HeldTaskSlots held,
-      int up,
-      double price,
-      double takeBack) {}
+      int minCount,
+      int maxCount,
+      HeldTaskSlots heldSlots,
+      int upCount,
+      double pricePerHour,
+      double reclaimChance) {}
 
-  /**
-   * Equal tasks of one job, or of many small jobs alike, in the dry run.
+  /*   * Equal tasks of one job, or of many similar small jobs, in the dry run.
    *
-   * @param jobs as how many jobs they count in the mean
-   * @param allowed for each variable whether they may run there
-   * @param count how many
-   * @param endless replicas of a service: they never complete, so only their start counts
-   * @param arrivesS when they are there, 0 for waiting ones
+   * @param jobCount number of jobs as which the tasks count in the mean makespan
+   * @param allowed for each machine kind, whether the tasks may run on it
+   * @param taskCount number of tasks
+   * @param taskSlots number of task slots that one task occupies
+   * @param service whether the tasks are replicas of a service; these never complete, so only their
+   *     start time counts
+   * @param arrivesS time in seconds until the tasks arrive, 0 for waiting tasks
    */
   record DryTasks(
-      int jobs,
+      int jobCount,
       boolean[] allowed,
-      int count,
-      int lanes,
+      int taskCount,
+      int taskSlots,
       double runS,
-      boolean endless,
+      boolean service,
       double fetchGb,
       double arrivesS) {
 
-    /** Tasks of one job. */
+    /** Creates the tasks of one job. */
     DryTasks(
         boolean[] allowed,
-        int count,
-        int lanes,
+        int taskCount,
+        int taskSlots,
         double runS,
-        boolean endless,
+        boolean service,
         double fetchGb,
         double arrivesS) {
-      this(1, allowed, count, lanes, runS, endless, fetchGb, arrivesS);
+      this(1, allowed, taskCount, taskSlots, runS, service, fetchGb, arrivesS);
     }
   }
 
   @Override
   public double[] lower() {
-    return slots.stream().mapToDouble(MachineKindState::least).toArray();
+    return machineKinds.stream().mapToDouble(MachineKindState::minCount).toArray();
   }
 
   @Override
   public double[] upper() {
-    return slots.stream().mapToDouble(MachineKindState::most).toArray();
+    return machineKinds.stream().mapToDouble(MachineKindState::maxCount).toArray();
   }
 
-  /**
-   * A plan that holds the least, and beyond it machines for so large a share of what waits, where a
-   * CPU costs least: a place for the search to begin from, the same for the same demand.
+  /*   * Returns a starting point for the search: the minimum counts, plus machines for the given share
+   * of the waiting and expected work, the kinds with the lowest price per CPU first. The same demand
+   * yields the same starting point.
    */
-  double[] toward(double share) {
-    double[] x = lower();
-    double need = 0;
+  double[] seedForShare(double share) {
+    double[] counts = lower();
+    double neededCpus = 0;
     for (DryTasks dryTasks : tasks) {
-      need += share * dryTasks.count() * dryTasks.lanes() * laneCpus;
+      neededCpus += share * dryTasks.taskCount() * dryTasks.taskSlots() * taskSlotCpus;
     }
-    Integer[] order = new Integer[x.length];
-    Arrays.setAll(order, i -> i);
-    Arrays.sort(order, Comparator.comparingDouble(i -> CapacityFloors.perCpu(slots.get(i))));
-    for (int i : order) {
-      MachineKindState kind = slots.get(i);
-      double more = Math.min(kind.most() - x[i], Math.ceil(need / kind.type().cpus()));
-      if (more > 0) {
-        x[i] += more;
-        need -= more * kind.type().cpus();
+    Integer[] cheapestFirst = new Integer[counts.length];
+    Arrays.setAll(cheapestFirst, i -> i);
+    Arrays.sort(
+        cheapestFirst, Comparator.comparingDouble(i -> CapacityFloors.perCpu(machineKinds.get(i))));
+    for (int i : cheapestFirst) {
+      MachineKindState kind = machineKinds.get(i);
+      double added =
+          Math.min(kind.maxCount() - counts[i], Math.ceil(neededCpus / kind.type().cpus()));
+      if (added > 0) {
+        counts[i] += added;
+        neededCpus -= added * kind.type().cpus();
       }
     }
-    return x;
+    return counts;
   }
 
-  /** Whole machines. */
-  static int[] counts(double[] x) {
-    return Arrays.stream(x).mapToInt(v -> (int) Math.round(v)).toArray();
+  /** Rounds the variables to whole machines. */
+  static int[] roundToCounts(double[] variables) {
+    return Arrays.stream(variables).mapToInt(v -> (int) Math.round(v)).toArray();
   }
 
   @Override
-  public double[] evaluate(double[] x) {
-    int[] n = counts(x);
-    double spend = 0;
+  public double[] evaluate(double[] variables) {
+    int[] counts = roundToCounts(variables);
+    double costPerHour = 0;
     double risk = 0;
-    int machines = 0;
-    for (int i = 0; i < n.length; i++) {
-      MachineKindState kind = slots.get(i);
-      machines += n[i];
-      spend += n[i] * kind.price();
+    int machineCount = 0;
+    for (int i = 0; i < counts.length; i++) {
+      MachineKindState kind = machineKinds.get(i);
+      machineCount += counts[i];
+      costPerHour += counts[i] * kind.pricePerHour();
       if (kind.spot()) {
-        risk += n[i] * kind.type().cpus() * kind.takeBack();
+        risk += counts[i] * kind.type().cpus() * kind.reclaimChance();
       }
     }
-    if (machines == 0 || spend > budget) {
+    if (machineCount == 0 || costPerHour > budgetPerHour) {
       return null;
     }
-    return new double[] {makespan(n), spend, risk};
+    return new double[] {meanMakespanS(counts), costPerHour, risk};
   }
 
-  /**
-   * Places the jobs' tasks in order, each where it completes earliest; the mean of the jobs'
-   * makespans. The paper has one workflow, whose last task counts. Here each job is its user's
-   * workflow: with one makespan over all of them, a single long task would hide how long all others
-   * wait. Equal tasks that start together are placed at once, so that thousands of them cost no
-   * more than a few.
+  /*   * Returns the mean makespan of the jobs in a dry run that places the tasks in order, each on the
+   * machine kind where it completes earliest. The paper has one workflow, whose last task counts.
+   * Here each job is its user's workflow: with one makespan over all jobs, a single long task would
+   * hide how long all the others wait. Equal tasks that start at the same time are placed together,
+   * so that placing thousands of them costs no more than placing a few.
    */
-  double makespan(int[] n) {
-    FreeTaskSlots[] free = new FreeTaskSlots[n.length];
-    for (int i = 0; i < n.length; i++) {
-      MachineKindState kind = slots.get(i);
-      int perMachine = Math.max(1, (int) Math.floor(kind.type().cpus() / laneCpus + 1e-9));
-      free[i] = kind.held().free(n[i], perMachine, kind.type().bootS());
+  double meanMakespanS(int[] counts) {
+    FreeTaskSlots[] slotsByKind = new FreeTaskSlots[counts.length];
+    for (int i = 0; i < counts.length; i++) {
+      MachineKindState kind = machineKinds.get(i);
+      int slotsPerMachine = Math.max(1, (int) Math.floor(kind.type().cpus() / taskSlotCpus + 1e-9));
+      slotsByKind[i] = kind.heldSlots().slotsOf(counts[i], slotsPerMachine, kind.type().bootS());
     }
-    double sum = 0;
-    int jobs = 0;
+    double sumS = 0;
+    int jobCount = 0;
     for (DryTasks dryTasks : tasks) {
-      sum += dryTasks.jobs() * makespan(dryTasks, n, free);
-      jobs += dryTasks.jobs();
+      sumS += dryTasks.jobCount() * makespanS(dryTasks, counts, slotsByKind);
+      jobCount += dryTasks.jobCount();
     }
-    return jobs == 0 ? 0 : sum / jobs;
+    return jobCount == 0 ? 0 : sumS / jobCount;
   }
 
-  private double makespan(DryTasks dryTasks, int[] n, FreeTaskSlots[] free) {
-    double longest = 0;
-    double sum = 0;
-    for (int left = dryTasks.count(); left > 0; ) {
-      int best = -1;
-      double bestStart = 0;
-      double bestEnd = Double.POSITIVE_INFINITY;
-      for (int i = 0; i < free.length; i++) {
-        if (dryTasks.allowed()[i] && free[i].total() >= dryTasks.lanes()) {
-          double start = Math.max(dryTasks.arrivesS(), free[i].start(dryTasks.lanes()));
-          double end = start + fetchS(dryTasks, slots.get(i), start) + dryTasks.runS();
-          if (end < bestEnd) {
-            best = i;
-            bestStart = start;
-            bestEnd = end;
+  private double makespanS(DryTasks dryTasks, int[] counts, FreeTaskSlots[] slotsByKind) {
+    double longestS = 0;
+    double sumS = 0;
+    for (int remainingTasks = dryTasks.taskCount(); remainingTasks > 0; ) {
+      int bestKind = -1;
+      double bestStartS = 0;
+      double bestEndS = Double.POSITIVE_INFINITY;
+      for (int i = 0; i < slotsByKind.length; i++) {
+        if (dryTasks.allowed()[i] && slotsByKind[i].total() >= dryTasks.taskSlots()) {
+          double startS =
+              Math.max(dryTasks.arrivesS(), slotsByKind[i].earliestStartS(dryTasks.taskSlots()));
+          double endS = startS + fetchS(dryTasks, machineKinds.get(i), startS) + dryTasks.runS();
+          if (endS < bestEndS) {
+            bestKind = i;
+            bestStartS = startS;
+            bestEndS = endS;
           }
         }
       }
-      if (best < 0) {
-        // Nowhere to run under this plan: worse than any place.
-        return NOWHERE * (dryTasks.runS() + dryTasks.arrivesS() + 1);
+      if (bestKind < 0) {
+        // The plan has no machine for this task, which counts as worse than any placement.
+        return UNPLACEABLE_TASK_FACTOR * (dryTasks.runS() + dryTasks.arrivesS() + 1);
       }
-      int together = Math.max(1, Math.min(left, free[best].freeBy(bestStart) / dryTasks.lanes()));
-      free[best].occupy(together * dryTasks.lanes(), bestEnd);
-      double took = bestEnd - dryTasks.arrivesS() - (dryTasks.endless() ? dryTasks.runS() : 0);
-      longest = Math.max(longest, took);
-      sum += together * took;
-      left -= together;
+      int placedTasks =
+          Math.max(
+              1,
+              Math.min(
+                  remainingTasks,
+                  slotsByKind[bestKind].countFreeBy(bestStartS) / dryTasks.taskSlots()));
+      slotsByKind[bestKind].occupy(placedTasks * dryTasks.taskSlots(), bestEndS);
+      double durationS =
+          bestEndS - dryTasks.arrivesS() - (dryTasks.service() ? dryTasks.runS() : 0);
+      longestS = Math.max(longestS, durationS);
+      sumS += placedTasks * durationS;
+      remainingTasks -= placedTasks;
     }
-    // One job is as long as its last task; of many small ones the mean is what counts.
-    return dryTasks.jobs() == 1 ? longest : sum / dryTasks.count();
+    // The makespan of one job is that of its last task; many small jobs count with their mean.
+    return dryTasks.jobCount() == 1 ? longestS : sumS / dryTasks.taskCount();
   }
 
-  private static double fetchS(DryTasks dryTasks, MachineKindState kind, double start) {
-    return start > 0 || kind.up() == 0 ? dryTasks.fetchGb() / kind.type().fetchGbPerS() : 0;
+  private static double fetchS(DryTasks dryTasks, MachineKindState kind, double startS) {
+    return startS > 0 || kind.upCount() == 0 ? dryTasks.fetchGb() / kind.type().fetchGbPerS() : 0;
   }
 }
--- a/src/main/java/dapplestair/planning/FreeTaskSlots.java
+++ b/src/main/java/dapplestair/planning/FreeTaskSlots.java
@@ -2,83 +2,86 @@
 
 import java.util.Arrays;
 
-/** Lanes of one slot in a dry run: how many become free when, in order of time. */
+/** Task slots of one machine kind in a dry run, by the time at which they become free. */
 final class FreeTaskSlots {
-  private double[] at = new double[48];
-  private int[] lanes = new int[48];
+  private double[] freeAtS = new double[48];
+  private int[] slotCounts = new int[48];
   private int size;
   private int total;
 
-  /** So many lanes more are free from this moment on. */
-  void add(double moment, int count) {
+  /** Adds {@code count} task slots that are free from the given time on. */
+  void add(double timeS, int count) {
     if (count <= 0) {
       return;
     }
     total += count;
-    int i = Arrays.binarySearch(at, 0, size, moment);
+    int i = Arrays.binarySearch(freeAtS, 0, size, timeS);
     if (i >= 0) {
-      lanes[i] += count;
+      slotCounts[i] += count;
       return;
     }
     i = -i - 1;
-    if (size == at.length) {
-      at = Arrays.copyOf(at, 2 * size);
-      lanes = Arrays.copyOf(lanes, 2 * size);
+    if (size == freeAtS.length) {
+      freeAtS = Arrays.copyOf(freeAtS, 2 * size);
+      slotCounts = Arrays.copyOf(slotCounts, 2 * size);
     }
-    System.arraycopy(at, i, at, i + 1, size - i);
-    System.arraycopy(lanes, i, lanes, i + 1, size - i);
-    at[i] = moment;
-    lanes[i] = count;
+    System.arraycopy(freeAtS, i, freeAtS, i + 1, size - i);
+    System.arraycopy(slotCounts, i, slotCounts, i + 1, size - i);
+    freeAtS[i] = timeS;
+    slotCounts[i] = count;
     size++;
   }
 
-  /** Lanes in all. */
+  /** Returns the total number of task slots. */
   int total() {
     return total;
   }
 
-  /** When {@code count} lanes are free; infinity when there are not so many. */
-  double start(int count) {
+  /** Returns when {@code count} task slots are free, or infinity if there are fewer in total. */
+  double earliestStartS(int count) {
     int sum = 0;
     for (int i = 0; i < size; i++) {
-      sum += lanes[i];
+      sum += slotCounts[i];
       if (sum >= count) {
-        return at[i];
+        return freeAtS[i];
       }
     }
     return Double.POSITIVE_INFINITY;
   }
 
-  /** How many lanes are free at this moment. */
-  int freeBy(double moment) {
+  /** Returns the number of task slots that are free at the given time. */
+  int countFreeBy(double timeS) {
     int sum = 0;
-    for (int i = 0; i < size && at[i] <= moment; i++) {
-      sum += lanes[i];
+    for (int i = 0; i < size && freeAtS[i] <= timeS; i++) {
+      sum += slotCounts[i];
     }
     return sum;
   }
 
-  /** Occupies the {@code count} lanes that are free first until {@code end}. */
-  void occupy(int count, double end) {
-    add(end, remove(count));
+  /** Occupies the {@code count} task slots that become free first until {@code endS}. */
+  void occupy(int count, double endS) {
+    add(endS, remove(count));
   }
 
-  /** Takes up to {@code count} lanes away, those that are free first; returns how many. */
+  /**
+   * Removes up to {@code count} task slots, those that become free first, and returns how many it
+   * removed.
+   */
   int remove(int count) {
-    int left = count;
-    int used = 0;
-    while (left > 0 && used < size) {
-      int n = Math.min(left, lanes[used]);
-      lanes[used] -= n;
-      left -= n;
-      if (lanes[used] == 0) {
-        used++;
+    int remaining = count;
+    int emptied = 0;
+    while (remaining > 0 && emptied < size) {
+      int taken = Math.min(remaining, slotCounts[emptied]);
+      slotCounts[emptied] -= taken;
+      remaining -= taken;
+      if (slotCounts[emptied] == 0) {
+        emptied++;
       }
     }
-    System.arraycopy(at, used, at, 0, size - used);
-    System.arraycopy(lanes, used, lanes, 0, size - used);
-    size -= used;
-    total -= count - left;
-    return count - left;
+    System.arraycopy(freeAtS, emptied, freeAtS, 0, size - emptied);
+    System.arraycopy(slotCounts, emptied, slotCounts, 0, size - emptied);
+    size -= emptied;
+    total -= count - remaining;
+    return count - remaining;
   }
 }
--- a/src/main/java/dapplestair/planning/HeldTaskSlots.java
+++ b/src/main/java/dapplestair/planning/HeldTaskSlots.java
@@ -3,65 +3,64 @@
 import java.util.Arrays;
 import java.util.List;
 
-/**
- * When the lanes of a slot's held machines become free, summed up so that the price of one
- * evaluation does not grow with the fleet: times are rounded up to a few edges, and for every
- * number of machines the lanes free at each edge are known beforehand.
+/* * Records when the task slots of the held machines of one kind become free, aggregated so that the
+ * cost of one evaluation does not grow with the fleet: times are rounded up to a few edges, and the
+ * number of task slots that become free at each edge is precomputed for every number of machines.
  */
 final class HeldTaskSlots {
-  private static final int EDGES = 32;
+  private static final int EDGE_COUNT = 32;
 
-  /** Lanes that services occupy count as free only after this. */
-  static final double FOR_EVER_S = 1e6;
+  /** Time in seconds after which task slots that services occupy count as free. */
+  static final double NEVER_FREE_S = 1e6;
 
-  private final double[] edges;
-  private final int[][] firstMachines;
+  private final double[] edgesS;
+  private final int[][] slotsAtEdgeByMachineCount;
 
-  /**
-   * Machines in the order in which plans keep them.
+  /*   * Creates the table for machines that are listed in the order in which plans keep them.
    *
-   * @param freeAtS for each machine, when each of its lanes is free, from now
-   * @param horizonS the last moment to tell apart from for ever
+   * @param freeAtS for each machine, the time in seconds from now until each of its task slots is
+   *     free
+   * @param horizonS the latest time that is distinguished from {@code NEVER_FREE_S}
    */
   HeldTaskSlots(List<double[]> freeAtS, double horizonS) {
-    edges = new double[EDGES];
-    for (int i = 0; i < EDGES - 1; i++) {
-      // Finer near now, where plans differ most.
-      double part = i / (double) (EDGES - 2);
-      edges[i] = horizonS * part * part;
+    edgesS = new double[EDGE_COUNT];
+    for (int i = 0; i < EDGE_COUNT - 1; i++) {
+      // Edges are denser at early times, where plans differ most.
+      double fraction = i / (double) (EDGE_COUNT - 2);
+      edgesS[i] = horizonS * fraction * fraction;
     }
-    edges[EDGES - 1] = FOR_EVER_S;
-    firstMachines = new int[freeAtS.size() + 1][];
-    firstMachines[0] = new int[EDGES];
+    edgesS[EDGE_COUNT - 1] = NEVER_FREE_S;
+    slotsAtEdgeByMachineCount = new int[freeAtS.size() + 1][];
+    slotsAtEdgeByMachineCount[0] = new int[EDGE_COUNT];
     for (int m = 0; m < freeAtS.size(); m++) {
-      int[] sum = firstMachines[m].clone();
-      for (double at : freeAtS.get(m)) {
-        sum[edge(at)]++;
+      int[] slotsAtEdge = slotsAtEdgeByMachineCount[m].clone();
+      for (double slotFreeAtS : freeAtS.get(m)) {
+        slotsAtEdge[edgeIndex(slotFreeAtS)]++;
       }
-      firstMachines[m + 1] = sum;
+      slotsAtEdgeByMachineCount[m + 1] = slotsAtEdge;
     }
   }
 
-  private int edge(double at) {
-    int found = Arrays.binarySearch(edges, at);
-    return Math.min(EDGES - 1, found >= 0 ? found : -found - 1);
+  private int edgeIndex(double timeS) {
+    int found = Arrays.binarySearch(edgesS, timeS);
+    return Math.min(EDGE_COUNT - 1, found >= 0 ? found : -found - 1);
   }
 
-  /** Machines held. */
-  int machines() {
-    return firstMachines.length - 1;
+  /** Returns the number of held machines. */
+  int machineCount() {
+    return slotsAtEdgeByMachineCount.length - 1;
   }
 
-  /**
-   * The lanes of the first {@code count} machines, and of new ones that are up after {@code bootS}.
+  /*   * Returns the task slots of the first {@code count} machines. Machines beyond the held ones are
+   * new and up after {@code bootS} seconds.
    */
-  FreeTaskSlots free(int count, int lanesPerMachine, double bootS) {
-    FreeTaskSlots out = new FreeTaskSlots();
-    int held = Math.min(count, machines());
-    for (int e = 0; e < EDGES; e++) {
-      out.add(edges[e], firstMachines[held][e]);
+  FreeTaskSlots slotsOf(int count, int slotsPerMachine, double bootS) {
+    FreeTaskSlots freeSlots = new FreeTaskSlots();
+    int heldCount = Math.min(count, machineCount());
+    for (int edge = 0; edge < EDGE_COUNT; edge++) {
+      freeSlots.add(edgesS[edge], slotsAtEdgeByMachineCount[heldCount][edge]);
     }
-    out.add(bootS, (count - held) * lanesPerMachine);
-    return out;
+    freeSlots.add(bootS, (count - heldCount) * slotsPerMachine);
+    return freeSlots;
   }
 }
--- a/src/main/java/dapplestair/planning/Nsga2.java
+++ b/src/main/java/dapplestair/planning/Nsga2.java
@@ -5,20 +5,20 @@
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/**
- * NSGA-II: binary tournament on rank and crowding, simulated binary crossover, polynomial mutation,
- * survival by non-dominated fronts. Individuals that break a constraint are dropped.
+/* * Implements the NSGA-II algorithm: binary tournament on rank and crowding distance, simulated
+ * binary crossover, polynomial mutation and survival by non-dominated fronts. Individuals that break
+ * a constraint are dropped.
  */
 public final class Nsga2 {
-  /** What is minimised. */
+  /** A problem whose costs are minimized. */
   public interface Problem {
-    /** Least value of each variable. */
+    /** Returns the lower bound of each variable. */
     double[] lower();
 
-    /** Greatest value of each variable. */
+    /** Returns the upper bound of each variable. */
     double[] upper();
 
-    /** The costs of a candidate, or null when it breaks a constraint. */
+    /** Returns the costs of a candidate, or null if it breaks a constraint. */
     double[] evaluate(double[] variables);
   }
 
@@ -34,18 +34,18 @@
       this.costs = costs;
     }
 
-    /** Its variables. */
+    /** Returns the variables of this candidate. */
     public double[] variables() {
       return variables;
     }
 
-    /** Its costs. */
+    /** Returns the costs of this candidate. */
     public double[] costs() {
       return costs;
     }
   }
 
-  // The usual values of the operators' distribution indices.
+  // Usual values of the distribution indices of the crossover and mutation operators.
   private static final double CROSSOVER_INDEX = 15;
   private static final double MUTATION_INDEX = 20;
   private static final double CROSSOVER_CHANCE = 0.9;
@@ -55,14 +55,14 @@
   private final int evaluations;
   private int spent;
 
-  /** A search of a given size. */
+  /** Creates a search with the given population size and maximum number of evaluations. */
   public Nsga2(UniformRandomProvider random, int population, int evaluations) {
     this.random = random;
     this.population = population;
     this.evaluations = evaluations;
   }
 
-  /** Searches, beginning from the given candidates and random ones; returns the first front. */
+  /** Searches from the given candidates and random ones, and returns the non-dominated front. */
   public List<Individual> search(Problem problem, List<double[]> seeds) {
     spent = 0;
     List<Individual> parents = new ArrayList<>();
@@ -168,7 +168,9 @@
     return out;
   }
 
-  /** Sorts into non-dominated fronts and sets each one's rank and crowding. */
+  /**
+   * Sorts individuals into non-dominated fronts and sets the rank and crowding distance of each.
+   */
   static List<List<Individual>> rank(List<Individual> all) {
     List<List<Individual>> fronts = new ArrayList<>();
     List<Individual> left = new ArrayList<>(all);
@@ -207,7 +209,7 @@
     }
   }
 
-  /** True when {@code a} is nowhere worse than {@code b} and somewhere better. */
+  /** Returns whether {@code a} is worse than {@code b} in no cost and better in at least one. */
   static boolean dominates(double[] a, double[] b) {
     boolean better = false;
     for (int i = 0; i < a.length; i++) {
@@ -219,9 +221,9 @@
     return better;
   }
 
-  /**
-   * The member of a front nearest the origin, each cost first divided by its greatest value on the
-   * front and multiplied by its weight; a cost that is zero all over the front is left out.
+  /*   * Returns the member of a front nearest the origin, after dividing each cost by its greatest value
+   * on the front and multiplying it by its weight. A cost that is zero on the whole front is left
+   * out.
    */
   public static Individual nearestOrigin(List<Individual> front, double... weights) {
     int costs = front.get(0).costs.length;
@@ -236,9 +238,9 @@
         .orElseThrow();
   }
 
-  /**
-   * The same, but for a plan that stands already: another one takes its place only if it is nearer
-   * to the origin by more than {@code inertia}, a ratio. So chance in the search does not move it.
+  /*   * Returns the member of a front nearest the origin, but prefers {@code current}, the individual in
+   * effect: another one replaces it only if it is nearer to the origin by more than the ratio {@code
+   * inertia}. This keeps randomness in the search from changing the result.
    */
   static Individual nearestOrigin(
       List<Individual> front, Individual standing, double inertia, double... weights) {
--- a/src/main/java/dapplestair/planning/ZoneDemand.java
+++ b/src/main/java/dapplestair/planning/ZoneDemand.java
@@ -17,21 +17,20 @@
 import java.util.Map;
 import java.util.Set;
 
-/**
- * Machines that waiting jobs lack in the one zone that their users allow. A plan counts machines by
- * type and pricing over all zones, so to it an idle machine anywhere is room for such a job.
+/* * Determines the machines that waiting jobs lack in the single zone that their users allow. A plan
+ * counts machines by type and pricing over all zones, so it takes an idle machine in any zone for
+ * capacity for such a job.
  */
 final class ZoneDemand {
   private static final double EPSILON = 1e-9;
 
-  /**
-   * Machines that a job lacks in its zone.
+  /*   * The machines that a job lacks in its zone.
    *
-   * @param overdue the job has lacked them for longer than one boots
+   * @param overdue whether the job has lacked them for longer than a machine takes to boot
    */
   record Shortage(MachineKind kind, String zone, int machines, boolean overdue) {}
 
-  /** What a machine that is up, booting or being rented still has for the jobs looked at. */
+  /** Free resources of a machine that is up, booting or being rented. */
   private static final class FreeCapacity {
     final String zone;
     final MachineType type;
@@ -64,7 +63,7 @@
       return new FreeCapacity(zone, type, spot, type.cpus(), type.memoryGb(), type.gpus());
     }
 
-    /** Takes up to {@code most} tasks of the job; returns how many. */
+    /** Places up to {@code maxTasks} tasks of the job and returns how many it placed. */
     int take(Submission submission, int most) {
       if (!zone.equals(submission.zone())
           || !type.suits(submission)
@@ -96,7 +95,7 @@
     this.types = types;
   }
 
-  /** Looks anew: what waiting jobs lack, oldest first. */
+  /** Recomputes and returns the machines that waiting jobs lack, oldest job first. */
   List<Shortage> shortages() {
     waitedFor.clear();
     List<Shortage> out = new ArrayList<>();
@@ -122,7 +121,10 @@
     return out;
   }
 
-  /** True when some job waited for room in this zone alone, at the last look. */
+  /**
+   * Returns whether the last call of {@link #shortages} found a waiting job that may run in this
+   * zone only.
+   */
   boolean waitsFor(String zone) {
     return waitedFor.contains(zone);
   }
@@ -132,7 +134,9 @@
     waitedFor.clear();
   }
 
-  /** Tasks that may start nowhere but in one zone and that the team's limit allows now. */
+  /**
+   * Returns the number of tasks that may run in a single zone only and fit the team's limit now.
+   */
   private int waitingInOneZone(Job job) {
     if (job.over() || job.spec().zone() == null) {
       return 0;
@@ -163,7 +167,10 @@
     return out;
   }
 
-  /** The slot that costs least a CPU, of those in which the zone may have more; null if none. */
+  /**
+   * Returns the machine kind with the lowest price per CPU among those of which more may be rented
+   * in the zone, or null if there is none.
+   */
   private MachineKind cheapest(Submission submission) {
     MachineKind best = null;
     double least = Double.POSITIVE_INFINITY;
@@ -181,7 +188,10 @@
     return best;
   }
 
-  /** What machines would do for so many tasks; they are room for the jobs looked at next. */
+  /**
+   * Returns the machines needed for this number of tasks, and adds them to {@code capacities} so
+   * that jobs examined later can use what is left of them.
+   */
   private Shortage shortage(
       Submission submission, MachineKind kind, int tasks, List<FreeCapacity> rooms) {
     MachineType type = types.get(kind.type());
--- a/src/main/java/dapplestair/replacement/SurgeCapacity.java
+++ b/src/main/java/dapplestair/replacement/SurgeCapacity.java
@@ -31,11 +31,11 @@
 
   /** How many of {@code beyond} machines the budget pays for beside the plan. */
   int affords(Map<MachineKind, Integer> batch, int beyond) {
-    Autoscaler.AppliedPlan plan = autoscaler.applied();
+    Autoscaler.AppliedPlan plan = autoscaler.appliedPlan();
     if (plan == null) {
       return 0;
     }
-    double left = plan.budgetPerHour() - plan.perHour();
+    double left = plan.budgetPerHour() - plan.costPerHour();
     if (Double.isNaN(left)) {
       return beyond;
     }
@@ -93,7 +93,7 @@
 
   /** True when all that plan and order want is up and heard. */
   boolean ready(Map<MachineKind, Integer> batch, ToIntFunction<MachineKind> extra) {
-    Autoscaler.AppliedPlan plan = autoscaler.applied();
+    Autoscaler.AppliedPlan plan = autoscaler.appliedPlan();
     if (plan == null) {
       return false;
     }
--- a/src/test/java/dapplestair/planning/DryRunEntriesTest.java
+++ b/src/test/java/dapplestair/planning/DryRunEntriesTest.java
@@ -37,7 +37,10 @@
     return Submission.parse(o);
   }
 
-  /** Found on a day whose first plans rented nothing for 8,000 tasks behind 289 services. */
+  /**
+   * Guards against small jobs that use up all entries of the dry run: in a simulated day, the first
+   * plans rented nothing for 8,000 tasks that were ordered behind 289 services.
+   */
   @Test
   void manySmallJobsHideNoArray() throws Submission.InvalidSubmissionException {
     List<DryRunEntries.PendingTasks> pending = new ArrayList<>();
@@ -53,11 +56,12 @@
           new DryRunEntries.PendingTasks(job(3000 + i, "sweep", 90, 4, 40), 90, 200 + i, 0));
     }
     List<DryTasks> entries =
-        new DryRunEntries(List.of(), 2, 15, 60, new RuntimeEstimates()).of(pending);
-    assertEquals(30, entries.stream().filter(e -> e.count() == 90).count(), "arrays");
+        new DryRunEntries(List.of(), 2, 15, 60, new RuntimeEstimates()).entriesFor(pending);
+    assertEquals(30, entries.stream().filter(e -> e.taskCount() == 90).count(), "arrays");
     assertEquals(
-        400 * 3 + 900 + 30 * 90, entries.stream().mapToInt(DryTasks::count).sum(), "tasks");
-    int small = entries.stream().filter(e -> e.count() != 90).mapToInt(DryTasks::jobs).sum();
+        400 * 3 + 900 + 30 * 90, entries.stream().mapToInt(DryTasks::taskCount).sum(), "tasks");
+    int small =
+        entries.stream().filter(e -> e.taskCount() != 90).mapToInt(DryTasks::jobCount).sum();
     assertTrue(small <= 60, "small jobs count as " + small + " in the mean, arrays as 30");
     assertTrue(entries.size() < 50, entries.size() + " entries");
   }
--- a/src/test/java/dapplestair/planning/HeldTaskSlotsTest.java
+++ b/src/test/java/dapplestair/planning/HeldTaskSlotsTest.java
@@ -13,7 +13,7 @@
     for (int m = 0; m < n; m++) {
       double[] until = new double[16];
       for (int l = 0; l < 16; l++) {
-        until[l] = l < 4 ? HeldTaskSlots.FOR_EVER_S : (m * 16 + l) % 97;
+        until[l] = l < 4 ? HeldTaskSlots.NEVER_FREE_S : (m * 16 + l) % 97;
       }
       out.add(until);
     }
@@ -23,27 +23,34 @@
   @Test
   void countsTheLanesOfTheFirstMachines() {
     HeldTaskSlots held = new HeldTaskSlots(machines(40), 100);
-    assertEquals(16 * 25, held.free(25, 16, 30).total());
-    assertEquals(16 * 50, held.free(50, 16, 30).total());
-    assertEquals(12 * 25, held.free(25, 16, 30).freeBy(100));
+    assertEquals(16 * 25, held.slotsOf(25, 16, 30).total());
+    assertEquals(16 * 50, held.slotsOf(50, 16, 30).total());
+    assertEquals(12 * 25, held.slotsOf(25, 16, 30).countFreeBy(100));
   }
 
   @Test
   void roundsUpOnly() {
     HeldTaskSlots held = new HeldTaskSlots(List.of(new double[] {7.3, 0}), 100);
-    FreeTaskSlots free = held.free(1, 2, 30);
-    assertEquals(0, free.start(1));
-    assertTrue(free.start(2) >= 7.3 && free.start(2) < 15, "free at " + free.start(2));
+    FreeTaskSlots free = held.slotsOf(1, 2, 30);
+    assertEquals(0, free.earliestStartS(1));
+    assertTrue(
+        free.earliestStartS(2) >= 7.3 && free.earliestStartS(2) < 15,
+        "free at " + free.earliestStartS(2));
   }
 
-  /** The price of one evaluation does not grow with the fleet: so many moments and no more. */
+  /**
+   * The number of distinct times is bounded, so that the cost of one evaluation does not grow with
+   * the fleet.
+   */
   @Test
   void momentsStayFewHoweverManyMachines() {
     for (int n : new int[] {10, 100, 1500}) {
-      FreeTaskSlots free = new HeldTaskSlots(machines(n), 100).free(n + 10, 16, 30);
+      FreeTaskSlots free = new HeldTaskSlots(machines(n), 100).slotsOf(n + 10, 16, 30);
       int moments = 0;
-      while (free.total() > 0 && free.start(1) < Double.POSITIVE_INFINITY && moments < 1000) {
-        free.remove(free.freeBy(free.start(1)));
+      while (free.total() > 0
+          && free.earliestStartS(1) < Double.POSITIVE_INFINITY
+          && moments < 1000) {
+        free.remove(free.countFreeBy(free.earliestStartS(1)));
         moments++;
       }
       assertTrue(moments <= 33, moments + " moments for " + n + " machines");
@@ -57,8 +64,8 @@
     free.add(10, 4);
     free.occupy(6, 50);
     assertEquals(8, free.total());
-    assertEquals(10, free.start(1));
-    assertEquals(50, free.start(3));
-    assertEquals(Double.POSITIVE_INFINITY, free.start(9));
+    assertEquals(10, free.earliestStartS(1));
+    assertEquals(50, free.earliestStartS(3));
+    assertEquals(Double.POSITIVE_INFINITY, free.earliestStartS(9));
   }
 }
--- a/src/test/java/dapplestair/planning/Nsga2Test.java
+++ b/src/test/java/dapplestair/planning/Nsga2Test.java
@@ -7,7 +7,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 
-/** The search on problems whose front is known. */
+/** Runs the search on problems whose front is known. */
 class Nsga2Test {
   private record Box(int size, double low, double high, Function f) implements Nsga2.Problem {
     interface Function {
@@ -41,7 +41,7 @@
         .search(p, List.of());
   }
 
-  /** Minimise x^2 and (x-2)^2: the front is x from 0 to 2. */
+  /** Minimizes x^2 and (x-2)^2, whose front is x from 0 to 2. */
   @Test
   void findsTheFrontOfTwoParabolas() {
     var front =
@@ -56,7 +56,7 @@
     assertTrue(least < 0.2 && most > 1.8, "only from " + least + " to " + most);
   }
 
-  /** ZDT1 in five variables: the front has g = 1, so f2 = 1 - sqrt(f1). */
+  /** Minimizes ZDT1 in five variables, whose front has g = 1, so f2 = 1 - sqrt(f1). */
   @Test
   void comesNearTheFrontOfZdt1() {
     var front =
@@ -88,7 +88,8 @@
 
   @Test
   void choosesNearestTheOriginAfterScaling() {
-    // Scaled by the greatest of each cost (100 and 1): 0.2+1, 0.5+0.4, 1+0.1. The third is zero.
+    // The first two costs are divided by their greatest values (100 and 1), which gives 0.2 and 1,
+    // 0.5 and 0.4, 1 and 0.1. The third cost is zero on the whole front.
     List<Nsga2.Individual> front =
         List.of(
             new Nsga2.Individual(new double[] {0}, new double[] {20, 1, 0}),
--- a/src/test/java/dapplestair/planning/PlanSelectorTest.java
+++ b/src/test/java/dapplestair/planning/PlanSelectorTest.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/**
- * The front of the first plan after a burst from a cold start, as logged on seed 5016 of {@code
- * BurstTest}: machines held, makespan in seconds, spend per hour.
+/* * Tests the selection on the front of the first plan after a burst from a cold start, as logged in
+ * {@code BurstTest} with seed 5016. Each row holds the machines held, the makespan in seconds and
+ * the spend per hour.
  */
 class PlanSelectorTest {
   private static final double[][] LOGGED = {
@@ -49,38 +49,38 @@
 
   @Test
   void aBurstIsNotAnsweredByDozensOfMachines() {
-    assertTrue(machines(choice.of(front(0), null)) >= 375 / 2.0);
+    assertTrue(machines(choice.select(front(0), null)) >= 375 / 2.0);
   }
 
-  /** Nobody would take them, so whether the search found them must not matter. */
+  /** The slowest plans are never selected, so their presence on the front must not matter. */
   @Test
   void theSlowestPlansDoNotMoveTheChoice() {
-    double without = machines(choice.of(front(5), null));
+    double without = machines(choice.select(front(5), null));
     for (int from = 0; from < 5; from++) {
-      assertEquals(without, machines(choice.of(front(from), null)), "from plan " + from);
+      assertEquals(without, machines(choice.select(front(from), null)), "from plan " + from);
     }
   }
 
-  /** The plan that stands is no longer in time when a burst arrives. */
+  /** When a burst arrives, the current plan is too slow and must be replaced. */
   @Test
   void aPlanThatIsTooSlowDoesNotStand() {
     Nsga2.Individual tooSlow = plan(LOGGED[4]);
-    assertTrue(machines(choice.of(front(0), tooSlow)) > machines(tooSlow));
+    assertTrue(machines(choice.select(front(0), tooSlow)) > machines(tooSlow));
   }
 
   @Test
   void aPlanAboutAsNearStands() {
-    Nsga2.Individual nearest = choice.of(front(0), null);
+    Nsga2.Individual nearest = choice.select(front(0), null);
     Nsga2.Individual standing =
         new Nsga2.Individual(new double[] {machines(nearest) + 1}, nearest.costs().clone());
-    assertSame(standing, choice.of(front(0), standing));
+    assertSame(standing, choice.select(front(0), standing));
   }
 
-  /** With nothing to place, all makespans are zero, and the cheapest plan is taken. */
+  /** With nothing to place, all makespans are zero, and the cheapest plan is selected. */
   @Test
   void withoutWorkTheCheapestIsTaken() {
     List<Nsga2.Individual> idle =
         List.of(plan(new double[] {3, 0, 1.2}), plan(new double[] {1, 0, 0.4}));
-    assertEquals(1, machines(choice.of(idle, null)));
+    assertEquals(1, machines(choice.select(idle, null)));
   }
 }
--- a/src/test/java/dapplestair/planning/PlanStabilityTest.java
+++ b/src/test/java/dapplestair/planning/PlanStabilityTest.java
@@ -12,7 +12,10 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 
-/** The same demand gets the same plan, whatever chance the search has; other demand another. */
+/**
+ * Checks that unchanged demand keeps its plan whatever random numbers the search draws, and that
+ * changed demand gets a different plan.
+ */
 class PlanStabilityTest {
   private static final double INERTIA = 0.05;
   private static final double[] WEIGHTS = {2.1, 1, 0.5};
@@ -25,7 +28,7 @@
         t, spot, spot ? 0 : 5, 400, new HeldTaskSlots(List.of(), 50), 0, price, spot ? 0.1 : 0);
   }
 
-  /** Eight variables and as many arrays as are asked for. */
+  /** Creates a problem with eight variables and the given number of arrays. */
   private static FleetProblem problem(int jobs) {
     List<FleetProblem.MachineKindState> slots = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
@@ -42,14 +45,14 @@
     return new FleetProblem(slots, tasks, 2, 1e9);
   }
 
-  /** How many different plans so many rounds choose, one after the other. */
+  /** Returns the number of different plans that 25 consecutive rounds choose. */
   private static int plans(FleetProblem problem, boolean standing) {
     Set<List<Integer>> out = new HashSet<>();
     double[] last = null;
     for (int round = 0; round < 25; round++) {
       List<double[]> seeds = new ArrayList<>(List.of(problem.lower()));
       if (standing) {
-        Autoscaler.addShares(problem, seeds);
+        Autoscaler.addShareSeeds(problem, seeds);
         if (last != null) {
           seeds.add(last);
         }
@@ -62,7 +65,7 @@
               : Nsga2.nearestOrigin(
                   front, new Nsga2.Individual(last, problem.evaluate(last)), INERTIA, WEIGHTS);
       last = chosen.variables();
-      out.add(Arrays.stream(FleetProblem.counts(last)).boxed().toList());
+      out.add(Arrays.stream(FleetProblem.roundToCounts(last)).boxed().toList());
     }
     return out.size();
   }
@@ -75,7 +78,7 @@
     assertTrue(with <= 4, with + " plans of 25");
   }
 
-  /** A plan does not stand against demand that has changed. */
+  /** A plan is replaced when the demand has changed. */
   @Test
   void otherDemandGetsAnotherPlan() {
     FleetProblem few = problem(10);
@@ -88,7 +91,7 @@
 
   private static double[] chosen(FleetProblem problem, double[] last) {
     List<double[]> seeds = new ArrayList<>(List.of(problem.lower()));
-    Autoscaler.addShares(problem, seeds);
+    Autoscaler.addShareSeeds(problem, seeds);
     if (last != null) {
       seeds.add(last);
     }
@@ -104,17 +107,20 @@
   private static double cpus(FleetProblem problem, double[] x) {
     double sum = 0;
     for (int i = 0; i < x.length; i++) {
-      sum += x[i] * problem.slots().get(i).type().cpus();
+      sum += x[i] * problem.machineKinds().get(i).type().cpus();
     }
     return sum;
   }
 
-  /** A share of what waits: within the bounds, cheapest first, all of it for one. */
+  /**
+   * Starting points for a share of the waiting work stay within the bounds and use the cheapest
+   * kind first; a share of 1 has capacity for all of the work.
+   */
   @Test
   void sharesStayWithinTheBounds() {
     FleetProblem p = problem(40);
-    double[] all = p.toward(1);
-    double[] quarter = p.toward(0.25);
+    double[] all = p.seedForShare(1);
+    double[] quarter = p.seedForShare(0.25);
     for (int i = 0; i < all.length; i++) {
       assertTrue(all[i] >= p.lower()[i] && all[i] <= p.upper()[i]);
       assertTrue(quarter[i] <= all[i]);
