--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -75,7 +75,7 @@
 
   @Override
   public void arrived(Job job) {
-    demand.arrived(job.spec());
+    demand.addArrival(job.spec());
     events.note(Events.Kind.ACCEPTED, o -> EventFields.of(o, job));
   }
 
--- a/src/main/java/dapplestair/node/OperationsComponents.java
+++ b/src/main/java/dapplestair/node/OperationsComponents.java
@@ -37,7 +37,7 @@
             core.workers,
             new DrainExecutor(clock, core.workers, scheduling.fleet, scheduling.disruptionGate),
             core.events);
-    scheduling.demand.drainsLackRoom(drains::lackRoom);
+    scheduling.demand.setDrainsLackCapacity(drains::lackRoom);
     replacements =
         new Replacements(
             clock,
--- a/src/main/java/dapplestair/node/SchedulingComponents.java
+++ b/src/main/java/dapplestair/node/SchedulingComponents.java
@@ -93,7 +93,7 @@
             disruptionGate,
             lanes,
             calendars,
-            demand::roomForServices,
+            demand::cpusForServices,
             operatorSettings.beginWithinMs());
     lanes.wire(placer::nudge, placer::shelters);
     reclaimNoticeHandler = new ReclaimNoticeHandler(clock, disruptionGate, core.estimates);
--- a/src/main/java/dapplestair/planning/Autoscaler.java
+++ b/src/main/java/dapplestair/planning/Autoscaler.java
@@ -87,7 +87,7 @@
     this.fleet = fleet;
     this.types = types;
     this.demand = demand;
-    this.zoneDemand = demand.inOneZone();
+    this.zoneDemand = demand.zoneDemand();
   }
 
   /**
@@ -165,7 +165,7 @@
   }
 
   private void runRound() {
-    if (!demand.ready() || !types.known()) {
+    if (!demand.isReady() || !types.known()) {
       // The ledger or the machine types are not loaded yet, so nothing can be planned. Retry soon
       // instead of waiting for a whole interval.
       scheduleRound(operatorSettings.planIntervalMs() / 10);
@@ -291,7 +291,9 @@
   private void rentInZone(ZoneDemand.Shortage shortage) {
     int missingCount = plan.getOrDefault(shortage.kind(), 0) - fleet.holding(shortage.kind());
     int maxCount =
-        shortage.overdue() ? shortage.machines() : Math.min(shortage.machines(), missingCount);
+        shortage.overdue()
+            ? shortage.machineCount()
+            : Math.min(shortage.machineCount(), missingCount);
     fleet.rentIn(shortage.kind(), shortage.zone(), maxCount);
   }
 
@@ -301,7 +303,7 @@
     int heldCount = fleet.holding(kind);
     if (wantedCount >= heldCount) {
       roundsWantingFewer.remove(kind);
-      fleet.cordon(kind, 0, zoneDemand::waitsFor);
+      fleet.cordon(kind, 0, zoneDemand::hasDemandIn);
       if (wantedCount > heldCount) {
         fleet.rent(kind, wantedCount - heldCount);
       }
@@ -314,7 +316,7 @@
     }
     int rounds = roundsWantingFewer.merge(kind, 1, Integer::sum);
     if (rounds >= operatorSettings.returnAfterRounds() / 2) {
-      fleet.cordon(kind, heldCount - wantedCount, zoneDemand::waitsFor);
+      fleet.cordon(kind, heldCount - wantedCount, zoneDemand::hasDemandIn);
     }
     if (rounds >= roundsBeforeReturn(kind)) {
       List<Host> idle = fleet.returnable(kind);
--- a/src/main/java/dapplestair/planning/CapacityFloors.java
+++ b/src/main/java/dapplestair/planning/CapacityFloors.java
@@ -20,8 +20,8 @@
 final class CapacityFloors {
   private final Clock clock;
   private final Ledger ledger;
-  private final Map<String, Long> waitingSince = new HashMap<>();
-  private BooleanSupplier drainsLackRoom = () -> false;
+  private final Map<String, Long> waitingSinceMsByJob = new HashMap<>();
+  private BooleanSupplier drainsLackCapacity = () -> false;
 
   CapacityFloors(Clock clock, Ledger ledger) {
     this.clock = clock;
@@ -33,88 +33,91 @@
    * lost with a machine restart at once. Work that may be stopped uses that capacity in the
    * meantime.
    */
-  List<MachineKindState> forServices(List<MachineKindState> slots, List<Submission> soon) {
-    double need = 0;
+  List<MachineKindState> forServices(List<MachineKindState> kinds, List<Submission> expectedJobs) {
+    double neededCpus = 0;
     for (Job job : ledger.jobs()) {
       if (!job.over() && !job.spec().spot()) {
-        need += job.spec().cpus() * (job.wanted(clock.now()) + job.held());
+        neededCpus += job.spec().cpus() * (job.wanted(clock.now()) + job.held());
       }
     }
-    for (Submission s : soon) {
-      if (!s.spot()) {
-        need += s.cpus() * s.steps();
+    for (Submission submission : expectedJobs) {
+      if (!submission.spot()) {
+        neededCpus += submission.cpus() * submission.steps();
       }
     }
-    double room = 0;
-    double largest = 0;
-    for (MachineKindState s : slots) {
-      if (!s.spot() && s.minCount() > 0) {
-        room += s.minCount() * s.type().cpus();
-        largest = Math.max(largest, s.type().cpus());
+    double floorCpus = 0;
+    double largestMachineCpus = 0;
+    for (MachineKindState kind : kinds) {
+      if (!kind.spot() && kind.minCount() > 0) {
+        floorCpus += kind.minCount() * kind.type().cpus();
+        largestMachineCpus = Math.max(largestMachineCpus, kind.type().cpus());
       }
     }
-    if (need > 0 && largest == 0) {
-      largest = slots.stream().mapToDouble(s -> s.type().cpus()).min().orElse(0);
+    if (neededCpus > 0 && largestMachineCpus == 0) {
+      largestMachineCpus = kinds.stream().mapToDouble(s -> s.type().cpus()).min().orElse(0);
     }
     // When replicas on drained machines have nowhere to go, the spare capacity lies in zones that
     // already have as many replicas as they may, so each zone gets a spare machine.
-    need += need > 0 ? largest * (drainsLackRoom.getAsBoolean() ? zones(slots) : 1) : 0;
-    double stranded = strandedCpus(slots);
+    neededCpus +=
+        neededCpus > 0
+            ? largestMachineCpus * (drainsLackCapacity.getAsBoolean() ? zoneCount(kinds) : 1)
+            : 0;
+    double stranded = strandedCpus(kinds);
     if (stranded > 0) {
       // Replicas have waited for longer than a boot although there is free capacity: it lies in
       // zones that already have as many replicas as they may. The next machine is rented in the
       // zone that has the fewest.
-      double up = 0;
-      for (MachineKindState s : slots) {
-        up += s.spot() ? 0 : s.upCount() * s.type().cpus();
+      double upCpus = 0;
+      for (MachineKindState kind : kinds) {
+        upCpus += kind.spot() ? 0 : kind.upCount() * kind.type().cpus();
       }
-      need = Math.max(need, up + stranded);
+      neededCpus = Math.max(neededCpus, upCpus + stranded);
     }
-    List<MachineKindState> out = new ArrayList<>(slots);
-    while (room < need) {
+    List<MachineKindState> raised = new ArrayList<>(kinds);
+    while (floorCpus < neededCpus) {
       int cheapest = -1;
-      for (int i = 0; i < out.size(); i++) {
-        MachineKindState s = out.get(i);
-        if (!s.spot()
-            && s.minCount() < s.maxCount()
-            && (cheapest < 0 || perCpu(s) < perCpu(out.get(cheapest)))) {
+      for (int i = 0; i < raised.size(); i++) {
+        MachineKindState kind = raised.get(i);
+        if (!kind.spot()
+            && kind.minCount() < kind.maxCount()
+            && (cheapest < 0 || pricePerCpu(kind) < pricePerCpu(raised.get(cheapest)))) {
           cheapest = i;
         }
       }
       if (cheapest < 0) {
         break;
       }
-      MachineKindState s = out.get(cheapest);
-      out.set(cheapest, withLeast(s, s.minCount() + 1));
-      room += s.type().cpus();
+      MachineKindState kind = raised.get(cheapest);
+      raised.set(cheapest, withMinCount(kind, kind.minCount() + 1));
+      floorCpus += kind.type().cpus();
     }
-    return out;
+    return raised;
   }
 
   /** Sets the check for whether drained machines hold replicas that have nowhere to go. */
-  void drainsLackRoom(BooleanSupplier lack) {
-    drainsLackRoom = lack;
+  void setDrainsLackCapacity(BooleanSupplier check) {
+    drainsLackCapacity = check;
   }
 
-  private static int zones(List<MachineKindState> slots) {
-    return slots.stream().mapToInt(s -> s.type().zones().size()).max().orElse(1);
+  private static int zoneCount(List<MachineKindState> kinds) {
+    return kinds.stream().mapToInt(s -> s.type().zones().size()).max().orElse(1);
   }
 
   /** Returns the CPUs of service replicas that have waited for longer than a machine boots. */
-  private double strandedCpus(List<MachineKindState> slots) {
-    double bootMs = 1000 * slots.stream().mapToDouble(s -> s.type().bootS()).max().orElse(0);
-    long now = clock.now();
-    Set<String> waiting = new HashSet<>();
-    double sum = 0;
+  private double strandedCpus(List<MachineKindState> kinds) {
+    double bootMs = 1000 * kinds.stream().mapToDouble(s -> s.type().bootS()).max().orElse(0);
+    long nowMs = clock.now();
+    Set<String> waitingJobs = new HashSet<>();
+    double cpus = 0;
     for (Job job : ledger.jobs()) {
-      if (job.spec().service() && !job.over() && job.wanted(now) > 0) {
-        waiting.add(job.spec().ref());
-        long since = waitingSince.computeIfAbsent(job.spec().ref(), r -> now);
-        sum += now - since > bootMs ? job.wanted(now) * job.spec().cpus() : 0;
+      if (job.spec().service() && !job.over() && job.wanted(nowMs) > 0) {
+        waitingJobs.add(job.spec().ref());
+        long sinceMs = waitingSinceMsByJob.computeIfAbsent(job.spec().ref(), r -> nowMs);
+        cpus += nowMs - sinceMs > bootMs ? job.wanted(nowMs) * job.spec().cpus() : 0;
       }
     }
-    waitingSince.keySet().retainAll(waiting);
-    return sum;
+    waitingSinceMsByJob.keySet().retainAll(waitingJobs);
+    return cpus;
   }
 
   /*   * Raises the minimum counts so that each gang that has waited for longer than {@code afterMs} gets
@@ -122,8 +125,8 @@
    * are spread over the zones, so a gang that must run in a single zone needs that many machines in
    * each zone.
    */
-  List<MachineKindState> forGangs(List<MachineKindState> slots, long afterMs) {
-    List<MachineKindState> out = new ArrayList<>(slots);
+  List<MachineKindState> forGangs(List<MachineKindState> kinds, long afterMs) {
+    List<MachineKindState> raised = new ArrayList<>(kinds);
     for (Job job : ledger.jobs()) {
       Submission submission = job.spec();
       if (!submission.gang()
@@ -132,30 +135,34 @@
           || clock.wall() - job.acceptedWall() < afterMs) {
         continue;
       }
-      double need = submission.cpus() * job.waiting();
-      boolean zones = submission.together() && submission.zone() == null;
-      for (int i = 0; i < out.size() && need > 0; i++) {
-        MachineKindState kind = out.get(i);
+      double neededCpus = submission.cpus() * job.waiting();
+      boolean inOneZone = submission.together() && submission.zone() == null;
+      for (int i = 0; i < raised.size() && neededCpus > 0; i++) {
+        MachineKindState kind = raised.get(i);
         if (kind.type().suits(submission) && (submission.spot() || !kind.spot())) {
-          double perMachine =
+          double cpusPerMachine =
               Math.floor(kind.type().cpus() / submission.cpus()) * submission.cpus();
-          int want = (int) Math.ceil(need / perMachine);
-          want *= zones ? Math.max(1, kind.type().zones().size()) : 1;
+          int wantedCount = (int) Math.ceil(neededCpus / cpusPerMachine);
+          wantedCount *= inOneZone ? Math.max(1, kind.type().zones().size()) : 1;
           // Added to the busy machines, because a gang needs all of its capacity at once.
-          int least = Math.max(kind.minCount(), Math.min(kind.maxCount(), kind.minCount() + want));
-          out.set(i, withLeast(kind, least));
-          need -= (least - kind.minCount()) * perMachine / (zones ? kind.type().zones().size() : 1);
+          int minCount =
+              Math.max(kind.minCount(), Math.min(kind.maxCount(), kind.minCount() + wantedCount));
+          raised.set(i, withMinCount(kind, minCount));
+          neededCpus -=
+              (minCount - kind.minCount())
+                  * cpusPerMachine
+                  / (inOneZone ? kind.type().zones().size() : 1);
         }
       }
     }
-    return out;
+    return raised;
   }
 
-  private static MachineKindState withLeast(MachineKindState kind, int least) {
+  private static MachineKindState withMinCount(MachineKindState kind, int minCount) {
     return new MachineKindState(
         kind.type(),
         kind.spot(),
-        least,
+        minCount,
         kind.maxCount(),
         kind.heldSlots(),
         kind.upCount(),
@@ -163,7 +170,7 @@
         kind.reclaimChance());
   }
 
-  static double perCpu(MachineKindState kind) {
+  static double pricePerCpu(MachineKindState kind) {
     return kind.pricePerHour() / kind.type().cpus();
   }
 }
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -24,7 +24,7 @@
 
 /** Builds the immutable optimization problem of a planning round from the work and the fleet. */
 public final class DemandView {
-  private static final int WINDOWS = 10;
+  private static final int RECLAIM_WINDOWS = 10;
 
   private final Clock clock;
   private final Ledger ledger;
@@ -57,12 +57,12 @@
   }
 
   /** Creates the view of jobs that wait for capacity in a single zone. */
-  ZoneDemand inOneZone() {
+  ZoneDemand zoneDemand() {
     return new ZoneDemand(clock, ledger, workers, fleet, types);
   }
 
   /** Adds a job that was just accepted to the arrival forecast. */
-  public void arrived(Submission submission) {
+  public void addArrival(Submission submission) {
     arrivalForecast.addArrival(submission, clock.now());
   }
 
@@ -70,18 +70,18 @@
    * Returns the CPUs that services are expected to request while a machine boots, plus those of one
    * more replica, the largest.
    */
-  public double roomForServices() {
+  public double cpusForServices() {
     long bootMs =
         Math.round(1000 * types.all().stream().mapToDouble(MachineType::bootS).max().orElse(0));
-    double sum = 0;
-    double largest = 0;
+    double cpus = 0;
+    double largestCpus = 0;
     for (Submission submission : arrivalForecast.expectedJobs(clock.now(), bootMs)) {
       if (submission.service()) {
-        sum += submission.cpus() * submission.steps();
-        largest = Math.max(largest, submission.cpus());
+        cpus += submission.cpus() * submission.steps();
+        largestCpus = Math.max(largestCpus, submission.cpus());
       }
     }
-    return sum + largest;
+    return cpus + largestCpus;
   }
 
   /*   * Returns the CPUs of tasks that have waited for longer than a machine boots, divided by the CPUs
@@ -90,67 +90,69 @@
    */
   double pressure() {
     double bootMs = 1000 * types.all().stream().mapToDouble(MachineType::bootS).max().orElse(0);
-    double waiting = 0;
+    double waitingCpus = 0;
     for (Job job : ledger.jobs()) {
       if (clock.wall() - job.acceptedWall() > bootMs) {
-        waiting += wanted(job) * job.spec().cpus();
+        waitingCpus += tasksToPlan(job) * job.spec().cpus();
       }
     }
-    double held = 0;
+    double heldCpus = 0;
     for (Host host : workers.hosts()) {
-      held += host.type() == null ? 0 : host.type().cpus();
+      heldCpus += host.type() == null ? 0 : host.type().cpus();
     }
-    return held == 0 ? 1 : waiting / held;
+    return heldCpus == 0 ? 1 : waitingCpus / heldCpus;
   }
 
   /*   * Returns the number of a job's tasks to plan for. A job suspected of failing on any machine is
    * tried on the existing machines: no machine is rented for it, unless there is none at all or the
    * job is a gang, where a single task shows nothing about the job.
    */
-  private int wanted(Job job) {
-    boolean onWhatThereIs = job.suspected() && !job.spec().gang() && !workers.hosts().isEmpty();
-    return onWhatThereIs ? 0 : job.wanted(clock.now());
+  private int tasksToPlan(Job job) {
+    boolean onExistingMachines =
+        job.suspected() && !job.spec().gang() && !workers.hosts().isEmpty();
+    return onExistingMachines ? 0 : job.wanted(clock.now());
   }
 
   /** Returns the CPUs of all tasks that wait for capacity. */
   public double waitingCpus() {
-    return needCpus(List.of());
+    return neededCpus(List.of());
   }
 
   /** Sets the check for whether drained machines hold replicas that have nowhere to go. */
-  public void drainsLackRoom(BooleanSupplier lack) {
-    floors.drainsLackRoom(lack);
+  public void setDrainsLackCapacity(BooleanSupplier check) {
+    floors.setDrainsLackCapacity(check);
   }
 
-  boolean ready() {
+  boolean isReady() {
     return ledger.armed();
   }
 
   FleetProblem problem(OperatorSettings operatorSettings) {
-    List<MachineType> kinds = List.copyOf(types.all());
-    double longestBootS = kinds.stream().mapToDouble(MachineType::bootS).max().orElse(0);
-    List<Submission> soon =
+    List<MachineType> allTypes = List.copyOf(types.all());
+    double longestBootS = allTypes.stream().mapToDouble(MachineType::bootS).max().orElse(0);
+    List<Submission> expectedJobs =
         arrivalForecast.expectedJobs(clock.now(), Math.round(longestBootS * 1000));
-    double laneCpus = laneCpus(soon);
-    double need = needCpus(soon);
-    List<MachineKindState> slots = new ArrayList<>();
-    for (MachineType type : kinds) {
-      slots.add(slot(type, false, laneCpus, need));
-      slots.add(slot(type, true, laneCpus, need));
+    double taskSlotCpus = taskSlotCpus(expectedJobs);
+    double neededCpus = neededCpus(expectedJobs);
+    List<MachineKindState> kinds = new ArrayList<>();
+    for (MachineType type : allTypes) {
+      kinds.add(kindState(type, false, taskSlotCpus, neededCpus));
+      kinds.add(kindState(type, true, taskSlotCpus, neededCpus));
     }
-    slots = floors.forGangs(floors.forServices(slots, soon), windowMs / 4);
-    List<DryTasks> tasks = tasks(slots, soon, laneCpus, longestBootS);
-    return new FleetProblem(slots, tasks, laneCpus, budget(operatorSettings, slots, soon));
+    kinds = floors.forGangs(floors.forServices(kinds, expectedJobs), windowMs / 4);
+    List<DryTasks> tasks = dryTasks(kinds, expectedJobs, taskSlotCpus, longestBootS);
+    return new FleetProblem(
+        kinds, tasks, taskSlotCpus, budgetPerHour(operatorSettings, kinds, expectedJobs));
   }
 
   /**
    * Returns the CPUs that a task slot represents, half of those of a median task: small enough to
    * pack tasks well, large enough to keep the dry run fast.
    */
-  private double laneCpus(List<Submission> soon) {
+  private double taskSlotCpus(List<Submission> expectedJobs) {
     double[] sizes =
         java.util.stream.Stream.concat(
-                ledger.jobs().stream().filter(j -> !j.over()).map(Job::spec), soon.stream())
+                ledger.jobs().stream().filter(j -> !j.over()).map(Job::spec), expectedJobs.stream())
             .filter(s -> !s.service())
             .mapToDouble(Submission::cpus)
             .sorted()
@@ -158,137 +160,147 @@
     return sizes.length == 0 ? 1 : Math.max(0.25, sizes[sizes.length / 2] / 2);
   }
 
-  private MachineKindState slot(MachineType type, boolean spot, double laneCpus, double needCpus) {
+  private MachineKindState kindState(
+      MachineType type, boolean spot, double taskSlotCpus, double neededCpus) {
     MachineKind kind = new MachineKind(type.name(), spot);
-    List<Host> up = new ArrayList<>();
-    List<double[]> lanes = new ArrayList<>();
-    int perMachine = Math.max(1, (int) Math.floor(type.cpus() / laneCpus + 1e-9));
-    List<Double> booting = new ArrayList<>();
-    int busy = 0;
+    List<Host> upHosts = new ArrayList<>();
+    List<double[]> slotsFreeAtS = new ArrayList<>();
+    int slotsPerMachine = Math.max(1, (int) Math.floor(type.cpus() / taskSlotCpus + 1e-9));
+    List<Double> bootingReadyS = new ArrayList<>();
+    int busyCount = 0;
     for (Host host : workers.hosts()) {
       if (!fleet.counts(host, kind)) {
         continue;
       }
       if (host.up()) {
-        up.add(host);
+        upHosts.add(host);
         // Tasks of arrays that overflowed onto steady machines must not keep these forever: a plan
         // may drop such a machine, which then gets no new work and is returned once it is idle.
         if (spot ? !host.idle() : host.serviceCpus() > 0) {
-          busy++;
+          busyCount++;
         }
       } else {
-        double age = (clock.now() - host.rentedAt()) / 1000.0;
-        booting.add(Math.max(backS(host), Math.max(1, type.bootS() - Math.max(0, age))));
+        double ageS = (clock.now() - host.rentedAt()) / 1000.0;
+        bootingReadyS.add(
+            Math.max(expectedBackS(host), Math.max(1, type.bootS() - Math.max(0, ageS))));
       }
     }
     // Busy machines come first, because a smaller plan gives up the idle ones.
-    up.sort(
+    upHosts.sort(
         Comparator.comparingDouble(Host::serviceCpus)
             .thenComparingDouble(Host::cpusUsed)
             .reversed());
-    booting.sort(Comparator.naturalOrder());
-    double horizon = 2 * type.bootS();
-    for (Host host : up) {
-      double[] until = busyUntil(host, laneCpus, perMachine);
-      double backS = backS(host);
-      for (int i = 0; i < until.length; i++) {
-        until[i] = Math.max(until[i], backS);
+    bootingReadyS.sort(Comparator.naturalOrder());
+    double horizonS = 2 * type.bootS();
+    for (Host host : upHosts) {
+      double[] busyUntilS = busyUntilS(host, taskSlotCpus, slotsPerMachine);
+      double backAtS = expectedBackS(host);
+      for (int i = 0; i < busyUntilS.length; i++) {
+        busyUntilS[i] = Math.max(busyUntilS[i], backAtS);
       }
-      for (double at : until) {
-        horizon = at < HeldTaskSlots.NEVER_FREE_S ? Math.max(horizon, at) : horizon;
+      for (double slotFreeAtS : busyUntilS) {
+        horizonS =
+            slotFreeAtS < HeldTaskSlots.NEVER_FREE_S ? Math.max(horizonS, slotFreeAtS) : horizonS;
       }
-      lanes.add(until);
+      slotsFreeAtS.add(busyUntilS);
     }
-    for (double ready : booting) {
-      double[] until = new double[perMachine];
-      Arrays.fill(until, ready);
-      lanes.add(until);
+    for (double readyS : bootingReadyS) {
+      double[] busyUntilS = new double[slotsPerMachine];
+      Arrays.fill(busyUntilS, readyS);
+      slotsFreeAtS.add(busyUntilS);
     }
     // The upper bound allows renting for all waiting work in one round. A bound that grows with the
     // held machines would take many rounds when the fleet starts from nothing.
-    int forAll = (int) Math.ceil(needCpus / type.cpus() / Math.max(1, type.zones().size()));
-    int most = Math.max(busy, fleet.capacity(kind, Math.max(2, forAll)));
+    int countForAllWork =
+        (int) Math.ceil(neededCpus / type.cpus() / Math.max(1, type.zones().size()));
+    int maxCount = Math.max(busyCount, fleet.capacity(kind, Math.max(2, countForAllWork)));
     return new MachineKindState(
         type,
         spot,
-        busy,
-        most,
-        new HeldTaskSlots(lanes, horizon),
-        up.size(),
+        busyCount,
+        maxCount,
+        new HeldTaskSlots(slotsFreeAtS, horizonS),
+        upHosts.size(),
         fleet.market().price(type, spot),
-        fleet.market().takeBackChance(kind, windowMs, WINDOWS));
+        fleet.market().takeBackChance(kind, windowMs, RECLAIM_WINDOWS));
   }
 
   /**
    * Returns in how many seconds a silent machine that is still waited for is expected back, which
    * is as long as it has been silent so far; 0 for other machines.
    */
-  private double backS(Host host) {
+  private double expectedBackS(Host host) {
     return host.zoneSilentMs() > 0 || host.hanging() ? workers.silentMs(host) / 1000.0 : 0;
   }
 
   /** Returns for each task slot of a machine the time in seconds from now until it is free. */
-  private double[] busyUntil(Host host, double laneCpus, int perMachine) {
-    double[] until = new double[perMachine];
-    int used = 0;
-    double services = 0;
+  private double[] busyUntilS(Host host, double taskSlotCpus, int slotsPerMachine) {
+    double[] slotsBusyUntilS = new double[slotsPerMachine];
+    int usedSlots = 0;
+    double serviceCpus = 0;
     for (Attempt attempt : host.attempts()) {
       if (attempt.exited()) {
         continue;
       }
       if (attempt.spec().service()) {
-        services += attempt.spec().cpus();
+        serviceCpus += attempt.spec().cpus();
         continue;
       }
-      double left = Math.max(1, estimates.leftS(attempt, host, clock.now()));
-      for (long l = Math.max(1, Math.round(attempt.spec().cpus() / laneCpus));
-          l > 0 && used < perMachine;
-          l--) {
-        until[used++] = left;
+      double remainingS = Math.max(1, estimates.leftS(attempt, host, clock.now()));
+      for (long remainingSlots = Math.max(1, Math.round(attempt.spec().cpus() / taskSlotCpus));
+          remainingSlots > 0 && usedSlots < slotsPerMachine;
+          remainingSlots--) {
+        slotsBusyUntilS[usedSlots++] = remainingS;
       }
     }
-    for (long l = (long) Math.ceil(services / laneCpus); l > 0 && used < perMachine; l--) {
-      until[used++] = HeldTaskSlots.NEVER_FREE_S;
+    for (long remainingSlots = (long) Math.ceil(serviceCpus / taskSlotCpus);
+        remainingSlots > 0 && usedSlots < slotsPerMachine;
+        remainingSlots--) {
+      slotsBusyUntilS[usedSlots++] = HeldTaskSlots.NEVER_FREE_S;
     }
-    return until;
+    return slotsBusyUntilS;
   }
 
   /** Returns the CPUs of all waiting and expected tasks. */
-  private double needCpus(List<Submission> soon) {
-    double sum = 0;
+  private double neededCpus(List<Submission> expectedJobs) {
+    double cpus = 0;
     for (Job job : ledger.jobs()) {
-      sum += wanted(job) * job.spec().cpus();
+      cpus += tasksToPlan(job) * job.spec().cpus();
     }
-    for (Submission submission : soon) {
-      sum += submission.steps() * submission.cpus();
+    for (Submission submission : expectedJobs) {
+      cpus += submission.steps() * submission.cpus();
     }
-    return sum;
+    return cpus;
   }
 
-  private List<DryTasks> tasks(
-      List<MachineKindState> slots, List<Submission> soon, double laneCpus, double aheadS) {
+  private List<DryTasks> dryTasks(
+      List<MachineKindState> kinds,
+      List<Submission> expectedJobs,
+      double taskSlotCpus,
+      double aheadS) {
     List<DryRunEntries.PendingTasks> pending = new ArrayList<>();
     for (Job job : ledger.jobs()) {
-      int count = wanted(job);
+      int count = tasksToPlan(job);
       if (count > 0) {
-        double age = (clock.wall() - job.acceptedWall()) / 1000.0;
-        pending.add(new DryRunEntries.PendingTasks(job.spec(), count, slack(job.spec()) - age, 0));
+        double ageS = (clock.wall() - job.acceptedWall()) / 1000.0;
+        pending.add(
+            new DryRunEntries.PendingTasks(job.spec(), count, slackS(job.spec()) - ageS, 0));
       }
     }
-    for (int i = 0; i < soon.size(); i++) {
-      double arrives = aheadS * (i + 0.5) / soon.size();
-      Submission submission = soon.get(i);
+    for (int i = 0; i < expectedJobs.size(); i++) {
+      double arrivesS = aheadS * (i + 0.5) / expectedJobs.size();
+      Submission submission = expectedJobs.get(i);
       pending.add(
           new DryRunEntries.PendingTasks(
-              submission, submission.steps(), slack(submission) + arrives, arrives));
+              submission, submission.steps(), slackS(submission) + arrivesS, arrivesS));
     }
-    return new DryRunEntries(slots, laneCpus, aheadS, windowMs / 1000.0, estimates)
+    return new DryRunEntries(kinds, taskSlotCpus, aheadS, windowMs / 1000.0, estimates)
         .entriesFor(pending);
   }
 
-  private double slack(Submission submission) {
-    double run = estimates.runS(submission);
-    return (Double.isFinite(submission.dueS()) ? submission.dueS() : 10 * run + 60) - run;
+  private double slackS(Submission submission) {
+    double runS = estimates.runS(submission);
+    return (Double.isFinite(submission.dueS()) ? submission.dueS() : 10 * runS + 60) - runS;
   }
 
   /**
@@ -296,29 +308,36 @@
    * expected work on its cheapest machine kinds times the budget ratio, but at least the cost of
    * the minimum counts plus one machine.
    */
-  private double budget(
-      OperatorSettings operatorSettings, List<MachineKindState> slots, List<Submission> soon) {
+  private double budgetPerHour(
+      OperatorSettings operatorSettings,
+      List<MachineKindState> kinds,
+      List<Submission> expectedJobs) {
     if (operatorSettings.budgetPerHour() > 0) {
       return operatorSettings.budgetPerHour();
     }
-    double floor = slots.stream().mapToDouble(s -> s.minCount() * s.pricePerHour()).sum();
-    double demand = 0;
+    double floorPerHour = kinds.stream().mapToDouble(s -> s.minCount() * s.pricePerHour()).sum();
+    double demandPerHour = 0;
     for (Job job : ledger.jobs()) {
       if (!job.over()) {
-        demand += cheapest(slots, job.spec()) * job.spec().cpus() * (wanted(job) + job.held());
+        demandPerHour +=
+            cheapestPricePerCpu(kinds, job.spec())
+                * job.spec().cpus()
+                * (tasksToPlan(job) + job.held());
       }
     }
-    for (Submission s : soon) {
-      demand += cheapest(slots, s) * s.cpus() * s.steps();
+    for (Submission submission : expectedJobs) {
+      demandPerHour +=
+          cheapestPricePerCpu(kinds, submission) * submission.cpus() * submission.steps();
     }
-    double oneMore = slots.stream().mapToDouble(MachineKindState::pricePerHour).max().orElse(0);
-    return Math.max(operatorSettings.budgetRatio() * demand, floor + oneMore);
+    double oneMorePerHour =
+        kinds.stream().mapToDouble(MachineKindState::pricePerHour).max().orElse(0);
+    return Math.max(operatorSettings.budgetRatio() * demandPerHour, floorPerHour + oneMorePerHour);
   }
 
-  private static double cheapest(List<MachineKindState> slots, Submission job) {
-    return slots.stream()
+  private static double cheapestPricePerCpu(List<MachineKindState> kinds, Submission job) {
+    return kinds.stream()
         .filter(s -> s.type().suits(job) && (job.spot() || !s.spot()))
-        .mapToDouble(CapacityFloors::perCpu)
+        .mapToDouble(CapacityFloors::pricePerCpu)
         .min()
         .orElse(0);
   }
--- a/src/main/java/dapplestair/planning/FleetProblem.java
+++ b/src/main/java/dapplestair/planning/FleetProblem.java
@@ -99,7 +99,8 @@
     Integer[] cheapestFirst = new Integer[counts.length];
     Arrays.setAll(cheapestFirst, i -> i);
     Arrays.sort(
-        cheapestFirst, Comparator.comparingDouble(i -> CapacityFloors.perCpu(machineKinds.get(i))));
+        cheapestFirst,
+        Comparator.comparingDouble(i -> CapacityFloors.pricePerCpu(machineKinds.get(i))));
     for (int i : cheapestFirst) {
       MachineKindState kind = machineKinds.get(i);
       double added =
--- a/src/main/java/dapplestair/planning/Nsga2.java
+++ b/src/main/java/dapplestair/planning/Nsga2.java
@@ -51,37 +51,37 @@
   private static final double CROSSOVER_CHANCE = 0.9;
 
   private final UniformRandomProvider random;
-  private final int population;
-  private final int evaluations;
-  private int spent;
+  private final int populationSize;
+  private final int maxEvaluations;
+  private int evaluationsDone;
 
   /** Creates a search with the given population size and maximum number of evaluations. */
-  public Nsga2(UniformRandomProvider random, int population, int evaluations) {
+  public Nsga2(UniformRandomProvider random, int populationSize, int maxEvaluations) {
     this.random = random;
-    this.population = population;
-    this.evaluations = evaluations;
+    this.populationSize = populationSize;
+    this.maxEvaluations = maxEvaluations;
   }
 
   /** Searches from the given candidates and random ones, and returns the non-dominated front. */
   public List<Individual> search(Problem problem, List<double[]> seeds) {
-    spent = 0;
+    evaluationsDone = 0;
     List<Individual> parents = new ArrayList<>();
     for (double[] seed : seeds) {
-      add(parents, problem, clip(seed.clone(), problem));
+      evaluateAndAdd(parents, problem, clip(seed.clone(), problem));
     }
-    while (parents.size() < population && spent < evaluations) {
-      add(parents, problem, randomIn(problem));
+    while (parents.size() < populationSize && evaluationsDone < maxEvaluations) {
+      evaluateAndAdd(parents, problem, randomIn(problem));
     }
     rank(parents);
-    while (spent < evaluations && parents.size() > 1) {
+    while (evaluationsDone < maxEvaluations && parents.size() > 1) {
       List<Individual> all = new ArrayList<>(parents);
-      for (int i = 0; i < population && spent < evaluations; i += 2) {
+      for (int i = 0; i < populationSize && evaluationsDone < maxEvaluations; i += 2) {
         double[][] children =
             crossover(tournament(parents).variables, tournament(parents).variables, problem);
         for (double[] child : children) {
-          if (spent < evaluations) {
+          if (evaluationsDone < maxEvaluations) {
             mutate(child, problem);
-            add(all, problem, child);
+            evaluateAndAdd(all, problem, child);
           }
         }
       }
@@ -90,82 +90,83 @@
     return parents.stream().filter(i -> i.rank == 0).toList();
   }
 
-  private void add(List<Individual> to, Problem problem, double[] x) {
-    spent++;
-    double[] costs = problem.evaluate(x);
+  private void evaluateAndAdd(List<Individual> individuals, Problem problem, double[] variables) {
+    evaluationsDone++;
+    double[] costs = problem.evaluate(variables);
     if (costs != null) {
-      to.add(new Individual(x, costs));
+      individuals.add(new Individual(variables, costs));
     }
   }
 
   private double[] randomIn(Problem problem) {
-    double[] x = new double[problem.lower().length];
-    for (int i = 0; i < x.length; i++) {
-      x[i] = problem.lower()[i] + random.nextDouble() * (problem.upper()[i] - problem.lower()[i]);
+    double[] variables = new double[problem.lower().length];
+    for (int i = 0; i < variables.length; i++) {
+      variables[i] =
+          problem.lower()[i] + random.nextDouble() * (problem.upper()[i] - problem.lower()[i]);
     }
-    return x;
+    return variables;
   }
 
-  private static double[] clip(double[] x, Problem problem) {
-    for (int i = 0; i < x.length; i++) {
-      x[i] = Math.max(problem.lower()[i], Math.min(problem.upper()[i], x[i]));
+  private static double[] clip(double[] variables, Problem problem) {
+    for (int i = 0; i < variables.length; i++) {
+      variables[i] = Math.max(problem.lower()[i], Math.min(problem.upper()[i], variables[i]));
     }
-    return x;
+    return variables;
   }
 
-  private Individual tournament(List<Individual> from) {
-    Individual individual = from.get(random.nextInt(from.size()));
-    Individual b = from.get(random.nextInt(from.size()));
-    if (individual.rank != b.rank) {
-      return individual.rank < b.rank ? individual : b;
+  private Individual tournament(List<Individual> candidates) {
+    Individual first = candidates.get(random.nextInt(candidates.size()));
+    Individual second = candidates.get(random.nextInt(candidates.size()));
+    if (first.rank != second.rank) {
+      return first.rank < second.rank ? first : second;
     }
-    return individual.crowding >= b.crowding ? individual : b;
+    return first.crowding >= second.crowding ? first : second;
   }
 
-  private double[][] crossover(double[] a, double[] b, Problem problem) {
-    double[] c = a.clone();
-    double[] d = b.clone();
+  private double[][] crossover(double[] parent1, double[] parent2, Problem problem) {
+    double[] child1 = parent1.clone();
+    double[] child2 = parent2.clone();
     if (random.nextDouble() < CROSSOVER_CHANCE) {
-      for (int i = 0; i < c.length; i++) {
+      for (int i = 0; i < child1.length; i++) {
         if (random.nextBoolean()) {
           double u = random.nextDouble();
           double power = 1 / (CROSSOVER_INDEX + 1);
           double beta = u <= 0.5 ? Math.pow(2 * u, power) : Math.pow(1 / (2 * (1 - u)), power);
-          c[i] = 0.5 * ((1 + beta) * a[i] + (1 - beta) * b[i]);
-          d[i] = 0.5 * ((1 - beta) * a[i] + (1 + beta) * b[i]);
+          child1[i] = 0.5 * ((1 + beta) * parent1[i] + (1 - beta) * parent2[i]);
+          child2[i] = 0.5 * ((1 - beta) * parent1[i] + (1 + beta) * parent2[i]);
         }
       }
     }
-    return new double[][] {clip(c, problem), clip(d, problem)};
+    return new double[][] {clip(child1, problem), clip(child2, problem)};
   }
 
-  private void mutate(double[] x, Problem problem) {
-    for (int i = 0; i < x.length; i++) {
+  private void mutate(double[] variables, Problem problem) {
+    for (int i = 0; i < variables.length; i++) {
       double range = problem.upper()[i] - problem.lower()[i];
-      if (range > 0 && random.nextDouble() < 1.0 / x.length) {
+      if (range > 0 && random.nextDouble() < 1.0 / variables.length) {
         double u = random.nextDouble();
         double power = 1 / (MUTATION_INDEX + 1);
         double delta = u < 0.5 ? Math.pow(2 * u, power) - 1 : 1 - Math.pow(2 * (1 - u), power);
-        x[i] += delta * range;
+        variables[i] += delta * range;
       }
     }
-    clip(x, problem);
+    clip(variables, problem);
   }
 
   private List<Individual> survivors(List<Individual> all) {
-    List<Individual> out = new ArrayList<>();
+    List<Individual> survivors = new ArrayList<>();
     for (List<Individual> front : rank(all)) {
-      if (out.size() + front.size() <= population) {
-        out.addAll(front);
+      if (survivors.size() + front.size() <= populationSize) {
+        survivors.addAll(front);
       } else {
-        List<Individual> spread = new ArrayList<>(front);
-        spread.sort(
+        List<Individual> leastCrowdedFirst = new ArrayList<>(front);
+        leastCrowdedFirst.sort(
             Comparator.comparingDouble((Individual individual) -> individual.crowding).reversed());
-        out.addAll(spread.subList(0, population - out.size()));
+        survivors.addAll(leastCrowdedFirst.subList(0, populationSize - survivors.size()));
         break;
       }
     }
-    return out;
+    return survivors;
   }
 
   /**
@@ -173,52 +174,56 @@
    */
   static List<List<Individual>> rank(List<Individual> all) {
     List<List<Individual>> fronts = new ArrayList<>();
-    List<Individual> left = new ArrayList<>(all);
-    while (!left.isEmpty()) {
+    List<Individual> remaining = new ArrayList<>(all);
+    while (!remaining.isEmpty()) {
       List<Individual> front = new ArrayList<>();
-      for (Individual individual : left) {
-        if (left.stream().noneMatch(b -> dominates(b.costs, individual.costs))) {
+      for (Individual individual : remaining) {
+        if (remaining.stream().noneMatch(b -> dominates(b.costs, individual.costs))) {
           front.add(individual);
         }
       }
       for (Individual i : front) {
         i.rank = fronts.size();
       }
-      crowd(front);
+      setCrowding(front);
       fronts.add(front);
-      left.removeAll(front);
+      remaining.removeAll(front);
     }
     return fronts;
   }
 
-  private static void crowd(List<Individual> front) {
+  private static void setCrowding(List<Individual> front) {
     front.forEach(i -> i.crowding = 0);
-    int costs = front.get(0).costs.length;
-    for (int m = 0; m < costs; m++) {
-      int k = m;
+    int costCount = front.get(0).costs.length;
+    for (int cost = 0; cost < costCount; cost++) {
+      int costIndex = cost;
       List<Individual> sorted = new ArrayList<>(front);
-      sorted.sort(Comparator.comparingDouble(i -> i.costs[k]));
+      sorted.sort(Comparator.comparingDouble(i -> i.costs[costIndex]));
       Individual first = sorted.get(0);
       Individual last = sorted.get(sorted.size() - 1);
       first.crowding = Double.POSITIVE_INFINITY;
       last.crowding = Double.POSITIVE_INFINITY;
-      double range = last.costs[k] - first.costs[k];
+      double range = last.costs[costIndex] - first.costs[costIndex];
       for (int i = 1; i + 1 < sorted.size() && range > 0; i++) {
-        sorted.get(i).crowding += (sorted.get(i + 1).costs[k] - sorted.get(i - 1).costs[k]) / range;
+        sorted.get(i).crowding +=
+            (sorted.get(i + 1).costs[costIndex] - sorted.get(i - 1).costs[costIndex]) / range;
       }
     }
   }
 
-  /** Returns whether {@code a} is worse than {@code b} in no cost and better in at least one. */
+  /**
+   * Returns whether {@code parent1} is worse than {@code second} in no cost and better in at least
+   * one.
+   */
   static boolean dominates(double[] a, double[] b) {
-    boolean better = false;
+    boolean isBetter = false;
     for (int i = 0; i < a.length; i++) {
       if (a[i] > b[i]) {
         return false;
       }
-      better |= a[i] < b[i];
+      isBetter |= a[i] < b[i];
     }
-    return better;
+    return isBetter;
   }
 
   /*   * Returns the member of a front nearest the origin, after dividing each cost by its greatest value
@@ -226,10 +231,10 @@
    * out.
    */
   public static Individual nearestOrigin(List<Individual> front, double... weights) {
-    int costs = front.get(0).costs.length;
-    double[] greatest = new double[costs];
+    int costCount = front.get(0).costs.length;
+    double[] greatest = new double[costCount];
     for (Individual i : front) {
-      for (int m = 0; m < costs; m++) {
+      for (int m = 0; m < costCount; m++) {
         greatest[m] = Math.max(greatest[m], i.costs[m]);
       }
     }
@@ -243,28 +248,28 @@
    * inertia}. This keeps randomness in the search from changing the result.
    */
   static Individual nearestOrigin(
-      List<Individual> front, Individual standing, double inertia, double... weights) {
+      List<Individual> front, Individual current, double inertia, double... weights) {
     List<Individual> all = new ArrayList<>(front);
-    all.add(standing);
+    all.add(current);
     Individual best = nearestOrigin(front, weights);
-    double[] greatest = new double[standing.costs.length];
+    double[] greatest = new double[current.costs.length];
     for (Individual individual : all) {
       for (int m = 0; m < greatest.length; m++) {
         greatest[m] = Math.max(greatest[m], individual.costs[m]);
       }
     }
-    boolean stays =
-        distance(standing.costs, greatest, weights)
+    boolean keepsCurrent =
+        distance(current.costs, greatest, weights)
             <= (1 + inertia) * distance(best.costs, greatest, weights);
-    return stays ? standing : best;
+    return keepsCurrent ? current : best;
   }
 
   private static double distance(double[] costs, double[] greatest, double[] weights) {
     double sum = 0;
     for (int m = 0; m < costs.length; m++) {
       if (greatest[m] > 0) {
-        double c = weights[m] * costs[m] / greatest[m];
-        sum += c * c;
+        double weighted = weights[m] * costs[m] / greatest[m];
+        sum += weighted * weighted;
       }
     }
     return Math.sqrt(sum);
--- a/src/main/java/dapplestair/planning/ZoneDemand.java
+++ b/src/main/java/dapplestair/planning/ZoneDemand.java
@@ -28,7 +28,7 @@
    *
    * @param overdue whether the job has lacked them for longer than a machine takes to boot
    */
-  record Shortage(MachineKind kind, String zone, int machines, boolean overdue) {}
+  record Shortage(MachineKind kind, String zone, int machineCount, boolean overdue) {}
 
   /** Free resources of a machine that is up, booting or being rented. */
   private static final class FreeCapacity {
@@ -64,14 +64,15 @@
     }
 
     /** Places up to {@code maxTasks} tasks of the job and returns how many it placed. */
-    int take(Submission submission, int most) {
+    int placeTasks(Submission submission, int maxTasks) {
       if (!zone.equals(submission.zone())
           || !type.suits(submission)
           || spot && !submission.spot()) {
         return 0;
       }
       int tasks =
-          Math.min(most, submission.fitting(cpus + EPSILON, memoryGb + EPSILON, gpus + EPSILON));
+          Math.min(
+              maxTasks, submission.fitting(cpus + EPSILON, memoryGb + EPSILON, gpus + EPSILON));
       cpus -= tasks * submission.cpus();
       memoryGb -= tasks * submission.memoryGb();
       gpus -= tasks * submission.gpus();
@@ -84,8 +85,8 @@
   private final WorkerManager workers;
   private final Fleet fleet;
   private final MachineTypes types;
-  private final Map<String, Long> lackingSince = new HashMap<>();
-  private final Set<String> waitedFor = new HashSet<>();
+  private final Map<String, Long> lackingSinceMsByJob = new HashMap<>();
+  private final Set<String> demandedZones = new HashSet<>();
 
   ZoneDemand(Clock clock, Ledger ledger, WorkerManager workers, Fleet fleet, MachineTypes types) {
     this.clock = clock;
@@ -97,74 +98,74 @@
 
   /** Recomputes and returns the machines that waiting jobs lack, oldest job first. */
   List<Shortage> shortages() {
-    waitedFor.clear();
-    List<Shortage> out = new ArrayList<>();
-    Set<String> lacking = new HashSet<>();
-    List<FreeCapacity> rooms = null;
+    demandedZones.clear();
+    List<Shortage> shortages = new ArrayList<>();
+    Set<String> lackingJobs = new HashSet<>();
+    List<FreeCapacity> capacities = null;
     for (Job job : ledger.jobs()) {
-      int tasks = waitingInOneZone(job);
-      if (tasks == 0) {
+      int unplacedTasks = waitingTasksInOneZone(job);
+      if (unplacedTasks == 0) {
         continue;
       }
-      waitedFor.add(job.spec().zone());
-      rooms = rooms == null ? rooms() : rooms;
-      for (FreeCapacity freeCapacity : rooms) {
-        tasks -= freeCapacity.take(job.spec(), tasks);
+      demandedZones.add(job.spec().zone());
+      capacities = capacities == null ? freeCapacities() : capacities;
+      for (FreeCapacity freeCapacity : capacities) {
+        unplacedTasks -= freeCapacity.placeTasks(job.spec(), unplacedTasks);
       }
-      MachineKind kind = tasks > 0 ? cheapest(job.spec()) : null;
+      MachineKind kind = unplacedTasks > 0 ? cheapest(job.spec()) : null;
       if (kind != null) {
-        lacking.add(job.spec().ref());
-        out.add(shortage(job.spec(), kind, tasks, rooms));
+        lackingJobs.add(job.spec().ref());
+        shortages.add(shortage(job.spec(), kind, unplacedTasks, capacities));
       }
     }
-    lackingSince.keySet().retainAll(lacking);
-    return out;
+    lackingSinceMsByJob.keySet().retainAll(lackingJobs);
+    return shortages;
   }
 
   /**
    * Returns whether the last call of {@link #shortages} found a waiting job that may run in this
    * zone only.
    */
-  boolean waitsFor(String zone) {
-    return waitedFor.contains(zone);
+  boolean hasDemandIn(String zone) {
+    return demandedZones.contains(zone);
   }
 
   void clear() {
-    lackingSince.clear();
-    waitedFor.clear();
+    lackingSinceMsByJob.clear();
+    demandedZones.clear();
   }
 
   /**
    * Returns the number of tasks that may run in a single zone only and fit the team's limit now.
    */
-  private int waitingInOneZone(Job job) {
+  private int waitingTasksInOneZone(Job job) {
     if (job.over() || job.spec().zone() == null) {
       return 0;
     }
     return Math.min(job.wanted(clock.now()), ledger.teamRoom(job.spec(), false));
   }
 
-  private List<FreeCapacity> rooms() {
-    List<FreeCapacity> out = new ArrayList<>();
+  private List<FreeCapacity> freeCapacities() {
+    List<FreeCapacity> capacities = new ArrayList<>();
     for (Host host : workers.hosts()) {
-      boolean ofUse =
+      boolean isUsable =
           host.type() != null
               && fleet.counts(host, new MachineKind(host.type().name(), host.spot()));
-      if (ofUse && (!host.up() || !host.closed())) {
-        out.add(FreeCapacity.of(host));
+      if (isUsable && (!host.up() || !host.closed())) {
+        capacities.add(FreeCapacity.of(host));
       }
     }
     for (MachineType type : types.all()) {
       for (String zone : type.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
-          int coming = fleet.pendingIn(new MachineKind(type.name(), spot), zone);
-          for (int i = 0; i < coming; i++) {
-            out.add(FreeCapacity.empty(zone, type, spot));
+          int pendingCount = fleet.pendingIn(new MachineKind(type.name(), spot), zone);
+          for (int i = 0; i < pendingCount; i++) {
+            capacities.add(FreeCapacity.empty(zone, type, spot));
           }
         }
       }
     }
-    return out;
+    return capacities;
   }
 
   /**
@@ -172,20 +173,22 @@
    * in the zone, or null if there is none.
    */
   private MachineKind cheapest(Submission submission) {
-    MachineKind best = null;
-    double least = Double.POSITIVE_INFINITY;
+    MachineKind cheapest = null;
+    double lowestPricePerCpu = Double.POSITIVE_INFINITY;
     for (MachineType type : types.all()) {
       for (boolean spot : new boolean[] {true, false}) {
         MachineKind kind = new MachineKind(type.name(), spot);
-        double perCpu = fleet.market().price(type, spot) / type.cpus();
-        boolean allowed = type.suits(submission) && (submission.spot() || !spot);
-        if (allowed && perCpu < least && fleet.mayRentIn(kind, submission.zone())) {
-          best = kind;
-          least = perCpu;
+        double pricePerCpu = fleet.market().price(type, spot) / type.cpus();
+        boolean isAllowed = type.suits(submission) && (submission.spot() || !spot);
+        if (isAllowed
+            && pricePerCpu < lowestPricePerCpu
+            && fleet.mayRentIn(kind, submission.zone())) {
+          cheapest = kind;
+          lowestPricePerCpu = pricePerCpu;
         }
       }
     }
-    return best;
+    return cheapest;
   }
 
   /**
@@ -193,16 +196,16 @@
    * that jobs examined later can use what is left of them.
    */
   private Shortage shortage(
-      Submission submission, MachineKind kind, int tasks, List<FreeCapacity> rooms) {
+      Submission submission, MachineKind kind, int tasks, List<FreeCapacity> capacities) {
     MachineType type = types.get(kind.type());
-    int machines = 0;
-    for (int left = tasks; left > 0; machines++) {
+    int machineCount = 0;
+    for (int remainingTasks = tasks; remainingTasks > 0; machineCount++) {
       FreeCapacity freeCapacity = FreeCapacity.empty(submission.zone(), type, kind.spot());
-      left -= Math.max(1, freeCapacity.take(submission, left));
-      rooms.add(freeCapacity);
+      remainingTasks -= Math.max(1, freeCapacity.placeTasks(submission, remainingTasks));
+      capacities.add(freeCapacity);
     }
-    long since = lackingSince.computeIfAbsent(submission.ref(), r -> clock.now());
-    boolean overdue = clock.now() - since > 1000 * type.bootS();
-    return new Shortage(kind, submission.zone(), machines, overdue);
+    long sinceMs = lackingSinceMsByJob.computeIfAbsent(submission.ref(), r -> clock.now());
+    boolean overdue = clock.now() - sinceMs > 1000 * type.bootS();
+    return new Shortage(kind, submission.zone(), machineCount, overdue);
   }
 }
--- a/src/test/java/dapplestair/planning/DryRunEntriesTest.java
+++ b/src/test/java/dapplestair/planning/DryRunEntriesTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 
 class DryRunEntriesTest {
-  private static Submission job(int i, String shape, int steps, double cpus, double guessS)
+  private static Submission job(int index, String shape, int steps, double cpus, double guessS)
       throws Submission.InvalidSubmissionException {
-    ObjectNode o =
+    ObjectNode body =
         Json.object()
-            .put("ref", "j-" + i)
+            .put("ref", "j-" + index)
             .put("jobclass", "c")
             .put("owner", "t")
             .put("shape", shape)
@@ -26,7 +26,7 @@
             .put("vcpus", cpus)
             .put("accelerators", 0)
             .put("memoryGb", 1)
-            .put("bundle", "img-" + i)
+            .put("bundle", "img-" + index)
             .put("imageGb", 1)
             .put("together", false)
             .put("apart", false)
@@ -34,7 +34,7 @@
             .put("guessS", guessS)
             .put("snapshotEveryS", 0)
             .put("snapshotS", 0);
-    return Submission.parse(o);
+    return Submission.parse(body);
   }
 
   /**
@@ -42,7 +42,7 @@
    * plans rented nothing for 8,000 tasks that were ordered behind 289 services.
    */
   @Test
-  void manySmallJobsHideNoArray() throws Submission.InvalidSubmissionException {
+  void manySmallJobsDoNotCrowdOutArrays() throws Submission.InvalidSubmissionException {
     List<DryRunEntries.PendingTasks> pending = new ArrayList<>();
     for (int i = 0; i < 400; i++) {
       pending.add(new DryRunEntries.PendingTasks(job(i, "daemon", 3, 1, 0), 3, 60, 0));
@@ -60,9 +60,10 @@
     assertEquals(30, entries.stream().filter(e -> e.taskCount() == 90).count(), "arrays");
     assertEquals(
         400 * 3 + 900 + 30 * 90, entries.stream().mapToInt(DryTasks::taskCount).sum(), "tasks");
-    int small =
+    int smallJobCount =
         entries.stream().filter(e -> e.taskCount() != 90).mapToInt(DryTasks::jobCount).sum();
-    assertTrue(small <= 60, "small jobs count as " + small + " in the mean, arrays as 30");
+    assertTrue(
+        smallJobCount <= 60, "small jobs count as " + smallJobCount + " in the mean, arrays as 30");
     assertTrue(entries.size() < 50, entries.size() + " entries");
   }
 }
--- a/src/test/java/dapplestair/planning/HeldTaskSlotsTest.java
+++ b/src/test/java/dapplestair/planning/HeldTaskSlotsTest.java
@@ -8,20 +8,20 @@
 import org.junit.jupiter.api.Test;
 
 class HeldTaskSlotsTest {
-  private static List<double[]> machines(int n) {
-    List<double[]> out = new ArrayList<>();
-    for (int m = 0; m < n; m++) {
-      double[] until = new double[16];
+  private static List<double[]> machines(int count) {
+    List<double[]> slotsFreeAtS = new ArrayList<>();
+    for (int m = 0; m < count; m++) {
+      double[] freeAtS = new double[16];
       for (int l = 0; l < 16; l++) {
-        until[l] = l < 4 ? HeldTaskSlots.NEVER_FREE_S : (m * 16 + l) % 97;
+        freeAtS[l] = l < 4 ? HeldTaskSlots.NEVER_FREE_S : (m * 16 + l) % 97;
       }
-      out.add(until);
+      slotsFreeAtS.add(freeAtS);
     }
-    return out;
+    return slotsFreeAtS;
   }
 
   @Test
-  void countsTheLanesOfTheFirstMachines() {
+  void countsTheTaskSlotsOfTheFirstMachines() {
     HeldTaskSlots held = new HeldTaskSlots(machines(40), 100);
     assertEquals(16 * 25, held.slotsOf(25, 16, 30).total());
     assertEquals(16 * 50, held.slotsOf(50, 16, 30).total());
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void roundsUpOnly() {
+  void roundsTimesUpOnly() {
     HeldTaskSlots held = new HeldTaskSlots(List.of(new double[] {7.3, 0}), 100);
     FreeTaskSlots free = held.slotsOf(1, 2, 30);
     assertEquals(0, free.earliestStartS(1));
@@ -43,22 +43,23 @@
    * the fleet.
    */
   @Test
-  void momentsStayFewHoweverManyMachines() {
-    for (int n : new int[] {10, 100, 1500}) {
-      FreeTaskSlots free = new HeldTaskSlots(machines(n), 100).slotsOf(n + 10, 16, 30);
-      int moments = 0;
+  void numberOfDistinctTimesIsBounded() {
+    for (int machineCount : new int[] {10, 100, 1500}) {
+      FreeTaskSlots free =
+          new HeldTaskSlots(machines(machineCount), 100).slotsOf(machineCount + 10, 16, 30);
+      int distinctTimes = 0;
       while (free.total() > 0
           && free.earliestStartS(1) < Double.POSITIVE_INFINITY
-          && moments < 1000) {
+          && distinctTimes < 1000) {
         free.remove(free.countFreeBy(free.earliestStartS(1)));
-        moments++;
+        distinctTimes++;
       }
-      assertTrue(moments <= 33, moments + " moments for " + n + " machines");
+      assertTrue(distinctTimes <= 33, distinctTimes + " moments for " + machineCount + " machines");
     }
   }
 
   @Test
-  void occupiesWhatIsFreeFirst() {
+  void occupiesEarliestFreeSlotsFirst() {
     FreeTaskSlots free = new FreeTaskSlots();
     free.add(0, 4);
     free.add(10, 4);
--- a/src/test/java/dapplestair/planning/Nsga2Test.java
+++ b/src/test/java/dapplestair/planning/Nsga2Test.java
@@ -51,14 +51,14 @@
       assertTrue(
           i.variables()[0] > -0.1 && i.variables()[0] < 2.1, "off the front: " + i.variables()[0]);
     }
-    double least = front.stream().mapToDouble(i -> i.variables()[0]).min().orElseThrow();
-    double most = front.stream().mapToDouble(i -> i.variables()[0]).max().orElseThrow();
-    assertTrue(least < 0.2 && most > 1.8, "only from " + least + " to " + most);
+    double lowest = front.stream().mapToDouble(i -> i.variables()[0]).min().orElseThrow();
+    double highest = front.stream().mapToDouble(i -> i.variables()[0]).max().orElseThrow();
+    assertTrue(lowest < 0.2 && highest > 1.8, "only from " + lowest + " to " + highest);
   }
 
   /** Minimizes ZDT1 in five variables, whose front has g = 1, so f2 = 1 - sqrt(f1). */
   @Test
-  void comesNearTheFrontOfZdt1() {
+  void approximatesTheFrontOfZdt1() {
     var front =
         search(
             new Box(
@@ -80,14 +80,14 @@
   }
 
   @Test
-  void dropsWhatBreaksAConstraint() {
+  void dropsCandidatesThatBreakAConstraint() {
     var front = search(new Box(1, 0, 10, x -> x[0] < 4 ? null : new double[] {x[0], 1}), 1000);
     front.forEach(i -> assertTrue(i.variables()[0] >= 4));
     assertTrue(front.get(0).variables()[0] < 4.2);
   }
 
   @Test
-  void choosesNearestTheOriginAfterScaling() {
+  void selectsNearestToTheOriginAfterScaling() {
     // The first two costs are divided by their greatest values (100 and 1), which gives 0.2 and 1,
     // 0.5 and 0.4, 1 and 0.1. The third cost is zero on the whole front.
     List<Nsga2.Individual> front =
--- a/src/test/java/dapplestair/planning/PlanSelectorTest.java
+++ b/src/test/java/dapplestair/planning/PlanSelectorTest.java
@@ -33,54 +33,55 @@
     return new Nsga2.Individual(new double[] {logged[0]}, new double[] {logged[1], logged[2], 0});
   }
 
-  private static List<Nsga2.Individual> front(int from) {
-    List<Nsga2.Individual> out = new ArrayList<>();
-    for (int i = from; i < LOGGED.length; i++) {
-      out.add(plan(LOGGED[i]));
+  private static List<Nsga2.Individual> front(int firstIndex) {
+    List<Nsga2.Individual> plans = new ArrayList<>();
+    for (int i = firstIndex; i < LOGGED.length; i++) {
+      plans.add(plan(LOGGED[i]));
     }
-    return out;
+    return plans;
   }
 
   private static double machines(Nsga2.Individual plan) {
     return plan.variables()[0];
   }
 
-  private final PlanSelector choice = new PlanSelector(OperatorSettings.defaults(), 0);
+  private final PlanSelector selector = new PlanSelector(OperatorSettings.defaults(), 0);
 
   @Test
-  void aBurstIsNotAnsweredByDozensOfMachines() {
-    assertTrue(machines(choice.select(front(0), null)) >= 375 / 2.0);
+  void aBurstGetsHundredsOfMachines() {
+    assertTrue(machines(selector.select(front(0), null)) >= 375 / 2.0);
   }
 
   /** The slowest plans are never selected, so their presence on the front must not matter. */
   @Test
-  void theSlowestPlansDoNotMoveTheChoice() {
-    double without = machines(choice.select(front(5), null));
+  void theSlowestPlansDoNotAffectTheSelection() {
+    double withoutSlowest = machines(selector.select(front(5), null));
     for (int from = 0; from < 5; from++) {
-      assertEquals(without, machines(choice.select(front(from), null)), "from plan " + from);
+      assertEquals(
+          withoutSlowest, machines(selector.select(front(from), null)), "from plan " + from);
     }
   }
 
   /** When a burst arrives, the current plan is too slow and must be replaced. */
   @Test
-  void aPlanThatIsTooSlowDoesNotStand() {
+  void aCurrentPlanThatIsTooSlowIsReplaced() {
     Nsga2.Individual tooSlow = plan(LOGGED[4]);
-    assertTrue(machines(choice.select(front(0), tooSlow)) > machines(tooSlow));
+    assertTrue(machines(selector.select(front(0), tooSlow)) > machines(tooSlow));
   }
 
   @Test
-  void aPlanAboutAsNearStands() {
-    Nsga2.Individual nearest = choice.select(front(0), null);
-    Nsga2.Individual standing =
+  void aCurrentPlanAboutAsNearIsKept() {
+    Nsga2.Individual nearest = selector.select(front(0), null);
+    Nsga2.Individual current =
         new Nsga2.Individual(new double[] {machines(nearest) + 1}, nearest.costs().clone());
-    assertSame(standing, choice.select(front(0), standing));
+    assertSame(current, selector.select(front(0), current));
   }
 
   /** With nothing to place, all makespans are zero, and the cheapest plan is selected. */
   @Test
-  void withoutWorkTheCheapestIsTaken() {
+  void withoutWorkTheCheapestIsSelected() {
     List<Nsga2.Individual> idle =
         List.of(plan(new double[] {3, 0, 1.2}), plan(new double[] {1, 0, 0.4}));
-    assertEquals(1, machines(choice.select(idle, null)));
+    assertEquals(1, machines(selector.select(idle, null)));
   }
 }
--- a/src/test/java/dapplestair/planning/PlanStabilityTest.java
+++ b/src/test/java/dapplestair/planning/PlanStabilityTest.java
@@ -20,38 +20,38 @@
   private static final double INERTIA = 0.05;
   private static final double[] WEIGHTS = {2.1, 1, 0.5};
 
-  private static FleetProblem.MachineKindState slot(
+  private static FleetProblem.MachineKindState kindState(
       String name, double cpus, boolean spot, double price) {
-    MachineType t =
+    MachineType type =
         new MachineType(name, cpus, 0, 64, 50, 1, price, price / 2, 25, List.of("a", "b"));
     return new FleetProblem.MachineKindState(
-        t, spot, spot ? 0 : 5, 400, new HeldTaskSlots(List.of(), 50), 0, price, spot ? 0.1 : 0);
+        type, spot, spot ? 0 : 5, 400, new HeldTaskSlots(List.of(), 50), 0, price, spot ? 0.1 : 0);
   }
 
   /** Creates a problem with eight variables and the given number of arrays. */
-  private static FleetProblem problem(int jobs) {
-    List<FleetProblem.MachineKindState> slots = new ArrayList<>();
+  private static FleetProblem problem(int jobCount) {
+    List<FleetProblem.MachineKindState> kinds = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       double cpus = 8 << (i % 3);
-      slots.add(slot("t" + i, cpus, false, cpus * (0.04 + 0.004 * i)));
-      slots.add(slot("t" + i, cpus, true, cpus * (0.02 + 0.002 * i)));
+      kinds.add(kindState("t" + i, cpus, false, cpus * (0.04 + 0.004 * i)));
+      kinds.add(kindState("t" + i, cpus, true, cpus * (0.02 + 0.002 * i)));
     }
-    boolean[] all = new boolean[slots.size()];
+    boolean[] all = new boolean[kinds.size()];
     Arrays.fill(all, true);
     List<FleetProblem.DryTasks> tasks = new ArrayList<>();
-    for (int i = 0; i < jobs; i++) {
+    for (int i = 0; i < jobCount; i++) {
       tasks.add(new FleetProblem.DryTasks(all, 60, 2, 20 + i % 7, false, 0.9, 0));
     }
-    return new FleetProblem(slots, tasks, 2, 1e9);
+    return new FleetProblem(kinds, tasks, 2, 1e9);
   }
 
   /** Returns the number of different plans that 25 consecutive rounds choose. */
-  private static int plans(FleetProblem problem, boolean standing) {
-    Set<List<Integer>> out = new HashSet<>();
+  private static int countDistinctPlans(FleetProblem problem, boolean keepsCurrent) {
+    Set<List<Integer>> distinctPlans = new HashSet<>();
     double[] last = null;
     for (int round = 0; round < 25; round++) {
       List<double[]> seeds = new ArrayList<>(List.of(problem.lower()));
-      if (standing) {
+      if (keepsCurrent) {
         Autoscaler.addShareSeeds(problem, seeds);
         if (last != null) {
           seeds.add(last);
@@ -60,27 +60,27 @@
       var random = RandomSource.XO_RO_SHI_RO_128_PP.create(round);
       List<Nsga2.Individual> front = new Nsga2(random, 20, 300).search(problem, seeds);
       Nsga2.Individual chosen =
-          last == null || !standing
+          last == null || !keepsCurrent
               ? Nsga2.nearestOrigin(front, WEIGHTS)
               : Nsga2.nearestOrigin(
                   front, new Nsga2.Individual(last, problem.evaluate(last)), INERTIA, WEIGHTS);
       last = chosen.variables();
-      out.add(Arrays.stream(FleetProblem.roundToCounts(last)).boxed().toList());
+      distinctPlans.add(Arrays.stream(FleetProblem.roundToCounts(last)).boxed().toList());
     }
-    return out.size();
+    return distinctPlans.size();
   }
 
   @Test
   void theSameDemandGetsTheSamePlan() {
-    int with = plans(problem(40), true);
-    int without = plans(problem(40), false);
-    assertTrue(without > 20, "the search alone chose " + without + " plans of 25");
-    assertTrue(with <= 4, with + " plans of 25");
+    int withCurrent = countDistinctPlans(problem(40), true);
+    int withoutCurrent = countDistinctPlans(problem(40), false);
+    assertTrue(withoutCurrent > 20, "the search alone chose " + withoutCurrent + " plans of 25");
+    assertTrue(withCurrent <= 4, withCurrent + " plans of 25");
   }
 
   /** A plan is replaced when the demand has changed. */
   @Test
-  void otherDemandGetsAnotherPlan() {
+  void changedDemandGetsADifferentPlan() {
     FleetProblem few = problem(10);
     FleetProblem many = problem(80);
     double[] small = chosen(few, null);
@@ -117,15 +117,15 @@
    * kind first; a share of 1 has capacity for all of the work.
    */
   @Test
-  void sharesStayWithinTheBounds() {
+  void shareSeedsStayWithinTheBounds() {
     FleetProblem p = problem(40);
-    double[] all = p.seedForShare(1);
+    double[] fullShare = p.seedForShare(1);
     double[] quarter = p.seedForShare(0.25);
-    for (int i = 0; i < all.length; i++) {
-      assertTrue(all[i] >= p.lower()[i] && all[i] <= p.upper()[i]);
-      assertTrue(quarter[i] <= all[i]);
+    for (int i = 0; i < fullShare.length; i++) {
+      assertTrue(fullShare[i] >= p.lower()[i] && fullShare[i] <= p.upper()[i]);
+      assertTrue(quarter[i] <= fullShare[i]);
     }
-    assertTrue(cpus(p, all) >= 40 * 60 * 4, "room for all that waits");
-    assertEquals(400, all[1], "the cheapest kind is used up first");
+    assertTrue(cpus(p, fullShare) >= 40 * 60 * 4, "room for all that waits");
+    assertEquals(400, fullShare[1], "the cheapest kind is used up first");
   }
 }
