--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -180,9 +180,9 @@
           .put("done", count.done());
       if (statuses.containsKey(team.name())) {
         BudgetStatus budgetStatus = statuses.get(team.name());
-        row.put("out", budgetStatus.out()).set("disruption", budget(budgetStatus));
-        if (budgetStatus.allowed() < Integer.MAX_VALUE) {
-          row.put("out_allowed", budgetStatus.allowed());
+        row.put("out", budgetStatus.unavailableReplicas()).set("disruption", budget(budgetStatus));
+        if (budgetStatus.maxUnavailableReplicas() < Integer.MAX_VALUE) {
+          row.put("out_allowed", budgetStatus.maxUnavailableReplicas());
         }
       }
     }
@@ -193,19 +193,19 @@
   private static ObjectNode budget(BudgetStatus budgetStatus) {
     ObjectNode object =
         Json.object()
-            .put("replicas_wanted", budgetStatus.wanted())
-            .put("replicas_out", budgetStatus.out())
-            .put("replicas_stopping", budgetStatus.stopping())
-            .put("array_tasks_out", budgetStatus.arraysOut())
+            .put("replicas_wanted", budgetStatus.wantedReplicas())
+            .put("replicas_out", budgetStatus.unavailableReplicas())
+            .put("replicas_stopping", budgetStatus.stoppingReplicas())
+            .put("array_tasks_out", budgetStatus.unavailableArrayTasks())
             .put("lost_cpu_s", budgetStatus.lostCpuS());
-    if (budgetStatus.allowed() < Integer.MAX_VALUE) {
-      object.put("replicas_allowed", budgetStatus.allowed());
+    if (budgetStatus.maxUnavailableReplicas() < Integer.MAX_VALUE) {
+      object.put("replicas_allowed", budgetStatus.maxUnavailableReplicas());
     }
-    if (budgetStatus.arraysAllowed() < Integer.MAX_VALUE) {
-      object.put("array_tasks_allowed", budgetStatus.arraysAllowed());
+    if (budgetStatus.maxUnavailableArrayTasks() < Integer.MAX_VALUE) {
+      object.put("array_tasks_allowed", budgetStatus.maxUnavailableArrayTasks());
     }
-    if (!Double.isInfinite(budgetStatus.lostAllowed())) {
-      object.put("lost_cpu_s_allowed", budgetStatus.lostAllowed());
+    if (!Double.isInfinite(budgetStatus.maxLostCpuS())) {
+      object.put("lost_cpu_s_allowed", budgetStatus.maxLostCpuS());
     }
     return object;
   }
--- a/src/main/java/dapplestair/admin/DrainHandler.java
+++ b/src/main/java/dapplestair/admin/DrainHandler.java
@@ -87,7 +87,7 @@
       Drain before,
       Drain drain,
       Consumer<AdminResponse> done) {
-    drains.order(
+    drains.recordOrder(
         key,
         drain,
         clock.now() + PATIENCE_MS,
--- a/src/main/java/dapplestair/admin/MachineViews.java
+++ b/src/main/java/dapplestair/admin/MachineViews.java
@@ -158,7 +158,7 @@
     if (host.recalled()) {
       object.put("taken_in_s", Math.max(0, host.recallAt() - clock.now()) / 1000.0);
     }
-    Drain drain = drains.of(host);
+    Drain drain = drains.drainOf(host);
     if (drain != null) {
       object.set("drain", drain(drain, drains.progress(host)));
     }
@@ -173,20 +173,20 @@
   static ObjectNode drain(Drain drain, DrainExecutor.DrainProgress left) {
     ObjectNode object =
         Json.object()
-            .put("by", drain.by())
-            .put("at", drain.atWall())
-            .put("why", drain.why())
-            .put("return", drain.giveBack());
+            .put("by", drain.orderedBy())
+            .put("at", drain.orderedAtWallMs())
+            .put("why", drain.reason())
+            .put("return", drain.returnToCloud());
     if (drain.deadlineS() > 0) {
       object.put("deadline_s", drain.deadlineS());
     }
     if (left != null) {
       object
-          .put("tasks_left", left.tasks())
-          .put("replicas_left", left.services())
-          .put("replicas_held", left.held());
-      if (left.because() != null) {
-        object.put("because", left.because());
+          .put("tasks_left", left.taskCount())
+          .put("replicas_left", left.replicaCount())
+          .put("replicas_held", left.waitingReplicas());
+      if (left.blockedReason() != null) {
+        object.put("because", left.blockedReason());
       }
     }
     return object;
--- a/src/main/java/dapplestair/admin/ReplacementHandler.java
+++ b/src/main/java/dapplestair/admin/ReplacementHandler.java
@@ -67,26 +67,26 @@
 
   private static ObjectNode row(ReplacementView view) {
     ReplacementOrder order = view.order();
-    String state = view.paused() != null ? "paused" : view.phase();
+    String state = view.pauseReason() != null ? "paused" : view.phase();
     ObjectNode object =
         Json.object()
             .put("name", view.name())
             .put("state", state)
             .put("phase", view.phase())
-            .put("replaced", Math.max(0, order.total() - view.left()))
-            .put("total", order.total())
-            .put("steps", view.steps())
-            .put("step", order.step())
-            .put("beyond", order.beyond())
+            .put("replaced", Math.max(0, order.totalMachines() - view.remainingMachines()))
+            .put("total", order.totalMachines())
+            .put("steps", view.stepsBegun())
+            .put("step", order.maxPerStep())
+            .put("beyond", order.maxSurge())
             .put("watch_s", order.watchS())
-            .put("slower", order.slower())
-            .put("by", order.by())
-            .put("at", order.atWall())
-            .put("why", order.why());
+            .put("slower", order.maxSlowdown())
+            .put("by", order.orderedBy())
+            .put("at", order.orderedAtWallMs())
+            .put("why", order.reason());
     if (order.deadlineS() > 0) {
       object.put("deadline_s", order.deadlineS());
     }
-    MachineSelector selection = order.selection();
+    MachineSelector selection = order.selector();
     if (selection.zone() != null) {
       object.put("zone", selection.zone());
     }
@@ -96,16 +96,16 @@
     if (selection.spot() != null) {
       object.put("spot", selection.spot());
     }
-    if (view.paused() != null) {
+    if (view.pauseReason() != null) {
       object
-          .put("paused", view.paused())
-          .put("goes_on", view.byWord() ? "when told to" : "by itself");
+          .put("paused", view.pauseReason())
+          .put("goes_on", view.operatorMustResume() ? "when told to" : "by itself");
     }
     if (view.remark() != null) {
       object.put("remark", view.remark());
     }
-    if (view.endS() >= 0) {
-      object.put("expected_end_s", Math.rint(view.endS()));
+    if (view.expectedEndS() >= 0) {
+      object.put("expected_end_s", Math.rint(view.expectedEndS()));
     }
     object.put("machines", String.join(" ", view.batch()));
     return object;
@@ -121,19 +121,19 @@
     }
     ReplacementOrder order = order(request);
     ReplacementView before = replacements.view(name);
-    if (before != null && order.sameAs(before.order())) {
+    if (before != null && order.isSameAs(before.order())) {
       done.accept(told(name, before.phase(), false));
     } else if (before != null && !before.phase().equals("done")) {
       done.accept(
           AdminResponse.error(409, "replacement " + name + " is another order, and not done"));
-    } else if (order.total() == 0) {
+    } else if (order.totalMachines() == 0) {
       throw new AdminRequest.BadRequestException(
           "select = " + select(request.body()) + ": matches no machine");
     } else if (before == null && replacements.views().size() >= MOST_ORDERS) {
       done.accept(
           AdminResponse.error(409, "there are " + MOST_ORDERS + " replacements: abort some"));
     } else {
-      record(name, () -> Replacements.begun(order), "choose", done);
+      record(name, () -> Replacements.newOrderRecord(order), "choose", done);
     }
   }
 
@@ -141,11 +141,11 @@
       throws AdminRequest.BadRequestException {
     String why = why(request.body());
     String words = "by " + request.caller().name() + (why.isEmpty() ? "" : ": " + why);
-    change(name, () -> replacements.told(name, words), "paused", done);
+    change(name, () -> replacements.pausedOrResumedRecord(name, words), "paused", done);
   }
 
   void resume(String name, Consumer<AdminResponse> done) {
-    change(name, () -> replacements.told(name, null), "resumed", done);
+    change(name, () -> replacements.pausedOrResumedRecord(name, null), "resumed", done);
   }
 
   /** What is still old goes back into use. */
@@ -210,7 +210,7 @@
     JsonNode node = request.body();
     long now = clock.wall();
     MachineSelector selection = selection(node, now);
-    int total = replacements.covered(selection);
+    int total = replacements.countMatching(selection);
     double ratio = number(node, "step_ratio", 0, 0, 1);
     double usual = ratio > 0 ? Math.max(1, Math.min(MOST_NAMES, Math.ceil(ratio * total))) : 1;
     int step = (int) number(node, "step", usual, 1, MOST_NAMES);
--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -70,9 +70,9 @@
     int[] counts = ledger.counts(job);
     ObjectNode object = nothing(ref, JobViews.status(counts));
     object.put("waiting_tasks", explanation.waiting());
-    DisruptionRefusal refusal = disruptionGate.refused(job);
+    DisruptionRefusal refusal = disruptionGate.lastRefusal(job);
     if (refusal != null) {
-      object.put("not_moved", refusal.words());
+      object.put("not_moved", refusal.describe());
     }
     FaultAttribution.JobFailureStatus standing = faultAttribution.standing(job);
     if (standing != null) {
--- a/src/main/java/dapplestair/disruption/BudgetStatus.java
+++ b/src/main/java/dapplestair/disruption/BudgetStatus.java
@@ -1,23 +1,22 @@
 package dapplestair.disruption;
 
-/**
- * How a team stands against its budget.
+/* * The use of a team's disruption budget.
  *
- * @param wanted replicas that its services want
- * @param out replicas that are out, for whatever reason
- * @param stopping those among them that are being stopped
- * @param allowed replicas that may be out at once
- * @param arraysOut tasks of arrays that are stopped, or lost, and not running again
- * @param arraysAllowed how many of them may be
- * @param lostCpuS work thrown away or reserved in the last hour, CPU seconds
- * @param lostAllowed how much of it may be
+ * @param wantedReplicas number of replicas that the team's services want
+ * @param unavailableReplicas number of replicas that are unavailable, for any reason
+ * @param stoppingReplicas number of unavailable replicas that are being stopped
+ * @param maxUnavailableReplicas maximum number of replicas that may be unavailable at once
+ * @param unavailableArrayTasks number of array tasks that are stopped or lost and not running again
+ * @param maxUnavailableArrayTasks maximum number of array tasks that may be unavailable at once
+ * @param lostCpuS work lost or reserved in the last hour, in CPU seconds
+ * @param maxLostCpuS maximum work that may be lost in an hour, in CPU seconds
  */
 public record BudgetStatus(
-    int wanted,
-    int out,
-    int stopping,
-    int allowed,
-    int arraysOut,
-    int arraysAllowed,
+    int wantedReplicas,
+    int unavailableReplicas,
+    int stoppingReplicas,
+    int maxUnavailableReplicas,
+    int unavailableArrayTasks,
+    int maxUnavailableArrayTasks,
     double lostCpuS,
-    double lostAllowed) {}
+    double maxLostCpuS) {}
--- a/src/main/java/dapplestair/disruption/DisruptionGate.java
+++ b/src/main/java/dapplestair/disruption/DisruptionGate.java
@@ -15,64 +15,72 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * The one gate for stops that are our own choice. What can wait asks first; what cannot, such as a
- * notice of the cloud or room that a rank or a guarantee claims, is let through and debited. What
- * is out is no counter: it is derived anew from the attempts on record and from what is heard of
- * them, so that neither a change of leader nor a restart of all fills a budget up again.
+/* * The gate that every voluntary stop of a task passes. Stops that can wait request permission first.
+ * Stops that cannot wait, such as those for a reclaim notice of the cloud or for capacity that a
+ * rank or a guarantee claims, are always allowed and debited to the budget. The number of
+ * unavailable tasks is not a stored counter: it is derived from the recorded attempts and the
+ * workers' reports each time, so that neither a change of leader nor a restart of all controllers
+ * refills a budget.
  */
 public final class DisruptionGate {
-  private static final double MESSAGE_S = 0.5;
+  private static final double STOP_MESSAGE_DELAY_S = 0.5;
 
   private final Clock clock;
   private final DisruptionBudgets budgets;
   private final Ledger ledger;
   private final WorkerManager workers;
-  private final LostWork lost;
+  private final LostWork lostWork;
 
-  // Of this look: how each team and job stands.
-  private final Map<String, Sum> teams = new HashMap<>();
-  private final Map<Job, Integer> missing = new LinkedHashMap<>();
-  private final Map<Job, DisruptionRefusal> refusals = new LinkedHashMap<>();
-  private long lookedAt = Long.MIN_VALUE;
-  private long granted;
-  private long forced;
+  // State of each team and job as of the last refresh.
+  private final Map<String, TeamTotals> totalsByTeam = new HashMap<>();
+  private final Map<Job, Integer> missingReplicas = new LinkedHashMap<>();
+  private final Map<Job, DisruptionRefusal> lastRefusals = new LinkedHashMap<>();
+  private long refreshedAtMs = Long.MIN_VALUE;
+  private long grantedStops;
+  private long forcedStops;
 
-  private static final class Sum {
-    int wanted;
-    int out;
-    int stopping;
-    int arraysOut;
-    int arraysStopping;
+  private static final class TeamTotals {
+    int wantedReplicas;
+    int unavailableReplicas;
+    int stoppingReplicas;
+    int unavailableArrayTasks;
+    int stoppingArrayTasks;
   }
 
-  /** Guards what {@code ledger} runs. */
+  /** Creates a gate for the attempts in {@code ledger}. */
   public DisruptionGate(
-      Clock clock, DisruptionBudgets budgets, Ledger ledger, WorkerManager workers, LostWork lost) {
+      Clock clock,
+      DisruptionBudgets budgets,
+      Ledger ledger,
+      WorkerManager workers,
+      LostWork lostWork) {
     this.clock = clock;
     this.budgets = budgets;
     this.ledger = ledger;
     this.workers = workers;
-    this.lost = lost;
+    this.lostWork = lostWork;
   }
 
-  // ---- what cannot wait ----
+  // ---- stops that cannot wait ----
 
-  /** Stops what must be stopped, whatever the budget says, and debits it. */
-  public void must(Attempt attempt, double windDownS, StopReason why) {
+  /** Stops an attempt regardless of the budget and debits the work that is lost. */
+  public void forceStop(Attempt attempt, double windDownS, StopReason reason) {
     if (!attempt.halting()) {
       debit(attempt);
     }
-    ledger.halt(attempt, windDownS, why);
+    ledger.halt(attempt, windDownS, reason);
   }
 
-  /** Makes room for a rider of a lane: by an account of its own, so that no budget is used up. */
-  public void ride(Attempt attempt, double windDownS) {
+  /**
+   * Stops an attempt to free capacity for a rider of a lane. Lanes have an account of their own, so
+   * the stop is not debited to the team's budget.
+   */
+  public void stopForRider(Attempt attempt, double windDownS) {
     ledger.halt(attempt, windDownS, StopReason.LANE);
   }
 
-  /** A machine is given up with all that is on it. */
-  public void givenUp(Host host) {
+  /** Debits the attempts on a machine that is given up. */
+  public void debitAttemptsOn(Host host) {
     for (Attempt attempt : host.attempts()) {
       if (!attempt.exited() && !attempt.halting() && !attempt.job().over()) {
         debit(attempt);
@@ -81,47 +89,46 @@
   }
 
   private void debit(Attempt attempt) {
-    forced++;
-    lost.debit(attempt.spec().team(), lossCpuS(attempt));
+    forcedStops++;
+    lostWork.chargeForced(attempt.spec().team(), lossCpuS(attempt));
   }
 
-  // ---- what asks first ----
+  // ---- stops that request permission ----
 
-  /**
-   * A new round of asking: what is out is derived anew. All who ask in it are asked for in the
-   * order of their deadlines, then of their age, by whoever calls.
+  /*   * Starts a new round of requests by recomputing which tasks are unavailable. Within a round, the
+   * caller makes the requests in the order of their deadlines and then of their age.
    */
-  public void look() {
-    lookedAt = clock.now();
-    teams.clear();
-    missing.clear();
-    refusals.keySet().removeIf(Job::over);
+  public void refresh() {
+    refreshedAtMs = clock.now();
+    totalsByTeam.clear();
+    missingReplicas.clear();
+    lastRefusals.keySet().removeIf(Job::over);
     for (Job job : ledger.jobs()) {
       if (!job.over()) {
-        count(job);
+        countUnavailable(job);
       }
     }
   }
 
-  private void count(Job job) {
-    UnavailableTasks unavailable = ledger.out(job, this::reached);
-    Sum sum = sum(job.spec().team());
+  private void countUnavailable(Job job) {
+    UnavailableTasks unavailable = ledger.out(job, this::isReachable);
+    TeamTotals totals = totalsOf(job.spec().team());
     if (job.spec().service()) {
-      sum.wanted += job.spec().steps();
-      sum.out += unavailable.disrupted();
-      sum.stopping += unavailable.stopping();
-      missing.put(job, unavailable.missing());
+      totals.wantedReplicas += job.spec().steps();
+      totals.unavailableReplicas += unavailable.disrupted();
+      totals.stoppingReplicas += unavailable.stopping();
+      missingReplicas.put(job, unavailable.missing());
     } else {
-      sum.arraysOut += unavailable.disrupted();
-      sum.arraysStopping += unavailable.stopping();
+      totals.unavailableArrayTasks += unavailable.disrupted();
+      totals.stoppingArrayTasks += unavailable.stopping();
     }
   }
 
-  /**
-   * Only a machine that has shown a token of this term: before, a stop of the former leader may
-   * still be carried out on it, and what it said may be older than that.
+  /*   * Returns whether an attempt's machine is known to run it. The machine must have reported a token
+   * of the current term: before that, it may still carry out a stop of the former leader, and its
+   * last report may be older than that stop.
    */
-  private boolean reached(Attempt attempt) {
+  private boolean isReachable(Attempt attempt) {
     Host host = workers.known(attempt.host());
     return host != null
         && host.acknowledged()
@@ -131,142 +138,151 @@
         && !host.gone();
   }
 
-  /** Stops a task if its team's budget allows that now; null, or what stands against it. */
-  public DisruptionRefusal ask(Attempt attempt, double windDownS, StopReason why) {
-    DisruptionRefusal refusal = refusal(attempt);
+  /** Stops a task if its team's budget allows it now. Returns null, or the reason for refusing. */
+  public DisruptionRefusal requestStop(Attempt attempt, double windDownS, StopReason reason) {
+    DisruptionRefusal refusal = checkBudget(attempt);
     if (refusal != null) {
-      refusals.put(attempt.job(), refusal);
+      lastRefusals.put(attempt.job(), refusal);
       return refusal;
     }
-    refusals.remove(attempt.job());
-    granted++;
-    lost.spend(attempt.spec().team(), lossCpuS(attempt));
-    take(attempt);
-    ledger.halt(attempt, windDownS, why);
+    lastRefusals.remove(attempt.job());
+    grantedStops++;
+    lostWork.chargeGranted(attempt.spec().team(), lossCpuS(attempt));
+    countStop(attempt);
+    ledger.halt(attempt, windDownS, reason);
     return null;
   }
 
-  private void take(Attempt attempt) {
-    Sum sum = sum(attempt.spec().team());
+  private void countStop(Attempt attempt) {
+    TeamTotals totals = totalsOf(attempt.spec().team());
     if (attempt.spec().service()) {
-      sum.out++;
-      sum.stopping++;
-      missing.merge(attempt.job(), 1, Integer::sum);
+      totals.unavailableReplicas++;
+      totals.stoppingReplicas++;
+      missingReplicas.merge(attempt.job(), 1, Integer::sum);
     } else {
-      sum.arraysOut++;
-      sum.arraysStopping++;
+      totals.unavailableArrayTasks++;
+      totals.stoppingArrayTasks++;
     }
   }
 
-  private Sum sum(String team) {
-    return teams.computeIfAbsent(team, t -> new Sum());
+  private TeamTotals totalsOf(String team) {
+    return totalsByTeam.computeIfAbsent(team, t -> new TeamTotals());
   }
 
-  private DisruptionRefusal refusal(Attempt attempt) {
+  private DisruptionRefusal checkBudget(Attempt attempt) {
     String team = attempt.spec().team();
     DisruptionBudget budget = budgets.of(team);
-    Sum sum = sum(team);
+    TeamTotals totals = totalsOf(team);
     if (attempt.spec().service()) {
-      int ofTeam = budget.ofTeam(sum.wanted);
-      if (sum.out >= ofTeam) {
+      int maxOfTeam = budget.ofTeam(totals.wantedReplicas);
+      if (totals.unavailableReplicas >= maxOfTeam) {
         return new DisruptionRefusal(
-            team, "replicas of the team", ofTeam, sum.out, because(sum.out, sum.stopping));
+            team,
+            "replicas of the team",
+            maxOfTeam,
+            totals.unavailableReplicas,
+            describeUnavailable(totals.unavailableReplicas, totals.stoppingReplicas));
       }
       int steps = attempt.spec().steps();
-      int ofJob = budget.ofJob(steps);
-      int gone = missing.getOrDefault(attempt.job(), steps);
-      return gone < ofJob
+      int maxOfJob = budget.ofJob(steps);
+      int missing = missingReplicas.getOrDefault(attempt.job(), steps);
+      return missing < maxOfJob
           ? null
           : new DisruptionRefusal(
-              team, "replicas of " + attempt.spec().ref(), ofJob, gone, "of " + steps + " wanted");
+              team,
+              "replicas of " + attempt.spec().ref(),
+              maxOfJob,
+              missing,
+              "of " + steps + " wanted");
     }
-    if (sum.arraysOut >= budget.arrayTasks()) {
+    if (totals.unavailableArrayTasks >= budget.arrayTasks()) {
       return new DisruptionRefusal(
           team,
           "tasks of arrays",
           budget.arrayTasks(),
-          sum.arraysOut,
-          because(sum.arraysOut, sum.arraysStopping));
+          totals.unavailableArrayTasks,
+          describeUnavailable(totals.unavailableArrayTasks, totals.stoppingArrayTasks));
     }
-    return lost.refusal(team, lossCpuS(attempt));
+    return lostWork.refusal(team, lossCpuS(attempt));
   }
 
-  private static String because(int out, int stopping) {
-    return out == 0
+  private static String describeUnavailable(int unavailable, int stopping) {
+    return unavailable == 0
         ? "zero means never"
-        : "%d being stopped, %d stopped, lost or not heard".formatted(stopping, out - stopping);
+        : "%d being stopped, %d stopped, lost or not heard"
+            .formatted(stopping, unavailable - stopping);
   }
 
-  /**
-   * Most work that stopping a task can throw away, CPU seconds. That it runs may be heard some
-   * seconds late, so it counts from when it was planned. How long one ran under an earlier leader
-   * is not known: then at most since its job was accepted.
+  /*   * Returns the maximum work in CPU seconds that is lost when a task is stopped. The report that a
+   * task runs may arrive some seconds late, so its run time counts from when it was planned. How
+   * long a task ran under an earlier leader is unknown, so such a task counts from when its job was
+   * accepted.
    */
   public double lossCpuS(Attempt attempt) {
     if (attempt.spec().service()) {
       return 0;
     }
-    double ran = (clock.now() - attempt.plannedAt()) / 1000.0;
+    double runS = (clock.now() - attempt.plannedAt()) / 1000.0;
     if (attempt.adopted()) {
-      ran = Math.max(ran, (clock.wall() - attempt.job().acceptedWall()) / 1000.0);
+      runS = Math.max(runS, (clock.wall() - attempt.job().acceptedWall()) / 1000.0);
     }
-    // It runs on until the stop has arrived.
-    ran += MESSAGE_S;
-    double unsaved = attempt.spec().saves() ? Math.min(ran, attempt.spec().saveEveryS()) : ran;
-    return unsaved * attempt.spec().cpus();
+    // The task continues to run until the stop message has arrived.
+    runS += STOP_MESSAGE_DELAY_S;
+    double unsavedS = attempt.spec().saves() ? Math.min(runS, attempt.spec().saveEveryS()) : runS;
+    return unsavedS * attempt.spec().cpus();
   }
 
   // ---- views ----
 
-  /** What last stood against moving a task of a job, or null. */
-  public DisruptionRefusal refused(Job job) {
-    return refusals.get(job);
+  /** Returns the reason why the last request to stop a task of a job was refused, or null. */
+  public DisruptionRefusal lastRefusal(Job job) {
+    return lastRefusals.get(job);
   }
 
-  /** How each team stands now. */
+  /** Returns the current budget status of each team. */
   public Map<String, BudgetStatus> statuses() {
-    if (lookedAt != clock.now()) {
-      look();
+    if (refreshedAtMs != clock.now()) {
+      refresh();
     }
-    Map<String, BudgetStatus> out = new TreeMap<>();
-    teams.forEach(
-        (team, s) -> {
+    Map<String, BudgetStatus> statuses = new TreeMap<>();
+    totalsByTeam.forEach(
+        (team, totals) -> {
           DisruptionBudget budget = budgets.of(team);
-          out.put(
+          statuses.put(
               team,
               new BudgetStatus(
-                  s.wanted,
-                  s.out,
-                  s.stopping,
-                  budget.ofTeam(s.wanted),
-                  s.arraysOut,
+                  totals.wantedReplicas,
+                  totals.unavailableReplicas,
+                  totals.stoppingReplicas,
+                  budget.ofTeam(totals.wantedReplicas),
+                  totals.unavailableArrayTasks,
                   budget.arrayTasks(),
-                  lost.spent(team),
+                  lostWork.usedCpuS(team),
                   budget.lostCpuS()));
         });
-    return out;
+    return statuses;
   }
 
-  /** Stops that asked and were granted, since this process began. */
-  public long granted() {
-    return granted;
+  /** Returns the number of stops granted on request since this process started. */
+  public long grantedStops() {
+    return grantedStops;
   }
 
-  /** Stops that could not wait, since this process began. */
-  public long forced() {
-    return forced;
+  /** Returns the number of stops that could not wait since this process started. */
+  public long forcedStops() {
+    return forcedStops;
   }
 
-  /** Takes the lead. */
+  /** Starts work as the leader. */
   public void lead() {
-    lost.lead();
+    lostWork.lead();
   }
 
-  /** Forgets what only this leader knew. */
+  /** Forgets the state that is valid only while this controller leads. */
   public void clear() {
-    teams.clear();
-    missing.clear();
-    refusals.clear();
-    lost.clear();
+    totalsByTeam.clear();
+    missingReplicas.clear();
+    lastRefusals.clear();
+    lostWork.clear();
   }
 }
--- a/src/main/java/dapplestair/disruption/DisruptionRefusal.java
+++ b/src/main/java/dapplestair/disruption/DisruptionRefusal.java
@@ -1,23 +1,22 @@
 package dapplestair.disruption;
 
-/**
- * Why a task may not be stopped now.
+/* * The reason why a task may not be stopped now.
  *
- * @param team whose budget it is
- * @param budget which of its figures is used up
- * @param allowed what that figure allows
- * @param out what is out, or spent, already
- * @param because what is out, and why, for people
+ * @param team team whose budget is used up
+ * @param budgetName the part of the budget that is used up
+ * @param allowed limit of that part
+ * @param used number of tasks already unavailable, or CPU seconds already lost
+ * @param detail human-readable description of what uses up the budget
  */
 public record DisruptionRefusal(
-    String team, String budget, double allowed, double out, String because) {
-  /** For people. */
-  public String words() {
+    String team, String budgetName, double allowed, double used, String detail) {
+  /** Returns a human-readable description of this refusal. */
+  public String describe() {
     return "team %s allows %s for %s, and %s out: %s"
-        .formatted(team, figure(allowed), budget, figure(out), because);
+        .formatted(team, formatNumber(allowed), budgetName, formatNumber(used), detail);
   }
 
-  private static String figure(double v) {
-    return v == Math.rint(v) ? Long.toString((long) v) : "%.1f".formatted(v);
+  private static String formatNumber(double value) {
+    return value == Math.rint(value) ? Long.toString((long) value) : "%.1f".formatted(value);
   }
 }
--- a/src/main/java/dapplestair/disruption/LostWork.java
+++ b/src/main/java/dapplestair/disruption/LostWork.java
@@ -17,39 +17,40 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * Work thrown away in the last hour, by team. Attempts on record do not tell it, so it is leased: a
- * share of the budget is put on record before any of it is granted, and the next leader takes all
- * that was reserved for spent. Time is cut into slices; a reservation holds in its own slice only,
- * so that nobody spends later what counts as earlier. Teams without such a budget have no record.
+/* * Tracks the work lost in the last hour, by team. It cannot be derived from the recorded attempts,
+ * so it is reserved: a share of the budget is recorded before any of it is granted, and the next
+ * leader counts everything reserved as spent. Time is divided into slices. A reservation is valid in
+ * its own slice only, so that work lost later cannot be charged to an earlier slice. Teams without
+ * such a budget have no record.
  */
 public final class LostWork {
   private static final long HOUR_MS = 3_600_000;
   private static final long SLICE_MS = HOUR_MS / 12;
 
-  // One reservation takes this share of the budget: some puts an hour, whatever is stopped.
-  private static final double SHARE = 1 / 16.0;
+  // Share of the budget that one reservation takes. It bounds the number of puts per hour, however
+  // many tasks are stopped.
+  private static final double RESERVATION_SHARE = 1 / 16.0;
 
   private final Clock clock;
   private final DisruptionBudgets budgets;
   private final FencedWriter writer;
   private final Replica replica;
   private final Leadership leadership;
-  private final Map<String, TeamLostWork> accounts = new HashMap<>();
+  private final Map<String, TeamLostWork> accountsByTeam = new HashMap<>();
   private boolean leading;
 
   private static final class TeamLostWork {
-    /** What is on record as reserved, by slice. */
-    final TreeMap<Long, Double> reserved = new TreeMap<>();
+    /** Recorded reservations in CPU seconds, by slice. */
+    final TreeMap<Long, Double> reservedCpuSBySlice = new TreeMap<>();
 
-    /** What this leader has spent in which slice. */
-    double spent;
+    /** CPU seconds that this leader has spent in {@code currentSlice}. */
+    double spentCpuS;
 
     long slice;
-    boolean writing;
+    boolean writeInFlight;
   }
 
-  /** Nothing thrown away yet. */
+  /** Creates an instance without any lost work. */
   public LostWork(
       Clock clock,
       Settings settings,
@@ -64,150 +65,175 @@
     this.leadership = leadership;
   }
 
-  /** The record of a team has this value, or is gone. */
+  /** Applies the recorded value of a team, or its removal if {@code value} is null. */
   public void recorded(String key, JsonNode value) {
-    TeamLostWork teamLostWork = account(key.substring(StateKeys.DISRUPTION.length()));
-    teamLostWork.reserved.clear();
+    TeamLostWork teamLostWork = accountOf(key.substring(StateKeys.DISRUPTION.length()));
+    teamLostWork.reservedCpuSBySlice.clear();
     if (value != null) {
       value
           .path("reserved")
           .fields()
           .forEachRemaining(
-              e -> teamLostWork.reserved.put(Long.parseLong(e.getKey()), e.getValue().asDouble()));
+              e ->
+                  teamLostWork.reservedCpuSBySlice.put(
+                      Long.parseLong(e.getKey()), e.getValue().asDouble()));
     }
   }
 
   void lead() {
     leading = true;
     writer.reset();
-    long slice = slice();
-    for (TeamLostWork teamLostWork : accounts.values()) {
-      // All that is reserved counts as spent: the former leader may have done so.
+    long slice = currentSlice();
+    for (TeamLostWork teamLostWork : accountsByTeam.values()) {
+      // Everything reserved counts as spent, because the former leader may have spent it.
       teamLostWork.slice = slice;
-      teamLostWork.spent = teamLostWork.reserved.getOrDefault(slice, 0.0);
-      teamLostWork.writing = false;
+      teamLostWork.spentCpuS = teamLostWork.reservedCpuSBySlice.getOrDefault(slice, 0.0);
+      teamLostWork.writeInFlight = false;
     }
   }
 
   void clear() {
     leading = false;
     writer.reset();
-    accounts.clear();
+    accountsByTeam.clear();
   }
 
-  private TeamLostWork account(String team) {
-    return accounts.computeIfAbsent(team, t -> new TeamLostWork());
+  private TeamLostWork accountOf(String team) {
+    return accountsByTeam.computeIfAbsent(team, t -> new TeamLostWork());
   }
 
-  private long slice() {
+  private long currentSlice() {
     return Math.floorDiv(clock.wall(), SLICE_MS);
   }
 
-  /** The account in this slice: what was reserved in an earlier one and not spent is void. */
-  private TeamLostWork now(String team) {
-    TeamLostWork teamLostWork = account(team);
-    long slice = slice();
+  /**
+   * Returns a team's account in the current slice. Reservations of earlier slices that were not
+   * spent are void.
+   */
+  private TeamLostWork currentAccount(String team) {
+    TeamLostWork teamLostWork = accountOf(team);
+    long slice = currentSlice();
     if (teamLostWork.slice != slice) {
       teamLostWork.slice = slice;
-      // A controller whose clock was ahead may have written of this slice already.
-      teamLostWork.spent = teamLostWork.reserved.getOrDefault(slice, 0.0);
+      // A controller whose clock was ahead may already have recorded reservations for this slice.
+      teamLostWork.spentCpuS = teamLostWork.reservedCpuSBySlice.getOrDefault(slice, 0.0);
     }
     return teamLostWork;
   }
 
-  /** Reserved or spent in the last hour, CPU seconds. */
-  double spent(String team) {
-    TeamLostWork teamLostWork = now(team);
-    double sum =
-        Math.max(teamLostWork.spent, teamLostWork.reserved.getOrDefault(teamLostWork.slice, 0.0));
-    // One slice more than an hour: what was spent at its end counts for a whole hour.
-    for (double r :
+  /** Returns the CPU seconds reserved or spent in the last hour. */
+  double usedCpuS(String team) {
+    TeamLostWork teamLostWork = currentAccount(team);
+    double totalCpuS =
+        Math.max(
+            teamLostWork.spentCpuS,
+            teamLostWork.reservedCpuSBySlice.getOrDefault(teamLostWork.slice, 0.0));
+    // Covers one slice more than an hour, so that work lost at the end of a slice counts for a
+    // whole hour.
+    for (double reservedCpuS :
         teamLostWork
-            .reserved
+            .reservedCpuSBySlice
             .subMap(teamLostWork.slice - HOUR_MS / SLICE_MS, teamLostWork.slice)
             .values()) {
-      sum += r;
+      totalCpuS += reservedCpuS;
     }
-    return sum;
+    return totalCpuS;
   }
 
-  /** Null when so much may be thrown away now; otherwise a reservation is begun if one may be. */
+  /**
+   * Returns null if this much work may be lost now. Otherwise returns the reason for refusing, and
+   * starts a reservation if the budget allows one.
+   */
   DisruptionRefusal refusal(String team, double cpuS) {
-    double allowed = budgets.of(team).lostCpuS();
-    if (Double.isInfinite(allowed) || cpuS <= 0) {
+    double allowedCpuS = budgets.of(team).lostCpuS();
+    if (Double.isInfinite(allowedCpuS) || cpuS <= 0) {
       return null;
     }
-    TeamLostWork teamLostWork = now(team);
-    double reserved = teamLostWork.reserved.getOrDefault(teamLostWork.slice, 0.0);
-    if (teamLostWork.spent + cpuS <= reserved + 1e-9 && !teamLostWork.writing) {
+    TeamLostWork teamLostWork = currentAccount(team);
+    double reservedCpuS = teamLostWork.reservedCpuSBySlice.getOrDefault(teamLostWork.slice, 0.0);
+    if (teamLostWork.spentCpuS + cpuS <= reservedCpuS + 1e-9 && !teamLostWork.writeInFlight) {
       return null;
     }
-    double before = spent(team);
-    double wanted = teamLostWork.spent + cpuS;
-    if (before - Math.max(teamLostWork.spent, reserved) + wanted > allowed + 1e-9) {
+    double usedBeforeCpuS = usedCpuS(team);
+    double wantedCpuS = teamLostWork.spentCpuS + cpuS;
+    if (usedBeforeCpuS - Math.max(teamLostWork.spentCpuS, reservedCpuS) + wantedCpuS
+        > allowedCpuS + 1e-9) {
       return new DisruptionRefusal(
           team,
           "CPU seconds thrown away in an hour",
-          allowed,
-          before,
-          allowed == 0
+          allowedCpuS,
+          usedBeforeCpuS,
+          allowedCpuS == 0
               ? "zero means never"
               : "%.1f more would be thrown away; what ran under another leader counts since its job"
                       .formatted(cpuS)
                   + " was accepted");
     }
-    double room = allowed - (before - Math.max(teamLostWork.spent, reserved));
-    // Twice as much, since what runs loses more by the time the put is made.
-    write(
+    double availableCpuS =
+        allowedCpuS - (usedBeforeCpuS - Math.max(teamLostWork.spentCpuS, reservedCpuS));
+    // Reserves twice as much, because a running task loses more by the time the put completes.
+    recordReservation(
         team,
         teamLostWork,
-        Math.min(room, teamLostWork.spent + Math.max(2 * cpuS, allowed * SHARE)));
+        Math.min(
+            availableCpuS,
+            teamLostWork.spentCpuS + Math.max(2 * cpuS, allowedCpuS * RESERVATION_SHARE)));
     return new DisruptionRefusal(
-        team, "CPU seconds thrown away in an hour", allowed, before, "being put on record");
+        team,
+        "CPU seconds thrown away in an hour",
+        allowedCpuS,
+        usedBeforeCpuS,
+        "being put on record");
   }
 
-  /** A stop was granted: what it throws away was reserved. */
-  void spend(String team, double cpuS) {
+  /** Charges a granted stop, whose lost work was reserved before, to the team. */
+  void chargeGranted(String team, double cpuS) {
     if (!budgets.of(team).anyLoss()) {
-      now(team).spent += cpuS;
+      currentAccount(team).spentCpuS += cpuS;
     }
   }
 
-  /** A stop could not wait: what it throws away is put on record when there is time. */
-  void debit(String team, double cpuS) {
+  /** Charges a stop that could not wait to the team, and records its lost work afterwards. */
+  void chargeForced(String team, double cpuS) {
     if (budgets.of(team).anyLoss() || cpuS <= 0) {
       return;
     }
-    TeamLostWork teamLostWork = now(team);
-    teamLostWork.spent += cpuS;
-    if (teamLostWork.spent > teamLostWork.reserved.getOrDefault(teamLostWork.slice, 0.0)) {
-      write(team, teamLostWork, teamLostWork.spent + budgets.of(team).lostCpuS() * SHARE);
+    TeamLostWork teamLostWork = currentAccount(team);
+    teamLostWork.spentCpuS += cpuS;
+    if (teamLostWork.spentCpuS
+        > teamLostWork.reservedCpuSBySlice.getOrDefault(teamLostWork.slice, 0.0)) {
+      recordReservation(
+          team,
+          teamLostWork,
+          teamLostWork.spentCpuS + budgets.of(team).lostCpuS() * RESERVATION_SHARE);
     }
   }
 
-  private void write(String team, TeamLostWork teamLostWork, double reserve) {
-    if (teamLostWork.writing || !leading) {
+  private void recordReservation(String team, TeamLostWork teamLostWork, double reservedCpuS) {
+    if (teamLostWork.writeInFlight || !leading) {
       return;
     }
-    teamLostWork.writing = true;
+    teamLostWork.writeInFlight = true;
     long slice = teamLostWork.slice;
     String key = StateKeys.DISRUPTION + team;
     ObjectNode value = Json.object();
     ObjectNode slices = value.putObject("reserved");
     teamLostWork
-        .reserved
+        .reservedCpuSBySlice
         .tailMap(slice - HOUR_MS / SLICE_MS)
         .forEach((s, r) -> slices.put(Long.toString(s), (double) r));
     slices.put(
-        Long.toString(slice), Math.max(reserve, teamLostWork.reserved.getOrDefault(slice, 0.0)));
+        Long.toString(slice),
+        Math.max(reservedCpuS, teamLostWork.reservedCpuSBySlice.getOrDefault(slice, 0.0)));
     writer.put(
         key,
         replica.stamp(key),
         value,
         Priority.BOOKKEEPING,
         outcome -> {
-          // Without an answer the replica tells what is on record; until then nothing is granted.
-          teamLostWork.writing = false;
+          // If the outcome is unknown, the replica delivers the recorded value later; until then
+          // nothing is granted.
+          teamLostWork.writeInFlight = false;
           if (outcome instanceof TxnOutcome.Applied) {
             recorded(key, value);
           } else {
--- a/src/main/java/dapplestair/disruption/package-info.java
+++ b/src/main/java/dapplestair/disruption/package-info.java
@@ -1,5 +1,4 @@
-/**
- * The one gate for every stop that is our own choice, and each team's budget for it
- * (docs/disruption.md).
+/* * Contains the gate that every voluntary stop of a task passes, and each team's budget for such
+ * stops (docs/disruption.md).
  */
 package dapplestair.disruption;
--- a/src/main/java/dapplestair/drain/Drain.java
+++ b/src/main/java/dapplestair/drain/Drain.java
@@ -4,44 +4,48 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplestair.json.Json;
 
-/**
- * An order to empty a machine or a zone.
+/* * An order to drain a machine or a zone.
  *
- * @param by who gave it
- * @param atWall when, milliseconds of the time of day
- * @param why in their words, possibly empty
- * @param giveBack whether emptied machines are returned to the cloud
- * @param deadlineS seconds after which work that does not save is stopped, 0 for never
+ * @param orderedBy operator who gave the order
+ * @param orderedAtWallMs wall-clock time of the order
+ * @param reason reason given by the operator, possibly empty
+ * @param returnToCloud whether drained machines are returned to the cloud
+ * @param deadlineS seconds after which work that saves no state is stopped, 0 for never
  */
-public record Drain(String by, long atWall, String why, boolean giveBack, double deadlineS) {
-  /** The recorded form. */
+public record Drain(
+    String orderedBy,
+    long orderedAtWallMs,
+    String reason,
+    boolean returnToCloud,
+    double deadlineS) {
+  /** Returns the recorded form of this order. */
   public ObjectNode toJson() {
     return Json.object()
-        .put("by", by)
-        .put("at", atWall)
-        .put("why", why)
-        .put("return", giveBack)
+        .put("by", orderedBy)
+        .put("at", orderedAtWallMs)
+        .put("why", reason)
+        .put("return", returnToCloud)
         .put("deadlineS", deadlineS);
   }
 
-  /** Reads the recorded form. */
+  /** Parses the recorded form of an order. */
   public static Drain parse(JsonNode node) {
-    String by = Json.text(node, "by");
-    String why = Json.text(node, "why");
+    String orderedBy = Json.text(node, "by");
+    String reason = Json.text(node, "why");
     return new Drain(
-        by == null ? "" : by,
+        orderedBy == null ? "" : orderedBy,
         Json.number(node, "at", 0),
-        why == null ? "" : why,
+        reason == null ? "" : reason,
         Json.flag(node, "return"),
         Json.decimal(node, "deadlineS", 0));
   }
 
-  /** The moment after which work that does not save is stopped, time of day. */
-  long dueWall() {
-    return deadlineS > 0 ? atWall + Math.round(1000 * deadlineS) : Long.MAX_VALUE;
+  /** Returns the wall-clock time after which work that saves no state is stopped. */
+  long deadlineWallMs() {
+    return deadlineS > 0 ? orderedAtWallMs + Math.round(1000 * deadlineS) : Long.MAX_VALUE;
   }
 
-  boolean overdue(long nowWall) {
-    return nowWall > dueWall();
+  boolean isOverdue(long nowWallMs) {
+    return nowWallMs > deadlineWallMs();
   }
 }
--- a/src/main/java/dapplestair/drain/DrainExecutor.java
+++ b/src/main/java/dapplestair/drain/DrainExecutor.java
@@ -19,37 +19,42 @@
 import java.util.Map;
 import java.util.Set;
 
-/**
- * Empties drained machines. It only ever stops attempts and begins none, so it can put no task in
- * two places; what it must guard is that services stay whole: as many replicas at a time as their
- * team's budget allows ({@link DisruptionGate}), and none without a place to go to.
+/* * Stops the attempts on drained machines. It never starts an attempt, so it cannot cause a task to
+ * run in two places. It must keep services available: it stops only as many replicas at a time as
+ * their team's budget allows ({@link DisruptionGate}), and no replica that has nowhere to go.
  */
 public final class DrainExecutor {
-  /**
-   * What is left on a drained machine.
+  /*   * The tasks that remain on a drained machine.
    *
-   * @param tasks attempts that are not over
-   * @param services replicas among them
-   * @param held replicas that have no other place now, or wait for their team's budget
-   * @param because what stands against the next stop there, or null
-   * @param noPlace true when a replica has nowhere to go
+   * @param taskCount number of attempts that have not exited
+   * @param replicaCount number of service replicas among them
+   * @param waitingReplicas number of replicas not being stopped yet, because they have nowhere to go
+   *     or wait for their team's budget
+   * @param blockedReason reason why the next attempt on the machine is not stopped, or null
+   * @param lacksDestination whether a replica has nowhere to go
    */
-  public record DrainProgress(int tasks, int services, int held, String because, boolean noPlace) {}
+  public record DrainProgress(
+      int taskCount,
+      int replicaCount,
+      int waitingReplicas,
+      String blockedReason,
+      boolean lacksDestination) {}
 
-  private static final String NO_PLACE = "no other machine has room for %s under its rules";
+  private static final String NO_DESTINATION_REASON =
+      "no other machine has room for %s under its rules";
 
   private final Clock clock;
   private final WorkerManager workers;
   private final Fleet fleet;
   private final DisruptionGate disruptionGate;
-  private final Set<Host> under = new LinkedHashSet<>();
+  private final Set<Host> drainedHosts = new LinkedHashSet<>();
 
-  // Room that this step has given to replicas on their way, by machine.
-  private final Map<Host, List<Submission>> promised = new LinkedHashMap<>();
-  private final Map<Host, String> standing = new LinkedHashMap<>();
-  private final Set<Host> placeless = new LinkedHashSet<>();
+  // Replicas for which the current step has set capacity aside, by destination machine.
+  private final Map<Host, List<Submission>> promisedReplicas = new LinkedHashMap<>();
+  private final Map<Host, String> blockedReasons = new LinkedHashMap<>();
+  private final Set<Host> hostsLackingDestination = new LinkedHashSet<>();
 
-  /** Works on what the leader knows. */
+  /** Creates an executor that uses the leader's view of the machines. */
   public DrainExecutor(
       Clock clock, WorkerManager workers, Fleet fleet, DisruptionGate disruptionGate) {
     this.clock = clock;
@@ -59,90 +64,89 @@
   }
 
   void clear() {
-    under.clear();
-    standing.clear();
-    placeless.clear();
+    drainedHosts.clear();
+    blockedReasons.clear();
+    hostsLackingDestination.clear();
   }
 
-  /** True while machines were drained at the last step. */
-  boolean any() {
-    return !under.isEmpty();
+  /** Returns whether any machine was drained at the last step. */
+  boolean hasDrainedHosts() {
+    return !drainedHosts.isEmpty();
   }
 
-  /**
-   * One step for all drained machines. Those whose deadline comes first ask first, then those whose
-   * order is older, so that none is passed over for ever.
+  /*   * Performs one step for all drained machines. Machines with the earliest deadline request stops
+   * first, then those with the oldest order, so that no machine is passed over forever.
    */
-  void step(Map<Host, Drain> drained, long nowWall) {
-    under.clear();
-    under.addAll(drained.keySet());
-    promised.clear();
-    standing.clear();
-    placeless.clear();
-    if (!drained.isEmpty()) {
-      disruptionGate.look();
+  void step(Map<Host, Drain> drainsByHost, long nowWallMs) {
+    drainedHosts.clear();
+    drainedHosts.addAll(drainsByHost.keySet());
+    promisedReplicas.clear();
+    blockedReasons.clear();
+    hostsLackingDestination.clear();
+    if (!drainsByHost.isEmpty()) {
+      disruptionGate.refresh();
     }
-    List<Host> order = new ArrayList<>(drained.keySet());
-    order.sort(
-        Comparator.<Host>comparingLong(h -> drained.get(h).dueWall())
-            .thenComparingLong(h -> drained.get(h).atWall())
+    List<Host> orderedHosts = new ArrayList<>(drainsByHost.keySet());
+    orderedHosts.sort(
+        Comparator.<Host>comparingLong(h -> drainsByHost.get(h).deadlineWallMs())
+            .thenComparingLong(h -> drainsByHost.get(h).orderedAtWallMs())
             .thenComparing(Host::id));
-    for (Host h : order) {
-      Drain drain = drained.get(h);
-      for (Attempt attempt : List.copyOf(h.attempts())) {
+    for (Host host : orderedHosts) {
+      Drain drain = drainsByHost.get(host);
+      for (Attempt attempt : List.copyOf(host.attempts())) {
         if (!attempt.exited() && !attempt.halting() && attempt.sent()) {
-          empty(h, attempt, drain.overdue(nowWall));
+          drainAttempt(host, attempt, drain.isOverdue(nowWallMs));
         }
       }
-      if (drain.giveBack() && h.attempts().isEmpty() && h.up()) {
-        fleet.release(h);
+      if (drain.returnToCloud() && host.attempts().isEmpty() && host.up()) {
+        fleet.release(host);
       }
     }
   }
 
-  private void empty(Host host, Attempt attempt, boolean overdue) {
+  private void drainAttempt(Host host, Attempt attempt, boolean isOverdue) {
     Submission submission = attempt.spec();
     if (submission.service()) {
-      Host to = attempt.job().over() ? null : place(attempt.job(), host);
-      if (to == null) {
-        standing.putIfAbsent(host, NO_PLACE.formatted(attempt.key()));
-        placeless.add(host);
-      } else if (ask(host, attempt, 0)) {
-        promised.computeIfAbsent(to, x -> new ArrayList<>()).add(submission);
+      Host destination = attempt.job().over() ? null : findDestination(attempt.job(), host);
+      if (destination == null) {
+        blockedReasons.putIfAbsent(host, NO_DESTINATION_REASON.formatted(attempt.key()));
+        hostsLackingDestination.add(host);
+      } else if (requestStop(host, attempt, 0)) {
+        promisedReplicas.computeIfAbsent(destination, x -> new ArrayList<>()).add(submission);
       }
     } else if (submission.saves()
         && !submission.gang()
         && attempt.status() == Report.Status.RUNNING) {
-      ask(host, attempt, 2 * submission.saveS());
-    } else if (overdue) {
-      ask(host, attempt, submission.saves() ? 2 * submission.saveS() : 0);
+      requestStop(host, attempt, 2 * submission.saveS());
+    } else if (isOverdue) {
+      requestStop(host, attempt, submission.saves() ? 2 * submission.saveS() : 0);
     }
   }
 
-  private boolean ask(Host host, Attempt attempt, double windDownS) {
-    DisruptionRefusal refusal = disruptionGate.ask(attempt, windDownS, StopReason.DRAIN);
+  private boolean requestStop(Host host, Attempt attempt, double windDownS) {
+    DisruptionRefusal refusal = disruptionGate.requestStop(attempt, windDownS, StopReason.DRAIN);
     if (refusal != null) {
-      standing.putIfAbsent(host, refusal.words());
+      blockedReasons.putIfAbsent(host, refusal.describe());
     }
     return refusal == null;
   }
 
-  /**
-   * Where a replica can go once it is gone from here: a machine with room that the job's rules
-   * allow, at best one that has its image. The protocol lets a task be in one place only, so its
-   * own replacement cannot run before it has stopped.
+  /*   * Returns a machine on which a replica can run after it has stopped on {@code source}: one with
+   * free capacity that the job's rules allow, preferably one that holds the image; null if there is
+   * none. The protocol allows a task to be in one place only, so the successor cannot start before
+   * the replica has stopped.
    */
-  private Host place(Job job, Host from) {
+  private Host findDestination(Job job, Host source) {
     Submission submission = job.spec();
     Host best = null;
     double bestWaitS = Double.POSITIVE_INFINITY;
     for (Host host : workers.hosts()) {
-      if (host != from
+      if (host != source
           && !host.closed()
           && workers.fresh(host)
           && host.allowed(submission)
-          && roomBeside(host, submission)
-          && zoneAllowsMove(job, from.zone(), host.zone())) {
+          && hasUnpromisedCapacity(host, submission)
+          && zoneAllowsMove(job, source.zone(), host.zone())) {
         double waitS = host.imageWaitS(submission, clock.now());
         if (waitS < bestWaitS) {
           best = host;
@@ -156,47 +160,52 @@
     return best;
   }
 
-  private boolean roomBeside(Host host, Submission submission) {
+  private boolean hasUnpromisedCapacity(Host host, Submission submission) {
     double cpus = submission.cpus();
-    double memory = submission.memoryGb();
+    double memoryGb = submission.memoryGb();
     double gpus = submission.gpus();
-    for (Submission p : promised.getOrDefault(host, List.of())) {
-      cpus += p.cpus();
-      memory += p.memoryGb();
-      gpus += p.gpus();
+    for (Submission promised : promisedReplicas.getOrDefault(host, List.of())) {
+      cpus += promised.cpus();
+      memoryGb += promised.memoryGb();
+      gpus += promised.gpus();
     }
     return cpus <= host.cpusFree() + 1e-9
-        && memory <= host.memoryFree() + 1e-9
+        && memoryGb <= host.memoryFree() + 1e-9
         && gpus <= host.gpusFree() + 1e-9;
   }
 
-  /** The job's rules on zones, counted without the replica that leaves. */
-  private static boolean zoneAllowsMove(Job job, String from, String to) {
+  /** Checks the job's zone rules, not counting the replica that leaves. */
+  private static boolean zoneAllowsMove(Job job, String fromZone, String toZone) {
     Submission submission = job.spec();
-    int there = job.inZone(to) - (to.equals(from) ? 1 : 0);
+    int othersInZone = job.inZone(toZone) - (toZone.equals(fromZone) ? 1 : 0);
     int others = job.held() - 1;
-    if (submission.apart() && there >= submission.mostPerZone()) {
+    if (submission.apart() && othersInZone >= submission.mostPerZone()) {
       return false;
     }
-    return !submission.together() || others == 0 || there == others;
+    return !submission.together() || others == 0 || othersInZone == others;
   }
 
   DrainProgress progress(Host host) {
-    int tasks = 0;
-    int services = 0;
-    int held = 0;
+    int taskCount = 0;
+    int replicaCount = 0;
+    int waitingReplicas = 0;
     for (Attempt attempt : host.attempts()) {
       if (attempt.exited()) {
         continue;
       }
-      tasks++;
+      taskCount++;
       if (attempt.spec().service()) {
-        services++;
+        replicaCount++;
         if (!attempt.halting()) {
-          held++;
+          waitingReplicas++;
         }
       }
     }
-    return new DrainProgress(tasks, services, held, standing.get(host), placeless.contains(host));
+    return new DrainProgress(
+        taskCount,
+        replicaCount,
+        waitingReplicas,
+        blockedReasons.get(host),
+        hostsLackingDestination.contains(host));
   }
 }
--- a/src/main/java/dapplestair/drain/Drains.java
+++ b/src/main/java/dapplestair/drain/Drains.java
@@ -25,9 +25,8 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/**
- * Which machines and zones are drained, as recorded. Every controller knows; the leader empties
- * them, a step at a time. Nothing here is remembered but the records, so the next leader goes on.
+/* * Holds the recorded drains of machines and zones. Every controller knows them; the leader empties
+ * the machines step by step. All state is in the records, so the next leader continues from them.
  */
 public final class Drains implements AutoCloseable {
   private final Clock clock;
@@ -42,15 +41,15 @@
   private final Events events;
   private final Map<String, Drain> machines = new TreeMap<>();
   private final Map<String, Drain> zones = new TreeMap<>();
-  private final Set<String> forgetting = new HashSet<>();
+  private final Set<String> removalsInFlight = new HashSet<>();
   private boolean leading;
-  private long leadingSince;
-  private long lacksSince;
+  private long leadingSinceMs;
+  private long lacksCapacitySinceMs;
   private Cancellable timer = () -> {};
-  private Function<Host, Drain> also = h -> null;
-  private BooleanSupplier anyElse = () -> false;
+  private Function<Host, Drain> otherDrains = h -> null;
+  private BooleanSupplier hasOtherDrains = () -> false;
 
-  /** No drains yet. */
+  /** Creates an instance without any drains. */
   public Drains(
       Clock clock,
       TermTimers timers,
@@ -74,164 +73,172 @@
     this.events = events;
   }
 
-  /** Machines may be under other orders as well; {@code any} tells whether some are. */
-  public void also(Function<Host, Drain> other, BooleanSupplier any) {
-    also = other;
-    anyElse = any;
+  /**
+   * Sets the source of drains that result from other orders; {@code hasOther} tells whether there
+   * are any such orders.
+   */
+  public void setOtherDrains(Function<Host, Drain> drainOfHost, BooleanSupplier hasOther) {
+    otherDrains = drainOfHost;
+    hasOtherDrains = hasOther;
   }
 
-  // ---- what the replica says ----
+  // ---- records from the replica ----
 
-  /** A drain's key has this value, or is gone. */
+  /** Applies the recorded value of a drain, or its removal if {@code value} is null. */
   public void recorded(String key, JsonNode value) {
-    boolean zone = key.startsWith(StateKeys.DRAIN_ZONE);
-    String name = key.substring((zone ? StateKeys.DRAIN_ZONE : StateKeys.DRAIN).length());
-    Map<String, Drain> of = zone ? zones : machines;
+    boolean isZone = key.startsWith(StateKeys.DRAIN_ZONE);
+    String name = key.substring((isZone ? StateKeys.DRAIN_ZONE : StateKeys.DRAIN).length());
+    Map<String, Drain> drainsByName = isZone ? zones : machines;
     if (value == null) {
-      of.remove(name);
+      drainsByName.remove(name);
     } else {
-      of.put(name, Drain.parse(value));
+      drainsByName.put(name, Drain.parse(value));
     }
     if (leading) {
-      Drain drain = of.get(name);
+      Drain drain = drainsByName.get(name);
       events.note(
           Events.Kind.DRAIN,
           o -> {
-            o.put(zone ? "zone" : "machine", name).put("on", drain != null);
+            o.put(isZone ? "zone" : "machine", name).put("on", drain != null);
             if (drain != null) {
-              o.put("by", drain.by()).put("reason", drain.why());
+              o.put("by", drain.orderedBy()).put("reason", drain.reason());
             }
           });
-      look();
+      advanceDrains();
     }
   }
 
-  /** Forgets all records: the replica tells them again. */
+  /** Forgets all records; the replica delivers them again. */
   public void clear() {
     leading = false;
     timer.cancel();
     machines.clear();
     zones.clear();
-    forgetting.clear();
+    removalsInFlight.clear();
     drainExecutor.clear();
-    lacksSince = 0;
+    lacksCapacitySinceMs = 0;
   }
 
   // ---- views ----
 
-  /** The order that a machine is under, its own before others', or null. */
-  public Drain of(Host host) {
+  /** Returns the order that drains a machine, or null. An order for the machine has precedence. */
+  public Drain drainOf(Host host) {
     Drain found = machines.get(host.id());
     if (found == null && host.zone() != null) {
       found = zones.get(host.zone());
     }
-    // A machine that is to be replaced is given back, whoever else has it emptied.
-    Drain replaced = also.apply(host);
-    return replaced != null && (found == null || !found.giveBack()) ? replaced : found;
+    // A machine under replacement is returned to the cloud, even if another order drains it too.
+    Drain otherDrain = otherDrains.apply(host);
+    return otherDrain != null && (found == null || !found.returnToCloud()) ? otherDrain : found;
   }
 
-  /** Drained machines by name; they need not exist any more. */
+  /** Returns the drains of machines by machine name; the machines may no longer exist. */
   public Map<String, Drain> machines() {
     return machines;
   }
 
-  /** Drained zones by name. */
+  /** Returns the drains of zones by zone name. */
   public Map<String, Drain> zones() {
     return zones;
   }
 
-  /** What still stands against emptying a machine. */
+  /** Returns the tasks that remain on a machine and the reason why they are not stopped. */
   public DrainExecutor.DrainProgress progress(Host host) {
     return drainExecutor.progress(host);
   }
 
-  /** True when replicas on drained machines have had no place to go for a while. */
-  public boolean lackRoom() {
+  /** Returns whether replicas on drained machines have had nowhere to go for a while. */
+  public boolean lacksCapacity() {
     return leading
-        && lacksSince != 0
-        && clock.now() - lacksSince > 2 * settings.workers().reportMs();
+        && lacksCapacitySinceMs != 0
+        && clock.now() - lacksCapacitySinceMs > 2 * settings.workers().reportMs();
   }
 
   // ---- orders ----
 
-  /**
-   * Records an order for a key of {@link StateKeys#DRAIN} or {@link StateKeys#DRAIN_ZONE}; null
-   * ends it.
+  /*   * Records an order under a key of {@link StateKeys#DRAIN} or {@link StateKeys#DRAIN_ZONE}, or
+   * removes it if {@code drain} is null.
    */
-  public void order(
-      String key, Drain drain, long deadline, Consumer<ConditionalWriter.Result> done) {
-    conditionalWriter.record(key, drain == null ? null : drain.toJson(), deadline, done);
+  public void recordOrder(
+      String key, Drain drain, long deadlineMs, Consumer<ConditionalWriter.Result> done) {
+    conditionalWriter.record(key, drain == null ? null : drain.toJson(), deadlineMs, done);
   }
 
   // ---- leading ----
 
-  /** A machine is newly heard of: it is closed at once if it is drained. */
-  public void mark(Host host) {
-    if (leading && any()) {
-      host.setDrained(of(host) != null);
+  /** Marks a newly known machine as drained at once if an order drains it. */
+  public void updateDrained(Host host) {
+    if (leading && hasDrains()) {
+      host.setDrained(drainOf(host) != null);
     }
   }
 
-  private boolean any() {
-    return !machines.isEmpty() || !zones.isEmpty() || anyElse.getAsBoolean();
+  private boolean hasDrains() {
+    return !machines.isEmpty() || !zones.isEmpty() || hasOtherDrains.getAsBoolean();
   }
 
-  /** Goes on with whatever is recorded. */
+  /** Starts to carry out the recorded drains as the leader. */
   public void lead() {
     leading = true;
-    leadingSince = clock.now();
+    leadingSinceMs = clock.now();
     tick();
   }
 
   private void tick() {
-    look();
+    advanceDrains();
     timer = timers.after(settings.workers().reportMs() / 6, this::tick);
   }
 
-  /** Machines learn whether they are drained, and are emptied a little further. */
-  private void look() {
+  /** Marks all machines as drained or not, and performs one step of emptying them. */
+  private void advanceDrains() {
     if (!leading) {
       return;
     }
-    if (!any() && !drainExecutor.any()) {
+    if (!hasDrains() && !drainExecutor.hasDrainedHosts()) {
       return;
     }
     Map<Host, Drain> drained = new LinkedHashMap<>();
-    for (Host h : workers.hosts()) {
-      Drain drain = of(h);
-      h.setDrained(drain != null);
+    for (Host host : workers.hosts()) {
+      Drain drain = drainOf(host);
+      host.setDrained(drain != null);
       if (drain != null) {
-        drained.put(h, drain);
+        drained.put(host, drain);
       }
     }
     drainExecutor.step(drained, clock.wall());
-    // Orders to replace machines say themselves how many may be beyond.
-    boolean lack =
+    // Machines under replacement are left out, because their orders limit the surge machines
+    // themselves.
+    boolean lacksDestination =
         drained.keySet().stream()
-            .anyMatch(h -> also.apply(h) == null && drainExecutor.progress(h).noPlace());
-    lacksSince = !lack ? 0 : lacksSince == 0 ? clock.now() : lacksSince;
-    forget();
+            .anyMatch(
+                h -> otherDrains.apply(h) == null && drainExecutor.progress(h).lacksDestination());
+    lacksCapacitySinceMs =
+        !lacksDestination ? 0 : lacksCapacitySinceMs == 0 ? clock.now() : lacksCapacitySinceMs;
+    removeObsoleteOrders();
   }
 
-  /** The orders for machines that are proved to be gone are of no use. */
-  private void forget() {
+  /**
+   * Removes the orders for machines that are proved to be gone, or that are still unknown a lease
+   * after this controller began to lead.
+   */
+  private void removeObsoleteOrders() {
     for (String id : List.copyOf(machines.keySet())) {
-      boolean never =
-          workers.known(id) == null && clock.now() - leadingSince > settings.workers().leaseMs();
-      if ((workers.isGone(id) || never) && forgetting.add(id)) {
-        forget(StateKeys.DRAIN + id, id);
+      boolean neverKnown =
+          workers.known(id) == null && clock.now() - leadingSinceMs > settings.workers().leaseMs();
+      if ((workers.isGone(id) || neverKnown) && removalsInFlight.add(id)) {
+        removeRecord(StateKeys.DRAIN + id, id);
       }
     }
   }
 
-  private void forget(String key, String id) {
+  private void removeRecord(String key, String id) {
     Txn txn = leadership.guard(new Txn()).when(key, replica.stamp(key)).remove(key);
-    // The replica says when it is gone; if it is not, it is asked for again.
+    // The replica reports the removal of the key; if the key remains, the removal is retried.
     state.commit(
         txn,
         Priority.BOOKKEEPING,
         settings.workers().reportMs(),
-        outcome -> timers.after(settings.workers().reportMs(), () -> forgetting.remove(id)));
+        outcome -> timers.after(settings.workers().reportMs(), () -> removalsInFlight.remove(id)));
   }
 
   @Override
--- a/src/main/java/dapplestair/drain/package-info.java
+++ b/src/main/java/dapplestair/drain/package-info.java
@@ -1,2 +1,5 @@
-/** Machines and zones that operators empty: recorded, carried on by whoever leads. */
+/**
+ * Drains machines and zones on operators' orders. The orders are recorded, so that every leader
+ * continues them.
+ */
 package dapplestair.drain;
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -108,7 +108,7 @@
             spotHistory,
             timeouts,
             capacityEstimator,
-            disruptionGate::givenUp,
+            disruptionGate::debitAttemptsOn,
             events);
     list = new MachineList(clock, settings, types, workers, cloud, healthMonitor);
   }
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -211,9 +211,9 @@
   private void stop(Lane lane, Attempt attempt) {
     if (!attempt.halting()) {
       stops++;
-      disruptionGate.ride(attempt, lane.windDownS(attempt.spec()));
+      disruptionGate.stopForRider(attempt, lane.windDownS(attempt.spec()));
     } else if (attempt.windDownS() > 0 && clock.now() - attempt.haltAt() > lane.beginWithinMs()) {
-      disruptionGate.ride(attempt, 0);
+      disruptionGate.stopForRider(attempt, 0);
     }
   }
 
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -170,7 +170,7 @@
   }
 
   private void hostChanged(Host host) {
-    operations.drains.mark(host);
+    operations.drains.updateDrained(host);
     if (host.recalled() && !host.gone()) {
       scheduling.reclaimNoticeHandler.leave(host);
     }
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -178,13 +178,16 @@
             "team_replicas_out",
             "Replicas of a team that are out, for whatever reason.",
             "team",
-            () -> Maps.transformValues(components.disruptionGate().statuses(), BudgetStatus::out))
+            () ->
+                Maps.transformValues(
+                    components.disruptionGate().statuses(), BudgetStatus::unavailableReplicas))
         .gauges(
             "team_replicas_out_allowed",
             "Replicas of a team that may be out before nothing more is stopped by choice.",
             "team",
             () ->
-                Maps.transformValues(components.disruptionGate().statuses(), BudgetStatus::allowed))
+                Maps.transformValues(
+                    components.disruptionGate().statuses(), BudgetStatus::maxUnavailableReplicas))
         .gauges(
             "lane_claims",
             "Open claims of a lane's riders.",
@@ -194,11 +197,11 @@
         .gauge(
             "stops_granted",
             "Stops that asked for a budget and were granted.",
-            () -> components.disruptionGate().granted())
+            () -> components.disruptionGate().grantedStops())
         .gauge(
             "stops_forced",
             "Stops that could not wait for a budget.",
-            () -> components.disruptionGate().forced());
+            () -> components.disruptionGate().forcedStops());
   }
 
   /** The plan applied. */
--- a/src/main/java/dapplestair/node/OperationsComponents.java
+++ b/src/main/java/dapplestair/node/OperationsComponents.java
@@ -37,7 +37,7 @@
             core.workers,
             new DrainExecutor(clock, core.workers, scheduling.fleet, scheduling.disruptionGate),
             core.events);
-    scheduling.demand.setDrainsLackCapacity(drains::lackRoom);
+    scheduling.demand.setDrainsLackCapacity(drains::lacksCapacity);
     replacements =
         new Replacements(
             clock,
@@ -51,7 +51,7 @@
             scheduling.disruptionGate,
             new SurgeCapacity(core.workers, scheduling.fleet, core.types, scheduling.autoscaler),
             core.events);
-    scheduling.autoscaler.setSurgeMachines(replacements::extra);
+    scheduling.autoscaler.setSurgeMachines(replacements::surgeMachines);
     zones =
         new Zones(
             clock,
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -173,7 +173,7 @@
       excess.addTo(attempt.spec().team(), -attempt.spec().cpus());
     }
     // Rank and guarantee cannot wait (PROTOCOL, Preemption): debited, never refused.
-    disruptionGate.must(
+    disruptionGate.forceStop(
         attempt, attempt.spec().saves() ? 2 * attempt.spec().saveS() : 0, StopReason.ROOM_NEEDED);
   }
 
--- a/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
+++ b/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
@@ -39,7 +39,8 @@
           attempt.spec().service() ? noticeS : estimates.leftS(attempt, host, clock.now());
       double most = attempt.spec().saves() ? noticeS - saveS : SURELY_LATE * noticeS;
       if (left > most) {
-        disruptionGate.must(attempt, Math.max(0, Math.min(2 * saveS, noticeS)), StopReason.NOTICE);
+        disruptionGate.forceStop(
+            attempt, Math.max(0, Math.min(2 * saveS, noticeS)), StopReason.NOTICE);
       }
     }
   }
--- a/src/main/java/dapplestair/planning/package-info.java
+++ b/src/main/java/dapplestair/planning/package-info.java
@@ -1,2 +1,2 @@
-/** How many machines of each type to hold, steady and spot. */
+/** Plans how many steady and spot machines of each type to hold. */
 package dapplestair.planning;
--- a/src/main/java/dapplestair/replacement/MachineSelector.java
+++ b/src/main/java/dapplestair/replacement/MachineSelector.java
@@ -7,37 +7,40 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/**
- * Which machines are to be replaced. What is null, or empty, does not matter.
+/* * Selects the machines to replace. A condition that is null, empty or 0 matches all machines.
  *
- * @param zone only of this zone
- * @param type only of this type
- * @param spot only spot machines, or only steady ones
- * @param beforeWall only those rented before, milliseconds of the time of day; 0: no matter
- * @param names only these
+ * @param zone matches machines in this zone
+ * @param type matches machines of this type
+ * @param spot matches spot machines if true, steady machines if false
+ * @param rentedBeforeWallMs matches machines rented before this wall-clock time
+ * @param names matches machines with these names
  */
 public record MachineSelector(
-    String zone, String type, Boolean spot, long beforeWall, Set<String> names) {
-  /** True for a machine like this. */
-  public boolean covers(String id, String inZone, String ofType, boolean isSpot, long rentedWall) {
-    return (zone == null || zone.equals(inZone))
-        && (type == null || type.equals(ofType))
+    String zone, String type, Boolean spot, long rentedBeforeWallMs, Set<String> names) {
+  /** Returns whether a machine with these properties is selected. */
+  public boolean matches(
+      String id, String machineZone, String machineType, boolean isSpot, long rentedWallMs) {
+    return (zone == null || zone.equals(machineZone))
+        && (type == null || type.equals(machineType))
         && (spot == null || spot == isSpot)
-        && (beforeWall == 0 || rentedWall < beforeWall)
+        && (rentedBeforeWallMs == 0 || rentedWallMs < rentedBeforeWallMs)
         && (names.isEmpty() || names.contains(id));
   }
 
-  /** True when another one, given so much earlier, means the same machines, by their age then. */
-  boolean sameAs(MachineSelector selection, long laterMs) {
-    boolean sameAge =
-        beforeWall == 0 || selection.beforeWall == 0
-            ? beforeWall == selection.beforeWall
-            : beforeWall - selection.beforeWall == laterMs;
-    return sameAge
-        && Objects.equals(zone, selection.zone)
-        && Objects.equals(type, selection.type)
-        && Objects.equals(spot, selection.spot)
-        && names.equals(selection.names);
+  /**
+   * Returns whether another selector, created {@code laterMs} before this one, selects the same
+   * machines by their age at the respective time.
+   */
+  boolean isSameAs(MachineSelector other, long laterMs) {
+    boolean hasSameAge =
+        rentedBeforeWallMs == 0 || other.rentedBeforeWallMs == 0
+            ? rentedBeforeWallMs == other.rentedBeforeWallMs
+            : rentedBeforeWallMs - other.rentedBeforeWallMs == laterMs;
+    return hasSameAge
+        && Objects.equals(zone, other.zone)
+        && Objects.equals(type, other.type)
+        && Objects.equals(spot, other.spot)
+        && names.equals(other.names);
   }
 
   ObjectNode toJson() {
@@ -51,8 +54,8 @@
     if (spot != null) {
       object.put("spot", spot);
     }
-    if (beforeWall != 0) {
-      object.put("before", beforeWall);
+    if (rentedBeforeWallMs != 0) {
+      object.put("before", rentedBeforeWallMs);
     }
     if (!names.isEmpty()) {
       names.forEach(object.putArray("names")::add);
--- a/src/main/java/dapplestair/replacement/ReplacementOrder.java
+++ b/src/main/java/dapplestair/replacement/ReplacementOrder.java
@@ -7,45 +7,45 @@
 /**
  * An order to replace machines.
  *
- * @param by who gave it
- * @param atWall when, time of day; what was rented before is old
- * @param why in their words, possibly empty
- * @param selection which machines
- * @param total how many they were then
- * @param step most machines replaced at a time
- * @param stepRatio the ratio to all that it was given as, or 0
- * @param beyond most new machines that may be up beyond the old ones
- * @param watchS how long a step is watched before the next one
- * @param deadlineS seconds into a step after which work that does not save is stopped as far as its
- *     team's budget allows; 0 to wait for its end
- * @param slower how much slower than the old the new machines may be, a ratio
+ * @param orderedBy operator who gave the order
+ * @param orderedAtWallMs wall-clock time of the order; machines rented before are old
+ * @param reason reason given by the operator, possibly empty
+ * @param selector machines to replace
+ * @param totalMachines number of machines selected when the order was given
+ * @param maxPerStep maximum number of machines replaced at a time
+ * @param stepRatio ratio of a step to all machines, if the step was given as a ratio, or 0
+ * @param maxSurge maximum number of new machines that may be up in addition to the old ones
+ * @param watchS seconds for which a step is watched before the next one
+ * @param deadlineS seconds into a step after which work that saves no state is stopped as far as
+ *     its team's budget allows; 0 to wait for its end
+ * @param maxSlowdown maximum ratio of the new machines' slowness to that of the old ones
  */
 public record ReplacementOrder(
-    String by,
-    long atWall,
-    String why,
-    MachineSelector selection,
-    int total,
-    int step,
+    String orderedBy,
+    long orderedAtWallMs,
+    String reason,
+    MachineSelector selector,
+    int totalMachines,
+    int maxPerStep,
     double stepRatio,
-    int beyond,
+    int maxSurge,
     double watchS,
     double deadlineS,
-    double slower) {
+    double maxSlowdown) {
   ObjectNode toJson() {
     ObjectNode object =
         Json.object()
-            .put("by", by)
-            .put("at", atWall)
-            .put("why", why)
-            .put("total", total)
-            .put("step", step)
+            .put("by", orderedBy)
+            .put("at", orderedAtWallMs)
+            .put("why", reason)
+            .put("total", totalMachines)
+            .put("step", maxPerStep)
             .put("stepRatio", stepRatio)
-            .put("beyond", beyond)
+            .put("beyond", maxSurge)
             .put("watchS", watchS)
             .put("deadlineS", deadlineS)
-            .put("slower", slower);
-    object.set("select", selection.toJson());
+            .put("slower", maxSlowdown);
+    object.set("select", selector.toJson());
     return object;
   }
 
@@ -64,14 +64,14 @@
         Json.decimal(node, "slower", 2));
   }
 
-  /** True when somebody ordered the same, whenever that was. */
-  public boolean sameAs(ReplacementOrder order) {
-    return selection.sameAs(order.selection, atWall - order.atWall)
-        && stepRatio == order.stepRatio
-        && (stepRatio > 0 || step == order.step)
-        && beyond == order.beyond
-        && watchS == order.watchS
-        && deadlineS == order.deadlineS
-        && slower == order.slower;
+  /** Returns whether another order is the same, apart from the time at which it was given. */
+  public boolean isSameAs(ReplacementOrder other) {
+    return selector.isSameAs(other.selector, orderedAtWallMs - other.orderedAtWallMs)
+        && stepRatio == other.stepRatio
+        && (stepRatio > 0 || maxPerStep == other.maxPerStep)
+        && maxSurge == other.maxSurge
+        && watchS == other.watchS
+        && deadlineS == other.deadlineS
+        && maxSlowdown == other.maxSlowdown;
   }
 }
--- a/src/main/java/dapplestair/replacement/ReplacementProgress.java
+++ b/src/main/java/dapplestair/replacement/ReplacementProgress.java
@@ -7,91 +7,127 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/**
- * Where an order stands, as recorded: all that the next leader needs to go on.
+/* * The recorded progress of an order, with everything that the next leader needs to continue it.
  *
- * @param phase of the step under way
- * @param steps steps begun
- * @param batch the machines of this step
- * @param stepWall when the step, or its present phase, began
- * @param judgedWall machines rented since then are what this step is judged by
- * @param beyond machines beyond the old that this step may have: as many as the budget paid for
- * @param paused why nothing is done now, or null
- * @param byWord true when only an operator's word ends the pause
- * @param remark what is noteworthy about how it goes on, or null
+ * @param phase phase of the current step
+ * @param stepsBegun number of steps begun
+ * @param batch names of the machines of the current step
+ * @param phaseStartWallMs wall-clock time at which the step, or its current phase, began
+ * @param judgedSinceWallMs wall-clock time; the step is judged by the machines rented since then
+ * @param surgeCount number of machines in addition to the old ones that this step may hold, as many
+ *     as the budget paid for
+ * @param pauseReason reason why the order pauses, or null if it does not
+ * @param operatorMustResume whether only an operator can end the pause
+ * @param remark note on how the order proceeds, or null
  */
 record ReplacementProgress(
     Phase phase,
-    int steps,
+    int stepsBegun,
     Set<String> batch,
-    long stepWall,
-    long judgedWall,
-    int beyond,
-    String paused,
-    boolean byWord,
+    long phaseStartWallMs,
+    long judgedSinceWallMs,
+    int surgeCount,
+    String pauseReason,
+    boolean operatorMustResume,
     String remark) {
-  /** What is being done. */
+  /** The phases of a step. */
   enum Phase {
-    /** The next machines are still to be chosen. */
+    /** The machines of the next step are not chosen yet. */
     CHOOSE,
-    /** New machines are on their way; the old ones work on. */
+    /** New machines are being rented and booted while the old ones continue to work. */
     RAISE,
-    /** The old ones are emptied and returned; afterwards the step is watched. */
+    /** The old machines are drained and returned; afterwards the step is watched. */
     EMPTY,
-    /** No old machine is left. */
+    /** No old machines are left. */
     DONE
   }
 
-  static final ReplacementProgress BEGIN =
+  static final ReplacementProgress INITIAL =
       new ReplacementProgress(Phase.CHOOSE, 0, Set.of(), 0, 0, 0, null, false, null);
 
-  ReplacementProgress in(Phase next, long wall) {
+  ReplacementProgress enterPhase(Phase next, long nowWallMs) {
     return new ReplacementProgress(
-        next, steps, batch, wall, judgedWall, beyond, null, false, remark);
+        next, stepsBegun, batch, nowWallMs, judgedSinceWallMs, surgeCount, null, false, remark);
   }
 
-  ReplacementProgress done(long wall) {
+  ReplacementProgress complete(long nowWallMs) {
     return new ReplacementProgress(
-        Phase.DONE, steps, Set.of(), wall, judgedWall, 0, null, false, null);
+        Phase.DONE, stepsBegun, Set.of(), nowWallMs, judgedSinceWallMs, 0, null, false, null);
   }
 
-  ReplacementProgress step(Phase next, Set<String> machines, int more, long wall) {
-    return new ReplacementProgress(next, steps + 1, machines, wall, wall, more, null, false, null);
+  ReplacementProgress beginStep(Phase next, Set<String> machines, int surge, long nowWallMs) {
+    return new ReplacementProgress(
+        next, stepsBegun + 1, machines, nowWallMs, nowWallMs, surge, null, false, null);
   }
 
-  ReplacementProgress only(Set<String> machines, long wall, String why) {
+  ReplacementProgress restrictTo(Set<String> machines, long nowWallMs, String reason) {
     return new ReplacementProgress(
-        Phase.EMPTY, steps, machines, wall, judgedWall, beyond, null, false, why);
+        Phase.EMPTY,
+        stepsBegun,
+        machines,
+        nowWallMs,
+        judgedSinceWallMs,
+        surgeCount,
+        null,
+        false,
+        reason);
   }
 
-  ReplacementProgress pause(String why, boolean untilTold) {
+  ReplacementProgress pause(String reason, boolean untilOperatorResumes) {
     return new ReplacementProgress(
-        phase, steps, batch, stepWall, judgedWall, beyond, why, untilTold, remark);
+        phase,
+        stepsBegun,
+        batch,
+        phaseStartWallMs,
+        judgedSinceWallMs,
+        surgeCount,
+        reason,
+        untilOperatorResumes,
+        remark);
   }
 
-  /** Goes on. Whoever says so by his word has seen the new machines there are. */
-  ReplacementProgress resume(long wall) {
+  /**
+   * Returns the progress without a pause. An operator who ends the pause has seen the new machines
+   * that exist, so only those rented later are judged.
+   */
+  ReplacementProgress resume(long nowWallMs) {
     return new ReplacementProgress(
-        phase, steps, batch, wall, byWord ? wall : judgedWall, beyond, null, false, remark);
+        phase,
+        stepsBegun,
+        batch,
+        nowWallMs,
+        operatorMustResume ? nowWallMs : judgedSinceWallMs,
+        surgeCount,
+        null,
+        false,
+        remark);
   }
 
-  ReplacementProgress remark(String what) {
+  ReplacementProgress withRemark(String newRemark) {
     return new ReplacementProgress(
-        phase, steps, batch, stepWall, judgedWall, beyond, paused, byWord, what);
+        phase,
+        stepsBegun,
+        batch,
+        phaseStartWallMs,
+        judgedSinceWallMs,
+        surgeCount,
+        pauseReason,
+        operatorMustResume,
+        newRemark);
   }
 
-  void write(ObjectNode to) {
-    ObjectNode object = to.putObject("progress");
+  void writeTo(ObjectNode order) {
+    ObjectNode object = order.putObject("progress");
     object
         .put("phase", phase.name())
-        .put("steps", steps)
-        .put("at", stepWall)
-        .put("since", judgedWall)
-        .put("beyond", beyond);
+        .put("steps", stepsBegun)
+        .put("at", phaseStartWallMs)
+        .put("since", judgedSinceWallMs)
+        .put("beyond", surgeCount);
     ArrayNode names = object.putArray("batch");
     batch.forEach(names::add);
-    if (paused != null) {
-      object.put("paused", paused).put("byWord", byWord);
+    if (pauseReason != null) {
+      object.put("paused", pauseReason).put("byWord", operatorMustResume);
     }
     if (remark != null) {
       object.put("remark", remark);
@@ -99,25 +135,25 @@
   }
 
   static ReplacementProgress read(JsonNode node) {
-    JsonNode p = node.path("progress");
-    if (!p.isObject()) {
-      return BEGIN;
+    JsonNode progress = node.path("progress");
+    if (!progress.isObject()) {
+      return INITIAL;
     }
     Set<String> batch = new TreeSet<>();
-    p.path("batch").forEach(x -> batch.add(x.asText()));
+    progress.path("batch").forEach(x -> batch.add(x.asText()));
     return new ReplacementProgress(
-        phase(Json.text(p, "phase")),
-        (int) Json.number(p, "steps", 0),
+        parsePhase(Json.text(progress, "phase")),
+        (int) Json.number(progress, "steps", 0),
         batch,
-        Json.number(p, "at", 0),
-        Json.number(p, "since", 0),
-        (int) Json.number(p, "beyond", 0),
-        Json.text(p, "paused"),
-        Json.flag(p, "byWord"),
-        Json.text(p, "remark"));
+        Json.number(progress, "at", 0),
+        Json.number(progress, "since", 0),
+        (int) Json.number(progress, "beyond", 0),
+        Json.text(progress, "paused"),
+        Json.flag(progress, "byWord"),
+        Json.text(progress, "remark"));
   }
 
-  private static Phase phase(String name) {
+  private static Phase parsePhase(String name) {
     for (Phase phase : Phase.values()) {
       if (phase.name().equals(name)) {
         return phase;
--- a/src/main/java/dapplestair/replacement/ReplacementState.java
+++ b/src/main/java/dapplestair/replacement/ReplacementState.java
@@ -5,26 +5,28 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** An order with where it stands, as this controller last saw it recorded. */
+/** An order with its progress, as this controller last saw it recorded. */
 final class ReplacementState {
   final String name;
   final ReplacementOrder order;
   ReplacementProgress progress;
   long stamp;
 
-  /** A put is under way: nothing new is decided before its outcome is known. */
-  boolean writing;
+  /** Whether a put is in flight; no new decision is made before its outcome is known. */
+  boolean writeInFlight;
 
-  // Of this leader only: since when something has stood still or gone wrong.
-  long badSince;
-  String bad;
-  long goodSince;
-  long emptiedAt;
-  boolean cramped;
-  long swappedAt;
+  // Observations of this leader, not recorded: since when the order has been blocked, healthy or
+  // short of capacity.
+  long blockedSinceMs;
+  String lastRecordedRemark;
+  long healthySinceMs;
+  long emptiedAtMs;
+  boolean lacksCapacity;
+  long lastSwapAtMs;
 
-  // Stood still for want of room since a machine was emptied last; they wait for their next turn.
-  final Set<String> passed = new HashSet<>();
+  // Machines passed over for lack of capacity since a batch was last emptied; they wait for their
+  // next turn.
+  final Set<String> passedOver = new HashSet<>();
 
   ReplacementState(String name, JsonNode value, long stamp) {
     this.name = name;
@@ -33,13 +35,13 @@
     this.stamp = stamp;
   }
 
-  ObjectNode record(ReplacementProgress progress) {
+  ObjectNode toJson(ReplacementProgress progress) {
     ObjectNode object = order.toJson();
-    progress.write(object);
+    progress.writeTo(object);
     return object;
   }
 
-  boolean active() {
-    return progress.paused() == null && progress.phase() != ReplacementProgress.Phase.DONE;
+  boolean isActive() {
+    return progress.pauseReason() == null && progress.phase() != ReplacementProgress.Phase.DONE;
   }
 }
--- a/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
+++ b/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
@@ -22,16 +22,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** How an order goes from step to step: on record first, then done. */
+/** Moves orders from step to step. Each transition is recorded before it is carried out. */
 final class ReplacementStepRunner {
   private static final Logger LOG = LoggerFactory.getLogger(Replacements.class);
 
-  // Machines on record for one step: as many names as one value holds with room to spare.
-  static final int MOST_AT_ONCE = 200;
+  // Maximum number of machines in one step. One recorded value holds this many names with space to
+  // spare.
+  static final int MAX_MACHINES_PER_STEP = 200;
 
-  // As the lookout: usual boots take up to 1.5 times the stated time, a bad day nearly doubles
-  // that.
-  private static final double BOOT_OVERDUE = 3.0;
+  // Ratio of the stated boot time after which a boot is overdue, as in the fleet's own check: usual
+  // boots take up to 1.5 times the stated time, and nearly twice as long as that on a bad day.
+  private static final double BOOT_OVERDUE_RATIO = 3.0;
 
   private final Clock clock;
   private final Settings settings;
@@ -44,12 +45,12 @@
   private final StepHealthCheck healthCheck;
   private final SurgeCapacity surgeCapacity;
   private final Map<String, ReplacementState> orders;
-  private final ToIntFunction<MachineKind> extra;
-  private final Runnable changed;
-  private long leadingSince;
-  private boolean lags;
+  private final ToIntFunction<MachineKind> surgeMachines;
+  private final Runnable onRecorded;
+  private long leadingSinceMs;
+  private boolean isLoopLagging;
 
-  /** Works on {@code orders}; {@code changed} hears of each step that is on record. */
+  /** Creates a runner for {@code orders} that runs {@code onRecorded} after each recorded step. */
   ReplacementStepRunner(
       Clock clock,
       Settings settings,
@@ -62,8 +63,8 @@
       StepHealthCheck healthCheck,
       SurgeCapacity surgeCapacity,
       Map<String, ReplacementState> orders,
-      ToIntFunction<MachineKind> extra,
-      Runnable changed) {
+      ToIntFunction<MachineKind> surgeMachines,
+      Runnable onRecorded) {
     this.clock = clock;
     this.settings = settings;
     this.writer = new FencedWriter(state, leadership, settings.workers().reportMs());
@@ -75,304 +76,330 @@
     this.healthCheck = healthCheck;
     this.surgeCapacity = surgeCapacity;
     this.orders = orders;
-    this.extra = extra;
-    this.changed = changed;
+    this.surgeMachines = surgeMachines;
+    this.onRecorded = onRecorded;
   }
 
-  /** A new leader, or none: what an earlier one has under way means nothing here. */
-  void begin() {
+  /** Discards writes in flight when this controller begins or ceases to lead. */
+  void reset() {
     writer.reset();
-    leadingSince = clock.now();
+    leadingSinceMs = clock.now();
   }
 
-  /** Carries an order on as far as it can go now; nothing of it may be under way. */
-  void look(ReplacementState replacement, boolean lagging) {
-    lags = lagging;
-    if (replacement.progress.paused() != null) {
-      resumeIfWell(replacement);
+  /** Advances an order as far as possible now. No write of the order may be in flight. */
+  void advance(ReplacementState replacement, boolean loopLagging) {
+    isLoopLagging = loopLagging;
+    if (replacement.progress.pauseReason() != null) {
+      resumeIfHealthy(replacement);
       return;
     }
     if (replacement.progress.phase() == Phase.DONE) {
       return;
     }
-    String wrong = healthCheck.outside(lagging);
-    String fault =
-        wrong == null
-            ? healthCheck.newMachines(replacement.order, replacement.progress.judgedWall())
+    String outsideProblem = healthCheck.findOutsideProblem(loopLagging);
+    String newMachineProblem =
+        outsideProblem == null
+            ? healthCheck.findNewMachineProblem(
+                replacement.order, replacement.progress.judgedSinceWallMs())
             : null;
-    if (wrong != null || fault != null) {
-      pause(replacement, wrong != null ? wrong : fault, fault != null);
+    if (outsideProblem != null || newMachineProblem != null) {
+      pause(
+          replacement,
+          outsideProblem != null ? outsideProblem : newMachineProblem,
+          newMachineProblem != null);
       return;
     }
     switch (replacement.progress.phase()) {
-      case CHOOSE -> choose(replacement);
-      case RAISE -> raise(replacement);
-      case EMPTY -> empty(replacement);
+      case CHOOSE -> chooseBatch(replacement);
+      case RAISE -> awaitNewMachines(replacement);
+      case EMPTY -> drainBatch(replacement);
       default -> {}
     }
   }
 
-  /**
-   * A new leader knows all machines from records and attempts at once, but for those that only a
-   * list can tell: what is there no more is not concluded before lists have had the time.
+  /*   * Returns whether this leader knows all machines. A new leader knows the machines in records and
+   * attempts at once; others appear only in the cloud's lists. It must not conclude that a machine
+   * is gone before the longest delay of these lists has passed.
    */
-  private boolean knowsAll() {
-    return clock.now() - leadingSince > surgeCapacity.longestListLag();
+  private boolean knowsAllMachines() {
+    return clock.now() - leadingSinceMs > surgeCapacity.longestListLagMs();
   }
 
-  private void choose(ReplacementState replacement) {
-    if (!knowsAll()) {
+  private void chooseBatch(ReplacementState replacement) {
+    if (!knowsAllMachines()) {
       return;
     }
-    List<Host> old = targets.old(replacement.order);
-    if (old.isEmpty()) {
-      write(replacement, replacement.progress.done(clock.wall()));
+    List<Host> oldMachines = targets.oldMachines(replacement.order);
+    if (oldMachines.isEmpty()) {
+      recordProgress(replacement, replacement.progress.complete(clock.wall()));
       return;
     }
-    int most = Math.min(MOST_AT_ONCE, replacement.order.step());
-    Set<String> taken = taken(replacement);
-    Set<String> batch = targets.next(old, taken, replacement.progress.batch(), most);
+    int maxMachines = Math.min(MAX_MACHINES_PER_STEP, replacement.order.maxPerStep());
+    Set<String> excluded = machinesOfOtherOrders(replacement);
+    Set<String> batch =
+        targets.nextBatch(oldMachines, excluded, replacement.progress.batch(), maxMachines);
     if (batch.isEmpty()) {
       return;
     }
-    List<Host> hosts = targets.left(batch);
-    int beyond =
-        surgeCapacity.affords(ReplacementTargets.bySlot(hosts), replacement.order.beyond());
-    Phase phase = beyond > 0 ? Phase.RAISE : Phase.EMPTY;
-    ReplacementProgress next = replacement.progress.step(phase, batch, beyond, clock.wall());
-    if (replacement.order.beyond() > 0 && beyond == 0) {
-      next = next.remark("the plan's budget pays for no machine beyond: none beyond in this step");
+    List<Host> hosts = targets.remaining(batch);
+    int surgeCount =
+        surgeCapacity.affordableSurge(
+            ReplacementTargets.countByKind(hosts), replacement.order.maxSurge());
+    Phase phase = surgeCount > 0 ? Phase.RAISE : Phase.EMPTY;
+    ReplacementProgress next =
+        replacement.progress.beginStep(phase, batch, surgeCount, clock.wall());
+    if (replacement.order.maxSurge() > 0 && surgeCount == 0) {
+      next =
+          next.withRemark("the plan's budget pays for no machine beyond: none beyond in this step");
     }
-    write(replacement, next);
+    recordProgress(replacement, next);
   }
 
-  /** Machines of the steps of other orders. */
-  private Set<String> taken(ReplacementState replacement) {
-    Set<String> taken = new HashSet<>();
+  /** Returns the machines in the current steps of other orders. */
+  private Set<String> machinesOfOtherOrders(ReplacementState replacement) {
+    Set<String> machines = new HashSet<>();
     orders.values().stream()
         .filter(o -> o != replacement && o.progress.phase() != Phase.DONE)
-        .forEach(o -> taken.addAll(o.progress.batch()));
-    return taken;
+        .forEach(o -> machines.addAll(o.progress.batch()));
+    return machines;
   }
 
-  /** Waits for new machines; without any to have it goes on machine by machine. */
-  private void raise(ReplacementState replacement) {
-    List<Host> left = targets.left(replacement.progress.batch());
-    if (left.isEmpty() || surgeCapacity.ready(ReplacementTargets.bySlot(left), extra)) {
-      write(replacement, replacement.progress.in(Phase.EMPTY, clock.wall()));
+  /**
+   * Waits for the new machines. If the cloud does not provide all of them in time, the step is
+   * reduced to as many old machines as new ones are up, but at least one.
+   */
+  private void awaitNewMachines(ReplacementState replacement) {
+    List<Host> remaining = targets.remaining(replacement.progress.batch());
+    if (remaining.isEmpty()
+        || surgeCapacity.isReady(ReplacementTargets.countByKind(remaining), surgeMachines)) {
+      recordProgress(replacement, replacement.progress.enterPhase(Phase.EMPTY, clock.wall()));
       return;
     }
-    long since = clock.wall() - replacement.progress.stepWall();
-    double bootS = left.stream().mapToDouble(h -> types.bootS(h.type())).max().orElse(60);
-    if (since < BOOT_OVERDUE * 1000 * bootS) {
+    long elapsedMs = clock.wall() - replacement.progress.phaseStartWallMs();
+    double bootS = remaining.stream().mapToDouble(h -> types.bootS(h.type())).max().orElse(60);
+    if (elapsedMs < BOOT_OVERDUE_RATIO * 1000 * bootS) {
       return;
     }
-    List<Host> fresh = targets.fresh(replacement.order, replacement.progress.judgedWall());
-    int up = (int) fresh.stream().filter(Host::up).count();
-    if (up == 0 && !fresh.isEmpty()) {
-      // They are there, and not one of them boots: that is their fault, not the cloud's.
-      if (since > 2 * BOOT_OVERDUE * 1000 * bootS) {
+    List<Host> newMachines =
+        targets.newMachines(replacement.order, replacement.progress.judgedSinceWallMs());
+    int upCount = (int) newMachines.stream().filter(Host::up).count();
+    if (upCount == 0 && !newMachines.isEmpty()) {
+      // The new machines were rented but none of them boots, which is their fault and not a lack
+      // of machines in the cloud.
+      if (elapsedMs > 2 * BOOT_OVERDUE_RATIO * 1000 * bootS) {
         pause(replacement, "new machines do not come up", true);
       }
       return;
     }
-    Set<String> fewer = targets.next(left, Set.of(), Set.of(), Math.max(1, up));
-    if (!fewer.isEmpty()) {
-      String why =
+    Set<String> reducedBatch =
+        targets.nextBatch(remaining, Set.of(), Set.of(), Math.max(1, upCount));
+    if (!reducedBatch.isEmpty()) {
+      String reason =
           "the cloud gave %d machines beyond for %d: %d at a time"
-              .formatted(up, left.size(), fewer.size());
-      write(replacement, replacement.progress.only(fewer, clock.wall(), why));
+              .formatted(upCount, remaining.size(), reducedBatch.size());
+      recordProgress(
+          replacement, replacement.progress.restrictTo(reducedBatch, clock.wall(), reason));
     }
   }
 
-  private void empty(ReplacementState replacement) {
-    List<Host> left = targets.left(replacement.progress.batch());
-    if (!left.isEmpty() || !knowsAll()) {
-      replacement.emptiedAt = 0;
-      remarkIfStuck(replacement, left);
+  private void drainBatch(ReplacementState replacement) {
+    List<Host> remaining = targets.remaining(replacement.progress.batch());
+    if (!remaining.isEmpty() || !knowsAllMachines()) {
+      replacement.emptiedAtMs = 0;
+      handleBlockedStep(replacement, remaining);
       return;
     }
-    long now = clock.now();
-    if (replacement.emptiedAt == 0) {
-      replacement.emptiedAt = now;
-      replacement.cramped = false;
-      replacement.badSince = 0;
-      replacement.passed.clear();
+    long nowMs = clock.now();
+    if (replacement.emptiedAtMs == 0) {
+      replacement.emptiedAtMs = nowMs;
+      replacement.lacksCapacity = false;
+      replacement.blockedSinceMs = 0;
+      replacement.passedOver.clear();
     }
-    if (now - replacement.emptiedAt < 1000 * replacement.order.watchS()) {
+    if (nowMs - replacement.emptiedAtMs < 1000 * replacement.order.watchS()) {
       return;
     }
-    String out = healthCheck.replicasOut();
-    if (out == null) {
-      choose(replacement);
-    } else if (now - replacement.emptiedAt
+    String unavailableReplicas = healthCheck.findUnavailableReplicas();
+    if (unavailableReplicas == null) {
+      chooseBatch(replacement);
+    } else if (nowMs - replacement.emptiedAtMs
         > 1000 * replacement.order.watchS() + settings.workers().leaseMs()) {
-      pause(replacement, out, false);
+      pause(replacement, unavailableReplicas, false);
     }
   }
 
-  /**
-   * What stands still for longer than a lease says why, on record; seldom enough to cost little.
+  /*   * Records the reason when a step has been blocked for longer than a lease. Such remarks are rare
+   * enough to cost little.
    */
-  private void remarkIfStuck(ReplacementState replacement, List<Host> left) {
-    long now = clock.now();
-    String why = null;
-    for (Host h : left) {
-      String because = drains.progress(h).because();
+  private void handleBlockedStep(ReplacementState replacement, List<Host> remaining) {
+    long nowMs = clock.now();
+    String blockedReason = null;
+    for (Host host : remaining) {
+      String because = drains.progress(host).blockedReason();
       if (because != null) {
-        why = h.id() + ": " + because;
+        blockedReason = host.id() + ": " + because;
         break;
       }
     }
-    if (why == null) {
-      replacement.badSince = 0;
+    if (blockedReason == null) {
+      replacement.blockedSinceMs = 0;
       return;
     }
-    boolean noRoom = left.stream().anyMatch(h -> drains.progress(h).noPlace());
-    if (replacement.badSince == 0) {
-      replacement.badSince = now;
+    boolean lacksDestination =
+        remaining.stream().anyMatch(h -> drains.progress(h).lacksDestination());
+    if (replacement.blockedSinceMs == 0) {
+      replacement.blockedSinceMs = nowMs;
     }
-    replacement.cramped |= noRoom && now - replacement.badSince > settings.workers().reportMs();
-    swapIfCramped(replacement, left, now);
-    if (replacement.writing) {
+    replacement.lacksCapacity |=
+        lacksDestination && nowMs - replacement.blockedSinceMs > settings.workers().reportMs();
+    swapIfLackingCapacity(replacement, remaining, nowMs);
+    if (replacement.writeInFlight) {
       return;
     }
-    if (noRoom
-        && left.size() > 1
-        && now - replacement.badSince > 2 * settings.workers().reportMs()) {
-      // The others go back into use, and their room with them.
-      String only = targets.next(left, Set.of(), Set.of(), 1).stream().findFirst().orElse(null);
-      if (only != null) {
-        replacement.badSince = 0;
-        String said = "no room for what runs on " + left.size() + " machines: one by one";
-        write(
+    if (lacksDestination
+        && remaining.size() > 1
+        && nowMs - replacement.blockedSinceMs > 2 * settings.workers().reportMs()) {
+      // The other machines of the step return to use, which frees their capacity for replicas.
+      String nextMachine =
+          targets.nextBatch(remaining, Set.of(), Set.of(), 1).stream().findFirst().orElse(null);
+      if (nextMachine != null) {
+        replacement.blockedSinceMs = 0;
+        String remark = "no room for what runs on " + remaining.size() + " machines: one by one";
+        recordProgress(
             replacement,
-            replacement.progress.only(Set.of(only), replacement.progress.stepWall(), said));
+            replacement.progress.restrictTo(
+                Set.of(nextMachine), replacement.progress.phaseStartWallMs(), remark));
       }
-    } else if (now - replacement.badSince > settings.workers().leaseMs()
-        && !why.equals(replacement.bad)) {
-      replacement.bad = why;
-      replacement.badSince = now;
-      write(replacement, replacement.progress.remark(why));
+    } else if (nowMs - replacement.blockedSinceMs > settings.workers().leaseMs()
+        && !blockedReason.equals(replacement.lastRecordedRemark)) {
+      replacement.lastRecordedRemark = blockedReason;
+      replacement.blockedSinceMs = nowMs;
+      recordProgress(replacement, replacement.progress.withRemark(blockedReason));
     }
   }
 
-  /**
-   * Once for each time that a machine may take to come: an empty one for one where it is needed.
+  /*   * Exchanges an empty machine for one in the zone that lacks capacity, at most once per time that a
+   * machine may take to boot.
    */
-  private void swapIfCramped(ReplacementState replacement, List<Host> left, long now) {
-    if (!replacement.cramped) {
-      replacement.swappedAt = 0;
+  private void swapIfLackingCapacity(
+      ReplacementState replacement, List<Host> remaining, long nowMs) {
+    if (!replacement.lacksCapacity) {
+      replacement.lastSwapAtMs = 0;
       return;
     }
-    Host stuck = left.get(0);
-    if (replacement.swappedAt == 0) {
-      replacement.swappedAt = now;
-    } else if (now - replacement.swappedAt > BOOT_OVERDUE * 1000 * types.bootS(stuck.type())) {
-      if (surgeCapacity.swap(stuck)) {
+    Host stuck = remaining.get(0);
+    if (replacement.lastSwapAtMs == 0) {
+      replacement.lastSwapAtMs = nowMs;
+    } else if (nowMs - replacement.lastSwapAtMs
+        > BOOT_OVERDUE_RATIO * 1000 * types.bootS(stuck.type())) {
+      if (surgeCapacity.swapEmptyMachine(stuck)) {
         LOG.info(
-            "replacement {}: an empty machine is given for one in {}",
+            "replacement {}: no capacity for the replicas of machine {}; released an empty machine"
+                + " and rented one in zone {}",
             replacement.name,
+            stuck.id(),
             stuck.zone());
-        replacement.swappedAt = now;
-      } else if (left.size() == 1) {
+        replacement.lastSwapAtMs = nowMs;
+      } else if (remaining.size() == 1) {
         passOver(replacement, stuck);
       }
     }
   }
 
-  /**
-   * No machine is empty, and the room that others have is in zones that the rules of what is left
-   * here forbid: another old one goes first, whose replicas may take that room and what is free
-   * here. Without this an order for a full fleet stood still for ever (ReplacementTest).
+  /*   * Replaces another old machine first when no machine is empty and the free capacity lies in zones
+   * that the rules of the remaining replicas forbid. The replicas of that other machine may use this
+   * capacity and the free capacity of the machine passed over. Without this, an order for a full
+   * fleet made no progress forever (ReplacementTest).
    */
   private void passOver(ReplacementState replacement, Host stuck) {
-    Set<String> taken = taken(replacement);
-    replacement.passed.add(stuck.id());
-    taken.addAll(replacement.passed);
-    Set<String> other = targets.next(targets.old(replacement.order), taken, Set.of(), 1);
-    if (other.isEmpty()) {
-      // All have had their turn: they have another one.
-      replacement.passed.clear();
+    Set<String> excluded = machinesOfOtherOrders(replacement);
+    replacement.passedOver.add(stuck.id());
+    excluded.addAll(replacement.passedOver);
+    Set<String> nextBatch =
+        targets.nextBatch(targets.oldMachines(replacement.order), excluded, Set.of(), 1);
+    if (nextBatch.isEmpty()) {
+      // Every machine has been passed over once, so each gets another turn.
+      replacement.passedOver.clear();
       return;
     }
-    replacement.cramped = false;
-    replacement.swappedAt = 0;
-    replacement.badSince = 0;
-    String said = "no room for what is left on " + stuck.id() + ": another one first";
-    write(replacement, replacement.progress.only(other, clock.wall(), said));
+    replacement.lacksCapacity = false;
+    replacement.lastSwapAtMs = 0;
+    replacement.blockedSinceMs = 0;
+    String remark = "no room for what is left on " + stuck.id() + ": another one first";
+    recordProgress(replacement, replacement.progress.restrictTo(nextBatch, clock.wall(), remark));
   }
 
-  private void pause(ReplacementState replacement, String why, boolean untilTold) {
-    LOG.info("replacement {} pauses: {}", replacement.name, why);
-    write(
+  private void pause(ReplacementState replacement, String reason, boolean untilOperatorResumes) {
+    LOG.info("pausing replacement {}: {}", replacement.name, reason);
+    recordProgress(
         replacement,
-        replacement.progress.pause(why, untilTold),
-        () -> note(replacement.name, "paused", why));
+        replacement.progress.pause(reason, untilOperatorResumes),
+        () -> emitEvent(replacement.name, "paused", reason));
   }
 
-  private void resumeIfWell(ReplacementState replacement) {
-    boolean well =
-        !replacement.progress.byWord()
-            && healthCheck.outside(lags) == null
-            && healthCheck.replicasOut() == null;
-    if (!well) {
-      replacement.goodSince = 0;
-    } else if (replacement.goodSince == 0) {
-      replacement.goodSince = clock.now();
-    } else if (clock.now() - replacement.goodSince > 2 * settings.workers().reportMs()) {
-      write(
+  private void resumeIfHealthy(ReplacementState replacement) {
+    boolean isHealthy =
+        !replacement.progress.operatorMustResume()
+            && healthCheck.findOutsideProblem(isLoopLagging) == null
+            && healthCheck.findUnavailableReplicas() == null;
+    if (!isHealthy) {
+      replacement.healthySinceMs = 0;
+    } else if (replacement.healthySinceMs == 0) {
+      replacement.healthySinceMs = clock.now();
+    } else if (clock.now() - replacement.healthySinceMs > 2 * settings.workers().reportMs()) {
+      recordProgress(
           replacement,
           replacement.progress.resume(clock.wall()),
-          () -> note(replacement.name, "resumed", null));
+          () -> emitEvent(replacement.name, "resumed", null));
     }
   }
 
-  private void write(ReplacementState replacement, ReplacementProgress next) {
-    write(replacement, next, () -> {});
+  private void recordProgress(ReplacementState replacement, ReplacementProgress next) {
+    recordProgress(replacement, next, () -> {});
   }
 
-  /** On record first; nothing of it is done before. */
-  private void write(ReplacementState replacement, ReplacementProgress next, Runnable then) {
-    replacement.writing = true;
+  /** Records the next progress; it takes effect only once it is recorded. */
+  private void recordProgress(
+      ReplacementState replacement, ReplacementProgress next, Runnable onSuccess) {
+    replacement.writeInFlight = true;
     String key = StateKeys.REPLACE + replacement.name;
     writer.put(
         key,
         replacement.stamp,
-        replacement.record(next),
+        replacement.toJson(next),
         Priority.BOOKKEEPING,
         outcome -> {
-          ReplacementState now = orders.get(replacement.name);
-          if (now != null) {
-            now.writing = false;
+          ReplacementState current = orders.get(replacement.name);
+          if (current != null) {
+            current.writeInFlight = false;
           }
           if (outcome instanceof TxnOutcome.Applied applied) {
-            if (now != null && now.stamp < applied.stamp()) {
-              now.stamp = applied.stamp();
-              now.progress = next;
+            if (current != null && current.stamp < applied.stamp()) {
+              current.stamp = applied.stamp();
+              current.progress = next;
             }
-            changed.run();
-            note(
+            onRecorded.run();
+            emitEvent(
                 replacement.name,
                 next.phase().name().toLowerCase(java.util.Locale.ROOT),
                 next.remark());
-            then.run();
+            onSuccess.run();
           } else {
             leadership.deposedBy(outcome);
           }
-          // Without an answer the replica shows what is on record, and the next look goes on from
-          // there.
+          // If the outcome is unknown, the replica delivers the recorded progress, and the next
+          // call of advance continues from there.
         });
   }
 
-  /** An event of an order. */
-  void note(String name, String what, String why) {
+  /** Emits an event about an order. */
+  void emitEvent(String name, String newState, String reason) {
     events.note(
         Events.Kind.REPLACEMENT,
         o -> {
-          o.put("replacement", name).put("state", what);
-          if (why != null) {
-            o.put("reason", why);
+          o.put("replacement", name).put("state", newState);
+          if (reason != null) {
+            o.put("reason", reason);
           }
         });
   }
--- a/src/main/java/dapplestair/replacement/ReplacementTargets.java
+++ b/src/main/java/dapplestair/replacement/ReplacementTargets.java
@@ -15,7 +15,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Which machines an order is about. Old from new is told by the record of a machine's rental. */
+/**
+ * Determines the machines that an order applies to. The recorded rental time of a machine tells
+ * whether it is old or new.
+ */
 final class ReplacementTargets {
   private final Clock clock;
   private final WorkerManager workers;
@@ -27,126 +30,135 @@
     this.disruptionGate = disruptionGate;
   }
 
-  static MachineKind slot(Host host) {
+  static MachineKind kindOf(Host host) {
     return new MachineKind(host.type().name(), host.spot());
   }
 
-  private long rentedWall(Host host) {
+  private long rentedAtWallMs(Host host) {
     return host.rentedAt() == Long.MAX_VALUE
         ? Long.MAX_VALUE
         : clock.wall() - (clock.now() - host.rentedAt());
   }
 
-  private boolean covers(MachineSelector selection, Host host) {
+  private boolean matches(MachineSelector selector, Host host) {
     return host.type() != null
-        && selection.covers(
-            host.id(), host.zone(), host.type().name(), host.spot(), rentedWall(host));
+        && selector.matches(
+            host.id(), host.zone(), host.type().name(), host.spot(), rentedAtWallMs(host));
   }
 
-  /** Machines that such an order is about if it is given now. */
-  List<Host> selected(MachineSelector selection) {
-    List<Host> out = new ArrayList<>();
+  /** Returns the machines that an order with this selector would apply to if it were given now. */
+  List<Host> matchingMachines(MachineSelector selector) {
+    List<Host> matching = new ArrayList<>();
     for (Host host : workers.hosts()) {
       if (!host.gone()
           && !host.releasing()
-          && rentedWall(host) <= clock.wall()
-          && covers(selection, host)) {
-        out.add(host);
+          && rentedAtWallMs(host) <= clock.wall()
+          && matches(selector, host)) {
+        matching.add(host);
       }
     }
-    return out;
+    return matching;
   }
 
-  /** Machines that are still to be replaced, also those on their way back to the cloud. */
-  List<Host> old(ReplacementOrder order) {
-    List<Host> out = new ArrayList<>();
+  /** Returns the machines still to be replaced, including those being returned to the cloud. */
+  List<Host> oldMachines(ReplacementOrder order) {
+    List<Host> oldMachines = new ArrayList<>();
     for (Host host : workers.hosts()) {
-      if (!host.gone() && rentedWall(host) < order.atWall() && covers(order.selection(), host)) {
-        out.add(host);
+      if (!host.gone()
+          && rentedAtWallMs(host) < order.orderedAtWallMs()
+          && matches(order.selector(), host)) {
+        oldMachines.add(host);
       }
     }
-    return out;
+    return oldMachines;
   }
 
-  /**
-   * Machines rented since the order was given, and since then, that are of the kinds it is about.
+  /*   * Returns the machines of the order's kinds that were rented after both the order and {@code
+   * sinceWallMs}.
    */
-  List<Host> fresh(ReplacementOrder order, long since) {
-    MachineSelector selection = order.selection();
-    List<Host> out = new ArrayList<>();
+  List<Host> newMachines(ReplacementOrder order, long sinceWallMs) {
+    MachineSelector selector = order.selector();
+    List<Host> newMachines = new ArrayList<>();
     for (Host host : workers.hosts()) {
       if (!host.gone()
           && host.type() != null
-          && rentedWall(host) >= Math.max(order.atWall(), since)
-          && rentedWall(host) != Long.MAX_VALUE
-          && (selection.type() == null || selection.type().equals(host.type().name()))
-          && (selection.spot() == null || selection.spot() == host.spot())) {
-        out.add(host);
+          && rentedAtWallMs(host) >= Math.max(order.orderedAtWallMs(), sinceWallMs)
+          && rentedAtWallMs(host) != Long.MAX_VALUE
+          && (selector.type() == null || selector.type().equals(host.type().name()))
+          && (selector.spot() == null || selector.spot() == host.spot())) {
+        newMachines.add(host);
       }
     }
-    return out;
+    return newMachines;
   }
 
-  /** Those of a step's machines that are still there. */
-  List<Host> left(Set<String> batch) {
-    List<Host> out = new ArrayList<>();
+  /** Returns the machines of a step that are not gone yet. */
+  List<Host> remaining(Set<String> batch) {
+    List<Host> remaining = new ArrayList<>();
     for (String id : batch) {
       Host host = workers.known(id);
       if (host != null && !host.gone()) {
-        out.add(host);
+        remaining.add(host);
       }
     }
-    return out;
+    return remaining;
   }
 
-  /** How many there are of each kind. */
-  static Map<MachineKind, Integer> bySlot(Collection<Host> machines) {
-    Map<MachineKind, Integer> out =
+  /** Counts machines by kind. */
+  static Map<MachineKind, Integer> countByKind(Collection<Host> machines) {
+    Map<MachineKind, Integer> counts =
         new TreeMap<>(Comparator.comparing(MachineKind::type).thenComparing(MachineKind::spot));
-    // Of one that is known by its attempts alone nobody can say of what kind it is.
+    // The kind of a machine that is known only from its attempts is unknown.
     machines.stream()
         .filter(h -> h.type() != null)
-        .forEach(h -> out.merge(slot(h), 1, Integer::sum));
-    return out;
+        .forEach(h -> counts.merge(kindOf(h), 1, Integer::sum));
+    return counts;
   }
 
-  /**
-   * The next step: machines of one zone, those first of which least work would be lost. The zone of
-   * the step before is finished first; a silent one is left for later. Empty if none may be taken.
+  /*   * Chooses the machines of the next step: machines of a single zone, those with the least work to
+   * lose first. The zone of the previous step is finished first; a silent zone is left for later.
+   * Returns an empty set if no machine may be chosen.
    */
-  Set<String> next(Collection<Host> old, Set<String> taken, Set<String> before, int most) {
-    Map<String, List<Host>> zones = new TreeMap<>();
-    for (Host h : old) {
-      if (!taken.contains(h.id()) && !h.releasing() && h.zoneSilentMs() == 0 && h.zone() != null) {
-        zones.computeIfAbsent(h.zone(), z -> new ArrayList<>()).add(h);
+  Set<String> nextBatch(
+      Collection<Host> candidates,
+      Set<String> excluded,
+      Set<String> previousBatch,
+      int maxMachines) {
+    Map<String, List<Host>> hostsByZone = new TreeMap<>();
+    for (Host host : candidates) {
+      if (!excluded.contains(host.id())
+          && !host.releasing()
+          && host.zoneSilentMs() == 0
+          && host.zone() != null) {
+        hostsByZone.computeIfAbsent(host.zone(), z -> new ArrayList<>()).add(host);
       }
     }
-    if (zones.isEmpty()) {
+    if (hostsByZone.isEmpty()) {
       return Set.of();
     }
-    Set<String> lastZones = new HashSet<>();
-    before.stream()
+    Set<String> previousZones = new HashSet<>();
+    previousBatch.stream()
         .map(workers::known)
         .filter(h -> h != null)
-        .forEach(h -> lastZones.add(h.zone()));
+        .forEach(h -> previousZones.add(h.zone()));
     String zone =
-        zones.keySet().stream()
+        hostsByZone.keySet().stream()
             .min(
-                Comparator.<String, Boolean>comparing(z -> !lastZones.contains(z))
-                    .thenComparing(z -> zones.get(z).size())
+                Comparator.<String, Boolean>comparing(z -> !previousZones.contains(z))
+                    .thenComparing(z -> hostsByZone.get(z).size())
                     .thenComparing(z -> z))
             .orElseThrow();
-    List<Host> order = zones.get(zone);
-    order.sort(
-        Comparator.comparingDouble(this::loss)
+    List<Host> leastLossFirst = hostsByZone.get(zone);
+    leastLossFirst.sort(
+        Comparator.comparingDouble(this::lossCpuS)
             .thenComparingDouble(Host::serviceCpus)
             .thenComparing(Host::id));
-    Set<String> out = new TreeSet<>();
-    order.stream().limit(most).forEach(h -> out.add(h.id()));
-    return out;
+    Set<String> batch = new TreeSet<>();
+    leastLossFirst.stream().limit(maxMachines).forEach(h -> batch.add(h.id()));
+    return batch;
   }
 
-  private double loss(Host host) {
+  private double lossCpuS(Host host) {
     return host.attempts().stream()
         .filter(a -> !a.exited())
         .mapToDouble(disruptionGate::lossCpuS)
--- a/src/main/java/dapplestair/replacement/Replacements.java
+++ b/src/main/java/dapplestair/replacement/Replacements.java
@@ -28,10 +28,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * Carries orders to replace machines on, a step at a time: new machines first, then the old are
- * emptied through the gate for disruption and returned, then the step is watched. Where an order
- * stands is on record before anything is done of it, so any leader goes on from there.
+/* * Carries out orders to replace machines step by step: new machines are rented first, then the old
+ * ones are drained through the disruption gate and returned, then the step is watched. The progress
+ * of an order is recorded before any action is taken, so that any leader can continue it.
  */
 public final class Replacements implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Replacements.class);
@@ -43,15 +42,15 @@
   private final MachineTypes types;
   private final ReplacementTargets targets;
   private final SurgeCapacity surgeCapacity;
-  private final ReplacementStepRunner steps;
+  private final ReplacementStepRunner stepRunner;
   private final Map<String, ReplacementState> orders = new TreeMap<>();
-  private final Set<Host> leaving = new LinkedHashSet<>();
+  private final Set<Host> leavingHosts = new LinkedHashSet<>();
   private boolean leading;
-  private long due;
-  private long lagUntil = Long.MIN_VALUE / 2;
+  private long nextTickAtMs;
+  private long laggingUntilMs = Long.MIN_VALUE / 2;
   private Cancellable timer = () -> {};
 
-  /** No orders yet. */
+  /** Creates an instance without any orders. */
   public Replacements(
       Clock clock,
       TermTimers timers,
@@ -71,7 +70,7 @@
     this.surgeCapacity = surgeCapacity;
     this.types = types;
     targets = new ReplacementTargets(clock, workers, disruptionGate);
-    steps =
+    stepRunner =
         new ReplacementStepRunner(
             clock,
             settings,
@@ -84,26 +83,26 @@
             new StepHealthCheck(workers, disruptionGate, targets),
             surgeCapacity,
             orders,
-            this::extra,
-            this::markLeaving);
-    drains.also(this::drain, this::any);
+            this::surgeMachines,
+            this::markLeavingHosts);
+    drains.setOtherDrains(this::drainOf, this::hasOrders);
   }
 
-  // ---- what the replica says ----
+  // ---- records from the replica ----
 
-  /** An order's key has this value, or is gone. */
+  /** Applies the recorded value of an order, or its removal if {@code value} is null. */
   public void recorded(String key, JsonNode value, long stamp) {
     String name = key.substring(StateKeys.REPLACE.length());
     ReplacementState known = orders.get(name);
     if (value == null) {
       orders.remove(name);
       if (leading) {
-        LOG.info("replacement {} is ended", name);
-        steps.note(name, "ended", null);
+        LOG.info("replacement {} has ended; its order was removed", name);
+        stepRunner.emitEvent(name, "ended", null);
       }
     } else if (known == null || known.stamp < stamp) {
       if (known != null && known.order.equals(ReplacementOrder.parse(value))) {
-        // What this leader has seen of the step under way stays.
+        // Keeps this leader's observations of the current step.
         known.progress = ReplacementProgress.read(value);
         known.stamp = stamp;
       } else {
@@ -112,78 +111,79 @@
     }
   }
 
-  /** Forgets all records: the replica tells them again. */
+  /** Forgets all records; the replica delivers them again. */
   public void clear() {
     leading = false;
-    steps.begin();
+    stepRunner.reset();
     timer.cancel();
     orders.clear();
-    leaving.clear();
+    leavingHosts.clear();
   }
 
   // ---- leading ----
 
-  /** Goes on with whatever is recorded. */
+  /** Starts to carry out the recorded orders as the leader. */
   public void lead() {
     leading = true;
-    steps.begin();
-    due = clock.now();
-    orders.values().forEach(r -> r.writing = false);
+    stepRunner.reset();
+    nextTickAtMs = clock.now();
+    orders.values().forEach(r -> r.writeInFlight = false);
     tick();
   }
 
   private void tick() {
-    long now = clock.now();
+    long nowMs = clock.now();
     long reportMs = settings.workers().reportMs();
-    if (now - due > reportMs / 2) {
-      lagUntil = now + 2 * reportMs;
+    if (nowMs - nextTickAtMs > reportMs / 2) {
+      laggingUntilMs = nowMs + 2 * reportMs;
     }
     for (ReplacementState replacement : List.copyOf(orders.values())) {
-      if (!replacement.writing && state.unreachableMs() == 0) {
-        steps.look(replacement, now < lagUntil);
+      if (!replacement.writeInFlight && state.unreachableMs() == 0) {
+        stepRunner.advance(replacement, nowMs < laggingUntilMs);
       }
     }
-    markLeaving();
-    due = now + reportMs / 6;
+    markLeavingHosts();
+    nextTickAtMs = nowMs + reportMs / 6;
     timer = timers.after(reportMs / 6, this::tick);
   }
 
-  /** Machines that are about to be emptied take only what ends before. */
-  private void markLeaving() {
-    if (orders.isEmpty() && leaving.isEmpty()) {
+  /** Marks machines that will be drained soon, so that they accept only tasks that end before. */
+  private void markLeavingHosts() {
+    if (orders.isEmpty() && leavingHosts.isEmpty()) {
       return;
     }
-    Set<Host> now = new LinkedHashSet<>();
+    Set<Host> currentlyLeaving = new LinkedHashSet<>();
     for (ReplacementState replacement : orders.values()) {
-      if (replacement.active() && replacement.progress.phase() == Phase.RAISE) {
-        for (Host h : targets.left(replacement.progress.batch())) {
-          long bootMs = Math.round(1000 * types.bootS(h.type()));
-          h.setLeavesAt(clock.now() - (clock.wall() - replacement.progress.stepWall()) + bootMs);
-          now.add(h);
+      if (replacement.isActive() && replacement.progress.phase() == Phase.RAISE) {
+        for (Host host : targets.remaining(replacement.progress.batch())) {
+          long bootMs = Math.round(1000 * types.bootS(host.type()));
+          host.setLeavesAt(
+              clock.now() - (clock.wall() - replacement.progress.phaseStartWallMs()) + bootMs);
+          currentlyLeaving.add(host);
         }
       }
     }
-    leaving.removeAll(now);
-    leaving.forEach(h -> h.setLeavesAt(Long.MAX_VALUE));
-    leaving.clear();
-    leaving.addAll(now);
+    leavingHosts.removeAll(currentlyLeaving);
+    leavingHosts.forEach(h -> h.setLeavesAt(Long.MAX_VALUE));
+    leavingHosts.clear();
+    leavingHosts.addAll(currentlyLeaving);
   }
 
-  // ---- what others ask ----
+  // ---- queries from other components ----
 
-  private boolean any() {
+  private boolean hasOrders() {
     return !orders.isEmpty();
   }
 
-  /** The order under which a machine is emptied now, or null. */
-  private Drain drain(Host host) {
+  /** Returns the drain that a replacement order currently imposes on a machine, or null. */
+  private Drain drainOf(Host host) {
     for (ReplacementState replacement : orders.values()) {
-      if (replacement.active()
+      if (replacement.isActive()
           && replacement.progress.phase() == Phase.EMPTY
           && replacement.progress.batch().contains(host.id())) {
         return new Drain(
-            replacement.order.by(),
-            replacement.progress.stepWall(),
+            replacement.order.orderedBy(),
+            replacement.progress.phaseStartWallMs(),
             "replacement " + replacement.name,
             true,
             replacement.order.deadlineS());
@@ -192,116 +192,123 @@
     return null;
   }
 
-  /**
-   * How many machines of a kind are to be held beyond the plan's count, or below it. Old machines
-   * that are being emptied are no room and not counted as held, but they are still there: what
-   * takes their place must not come up before they are gone, but for as many as may be beyond.
+  /*   * Returns how many machines of a kind to hold in addition to the plan's count; may be negative.
+   * Old machines that are being drained offer no capacity and do not count as held, but they still
+   * exist: apart from the permitted surge, their successors must not come up before they are gone.
    */
-  public int extra(MachineKind kind) {
-    int extra = 0;
+  public int surgeMachines(MachineKind kind) {
+    int surge = 0;
     for (ReplacementState replacement : orders.values()) {
       if (replacement.progress.phase() == Phase.CHOOSE
           || replacement.progress.phase() == Phase.DONE) {
         continue;
       }
-      Map<MachineKind, Integer> left =
-          ReplacementTargets.bySlot(targets.left(replacement.progress.batch()));
-      int mine = left.getOrDefault(kind, 0);
-      // Where a replica has no place to go, all that may be beyond is: the next comes in the zone
-      // that has fewest.
-      int beyond =
-          mine > 0 && replacement.cramped
-              ? surgeCapacity.affords(
-                  Map.of(kind, replacement.order.beyond()), replacement.order.beyond())
-              : surgeCapacity.share(left, kind, replacement.progress.beyond());
-      // While it pauses the old are back in use, and the new are kept for when it goes on.
-      extra +=
-          replacement.active() && replacement.progress.phase() == Phase.EMPTY
-              ? beyond - mine
-              : beyond;
+      Map<MachineKind, Integer> remainingByKind =
+          ReplacementTargets.countByKind(targets.remaining(replacement.progress.batch()));
+      int remainingOfKind = remainingByKind.getOrDefault(kind, 0);
+      // When a replica has nowhere to go, the whole permitted surge is held: the next machine is
+      // rented in the zone that has the fewest.
+      int surgeCount =
+          remainingOfKind > 0 && replacement.lacksCapacity
+              ? surgeCapacity.affordableSurge(
+                  Map.of(kind, replacement.order.maxSurge()), replacement.order.maxSurge())
+              : surgeCapacity.surgeOfKind(remainingByKind, kind, replacement.progress.surgeCount());
+      // While the order pauses, the old machines are back in use, and the new ones are kept until
+      // it resumes.
+      surge +=
+          replacement.isActive() && replacement.progress.phase() == Phase.EMPTY
+              ? surgeCount - remainingOfKind
+              : surgeCount;
     }
-    return extra;
+    return surge;
   }
 
-  /** How many machines an order like this would be about now. */
-  public int covered(MachineSelector selection) {
-    return targets.selected(selection).size();
+  /** Returns the number of machines that an order with this selector would apply to now. */
+  public int countMatching(MachineSelector selector) {
+    return targets.matchingMachines(selector).size();
   }
 
   // ---- views ----
 
-  /**
-   * An order as it stands.
+  /*   * An order with its current progress.
    *
-   * @param left old machines that are still there
-   * @param endS seconds until it is expected to be done, or -1
+   * @param remainingMachines number of old machines that still exist
+   * @param expectedEndS seconds until the order is expected to be done, or -1 if unknown
    */
   public record ReplacementView(
       String name,
       ReplacementOrder order,
       String phase,
-      int steps,
+      int stepsBegun,
       Collection<String> batch,
-      int left,
-      String paused,
-      boolean byWord,
+      int remainingMachines,
+      String pauseReason,
+      boolean operatorMustResume,
       String remark,
-      double endS) {}
+      double expectedEndS) {}
 
-  /** All orders, by name. */
+  /** Returns all orders, sorted by name. */
   public List<ReplacementView> views() {
     return orders.values().stream().map(this::view).toList();
   }
 
-  /** One order, or null. */
+  /** Returns the order with the given name, or null. */
   public ReplacementView view(String name) {
     ReplacementState replacement = orders.get(name);
     return replacement == null ? null : view(replacement);
   }
 
   private ReplacementView view(ReplacementState replacement) {
-    int left =
-        replacement.progress.phase() == Phase.DONE ? 0 : targets.old(replacement.order).size();
-    int done = replacement.order.total() - left;
-    double elapsedS = (clock.wall() - replacement.order.atWall()) / 1000.0;
-    double endS =
-        left == 0
+    int remainingMachines =
+        replacement.progress.phase() == Phase.DONE
+            ? 0
+            : targets.oldMachines(replacement.order).size();
+    int replacedMachines = replacement.order.totalMachines() - remainingMachines;
+    double elapsedS = (clock.wall() - replacement.order.orderedAtWallMs()) / 1000.0;
+    double expectedEndS =
+        remainingMachines == 0
             ? 0
-            : done <= 0 || replacement.progress.paused() != null ? -1 : elapsedS / done * left;
+            : replacedMachines <= 0 || replacement.progress.pauseReason() != null
+                ? -1
+                : elapsedS / replacedMachines * remainingMachines;
     return new ReplacementView(
         replacement.name,
         replacement.order,
-        phase(replacement.progress),
-        replacement.progress.steps(),
+        phaseName(replacement.progress),
+        replacement.progress.stepsBegun(),
         new TreeSet<>(replacement.progress.batch()),
-        left,
-        replacement.progress.paused(),
-        replacement.progress.byWord(),
+        remainingMachines,
+        replacement.progress.pauseReason(),
+        replacement.progress.operatorMustResume(),
         replacement.progress.remark(),
-        endS);
+        expectedEndS);
   }
 
-  private String phase(ReplacementProgress progress) {
-    boolean watched = progress.phase() == Phase.EMPTY && targets.left(progress.batch()).isEmpty();
-    return watched ? "watch" : progress.phase().name().toLowerCase(java.util.Locale.ROOT);
+  private String phaseName(ReplacementProgress progress) {
+    boolean isWatched =
+        progress.phase() == Phase.EMPTY && targets.remaining(progress.batch()).isEmpty();
+    return isWatched ? "watch" : progress.phase().name().toLowerCase(java.util.Locale.ROOT);
   }
 
-  /** The recorded form of a new order. */
-  public static ObjectNode begun(ReplacementOrder order) {
+  /** Returns the recorded form of a new order. */
+  public static ObjectNode newOrderRecord(ReplacementOrder order) {
     ObjectNode object = order.toJson();
-    ReplacementProgress.BEGIN.write(object);
+    ReplacementProgress.INITIAL.writeTo(object);
     return object;
   }
 
-  /** The recorded form of an order that pauses by an operator's word, or goes on; null: no such. */
-  public ObjectNode told(String name, String pause) {
+  /**
+   * Returns the recorded form of an order that an operator pauses, or resumes if {@code
+   * pauseReason} is null; null if there is no such order.
+   */
+  public ObjectNode pausedOrResumedRecord(String name, String pauseReason) {
     ReplacementState replacement = orders.get(name);
     if (replacement == null) {
       return null;
     }
-    return replacement.record(
-        pause != null
-            ? replacement.progress.pause(pause, true)
+    return replacement.toJson(
+        pauseReason != null
+            ? replacement.progress.pause(pauseReason, true)
             : replacement.progress.resume(clock.wall()));
   }
 
--- a/src/main/java/dapplestair/replacement/StepHealthCheck.java
+++ b/src/main/java/dapplestair/replacement/StepHealthCheck.java
@@ -7,10 +7,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Whether a step goes well, and whose fault it is if it does not. */
+/** Checks whether a step goes well, and what causes the problem if it does not. */
 final class StepHealthCheck {
-  // Of so few completions a machine's speed says little.
-  private static final int ENOUGH = 2;
+  // Below this number of completed tasks, the measured speed of a machine says little; up to this
+  // number of failures, a machine does not count as failing.
+  private static final int MIN_SAMPLES = 2;
 
   private final WorkerManager workers;
   private final DisruptionGate disruptionGate;
@@ -23,9 +24,12 @@
     this.targets = targets;
   }
 
-  /** What is wrong around the order, or null; such a pause ends by itself. */
-  String outside(boolean lagging) {
-    if (lagging) {
+  /**
+   * Returns the problem outside the replaced machines, or null. A pause for such a problem ends by
+   * itself.
+   */
+  String findOutsideProblem(boolean loopLagging) {
+    if (loopLagging) {
       return "the leader's own loop lags behind";
     }
     for (Host host : workers.hosts()) {
@@ -36,39 +40,44 @@
     return null;
   }
 
-  /** Replicas that are out, for whatever reason, by team; or null. */
-  String replicasOut() {
+  /** Returns the first team with too many unavailable replicas, as a pause reason, or null. */
+  String findUnavailableReplicas() {
     for (Map.Entry<String, BudgetStatus> entry : disruptionGate.statuses().entrySet()) {
-      // Below half of its budget the next step may go on; what it moves is asked for anyway.
-      if (2L * entry.getValue().out() > entry.getValue().allowed()) {
+      // The next step may begin while at most half of the budget is used; each stop in it needs
+      // the permission of the disruption gate anyway.
+      if (2L * entry.getValue().unavailableReplicas() > entry.getValue().maxUnavailableReplicas()) {
         return "%d replicas of team %s are not back"
-            .formatted(entry.getValue().out(), entry.getKey());
+            .formatted(entry.getValue().unavailableReplicas(), entry.getKey());
       }
     }
     return null;
   }
 
-  /** What is wrong with the new machines, or null; only an operator's word ends such a pause. */
-  String newMachines(ReplacementOrder order, long since) {
-    List<Host> fresh = targets.fresh(order, since);
-    long up = fresh.stream().filter(Host::up).count();
-    List<Host> failing = fresh.stream().filter(h -> h.draining() || h.failures() > ENOUGH).toList();
-    // One bad machine in many is chance, and is given up as ever.
-    if (!failing.isEmpty() && failing.size() * 4L >= up) {
+  /**
+   * Returns the problem with the new machines, or null. Only an operator can end a pause for such a
+   * problem.
+   */
+  String findNewMachineProblem(ReplacementOrder order, long sinceWallMs) {
+    List<Host> newMachines = targets.newMachines(order, sinceWallMs);
+    long upCount = newMachines.stream().filter(Host::up).count();
+    List<Host> failing =
+        newMachines.stream().filter(h -> h.draining() || h.failures() > MIN_SAMPLES).toList();
+    // A single bad machine among many is chance, and is given up like any other bad machine.
+    if (!failing.isEmpty() && failing.size() * 4L >= upCount) {
       return "new machines fail tasks: %d of %d, such as %s"
-          .formatted(failing.size(), up, failing.get(0).id());
+          .formatted(failing.size(), upCount, failing.get(0).id());
     }
-    double now = slowness(fresh);
-    double before = slowness(targets.old(order));
-    if (now > order.slower() * before) {
-      return "new machines take %.2f times as long as the old".formatted(now / before);
+    double newSlowness = meanSlowness(newMachines);
+    double oldSlowness = meanSlowness(targets.oldMachines(order));
+    if (newSlowness > order.maxSlowdown() * oldSlowness) {
+      return "new machines take %.2f times as long as the old".formatted(newSlowness / oldSlowness);
     }
     return null;
   }
 
-  private static double slowness(List<Host> of) {
-    return of.stream()
-        .filter(h -> h.completed() >= ENOUGH)
+  private static double meanSlowness(List<Host> hosts) {
+    return hosts.stream()
+        .filter(h -> h.completed() >= MIN_SAMPLES)
         .mapToDouble(Host::slowness)
         .average()
         .orElse(1);
--- a/src/main/java/dapplestair/replacement/SurgeCapacity.java
+++ b/src/main/java/dapplestair/replacement/SurgeCapacity.java
@@ -10,9 +10,8 @@
 import java.util.Map;
 import java.util.function.ToIntFunction;
 
-/**
- * Machines beyond the plan's count: how many the plan's own budget still pays for, and whether they
- * are up. The counts themselves stay the plan's.
+/* * Determines how many surge machines, which are held in addition to the plan, the plan's own budget
+ * still pays for, and whether they are up. The plan's counts themselves stay unchanged.
  */
 public final class SurgeCapacity {
   private final WorkerManager workers;
@@ -20,7 +19,7 @@
   private final MachineTypes types;
   private final Autoscaler autoscaler;
 
-  /** Beside what {@code autoscaler} holds. */
+  /** Creates an instance for machines in addition to the plan of {@code autoscaler}. */
   public SurgeCapacity(
       WorkerManager workers, Fleet fleet, MachineTypes types, Autoscaler autoscaler) {
     this.workers = workers;
@@ -29,50 +28,56 @@
     this.autoscaler = autoscaler;
   }
 
-  /** How many of {@code beyond} machines the budget pays for beside the plan. */
-  int affords(Map<MachineKind, Integer> batch, int beyond) {
+  /** Returns how many of {@code maxSurge} machines the budget pays for in addition to the plan. */
+  int affordableSurge(Map<MachineKind, Integer> batch, int maxSurge) {
     Autoscaler.AppliedPlan plan = autoscaler.appliedPlan();
     if (plan == null) {
       return 0;
     }
-    double left = plan.budgetPerHour() - plan.costPerHour();
-    if (Double.isNaN(left)) {
-      return beyond;
+    double remainingPerHour = plan.budgetPerHour() - plan.costPerHour();
+    if (Double.isNaN(remainingPerHour)) {
+      return maxSurge;
     }
     int count = 0;
     for (Map.Entry<MachineKind, Integer> entry : batch.entrySet()) {
       MachineType type = types.get(entry.getKey().type());
-      double price = type == null ? Double.POSITIVE_INFINITY : type.price(entry.getKey().spot());
-      for (int i = share(batch, entry.getKey(), beyond); i > 0 && left >= price; i--) {
-        left -= price;
+      double pricePerHour =
+          type == null ? Double.POSITIVE_INFINITY : type.price(entry.getKey().spot());
+      for (int i = surgeOfKind(batch, entry.getKey(), maxSurge);
+          i > 0 && remainingPerHour >= pricePerHour;
+          i--) {
+        remainingPerHour -= pricePerHour;
         count++;
       }
     }
     return count;
   }
 
-  /** How many of {@code beyond} fall to one kind: in order, as many as there are old ones of it. */
-  int share(Map<MachineKind, Integer> batch, MachineKind kind, int beyond) {
-    int rest = beyond;
+  /**
+   * Returns how many of {@code surgeCount} machines are of one kind. The kinds are served in order,
+   * each with up to as many machines as the batch has old ones of it.
+   */
+  int surgeOfKind(Map<MachineKind, Integer> batch, MachineKind kind, int surgeCount) {
+    int remainingSurge = surgeCount;
     for (Map.Entry<MachineKind, Integer> entry : batch.entrySet()) {
-      int count = Math.min(rest, entry.getValue());
+      int count = Math.min(remainingSurge, entry.getValue());
       if (entry.getKey().equals(kind)) {
         return count;
       }
-      rest -= count;
+      remainingSurge -= count;
     }
     return 0;
   }
 
-  /**
-   * Returns an empty machine of the same kind in another zone and rents one where this one is: its
-   * replicas may go there whatever their spread. The count stays the same; false if none is empty.
+  /*   * Releases an empty machine of the same kind in another zone and rents one in the zone of {@code
+   * stuck}, where its replicas may go whatever their spread over the zones. The number of machines
+   * stays the same. Returns false if no machine is empty.
    */
-  boolean swap(Host stuck) {
+  boolean swapEmptyMachine(Host stuck) {
     if (stuck.type() == null) {
       return false;
     }
-    MachineKind kind = ReplacementTargets.slot(stuck);
+    MachineKind kind = ReplacementTargets.kindOf(stuck);
     for (Host host : workers.hosts()) {
       if (host.up()
           && host.idle()
@@ -86,23 +91,23 @@
     return false;
   }
 
-  /** Within this time lists show whatever there is; milliseconds. */
-  long longestListLag() {
+  /** Returns the time in milliseconds within which the cloud's lists show every machine. */
+  long longestListLagMs() {
     return fleet.longestListLag();
   }
 
-  /** True when all that plan and order want is up and heard. */
-  boolean ready(Map<MachineKind, Integer> batch, ToIntFunction<MachineKind> extra) {
+  /** Returns whether all machines that the plan and the order want are up and report. */
+  boolean isReady(Map<MachineKind, Integer> batch, ToIntFunction<MachineKind> surgeMachines) {
     Autoscaler.AppliedPlan plan = autoscaler.appliedPlan();
     if (plan == null) {
       return false;
     }
     for (MachineKind kind : batch.keySet()) {
-      int up = 0;
+      int upCount = 0;
       for (Host host : workers.hosts()) {
-        up += fleet.counts(host, kind) && host.acknowledged() && workers.fresh(host) ? 1 : 0;
+        upCount += fleet.counts(host, kind) && host.acknowledged() && workers.fresh(host) ? 1 : 0;
       }
-      if (up < plan.counts().getOrDefault(kind, 0) + extra.applyAsInt(kind)) {
+      if (upCount < plan.counts().getOrDefault(kind, 0) + surgeMachines.applyAsInt(kind)) {
         return false;
       }
     }
--- a/src/main/java/dapplestair/replacement/package-info.java
+++ b/src/main/java/dapplestair/replacement/package-info.java
@@ -1,2 +1,5 @@
-/** Workers replaced in steps, new ones first: recorded orders, carried on by whoever leads. */
+/**
+ * Replaces workers in steps, starting new ones first. The orders are recorded, so that every leader
+ * continues them.
+ */
 package dapplestair.replacement;
