--- a/src/main/java/dapplestair/disruption/BudgetStatus.java
+++ b/src/main/java/dapplestair/disruption/BudgetStatus.java
@@ -1,6 +1,7 @@
 package dapplestair.disruption;
 
-/* * The use of a team's disruption budget.
+/**
+ * The use of a team's disruption budget.
  *
  * @param wantedReplicas number of replicas that the team's services want
  * @param unavailableReplicas number of replicas that are unavailable, for any reason
--- a/src/main/java/dapplestair/disruption/DisruptionGate.java
+++ b/src/main/java/dapplestair/disruption/DisruptionGate.java
@@ -15,9 +15,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/* * The gate that every voluntary stop of a task passes. Stops that can wait request permission first.
- * Stops that cannot wait, such as those for a reclaim notice of the cloud or for capacity that a
- * rank or a guarantee claims, are always allowed and debited to the budget. The number of
+/**
+ * The gate that every voluntary stop of a task passes. Stops that can wait request permission
+ * first. Stops that cannot wait, such as those for a reclaim notice of the cloud or for capacity
+ * that a rank or a guarantee claims, are always allowed and debited to the budget. The number of
  * unavailable tasks is not a stored counter: it is derived from the recorded attempts and the
  * workers' reports each time, so that neither a change of leader nor a restart of all controllers
  * refills a budget.
@@ -95,7 +96,8 @@
 
   // ---- stops that request permission ----
 
-  /*   * Starts a new round of requests by recomputing which tasks are unavailable. Within a round, the
+  /**
+   * Starts a new round of requests by recomputing which tasks are unavailable. Within a round, the
    * caller makes the requests in the order of their deadlines and then of their age.
    */
   public void refresh() {
@@ -124,7 +126,8 @@
     }
   }
 
-  /*   * Returns whether an attempt's machine is known to run it. The machine must have reported a token
+  /**
+   * Returns whether an attempt's machine is known to run it. The machine must have reported a token
    * of the current term: before that, it may still carry out a stop of the former leader, and its
    * last report may be older than that stop.
    */
@@ -213,7 +216,8 @@
             .formatted(stopping, unavailable - stopping);
   }
 
-  /*   * Returns the maximum work in CPU seconds that is lost when a task is stopped. The report that a
+  /**
+   * Returns the maximum work in CPU seconds that is lost when a task is stopped. The report that a
    * task runs may arrive some seconds late, so its run time counts from when it was planned. How
    * long a task ran under an earlier leader is unknown, so such a task counts from when its job was
    * accepted.
--- a/src/main/java/dapplestair/disruption/DisruptionRefusal.java
+++ b/src/main/java/dapplestair/disruption/DisruptionRefusal.java
@@ -1,6 +1,7 @@
 package dapplestair.disruption;
 
-/* * The reason why a task may not be stopped now.
+/**
+ * The reason why a task may not be stopped now.
  *
  * @param team team whose budget is used up
  * @param budgetName the part of the budget that is used up
--- a/src/main/java/dapplestair/disruption/LostWork.java
+++ b/src/main/java/dapplestair/disruption/LostWork.java
@@ -17,11 +17,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/* * Tracks the work lost in the last hour, by team. It cannot be derived from the recorded attempts,
+/**
+ * Tracks the work lost in the last hour, by team. It cannot be derived from the recorded attempts,
  * so it is reserved: a share of the budget is recorded before any of it is granted, and the next
- * leader counts everything reserved as spent. Time is divided into slices. A reservation is valid in
- * its own slice only, so that work lost later cannot be charged to an earlier slice. Teams without
- * such a budget have no record.
+ * leader counts everything reserved as spent. Time is divided into slices. A reservation is valid
+ * in its own slice only, so that work lost later cannot be charged to an earlier slice. Teams
+ * without such a budget have no record.
  */
 public final class LostWork {
   private static final long HOUR_MS = 3_600_000;
--- a/src/main/java/dapplestair/drain/Drain.java
+++ b/src/main/java/dapplestair/drain/Drain.java
@@ -4,7 +4,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplestair.json.Json;
 
-/* * An order to drain a machine or a zone.
+/**
+ * An order to drain a machine or a zone.
  *
  * @param orderedBy operator who gave the order
  * @param orderedAtWallMs wall-clock time of the order
--- a/src/main/java/dapplestair/drain/DrainExecutor.java
+++ b/src/main/java/dapplestair/drain/DrainExecutor.java
@@ -19,17 +19,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/* * Stops the attempts on drained machines. It never starts an attempt, so it cannot cause a task to
+/**
+ * Stops the attempts on drained machines. It never starts an attempt, so it cannot cause a task to
  * run in two places. It must keep services available: it stops only as many replicas at a time as
  * their team's budget allows ({@link DisruptionGate}), and no replica that has nowhere to go.
  */
 public final class DrainExecutor {
-  /*   * The tasks that remain on a drained machine.
+  /**
+   * The tasks that remain on a drained machine.
    *
    * @param taskCount number of attempts that have not exited
    * @param replicaCount number of service replicas among them
-   * @param waitingReplicas number of replicas not being stopped yet, because they have nowhere to go
-   *     or wait for their team's budget
+   * @param waitingReplicas number of replicas not being stopped yet, because they have nowhere to
+   *     go or wait for their team's budget
    * @param blockedReason reason why the next attempt on the machine is not stopped, or null
    * @param lacksDestination whether a replica has nowhere to go
    */
@@ -74,7 +76,8 @@
     return !drainedHosts.isEmpty();
   }
 
-  /*   * Performs one step for all drained machines. Machines with the earliest deadline request stops
+  /**
+   * Performs one step for all drained machines. Machines with the earliest deadline request stops
    * first, then those with the oldest order, so that no machine is passed over forever.
    */
   void step(Map<Host, Drain> drainsByHost, long nowWallMs) {
@@ -131,7 +134,8 @@
     return refusal == null;
   }
 
-  /*   * Returns a machine on which a replica can run after it has stopped on {@code source}: one with
+  /**
+   * Returns a machine on which a replica can run after it has stopped on {@code source}: one with
    * free capacity that the job's rules allow, preferably one that holds the image; null if there is
    * none. The protocol allows a task to be in one place only, so the successor cannot start before
    * the replica has stopped.
--- a/src/main/java/dapplestair/drain/Drains.java
+++ b/src/main/java/dapplestair/drain/Drains.java
@@ -25,7 +25,8 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/* * Holds the recorded drains of machines and zones. Every controller knows them; the leader empties
+/**
+ * Holds the recorded drains of machines and zones. Every controller knows them; the leader empties
  * the machines step by step. All state is in the records, so the next leader continues from them.
  */
 public final class Drains implements AutoCloseable {
@@ -156,7 +157,8 @@
 
   // ---- orders ----
 
-  /*   * Records an order under a key of {@link StateKeys#DRAIN} or {@link StateKeys#DRAIN_ZONE}, or
+  /**
+   * Records an order under a key of {@link StateKeys#DRAIN} or {@link StateKeys#DRAIN_ZONE}, or
    * removes it if {@code drain} is null.
    */
   public void recordOrder(
--- a/src/main/java/dapplestair/planning/Autoscaler.java
+++ b/src/main/java/dapplestair/planning/Autoscaler.java
@@ -29,7 +29,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/* * Searches at a fixed interval for plans of how many machines to hold, applies the plan nearest the
+/**
+ * Searches at a fixed interval for plans of how many machines to hold, applies the plan nearest the
  * origin of the cost space, records it and rents the machines that the fleet lacks. Machines are
  * returned only after several consecutive rounds in which the plan wants fewer.
  */
@@ -134,7 +135,8 @@
     runRound();
   }
 
-  /*   * Brings the next round forward because capacity was lost. Losses that occur at about the same
+  /**
+   * Brings the next round forward because capacity was lost. Losses that occur at about the same
    * time share one early round.
    */
   public void scheduleEarlyRound() {
@@ -283,10 +285,11 @@
     nextPlan.forEach((kind, plannedCount) -> adjustFleet(kind, plannedCount, isEarlyRound));
   }
 
-  /*   * Rents machines in the only zone in which some waiting job may run. Machines that the plan rents
-   * anyway are rented there first. A job that has lacked capacity for longer than a machine takes to
-   * boot gets machines in addition to the plan: without this, an array restricted to one zone waited
-   * forever while machines in the other zones stood idle (ZoneBoundTest).
+  /**
+   * Rents machines in the only zone in which some waiting job may run. Machines that the plan rents
+   * anyway are rented there first. A job that has lacked capacity for longer than a machine takes
+   * to boot gets machines in addition to the plan: without this, an array restricted to one zone
+   * waited forever while machines in the other zones stood idle (ZoneBoundTest).
    */
   private void rentInZone(ZoneDemand.Shortage shortage) {
     int missingCount = plan.getOrDefault(shortage.kind(), 0) - fleet.holding(shortage.kind());
@@ -324,7 +327,8 @@
     }
   }
 
-  /*   * Returns the number of rounds before an idle machine is returned. It is at least the number that
+  /**
+   * Returns the number of rounds before an idle machine is returned. It is at least the number that
    * the operators set, and covers at least the boot time of a new machine, because up to then
    * keeping the idle machine costs less than renting its successor.
    */
--- a/src/main/java/dapplestair/planning/CapacityFloors.java
+++ b/src/main/java/dapplestair/planning/CapacityFloors.java
@@ -28,7 +28,8 @@
     this.ledger = ledger;
   }
 
-  /*   * Raises the minimum counts of steady machines to hold the CPUs that non-spot jobs use or wait
+  /**
+   * Raises the minimum counts of steady machines to hold the CPUs that non-spot jobs use or wait
    * for, those of the jobs expected while a machine boots, and one spare machine, so that replicas
    * lost with a machine restart at once. Work that may be stopped uses that capacity in the
    * meantime.
@@ -120,10 +121,11 @@
     return cpus;
   }
 
-  /*   * Raises the minimum counts so that each gang that has waited for longer than {@code afterMs} gets
-   * machines for all of its tasks at once; the search alone might settle for fewer forever. Machines
-   * are spread over the zones, so a gang that must run in a single zone needs that many machines in
-   * each zone.
+  /**
+   * Raises the minimum counts so that each gang that has waited for longer than {@code afterMs}
+   * gets machines for all of its tasks at once; the search alone might settle for fewer forever.
+   * Machines are spread over the zones, so a gang that must run in a single zone needs that many
+   * machines in each zone.
    */
   List<MachineKindState> forGangs(List<MachineKindState> kinds, long afterMs) {
     List<MachineKindState> raised = new ArrayList<>(kinds);
--- a/src/main/java/dapplestair/planning/DemandView.java
+++ b/src/main/java/dapplestair/planning/DemandView.java
@@ -84,7 +84,8 @@
     return cpus + largestCpus;
   }
 
-  /*   * Returns the CPUs of tasks that have waited for longer than a machine boots, divided by the CPUs
+  /**
+   * Returns the CPUs of tasks that have waited for longer than a machine boots, divided by the CPUs
    * of the held machines. Jobs that have just arrived do not count, because most of them are placed
    * a moment later.
    */
@@ -103,7 +104,8 @@
     return heldCpus == 0 ? 1 : waitingCpus / heldCpus;
   }
 
-  /*   * Returns the number of a job's tasks to plan for. A job suspected of failing on any machine is
+  /**
+   * Returns the number of a job's tasks to plan for. A job suspected of failing on any machine is
    * tried on the existing machines: no machine is rented for it, unless there is none at all or the
    * job is a gang, where a single task shows nothing about the job.
    */
--- a/src/main/java/dapplestair/planning/DryRunEntries.java
+++ b/src/main/java/dapplestair/planning/DryRunEntries.java
@@ -10,7 +10,8 @@
 import java.util.List;
 import java.util.Map;
 
-/* * Builds the entries of the dry run, least slack first. An entry represents all waiting tasks of a
+/**
+ * Builds the entries of the dry run, least slack first. An entry represents all waiting tasks of a
  * job, or many similar small jobs: hundreds of services, or many jobs of a single task, would
  * otherwise use up all entries, and the plan would rent nothing for the arrays behind them.
  */
@@ -26,7 +27,8 @@
   private final double serviceRunS;
   private final RuntimeEstimates estimates;
 
-  /*   * Creates a builder of entries for the given machine kinds.
+  /**
+   * Creates a builder of entries for the given machine kinds.
    *
    * @param aheadS how many seconds ahead the forecast of arriving jobs reaches
    * @param serviceRunS run time in seconds that a service is assumed to have
--- a/src/main/java/dapplestair/planning/FleetProblem.java
+++ b/src/main/java/dapplestair/planning/FleetProblem.java
@@ -5,7 +5,8 @@
 import java.util.Comparator;
 import java.util.List;
 
-/* * The optimization problem of one planning round: how many machines of each type and pricing to
+/**
+ * The optimization problem of one planning round: how many machines of each type and pricing to
  * hold. It is immutable, so that a background thread can search it outside the event loop.
  *
  * @param machineKinds the variables
@@ -23,7 +24,8 @@
   // Factor on the duration of a job when a plan has no machine that can run one of its tasks.
   private static final double UNPLACEABLE_TASK_FACTOR = 10;
 
-  /*   * One variable of the problem: the number of machines of one kind.
+  /**
+   * One variable of the problem: the number of machines of one kind.
    *
    * @param minCount number of machines that are busy or must be kept ready
    * @param maxCount number of machines that the cloud is estimated to provide
@@ -43,7 +45,8 @@
       double pricePerHour,
       double reclaimChance) {}
 
-  /*   * Equal tasks of one job, or of many similar small jobs, in the dry run.
+  /**
+   * Equal tasks of one job, or of many similar small jobs, in the dry run.
    *
    * @param jobCount number of jobs as which the tasks count in the mean makespan
    * @param allowed for each machine kind, whether the tasks may run on it
@@ -86,9 +89,10 @@
     return machineKinds.stream().mapToDouble(MachineKindState::maxCount).toArray();
   }
 
-  /*   * Returns a starting point for the search: the minimum counts, plus machines for the given share
-   * of the waiting and expected work, the kinds with the lowest price per CPU first. The same demand
-   * yields the same starting point.
+  /**
+   * Returns a starting point for the search: the minimum counts, plus machines for the given share
+   * of the waiting and expected work, the kinds with the lowest price per CPU first. The same
+   * demand yields the same starting point.
    */
   double[] seedForShare(double share) {
     double[] counts = lower();
@@ -138,7 +142,8 @@
     return new double[] {meanMakespanS(counts), costPerHour, risk};
   }
 
-  /*   * Returns the mean makespan of the jobs in a dry run that places the tasks in order, each on the
+  /**
+   * Returns the mean makespan of the jobs in a dry run that places the tasks in order, each on the
    * machine kind where it completes earliest. The paper has one workflow, whose last task counts.
    * Here each job is its user's workflow: with one makespan over all jobs, a single long task would
    * hide how long all the others wait. Equal tasks that start at the same time are placed together,
--- a/src/main/java/dapplestair/planning/HeldTaskSlots.java
+++ b/src/main/java/dapplestair/planning/HeldTaskSlots.java
@@ -3,7 +3,8 @@
 import java.util.Arrays;
 import java.util.List;
 
-/* * Records when the task slots of the held machines of one kind become free, aggregated so that the
+/**
+ * Records when the task slots of the held machines of one kind become free, aggregated so that the
  * cost of one evaluation does not grow with the fleet: times are rounded up to a few edges, and the
  * number of task slots that become free at each edge is precomputed for every number of machines.
  */
@@ -16,7 +17,8 @@
   private final double[] edgesS;
   private final int[][] slotsAtEdgeByMachineCount;
 
-  /*   * Creates the table for machines that are listed in the order in which plans keep them.
+  /**
+   * Creates the table for machines that are listed in the order in which plans keep them.
    *
    * @param freeAtS for each machine, the time in seconds from now until each of its task slots is
    *     free
@@ -51,7 +53,8 @@
     return slotsAtEdgeByMachineCount.length - 1;
   }
 
-  /*   * Returns the task slots of the first {@code count} machines. Machines beyond the held ones are
+  /**
+   * Returns the task slots of the first {@code count} machines. Machines beyond the held ones are
    * new and up after {@code bootS} seconds.
    */
   FreeTaskSlots slotsOf(int count, int slotsPerMachine, double bootS) {
--- a/src/main/java/dapplestair/planning/Nsga2.java
+++ b/src/main/java/dapplestair/planning/Nsga2.java
@@ -5,9 +5,10 @@
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/* * Implements the NSGA-II algorithm: binary tournament on rank and crowding distance, simulated
- * binary crossover, polynomial mutation and survival by non-dominated fronts. Individuals that break
- * a constraint are dropped.
+/**
+ * Implements the NSGA-II algorithm: binary tournament on rank and crowding distance, simulated
+ * binary crossover, polynomial mutation and survival by non-dominated fronts. Individuals that
+ * break a constraint are dropped.
  */
 public final class Nsga2 {
   /** A problem whose costs are minimized. */
@@ -226,9 +227,10 @@
     return isBetter;
   }
 
-  /*   * Returns the member of a front nearest the origin, after dividing each cost by its greatest value
-   * on the front and multiplying it by its weight. A cost that is zero on the whole front is left
-   * out.
+  /**
+   * Returns the member of a front nearest the origin, after dividing each cost by its greatest
+   * value on the front and multiplying it by its weight. A cost that is zero on the whole front is
+   * left out.
    */
   public static Individual nearestOrigin(List<Individual> front, double... weights) {
     int costCount = front.get(0).costs.length;
@@ -243,9 +245,10 @@
         .orElseThrow();
   }
 
-  /*   * Returns the member of a front nearest the origin, but prefers {@code current}, the individual in
-   * effect: another one replaces it only if it is nearer to the origin by more than the ratio {@code
-   * inertia}. This keeps randomness in the search from changing the result.
+  /**
+   * Returns the member of a front nearest the origin, but prefers {@code current}, the individual
+   * in effect: another one replaces it only if it is nearer to the origin by more than the ratio
+   * {@code inertia}. This keeps randomness in the search from changing the result.
    */
   static Individual nearestOrigin(
       List<Individual> front, Individual current, double inertia, double... weights) {
--- a/src/main/java/dapplestair/planning/PlanSelector.java
+++ b/src/main/java/dapplestair/planning/PlanSelector.java
@@ -22,7 +22,8 @@
 
   private final double[] weights;
 
-  /*   * Creates a selector that weighs the makespan more the more work waits. With a constant weight, a
+  /**
+   * Creates a selector that weighs the makespan more the more work waits. With a constant weight, a
    * fleet that is small enough in calm hours lags behind a burst, and a fleet that keeps up with
    * bursts idles in calm hours.
    *
@@ -37,14 +38,15 @@
         };
   }
 
-  /*   * Returns the plan of the front to apply, or {@code current}, which may be null, if no plan is
+  /**
+   * Returns the plan of the front to apply, or {@code current}, which may be null, if no plan is
    * nearer to the origin than it by more than {@code INERTIA}.
    *
-   * <p>Each cost is divided by its greatest value on the front. The slowest plan on the front is the
-   * one that holds the fewest machines. With thousands of waiting tasks, a plan of one machine is so
-   * slow that, scaled by its makespan, a plan of some dozens of machines seems as near to the origin
-   * as a plan with machines for all tasks. Plans that are too slow are therefore dropped before the
-   * scaling, like plans over the budget.
+   * <p>Each cost is divided by its greatest value on the front. The slowest plan on the front is
+   * the one that holds the fewest machines. With thousands of waiting tasks, a plan of one machine
+   * is so slow that, scaled by its makespan, a plan of some dozens of machines seems as near to the
+   * origin as a plan with machines for all tasks. Plans that are too slow are therefore dropped
+   * before the scaling, like plans over the budget.
    */
   Nsga2.Individual select(List<Nsga2.Individual> front, Nsga2.Individual current) {
     double fastestS = front.stream().mapToDouble(PlanSelector::makespanS).min().orElse(0);
--- a/src/main/java/dapplestair/planning/ZoneDemand.java
+++ b/src/main/java/dapplestair/planning/ZoneDemand.java
@@ -17,14 +17,16 @@
 import java.util.Map;
 import java.util.Set;
 
-/* * Determines the machines that waiting jobs lack in the single zone that their users allow. A plan
+/**
+ * Determines the machines that waiting jobs lack in the single zone that their users allow. A plan
  * counts machines by type and pricing over all zones, so it takes an idle machine in any zone for
  * capacity for such a job.
  */
 final class ZoneDemand {
   private static final double EPSILON = 1e-9;
 
-  /*   * The machines that a job lacks in its zone.
+  /**
+   * The machines that a job lacks in its zone.
    *
    * @param overdue whether the job has lacked them for longer than a machine takes to boot
    */
--- a/src/main/java/dapplestair/replacement/MachineSelector.java
+++ b/src/main/java/dapplestair/replacement/MachineSelector.java
@@ -7,7 +7,8 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/* * Selects the machines to replace. A condition that is null, empty or 0 matches all machines.
+/**
+ * Selects the machines to replace. A condition that is null, empty or 0 matches all machines.
  *
  * @param zone matches machines in this zone
  * @param type matches machines of this type
--- a/src/main/java/dapplestair/replacement/ReplacementProgress.java
+++ b/src/main/java/dapplestair/replacement/ReplacementProgress.java
@@ -7,7 +7,8 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/* * The recorded progress of an order, with everything that the next leader needs to continue it.
+/**
+ * The recorded progress of an order, with everything that the next leader needs to continue it.
  *
  * @param phase phase of the current step
  * @param stepsBegun number of steps begun
--- a/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
+++ b/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
@@ -26,8 +26,7 @@
 final class ReplacementStepRunner {
   private static final Logger LOG = LoggerFactory.getLogger(Replacements.class);
 
-  // Maximum number of machines in one step. One recorded value holds this many names with space to
-  // spare.
+  // One recorded value holds this many machine names with space to spare.
   static final int MAX_MACHINES_PER_STEP = 200;
 
   // Ratio of the stated boot time after which a boot is overdue, as in the fleet's own check: usual
@@ -96,17 +95,14 @@
     if (replacement.progress.phase() == Phase.DONE) {
       return;
     }
-    String outsideProblem = healthCheck.findOutsideProblem(loopLagging);
-    String newMachineProblem =
-        outsideProblem == null
-            ? healthCheck.findNewMachineProblem(
+    String outsideFault = healthCheck.findOutsideFault(loopLagging);
+    String machineFault =
+        outsideFault == null
+            ? healthCheck.findMachineFault(
                 replacement.order, replacement.progress.judgedSinceWallMs())
             : null;
-    if (outsideProblem != null || newMachineProblem != null) {
-      pause(
-          replacement,
-          outsideProblem != null ? outsideProblem : newMachineProblem,
-          newMachineProblem != null);
+    if (outsideFault != null || machineFault != null) {
+      pause(replacement, outsideFault != null ? outsideFault : machineFault, machineFault != null);
       return;
     }
     switch (replacement.progress.phase()) {
@@ -117,7 +113,8 @@
     }
   }
 
-  /*   * Returns whether this leader knows all machines. A new leader knows the machines in records and
+  /**
+   * Returns whether this leader knows all machines. A new leader knows the machines in records and
    * attempts at once; others appear only in the cloud's lists. It must not conclude that a machine
    * is gone before the longest delay of these lists has passed.
    */
@@ -142,13 +139,12 @@
       return;
     }
     List<Host> hosts = targets.remaining(batch);
-    int surgeCount =
+    int surge =
         surgeCapacity.affordableSurge(
             ReplacementTargets.countByKind(hosts), replacement.order.maxSurge());
-    Phase phase = surgeCount > 0 ? Phase.RAISE : Phase.EMPTY;
-    ReplacementProgress next =
-        replacement.progress.beginStep(phase, batch, surgeCount, clock.wall());
-    if (replacement.order.maxSurge() > 0 && surgeCount == 0) {
+    Phase phase = surge > 0 ? Phase.RAISE : Phase.EMPTY;
+    ReplacementProgress next = replacement.progress.beginStep(phase, batch, surge, clock.wall());
+    if (replacement.order.maxSurge() > 0 && surge == 0) {
       next =
           next.withRemark("the plan's budget pays for no machine beyond: none beyond in this step");
     }
@@ -184,21 +180,18 @@
         targets.newMachines(replacement.order, replacement.progress.judgedSinceWallMs());
     int upCount = (int) newMachines.stream().filter(Host::up).count();
     if (upCount == 0 && !newMachines.isEmpty()) {
-      // The new machines were rented but none of them boots, which is their fault and not a lack
-      // of machines in the cloud.
+      // The new machines are rented but none boots: their fault, not a shortage in the cloud.
       if (elapsedMs > 2 * BOOT_OVERDUE_RATIO * 1000 * bootS) {
         pause(replacement, "new machines do not come up", true);
       }
       return;
     }
-    Set<String> reducedBatch =
-        targets.nextBatch(remaining, Set.of(), Set.of(), Math.max(1, upCount));
-    if (!reducedBatch.isEmpty()) {
+    Set<String> reduced = targets.nextBatch(remaining, Set.of(), Set.of(), Math.max(1, upCount));
+    if (!reduced.isEmpty()) {
       String reason =
           "the cloud gave %d machines beyond for %d: %d at a time"
-              .formatted(upCount, remaining.size(), reducedBatch.size());
-      recordProgress(
-          replacement, replacement.progress.restrictTo(reducedBatch, clock.wall(), reason));
+              .formatted(upCount, remaining.size(), reduced.size());
+      recordProgress(replacement, replacement.progress.restrictTo(reduced, clock.wall(), reason));
     }
   }
 
@@ -228,16 +221,17 @@
     }
   }
 
-  /*   * Records the reason when a step has been blocked for longer than a lease. Such remarks are rare
+  /**
+   * Records the reason when a step has been blocked for longer than a lease. Such remarks are rare
    * enough to cost little.
    */
   private void handleBlockedStep(ReplacementState replacement, List<Host> remaining) {
     long nowMs = clock.now();
     String blockedReason = null;
     for (Host host : remaining) {
-      String because = drains.progress(host).blockedReason();
-      if (because != null) {
-        blockedReason = host.id() + ": " + because;
+      String reason = drains.progress(host).blockedReason();
+      if (reason != null) {
+        blockedReason = host.id() + ": " + reason;
         break;
       }
     }
@@ -245,18 +239,17 @@
       replacement.blockedSinceMs = 0;
       return;
     }
-    boolean lacksDestination =
-        remaining.stream().anyMatch(h -> drains.progress(h).lacksDestination());
+    boolean noDestination = remaining.stream().anyMatch(h -> drains.progress(h).lacksDestination());
     if (replacement.blockedSinceMs == 0) {
       replacement.blockedSinceMs = nowMs;
     }
     replacement.lacksCapacity |=
-        lacksDestination && nowMs - replacement.blockedSinceMs > settings.workers().reportMs();
-    swapIfLackingCapacity(replacement, remaining, nowMs);
+        noDestination && nowMs - replacement.blockedSinceMs > settings.workers().reportMs();
+    swapIfBlocked(replacement, remaining, nowMs);
     if (replacement.writeInFlight) {
       return;
     }
-    if (lacksDestination
+    if (noDestination
         && remaining.size() > 1
         && nowMs - replacement.blockedSinceMs > 2 * settings.workers().reportMs()) {
       // The other machines of the step return to use, which frees their capacity for replicas.
@@ -278,11 +271,11 @@
     }
   }
 
-  /*   * Exchanges an empty machine for one in the zone that lacks capacity, at most once per time that a
-   * machine may take to boot.
+  /**
+   * Exchanges an empty machine for one in the zone that lacks capacity, at most once per time that
+   * a machine may take to boot.
    */
-  private void swapIfLackingCapacity(
-      ReplacementState replacement, List<Host> remaining, long nowMs) {
+  private void swapIfBlocked(ReplacementState replacement, List<Host> remaining, long nowMs) {
     if (!replacement.lacksCapacity) {
       replacement.lastSwapAtMs = 0;
       return;
@@ -294,8 +287,7 @@
         > BOOT_OVERDUE_RATIO * 1000 * types.bootS(stuck.type())) {
       if (surgeCapacity.swapEmptyMachine(stuck)) {
         LOG.info(
-            "replacement {}: no capacity for the replicas of machine {}; released an empty machine"
-                + " and rented one in zone {}",
+            "replacement {}: replicas of {} lack capacity; exchanged an empty machine for one in {}",
             replacement.name,
             stuck.id(),
             stuck.zone());
@@ -306,10 +298,11 @@
     }
   }
 
-  /*   * Replaces another old machine first when no machine is empty and the free capacity lies in zones
-   * that the rules of the remaining replicas forbid. The replicas of that other machine may use this
-   * capacity and the free capacity of the machine passed over. Without this, an order for a full
-   * fleet made no progress forever (ReplacementTest).
+  /**
+   * Replaces another old machine first when no machine is empty and the free capacity lies in zones
+   * that the rules of the remaining replicas forbid. The replicas of that other machine may use
+   * this capacity and the free capacity of the machine passed over. Without this, an order for a
+   * full fleet made no progress forever (ReplacementTest).
    */
   private void passOver(ReplacementState replacement, Host stuck) {
     Set<String> excluded = machinesOfOtherOrders(replacement);
@@ -340,7 +333,7 @@
   private void resumeIfHealthy(ReplacementState replacement) {
     boolean isHealthy =
         !replacement.progress.operatorMustResume()
-            && healthCheck.findOutsideProblem(isLoopLagging) == null
+            && healthCheck.findOutsideFault(isLoopLagging) == null
             && healthCheck.findUnavailableReplicas() == null;
     if (!isHealthy) {
       replacement.healthySinceMs = 0;
@@ -387,8 +380,7 @@
           } else {
             leadership.deposedBy(outcome);
           }
-          // If the outcome is unknown, the replica delivers the recorded progress, and the next
-          // call of advance continues from there.
+          // If the outcome is unknown, the next advance continues from what the replica delivers.
         });
   }
 
--- a/src/main/java/dapplestair/replacement/ReplacementTargets.java
+++ b/src/main/java/dapplestair/replacement/ReplacementTargets.java
@@ -73,7 +73,8 @@
     return oldMachines;
   }
 
-  /*   * Returns the machines of the order's kinds that were rented after both the order and {@code
+  /**
+   * Returns the machines of the order's kinds that were rented after both the order and {@code
    * sinceWallMs}.
    */
   List<Host> newMachines(ReplacementOrder order, long sinceWallMs) {
@@ -115,7 +116,8 @@
     return counts;
   }
 
-  /*   * Chooses the machines of the next step: machines of a single zone, those with the least work to
+  /**
+   * Chooses the machines of the next step: machines of a single zone, those with the least work to
    * lose first. The zone of the previous step is finished first; a silent zone is left for later.
    * Returns an empty set if no machine may be chosen.
    */
--- a/src/main/java/dapplestair/replacement/Replacements.java
+++ b/src/main/java/dapplestair/replacement/Replacements.java
@@ -28,7 +28,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/* * Carries out orders to replace machines step by step: new machines are rented first, then the old
+/**
+ * Carries out orders to replace machines step by step: new machines are rented first, then the old
  * ones are drained through the disruption gate and returned, then the step is watched. The progress
  * of an order is recorded before any action is taken, so that any leader can continue it.
  */
@@ -192,7 +193,8 @@
     return null;
   }
 
-  /*   * Returns how many machines of a kind to hold in addition to the plan's count; may be negative.
+  /**
+   * Returns how many machines of a kind to hold in addition to the plan's count; may be negative.
    * Old machines that are being drained offer no capacity and do not count as held, but they still
    * exist: apart from the permitted surge, their successors must not come up before they are gone.
    */
@@ -230,7 +232,8 @@
 
   // ---- views ----
 
-  /*   * An order with its current progress.
+  /**
+   * An order with its current progress.
    *
    * @param remainingMachines number of old machines that still exist
    * @param expectedEndS seconds until the order is expected to be done, or -1 if unknown
--- a/src/main/java/dapplestair/replacement/StepHealthCheck.java
+++ b/src/main/java/dapplestair/replacement/StepHealthCheck.java
@@ -28,7 +28,7 @@
    * Returns the problem outside the replaced machines, or null. A pause for such a problem ends by
    * itself.
    */
-  String findOutsideProblem(boolean loopLagging) {
+  String findOutsideFault(boolean loopLagging) {
     if (loopLagging) {
       return "the leader's own loop lags behind";
     }
@@ -57,7 +57,7 @@
    * Returns the problem with the new machines, or null. Only an operator can end a pause for such a
    * problem.
    */
-  String findNewMachineProblem(ReplacementOrder order, long sinceWallMs) {
+  String findMachineFault(ReplacementOrder order, long sinceWallMs) {
     List<Host> newMachines = targets.newMachines(order, sinceWallMs);
     long upCount = newMachines.stream().filter(Host::up).count();
     List<Host> failing =
--- a/src/main/java/dapplestair/replacement/SurgeCapacity.java
+++ b/src/main/java/dapplestair/replacement/SurgeCapacity.java
@@ -10,7 +10,8 @@
 import java.util.Map;
 import java.util.function.ToIntFunction;
 
-/* * Determines how many surge machines, which are held in addition to the plan, the plan's own budget
+/**
+ * Determines how many surge machines, which are held in addition to the plan, the plan's own budget
  * still pays for, and whether they are up. The plan's counts themselves stay unchanged.
  */
 public final class SurgeCapacity {
@@ -69,7 +70,8 @@
     return 0;
   }
 
-  /*   * Releases an empty machine of the same kind in another zone and rents one in the zone of {@code
+  /**
+   * Releases an empty machine of the same kind in another zone and rents one in the zone of {@code
    * stuck}, where its replicas may go whatever their spread over the zones. The number of machines
    * stays the same. Returns false if no machine is empty.
    */
--- a/src/test/java/dapplestair/planning/PlanSelectorTest.java
+++ b/src/test/java/dapplestair/planning/PlanSelectorTest.java
@@ -9,7 +9,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/* * Tests the selection on the front of the first plan after a burst from a cold start, as logged in
+/**
+ * Tests the selection on the front of the first plan after a burst from a cold start, as logged in
  * {@code BurstTest} with seed 5016. Each row holds the machines held, the makespan in seconds and
  * the spend per hour.
  */
