--- a/src/main/java/dapplestair/disruption/DisruptionGate.java
+++ b/src/main/java/dapplestair/disruption/DisruptionGate.java
@@ -91,7 +91,7 @@
 
   private void debit(Attempt attempt) {
     forcedStops++;
-    lostWork.chargeForced(attempt.spec().team(), lossCpuS(attempt));
+    lostWork.chargeForced(attempt.spec().team(), maxLossCpuS(attempt));
   }
 
   // ---- stops that request permission ----
@@ -150,7 +150,7 @@
     }
     lastRefusals.remove(attempt.job());
     grantedStops++;
-    lostWork.chargeGranted(attempt.spec().team(), lossCpuS(attempt));
+    lostWork.chargeGranted(attempt.spec().team(), maxLossCpuS(attempt));
     countStop(attempt);
     ledger.halt(attempt, windDownS, reason);
     return null;
@@ -206,7 +206,7 @@
           totals.unavailableArrayTasks,
           describeUnavailable(totals.unavailableArrayTasks, totals.stoppingArrayTasks));
     }
-    return lostWork.refusal(team, lossCpuS(attempt));
+    return lostWork.checkOrReserve(team, maxLossCpuS(attempt));
   }
 
   private static String describeUnavailable(int unavailable, int stopping) {
@@ -222,7 +222,7 @@
    * long a task ran under an earlier leader is unknown, so such a task counts from when its job was
    * accepted.
    */
-  public double lossCpuS(Attempt attempt) {
+  public double maxLossCpuS(Attempt attempt) {
     if (attempt.spec().service()) {
       return 0;
     }
--- a/src/main/java/dapplestair/disruption/LostWork.java
+++ b/src/main/java/dapplestair/disruption/LostWork.java
@@ -44,7 +44,7 @@
     /** Recorded reservations in CPU seconds, by slice. */
     final TreeMap<Long, Double> reservedCpuSBySlice = new TreeMap<>();
 
-    /** CPU seconds that this leader has spent in {@code currentSlice}. */
+    /** CPU seconds that this leader has spent in {@code slice}. */
     double spentCpuS;
 
     long slice;
@@ -145,7 +145,7 @@
    * Returns null if this much work may be lost now. Otherwise returns the reason for refusing, and
    * starts a reservation if the budget allows one.
    */
-  DisruptionRefusal refusal(String team, double cpuS) {
+  DisruptionRefusal checkOrReserve(String team, double cpuS) {
     double allowedCpuS = budgets.of(team).lostCpuS();
     if (Double.isInfinite(allowedCpuS) || cpuS <= 0) {
       return null;
--- a/src/main/java/dapplestair/lane/VictimSelector.java
+++ b/src/main/java/dapplestair/lane/VictimSelector.java
@@ -129,6 +129,6 @@
   }
 
   private double loss(Attempt attempt) {
-    return disruptionGate.lossCpuS(attempt) + (sheltered.test(attempt) ? SHELTERED : 0);
+    return disruptionGate.maxLossCpuS(attempt) + (sheltered.test(attempt) ? SHELTERED : 0);
   }
 }
--- a/src/main/java/dapplestair/planning/DryRunEntries.java
+++ b/src/main/java/dapplestair/planning/DryRunEntries.java
@@ -18,7 +18,7 @@
 final class DryRunEntries {
   private static final int MAX_ENTRIES = 200;
 
-  /** Tasks of one job that are waiting, or that are expected in {@code arrivesSumS} seconds. */
+  /** Tasks of one job that are waiting, or that are expected in {@code arrivesS} seconds. */
   record PendingTasks(Submission job, int taskCount, double slackS, double arrivesS) {}
 
   private final List<MachineKindState> machineKinds;
@@ -94,13 +94,13 @@
 
   /** Jobs that share one entry. */
   private static final class SimilarJobs {
-    final Submission first;
+    final Submission sample;
     int jobCount;
     int taskCount;
     double arrivesSumS;
 
     SimilarJobs(Submission first) {
-      this.first = first;
+      this.sample = first;
     }
 
     void add(PendingTasks pending) {
@@ -111,7 +111,7 @@
   }
 
   private DryTasks dryTasks(SimilarJobs similarJobs) {
-    Submission submission = similarJobs.first;
+    Submission submission = similarJobs.sample;
     boolean[] allowed = new boolean[machineKinds.size()];
     for (int i = 0; i < allowed.length; i++) {
       MachineKindState kind = machineKinds.get(i);
--- a/src/main/java/dapplestair/planning/FleetProblem.java
+++ b/src/main/java/dapplestair/planning/FleetProblem.java
@@ -173,7 +173,7 @@
       double bestStartS = 0;
       double bestEndS = Double.POSITIVE_INFINITY;
       for (int i = 0; i < slotsByKind.length; i++) {
-        if (dryTasks.allowed()[i] && slotsByKind[i].total() >= dryTasks.taskSlots()) {
+        if (dryTasks.allowed()[i] && slotsByKind[i].totalSlots() >= dryTasks.taskSlots()) {
           double startS =
               Math.max(dryTasks.arrivesS(), slotsByKind[i].earliestStartS(dryTasks.taskSlots()));
           double endS = startS + fetchS(dryTasks, machineKinds.get(i), startS) + dryTasks.runS();
--- a/src/main/java/dapplestair/planning/FreeTaskSlots.java
+++ b/src/main/java/dapplestair/planning/FreeTaskSlots.java
@@ -6,41 +6,41 @@
 final class FreeTaskSlots {
   private double[] freeAtS = new double[48];
   private int[] slotCounts = new int[48];
-  private int size;
-  private int total;
+  private int entryCount;
+  private int totalSlots;
 
   /** Adds {@code count} task slots that are free from the given time on. */
   void add(double timeS, int count) {
     if (count <= 0) {
       return;
     }
-    total += count;
-    int i = Arrays.binarySearch(freeAtS, 0, size, timeS);
+    totalSlots += count;
+    int i = Arrays.binarySearch(freeAtS, 0, entryCount, timeS);
     if (i >= 0) {
       slotCounts[i] += count;
       return;
     }
     i = -i - 1;
-    if (size == freeAtS.length) {
-      freeAtS = Arrays.copyOf(freeAtS, 2 * size);
-      slotCounts = Arrays.copyOf(slotCounts, 2 * size);
+    if (entryCount == freeAtS.length) {
+      freeAtS = Arrays.copyOf(freeAtS, 2 * entryCount);
+      slotCounts = Arrays.copyOf(slotCounts, 2 * entryCount);
     }
-    System.arraycopy(freeAtS, i, freeAtS, i + 1, size - i);
-    System.arraycopy(slotCounts, i, slotCounts, i + 1, size - i);
+    System.arraycopy(freeAtS, i, freeAtS, i + 1, entryCount - i);
+    System.arraycopy(slotCounts, i, slotCounts, i + 1, entryCount - i);
     freeAtS[i] = timeS;
     slotCounts[i] = count;
-    size++;
+    entryCount++;
   }
 
   /** Returns the total number of task slots. */
-  int total() {
-    return total;
+  int totalSlots() {
+    return totalSlots;
   }
 
   /** Returns when {@code count} task slots are free, or infinity if there are fewer in total. */
   double earliestStartS(int count) {
     int sum = 0;
-    for (int i = 0; i < size; i++) {
+    for (int i = 0; i < entryCount; i++) {
       sum += slotCounts[i];
       if (sum >= count) {
         return freeAtS[i];
@@ -52,7 +52,7 @@
   /** Returns the number of task slots that are free at the given time. */
   int countFreeBy(double timeS) {
     int sum = 0;
-    for (int i = 0; i < size && freeAtS[i] <= timeS; i++) {
+    for (int i = 0; i < entryCount && freeAtS[i] <= timeS; i++) {
       sum += slotCounts[i];
     }
     return sum;
@@ -70,7 +70,7 @@
   int remove(int count) {
     int remaining = count;
     int emptied = 0;
-    while (remaining > 0 && emptied < size) {
+    while (remaining > 0 && emptied < entryCount) {
       int taken = Math.min(remaining, slotCounts[emptied]);
       slotCounts[emptied] -= taken;
       remaining -= taken;
@@ -78,10 +78,10 @@
         emptied++;
       }
     }
-    System.arraycopy(freeAtS, emptied, freeAtS, 0, size - emptied);
-    System.arraycopy(slotCounts, emptied, slotCounts, 0, size - emptied);
-    size -= emptied;
-    total -= count - remaining;
+    System.arraycopy(freeAtS, emptied, freeAtS, 0, entryCount - emptied);
+    System.arraycopy(slotCounts, emptied, slotCounts, 0, entryCount - emptied);
+    entryCount -= emptied;
+    totalSlots -= count - remaining;
     return count - remaining;
   }
 }
--- a/src/main/java/dapplestair/planning/Nsga2.java
+++ b/src/main/java/dapplestair/planning/Nsga2.java
@@ -212,10 +212,7 @@
     }
   }
 
-  /**
-   * Returns whether {@code parent1} is worse than {@code second} in no cost and better in at least
-   * one.
-   */
+  /** Returns whether {@code a} is worse than {@code b} in no cost and better in at least one. */
   static boolean dominates(double[] a, double[] b) {
     boolean isBetter = false;
     for (int i = 0; i < a.length; i++) {
--- a/src/main/java/dapplestair/planning/ZoneDemand.java
+++ b/src/main/java/dapplestair/planning/ZoneDemand.java
@@ -114,7 +114,7 @@
       for (FreeCapacity freeCapacity : capacities) {
         unplacedTasks -= freeCapacity.placeTasks(job.spec(), unplacedTasks);
       }
-      MachineKind kind = unplacedTasks > 0 ? cheapest(job.spec()) : null;
+      MachineKind kind = unplacedTasks > 0 ? cheapestKind(job.spec()) : null;
       if (kind != null) {
         lackingJobs.add(job.spec().ref());
         shortages.add(shortage(job.spec(), kind, unplacedTasks, capacities));
@@ -174,7 +174,7 @@
    * Returns the machine kind with the lowest price per CPU among those of which more may be rented
    * in the zone, or null if there is none.
    */
-  private MachineKind cheapest(Submission submission) {
+  private MachineKind cheapestKind(Submission submission) {
     MachineKind cheapest = null;
     double lowestPricePerCpu = Double.POSITIVE_INFINITY;
     for (MachineType type : types.all()) {
--- a/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
+++ b/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
@@ -380,7 +380,7 @@
           } else {
             leadership.deposedBy(outcome);
           }
-          // If the outcome is unknown, the next advance continues from what the replica delivers.
+          // If the outcome is unknown, the next call continues from what the replica delivers.
         });
   }
 
--- a/src/main/java/dapplestair/replacement/ReplacementTargets.java
+++ b/src/main/java/dapplestair/replacement/ReplacementTargets.java
@@ -163,7 +163,7 @@
   private double lossCpuS(Host host) {
     return host.attempts().stream()
         .filter(a -> !a.exited())
-        .mapToDouble(disruptionGate::lossCpuS)
+        .mapToDouble(disruptionGate::maxLossCpuS)
         .sum();
   }
 }
--- a/src/test/java/dapplestair/planning/HeldTaskSlotsTest.java
+++ b/src/test/java/dapplestair/planning/HeldTaskSlotsTest.java
@@ -23,8 +23,8 @@
   @Test
   void countsTheTaskSlotsOfTheFirstMachines() {
     HeldTaskSlots held = new HeldTaskSlots(machines(40), 100);
-    assertEquals(16 * 25, held.slotsOf(25, 16, 30).total());
-    assertEquals(16 * 50, held.slotsOf(50, 16, 30).total());
+    assertEquals(16 * 25, held.slotsOf(25, 16, 30).totalSlots());
+    assertEquals(16 * 50, held.slotsOf(50, 16, 30).totalSlots());
     assertEquals(12 * 25, held.slotsOf(25, 16, 30).countFreeBy(100));
   }
 
@@ -48,13 +48,14 @@
       FreeTaskSlots free =
           new HeldTaskSlots(machines(machineCount), 100).slotsOf(machineCount + 10, 16, 30);
       int distinctTimes = 0;
-      while (free.total() > 0
+      while (free.totalSlots() > 0
           && free.earliestStartS(1) < Double.POSITIVE_INFINITY
           && distinctTimes < 1000) {
         free.remove(free.countFreeBy(free.earliestStartS(1)));
         distinctTimes++;
       }
-      assertTrue(distinctTimes <= 33, distinctTimes + " moments for " + machineCount + " machines");
+      assertTrue(
+          distinctTimes <= 33, distinctTimes + " distinct times for " + machineCount + " machines");
     }
   }
 
@@ -64,7 +65,7 @@
     free.add(0, 4);
     free.add(10, 4);
     free.occupy(6, 50);
-    assertEquals(8, free.total());
+    assertEquals(8, free.totalSlots());
     assertEquals(10, free.earliestStartS(1));
     assertEquals(50, free.earliestStartS(3));
     assertEquals(Double.POSITIVE_INFINITY, free.earliestStartS(9));
--- a/src/test/java/dapplestair/planning/PlanStabilityTest.java
+++ b/src/test/java/dapplestair/planning/PlanStabilityTest.java
@@ -48,24 +48,27 @@
   /** Returns the number of different plans that 25 consecutive rounds choose. */
   private static int countDistinctPlans(FleetProblem problem, boolean keepsCurrent) {
     Set<List<Integer>> distinctPlans = new HashSet<>();
-    double[] last = null;
+    double[] lastPlan = null;
     for (int round = 0; round < 25; round++) {
       List<double[]> seeds = new ArrayList<>(List.of(problem.lower()));
       if (keepsCurrent) {
         Autoscaler.addShareSeeds(problem, seeds);
-        if (last != null) {
-          seeds.add(last);
+        if (lastPlan != null) {
+          seeds.add(lastPlan);
         }
       }
       var random = RandomSource.XO_RO_SHI_RO_128_PP.create(round);
       List<Nsga2.Individual> front = new Nsga2(random, 20, 300).search(problem, seeds);
       Nsga2.Individual chosen =
-          last == null || !keepsCurrent
+          lastPlan == null || !keepsCurrent
               ? Nsga2.nearestOrigin(front, WEIGHTS)
               : Nsga2.nearestOrigin(
-                  front, new Nsga2.Individual(last, problem.evaluate(last)), INERTIA, WEIGHTS);
-      last = chosen.variables();
-      distinctPlans.add(Arrays.stream(FleetProblem.roundToCounts(last)).boxed().toList());
+                  front,
+                  new Nsga2.Individual(lastPlan, problem.evaluate(lastPlan)),
+                  INERTIA,
+                  WEIGHTS);
+      lastPlan = chosen.variables();
+      distinctPlans.add(Arrays.stream(FleetProblem.roundToCounts(lastPlan)).boxed().toList());
     }
     return distinctPlans.size();
   }
@@ -83,31 +86,33 @@
   void changedDemandGetsADifferentPlan() {
     FleetProblem few = problem(10);
     FleetProblem many = problem(80);
-    double[] small = chosen(few, null);
-    double[] large = chosen(many, small);
+    double[] small = choosePlan(few, null);
+    double[] large = choosePlan(many, small);
     assertTrue(cpus(many, large) > 1.5 * cpus(few, small), "does not grow with the demand");
-    assertTrue(cpus(few, chosen(few, large)) < 0.7 * cpus(many, large), "does not shrink with it");
+    assertTrue(
+        cpus(few, choosePlan(few, large)) < 0.7 * cpus(many, large),
+        "does not shrink with the demand");
   }
 
-  private static double[] chosen(FleetProblem problem, double[] last) {
+  private static double[] choosePlan(FleetProblem problem, double[] lastPlan) {
     List<double[]> seeds = new ArrayList<>(List.of(problem.lower()));
     Autoscaler.addShareSeeds(problem, seeds);
-    if (last != null) {
-      seeds.add(last);
+    if (lastPlan != null) {
+      seeds.add(lastPlan);
     }
     var random = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
     List<Nsga2.Individual> front = new Nsga2(random, 20, 300).search(problem, seeds);
-    return last == null
+    return lastPlan == null
         ? Nsga2.nearestOrigin(front, WEIGHTS).variables()
         : Nsga2.nearestOrigin(
-                front, new Nsga2.Individual(last, problem.evaluate(last)), INERTIA, WEIGHTS)
+                front, new Nsga2.Individual(lastPlan, problem.evaluate(lastPlan)), INERTIA, WEIGHTS)
             .variables();
   }
 
-  private static double cpus(FleetProblem problem, double[] x) {
+  private static double cpus(FleetProblem problem, double[] counts) {
     double sum = 0;
-    for (int i = 0; i < x.length; i++) {
-      sum += x[i] * problem.machineKinds().get(i).type().cpus();
+    for (int i = 0; i < counts.length; i++) {
+      sum += counts[i] * problem.machineKinds().get(i).type().cpus();
     }
     return sum;
   }
@@ -118,14 +123,14 @@
    */
   @Test
   void shareSeedsStayWithinTheBounds() {
-    FleetProblem p = problem(40);
-    double[] fullShare = p.seedForShare(1);
-    double[] quarter = p.seedForShare(0.25);
+    FleetProblem problem = problem(40);
+    double[] fullShare = problem.seedForShare(1);
+    double[] quarter = problem.seedForShare(0.25);
     for (int i = 0; i < fullShare.length; i++) {
-      assertTrue(fullShare[i] >= p.lower()[i] && fullShare[i] <= p.upper()[i]);
+      assertTrue(fullShare[i] >= problem.lower()[i] && fullShare[i] <= problem.upper()[i]);
       assertTrue(quarter[i] <= fullShare[i]);
     }
-    assertTrue(cpus(p, fullShare) >= 40 * 60 * 4, "room for all that waits");
+    assertTrue(cpus(problem, fullShare) >= 40 * 60 * 4, "capacity for all waiting work");
     assertEquals(400, fullShare[1], "the cheapest kind is used up first");
   }
 }
