--- a/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
+++ b/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
@@ -29,8 +29,8 @@
   // One recorded value holds this many machine names with space to spare.
   static final int MAX_MACHINES_PER_STEP = 200;
 
-  // Ratio of the stated boot time after which a boot is overdue, as in the fleet's own check: usual
-  // boots take up to 1.5 times the stated time, and nearly twice as long as that on a bad day.
+  // Multiple of the stated boot time after which a boot is overdue, as in MachineHealthMonitor:
+  // usual boots take up to 1.5 times the stated time, and a bad day nearly doubles that.
   private static final double BOOT_OVERDUE_RATIO = 3.0;
 
   private final Clock clock;
