--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -70,9 +70,9 @@
     int[] counts = ledger.taskCounts(job);
     ObjectNode object = nothing(ref, JobViews.status(counts));
     object.put("waiting_tasks", explanation.waitingTasks());
-    DisruptionRefusal refusal = disruptionGate.refused(job);
+    DisruptionRefusal refusal = disruptionGate.lastRefusal(job);
     if (refusal != null) {
-      object.put("not_moved", refusal.words());
+      object.put("not_moved", refusal.describe());
     }
     FaultAttribution.JobFailureStatus standing = faultAttribution.failureStatus(job);
     if (standing != null) {
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -108,7 +108,7 @@
             spotHistory,
             timeouts,
             capacityEstimator,
-            disruptionGate::givenUp,
+            disruptionGate::debitAttemptsOn,
             events);
     machineList = new MachineList(clock, settings, types, workers, cloud, healthMonitor);
   }
--- a/src/main/java/dapplestair/lane/VictimSelector.java
+++ b/src/main/java/dapplestair/lane/VictimSelector.java
@@ -141,7 +141,7 @@
   }
 
   private double lossCpuS(Attempt attempt) {
-    return disruptionGate.lossCpuS(attempt)
+    return disruptionGate.maxLossCpuS(attempt)
         + (isProtected.test(attempt) ? PROTECTED_PENALTY_CPU_S : 0);
   }
 }
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -170,7 +170,7 @@
   }
 
   private void hostChanged(Host host) {
-    operations.drains.mark(host);
+    operations.drains.updateDrained(host);
     if (host.hasReclaimNotice() && !host.isGone()) {
       scheduling.reclaimNoticeHandler.handleNotice(host);
     }
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -185,13 +185,16 @@
             "team_replicas_out",
             "Replicas of a team that are out, for whatever reason.",
             "team",
-            () -> Maps.transformValues(components.disruptionGate().statuses(), BudgetStatus::out))
+            () ->
+                Maps.transformValues(
+                    components.disruptionGate().statuses(), BudgetStatus::unavailableReplicas))
         .gauges(
             "team_replicas_out_allowed",
             "Replicas of a team that may be out before nothing more is stopped by choice.",
             "team",
             () ->
-                Maps.transformValues(components.disruptionGate().statuses(), BudgetStatus::allowed))
+                Maps.transformValues(
+                    components.disruptionGate().statuses(), BudgetStatus::maxUnavailableReplicas))
         .gauges(
             "lane_claims",
             "Open claims of a lane's riders.",
@@ -204,11 +207,11 @@
         .gauge(
             "stops_granted",
             "Stops that asked for a budget and were granted.",
-            () -> components.disruptionGate().granted())
+            () -> components.disruptionGate().grantedStops())
         .gauge(
             "stops_forced",
             "Stops that could not wait for a budget.",
-            () -> components.disruptionGate().forced());
+            () -> components.disruptionGate().forcedStops());
   }
 
   /** The plan applied. */
@@ -221,7 +224,7 @@
         .gauge(
             "plan_spend_per_hour",
             "What the plan applied costs an hour.",
-            () -> plan(components, Autoscaler.AppliedPlan::perHour))
+            () -> plan(components, Autoscaler.AppliedPlan::costPerHour))
         .gauge(
             "plan_risk",
             "Spot CPUs of the plan applied, times their risk.",
@@ -257,7 +260,7 @@
 
   private static double plan(
       ControllerComponents components, ToDoubleFunction<Autoscaler.AppliedPlan> figure) {
-    Autoscaler.AppliedPlan applied = components.autoscaler().applied();
+    Autoscaler.AppliedPlan applied = components.autoscaler().appliedPlan();
     return applied == null ? Double.NaN : figure.applyAsDouble(applied);
   }
 }
--- a/src/main/java/dapplestair/node/SchedulingComponents.java
+++ b/src/main/java/dapplestair/node/SchedulingComponents.java
@@ -93,7 +93,7 @@
             disruptionGate,
             lanes,
             calendars,
-            demand::roomForServices,
+            demand::cpusForServices,
             operatorSettings.beginWithinMs());
     lanes.setCallbacks(placer::scheduleTurn, placer::isProtectedFromEviction);
     reclaimNoticeHandler = new ReclaimNoticeHandler(clock, disruptionGate, core.estimates);
@@ -110,11 +110,11 @@
             fleet,
             core.types,
             demand);
-    fleet.setCapacityCallbacks(demand::waitingCpus, autoscaler::soon);
+    fleet.setCapacityCallbacks(demand::waitingCpus, autoscaler::scheduleEarlyRound);
     calendars.setCallbacks(
         () -> {
           placer.scheduleTurn();
-          autoscaler.soon();
+          autoscaler.scheduleEarlyRound();
         },
         () -> core.types.bootS(null));
     faultAttribution =
@@ -124,7 +124,7 @@
             settings.workers().reportMs(),
             core.ledger,
             core.workers,
-            new FaultAttributionEvents(core.events, autoscaler::soon));
+            new FaultAttributionEvents(core.events, autoscaler::scheduleEarlyRound));
   }
 
   @Override
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -189,7 +189,7 @@
     }
     // Evictions for rank and guarantee cannot wait (PROTOCOL, Preemption): they are debited, never
     // refused.
-    disruptionGate.must(
+    disruptionGate.forceStop(
         attempt,
         attempt.spec().savesProgress() ? 2 * attempt.spec().saveDurationS() : 0,
         StopReason.ROOM_NEEDED);
--- a/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
+++ b/src/main/java/dapplestair/placement/ReclaimNoticeHandler.java
@@ -44,7 +44,8 @@
       double maxRemainingS =
           attempt.spec().savesProgress() ? noticeS - saveS : SURELY_LATE_FACTOR * noticeS;
       if (remainingS > maxRemainingS) {
-        disruptionGate.must(attempt, Math.max(0, Math.min(2 * saveS, noticeS)), StopReason.NOTICE);
+        disruptionGate.forceStop(
+            attempt, Math.max(0, Math.min(2 * saveS, noticeS)), StopReason.NOTICE);
       }
     }
   }
--- a/src/main/java/dapplestair/planning/CapacityFloors.java
+++ b/src/main/java/dapplestair/planning/CapacityFloors.java
@@ -13,12 +13,15 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** How few machines a plan may hold: what must start at once has its room whatever it costs. */
+/**
+ * Computes the minimum number of machines that a plan must hold: work that must start at once has
+ * capacity regardless of cost.
+ */
 final class CapacityFloors {
   private final Clock clock;
   private final Ledger ledger;
-  private final Map<String, Long> waitingSince = new HashMap<>();
-  private BooleanSupplier drainsLackRoom = () -> false;
+  private final Map<String, Long> waitingSinceMsByJob = new HashMap<>();
+  private BooleanSupplier drainsLackCapacity = () -> false;
 
   CapacityFloors(Clock clock, Ledger ledger) {
     this.clock = clock;
@@ -26,100 +29,106 @@
   }
 
   /**
-   * Steady machines are counted as busy up to what services use, what is expected of them within a
-   * boot, and one machine more, so that replicas lost with a machine start again at once. Work that
-   * may be stopped fills that room meanwhile.
+   * Raises the minimum counts of steady machines to hold the CPUs that non-spot jobs use or wait
+   * for, those of the jobs expected while a machine boots, and one spare machine, so that replicas
+   * lost with a machine restart at once. Work that may be stopped uses that capacity in the
+   * meantime.
    */
-  List<MachineKindState> forServices(List<MachineKindState> slots, List<Submission> soon) {
-    double need = 0;
+  List<MachineKindState> forServices(List<MachineKindState> kinds, List<Submission> expectedJobs) {
+    double neededCpus = 0;
     for (Job job : ledger.jobs()) {
       if (!job.isOver() && !job.spec().spot()) {
-        need += job.spec().cpus() * (job.wantedTasks(clock.now()) + job.heldAttempts());
+        neededCpus += job.spec().cpus() * (job.wantedTasks(clock.now()) + job.heldAttempts());
       }
     }
-    for (Submission s : soon) {
-      if (!s.spot()) {
-        need += s.cpus() * s.taskCount();
+    for (Submission submission : expectedJobs) {
+      if (!submission.spot()) {
+        neededCpus += submission.cpus() * submission.taskCount();
       }
     }
-    double room = 0;
-    double largest = 0;
-    for (MachineKindState s : slots) {
-      if (!s.spot() && s.least() > 0) {
-        room += s.least() * s.type().cpus();
-        largest = Math.max(largest, s.type().cpus());
+    double floorCpus = 0;
+    double largestMachineCpus = 0;
+    for (MachineKindState kind : kinds) {
+      if (!kind.spot() && kind.minCount() > 0) {
+        floorCpus += kind.minCount() * kind.type().cpus();
+        largestMachineCpus = Math.max(largestMachineCpus, kind.type().cpus());
       }
     }
-    if (need > 0 && largest == 0) {
-      largest = slots.stream().mapToDouble(s -> s.type().cpus()).min().orElse(0);
+    if (neededCpus > 0 && largestMachineCpus == 0) {
+      largestMachineCpus = kinds.stream().mapToDouble(s -> s.type().cpus()).min().orElse(0);
     }
-    // Replicas on drained machines that have no place: the room that is spare lies in zones that
-    // already have all that they may, so there is some in each.
-    need += need > 0 ? largest * (drainsLackRoom.getAsBoolean() ? zones(slots) : 1) : 0;
-    double stranded = strandedCpus(slots);
+    // When replicas on drained machines have nowhere to go, the spare capacity lies in zones that
+    // already have as many replicas as they may, so each zone gets a spare machine.
+    neededCpus +=
+        neededCpus > 0
+            ? largestMachineCpus * (drainsLackCapacity.getAsBoolean() ? zoneCount(kinds) : 1)
+            : 0;
+    double stranded = strandedCpus(kinds);
     if (stranded > 0) {
-      // Replicas that the room there is did not take for as long as a boot: it lies in zones that
-      // already have all that they may. The next machine comes where there are fewest.
-      double up = 0;
-      for (MachineKindState s : slots) {
-        up += s.spot() ? 0 : s.up() * s.type().cpus();
+      // Replicas have waited for longer than a boot although there is free capacity: it lies in
+      // zones that already have as many replicas as they may. The next machine is rented in the
+      // zone that has the fewest.
+      double upCpus = 0;
+      for (MachineKindState kind : kinds) {
+        upCpus += kind.spot() ? 0 : kind.upCount() * kind.type().cpus();
       }
-      need = Math.max(need, up + stranded);
+      neededCpus = Math.max(neededCpus, upCpus + stranded);
     }
-    List<MachineKindState> out = new ArrayList<>(slots);
-    while (room < need) {
+    List<MachineKindState> raised = new ArrayList<>(kinds);
+    while (floorCpus < neededCpus) {
       int cheapest = -1;
-      for (int i = 0; i < out.size(); i++) {
-        MachineKindState s = out.get(i);
-        if (!s.spot()
-            && s.least() < s.most()
-            && (cheapest < 0 || perCpu(s) < perCpu(out.get(cheapest)))) {
+      for (int i = 0; i < raised.size(); i++) {
+        MachineKindState kind = raised.get(i);
+        if (!kind.spot()
+            && kind.minCount() < kind.maxCount()
+            && (cheapest < 0 || pricePerCpu(kind) < pricePerCpu(raised.get(cheapest)))) {
           cheapest = i;
         }
       }
       if (cheapest < 0) {
         break;
       }
-      MachineKindState s = out.get(cheapest);
-      out.set(cheapest, withLeast(s, s.least() + 1));
-      room += s.type().cpus();
+      MachineKindState kind = raised.get(cheapest);
+      raised.set(cheapest, withMinCount(kind, kind.minCount() + 1));
+      floorCpus += kind.type().cpus();
     }
-    return out;
+    return raised;
   }
 
-  /** {@code lack} tells whether drained machines hold replicas that have no place to go. */
-  void drainsLackRoom(BooleanSupplier lack) {
-    drainsLackRoom = lack;
+  /** Sets the check for whether drained machines hold replicas that have nowhere to go. */
+  void setDrainsLackCapacity(BooleanSupplier check) {
+    drainsLackCapacity = check;
   }
 
-  private static int zones(List<MachineKindState> slots) {
-    return slots.stream().mapToInt(s -> s.type().zones().size()).max().orElse(1);
+  private static int zoneCount(List<MachineKindState> kinds) {
+    return kinds.stream().mapToInt(s -> s.type().zones().size()).max().orElse(1);
   }
 
-  /** CPUs of services that have waited for longer than a machine boots. */
-  private double strandedCpus(List<MachineKindState> slots) {
-    double bootMs = 1000 * slots.stream().mapToDouble(s -> s.type().bootS()).max().orElse(0);
-    long now = clock.now();
-    Set<String> waiting = new HashSet<>();
-    double sum = 0;
+  /** Returns the CPUs of service replicas that have waited for longer than a machine boots. */
+  private double strandedCpus(List<MachineKindState> kinds) {
+    double bootMs = 1000 * kinds.stream().mapToDouble(s -> s.type().bootS()).max().orElse(0);
+    long nowMs = clock.now();
+    Set<String> waitingJobs = new HashSet<>();
+    double cpus = 0;
     for (Job job : ledger.jobs()) {
-      if (job.spec().isService() && !job.isOver() && job.wantedTasks(now) > 0) {
-        waiting.add(job.spec().ref());
-        long since = waitingSince.computeIfAbsent(job.spec().ref(), r -> now);
-        sum += now - since > bootMs ? job.wantedTasks(now) * job.spec().cpus() : 0;
+      if (job.spec().isService() && !job.isOver() && job.wantedTasks(nowMs) > 0) {
+        waitingJobs.add(job.spec().ref());
+        long sinceMs = waitingSinceMsByJob.computeIfAbsent(job.spec().ref(), r -> nowMs);
+        cpus += nowMs - sinceMs > bootMs ? job.wantedTasks(nowMs) * job.spec().cpus() : 0;
       }
     }
-    waitingSince.keySet().retainAll(waiting);
-    return sum;
+    waitingSinceMsByJob.keySet().retainAll(waitingJobs);
+    return cpus;
   }
 
   /**
-   * A gang that has waited for longer than {@code afterMs} gets machines for all of it at once; the
-   * search alone might settle for fewer for ever. Machines are spread over the zones, so one that
-   * must be in one zone needs as many in each.
+   * Raises the minimum counts so that each gang that has waited for longer than {@code afterMs}
+   * gets machines for all of its tasks at once; the search alone might settle for fewer forever.
+   * Machines are spread over the zones, so a gang that must run in a single zone needs that many
+   * machines in each zone.
    */
-  List<MachineKindState> forGangs(List<MachineKindState> slots, long afterMs) {
-    List<MachineKindState> out = new ArrayList<>(slots);
+  List<MachineKindState> forGangs(List<MachineKindState> kinds, long afterMs) {
+    List<MachineKindState> raised = new ArrayList<>(kinds);
     for (Job job : ledger.jobs()) {
       Submission submission = job.spec();
       if (!submission.isGang()
@@ -128,38 +137,42 @@
           || clock.wall() - job.acceptedWallMs() < afterMs) {
         continue;
       }
-      double need = submission.cpus() * job.waitingTasks();
-      boolean zones = submission.together() && submission.zone() == null;
-      for (int i = 0; i < out.size() && need > 0; i++) {
-        MachineKindState kind = out.get(i);
+      double neededCpus = submission.cpus() * job.waitingTasks();
+      boolean inOneZone = submission.together() && submission.zone() == null;
+      for (int i = 0; i < raised.size() && neededCpus > 0; i++) {
+        MachineKindState kind = raised.get(i);
         if (kind.type().suits(submission) && (submission.spot() || !kind.spot())) {
-          double perMachine =
+          double cpusPerMachine =
               Math.floor(kind.type().cpus() / submission.cpus()) * submission.cpus();
-          int want = (int) Math.ceil(need / perMachine);
-          want *= zones ? Math.max(1, kind.type().zones().size()) : 1;
-          // Beside what is busy: a gang needs its room all at once.
-          int least = Math.max(kind.least(), Math.min(kind.most(), kind.least() + want));
-          out.set(i, withLeast(kind, least));
-          need -= (least - kind.least()) * perMachine / (zones ? kind.type().zones().size() : 1);
+          int wantedCount = (int) Math.ceil(neededCpus / cpusPerMachine);
+          wantedCount *= inOneZone ? Math.max(1, kind.type().zones().size()) : 1;
+          // Added to the busy machines, because a gang needs all of its capacity at once.
+          int minCount =
+              Math.max(kind.minCount(), Math.min(kind.maxCount(), kind.minCount() + wantedCount));
+          raised.set(i, withMinCount(kind, minCount));
+          neededCpus -=
+              (minCount - kind.minCount())
+                  * cpusPerMachine
+                  / (inOneZone ? kind.type().zones().size() : 1);
         }
       }
     }
-    return out;
+    return raised;
   }
 
-  private static MachineKindState withLeast(MachineKindState kind, int least) {
+  private static MachineKindState withMinCount(MachineKindState kind, int minCount) {
     return new MachineKindState(
         kind.type(),
         kind.spot(),
-        least,
-        kind.most(),
-        kind.held(),
-        kind.up(),
-        kind.price(),
-        kind.takeBack());
+        minCount,
+        kind.maxCount(),
+        kind.heldSlots(),
+        kind.upCount(),
+        kind.pricePerHour(),
+        kind.reclaimChance());
   }
 
-  static double perCpu(MachineKindState kind) {
-    return kind.price() / kind.type().cpus();
+  static double pricePerCpu(MachineKindState kind) {
+    return kind.pricePerHour() / kind.type().cpus();
   }
 }
--- a/src/main/java/dapplestair/planning/ZoneDemand.java
+++ b/src/main/java/dapplestair/planning/ZoneDemand.java
@@ -18,20 +18,21 @@
 import java.util.Set;
 
 /**
- * Machines that waiting jobs lack in the one zone that their users allow. A plan counts machines by
- * type and pricing over all zones, so to it an idle machine anywhere is room for such a job.
+ * Determines the machines that waiting jobs lack in the single zone that their users allow. A plan
+ * counts machines by type and pricing over all zones, so it takes an idle machine in any zone for
+ * capacity for such a job.
  */
 final class ZoneDemand {
   private static final double EPSILON = 1e-9;
 
   /**
-   * Machines that a job lacks in its zone.
+   * The machines that a job lacks in its zone.
    *
-   * @param overdue the job has lacked them for longer than one boots
+   * @param overdue whether the job has lacked them for longer than a machine takes to boot
    */
-  record Shortage(MachineKind kind, String zone, int machines, boolean overdue) {}
+  record Shortage(MachineKind kind, String zone, int machineCount, boolean overdue) {}
 
-  /** What a machine that is up, booting or being rented still has for the jobs looked at. */
+  /** Free resources of a machine that is up, booting or being rented. */
   private static final class FreeCapacity {
     final String zone;
     final MachineType type;
@@ -64,8 +65,8 @@
       return new FreeCapacity(zone, type, spot, type.cpus(), type.memoryGb(), type.gpus());
     }
 
-    /** Takes up to {@code most} tasks of the job; returns how many. */
-    int take(Submission submission, int most) {
+    /** Places up to {@code maxTasks} tasks of the job and returns how many it placed. */
+    int placeTasks(Submission submission, int maxTasks) {
       if (!zone.equals(submission.zone())
           || !type.suits(submission)
           || spot && !submission.spot()) {
@@ -73,7 +74,8 @@
       }
       int tasks =
           Math.min(
-              most, submission.fittingTasks(cpus + EPSILON, memoryGb + EPSILON, gpus + EPSILON));
+              maxTasks,
+              submission.fittingTasks(cpus + EPSILON, memoryGb + EPSILON, gpus + EPSILON));
       cpus -= tasks * submission.cpus();
       memoryGb -= tasks * submission.memoryGb();
       gpus -= tasks * submission.gpus();
@@ -86,8 +88,8 @@
   private final WorkerManager workers;
   private final Fleet fleet;
   private final MachineTypes types;
-  private final Map<String, Long> lackingSince = new HashMap<>();
-  private final Set<String> waitedFor = new HashSet<>();
+  private final Map<String, Long> lackingSinceMsByJob = new HashMap<>();
+  private final Set<String> demandedZones = new HashSet<>();
 
   ZoneDemand(Clock clock, Ledger ledger, WorkerManager workers, Fleet fleet, MachineTypes types) {
     this.clock = clock;
@@ -97,103 +99,116 @@
     this.types = types;
   }
 
-  /** Looks anew: what waiting jobs lack, oldest first. */
+  /** Recomputes and returns the machines that waiting jobs lack, oldest job first. */
   List<Shortage> shortages() {
-    waitedFor.clear();
-    List<Shortage> out = new ArrayList<>();
-    Set<String> lacking = new HashSet<>();
-    List<FreeCapacity> rooms = null;
+    demandedZones.clear();
+    List<Shortage> shortages = new ArrayList<>();
+    Set<String> lackingJobs = new HashSet<>();
+    List<FreeCapacity> capacities = null;
     for (Job job : ledger.jobs()) {
-      int tasks = waitingInOneZone(job);
-      if (tasks == 0) {
+      int unplacedTasks = waitingTasksInOneZone(job);
+      if (unplacedTasks == 0) {
         continue;
       }
-      waitedFor.add(job.spec().zone());
-      rooms = rooms == null ? rooms() : rooms;
-      for (FreeCapacity freeCapacity : rooms) {
-        tasks -= freeCapacity.take(job.spec(), tasks);
+      demandedZones.add(job.spec().zone());
+      capacities = capacities == null ? freeCapacities() : capacities;
+      for (FreeCapacity freeCapacity : capacities) {
+        unplacedTasks -= freeCapacity.placeTasks(job.spec(), unplacedTasks);
       }
-      MachineKind kind = tasks > 0 ? cheapest(job.spec()) : null;
+      MachineKind kind = unplacedTasks > 0 ? cheapestKind(job.spec()) : null;
       if (kind != null) {
-        lacking.add(job.spec().ref());
-        out.add(shortage(job.spec(), kind, tasks, rooms));
+        lackingJobs.add(job.spec().ref());
+        shortages.add(shortage(job.spec(), kind, unplacedTasks, capacities));
       }
     }
-    lackingSince.keySet().retainAll(lacking);
-    return out;
+    lackingSinceMsByJob.keySet().retainAll(lackingJobs);
+    return shortages;
   }
 
-  /** True when some job waited for room in this zone alone, at the last look. */
-  boolean waitsFor(String zone) {
-    return waitedFor.contains(zone);
+  /**
+   * Returns whether the last call of {@link #shortages} found a waiting job that may run in this
+   * zone only.
+   */
+  boolean hasDemandIn(String zone) {
+    return demandedZones.contains(zone);
   }
 
   void clear() {
-    lackingSince.clear();
-    waitedFor.clear();
+    lackingSinceMsByJob.clear();
+    demandedZones.clear();
   }
 
-  /** Tasks that may start nowhere but in one zone and that the team's limit allows now. */
-  private int waitingInOneZone(Job job) {
+  /**
+   * Returns the number of tasks that may run in a single zone only and fit the team's limit now.
+   */
+  private int waitingTasksInOneZone(Job job) {
     if (job.isOver() || job.spec().zone() == null) {
       return 0;
     }
     return Math.min(job.wantedTasks(clock.now()), ledger.maxAdditionalTeamTasks(job.spec(), false));
   }
 
-  private List<FreeCapacity> rooms() {
-    List<FreeCapacity> out = new ArrayList<>();
+  private List<FreeCapacity> freeCapacities() {
+    List<FreeCapacity> capacities = new ArrayList<>();
     for (Host host : workers.hosts()) {
-      boolean ofUse =
+      boolean isUsable =
           host.type() != null
               && fleet.isUsableAs(host, new MachineKind(host.type().name(), host.spot()));
-      if (ofUse && (!host.isUp() || !host.closed())) {
-        out.add(FreeCapacity.of(host));
+      if (isUsable && (!host.isUp() || !host.closed())) {
+        capacities.add(FreeCapacity.of(host));
       }
     }
     for (MachineType type : types.all()) {
       for (String zone : type.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
-          int coming = fleet.pendingIn(new MachineKind(type.name(), spot), zone);
-          for (int i = 0; i < coming; i++) {
-            out.add(FreeCapacity.empty(zone, type, spot));
+          int pendingCount = fleet.pendingIn(new MachineKind(type.name(), spot), zone);
+          for (int i = 0; i < pendingCount; i++) {
+            capacities.add(FreeCapacity.empty(zone, type, spot));
           }
         }
       }
     }
-    return out;
+    return capacities;
   }
 
-  /** The slot that costs least a CPU, of those in which the zone may have more; null if none. */
-  private MachineKind cheapest(Submission submission) {
-    MachineKind best = null;
-    double least = Double.POSITIVE_INFINITY;
+  /**
+   * Returns the machine kind with the lowest price per CPU among those of which more may be rented
+   * in the zone, or null if there is none.
+   */
+  private MachineKind cheapestKind(Submission submission) {
+    MachineKind cheapest = null;
+    double lowestPricePerCpu = Double.POSITIVE_INFINITY;
     for (MachineType type : types.all()) {
       for (boolean spot : new boolean[] {true, false}) {
         MachineKind kind = new MachineKind(type.name(), spot);
-        double perCpu = fleet.spotHistory().price(type, spot) / type.cpus();
-        boolean allowed = type.suits(submission) && (submission.spot() || !spot);
-        if (allowed && perCpu < least && fleet.mayRentIn(kind, submission.zone())) {
-          best = kind;
-          least = perCpu;
+        double pricePerCpu = fleet.spotHistory().price(type, spot) / type.cpus();
+        boolean isAllowed = type.suits(submission) && (submission.spot() || !spot);
+        if (isAllowed
+            && pricePerCpu < lowestPricePerCpu
+            && fleet.mayRentIn(kind, submission.zone())) {
+          cheapest = kind;
+          lowestPricePerCpu = pricePerCpu;
         }
       }
     }
-    return best;
+    return cheapest;
   }
 
-  /** What machines would do for so many tasks; they are room for the jobs looked at next. */
+  /**
+   * Returns the machines needed for this number of tasks, and adds them to {@code capacities} so
+   * that jobs examined later can use what is left of them.
+   */
   private Shortage shortage(
-      Submission submission, MachineKind kind, int tasks, List<FreeCapacity> rooms) {
+      Submission submission, MachineKind kind, int tasks, List<FreeCapacity> capacities) {
     MachineType type = types.get(kind.type());
-    int machines = 0;
-    for (int left = tasks; left > 0; machines++) {
+    int machineCount = 0;
+    for (int remainingTasks = tasks; remainingTasks > 0; machineCount++) {
       FreeCapacity freeCapacity = FreeCapacity.empty(submission.zone(), type, kind.spot());
-      left -= Math.max(1, freeCapacity.take(submission, left));
-      rooms.add(freeCapacity);
+      remainingTasks -= Math.max(1, freeCapacity.placeTasks(submission, remainingTasks));
+      capacities.add(freeCapacity);
     }
-    long since = lackingSince.computeIfAbsent(submission.ref(), r -> clock.now());
-    boolean overdue = clock.now() - since > 1000 * type.bootS();
-    return new Shortage(kind, submission.zone(), machines, overdue);
+    long sinceMs = lackingSinceMsByJob.computeIfAbsent(submission.ref(), r -> clock.now());
+    boolean overdue = clock.now() - sinceMs > 1000 * type.bootS();
+    return new Shortage(kind, submission.zone(), machineCount, overdue);
   }
 }
--- a/src/test/java/dapplestair/planning/DryRunEntriesTest.java
+++ b/src/test/java/dapplestair/planning/DryRunEntriesTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 
 class DryRunEntriesTest {
-  private static Submission job(int i, String shape, int steps, double cpus, double guessS)
+  private static Submission job(int index, String shape, int steps, double cpus, double guessS)
       throws Submission.InvalidSubmissionException {
-    ObjectNode o =
+    ObjectNode body =
         Json.object()
-            .put("ref", "j-" + i)
+            .put("ref", "j-" + index)
             .put("jobclass", "c")
             .put("owner", "t")
             .put("shape", shape)
@@ -26,7 +26,7 @@
             .put("vcpus", cpus)
             .put("accelerators", 0)
             .put("memoryGb", 1)
-            .put("bundle", "img-" + i)
+            .put("bundle", "img-" + index)
             .put("imageGb", 1)
             .put("together", false)
             .put("apart", false)
@@ -34,12 +34,15 @@
             .put("guessS", guessS)
             .put("snapshotEveryS", 0)
             .put("snapshotS", 0);
-    return Submission.parse(o);
+    return Submission.parse(body);
   }
 
-  /** Found on a day whose first plans rented nothing for 8,000 tasks behind 289 services. */
+  /**
+   * Guards against small jobs that use up all entries of the dry run: in a simulated day, the first
+   * plans rented nothing for 8,000 tasks that were ordered behind 289 services.
+   */
   @Test
-  void manySmallJobsHideNoArray() throws Submission.InvalidSubmissionException {
+  void manySmallJobsDoNotCrowdOutArrays() throws Submission.InvalidSubmissionException {
     List<DryRunEntries.PendingTasks> pending = new ArrayList<>();
     for (int i = 0; i < 400; i++) {
       pending.add(new DryRunEntries.PendingTasks(job(i, "daemon", 3, 1, 0), 3, 60, 0));
@@ -53,12 +56,14 @@
           new DryRunEntries.PendingTasks(job(3000 + i, "sweep", 90, 4, 40), 90, 200 + i, 0));
     }
     List<DryTasks> entries =
-        new DryRunEntries(List.of(), 2, 15, 60, new RuntimeEstimates()).of(pending);
-    assertEquals(30, entries.stream().filter(e -> e.count() == 90).count(), "arrays");
+        new DryRunEntries(List.of(), 2, 15, 60, new RuntimeEstimates()).entriesFor(pending);
+    assertEquals(30, entries.stream().filter(e -> e.taskCount() == 90).count(), "arrays");
     assertEquals(
-        400 * 3 + 900 + 30 * 90, entries.stream().mapToInt(DryTasks::count).sum(), "tasks");
-    int small = entries.stream().filter(e -> e.count() != 90).mapToInt(DryTasks::jobs).sum();
-    assertTrue(small <= 60, "small jobs count as " + small + " in the mean, arrays as 30");
+        400 * 3 + 900 + 30 * 90, entries.stream().mapToInt(DryTasks::taskCount).sum(), "tasks");
+    int smallJobCount =
+        entries.stream().filter(e -> e.taskCount() != 90).mapToInt(DryTasks::jobCount).sum();
+    assertTrue(
+        smallJobCount <= 60, "small jobs count as " + smallJobCount + " in the mean, arrays as 30");
     assertTrue(entries.size() < 50, entries.size() + " entries");
   }
 }
--- a/src/test/java/dapplestair/planning/Nsga2Test.java
+++ b/src/test/java/dapplestair/planning/Nsga2Test.java
@@ -7,7 +7,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 
-/** The search on problems whose front is known. */
+/** Runs the search on problems whose front is known. */
 class Nsga2Test {
   private record Box(int size, double low, double high, Function f) implements Nsga2.Problem {
     interface Function {
@@ -41,7 +41,7 @@
         .search(p, List.of());
   }
 
-  /** Minimise x^2 and (x-2)^2: the front is x from 0 to 2. */
+  /** Minimizes x^2 and (x-2)^2, whose front is x from 0 to 2. */
   @Test
   void findsTheFrontOfTwoParabolas() {
     var front =
@@ -51,14 +51,14 @@
       assertTrue(
           i.variables()[0] > -0.1 && i.variables()[0] < 2.1, "off the front: " + i.variables()[0]);
     }
-    double least = front.stream().mapToDouble(i -> i.variables()[0]).min().orElseThrow();
-    double most = front.stream().mapToDouble(i -> i.variables()[0]).max().orElseThrow();
-    assertTrue(least < 0.2 && most > 1.8, "only from " + least + " to " + most);
+    double lowest = front.stream().mapToDouble(i -> i.variables()[0]).min().orElseThrow();
+    double highest = front.stream().mapToDouble(i -> i.variables()[0]).max().orElseThrow();
+    assertTrue(lowest < 0.2 && highest > 1.8, "only from " + lowest + " to " + highest);
   }
 
-  /** ZDT1 in five variables: the front has g = 1, so f2 = 1 - sqrt(f1). */
+  /** Minimizes ZDT1 in five variables, whose front has g = 1, so f2 = 1 - sqrt(f1). */
   @Test
-  void comesNearTheFrontOfZdt1() {
+  void approximatesTheFrontOfZdt1() {
     var front =
         search(
             new Box(
@@ -80,15 +80,16 @@
   }
 
   @Test
-  void dropsWhatBreaksAConstraint() {
+  void dropsCandidatesThatBreakAConstraint() {
     var front = search(new Box(1, 0, 10, x -> x[0] < 4 ? null : new double[] {x[0], 1}), 1000);
     front.forEach(i -> assertTrue(i.variables()[0] >= 4));
     assertTrue(front.get(0).variables()[0] < 4.2);
   }
 
   @Test
-  void choosesNearestTheOriginAfterScaling() {
-    // Scaled by the greatest of each cost (100 and 1): 0.2+1, 0.5+0.4, 1+0.1. The third is zero.
+  void selectsNearestToTheOriginAfterScaling() {
+    // The first two costs are divided by their greatest values (100 and 1), which gives 0.2 and 1,
+    // 0.5 and 0.4, 1 and 0.1. The third cost is zero on the whole front.
     List<Nsga2.Individual> front =
         List.of(
             new Nsga2.Individual(new double[] {0}, new double[] {20, 1, 0}),
