--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -102,12 +102,12 @@
             .put("puts", p.status().puts());
       }
     }
-    ObjectNode w = object.putObject("withdrawals").put("open", cancellations.open());
-    if (cancellations.open() > 0) {
-      w.put("oldest_s", cancellations.openMs() / 1000.0);
+    ObjectNode w = object.putObject("withdrawals").put("open", cancellations.openCount());
+    if (cancellations.openCount() > 0) {
+      w.put("oldest_s", cancellations.oldestOpenMs() / 1000.0);
     }
-    if (cancellations.ageMs() < Integer.MAX_VALUE) {
-      w.put("known_to_age_s", cancellations.ageMs() / 1000.0);
+    if (cancellations.knowledgeAgeMs() < Integer.MAX_VALUE) {
+      w.put("known_to_age_s", cancellations.knowledgeAgeMs() / 1000.0);
     }
     w.put("keeps_leases", cancellations.mayRenew());
     object.putObject("relay").put("on", relay.on()).put("reports", relay.relayed());
--- a/src/main/java/dapplestair/cancellations/CancellationCodec.java
+++ b/src/main/java/dapplestair/cancellations/CancellationCodec.java
@@ -11,16 +11,16 @@
 /** What controllers tell each other of cancellations: bounded, and of one form. */
 final class CancellationCodec {
   /** Raised whenever the form changes; other forms are not understood, and so say nothing. */
-  static final byte FORM = 1;
+  static final byte FORMAT_VERSION = 1;
 
   /** Most places in one message. A cancellation with more of them is never told as a whole. */
-  static final int MOST_PLACES = 20_000;
+  static final int MAX_LOCATIONS = 20_000;
 
-  static final int MOST_ENTRIES = 1000;
-  private static final int LARGEST = 448 * 1024;
+  static final int MAX_ENTRIES = 1000;
+  private static final int MAX_BYTES = 448 * 1024;
 
   /** No leader of a cluster gets that far: it would make a number that workers cannot read. */
-  private static final long HIGHEST_TERM = 1L << 38;
+  private static final long MAX_TERM = 1L << 38;
 
   private CancellationCodec() {}
 
@@ -29,44 +29,49 @@
    *
    * @param asker the process that asks, told apart from its earlier lives
    * @param number of the question, repeated in its answer
-   * @param log whose log {@code after} counts in, 0 if none is known
+   * @param log whose log {@code lastEntryNumber} counts in, 0 if none is known
    * @param after the last entry that the asker has
    */
-  record LogRequest(long asker, long number, long log, long after) {}
+  record LogRequest(long requester, long requestNumber, long logId, long lastEntryNumber) {}
 
   /** One entry of a log and how long ago it was made. */
-  record LogEntry(long number, String ref, long ageMs, List<Cancellation.TaskLocation> places) {}
+  record LogEntry(long number, String ref, long ageMs, List<Cancellation.TaskLocation> locations) {}
 
   /**
    * An answer: the entries after the one named, and whether these are all.
    *
-   * @param log the process that answers
+   * @param logId the process that answers
    * @param term the highest term it knows of
-   * @param whole whether the asker now has all that this process confirmed up to this moment
+   * @param complete whether the asker now has all that this process confirmed up to this moment
    */
   record LogResponse(
-      long asker, long number, long log, long term, boolean whole, List<LogEntry> entries) {}
+      long requester,
+      long requestNumber,
+      long logId,
+      long term,
+      boolean complete,
+      List<LogEntry> entries) {}
 
   static byte[] encode(LogRequest request) {
     Output out = new Output(64);
-    out.writeByte(FORM);
-    out.writeLong(request.asker());
-    out.writeVarLong(request.number(), true);
-    out.writeLong(request.log());
-    out.writeVarLong(request.after(), true);
+    out.writeByte(FORMAT_VERSION);
+    out.writeLong(request.requester());
+    out.writeVarLong(request.requestNumber(), true);
+    out.writeLong(request.logId());
+    out.writeVarLong(request.lastEntryNumber(), true);
     return out.toBytes();
   }
 
   /** Reads a question, or gives null when it is garbled or of another form. */
-  static LogRequest ask(byte[] bytes) {
-    if (bytes.length == 0 || bytes[0] != FORM) {
+  static LogRequest decodeRequest(byte[] bytes) {
+    if (bytes.length == 0 || bytes[0] != FORMAT_VERSION) {
       return null;
     }
     try {
       Input in = new Input(bytes, 1, bytes.length - 1);
       LogRequest request =
           new LogRequest(in.readLong(), in.readVarLong(true), in.readLong(), in.readVarLong(true));
-      return request.number() < 0 || request.after() < 0 ? null : request;
+      return request.requestNumber() < 0 || request.lastEntryNumber() < 0 ? null : request;
     } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
       return null;
     }
@@ -82,15 +87,15 @@
   }
 
   private static byte[] write(LogResponse response) {
-    Output out = new Output(256, LARGEST);
-    out.writeByte(FORM);
-    out.writeLong(response.asker());
-    out.writeVarLong(response.number(), true);
-    out.writeLong(response.log());
+    Output out = new Output(256, MAX_BYTES);
+    out.writeByte(FORMAT_VERSION);
+    out.writeLong(response.requester());
+    out.writeVarLong(response.requestNumber(), true);
+    out.writeLong(response.logId());
     out.writeVarLong(response.term(), true);
-    out.writeBoolean(response.whole());
+    out.writeBoolean(response.complete());
     out.writeVarInt(response.entries().size(), true);
-    response.entries().forEach(e -> write(out, e));
+    response.entries().forEach(entry -> write(out, entry));
     return out.toBytes();
   }
 
@@ -98,63 +103,65 @@
     out.writeVarLong(entry.number(), true);
     out.writeString(entry.ref());
     out.writeVarLong(Math.max(0, entry.ageMs()), true);
-    out.writeVarInt(entry.places().size(), true);
+    out.writeVarInt(entry.locations().size(), true);
     FrontCodedNames names = new FrontCodedNames();
-    List<Cancellation.TaskLocation> sorted = new ArrayList<>(entry.places());
+    List<Cancellation.TaskLocation> sorted = new ArrayList<>(entry.locations());
     sorted.sort(Comparator.comparing(Cancellation.TaskLocation::host));
     for (Cancellation.TaskLocation location : sorted) {
       names.write(out, location.host());
       out.writeVarLong(location.session(), true);
       out.writeVarInt(location.step(), true);
-      out.writeVarLong(location.number(), true);
+      out.writeVarLong(location.attempt(), true);
     }
   }
 
   /** Reads an answer, or gives null when it is garbled, too large or of another form. */
-  static LogResponse answer(byte[] bytes) {
-    if (bytes.length == 0 || bytes.length > LARGEST || bytes[0] != FORM) {
+  static LogResponse decodeResponse(byte[] bytes) {
+    if (bytes.length == 0 || bytes.length > MAX_BYTES || bytes[0] != FORMAT_VERSION) {
       return null;
     }
     try {
       Input in = new Input(bytes, 1, bytes.length - 1);
-      long asker = in.readLong();
-      long number = in.readVarLong(true);
-      long log = in.readLong();
+      long requester = in.readLong();
+      long requestNumber = in.readVarLong(true);
+      long logId = in.readLong();
       long term = in.readVarLong(true);
-      boolean whole = in.readBoolean();
+      boolean complete = in.readBoolean();
       int count = in.readVarInt(true);
-      if (count < 0 || count > MOST_ENTRIES || term < 0 || term > HIGHEST_TERM) {
+      if (count < 0 || count > MAX_ENTRIES || term < 0 || term > MAX_TERM) {
         return null;
       }
       List<LogEntry> entries = new ArrayList<>();
-      int places = 0;
+      int locationCount = 0;
       for (int i = 0; i < count; i++) {
-        LogEntry e = entry(in, MOST_PLACES - places);
-        places += e.places().size();
-        entries.add(e);
+        LogEntry entry = readEntry(in, MAX_LOCATIONS - locationCount);
+        locationCount += entry.locations().size();
+        entries.add(entry);
       }
-      return in.end() ? new LogResponse(asker, number, log, term, whole, entries) : null;
+      return in.end()
+          ? new LogResponse(requester, requestNumber, logId, term, complete, entries)
+          : null;
     } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
       return null;
     }
   }
 
-  private static LogEntry entry(Input in, int mostPlaces) {
+  private static LogEntry readEntry(Input in, int maxLocations) {
     long number = in.readVarLong(true);
     String ref = in.readString();
-    long age = in.readVarLong(true);
+    long ageMs = in.readVarLong(true);
     int count = in.readVarInt(true);
-    if (number < 1 || ref == null || age < 0 || count < 0 || count > mostPlaces) {
+    if (number < 1 || ref == null || ageMs < 0 || count < 0 || count > maxLocations) {
       throw new IllegalArgumentException("no entry of a log");
     }
-    List<Cancellation.TaskLocation> places = new ArrayList<>();
+    List<Cancellation.TaskLocation> locations = new ArrayList<>();
     FrontCodedNames names = new FrontCodedNames();
     for (int i = 0; i < count; i++) {
       String host = names.read(in);
-      places.add(
+      locations.add(
           new Cancellation.TaskLocation(
               host, in.readVarLong(true), in.readVarInt(true), in.readVarLong(true)));
     }
-    return new LogEntry(number, ref, age, places);
+    return new LogEntry(number, ref, ageMs, locations);
   }
 }
--- a/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
+++ b/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
@@ -31,13 +31,13 @@
  */
 final class CancellationEnforcer {
   private static final Logger LOG = LoggerFactory.getLogger(CancellationEnforcer.class);
-  private static final int MOST_CALLS = 24;
-  private static final int MOST_ADDRESSES = 4000;
-  private static final int MOST_LISTED = 50;
-  private static final int MOST_RETURNED_AT_ONCE = 20;
+  private static final int MAX_CONCURRENT_CALLS = 24;
+  private static final int MAX_ADDRESSES = 4000;
+  private static final int MAX_LISTED_MACHINES = 50;
+  private static final int MAX_RETURNED_PER_TURN = 20;
 
   /** A place at which a cancellation's task is not proved to be absent. */
-  private record RemainingTask(Cancellation cancellation, Cancellation.TaskLocation place) {
+  private record RemainingTask(Cancellation cancellation, Cancellation.TaskLocation location) {
     String ref() {
       return cancellation.ref();
     }
@@ -48,19 +48,20 @@
   private final HttpCaller http;
   private final CloudClient cloud;
   private final Settings settings;
-  private final OpenCancellations open;
-  private final long launchMs;
-  private final long callMs;
-  private final Map<String, String> addresses = new BoundedMap<>(MOST_ADDRESSES);
-  private final Set<String> calling = new HashSet<>();
+  private final OpenCancellations openCancellations;
+  private final long launchWindowMs;
+  private final long callTimeoutMs;
+  private final Map<String, String> addresses = new BoundedMap<>(MAX_ADDRESSES);
+  private final Set<String> hostsWithOpenCall = new HashSet<>();
 
   // What is proved to be absent, by job; forgotten with the job.
-  private final Map<String, Set<Cancellation.TaskLocation>> absent = new HashMap<>();
-  private boolean asking;
-  private boolean returning;
+  private final Map<String, Set<Cancellation.TaskLocation>> absentLocationsByJob = new HashMap<>();
+  private boolean lookupBlocked;
+  private boolean returnBlocked;
 
   /**
-   * Launches may be sent for {@code launchMs} after a cancellation by one who does not know of it.
+   * Launches may be sent for {@code launchWindowMs} after a cancellation by one who does not know
+   * of it.
    */
   CancellationEnforcer(
       Clock clock,
@@ -68,104 +69,112 @@
       HttpCaller http,
       CloudClient cloud,
       Settings settings,
-      OpenCancellations open,
-      long launchMs) {
+      OpenCancellations openCancellations,
+      long launchWindowMs) {
     this.clock = clock;
     this.timers = timers;
     this.http = http;
     this.cloud = cloud;
     this.settings = settings;
-    this.open = open;
-    this.launchMs = launchMs;
-    this.callMs = settings.workers().reportMs() / 2;
+    this.openCancellations = openCancellations;
+    this.launchWindowMs = launchWindowMs;
+    this.callTimeoutMs = settings.workers().reportMs() / 2;
   }
 
   /** A machine's address, as it said itself. */
-  void addressed(String host, String endpoint) {
+  void recordAddress(String host, String endpoint) {
     addresses.put(host, endpoint);
   }
 
   /** One turn over all cancellations that nobody is known to carry out. */
   void enforce() {
-    List<Cancellation> all = open.all();
-    absent.keySet().retainAll(all.stream().map(Cancellation::ref).toList());
-    Map<String, List<RemainingTask>> byHost = new LinkedHashMap<>();
-    List<String> hopeless = new ArrayList<>();
+    List<Cancellation> cancellations = openCancellations.ownCancellations();
+    absentLocationsByJob.keySet().retainAll(cancellations.stream().map(Cancellation::ref).toList());
+    Map<String, List<RemainingTask>> tasksByHost = new LinkedHashMap<>();
+    List<String> hostsToReturn = new ArrayList<>();
     long cancelMs = settings.workers().cancelMs();
-    for (Cancellation cancellation : all) {
-      long ageMs = clock.now() - cancellation.at();
-      boolean carriedOn = open.carriedOn(cancellation.ref());
-      if (ageMs < cancelMs / 16 || carriedOn && ageMs < cancelMs / 2) {
+    for (Cancellation cancellation : cancellations) {
+      long ageMs = clock.now() - cancellation.knownSinceMs();
+      boolean handledByLeader = openCancellations.isHandledByLeader(cancellation.ref());
+      if (ageMs < cancelMs / 16 || handledByLeader && ageMs < cancelMs / 2) {
         continue;
       }
-      Set<Cancellation.TaskLocation> gone = absent.getOrDefault(cancellation.ref(), Set.of());
-      List<Cancellation.TaskLocation> left =
-          cancellation.places().stream().filter(p -> !gone.contains(p)).toList();
-      if (left.isEmpty()) {
-        open.proved(cancellation.ref());
+      Set<Cancellation.TaskLocation> absentLocations =
+          absentLocationsByJob.getOrDefault(cancellation.ref(), Set.of());
+      List<Cancellation.TaskLocation> remainingLocations =
+          cancellation.locations().stream()
+              .filter(location -> !absentLocations.contains(location))
+              .toList();
+      if (remainingLocations.isEmpty()) {
+        openCancellations.remove(cancellation.ref());
       }
-      for (Cancellation.TaskLocation p : left) {
-        byHost
-            .computeIfAbsent(p.host(), h -> new ArrayList<>())
-            .add(new RemainingTask(cancellation, p));
+      for (Cancellation.TaskLocation location : remainingLocations) {
+        tasksByHost
+            .computeIfAbsent(location.host(), h -> new ArrayList<>())
+            .add(new RemainingTask(cancellation, location));
         // Whoever leads returns a machine after half of the time at the latest.
-        if (!carriedOn && ageMs > cancelMs * 5 / 8 && hopeless.size() < MOST_RETURNED_AT_ONCE) {
-          hopeless.add(p.host());
+        if (!handledByLeader
+            && ageMs > cancelMs * 5 / 8
+            && hostsToReturn.size() < MAX_RETURNED_PER_TURN) {
+          hostsToReturn.add(location.host());
         }
       }
     }
-    byHost.forEach(this::visit);
-    giveBack(hopeless.stream().distinct().toList());
+    tasksByHost.forEach(this::haltTasksOn);
+    returnMachines(hostsToReturn.stream().distinct().toList());
   }
 
-  private void visit(String host, List<RemainingTask> tasks) {
-    if (calling.size() >= MOST_CALLS || calling.contains(host)) {
+  private void haltTasksOn(String host, List<RemainingTask> tasks) {
+    if (hostsWithOpenCall.size() >= MAX_CONCURRENT_CALLS || hostsWithOpenCall.contains(host)) {
       return;
     }
     String endpoint = addresses.get(host);
     if (endpoint == null) {
-      lookUp(host);
+      lookUpAddress(host);
       return;
     }
-    calling.add(host);
+    hostsWithOpenCall.add(host);
     http.call(
         endpoint,
         "GET",
         "/status",
         null,
-        callMs,
+        callTimeoutMs,
         reply -> {
           Report report = reply.status() == 200 ? Report.parse(Json.parse(reply.body())) : null;
           if (report == null || !report.host().equals(host)) {
-            calling.remove(host);
+            hostsWithOpenCall.remove(host);
             return;
           }
-          halt(endpoint, report, tasks);
+          sendHalts(endpoint, report, tasks);
         });
   }
 
-  private void halt(String endpoint, Report report, List<RemainingTask> tasks) {
+  private void sendHalts(String endpoint, Report report, List<RemainingTask> tasks) {
     long token = FencingToken.raisedByNonLeader(report.token());
     if (token < 0) {
-      calling.remove(report.host());
+      hostsWithOpenCall.remove(report.host());
       return;
     }
     List<WorkerCommand.Halt> halts =
         tasks.stream()
-            .map(t -> new WorkerCommand.Halt(t.place().key(t.ref()), t.place().number(), 0))
+            .map(
+                task ->
+                    new WorkerCommand.Halt(
+                        task.location().taskKey(task.ref()), task.location().attempt(), 0))
             .toList();
     ObjectNode body = WorkerCommand.call(token, report.session(), halts);
-    long sentAt = clock.now();
+    long sentAtMs = clock.now();
     http.call(
         endpoint,
         "POST",
         "/orders",
         Json.bytes(body),
-        callMs,
+        callTimeoutMs,
         reply -> {
-          calling.remove(report.host());
+          hostsWithOpenCall.remove(report.host());
           if (reply.status() == 200) {
-            conclude(Report.parse(Json.parse(reply.body())), sentAt, tasks);
+            recordAbsentTasks(Report.parse(Json.parse(reply.body())), sentAtMs, tasks);
           }
         });
   }
@@ -175,19 +184,21 @@
    * the raised token. One that a leader who did not know sent later can be, so until none can be
    * sent any more the machine is asked again.
    */
-  private void conclude(Report after, long sentAt, List<RemainingTask> tasks) {
-    if (after == null) {
+  private void recordAbsentTasks(Report reportAfterHalt, long sentAtMs, List<RemainingTask> tasks) {
+    if (reportAfterHalt == null) {
       return;
     }
-    Set<String> there = new HashSet<>();
-    after.tasks().stream()
-        .filter(t -> t.status() != Report.Status.EXITED)
-        .forEach(t -> there.add(t.key()));
-    for (RemainingTask t : tasks) {
-      boolean settled = sentAt > t.cancellation().at() + 2 * launchMs;
-      boolean laterSession = after.session() > t.place().session();
-      if (laterSession || settled && !there.contains(t.place().key(t.ref()))) {
-        absent.computeIfAbsent(t.ref(), k -> new HashSet<>()).add(t.place());
+    Set<String> presentTaskKeys = new HashSet<>();
+    reportAfterHalt.tasks().stream()
+        .filter(task -> task.status() != Report.Status.EXITED)
+        .forEach(task -> presentTaskKeys.add(task.key()));
+    for (RemainingTask task : tasks) {
+      boolean noLaunchCanFollow =
+          sentAtMs > task.cancellation().knownSinceMs() + 2 * launchWindowMs;
+      boolean laterSession = reportAfterHalt.session() > task.location().session();
+      if (laterSession
+          || noLaunchCanFollow && !presentTaskKeys.contains(task.location().taskKey(task.ref()))) {
+        absentLocationsByJob.computeIfAbsent(task.ref(), k -> new HashSet<>()).add(task.location());
       }
     }
   }
@@ -196,51 +207,55 @@
    * The cloud knows a machine's address. Names are listed in order after a given one: after this
    * name less its last letter come few others before it.
    */
-  private void lookUp(String host) {
-    if (asking || host.length() < 2) {
+  private void lookUpAddress(String host) {
+    if (lookupBlocked || host.length() < 2) {
       return;
     }
-    asking = true;
-    String from = host.substring(0, host.length() - 1);
+    lookupBlocked = true;
+    String precedingName = host.substring(0, host.length() - 1);
     cloud.lookUp(
-        from,
-        MOST_LISTED,
+        precedingName,
+        MAX_LISTED_MACHINES,
         reply -> {
           // The leader needs nearly all calls that the cloud allows.
-          timers.after(Math.round(4000 / settings.cloud().rps()), () -> asking = false);
+          timers.after(Math.round(4000 / settings.cloud().rps()), () -> lookupBlocked = false);
           for (JsonNode node : Json.parse(reply.ok() ? reply.body() : new byte[0]).path("hosts")) {
             String name = Json.text(node, "ref");
             String endpoint = Json.text(node, "endpoint");
             if (name != null && endpoint != null) {
-              addressed(name, endpoint);
+              recordAddress(name, endpoint);
             }
           }
         });
   }
 
-  private void giveBack(List<String> hosts) {
-    if (returning || hosts.isEmpty()) {
+  private void returnMachines(List<String> hosts) {
+    if (returnBlocked || hosts.isEmpty()) {
       return;
     }
-    returning = true;
+    returnBlocked = true;
     LOG.warn("{} still hold cancelled work, and nobody else ends it: returning them", hosts);
     cloud.enforceRelease(
         hosts,
         reply -> {
-          timers.after(Math.round(2000 / settings.cloud().rps()), () -> returning = false);
-          returned(hosts, reply);
+          timers.after(Math.round(2000 / settings.cloud().rps()), () -> returnBlocked = false);
+          recordReturned(hosts, reply);
         });
   }
 
-  private void returned(List<String> hosts, HttpReply reply) {
+  private void recordReturned(List<String> hosts, HttpReply reply) {
     if (reply.status() != 200) {
       return;
     }
-    Set<String> gone = new HashSet<>(hosts);
-    for (Cancellation cancellation : open.all()) {
-      cancellation.places().stream()
-          .filter(p -> gone.contains(p.host()))
-          .forEach(p -> absent.computeIfAbsent(cancellation.ref(), k -> new HashSet<>()).add(p));
+    Set<String> returnedHosts = new HashSet<>(hosts);
+    for (Cancellation cancellation : openCancellations.ownCancellations()) {
+      cancellation.locations().stream()
+          .filter(location -> returnedHosts.contains(location.host()))
+          .forEach(
+              location ->
+                  absentLocationsByJob
+                      .computeIfAbsent(cancellation.ref(), k -> new HashSet<>())
+                      .add(location));
     }
   }
 }
--- a/src/main/java/dapplestair/cancellations/CancellationLogSync.java
+++ b/src/main/java/dapplestair/cancellations/CancellationLogSync.java
@@ -13,24 +13,24 @@
 /** Each controller asks every other for what it has confirmed since it was last asked. */
 final class CancellationLogSync implements AutoCloseable {
   /** What is asked of a peer's log, every few moments. */
-  private static final String ASK = "withdrawn";
+  private static final String REQUEST_TOPIC = "withdrawn";
 
   private final Clock clock;
   private final Timers timers;
   private final Settings settings;
   private final Peers peers;
   private final Leadership leadership;
-  private final long process;
-  private final KnownCancellations known;
+  private final long processId;
+  private final KnownCancellations knownCancellations;
   private final CancellationWatermark watermark;
-  private final ObjLongConsumer<CancellationCodec.LogEntry> learn;
-  private final long everyMs;
-  private long asked;
+  private final ObjLongConsumer<CancellationCodec.LogEntry> entryListener;
+  private final long intervalMs;
+  private long lastRequestNumber;
   private Cancellable timer = () -> {};
 
   /**
-   * {@code process} tells this process from its earlier lives; {@code learn} hears what is new and
-   * whose.
+   * {@code processId} tells this process from its earlier lives; {@code entryListener} hears what
+   * is new and whose.
    */
   CancellationLogSync(
       Clock clock,
@@ -38,88 +38,100 @@
       Settings settings,
       Peers peers,
       Leadership leadership,
-      long process,
-      KnownCancellations known,
+      long processId,
+      KnownCancellations knownCancellations,
       CancellationWatermark watermark,
-      ObjLongConsumer<CancellationCodec.LogEntry> learn) {
+      ObjLongConsumer<CancellationCodec.LogEntry> entryListener) {
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
     this.peers = peers;
     this.leadership = leadership;
-    this.process = process;
-    this.known = known;
+    this.processId = processId;
+    this.knownCancellations = knownCancellations;
     this.watermark = watermark;
-    this.learn = learn;
-    this.everyMs = settings.workers().reportMs() / 8;
+    this.entryListener = entryListener;
+    this.intervalMs = settings.workers().reportMs() / 8;
   }
 
   void start() {
-    peers.questions().answer(ASK, this::answer);
-    ask();
+    peers.questions().answer(REQUEST_TOPIC, this::handleRequest);
+    requestAllLogs();
   }
 
   /** Asks each peer what it has confirmed since, again and again. */
-  private void ask() {
+  private void requestAllLogs() {
     for (Settings.Peer peer : settings.peers()) {
-      ask(peer.member());
+      requestLog(peer.member());
     }
-    timer = timers.after(everyMs, this::ask);
+    timer = timers.after(intervalMs, this::requestAllLogs);
   }
 
-  private void ask(String member) {
-    CancellationWatermark.PeerLog peer = watermark.peer(member);
-    long number = ++asked;
-    long askedAt = clock.now();
+  private void requestLog(String member) {
+    CancellationWatermark.PeerLog peerLog = watermark.peerLog(member);
+    long requestNumber = ++lastRequestNumber;
+    long askedAtMs = clock.now();
     byte[] body =
         CancellationCodec.encode(
-            new CancellationCodec.LogRequest(process, number, peer.log, peer.after));
+            new CancellationCodec.LogRequest(
+                processId, requestNumber, peerLog.logId, peerLog.lastEntryNumber));
     peers
         .questions()
-        .ask(member, ASK, body, 4 * everyMs, reply -> answered(peer, number, askedAt, reply));
+        .ask(
+            member,
+            REQUEST_TOPIC,
+            body,
+            4 * intervalMs,
+            reply -> handleResponse(peerLog, requestNumber, askedAtMs, reply));
   }
 
-  private void answered(
-      CancellationWatermark.PeerLog peer, long number, long askedAt, byte[] reply) {
-    CancellationCodec.LogResponse response = reply == null ? null : CancellationCodec.answer(reply);
+  private void handleResponse(
+      CancellationWatermark.PeerLog peerLog, long requestNumber, long askedAtMs, byte[] reply) {
+    CancellationCodec.LogResponse response =
+        reply == null ? null : CancellationCodec.decodeResponse(reply);
     if (reply != null && response == null) {
       peers.questions().refused();
     }
     // An answer to a question of an earlier life of this process says nothing about this one's.
-    if (response == null || response.asker() != process || response.number() != number) {
+    if (response == null
+        || response.requester() != processId
+        || response.requestNumber() != requestNumber) {
       return;
     }
     leadership.observeTerm(response.term());
-    if (response.log() != peer.log) {
-      watermark.met(peer, response.log());
+    if (response.logId() != peerLog.logId) {
+      watermark.startNewLog(peerLog, response.logId());
     }
     for (CancellationCodec.LogEntry entry : response.entries()) {
-      learn.accept(entry, response.log());
-      peer.after = Math.max(peer.after, entry.number());
+      entryListener.accept(entry, response.logId());
+      peerLog.lastEntryNumber = Math.max(peerLog.lastEntryNumber, entry.number());
     }
-    if (response.whole()) {
-      watermark.told(peer, askedAt);
+    if (response.complete()) {
+      watermark.recordComplete(peerLog, askedAtMs);
     }
   }
 
-  private void answer(byte[] body, Consumer<byte[]> reply) {
-    CancellationCodec.LogRequest request = CancellationCodec.ask(body);
+  private void handleRequest(byte[] body, Consumer<byte[]> reply) {
+    CancellationCodec.LogRequest request = CancellationCodec.decodeRequest(body);
     if (request == null) {
       peers.questions().refused();
       return;
     }
-    long after = request.log() == process ? request.after() : 0;
+    long afterNumber = request.logId() == processId ? request.lastEntryNumber() : 0;
     List<CancellationCodec.LogEntry> entries =
-        known.after(after, CancellationCodec.MOST_ENTRIES / 4, CancellationCodec.MOST_PLACES);
-    long last = entries.isEmpty() ? after : entries.get(entries.size() - 1).number();
-    boolean whole = last >= known.lastNumber() || known.after(last, 1, Integer.MAX_VALUE).isEmpty();
+        knownCancellations.entriesAfter(
+            afterNumber, CancellationCodec.MAX_ENTRIES / 4, CancellationCodec.MAX_LOCATIONS);
+    long lastNumber = entries.isEmpty() ? afterNumber : entries.get(entries.size() - 1).number();
+    boolean complete =
+        lastNumber >= knownCancellations.lastLogNumber()
+            || knownCancellations.entriesAfter(lastNumber, 1, Integer.MAX_VALUE).isEmpty();
     CancellationCodec.LogResponse response =
         new CancellationCodec.LogResponse(
-            request.asker(),
-            request.number(),
-            process,
+            request.requester(),
+            request.requestNumber(),
+            processId,
             leadership.highestTermSeen(),
-            whole && !known.forgotTooEarly(),
+            complete && !knownCancellations.hasForgottenTooEarly(),
             entries);
     byte[] bytes = CancellationCodec.encode(response);
     if (bytes != null) {
--- a/src/main/java/dapplestair/cancellations/CancellationWatermark.java
+++ b/src/main/java/dapplestair/cancellations/CancellationWatermark.java
@@ -17,66 +17,76 @@
   /** What is known of one peer's log. */
   static final class PeerLog {
     /** The process whose log it is; a process that begins again has another one. */
-    long log;
+    long logId;
 
     /** The last entry of it that is here. */
-    long after;
+    long lastEntryNumber;
 
     /** When this process was first heard. */
-    long metAt = NEVER;
+    long firstHeardAtMs = NEVER;
 
     /** All that the peer confirmed before this moment is known here. */
-    long upTo = NEVER;
+    long completeUpToMs = NEVER;
   }
 
   private final Clock clock;
-  private final LongSupplier stateAsOf;
-  private final Map<String, PeerLog> peers = new HashMap<>();
+  private final LongSupplier stateReadAtMs;
+  private final Map<String, PeerLog> peerLogs = new HashMap<>();
 
-  /** {@code stateAsOf} is when the newest read of the records was asked for, or {@link #NEVER}. */
-  CancellationWatermark(Clock clock, LongSupplier stateAsOf, Iterable<String> members) {
+  /**
+   * {@code stateReadAtMs} is when the newest read of the records was asked for, or {@link #NEVER}.
+   */
+  CancellationWatermark(Clock clock, LongSupplier stateReadAtMs, Iterable<String> members) {
     this.clock = clock;
-    this.stateAsOf = stateAsOf;
-    members.forEach(m -> peers.put(m, new PeerLog()));
+    this.stateReadAtMs = stateReadAtMs;
+    members.forEach(member -> peerLogs.put(member, new PeerLog()));
   }
 
-  PeerLog peer(String member) {
-    return peers.get(member);
+  PeerLog peerLog(String member) {
+    return peerLogs.get(member);
   }
 
-  /** True when this process is a peer's present one and {@code alive} says so of that peer. */
-  boolean lives(long process, Predicate<String> alive) {
-    return peers.entrySet().stream()
-        .anyMatch(e -> e.getValue().log == process && alive.test(e.getKey()));
+  /**
+   * True when this process is a peer's present one and {@code isMemberAlive} says so of that peer.
+   */
+  boolean isAlive(long processId, Predicate<String> isMemberAlive) {
+    return peerLogs.entrySet().stream()
+        .anyMatch(
+            entry -> entry.getValue().logId == processId && isMemberAlive.test(entry.getKey()));
   }
 
   /** The peer's process is another one than before. */
-  void met(PeerLog peer, long log) {
-    peer.log = log;
-    peer.after = 0;
-    peer.metAt = clock.now();
+  void startNewLog(PeerLog peerLog, long logId) {
+    peerLog.logId = logId;
+    peerLog.lastEntryNumber = 0;
+    peerLog.firstHeardAtMs = clock.now();
   }
 
   /**
-   * The peer has told all that its present life confirmed before {@code askedAt}. What an earlier
+   * The peer has told all that its present life confirmed before {@code askedAtMs}. What an earlier
    * life of it confirmed it does not know itself: only the records tell, if they were read after
    * that life's end. A refused connection or a silence says nothing; both a dead peer and one that
    * is cut off stay at what they told last.
    */
-  void told(PeerLog peer, long askedAt) {
-    if (stateAsOf.getAsLong() >= peer.metAt || peer.upTo >= peer.metAt) {
-      peer.upTo = Math.max(peer.upTo, askedAt);
+  void recordComplete(PeerLog peerLog, long askedAtMs) {
+    if (stateReadAtMs.getAsLong() >= peerLog.firstHeardAtMs
+        || peerLog.completeUpToMs >= peerLog.firstHeardAtMs) {
+      peerLog.completeUpToMs = Math.max(peerLog.completeUpToMs, askedAtMs);
     }
   }
 
   /** How old this knowledge is. */
   long ageMs() {
-    long records = stateAsOf.getAsLong();
-    if (records <= NEVER) {
+    long lastReadAtMs = stateReadAtMs.getAsLong();
+    if (lastReadAtMs <= NEVER) {
       // What an earlier life of this controller confirmed is on record at best.
       return Long.MAX_VALUE / 2;
     }
-    long least = peers.values().stream().mapToLong(p -> p.upTo).min().orElse(clock.now());
-    return clock.now() - Math.max(records, least);
+    long earliestPeerMs =
+        peerLogs.values().stream()
+            .mapToLong(peerLog -> peerLog.completeUpToMs)
+            .min()
+            .orElse(clock.now());
+    return clock.now() - Math.max(lastReadAtMs, earliestPeerMs);
   }
 }
--- a/src/main/java/dapplestair/cancellations/ForgottenMachines.java
+++ b/src/main/java/dapplestair/cancellations/ForgottenMachines.java
@@ -28,16 +28,16 @@
   private static final Logger LOG = LoggerFactory.getLogger(ForgottenMachines.class);
 
   /** Whether a controller has read no record since it began. */
-  private static final String RECORDLESS = "recordless";
+  private static final String NO_RECORDS_TOPIC = "recordless";
 
   private static final byte YES = 1;
   private static final byte NO = 0;
 
   // Every worker that can has tried every controller within less than half of a lease.
-  private static final int SILENT_PER_LEASE = 2;
-  private static final int MOST_HEARD = 8000;
-  private static final int MOST_LISTED = 500;
-  private static final int MOST_RETURNED_AT_ONCE = 100;
+  private static final int SILENCE_PERIODS_PER_LEASE = 2;
+  private static final int MAX_HEARD_MACHINES = 8000;
+  private static final int MAX_MACHINES_PER_PAGE = 500;
+  private static final int MAX_RETURNED_PER_CALL = 100;
 
   /** A machine that may run something and is silent. */
   private record SilentMachine(String host, String zone) {}
@@ -50,19 +50,21 @@
     /** Zones of which a machine is heard. */
     final Set<String> heardZones = new HashSet<>();
 
-    final List<SilentMachine> silent = new ArrayList<>();
+    final List<SilentMachine> silentMachines = new ArrayList<>();
 
     /**
      * Machines that are silent while others are heard. A zone of which nothing is heard, neither
      * machines nor its controller, is cut off: that controller may know what was cancelled.
      */
-    List<String> forgotten() {
+    List<String> forgottenHosts() {
       if (heardZones.isEmpty()) {
         // It is rather we who are cut off.
         return List.of();
       }
-      return silent.stream()
-          .filter(m -> heardZones.contains(m.zone()) || !unansweredZones.contains(m.zone()))
+      return silentMachines.stream()
+          .filter(
+              machine ->
+                  heardZones.contains(machine.zone()) || !unansweredZones.contains(machine.zone()))
           .map(SilentMachine::host)
           .toList();
     }
@@ -73,147 +75,147 @@
   private final CloudClient cloud;
   private final Settings settings;
   private final Peers peers;
-  private final BooleanSupplier recordless;
-  private final Map<String, Long> heardAt = new BoundedMap<>(MOST_HEARD);
-  private long startedAt;
-  private boolean busy;
+  private final BooleanSupplier hasNoRecords;
+  private final Map<String, Long> lastReportAtMs = new BoundedMap<>(MAX_HEARD_MACHINES);
+  private long startedAtMs;
+  private boolean turnInProgress;
 
-  /** {@code recordless} is true while this controller has read no record since it began. */
+  /** {@code hasNoRecords} is true while this controller has read no record since it began. */
   ForgottenMachines(
       Clock clock,
       Timers timers,
       CloudClient cloud,
       Settings settings,
       Peers peers,
-      BooleanSupplier recordless) {
+      BooleanSupplier hasNoRecords) {
     this.clock = clock;
     this.timers = timers;
     this.cloud = cloud;
     this.settings = settings;
     this.peers = peers;
-    this.recordless = recordless;
+    this.hasNoRecords = hasNoRecords;
   }
 
   void start() {
-    startedAt = clock.now();
+    startedAtMs = clock.now();
     peers
         .questions()
         .answer(
-            RECORDLESS,
-            (body, reply) -> reply.accept(new byte[] {recordless.getAsBoolean() ? YES : NO}));
+            NO_RECORDS_TOPIC,
+            (body, reply) -> reply.accept(new byte[] {hasNoRecords.getAsBoolean() ? YES : NO}));
   }
 
   /** A machine reported here. */
-  void heard(String host) {
-    if (recordless.getAsBoolean()) {
-      heardAt.put(host, clock.now());
+  void recordReport(String host) {
+    if (hasNoRecords.getAsBoolean()) {
+      lastReportAtMs.put(host, clock.now());
     }
   }
 
   /** One turn. */
-  void look() {
-    if (!recordless.getAsBoolean()) {
-      heardAt.clear();
+  void runTurn() {
+    if (!hasNoRecords.getAsBoolean()) {
+      lastReportAtMs.clear();
       return;
     }
-    if (!busy && clock.now() - startedAt >= silentMs()) {
-      busy = true;
+    if (!turnInProgress && clock.now() - startedAtMs >= silenceThresholdMs()) {
+      turnInProgress = true;
       askPeers(0, new Survey());
     }
   }
 
-  private long silentMs() {
-    return settings.workers().leaseMs() / SILENT_PER_LEASE;
+  private long silenceThresholdMs() {
+    return settings.workers().leaseMs() / SILENCE_PERIODS_PER_LEASE;
   }
 
   /**
    * None of them may say that it has records: it looks after what it knows. One that is away, or
    * cut off, cannot be asked, and need not remember either.
    */
-  private void askPeers(int next, Survey survey) {
-    if (next == settings.peers().size()) {
-      list(null, survey);
+  private void askPeers(int peerIndex, Survey survey) {
+    if (peerIndex == settings.peers().size()) {
+      listMachines(null, survey);
       return;
     }
-    Settings.Peer peer = settings.peers().get(next);
+    Settings.Peer peer = settings.peers().get(peerIndex);
     peers
         .questions()
         .ask(
             peer.member(),
-            RECORDLESS,
+            NO_RECORDS_TOPIC,
             new byte[0],
             settings.workers().reportMs() / 4,
-            reply -> answered(peer, next, survey, reply));
+            reply -> handlePeerReply(peer, peerIndex, survey, reply));
   }
 
-  private void answered(Settings.Peer peer, int index, Survey survey, byte[] reply) {
-    boolean answers = reply != null && reply.length == 1;
-    if (answers ? reply[0] != YES : peers.alive(peer.member())) {
-      rest();
+  private void handlePeerReply(Settings.Peer peer, int peerIndex, Survey survey, byte[] reply) {
+    boolean hasAnswered = reply != null && reply.length == 1;
+    if (hasAnswered ? reply[0] != YES : peers.alive(peer.member())) {
+      endTurn();
       return;
     }
-    if (!answers && !peers.seemsEnded(peer.member())) {
+    if (!hasAnswered && !peers.seemsEnded(peer.member())) {
       survey.unansweredZones.add(peer.zone());
     }
-    askPeers(index + 1, survey);
+    askPeers(peerIndex + 1, survey);
   }
 
   /** The next turn comes after a while: the leader to be needs nearly all of the cloud's calls. */
-  private void rest() {
-    timers.after(Math.round(4000 / settings.cloud().rps()), () -> busy = false);
+  private void endTurn() {
+    timers.after(Math.round(4000 / settings.cloud().rps()), () -> turnInProgress = false);
   }
 
-  private void list(String from, Survey survey) {
+  private void listMachines(String afterHost, Survey survey) {
     cloud.lookUp(
-        from,
-        MOST_LISTED,
+        afterHost,
+        MAX_MACHINES_PER_PAGE,
         reply -> {
           JsonNode page = reply.ok() ? Json.parse(reply.body()) : null;
-          if (page == null || !recordless.getAsBoolean()) {
-            rest();
+          if (page == null || !hasNoRecords.getAsBoolean()) {
+            endTurn();
             return;
           }
-          String last = from;
+          String lastHost = afterHost;
           for (JsonNode node : page.path("hosts")) {
-            last = Json.text(node, "ref");
-            enter(survey, last, node);
+            lastHost = Json.text(node, "ref");
+            addToSurvey(survey, lastHost, node);
           }
           if (page.path("more").asBoolean()) {
-            list(last, survey);
+            listMachines(lastHost, survey);
           } else {
-            release(survey.forgotten());
+            returnMachines(survey.forgottenHosts());
           }
         });
   }
 
-  private void enter(Survey survey, String host, JsonNode node) {
+  private void addToSurvey(Survey survey, String host, JsonNode node) {
     String zone = Json.text(node, "basin");
     if (isHeard(host)) {
       survey.heardZones.add(zone);
-    } else if (ranBefore(node)) {
-      survey.silent.add(new SilentMachine(host, zone));
+    } else if (ranBeforeStart(node)) {
+      survey.silentMachines.add(new SilentMachine(host, zone));
     }
   }
 
   private boolean isHeard(String host) {
-    Long at = heardAt.get(host);
-    return at != null && clock.now() - at < silentMs();
+    Long reportAtMs = lastReportAtMs.get(host);
+    return reportAtMs != null && clock.now() - reportAtMs < silenceThresholdMs();
   }
 
   /** True when it was up before this controller began, so that something may run there. */
-  private boolean ranBefore(JsonNode node) {
+  private boolean ranBeforeStart(JsonNode node) {
     double ageMs = 1000 * node.path("ageS").asDouble();
-    return "running".equals(Json.text(node, "status")) && ageMs > clock.now() - startedAt;
+    return "running".equals(Json.text(node, "status")) && ageMs > clock.now() - startedAtMs;
   }
 
-  private void release(List<String> hosts) {
-    if (hosts.isEmpty() || !recordless.getAsBoolean()) {
-      rest();
+  private void returnMachines(List<String> hosts) {
+    if (hosts.isEmpty() || !hasNoRecords.getAsBoolean()) {
+      endTurn();
       return;
     }
-    int count = Math.min(MOST_RETURNED_AT_ONCE, hosts.size());
-    List<String> some = hosts.subList(0, count);
-    LOG.warn("no controller has records, and {} are silent: returning them", some);
-    cloud.enforceRelease(some, reply -> release(hosts.subList(count, hosts.size())));
+    int count = Math.min(MAX_RETURNED_PER_CALL, hosts.size());
+    List<String> batch = hosts.subList(0, count);
+    LOG.warn("no controller has records, and {} are silent: returning them", batch);
+    cloud.enforceRelease(batch, reply -> returnMachines(hosts.subList(count, hosts.size())));
   }
 }
--- a/src/main/java/dapplestair/cancellations/KnownCancellations.java
+++ b/src/main/java/dapplestair/cancellations/KnownCancellations.java
@@ -17,149 +17,152 @@
 public final class KnownCancellations {
   /**
    * Beyond these the oldest are forgotten. Whoever forgets one before its time must not vouch for
-   * what it knows: see {@link #forgotTooEarly}.
+   * what it knows: see {@link #hasForgottenTooEarly}.
    */
-  private static final int MOST_KEPT = 20_000;
+  private static final int MAX_CANCELLATIONS = 20_000;
 
   /** A cancelled job's attempt at a place. */
-  public record CancelledTask(String ref, Cancellation.TaskLocation place) {}
+  public record CancelledTask(String ref, Cancellation.TaskLocation location) {}
 
   private final Clock clock;
-  private final long keptMs;
-  private final Map<String, Cancellation> known = new LinkedHashMap<>();
+  private final long retentionMs;
+  private final Map<String, Cancellation> cancellationsByJob = new LinkedHashMap<>();
   // What was told to users here, in the order of its telling.
-  private final Map<String, Long> numbers = new LinkedHashMap<>();
-  private final Set<String> told = new HashSet<>();
-  private final Map<String, Set<CancelledTask>> byHost = new HashMap<>();
-  private long lastNumber;
-  private long forgotAt = Long.MIN_VALUE / 2;
+  private final Map<String, Long> logNumbers = new LinkedHashMap<>();
+  private final Set<String> jobsToldToUsers = new HashSet<>();
+  private final Map<String, Set<CancelledTask>> tasksByHost = new HashMap<>();
+  private long lastLogNumber;
+  private long forgotTooEarlyAtMs = Long.MIN_VALUE / 2;
 
-  KnownCancellations(Clock clock, long keptMs) {
+  KnownCancellations(Clock clock, long retentionMs) {
     this.clock = clock;
-    this.keptMs = keptMs;
+    this.retentionMs = retentionMs;
   }
 
-  boolean knows(String ref) {
-    return known.containsKey(ref);
+  boolean contains(String ref) {
+    return cancellationsByJob.containsKey(ref);
   }
 
   Cancellation get(String ref) {
-    return known.get(ref);
+    return cancellationsByJob.get(ref);
   }
 
   /** Enters one; true when it is new. What is learned of its places later is added. */
-  boolean learn(String ref, long ageMs, List<Cancellation.TaskLocation> places) {
-    forget();
-    Cancellation before = known.get(ref);
-    if (before == null) {
-      Cancellation cancellation = new Cancellation(ref, clock.now() - ageMs, List.copyOf(places));
-      known.put(ref, cancellation);
+  boolean learn(String ref, long ageMs, List<Cancellation.TaskLocation> locations) {
+    removeExpired();
+    Cancellation previous = cancellationsByJob.get(ref);
+    if (previous == null) {
+      Cancellation cancellation =
+          new Cancellation(ref, clock.now() - ageMs, List.copyOf(locations));
+      cancellationsByJob.put(ref, cancellation);
       index(cancellation);
       return true;
     }
-    List<Cancellation.TaskLocation> more = new ArrayList<>(places);
-    more.removeAll(new HashSet<>(before.places()));
-    if (!more.isEmpty()) {
-      more.addAll(before.places());
-      Cancellation cancellation = new Cancellation(ref, before.at(), List.copyOf(more));
-      known.replace(ref, cancellation);
+    List<Cancellation.TaskLocation> newLocations = new ArrayList<>(locations);
+    newLocations.removeAll(new HashSet<>(previous.locations()));
+    if (!newLocations.isEmpty()) {
+      newLocations.addAll(previous.locations());
+      Cancellation cancellation =
+          new Cancellation(ref, previous.knownSinceMs(), List.copyOf(newLocations));
+      cancellationsByJob.replace(ref, cancellation);
       index(cancellation);
     }
     return false;
   }
 
   private void index(Cancellation cancellation) {
-    for (Cancellation.TaskLocation location : cancellation.places()) {
-      byHost
+    for (Cancellation.TaskLocation location : cancellation.locations()) {
+      tasksByHost
           .computeIfAbsent(location.host(), h -> new HashSet<>())
           .add(new CancelledTask(cancellation.ref(), location));
     }
   }
 
   /** Attempts of cancelled jobs that may be on this machine. */
-  Set<CancelledTask> on(String host) {
-    return byHost.getOrDefault(host, Set.of());
+  Set<CancelledTask> tasksOn(String host) {
+    return tasksByHost.getOrDefault(host, Set.of());
   }
 
   /** A user is told of it, here or elsewhere. True the first time. */
-  boolean told(String ref) {
-    return known.containsKey(ref) && told.add(ref);
+  boolean markToldToUser(String ref) {
+    return cancellationsByJob.containsKey(ref) && jobsToldToUsers.add(ref);
   }
 
   /** It is about to be told to a user here. False if it was before. */
-  boolean log(String ref) {
-    if (numbers.containsKey(ref)) {
+  boolean appendToLog(String ref) {
+    if (logNumbers.containsKey(ref)) {
       return false;
     }
-    numbers.put(ref, ++lastNumber);
+    logNumbers.put(ref, ++lastLogNumber);
     return true;
   }
 
   /** True when a user was told of it here. */
-  boolean logged(String ref) {
-    return numbers.containsKey(ref);
+  boolean isInLog(String ref) {
+    return logNumbers.containsKey(ref);
   }
 
   /** The place of a cancellation in this controller's log, or 0. */
-  long number(String ref) {
-    return numbers.getOrDefault(ref, 0L);
+  long logNumber(String ref) {
+    return logNumbers.getOrDefault(ref, 0L);
   }
 
-  long lastNumber() {
-    return lastNumber;
+  long lastLogNumber() {
+    return lastLogNumber;
   }
 
-  /** Entries of the log after a number, oldest first; stops before {@code mostPlaces}. */
-  List<CancellationCodec.LogEntry> after(long number, int most, int mostPlaces) {
-    forget();
-    List<CancellationCodec.LogEntry> out = new ArrayList<>();
-    int places = 0;
-    for (Map.Entry<String, Long> entry : numbers.entrySet()) {
-      if (entry.getValue() <= number) {
+  /** Entries of the log after a number, oldest first; stops before {@code maxLocations}. */
+  List<CancellationCodec.LogEntry> entriesAfter(long number, int maxEntries, int maxLocations) {
+    removeExpired();
+    List<CancellationCodec.LogEntry> entries = new ArrayList<>();
+    int locationCount = 0;
+    for (Map.Entry<String, Long> numberByJob : logNumbers.entrySet()) {
+      if (numberByJob.getValue() <= number) {
         continue;
       }
-      Cancellation cancellation = known.get(entry.getKey());
-      if (out.size() >= most || places + cancellation.places().size() > mostPlaces) {
+      Cancellation cancellation = cancellationsByJob.get(numberByJob.getKey());
+      if (entries.size() >= maxEntries
+          || locationCount + cancellation.locations().size() > maxLocations) {
         break;
       }
-      places += cancellation.places().size();
-      out.add(
+      locationCount += cancellation.locations().size();
+      entries.add(
           new CancellationCodec.LogEntry(
-              entry.getValue(),
+              numberByJob.getValue(),
               cancellation.ref(),
-              Math.max(0, clock.now() - cancellation.at()),
-              cancellation.places()));
+              Math.max(0, clock.now() - cancellation.knownSinceMs()),
+              cancellation.locations()));
     }
-    return out;
+    return entries;
   }
 
   /** True when something was forgotten that may matter still. */
-  boolean forgotTooEarly() {
-    return clock.now() - forgotAt < keptMs;
+  boolean hasForgottenTooEarly() {
+    return clock.now() - forgotTooEarlyAtMs < retentionMs;
   }
 
   /** What is too old to matter goes. */
-  void forget() {
-    long before = clock.now() - keptMs;
-    Iterator<Cancellation> oldest = known.values().iterator();
+  void removeExpired() {
+    long expiryMs = clock.now() - retentionMs;
+    Iterator<Cancellation> oldest = cancellationsByJob.values().iterator();
     while (oldest.hasNext()) {
       Cancellation cancellation = oldest.next();
-      boolean old = cancellation.at() < before;
-      if (!old && known.size() <= MOST_KEPT) {
+      boolean expired = cancellation.knownSinceMs() < expiryMs;
+      if (!expired && cancellationsByJob.size() <= MAX_CANCELLATIONS) {
         return;
       }
-      if (!old) {
-        forgotAt = clock.now();
+      if (!expired) {
+        forgotTooEarlyAtMs = clock.now();
       }
       oldest.remove();
-      numbers.remove(cancellation.ref());
-      told.remove(cancellation.ref());
-      for (Cancellation.TaskLocation location : cancellation.places()) {
-        Set<CancelledTask> on = byHost.get(location.host());
-        if (on != null) {
-          on.remove(new CancelledTask(cancellation.ref(), location));
-          if (on.isEmpty()) {
-            byHost.remove(location.host());
+      logNumbers.remove(cancellation.ref());
+      jobsToldToUsers.remove(cancellation.ref());
+      for (Cancellation.TaskLocation location : cancellation.locations()) {
+        Set<CancelledTask> hostTasks = tasksByHost.get(location.host());
+        if (hostTasks != null) {
+          hostTasks.remove(new CancelledTask(cancellation.ref(), location));
+          if (hostTasks.isEmpty()) {
+            tasksByHost.remove(location.host());
           }
         }
       }
--- a/src/main/java/dapplestair/cancellations/OpenCancellations.java
+++ b/src/main/java/dapplestair/cancellations/OpenCancellations.java
@@ -13,113 +13,116 @@
  * those of other controllers' users, which are looked after here once that controller has ended.
  */
 final class OpenCancellations {
-  private static final long OURS = 0;
+  private static final long THIS_CONTROLLER = 0;
 
   private static final class OpenCancellation {
-    final long toldAt;
-    long teller;
-    long carriedOnAt = CancellationWatermark.NEVER;
+    final long userToldAtMs;
+    long ownerProcess;
+    long leaderConfirmedAtMs = CancellationWatermark.NEVER;
 
-    OpenCancellation(long toldAt, long teller) {
-      this.toldAt = toldAt;
-      this.teller = teller;
+    OpenCancellation(long userToldAtMs, long ownerProcess) {
+      this.userToldAtMs = userToldAtMs;
+      this.ownerProcess = ownerProcess;
     }
 
-    boolean ours() {
-      return teller == OURS;
+    boolean isOwnedHere() {
+      return ownerProcess == THIS_CONTROLLER;
     }
   }
 
   private final Clock clock;
-  private final KnownCancellations known;
-  private final long carriedOnMs;
-  private final Map<String, OpenCancellation> open = new LinkedHashMap<>();
+  private final KnownCancellations knownCancellations;
+  private final long leaderConfirmationValidMs;
+  private final Map<String, OpenCancellation> openByJob = new LinkedHashMap<>();
 
-  /** Whoever says that it carries one on is believed for {@code carriedOnMs}. */
-  OpenCancellations(Clock clock, KnownCancellations known, long carriedOnMs) {
+  /** Whoever says that it carries one on is believed for {@code leaderConfirmationValidMs}. */
+  OpenCancellations(
+      Clock clock, KnownCancellations knownCancellations, long leaderConfirmationValidMs) {
     this.clock = clock;
-    this.known = known;
-    this.carriedOnMs = carriedOnMs;
+    this.knownCancellations = knownCancellations;
+    this.leaderConfirmationValidMs = leaderConfirmationValidMs;
   }
 
   /** Its user is told now. */
-  void told(String ref) {
-    open.put(ref, new OpenCancellation(clock.now(), OURS));
+  void addOwn(String ref) {
+    openByJob.put(ref, new OpenCancellation(clock.now(), THIS_CONTROLLER));
   }
 
   /** Its user was told some time ago by another controller's process, which looks after it. */
-  void heard(String ref, long teller, long ageMs) {
-    open.putIfAbsent(ref, new OpenCancellation(clock.now() - ageMs, teller));
+  void addFromPeer(String ref, long ownerProcess, long ageMs) {
+    openByJob.putIfAbsent(ref, new OpenCancellation(clock.now() - ageMs, ownerProcess));
   }
 
   /**
    * Takes over from those that have ended. In an outage nobody leads who would read of it: without
    * this, what a machine that hangs runs of a cancelled job would stay for as long as it hangs.
    */
-  void adopt(LongPredicate lives) {
-    for (OpenCancellation o : open.values()) {
-      if (!o.ours() && !lives.test(o.teller)) {
-        o.teller = OURS;
+  void adoptOrphaned(LongPredicate isAlive) {
+    for (OpenCancellation cancellation : openByJob.values()) {
+      if (!cancellation.isOwnedHere() && !isAlive.test(cancellation.ownerProcess)) {
+        cancellation.ownerProcess = THIS_CONTROLLER;
         // A leader may carry it on: it is asked before anything is done here.
-        o.carriedOnAt = clock.now();
+        cancellation.leaderConfirmedAtMs = clock.now();
       }
     }
   }
 
   /** It is proved that nothing is left of it. */
-  void proved(String ref) {
-    open.remove(ref);
+  void remove(String ref) {
+    openByJob.remove(ref);
   }
 
   /** Those of which this holds need nothing more. */
-  void prove(Predicate<String> carriedOut) {
-    open.keySet().removeIf(carriedOut);
+  void removeIf(Predicate<String> isCarriedOut) {
+    openByJob.keySet().removeIf(isCarriedOut);
   }
 
   /** A leader says that it carries this one out. */
-  void carriedOnNow(String ref) {
-    OpenCancellation o = open.get(ref);
-    if (o != null) {
-      o.carriedOnAt = clock.now();
+  void recordLeaderConfirmation(String ref) {
+    OpenCancellation cancellation = openByJob.get(ref);
+    if (cancellation != null) {
+      cancellation.leaderConfirmedAtMs = clock.now();
     }
   }
 
   /** True while a leader says that it carries this one out. */
-  boolean carriedOn(String ref) {
-    OpenCancellation o = open.get(ref);
-    return o == null || clock.now() - o.carriedOnAt < carriedOnMs;
+  boolean isHandledByLeader(String ref) {
+    OpenCancellation cancellation = openByJob.get(ref);
+    return cancellation == null
+        || clock.now() - cancellation.leaderConfirmedAtMs < leaderConfirmationValidMs;
   }
 
   int size() {
-    return refs().size();
+    return ownRefs().size();
   }
 
   /** For how long the oldest has been open, milliseconds. */
-  long oldestMs() {
-    return open.values().stream()
-        .filter(OpenCancellation::ours)
-        .mapToLong(o -> clock.now() - o.toldAt)
+  long oldestAgeMs() {
+    return openByJob.values().stream()
+        .filter(OpenCancellation::isOwnedHere)
+        .mapToLong(cancellation -> clock.now() - cancellation.userToldAtMs)
         .max()
         .orElse(0);
   }
 
-  List<String> refs() {
-    return open.entrySet().stream()
-        .filter(e -> e.getValue().ours())
+  List<String> ownRefs() {
+    return openByJob.entrySet().stream()
+        .filter(entry -> entry.getValue().isOwnedHere())
         .map(Map.Entry::getKey)
         .toList();
   }
 
   /** Each with its places, as of the moment at which its user was told. */
-  List<Cancellation> all() {
-    List<Cancellation> out = new ArrayList<>();
-    open.forEach(
-        (ref, o) -> {
-          Cancellation cancellation = known.get(ref);
-          if (cancellation != null && o.ours()) {
-            out.add(new Cancellation(ref, o.toldAt, cancellation.places()));
+  List<Cancellation> ownCancellations() {
+    List<Cancellation> cancellations = new ArrayList<>();
+    openByJob.forEach(
+        (ref, openCancellation) -> {
+          Cancellation cancellation = knownCancellations.get(ref);
+          if (cancellation != null && openCancellation.isOwnedHere()) {
+            cancellations.add(
+                new Cancellation(ref, openCancellation.userToldAtMs, cancellation.locations()));
           }
         });
-    return out;
+    return cancellations;
   }
 }
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -193,23 +193,23 @@
   /** The ledger and the users' desk hear of what others confirmed. */
   private final class CancellationEvents implements Cancellations.Listener {
     @Override
-    public void cancelled(String ref) {
+    public void onCancelled(String ref) {
       core.submissions.ended(ref, false);
       core.ledger.cancelled(ref);
     }
 
     @Override
-    public List<Cancellation.TaskLocation> places(String ref) {
+    public List<Cancellation.TaskLocation> taskLocations(String ref) {
       return core.ledger.places(ref);
     }
 
     @Override
-    public boolean begun() {
+    public boolean leadsWithAllAttempts() {
       return core.ledger.armed();
     }
 
     @Override
-    public boolean proved(String ref) {
+    public boolean isProvedAbsent(String ref) {
       return core.leadership.isLeading() && core.ledger.nothingLeft(ref);
     }
   }
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -59,15 +59,15 @@
         .gauge(
             "withdrawals_known_to_age_seconds",
             "Age of the knowledge of all confirmed cancellations; leases are kept only while it is small.",
-            () -> components.cancellations().ageMs() / 1000.0)
+            () -> components.cancellations().knowledgeAgeMs() / 1000.0)
         .gauge(
             "withdrawals_open",
             "Cancellations told to users here that are not proved to be carried out.",
-            () -> components.cancellations().open())
+            () -> components.cancellations().openCount())
         .gauge(
             "withdrawals_open_oldest_seconds",
             "For how long the oldest of them has been so.",
-            () -> components.cancellations().openMs() / 1000.0)
+            () -> components.cancellations().oldestOpenMs() / 1000.0)
         .gauge(
             "peer_messages_refused",
             "Messages of peers that were garbled, too large or of an unknown form.",
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -115,7 +115,7 @@
       ledger.launchBatchRemoved(key);
     } else if (key.startsWith(StateKeys.JOB)) {
       // While the ledger still has what was recorded of it.
-      cancellations.removed(key.substring(StateKeys.JOB.length()));
+      cancellations.recordRemovedJob(key.substring(StateKeys.JOB.length()));
       ledger.jobRemoved(key.substring(StateKeys.JOB.length()));
       if (admin != null) {
         admin.jobRemoved(key.substring(StateKeys.JOB.length()));
--- a/src/main/java/dapplestair/node/StatusReporter.java
+++ b/src/main/java/dapplestair/node/StatusReporter.java
@@ -56,7 +56,7 @@
 
   /** Before the records were read once nothing is known at all. */
   private String knownTo() {
-    long ms = cancellations.ageMs();
+    long ms = cancellations.knowledgeAgeMs();
     return ms > Integer.MAX_VALUE ? "never" : "%.1f s".formatted(ms / 1000.0);
   }
 
@@ -73,8 +73,8 @@
                 state.takePutCounts(),
                 submissions.unansweredMs() / 1000.0,
                 knownTo(),
-                cancellations.open(),
-                cancellations.openMs() / 1000.0);
+                cancellations.openCount(),
+                cancellations.oldestOpenMs() / 1000.0);
     if (relay.on()) {
       line += "; connections spread, %d reports relayed".formatted(relay.relayed());
     }
--- a/src/main/java/dapplestair/workers/LeaseRenewal.java
+++ b/src/main/java/dapplestair/workers/LeaseRenewal.java
@@ -73,7 +73,7 @@
       }
     }
     for (Report.Task task : report.tasks()) {
-      boolean over = cancellations.knows(task.ref()) || !ledger.live(task.ref());
+      boolean over = cancellations.isKnown(task.ref()) || !ledger.live(task.ref());
       if (task.status() != Report.Status.EXITED && over) {
         add(halts, task.key(), task.attempt());
       }
@@ -100,7 +100,7 @@
       if (task.status() == Report.Status.EXITED) {
         continue;
       }
-      if (cancellations.knows(task.ref())) {
+      if (cancellations.isKnown(task.ref())) {
         add(halts, task.key(), task.attempt());
       } else if (!ledger.live(task.ref()) && !notOverWhenRead.test(task.ref())) {
         LOG.debug("no lease for {}: {} is on no record here", report.host(), task.ref());
@@ -108,8 +108,8 @@
       }
     }
     for (KnownCancellations.CancelledTask task :
-        cancellations.on(report.host(), report.session())) {
-      add(halts, task.place().key(task.ref()), task.place().number());
+        cancellations.tasksOn(report.host(), report.session())) {
+      add(halts, task.location().taskKey(task.ref()), task.location().attempt());
     }
     long token = raisedFor(report);
     return token < 0 ? null : answer(token, halts);
@@ -121,9 +121,9 @@
    */
   private long raisedFor(Report report) {
     Raised last = raised.get(report.host());
-    long needed = cancellations.newestAt() + cancellations.launchMs();
+    long needed = cancellations.lastLearnedAtMs() + cancellations.launchWindowMs();
     boolean shown = last != null && last.at() > needed && report.token() >= last.token();
-    if (shown || clock.now() - cancellations.newestAt() > cancellations.keptMs()) {
+    if (shown || clock.now() - cancellations.lastLearnedAtMs() > cancellations.retentionMs()) {
       return report.token();
     }
     long token = FencingToken.raisedByNonLeader(report.token());
--- a/src/main/java/dapplestair/workers/ReportHandler.java
+++ b/src/main/java/dapplestair/workers/ReportHandler.java
@@ -90,7 +90,7 @@
     // A higher token means that somebody else leads by now. To be looked at before any 200: a
     // worker that has to drop a 200 stays here while its lease runs out.
     leadership.observeTerm(FencingToken.term(report.token()));
-    cancellations.addressed(report.host(), report.endpoint());
+    cancellations.recordAddress(report.host(), report.endpoint());
     beats++;
     if (!leading.getAsBoolean() || !leadership.isLeading()) {
       if (!relay.take(exchange, report, () -> redirect(exchange, report))) {
--- a/src/test/java/dapplestair/cancellations/CancellationCodecTest.java
+++ b/src/test/java/dapplestair/cancellations/CancellationCodecTest.java
@@ -25,9 +25,9 @@
   @Test
   void messagesComeBackAsTheyWere() {
     CancellationCodec.LogRequest request = new CancellationCodec.LogRequest(-77, 4, 99, 1000);
-    assertEquals(request, CancellationCodec.ask(CancellationCodec.encode(request)));
+    assertEquals(request, CancellationCodec.decodeRequest(CancellationCodec.encode(request)));
     CancellationCodec.LogResponse response = answer(5, 40);
-    assertEquals(response, CancellationCodec.answer(CancellationCodec.encode(response)));
+    assertEquals(response, CancellationCodec.decodeResponse(CancellationCodec.encode(response)));
   }
 
   /** Whatever comes, nothing is thrown; forms, terms and sizes that are not ours are refused. */
@@ -41,21 +41,24 @@
       for (int k = 0; k < 4; k++) {
         bad[random.nextInt(bad.length)] = (byte) random.nextInt(256);
       }
-      CancellationCodec.answer(Arrays.copyOf(bad, random.nextInt(bad.length + 1)));
-      CancellationCodec.ask(Arrays.copyOf(bad, random.nextInt(bad.length + 1)));
+      CancellationCodec.decodeResponse(Arrays.copyOf(bad, random.nextInt(bad.length + 1)));
+      CancellationCodec.decodeRequest(Arrays.copyOf(bad, random.nextInt(bad.length + 1)));
     }
-    assertNull(CancellationCodec.answer(Arrays.copyOf(good, good.length - 1)), "cut short");
+    assertNull(CancellationCodec.decodeResponse(Arrays.copyOf(good, good.length - 1)), "cut short");
     assertNull(
-        CancellationCodec.answer(Arrays.copyOf(good, good.length + 1)), "something after it");
-    assertNull(CancellationCodec.ask(new byte[0]));
-    good[0] = CancellationCodec.FORM + 1;
-    ask[0] = CancellationCodec.FORM + 1;
-    assertNull(CancellationCodec.answer(good), "another form");
-    assertNull(CancellationCodec.ask(ask), "another form");
+        CancellationCodec.decodeResponse(Arrays.copyOf(good, good.length + 1)),
+        "something after it");
+    assertNull(CancellationCodec.decodeRequest(new byte[0]));
+    good[0] = CancellationCodec.FORMAT_VERSION + 1;
+    ask[0] = CancellationCodec.FORMAT_VERSION + 1;
+    assertNull(CancellationCodec.decodeResponse(good), "another form");
+    assertNull(CancellationCodec.decodeRequest(ask), "another form");
     CancellationCodec.LogResponse term =
         new CancellationCodec.LogResponse(1, 1, 1, 1L << 50, true, List.of());
-    assertNull(CancellationCodec.answer(CancellationCodec.encode(term)), "no term of any leader");
-    CancellationCodec.LogResponse large = answer(2, CancellationCodec.MOST_PLACES / 2 + 1);
-    assertNull(CancellationCodec.answer(CancellationCodec.encode(large)), "too many places");
+    assertNull(
+        CancellationCodec.decodeResponse(CancellationCodec.encode(term)), "no term of any leader");
+    CancellationCodec.LogResponse large = answer(2, CancellationCodec.MAX_LOCATIONS / 2 + 1);
+    assertNull(
+        CancellationCodec.decodeResponse(CancellationCodec.encode(large)), "too many places");
   }
 }
--- a/src/test/java/dapplestair/cancellations/CancellationWatermarkTest.java
+++ b/src/test/java/dapplestair/cancellations/CancellationWatermarkTest.java
@@ -28,11 +28,11 @@
       new CancellationWatermark(clock, () -> records, List.of("b", "c"));
 
   private void tells(String member, long log) {
-    CancellationWatermark.PeerLog p = watermark.peer(member);
-    if (p.log != log) {
-      watermark.met(p, log);
+    CancellationWatermark.PeerLog p = watermark.peerLog(member);
+    if (p.logId != log) {
+      watermark.startNewLog(p, log);
     }
-    watermark.told(p, now);
+    watermark.recordComplete(p, now);
   }
 
   private void allTellAfterTheRecordsWereRead() {
@@ -83,8 +83,11 @@
   @Test
   void theWindowLeavesALeaseAndASixteenth() {
     assertEquals(
-        66_000 - 36_000 - 2250, Cancellations.windowMs(new Settings.Workers(6000, 36_000, 66_000)));
+        66_000 - 36_000 - 2250,
+        Cancellations.renewalWindowMs(new Settings.Workers(6000, 36_000, 66_000)));
     assertEquals(
-        12_000, Cancellations.windowMs(new Settings.Workers(6000, 36_000, 30_000)), "the least");
+        12_000,
+        Cancellations.renewalWindowMs(new Settings.Workers(6000, 36_000, 30_000)),
+        "the least");
   }
 }
--- a/src/test/java/dapplestair/workers/CancellationCosts.java
+++ b/src/test/java/dapplestair/workers/CancellationCosts.java
@@ -230,20 +230,20 @@
 
     private final class Places implements Cancellations.Listener {
       @Override
-      public void cancelled(String ref) {}
+      public void onCancelled(String ref) {}
 
       @Override
-      public List<Cancellation.TaskLocation> places(String ref) {
+      public List<Cancellation.TaskLocation> taskLocations(String ref) {
         return places.getOrDefault(ref, List.of());
       }
 
       @Override
-      public boolean begun() {
+      public boolean leadsWithAllAttempts() {
         return false;
       }
 
       @Override
-      public boolean proved(String ref) {
+      public boolean isProvedAbsent(String ref) {
         return false;
       }
     }
