--- a/src/main/java/dapplestair/accepted/AcceptedJobs.java
+++ b/src/main/java/dapplestair/accepted/AcceptedJobs.java
@@ -18,43 +18,46 @@
  */
 public final class AcceptedJobs {
   private static final String TOPIC = "accepted";
-  private static final byte[] KNOWN = {1};
-  private static final int MOST_UNREAD = 10_000;
-  private static final int ATTEMPTS_PER_REPORT = 8;
+  private static final byte[] ACKNOWLEDGEMENT = {1};
+  private static final int MAX_UNREAD_JOBS = 10_000;
+  private static final int RETRIES_PER_REPORT_INTERVAL = 8;
 
   private final Timers timers;
   private final Peers peers;
-  private final BooleanSupplier leading;
-  private final LongSupplier position;
+  private final BooleanSupplier isLeading;
+  private final LongSupplier readRevision;
   private final long retryMs;
 
   /** The records read last and their revisions, for followers that have not read them. */
-  private final Map<String, Long> newest = new BoundedMap<>(AcceptedJobsCodec.MOST_JOBS);
+  private final Map<String, Long> newestRevisions = new BoundedMap<>(AcceptedJobsCodec.MAX_JOBS);
 
   /** Jobs of which the leader spoke, with the revision of each record. */
-  private final Map<String, Long> unread = new BoundedMap<>(MOST_UNREAD);
+  private final Map<String, Long> unreadRevisions = new BoundedMap<>(MAX_UNREAD_JOBS);
 
   /** What each follower has not acknowledged. */
-  private final Map<String, Map<String, Long>> untold = new LinkedHashMap<>();
+  private final Map<String, Map<String, Long>> unacknowledgedByFollower = new LinkedHashMap<>();
 
-  private final Set<String> asked = new HashSet<>();
-  private boolean scheduled;
+  private final Set<String> followersWithOpenRequest = new HashSet<>();
+  private boolean sendScheduled;
 
-  /** {@code position} is the revision up to which the records have been read here. */
+  /** {@code readRevision} is the revision up to which the records have been read here. */
   public AcceptedJobs(
       Timers timers,
       Settings settings,
       Peers peers,
-      BooleanSupplier leading,
-      LongSupplier position) {
+      BooleanSupplier isLeading,
+      LongSupplier readRevision) {
     this.timers = timers;
     this.peers = peers;
-    this.leading = leading;
-    this.position = position;
-    this.retryMs = settings.workers().reportMs() / ATTEMPTS_PER_REPORT;
+    this.isLeading = isLeading;
+    this.readRevision = readRevision;
+    this.retryMs = settings.workers().reportMs() / RETRIES_PER_REPORT_INTERVAL;
     settings
         .peers()
-        .forEach(p -> untold.put(p.member(), new BoundedMap<>(AcceptedJobsCodec.MOST_JOBS)));
+        .forEach(
+            peer ->
+                unacknowledgedByFollower.put(
+                    peer.member(), new BoundedMap<>(AcceptedJobsCodec.MAX_JOBS)));
   }
 
   /** Begins to hear the leader. */
@@ -68,20 +71,20 @@
               if (revisions == null) {
                 peers.questions().refused();
               } else {
-                hear(revisions);
-                reply.accept(KNOWN);
+                handleLeaderMessage(revisions);
+                reply.accept(ACKNOWLEDGEMENT);
               }
             });
   }
 
   /** What a leader tells. */
-  void hear(Map<String, Long> revisions) {
-    long read = position.getAsLong();
-    unread.values().removeIf(revision -> revision <= read);
+  void handleLeaderMessage(Map<String, Long> revisions) {
+    long readUpTo = readRevision.getAsLong();
+    unreadRevisions.values().removeIf(revision -> revision <= readUpTo);
     revisions.forEach(
         (ref, revision) -> {
-          if (revision > read) {
-            unread.put(ref, revision);
+          if (revision > readUpTo) {
+            unreadRevisions.put(ref, revision);
           }
         });
   }
@@ -90,66 +93,77 @@
    * True when this job was accepted after the newest read of the records. So it was not over at
    * that moment.
    */
-  public boolean unread(String ref) {
-    Long revision = unread.get(ref);
-    return revision != null && revision > position.getAsLong();
+  public boolean isUnread(String ref) {
+    Long revision = unreadRevisions.get(ref);
+    return revision != null && revision > readRevision.getAsLong();
   }
 
   /** The record of a job that is not over was read; a leader tells its followers. */
-  public void read(String ref, long revision) {
-    newest.put(ref, revision);
-    if (leading.getAsBoolean()) {
-      untold.values().forEach(jobs -> jobs.put(ref, revision));
-      schedule(0);
+  public void recordLiveJob(String ref, long revision) {
+    newestRevisions.put(ref, revision);
+    if (isLeading.getAsBoolean()) {
+      unacknowledgedByFollower
+          .values()
+          .forEach(unacknowledged -> unacknowledged.put(ref, revision));
+      scheduleSend(0);
     }
   }
 
   /** This controller leads from now on. */
-  public void lead() {
-    untold.values().forEach(jobs -> jobs.putAll(newest));
-    schedule(0);
+  public void onLeadershipGained() {
+    unacknowledgedByFollower
+        .values()
+        .forEach(unacknowledged -> unacknowledged.putAll(newestRevisions));
+    scheduleSend(0);
   }
 
-  private void schedule(long delayMs) {
-    if (!scheduled) {
-      scheduled = true;
-      timers.after(delayMs, this::tell);
+  private void scheduleSend(long delayMs) {
+    if (!sendScheduled) {
+      sendScheduled = true;
+      timers.after(delayMs, this::sendToAllFollowers);
     }
   }
 
-  private void tell() {
-    scheduled = false;
-    if (!leading.getAsBoolean()) {
-      untold.values().forEach(Map::clear);
+  private void sendToAllFollowers() {
+    sendScheduled = false;
+    if (!isLeading.getAsBoolean()) {
+      unacknowledgedByFollower.values().forEach(Map::clear);
       return;
     }
-    untold.forEach(this::tell);
+    unacknowledgedByFollower.forEach(this::sendToFollower);
   }
 
-  private void tell(String member, Map<String, Long> jobs) {
-    if (jobs.isEmpty() || asked.contains(member) || !peers.alive(member)) {
+  private void sendToFollower(String member, Map<String, Long> unacknowledged) {
+    if (unacknowledged.isEmpty()
+        || followersWithOpenRequest.contains(member)
+        || !peers.alive(member)) {
       return;
     }
-    Map<String, Long> told = new LinkedHashMap<>(jobs);
-    byte[] body = AcceptedJobsCodec.encode(told);
+    Map<String, Long> sentRevisions = new LinkedHashMap<>(unacknowledged);
+    byte[] body = AcceptedJobsCodec.encode(sentRevisions);
     if (body == null) {
-      jobs.clear();
+      unacknowledged.clear();
       return;
     }
-    asked.add(member);
+    followersWithOpenRequest.add(member);
     peers
         .questions()
-        .ask(member, TOPIC, body, retryMs, reply -> answered(member, told, reply != null));
+        .ask(
+            member,
+            TOPIC,
+            body,
+            retryMs,
+            reply -> handleReply(member, sentRevisions, reply != null));
   }
 
-  private void answered(String member, Map<String, Long> told, boolean known) {
-    asked.remove(member);
-    Map<String, Long> jobs = untold.get(member);
-    if (known) {
-      told.forEach(jobs::remove);
+  private void handleReply(String member, Map<String, Long> sentRevisions, boolean isAcknowledged) {
+    followersWithOpenRequest.remove(member);
+    Map<String, Long> unacknowledged = unacknowledgedByFollower.get(member);
+    if (isAcknowledged) {
+      sentRevisions.forEach(unacknowledged::remove);
     }
-    if (!jobs.isEmpty()) {
-      schedule(known ? 0 : retryMs);
+    if (!unacknowledged.isEmpty()) {
+      scheduleSend(isAcknowledged ? 0 : retryMs);
     }
   }
 }
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -194,7 +194,7 @@
   private final class CancellationEvents implements Cancellations.Listener {
     @Override
     public void onCancelled(String ref) {
-      core.submissions.ended(ref, false);
+      core.submissions.recordEnd(ref, false);
       core.ledger.cancelled(ref);
     }
 
--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -103,7 +103,7 @@
   @Override
   public void ended(String ref, boolean done) {
     faultAttribution.over(ref);
-    submissions.ended(ref, done);
+    submissions.recordEnd(ref, done);
     events.note(Events.Kind.OVER, o -> o.put("job", ref).put("status", done ? "done" : "aborted"));
   }
 
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -75,7 +75,7 @@
       ledger.launchBatchPut(key, value, stamp);
     } else if (key.startsWith(StateKeys.JOB)) {
       ledger.jobPut(key.substring(StateKeys.JOB.length()), value, stamp);
-      accepted.read(key.substring(StateKeys.JOB.length()), stamp);
+      accepted.recordLiveJob(key.substring(StateKeys.JOB.length()), stamp);
       if (admin != null) {
         admin.jobPut(key.substring(StateKeys.JOB.length()));
       }
--- a/src/main/java/dapplestair/node/RoleChangeNotifier.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -31,7 +31,7 @@
     core.state.setLeading(true);
     scheduling.fleet.lead();
     core.ledger.lead(term);
-    core.accepted.lead();
+    core.accepted.onLeadershipGained();
     scheduling.disruptionGate.lead();
     core.workers.lead();
     // Before anything is placed: room that was freed for a rider is its own.
--- a/src/main/java/dapplestair/submissions/JobFinder.java
+++ b/src/main/java/dapplestair/submissions/JobFinder.java
@@ -15,12 +15,12 @@
  * Finds jobs by their reference, live or over, with answers that are never older than one given.
  */
 final class JobFinder {
-  private static final int MOST_OVER_KEPT = 20_000;
+  private static final int MAX_FINAL_STATES = 20_000;
 
   private final StateClient state;
   private final Replica replica;
   private final Ledger ledger;
-  private final Map<String, Boolean> over = new BoundedMap<>(MOST_OVER_KEPT);
+  private final Map<String, Boolean> doneByEndedJob = new BoundedMap<>(MAX_FINAL_STATES);
 
   JobFinder(StateClient state, Replica replica, Ledger ledger) {
     this.state = state;
@@ -28,62 +28,62 @@
     this.ledger = ledger;
   }
 
-  /** A job is over for good; {@code done} or cancelled. */
-  void ended(String ref, boolean done) {
-    over.put(ref, done);
+  /** A job is over for good; {@code isDone} or cancelled. */
+  void recordEnd(String ref, boolean done) {
+    doneByEndedJob.put(ref, done);
   }
 
   /** True when it is remembered here how this job ended. */
-  boolean over(String ref) {
-    return over.containsKey(ref);
+  boolean isOver(String ref) {
+    return doneByEndedJob.containsKey(ref);
   }
 
   /** True when a job that is over is done, false when it was cancelled. */
-  boolean done(String ref) {
-    return over.get(ref);
+  boolean isDone(String ref) {
+    return doneByEndedJob.get(ref);
   }
 
   /** What is known of a job: live, or how it ended. */
-  record Found(Job job, boolean done) {}
+  record Found(Job job, boolean isDone) {}
 
   /**
    * Finds a job. Final states are known for ever; everything else is told only after a read
    * barrier, so that no controller gives an older answer than one already given.
    */
-  void find(String ref, BiConsumer<Boolean, Found> done) {
-    if (over.containsKey(ref)) {
-      done.accept(true, new Found(null, over.get(ref)));
+  void find(String ref, BiConsumer<Boolean, Found> callback) {
+    if (doneByEndedJob.containsKey(ref)) {
+      callback.accept(true, new Found(null, doneByEndedJob.get(ref)));
       return;
     }
     if (!Submission.validRef(ref)) {
-      done.accept(true, null);
+      callback.accept(true, null);
       return;
     }
     replica.barrier(
         passed -> {
           if (!passed) {
-            done.accept(false, null);
+            callback.accept(false, null);
           } else if (replica.stamp(StateKeys.job(ref)) != 0 && ledger.job(ref) != null) {
-            done.accept(true, new Found(ledger.job(ref), false));
+            callback.accept(true, new Found(ledger.job(ref), false));
           } else {
-            findOver(ref, done);
+            findEndedJob(ref, callback);
           }
         });
   }
 
-  private void findOver(String ref, BiConsumer<Boolean, Found> done) {
+  private void findEndedJob(String ref, BiConsumer<Boolean, Found> callback) {
     // Not live as of the barrier: over before now, or never accepted before now.
     state.get(
         StateKeys.finishedJob(ref),
         read -> {
           if (!read.known()) {
-            done.accept(false, null);
+            callback.accept(false, null);
           } else if (!read.exists()) {
-            done.accept(true, null);
+            callback.accept(true, null);
           } else {
             boolean finished = "done".equals(Json.text(read.value(), "status"));
-            ended(ref, finished);
-            done.accept(true, new Found(null, finished));
+            recordEnd(ref, finished);
+            callback.accept(true, new Found(null, finished));
           }
         });
   }
--- a/src/main/java/dapplestair/submissions/RequestRelay.java
+++ b/src/main/java/dapplestair/submissions/RequestRelay.java
@@ -15,12 +15,12 @@
   private static final String TOPIC = "user-request";
 
   // Questions of all kinds share one bound: these leave room for the others.
-  private static final int MOST_OPEN = 64;
+  private static final int MAX_OPEN_REQUESTS = 64;
 
   private final Peers peers;
   private final long timeoutMs;
-  private int open;
-  private int turn;
+  private int openRequests;
+  private int nextPeerIndex;
 
   /** Asks {@code peers}, each for {@code timeoutMs} at the most. */
   public RequestRelay(Peers peers, long timeoutMs) {
@@ -30,16 +30,18 @@
 
   /** Answers requests that peers pass on by {@code handler}, from now on. */
   public void start(Consumer<Exchange> handler) {
-    peers.questions().answer(TOPIC, (body, reply) -> asked(body, reply, handler));
+    peers.questions().answer(TOPIC, (body, reply) -> handleRelayed(body, reply, handler));
   }
 
   /**
-   * Passes a request on; {@code done} gets the peer's answer, or null when none came. False, with
-   * nothing done, when there is nobody to ask.
+   * Passes a request on; {@code onResponse} gets the peer's answer, or null when none came. False,
+   * with nothing done, when there is nobody to ask.
    */
-  boolean pass(Exchange exchange, Consumer<UserRequestCodec.Response> done) {
+  boolean relay(Exchange exchange, Consumer<UserRequestCodec.Response> onResponse) {
     List<String> served = peers.served();
-    if (served.isEmpty() || open >= MOST_OPEN || exchange instanceof RelayedExchange) {
+    if (served.isEmpty()
+        || openRequests >= MAX_OPEN_REQUESTS
+        || exchange instanceof RelayedExchange) {
       return false;
     }
     byte[] request =
@@ -48,8 +50,8 @@
     if (request == null) {
       return false;
     }
-    String peer = served.get(Math.floorMod(turn++, served.size()));
-    open++;
+    String peer = served.get(Math.floorMod(nextPeerIndex++, served.size()));
+    openRequests++;
     peers
         .questions()
         .ask(
@@ -58,22 +60,22 @@
             request,
             timeoutMs,
             reply -> {
-              open--;
-              done.accept(reply == null ? null : read(reply));
+              openRequests--;
+              onResponse.accept(reply == null ? null : decodeResponse(reply));
             });
     return true;
   }
 
-  private UserRequestCodec.Response read(byte[] reply) {
-    UserRequestCodec.Response response = UserRequestCodec.answer(reply);
+  private UserRequestCodec.Response decodeResponse(byte[] reply) {
+    UserRequestCodec.Response response = UserRequestCodec.decodeResponse(reply);
     if (response == null) {
       peers.questions().refused();
     }
     return response;
   }
 
-  private void asked(byte[] body, Consumer<byte[]> reply, Consumer<Exchange> handler) {
-    UserRequestCodec.Request request = UserRequestCodec.request(body);
+  private void handleRelayed(byte[] body, Consumer<byte[]> reply, Consumer<Exchange> handler) {
+    UserRequestCodec.Request request = UserRequestCodec.decodeRequest(body);
     if (request == null) {
       peers.questions().refused();
       return;
@@ -82,7 +84,7 @@
   }
 
   /** A request that a peer passed on. */
-  private record RelayedExchange(UserRequestCodec.Request request, Consumer<byte[]> to)
+  private record RelayedExchange(UserRequestCodec.Request request, Consumer<byte[]> replySink)
       implements Exchange {
     @Override
     public String method() {
@@ -104,7 +106,7 @@
       byte[] answer =
           UserRequestCodec.encode(new UserRequestCodec.Response(status, retryAfterS, body));
       if (answer != null) {
-        to.accept(answer);
+        replySink.accept(answer);
       }
     }
   }
--- a/src/main/java/dapplestair/submissions/RetryAdvice.java
+++ b/src/main/java/dapplestair/submissions/RetryAdvice.java
@@ -7,27 +7,35 @@
   private static final long WINDOW_MS = 1000;
 
   // Users repeat a submission for 60 seconds: several more tries must fit in.
-  private static final int MOST_S = 10;
+  private static final int MAX_RETRY_AFTER_S = 10;
 
   private final Clock clock;
-  private long since;
-  private int now;
-  private int before;
+  private long windowStartMs;
+  private int currentCount;
+  private int previousCount;
 
   RetryAdvice(Clock clock) {
     this.clock = clock;
-    since = clock.now();
+    windowStartMs = clock.now();
   }
 
-  /** One more is put off while {@code perS} are accepted a second; seconds to wait, 1 at least. */
-  int retryAfterS(double perS) {
-    long passed = clock.now() - since;
-    if (passed >= WINDOW_MS) {
-      before = passed < 2 * WINDOW_MS ? now : 0;
-      now = 0;
-      since = clock.now();
+  /**
+   * One more is put off while {@code acceptedPerSecond} are accepted a second; seconds to wait, 1
+   * at least.
+   */
+  int retryAfterS(double acceptedPerSecond) {
+    long elapsedMs = clock.now() - windowStartMs;
+    if (elapsedMs >= WINDOW_MS) {
+      previousCount = elapsedMs < 2 * WINDOW_MS ? currentCount : 0;
+      currentCount = 0;
+      windowStartMs = clock.now();
     }
-    now++;
-    return (int) Math.max(1, Math.min(MOST_S, Math.max(now, before) / Math.max(1, perS)));
+    currentCount++;
+    return (int)
+        Math.max(
+            1,
+            Math.min(
+                MAX_RETRY_AFTER_S,
+                Math.max(currentCount, previousCount) / Math.max(1, acceptedPerSecond)));
   }
 }
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -29,8 +29,8 @@
  */
 public final class SubmissionHandler {
   private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
-  private static final int MOST_PENDING = 400;
-  private static final int LEAST_PENDING_LOW = 2;
+  private static final int MAX_PENDING = 400;
+  private static final int MIN_PENDING_LOW_RANK = 2;
 
   private final Clock clock;
   private final Settings settings;
@@ -41,7 +41,7 @@
   private final Cancellations cancellations;
   private final RequestRelay relay;
   private final Metrics metrics;
-  private final long patienceMs;
+  private final long commitTimeoutMs;
   private final RetryAdvice retryAdvice;
   private final UnansweredRequests unanswered;
   private final FirstSubmissionTimes firstSubmissionTimes;
@@ -68,7 +68,7 @@
     this.cancellations = cancellations;
     this.relay = relay;
     this.metrics = metrics;
-    this.patienceMs = settings.workers().reportMs();
+    this.commitTimeoutMs = settings.workers().reportMs();
     this.finder = new JobFinder(state, replica, ledger);
     this.retryAdvice = new RetryAdvice(clock);
     this.firstSubmissionTimes = new FirstSubmissionTimes(clock);
@@ -76,8 +76,8 @@
   }
 
   /** A job is over for good; {@code done} or cancelled. */
-  public void ended(String ref, boolean done) {
-    finder.ended(ref, done);
+  public void recordEnd(String ref, boolean done) {
+    finder.recordEnd(ref, done);
   }
 
   /** For how long a job that users still ask about has had no answer here, milliseconds. */
@@ -89,21 +89,21 @@
    * Has a served peer answer while this controller cannot, unless the job is known to be over,
    * which any controller may say at any time.
    */
-  private boolean passedOn(Exchange exchange, String ref) {
-    boolean served = replica.isReady() && types.known() && state.isReachable();
-    return !served
-        && !finder.over(ref)
-        && relay.pass(exchange, answer -> relayed(exchange, ref, answer));
+  private boolean relayIfUnserved(Exchange exchange, String ref) {
+    boolean isServed = replica.isReady() && types.known() && state.isReachable();
+    return !isServed
+        && !finder.isOver(ref)
+        && relay.relay(exchange, answer -> replyRelayed(exchange, ref, answer));
   }
 
-  private void relayed(Exchange exchange, String ref, UserRequestCodec.Response response) {
+  private void replyRelayed(Exchange exchange, String ref, UserRequestCodec.Response response) {
     if (response == null) {
-      unanswered.inVain(ref);
-      busy(exchange);
+      unanswered.recordUnanswered(ref);
+      replyUnavailable(exchange);
       return;
     }
     if (response.status() != 503) {
-      unanswered.answered(ref);
+      unanswered.recordAnswered(ref);
     }
     exchange.reply(response.status(), response.body(), response.retryAfterS());
   }
@@ -116,92 +116,93 @@
     try {
       JsonNode body = Json.parse(exchange.body());
       if (body.isMissingNode()) {
-        error(exchange, 400, "the body is not JSON");
+        replyError(exchange, 400, "the body is not JSON");
         return;
       }
       String ref = Json.text(body, "ref");
       if (ref != null && Submission.validRef(ref)) {
         // A known job is answered with its state, whatever else the retry holds.
-        if (finder.over(ref)) {
-          over(exchange, 200, ref, finder.done(ref));
+        if (finder.isOver(ref)) {
+          replyFinal(exchange, 200, ref, finder.isDone(ref));
           return;
         }
-        if (passedOn(exchange, ref)) {
+        if (relayIfUnserved(exchange, ref)) {
           return;
         }
         if (ledger.live(ref)) {
-          look(exchange, ref);
+          replyJobStatus(exchange, ref);
           return;
         }
       }
       submission = Submission.parse(body);
     } catch (Submission.InvalidSubmissionException e) {
-      refuseUnlessKnown(exchange, 400, e.getMessage());
+      rejectUnlessKnown(exchange, 400, e.getMessage());
       return;
     }
-    if (!replica.isReady() || !types.known() || !state.isReachable() || pending > MOST_PENDING) {
-      turnAway(exchange, submission, 1);
+    if (!replica.isReady() || !types.known() || !state.isReachable() || pending > MAX_PENDING) {
+      deferSubmission(exchange, submission, 1);
       return;
     }
-    String impossible = impossible(submission);
-    if (impossible != null) {
-      refuseUnlessKnown(exchange, 422, impossible);
+    String infeasibility = infeasibilityReason(submission);
+    if (infeasibility != null) {
+      rejectUnlessKnown(exchange, 422, infeasibility);
       return;
     }
-    if (submission.rank() == Rank.LOW && pending >= mostPendingLow()) {
+    if (submission.rank() == Rank.LOW && pending >= maxPendingLowRank()) {
       // A swarm of the lowest rank is put off before anybody else waits behind it.
-      turnAway(exchange, submission, retryAdvice.retryAfterS(state.maxPutsPerSecond()));
+      deferSubmission(exchange, submission, retryAdvice.retryAfterS(state.maxPutsPerSecond()));
       return;
     }
-    accept(exchange, submission, clock.now() + patienceMs, clock.now());
+    commitSubmission(exchange, submission, clock.now() + commitTimeoutMs, clock.now());
   }
 
-  private void turnAway(Exchange exchange, Submission submission, int afterS) {
-    firstSubmissionTimes.turnedAway(submission.ref());
-    busy(exchange, afterS);
+  private void deferSubmission(Exchange exchange, Submission submission, int retryAfterS) {
+    firstSubmissionTimes.recordDeferred(submission.ref());
+    replyUnavailable(exchange, retryAfterS);
   }
 
   /** As many as this controller's puts take within a small part of what a user waits. */
-  private int mostPendingLow() {
-    return (int) Math.max(LEAST_PENDING_LOW, state.maxPutsPerSecond() * patienceMs / 1000 / 16);
+  private int maxPendingLowRank() {
+    return (int)
+        Math.max(MIN_PENDING_LOW_RANK, state.maxPutsPerSecond() * commitTimeoutMs / 1000 / 16);
   }
 
   /** A repeated submission of an accepted job is never told 400 or 422. */
-  private void refuseUnlessKnown(Exchange exchange, int status, String why) {
-    LOG.debug("{}: {}", status, why);
+  private void rejectUnlessKnown(Exchange exchange, int status, String reason) {
+    LOG.debug("{}: {}", status, reason);
     String ref = Json.text(Json.parse(exchange.body()), "ref");
     if (ref == null || !Submission.validRef(ref)) {
-      error(exchange, status, why);
+      replyError(exchange, status, reason);
       return;
     }
-    tell(
+    withJob(
         exchange,
         ref,
-        () -> error(exchange, status, why),
-        found -> answer(exchange, 200, ref, found));
+        () -> replyError(exchange, status, reason),
+        found -> replyFound(exchange, 200, ref, found));
   }
 
   /** Finds a job and goes on as it turns out; 503 when that cannot be told now. */
-  private void tell(
-      Exchange exchange, String ref, Runnable absent, Consumer<JobFinder.Found> present) {
+  private void withJob(
+      Exchange exchange, String ref, Runnable onAbsent, Consumer<JobFinder.Found> onPresent) {
     finder.find(
         ref,
         (known, found) -> {
           if (!known) {
-            unanswered.inVain(ref);
-            busy(exchange);
+            unanswered.recordUnanswered(ref);
+            replyUnavailable(exchange);
             return;
           }
-          unanswered.answered(ref);
+          unanswered.recordAnswered(ref);
           if (found == null) {
-            absent.run();
+            onAbsent.run();
           } else {
-            present.accept(found);
+            onPresent.accept(found);
           }
         });
   }
 
-  private String impossible(Submission submission) {
+  private String infeasibilityReason(Submission submission) {
     Settings.Team team = settings.teams().get(submission.team());
     if (team == null) {
       return "owner: unknown team " + submission.team();
@@ -218,7 +219,8 @@
     return null;
   }
 
-  private void accept(Exchange exchange, Submission submission, long deadline, long began) {
+  private void commitSubmission(
+      Exchange exchange, Submission submission, long deadlineMs, long receivedAtMs) {
     pending++;
     Txn txn =
         new Txn()
@@ -226,25 +228,25 @@
             .when(StateKeys.finishedJob(submission.ref()), 0)
             .put(
                 StateKeys.job(submission.ref()),
-                ledger.record(submission, firstSubmissionTimes.at(submission.ref())));
+                ledger.record(submission, firstSubmissionTimes.firstAttemptMs(submission.ref())));
     state.commit(
         txn,
         Priority.USER,
-        Math.max(0, deadline - clock.now()),
+        Math.max(0, deadlineMs - clock.now()),
         outcome -> {
           pending--;
           if (outcome instanceof TxnOutcome.Applied) {
-            firstSubmissionTimes.accepted(submission.ref());
-            metrics.accepted(clock.now() - began);
-            status(exchange, 201, submission.ref(), "queued", null);
+            firstSubmissionTimes.removeAccepted(submission.ref());
+            metrics.accepted(clock.now() - receivedAtMs);
+            replyStatus(exchange, 201, submission.ref(), "queued", null);
           } else if (outcome instanceof TxnOutcome.Conflict) {
-            look(exchange, submission.ref());
-          } else if (outcome instanceof TxnOutcome.Unknown && clock.now() < deadline) {
+            replyJobStatus(exchange, submission.ref());
+          } else if (outcome instanceof TxnOutcome.Unknown && clock.now() < deadlineMs) {
             // The same conditions again: if the lost one was applied after all, this one is
             // refused and the job is found; both can never be.
-            accept(exchange, submission, deadline, began);
+            commitSubmission(exchange, submission, deadlineMs, receivedAtMs);
           } else {
-            turnAway(exchange, submission, 1);
+            deferSubmission(exchange, submission, 1);
           }
         });
   }
@@ -253,52 +255,52 @@
 
   /** A user polls. */
   public void poll(Exchange exchange, String ref) {
-    if (!passedOn(exchange, ref)) {
-      look(exchange, ref);
+    if (!relayIfUnserved(exchange, ref)) {
+      replyJobStatus(exchange, ref);
     }
   }
 
-  private void look(Exchange exchange, String ref) {
-    tell(
+  private void replyJobStatus(Exchange exchange, String ref) {
+    withJob(
         exchange,
         ref,
-        () -> error(exchange, 404, "no such job"),
-        found -> answer(exchange, 200, ref, found));
+        () -> replyError(exchange, 404, "no such job"),
+        found -> replyFound(exchange, 200, ref, found));
   }
 
-  private void answer(Exchange exchange, int status, String ref, JobFinder.Found found) {
+  private void replyFound(Exchange exchange, int status, String ref, JobFinder.Found found) {
     if (found.job() == null) {
-      over(exchange, status, ref, found.done());
+      replyFinal(exchange, status, ref, found.isDone());
       return;
     }
     int[] counts = ledger.counts(found.job());
-    status(exchange, status, ref, counts[1] > 0 ? "running" : "queued", counts);
+    replyStatus(exchange, status, ref, counts[1] > 0 ? "running" : "queued", counts);
   }
 
   // ---- POST /submissions/{id}/withdraw ----
 
   /** A user cancels. */
   public void cancel(Exchange exchange, String ref) {
-    if (!passedOn(exchange, ref)) {
-      cancel(exchange, ref, clock.now() + patienceMs);
+    if (!relayIfUnserved(exchange, ref)) {
+      findAndCancel(exchange, ref, clock.now() + commitTimeoutMs);
     }
   }
 
-  private void cancel(Exchange exchange, String ref, long deadline) {
-    tell(
+  private void findAndCancel(Exchange exchange, String ref, long deadlineMs) {
+    withJob(
         exchange,
         ref,
-        () -> error(exchange, 404, "no such job"),
+        () -> replyError(exchange, 404, "no such job"),
         found -> {
           if (found.job() == null) {
-            answer(exchange, 200, ref, found);
+            replyFound(exchange, 200, ref, found);
           } else {
-            abort(exchange, found.job(), deadline);
+            commitCancellation(exchange, found.job(), deadlineMs);
           }
         });
   }
 
-  private void abort(Exchange exchange, Job job, long deadline) {
+  private void commitCancellation(Exchange exchange, Job job, long deadlineMs) {
     String ref = job.spec().ref();
     ObjectNode value = ledger.overRecord(job, "aborted");
     Txn txn =
@@ -309,58 +311,59 @@
     state.commit(
         txn,
         Priority.USER,
-        Math.max(0, deadline - clock.now()),
+        Math.max(0, deadlineMs - clock.now()),
         outcome -> {
           if (outcome instanceof TxnOutcome.Applied) {
             // Where its tasks are is on record by now, and whoever tells the user has read it: what
             // is told to the others is all there is. If that fails the user is told nothing yet.
-            replica.barrier(passed -> cancelled(exchange, ref, passed));
-          } else if (outcome instanceof TxnOutcome.Refused || clock.now() >= deadline) {
-            busy(exchange);
+            replica.barrier(passed -> replyCancelled(exchange, ref, passed));
+          } else if (outcome instanceof TxnOutcome.Refused || clock.now() >= deadlineMs) {
+            replyUnavailable(exchange);
           } else {
             // Done meanwhile, cancelled elsewhere, or unanswered: look again.
-            cancel(exchange, ref, deadline);
+            findAndCancel(exchange, ref, deadlineMs);
           }
         });
   }
 
-  private void cancelled(Exchange exchange, String ref, boolean passed) {
+  private void replyCancelled(Exchange exchange, String ref, boolean passed) {
     if (passed) {
-      ended(ref, false);
-      over(exchange, 200, ref, false);
+      recordEnd(ref, false);
+      replyFinal(exchange, 200, ref, false);
     } else {
-      busy(exchange);
+      replyUnavailable(exchange);
     }
   }
 
   /** A final state. That a job is cancelled is told to the other controllers before its user. */
-  private void over(Exchange exchange, int status, String ref, boolean done) {
+  private void replyFinal(Exchange exchange, int status, String ref, boolean done) {
     if (done) {
-      status(exchange, status, ref, "done", null);
+      replyStatus(exchange, status, ref, "done", null);
     } else {
-      cancellations.confirm(ref, () -> status(exchange, status, ref, "aborted", null));
+      cancellations.confirm(ref, () -> replyStatus(exchange, status, ref, "aborted", null));
     }
   }
 
-  private static void status(Exchange exchange, int status, String ref, String word, int[] counts) {
-    ObjectNode object = Json.object().put("ref", ref).put("status", word);
+  private static void replyStatus(
+      Exchange exchange, int status, String ref, String state, int[] counts) {
+    ObjectNode object = Json.object().put("ref", ref).put("status", state);
     if (counts != null) {
       object.put("done", counts[0]).put("running", counts[1]);
     }
     exchange.reply(status, Json.bytes(object), 0);
   }
 
-  private static void error(Exchange exchange, int status, String why) {
-    exchange.reply(status, Json.bytes(Json.object().put("error", why)), 0);
+  private static void replyError(Exchange exchange, int status, String reason) {
+    exchange.reply(status, Json.bytes(Json.object().put("error", reason)), 0);
   }
 
-  private void busy(Exchange exchange) {
-    busy(exchange, 1);
+  private void replyUnavailable(Exchange exchange) {
+    replyUnavailable(exchange, 1);
   }
 
-  private void busy(Exchange exchange, int afterS) {
+  private void replyUnavailable(Exchange exchange, int retryAfterS) {
     metrics.shed();
     exchange.reply(
-        503, Json.bytes(Json.object().put("error", "cannot tell now, ask again")), afterS);
+        503, Json.bytes(Json.object().put("error", "cannot tell now, ask again")), retryAfterS);
   }
 }
--- a/src/main/java/dapplestair/submissions/UnansweredRequests.java
+++ b/src/main/java/dapplestair/submissions/UnansweredRequests.java
@@ -8,34 +8,39 @@
  * seconds, and may ask another controller: one that is asked here no more is forgotten here.
  */
 final class UnansweredRequests {
-  private static final int MOST_KEPT = 10_000;
+  private static final int MAX_JOBS = 10_000;
 
-  private record Asked(long since, long last) {}
+  private record UnansweredPeriod(long sinceMs, long lastAskedAtMs) {}
 
   private final Clock clock;
-  private final ExpiringLruMap<String, Asked> jobs;
+  private final ExpiringLruMap<String, UnansweredPeriod> periodsByJob;
 
-  /** One that was not asked again for {@code keptMs} does not count any more. */
-  UnansweredRequests(Clock clock, long keptMs) {
+  /** One that was not asked again for {@code retentionMs} does not count any more. */
+  UnansweredRequests(Clock clock, long retentionMs) {
     this.clock = clock;
-    this.jobs = new ExpiringLruMap<>(clock, keptMs, MOST_KEPT, Asked::last);
+    this.periodsByJob =
+        new ExpiringLruMap<>(clock, retentionMs, MAX_JOBS, UnansweredPeriod::lastAskedAtMs);
   }
 
   /** A question about this job could not be answered. */
-  void inVain(String ref) {
-    long now = clock.now();
-    Asked before = jobs.remove(ref);
-    jobs.put(ref, new Asked(before == null ? now : before.since(), now));
+  void recordUnanswered(String ref) {
+    long nowMs = clock.now();
+    UnansweredPeriod previous = periodsByJob.remove(ref);
+    periodsByJob.put(
+        ref, new UnansweredPeriod(previous == null ? nowMs : previous.sinceMs(), nowMs));
   }
 
   /** A question about this job was answered. */
-  void answered(String ref) {
-    jobs.remove(ref);
+  void recordAnswered(String ref) {
+    periodsByJob.remove(ref);
   }
 
   /** For how long at the most a job that is still asked about has had no answer here. */
   long longestMs() {
-    long now = clock.now();
-    return jobs.values().stream().mapToLong(a -> now - a.since()).max().orElse(0);
+    long nowMs = clock.now();
+    return periodsByJob.values().stream()
+        .mapToLong(period -> nowMs - period.sinceMs())
+        .max()
+        .orElse(0);
   }
 }
--- a/src/main/java/dapplestair/submissions/UserRequestCodec.java
+++ b/src/main/java/dapplestair/submissions/UserRequestCodec.java
@@ -8,12 +8,12 @@
 /** The form of users' requests and their answers between controllers: bounded and versioned. */
 final class UserRequestCodec {
   /** Raised whenever the form changes; other forms are not understood. */
-  static final byte FORM = 1;
+  static final byte FORMAT_VERSION = 1;
 
-  private static final int LARGEST_PATH = 512;
-  private static final int LARGEST_BODY = 64 * 1024;
-  private static final int LARGEST = LARGEST_BODY + 4 * LARGEST_PATH;
-  private static final int LONGEST_RETRY_AFTER_S = 30;
+  private static final int MAX_PATH_LENGTH = 512;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
+  private static final int MAX_BYTES = MAX_BODY_BYTES + 4 * MAX_PATH_LENGTH;
+  private static final int MAX_RETRY_AFTER_S = 30;
   private static final Set<String> METHODS = Set.of("GET", "POST");
 
   private UserRequestCodec() {}
@@ -26,11 +26,11 @@
 
   /** Writes a request, or gives null when it is too large. */
   static byte[] encode(Request request) {
-    if (request.path().length() > LARGEST_PATH || request.body().length > LARGEST_BODY) {
+    if (request.path().length() > MAX_PATH_LENGTH || request.body().length > MAX_BODY_BYTES) {
       return null;
     }
-    Output out = new Output(256, LARGEST);
-    out.writeByte(FORM);
+    Output out = new Output(256, MAX_BYTES);
+    out.writeByte(FORMAT_VERSION);
     out.writeString(request.method());
     out.writeString(request.path());
     writeBody(out, request.body());
@@ -39,11 +39,11 @@
 
   /** Writes an answer, or gives null when it is too large. */
   static byte[] encode(Response response) {
-    if (response.body().length > LARGEST_BODY) {
+    if (response.body().length > MAX_BODY_BYTES) {
       return null;
     }
-    Output out = new Output(256, LARGEST);
-    out.writeByte(FORM);
+    Output out = new Output(256, MAX_BYTES);
+    out.writeByte(FORMAT_VERSION);
     out.writeVarInt(response.status(), true);
     out.writeVarInt(response.retryAfterS(), true);
     writeBody(out, response.body());
@@ -56,8 +56,8 @@
   }
 
   /** Reads a request, or gives null when it is garbled, too large or of another form. */
-  static Request request(byte[] bytes) {
-    if (!ours(bytes)) {
+  static Request decodeRequest(byte[] bytes) {
+    if (!isValidMessage(bytes)) {
       return null;
     }
     try {
@@ -68,7 +68,7 @@
               && request.method() != null
               && METHODS.contains(request.method())
               && request.path() != null
-              && request.path().length() <= LARGEST_PATH;
+              && request.path().length() <= MAX_PATH_LENGTH;
       return valid ? request : null;
     } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
       return null;
@@ -76,8 +76,8 @@
   }
 
   /** Reads an answer, or gives null when it is garbled, too large or of another form. */
-  static Response answer(byte[] bytes) {
-    if (!ours(bytes)) {
+  static Response decodeResponse(byte[] bytes) {
+    if (!isValidMessage(bytes)) {
       return null;
     }
     try {
@@ -88,20 +88,20 @@
               && response.status() >= 200
               && response.status() < 600
               && response.retryAfterS() >= 0
-              && response.retryAfterS() <= LONGEST_RETRY_AFTER_S;
+              && response.retryAfterS() <= MAX_RETRY_AFTER_S;
       return valid ? response : null;
     } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
       return null;
     }
   }
 
-  private static boolean ours(byte[] bytes) {
-    return bytes.length > 0 && bytes.length <= LARGEST && bytes[0] == FORM;
+  private static boolean isValidMessage(byte[] bytes) {
+    return bytes.length > 0 && bytes.length <= MAX_BYTES && bytes[0] == FORMAT_VERSION;
   }
 
   private static byte[] readBody(Input in) {
     int length = in.readVarInt(true);
-    if (length < 0 || length > LARGEST_BODY) {
+    if (length < 0 || length > MAX_BODY_BYTES) {
       throw new IllegalArgumentException("no body of a request or an answer");
     }
     return in.readBytes(length);
--- a/src/test/java/dapplestair/accepted/AcceptedJobsCodecTest.java
+++ b/src/test/java/dapplestair/accepted/AcceptedJobsCodecTest.java
@@ -14,26 +14,26 @@
   private static final Map<String, Long> JOBS = Map.of("wk-000412", 7L, "wk-000413", 1L << 40);
 
   @Test
-  void whatIsWrittenIsRead() {
+  void decodedJobsEqualTheEncodedOnes() {
     assertEquals(JOBS, AcceptedJobsCodec.decode(AcceptedJobsCodec.encode(JOBS)));
     assertEquals(Map.of(), AcceptedJobsCodec.decode(AcceptedJobsCodec.encode(Map.of())));
   }
 
   @Test
-  void anythingElseIsRefused() {
-    byte[] good = AcceptedJobsCodec.encode(JOBS);
+  void invalidMessagesAreRejected() {
+    byte[] validMessage = AcceptedJobsCodec.encode(JOBS);
     assertNull(AcceptedJobsCodec.decode(new byte[0]));
-    for (int length = 1; length < good.length; length++) {
-      assertNull(AcceptedJobsCodec.decode(Arrays.copyOf(good, length)), "cut to " + length);
+    for (int length = 1; length < validMessage.length; length++) {
+      assertNull(AcceptedJobsCodec.decode(Arrays.copyOf(validMessage, length)), "cut to " + length);
     }
-    assertNull(AcceptedJobsCodec.decode(Arrays.copyOf(good, good.length + 1)));
-    byte[] otherForm = good.clone();
-    otherForm[0]++;
-    assertNull(AcceptedJobsCodec.decode(otherForm));
+    assertNull(AcceptedJobsCodec.decode(Arrays.copyOf(validMessage, validMessage.length + 1)));
+    byte[] otherVersion = validMessage.clone();
+    otherVersion[0]++;
+    assertNull(AcceptedJobsCodec.decode(otherVersion));
     assertNull(AcceptedJobsCodec.decode(AcceptedJobsCodec.encode(Map.of("no job id", 7L))));
     assertNull(AcceptedJobsCodec.decode(AcceptedJobsCodec.encode(Map.of("wk-1", 0L))));
     Map<String, Long> tooMany = new LinkedHashMap<>();
-    for (int i = 0; i <= AcceptedJobsCodec.MOST_JOBS; i++) {
+    for (int i = 0; i <= AcceptedJobsCodec.MAX_JOBS; i++) {
       tooMany.put("wk-" + i, 1L);
     }
     assertNull(AcceptedJobsCodec.encode(tooMany));
@@ -41,15 +41,15 @@
 
   /** Random bytes end no process, whatever they happen to say. */
   @Test
-  void randomBytesThrowNothing() {
+  void corruptedBytesCauseNoExceptions() {
     SplittableRandom random = new SplittableRandom(11);
-    byte[] good = AcceptedJobsCodec.encode(JOBS);
+    byte[] validMessage = AcceptedJobsCodec.encode(JOBS);
     for (int i = 0; i < 20_000; i++) {
-      byte[] bytes = good.clone();
+      byte[] corrupted = validMessage.clone();
       for (int k = 0; k < 3; k++) {
-        bytes[random.nextInt(1, bytes.length)] = (byte) random.nextInt(256);
+        corrupted[random.nextInt(1, corrupted.length)] = (byte) random.nextInt(256);
       }
-      AcceptedJobsCodec.decode(bytes);
+      AcceptedJobsCodec.decode(corrupted);
     }
   }
 }
--- a/src/test/java/dapplestair/accepted/AcceptedJobsTest.java
+++ b/src/test/java/dapplestair/accepted/AcceptedJobsTest.java
@@ -12,10 +12,11 @@
 class AcceptedJobsTest {
   private static final String JOB = "wk-000412";
 
-  private long position = 10;
+  private long readRevision = 10;
 
-  private final AcceptedJobs accepted =
-      new AcceptedJobs((delayMs, task) -> () -> {}, settings(), null, () -> false, () -> position);
+  private final AcceptedJobs acceptedJobs =
+      new AcceptedJobs(
+          (delayMs, task) -> () -> {}, settings(), null, () -> false, () -> readRevision);
 
   private static Settings settings() {
     return new Settings(
@@ -37,18 +38,18 @@
 
   /** Guards against leases kept for jobs of which nobody ever spoke. */
   @Test
-  void aJobThatNobodyToldOfIsNotNew() {
-    assertFalse(accepted.unread(JOB));
+  void unannouncedJobIsNotUnread() {
+    assertFalse(acceptedJobs.isUnread(JOB));
   }
 
   /** Guards against late messages: what the records cover, the records tell. */
   @Test
-  void aJobThatTheRecordsCoverIsNotNew() {
-    accepted.hear(Map.of(JOB, position));
-    assertFalse(accepted.unread(JOB), "told after the records were read up to its revision");
-    accepted.hear(Map.of(JOB, position + 1));
-    assertTrue(accepted.unread(JOB));
-    position++;
-    assertFalse(accepted.unread(JOB), "the records were read up to its revision since");
+  void jobCoveredByTheReadRevisionIsNotUnread() {
+    acceptedJobs.handleLeaderMessage(Map.of(JOB, readRevision));
+    assertFalse(acceptedJobs.isUnread(JOB), "told after the records were read up to its revision");
+    acceptedJobs.handleLeaderMessage(Map.of(JOB, readRevision + 1));
+    assertTrue(acceptedJobs.isUnread(JOB));
+    readRevision++;
+    assertFalse(acceptedJobs.isUnread(JOB), "the records were read up to its revision since");
   }
 }
--- a/src/test/java/dapplestair/cancellations/CancellationWatermarkTest.java
+++ b/src/test/java/dapplestair/cancellations/CancellationWatermarkTest.java
@@ -10,78 +10,78 @@
 
 /** Up to when a controller knows all, case by case (docs/cancellations.md). */
 class CancellationWatermarkTest {
-  private long now = 100_000;
-  private long records = CancellationWatermark.NEVER;
+  private long nowMs = 100_000;
+  private long stateReadAtMs = CancellationWatermark.NEVER;
   private final Clock clock =
       new Clock() {
         @Override
         public long now() {
-          return now;
+          return nowMs;
         }
 
         @Override
         public long wall() {
-          return now;
+          return nowMs;
         }
       };
   private final CancellationWatermark watermark =
-      new CancellationWatermark(clock, () -> records, List.of("b", "c"));
+      new CancellationWatermark(clock, () -> stateReadAtMs, List.of("b", "c"));
 
-  private void tells(String member, long log) {
-    CancellationWatermark.PeerLog p = watermark.peerLog(member);
-    if (p.logId != log) {
-      watermark.startNewLog(p, log);
+  private void completeLogReceived(String member, long logId) {
+    CancellationWatermark.PeerLog peerLog = watermark.peerLog(member);
+    if (peerLog.logId != logId) {
+      watermark.startNewLog(peerLog, logId);
     }
-    watermark.recordComplete(p, now);
+    watermark.recordComplete(peerLog, nowMs);
   }
 
-  private void allTellAfterTheRecordsWereRead() {
-    tells("b", 1);
-    tells("c", 1);
-    records = now;
-    now += 10;
-    tells("b", 1);
-    tells("c", 1);
+  private void receiveAllLogsAfterStateRead() {
+    completeLogReceived("b", 1);
+    completeLogReceived("c", 1);
+    stateReadAtMs = nowMs;
+    nowMs += 10;
+    completeLogReceived("b", 1);
+    completeLogReceived("c", 1);
   }
 
   @Test
-  void nothingIsKnownBeforeTheRecordsWereRead() {
-    tells("b", 1);
-    tells("c", 1);
+  void nothingIsKnownBeforeTheStateWasRead() {
+    completeLogReceived("b", 1);
+    completeLogReceived("c", 1);
     assertTrue(watermark.ageMs() > Integer.MAX_VALUE);
   }
 
   /** In an outage of all it goes on as long as all tell, and stands still when one does not. */
   @Test
-  void theLeastOfAllPeers() {
-    allTellAfterTheRecordsWereRead();
-    now += 30_000;
-    tells("b", 1);
+  void ageIsThatOfThePeerWithTheOldestLog() {
+    receiveAllLogsAfterStateRead();
+    nowMs += 30_000;
+    completeLogReceived("b", 1);
     assertEquals(30_000, watermark.ageMs(), "one is dead or cut off, which cannot be told");
-    tells("c", 1);
+    completeLogReceived("c", 1);
     assertEquals(0, watermark.ageMs());
   }
 
   /** Its new life does not know what the former one confirmed: only the records do. */
   @Test
-  void aPeerThatIsBackAtOnceRemembersNothing() {
-    allTellAfterTheRecordsWereRead();
-    now += 500;
-    tells("b", 2);
-    tells("c", 1);
-    now += 5000;
-    tells("b", 2);
-    tells("c", 1);
+  void restartedPeerCountsOnlyAfterTheStateWasReadAgain() {
+    receiveAllLogsAfterStateRead();
+    nowMs += 500;
+    completeLogReceived("b", 2);
+    completeLogReceived("c", 1);
+    nowMs += 5000;
+    completeLogReceived("b", 2);
+    completeLogReceived("c", 1);
     assertEquals(5500, watermark.ageMs());
-    records = now;
-    now += 7;
-    tells("b", 2);
-    tells("c", 1);
+    stateReadAtMs = nowMs;
+    nowMs += 7;
+    completeLogReceived("b", 2);
+    completeLogReceived("c", 1);
     assertEquals(0, watermark.ageMs());
   }
 
   @Test
-  void theWindowLeavesALeaseAndASixteenth() {
+  void renewalWindowLeavesTimeForOneLeaseAndASixteenth() {
     assertEquals(
         66_000 - 36_000 - 2250,
         Cancellations.renewalWindowMs(new Settings.Workers(6000, 36_000, 66_000)));
