--- a/src/main/java/dapplestair/accepted/AcceptedJobs.java
+++ b/src/main/java/dapplestair/accepted/AcceptedJobs.java
@@ -12,9 +12,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Jobs that were accepted after the records of this controller were last read, as the leader says.
- * A follower that is cut off right after an acceptance would take the job's tasks for those of a
- * job that is over, and let the leases of their machines end (docs/cancellations.md).
+ * Tracks jobs that were accepted after this controller last read the records, as announced by the
+ * leader. Without this, a follower that is disconnected right after an acceptance would mistake the
+ * job's tasks for those of a job that is over, and let the leases of their machines expire
+ * (docs/cancellations.md).
  */
 public final class AcceptedJobs {
   private static final String TOPIC = "accepted";
@@ -28,13 +29,13 @@
   private final LongSupplier readRevision;
   private final long retryMs;
 
-  /** The records read last and their revisions, for followers that have not read them. */
+  /** Jobs of the newest records read and their revisions, for followers that have not read them. */
   private final Map<String, Long> newestRevisions = new BoundedMap<>(AcceptedJobsCodec.MAX_JOBS);
 
-  /** Jobs of which the leader spoke, with the revision of each record. */
+  /** Jobs that the leader has announced, with the revision of each record. */
   private final Map<String, Long> unreadRevisions = new BoundedMap<>(MAX_UNREAD_JOBS);
 
-  /** What each follower has not acknowledged. */
+  /** Jobs that each follower has not acknowledged, with the revision of each record. */
   private final Map<String, Map<String, Long>> unacknowledgedByFollower = new LinkedHashMap<>();
 
   private final Set<String> followersWithOpenRequest = new HashSet<>();
@@ -60,7 +61,7 @@
                     peer.member(), new BoundedMap<>(AcceptedJobsCodec.MAX_JOBS)));
   }
 
-  /** Begins to hear the leader. */
+  /** Starts to receive the leader's announcements. */
   public void start() {
     peers
         .questions()
@@ -77,7 +78,7 @@
             });
   }
 
-  /** What a leader tells. */
+  /** Records the jobs that a leader has announced. */
   void handleLeaderMessage(Map<String, Long> revisions) {
     long readUpTo = readRevision.getAsLong();
     unreadRevisions.values().removeIf(revision -> revision <= readUpTo);
@@ -90,15 +91,18 @@
   }
 
   /**
-   * True when this job was accepted after the newest read of the records. So it was not over at
-   * that moment.
+   * Returns true if this job was accepted after the newest read of the records, and so was not over
+   * at that time.
    */
   public boolean isUnread(String ref) {
     Long revision = unreadRevisions.get(ref);
     return revision != null && revision > readRevision.getAsLong();
   }
 
-  /** The record of a job that is not over was read; a leader tells its followers. */
+  /**
+   * Records that the record of a job that is not over was read. A leader announces the job to its
+   * followers.
+   */
   public void recordLiveJob(String ref, long revision) {
     newestRevisions.put(ref, revision);
     if (isLeading.getAsBoolean()) {
@@ -109,7 +113,7 @@
     }
   }
 
-  /** This controller leads from now on. */
+  /** Called when this controller becomes the leader. Announces the newest jobs to all followers. */
   public void onLeadershipGained() {
     unacknowledgedByFollower
         .values()
--- a/src/main/java/dapplestair/accepted/AcceptedJobsCodec.java
+++ b/src/main/java/dapplestair/accepted/AcceptedJobsCodec.java
@@ -7,12 +7,15 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The message that names accepted jobs and the revision of each record: bounded, of one form. */
+/**
+ * Encodes and decodes the message that lists accepted jobs with the revision of each record. It has
+ * a bounded size and a format version.
+ */
 final class AcceptedJobsCodec {
-  /** Raised whenever the form changes; messages of other forms are refused. */
+  /** Incremented whenever the format changes. Messages of other versions are rejected. */
   static final byte FORMAT_VERSION = 1;
 
-  /** Most jobs of one message. */
+  /** Maximum number of jobs in one message. */
   static final int MAX_JOBS = 1000;
 
   private static final int MAX_BYTES = 256 * 1024;
@@ -20,7 +23,7 @@
 
   private AcceptedJobsCodec() {}
 
-  /** Writes the revision of each job's record, or gives null when it is too much. */
+  /** Encodes the revision of each job's record. Returns null if the message would be too large. */
   static byte[] encode(Map<String, Long> revisions) {
     if (revisions.size() > MAX_JOBS) {
       return null;
@@ -40,7 +43,7 @@
     }
   }
 
-  /** Reads a message, or gives null when it is garbled, too large or of another form. */
+  /** Decodes a message. Returns null if it is malformed, too large or of another version. */
   static Map<String, Long> decode(byte[] bytes) {
     if (bytes.length == 0 || bytes.length > MAX_BYTES || bytes[0] != FORMAT_VERSION) {
       return null;
--- a/src/main/java/dapplestair/accepted/package-info.java
+++ b/src/main/java/dapplestair/accepted/package-info.java
@@ -1,2 +1,2 @@
-/** Jobs that were accepted after the records of a controller were last read. */
+/** Tracks jobs that were accepted after a controller last read the records. */
 package dapplestair.accepted;
--- a/src/main/java/dapplestair/cancellations/CancellationCodec.java
+++ b/src/main/java/dapplestair/cancellations/CancellationCodec.java
@@ -8,41 +8,54 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** What controllers tell each other of cancellations: bounded, and of one form. */
+/**
+ * Encodes and decodes the messages about cancellations between controllers. Messages have a bounded
+ * size and a format version.
+ */
 final class CancellationCodec {
-  /** Raised whenever the form changes; other forms are not understood, and so say nothing. */
+  /**
+   * Incremented whenever the format changes. Messages of other versions are not decoded, so nothing
+   * is concluded from them.
+   */
   static final byte FORMAT_VERSION = 1;
 
-  /** Most places in one message. A cancellation with more of them is never told as a whole. */
+  /**
+   * Maximum number of task locations in one message. A cancellation with more locations is never
+   * sent in full.
+   */
   static final int MAX_LOCATIONS = 20_000;
 
   static final int MAX_ENTRIES = 1000;
   private static final int MAX_BYTES = 448 * 1024;
 
-  /** No leader of a cluster gets that far: it would make a number that workers cannot read. */
+  /**
+   * No leader of a cluster reaches this term. A higher one would result in a fencing token that
+   * workers cannot read.
+   */
   private static final long MAX_TERM = 1L << 38;
 
   private CancellationCodec() {}
 
   /**
-   * A question: what was confirmed since?
+   * Requests the entries of a peer's log that follow a given entry.
    *
-   * @param asker the process that asks, told apart from its earlier lives
-   * @param number of the question, repeated in its answer
-   * @param log whose log {@code lastEntryNumber} counts in, 0 if none is known
-   * @param after the last entry that the asker has
+   * @param asker the requesting process, distinct from earlier processes of the same controller
+   * @param number number of this request, repeated in the response
+   * @param log the process whose log {@code lastEntryNumber} refers to, 0 if none is known
+   * @param after number of the last entry that the requester has
    */
   record LogRequest(long requester, long requestNumber, long logId, long lastEntryNumber) {}
 
-  /** One entry of a log and how long ago it was made. */
+  /** An entry of a log, with the time that has passed since its cancellation became known. */
   record LogEntry(long number, String ref, long ageMs, List<Cancellation.TaskLocation> locations) {}
 
   /**
-   * An answer: the entries after the one named, and whether these are all.
+   * Responds with the entries that follow the requested one.
    *
-   * @param logId the process that answers
-   * @param term the highest term it knows of
-   * @param complete whether the asker now has all that this process confirmed up to this moment
+   * @param logId the responding process, which owns the log
+   * @param term the highest term that the responding process has seen
+   * @param complete whether the requester now has everything that the responding process confirmed
+   *     up to the response
    */
   record LogResponse(
       long requester,
@@ -62,7 +75,7 @@
     return out.toBytes();
   }
 
-  /** Reads a question, or gives null when it is garbled or of another form. */
+  /** Decodes a request. Returns null if it is malformed or of another format version. */
   static LogRequest decodeRequest(byte[] bytes) {
     if (bytes.length == 0 || bytes[0] != FORMAT_VERSION) {
       return null;
@@ -77,7 +90,7 @@
     }
   }
 
-  /** Writes an answer, or gives null when it is too large for one message. */
+  /** Encodes a response. Returns null if it is too large for one message. */
   static byte[] encode(LogResponse response) {
     try {
       return write(response);
@@ -115,7 +128,7 @@
     }
   }
 
-  /** Reads an answer, or gives null when it is garbled, too large or of another form. */
+  /** Decodes a response. Returns null if it is malformed, too large or of another version. */
   static LogResponse decodeResponse(byte[] bytes) {
     if (bytes.length == 0 || bytes.length > MAX_BYTES || bytes[0] != FORMAT_VERSION) {
       return null;
@@ -152,7 +165,7 @@
     long ageMs = in.readVarLong(true);
     int count = in.readVarInt(true);
     if (number < 1 || ref == null || ageMs < 0 || count < 0 || count > maxLocations) {
-      throw new IllegalArgumentException("no entry of a log");
+      throw new IllegalArgumentException("malformed entry in a cancellation log message");
     }
     List<Cancellation.TaskLocation> locations = new ArrayList<>();
     FrontCodedNames names = new FrontCodedNames();
--- a/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
+++ b/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
@@ -24,10 +24,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Ends cancelled tasks without being the leader: halts go to their machines' own addresses, with a
- * token raised above any that a launch still on its way can carry. Only for what this controller
- * told a user, and while no leader says that it does the same. The last resort is the return of the
- * machine.
+ * Ends cancelled tasks while this controller is not the leader. It sends halts directly to the
+ * addresses of the machines, with a fencing token raised above that of any launch that may still be
+ * in flight. It does so only for cancellations that this controller confirmed to a user, or adopted
+ * from a controller that has ended. Cancellations that a leader reports to handle are left to it
+ * until half of the time for cancellations has passed. The last resort is to return the machine to
+ * the cloud.
  */
 final class CancellationEnforcer {
   private static final Logger LOG = LoggerFactory.getLogger(CancellationEnforcer.class);
@@ -36,7 +38,7 @@
   private static final int MAX_LISTED_MACHINES = 50;
   private static final int MAX_RETURNED_PER_TURN = 20;
 
-  /** A place at which a cancellation's task is not proved to be absent. */
+  /** A cancelled task that is not yet proved to be absent from a location. */
   private record RemainingTask(Cancellation cancellation, Cancellation.TaskLocation location) {
     String ref() {
       return cancellation.ref();
@@ -54,14 +56,16 @@
   private final Map<String, String> addresses = new BoundedMap<>(MAX_ADDRESSES);
   private final Set<String> hostsWithOpenCall = new HashSet<>();
 
-  // What is proved to be absent, by job; forgotten with the job.
+  // Locations from which a job's task is proved to be absent, until the job is no longer tracked.
   private final Map<String, Set<Cancellation.TaskLocation>> absentLocationsByJob = new HashMap<>();
   private boolean lookupBlocked;
   private boolean returnBlocked;
 
   /**
-   * Launches may be sent for {@code launchWindowMs} after a cancellation by one who does not know
-   * of it.
+   * Creates an enforcer.
+   *
+   * @param launchWindowMs how long after a cancellation a controller that does not know of it may
+   *     still send launches
    */
   CancellationEnforcer(
       Clock clock,
@@ -81,12 +85,15 @@
     this.callTimeoutMs = settings.workers().reportMs() / 2;
   }
 
-  /** A machine's address, as it said itself. */
+  /** Records the address of a machine as reported by the machine itself. */
   void recordAddress(String host, String endpoint) {
     addresses.put(host, endpoint);
   }
 
-  /** One turn over all cancellations that nobody is known to carry out. */
+  /**
+   * Goes once through the open cancellations, and halts the remaining tasks of those that no leader
+   * is known to handle or that are past half of the time for cancellations.
+   */
   void enforce() {
     List<Cancellation> cancellations = openCancellations.ownCancellations();
     absentLocationsByJob.keySet().retainAll(cancellations.stream().map(Cancellation::ref).toList());
@@ -112,7 +119,7 @@
         tasksByHost
             .computeIfAbsent(location.host(), h -> new ArrayList<>())
             .add(new RemainingTask(cancellation, location));
-        // Whoever leads returns a machine after half of the time at the latest.
+        // A leader returns a machine after half of this time at the latest.
         if (!handledByLeader
             && ageMs > cancelMs * 5 / 8
             && hostsToReturn.size() < MAX_RETURNED_PER_TURN) {
@@ -180,9 +187,10 @@
   }
 
   /**
-   * What the answer lacks, or calls exited, is gone: no launch sent before can be executed under
-   * the raised token. One that a leader who did not know sent later can be, so until none can be
-   * sent any more the machine is asked again.
+   * Records the tasks that the reply to a halt proves to be absent. A task that the reply does not
+   * list, or lists as exited, is gone: under the raised token the worker executes no launch that
+   * was sent earlier. It may still execute a launch sent later by a leader that did not know of the
+   * cancellation, so the machine is asked again until no such launch can be sent any more.
    */
   private void recordAbsentTasks(Report reportAfterHalt, long sentAtMs, List<RemainingTask> tasks) {
     if (reportAfterHalt == null) {
@@ -204,8 +212,9 @@
   }
 
   /**
-   * The cloud knows a machine's address. Names are listed in order after a given one: after this
-   * name less its last letter come few others before it.
+   * Looks up the address of a machine in the cloud. The cloud lists machines by name, starting
+   * after a given name. The name without its last character is used as that start, since only few
+   * other names lie between the two.
    */
   private void lookUpAddress(String host) {
     if (lookupBlocked || host.length() < 2) {
@@ -217,7 +226,7 @@
         precedingName,
         MAX_LISTED_MACHINES,
         reply -> {
-          // The leader needs nearly all calls that the cloud allows.
+          // Leaves the leader nearly all of the calls that the cloud allows.
           timers.after(Math.round(4000 / settings.cloud().rps()), () -> lookupBlocked = false);
           for (JsonNode node : Json.parse(reply.ok() ? reply.body() : new byte[0]).path("hosts")) {
             String name = Json.text(node, "ref");
@@ -234,7 +243,9 @@
       return;
     }
     returnBlocked = true;
-    LOG.warn("{} still hold cancelled work, and nobody else ends it: returning them", hosts);
+    LOG.warn(
+        "Machines {} may still run cancelled tasks and no leader ends them: returning the machines",
+        hosts);
     cloud.enforceRelease(
         hosts,
         reply -> {
--- a/src/main/java/dapplestair/cancellations/CancellationLogSync.java
+++ b/src/main/java/dapplestair/cancellations/CancellationLogSync.java
@@ -10,9 +10,12 @@
 import java.util.function.Consumer;
 import java.util.function.ObjLongConsumer;
 
-/** Each controller asks every other for what it has confirmed since it was last asked. */
+/**
+ * Synchronizes the logs of confirmed cancellations: each controller periodically requests from
+ * every peer the entries that were added since the last request.
+ */
 final class CancellationLogSync implements AutoCloseable {
-  /** What is asked of a peer's log, every few moments. */
+  /** Topic of the periodic requests for a peer's log. */
   private static final String REQUEST_TOPIC = "withdrawn";
 
   private final Clock clock;
@@ -29,8 +32,11 @@
   private Cancellable timer = () -> {};
 
   /**
-   * {@code processId} tells this process from its earlier lives; {@code entryListener} hears what
-   * is new and whose.
+   * Creates the synchronization of logs.
+   *
+   * @param processId the id of this process, distinct from earlier processes of this controller
+   * @param entryListener receives each entry that a peer sends, with the id of the process that
+   *     owns the log
    */
   CancellationLogSync(
       Clock clock,
@@ -59,7 +65,7 @@
     requestAllLogs();
   }
 
-  /** Asks each peer what it has confirmed since, again and again. */
+  /** Requests new log entries from each peer, and schedules the next round. */
   private void requestAllLogs() {
     for (Settings.Peer peer : settings.peers()) {
       requestLog(peer.member());
@@ -92,7 +98,7 @@
     if (reply != null && response == null) {
       peers.questions().refused();
     }
-    // An answer to a question of an earlier life of this process says nothing about this one's.
+    // Ignores responses to requests of an earlier process of this controller.
     if (response == null
         || response.requester() != processId
         || response.requestNumber() != requestNumber) {
--- a/src/main/java/dapplestair/cancellations/CancellationWatermark.java
+++ b/src/main/java/dapplestair/cancellations/CancellationWatermark.java
@@ -7,25 +7,25 @@
 import java.util.function.Predicate;
 
 /**
- * Up to which moment this controller knows every cancellation that any controller has confirmed:
- * its last read of the state service, or the least of the moments up to which each peer has told
- * all.
+ * Tracks the time up to which this controller knows every cancellation that any controller has
+ * confirmed. This is the later of two times: that of its last read of the state service, and the
+ * earliest of the times up to which each peer has sent its complete log.
  */
 final class CancellationWatermark {
   static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** What is known of one peer's log. */
+  /** What this controller knows of the log of one peer. */
   static final class PeerLog {
-    /** The process whose log it is; a process that begins again has another one. */
+    /** The process that owns the log. A peer that restarts has a new process and a new log. */
     long logId;
 
-    /** The last entry of it that is here. */
+    /** Number of the last entry received from the log. */
     long lastEntryNumber;
 
-    /** When this process was first heard. */
+    /** When the first response of this process was received. */
     long firstHeardAtMs = NEVER;
 
-    /** All that the peer confirmed before this moment is known here. */
+    /** All cancellations that the peer confirmed before this time are known here. */
     long completeUpToMs = NEVER;
   }
 
@@ -34,7 +34,10 @@
   private final Map<String, PeerLog> peerLogs = new HashMap<>();
 
   /**
-   * {@code stateReadAtMs} is when the newest read of the records was asked for, or {@link #NEVER}.
+   * Creates a watermark.
+   *
+   * @param stateReadAtMs when the newest read of the records was requested, or {@link #NEVER}
+   * @param members the peers whose logs count
    */
   CancellationWatermark(Clock clock, LongSupplier stateReadAtMs, Iterable<String> members) {
     this.clock = clock;
@@ -47,7 +50,8 @@
   }
 
   /**
-   * True when this process is a peer's present one and {@code isMemberAlive} says so of that peer.
+   * Returns true if this process is the current one of a peer and {@code isMemberAlive} accepts
+   * that peer.
    */
   boolean isAlive(long processId, Predicate<String> isMemberAlive) {
     return peerLogs.entrySet().stream()
@@ -55,7 +59,7 @@
             entry -> entry.getValue().logId == processId && isMemberAlive.test(entry.getKey()));
   }
 
-  /** The peer's process is another one than before. */
+  /** Starts a new log for a peer whose process has changed. */
   void startNewLog(PeerLog peerLog, long logId) {
     peerLog.logId = logId;
     peerLog.lastEntryNumber = 0;
@@ -63,10 +67,11 @@
   }
 
   /**
-   * The peer has told all that its present life confirmed before {@code askedAtMs}. What an earlier
-   * life of it confirmed it does not know itself: only the records tell, if they were read after
-   * that life's end. A refused connection or a silence says nothing; both a dead peer and one that
-   * is cut off stay at what they told last.
+   * Records that the peer has sent everything that its current process confirmed before {@code
+   * askedAtMs}. The peer does not know what an earlier process of its own confirmed: only the
+   * records show that, if they were read after that process had ended. Nothing is concluded from a
+   * refused connection or a missing response, so the time of a dead or disconnected peer stays at
+   * that of its last complete response.
    */
   void recordComplete(PeerLog peerLog, long askedAtMs) {
     if (stateReadAtMs.getAsLong() >= peerLog.firstHeardAtMs
@@ -75,11 +80,12 @@
     }
   }
 
-  /** How old this knowledge is. */
+  /** Returns the age of this controller's knowledge: milliseconds since the watermark. */
   long ageMs() {
     long lastReadAtMs = stateReadAtMs.getAsLong();
     if (lastReadAtMs <= NEVER) {
-      // What an earlier life of this controller confirmed is on record at best.
+      // Cancellations confirmed by an earlier process of this controller can only be read from the
+      // records, which have not been read yet.
       return Long.MAX_VALUE / 2;
     }
     long earliestPeerMs =
--- a/src/main/java/dapplestair/cancellations/Cancellations.java
+++ b/src/main/java/dapplestair/cancellations/Cancellations.java
@@ -16,33 +16,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What users were told is cancelled, and how far each controller knows it. Whoever tells a user
- * tells the other controllers first, and goes on until it is proved that the tasks are gone; nobody
- * keeps a worker's lease who may not know of a cancellation (docs/cancellations.md has the proof).
+ * Tracks the cancellations that were confirmed to users, and makes them known to all controllers. A
+ * controller informs its peers before it confirms a cancellation to a user, and continues until the
+ * tasks are proved to be gone. A controller that may not know of a cancellation does not renew
+ * workers' leases. The proof is in docs/cancellations.md.
  */
 public final class Cancellations implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Cancellations.class);
 
-  /** What is about to be told to a user. */
+  /** Topic of cancellations that are about to be confirmed to users. */
   private static final String CONFIRM_TOPIC = "withdrawing";
 
-  // Answers to the latter.
+  // Replies on CONFIRM_TOPIC, one byte for each cancellation.
   private static final byte KNOWN = 1;
   private static final byte HANDLED_BY_LEADER = 2;
   private static final byte PROVED_ABSENT = 3;
 
-  /** Told of cancellations that others confirmed. */
+  /** Hears of cancellations that other controllers confirmed, and answers what is on record. */
   public interface Listener {
-    /** This job is over for good, since its user cancelled it. */
+    /** Called when this job is over for good because its user cancelled it. */
     void onCancelled(String ref);
 
-    /** Where its tasks may be, by the records as this controller has them. */
+    /** Returns where tasks of the job may be, according to the records read by this controller. */
     List<Cancellation.TaskLocation> taskLocations(String ref);
 
-    /** True when this controller leads and has all attempts at hand. */
+    /** Returns true if this controller leads and has read all recorded attempts. */
     boolean leadsWithAllAttempts();
 
-    /** True when this controller leads and nothing of the job is left anywhere. */
+    /** Returns true if this controller leads and no task of the job is left on any machine. */
     boolean isProvedAbsent(String ref);
   }
 
@@ -69,7 +70,7 @@
   private long lastLearnedAtMs = CancellationWatermark.NEVER;
   private Cancellable followUpTimer = () -> {};
 
-  /** {@code stateReadAtMs} is when the newest read of the records was asked for. */
+  /** {@code stateReadAtMs} returns when the newest read of the records was requested. */
   public Cancellations(
       Clock clock,
       Timers timers,
@@ -121,8 +122,9 @@
   }
 
   /**
-   * For how long a lease may be kept by one who knows nothing newer: what is kept then still ends
-   * in time. A sixteenth of a lease is left for clocks that drift and for what is under way.
+   * Returns how old a controller's knowledge of cancellations may be for it to renew leases. A
+   * lease renewed within this time still ends before a cancelled task must have ended. A sixteenth
+   * of a lease is reserved for clock drift and for messages in flight.
    */
   static long renewalWindowMs(Settings.Workers workers) {
     return Math.max(timeLeftAfterLeaseMs(workers), minRenewalWindowMs(workers));
@@ -136,14 +138,14 @@
     return 2 * workers.reportMs();
   }
 
-  /** Begins to ask and to answer peers. */
+  /** Starts to send requests to peers and to answer theirs. */
   public void start() {
     Settings.Workers workers = settings.workers();
     if (timeLeftAfterLeaseMs(workers) < minRenewalWindowMs(workers)) {
       LOG.warn(
-          "cancel_s ({} s) is not above lease_s ({} s) by two reports and more: while controllers "
-              + "cannot reach the state service or each other, a cancelled job may hold its machines "
-              + "for up to {} s",
+          "cancel_s ({} s) does not exceed lease_s ({} s) plus a sixteenth by at least two report "
+              + "intervals: while controllers cannot reach the state service or each other, a "
+              + "cancelled job may hold its machines for up to {} s",
           workers.cancelMs() / 1000.0,
           workers.leaseMs() / 1000.0,
           (renewalWindowMs + workers.leaseMs() + workers.leaseMs() / 16) / 1000.0);
@@ -154,72 +156,75 @@
     followUp();
   }
 
-  // ---- who knows ----
+  // ---- knowledge of cancellations ----
 
-  /** True when every confirmed cancellation old enough to matter is known here. */
+  /** Returns true if every confirmed cancellation that is old enough to matter is known here. */
   public boolean mayRenew() {
     return !knownCancellations.hasForgottenTooEarly() && knowledgeAgeMs() <= renewalWindowMs;
   }
 
-  /** True when what is known is new enough to start tasks by. */
+  /** Returns true if the knowledge of cancellations is recent enough to launch tasks. */
   public boolean mayLaunch() {
     return knowledgeAgeMs() <= launchWindowMs();
   }
 
-  /** For how long after a cancellation a launch of its job may still be sent. */
+  /** Returns how long after a cancellation a launch of the job may still be sent. */
   public long launchWindowMs() {
     return renewalWindowMs / 4;
   }
 
-  /** How old the knowledge of all cancellations is, milliseconds. */
+  /** Returns how old the knowledge of all cancellations is, in milliseconds. */
   public long knowledgeAgeMs() {
     return watermark.ageMs();
   }
 
-  /** True when this job's user was told that it is cancelled, or the job is over otherwise. */
+  /** Returns true if the job is known to be over, by a confirmed cancellation or otherwise. */
   public boolean isKnown(String ref) {
     return knownCancellations.contains(ref);
   }
 
-  /** Attempts of such jobs that may be on a machine, by the records, in a session of its worker. */
+  /**
+   * Returns the recorded attempts of ended jobs that may be on a machine in this worker session.
+   */
   public List<KnownCancellations.CancelledTask> tasksOn(String host, long session) {
     return knownCancellations.tasksOn(host).stream()
         .filter(task -> task.location().session() == session)
         .toList();
   }
 
-  /** When a cancellation was last learned of that may not be carried out yet. */
+  /** Returns when this controller last learned of a cancellation that may not be complete yet. */
   public long lastLearnedAtMs() {
     return lastLearnedAtMs;
   }
 
-  /** For how long a cancellation counts: after that nothing of it can be left. */
+  /** Returns how long a cancellation is retained. After that, none of its tasks can be left. */
   public long retentionMs() {
     return retentionMs;
   }
 
-  /** Cancellations told here that are not known to be carried out. */
+  /** Returns the number of cancellations followed up here that are not known to be complete. */
   public int openCount() {
     return openCancellations.size();
   }
 
-  /** For how long the oldest of them has been open, milliseconds. */
+  /** Returns for how long the oldest of the open cancellations has been open, in milliseconds. */
   public long oldestOpenMs() {
     return openCancellations.oldestAgeMs();
   }
 
-  /** The records say that a job is over: cancelled, or done. */
+  /** Records that the job is over according to the records: cancelled, or done. */
   public void recordRemovedJob(String ref) {
     knownCancellations.learn(ref, 0, listener.taskLocations(ref));
     lastLearnedAtMs = clock.now();
   }
 
-  // ---- telling ----
+  // ---- confirming to users and informing peers ----
 
   /**
-   * A user is about to be told, by whatever question, that this job is cancelled. All that the
-   * records held of the job at that moment has been read. Whoever can be asked now knows of it
-   * before the user does, so that the end of this controller right afterwards loses nothing.
+   * Prepares the confirmation to a user that this job is cancelled, whatever the user's request
+   * was, and then runs {@code onConfirmed}. The caller has read everything that the records held of
+   * the job at that time. All peers that can be reached learn of the cancellation before the user
+   * does, so that nothing is lost if this controller ends right afterwards.
    */
   public void confirm(String ref, Runnable onConfirmed) {
     if (knownCancellations.isInLog(ref)) {
@@ -227,7 +232,7 @@
       return;
     }
     if (pendingConfirmations.isEmpty()) {
-      // All that come in the same turn share one message.
+      // All confirmations of the same turn of the event loop share one message.
       timers.after(0, this::confirmPending);
     }
     pendingConfirmations.add(new PendingConfirmation(ref, onConfirmed));
@@ -262,7 +267,7 @@
     countDown.run();
   }
 
-  /** A short bound: whoever does not answer is no reason to keep a user waiting. */
+  /** Sends cancellations to a peer. A short timeout keeps a silent peer from delaying the user. */
   private void informPeer(String member, List<String> refs, Runnable onAnswered) {
     List<CancellationCodec.LogEntry> entries =
         refs.stream()
@@ -279,7 +284,7 @@
             new CancellationCodec.LogResponse(
                 0, 0, processId, leadership.highestTermSeen(), false, entries));
     if (body == null) {
-      // Too much for one message: it is asked for, part by part.
+      // Too large for one message: the peer fetches the log in parts.
       timers.after(0, onAnswered);
       return;
     }
@@ -333,8 +338,8 @@
   }
 
   private byte progressOf(String ref) {
-    // A leader that still reads what jobs that are over have on machines may not know of this one's
-    // tasks, and in an outage it reads no more: who waits for it then waits in vain.
+    // A leader that is still reading the attempts of ended jobs may not know of this job's tasks,
+    // and cannot read on in an outage of the state service, so nobody may rely on it to end them.
     if (!listener.leadsWithAllAttempts()) {
       return KNOWN;
     }
@@ -344,7 +349,7 @@
   private void learn(CancellationCodec.LogEntry entry, long confirmingProcess) {
     knownCancellations.learn(entry.ref(), entry.ageMs(), entry.locations());
     if (knownCancellations.markToldToUser(entry.ref())) {
-      // Also when it was known from the records: its user hears of it only now.
+      // Applies even if the records had shown the cancellation: its user hears of it only now.
       lastLearnedAtMs = clock.now();
       if (!entry.locations().isEmpty()) {
         openCancellations.addFromPeer(entry.ref(), confirmingProcess, entry.ageMs());
@@ -353,9 +358,9 @@
     listener.onCancelled(entry.ref());
   }
 
-  // ---- carrying out ----
+  // ---- following up ----
 
-  /** Goes on with what was told here until it is proved to be carried out, by whomever. */
+  /** Follows up on open cancellations until each is proved to be complete, by any controller. */
   private void followUp() {
     knownCancellations.removeExpired();
     boolean recordsAreRecent = clock.now() - stateReadAtMs.getAsLong() < reportMs;
@@ -372,7 +377,7 @@
           informPeer(peer.member(), refs, () -> {});
         }
       }
-      // Whoever leads by records that are new has read of the cancellation there.
+      // A leader that works from recent records has read the cancellation there.
       if (!leadership.isLeading() && !(recordsAreRecent && leadership.currentLeader() != null)) {
         enforcer.enforce();
       }
@@ -381,7 +386,7 @@
     followUpTimer = timers.after(reportMs / 2, this::followUp);
   }
 
-  /** Machines of which a report came here, with their addresses. */
+  /** Records that a machine has reported to this controller, with its address. */
   public void recordAddress(String host, String endpoint) {
     enforcer.recordAddress(host, endpoint);
     forgottenMachines.recordReport(host);
--- a/src/main/java/dapplestair/cancellations/ForgottenMachines.java
+++ b/src/main/java/dapplestair/cancellations/ForgottenMachines.java
@@ -18,47 +18,49 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * When all controllers have ended in an outage of the state service, nobody remembers what was
- * cancelled, nor can it be read. No lease is kept then, so that what runs on machines that are
- * heard ends; a machine that hangs past its lease has to be returned. Machines that are silent
- * while others are heard are returned by the controllers together, without knowing what runs there:
- * its lease is over anyway.
+ * Returns silent machines after all controllers have restarted during an outage of the state
+ * service. No controller then remembers which jobs were cancelled, and the records cannot be read.
+ * No lease is renewed in this situation, so tasks end on the machines that report. A machine that
+ * hangs past its lease has to be returned to the cloud. Once the controllers agree that none of
+ * them has records, they return machines that are silent while others report, without knowing what
+ * runs there: the leases of these machines have expired anyway.
  */
 final class ForgottenMachines {
   private static final Logger LOG = LoggerFactory.getLogger(ForgottenMachines.class);
 
-  /** Whether a controller has read no record since it began. */
+  /** Topic of the question whether a controller has read no records since it started. */
   private static final String NO_RECORDS_TOPIC = "recordless";
 
   private static final byte YES = 1;
   private static final byte NO = 0;
 
-  // Every worker that can has tried every controller within less than half of a lease.
+  // Within less than half of a lease every working worker has tried to reach every controller.
   private static final int SILENCE_PERIODS_PER_LEASE = 2;
   private static final int MAX_HEARD_MACHINES = 8000;
   private static final int MAX_MACHINES_PER_PAGE = 500;
   private static final int MAX_RETURNED_PER_CALL = 100;
 
-  /** A machine that may run something and is silent. */
+  /** A machine that does not report and on which tasks may run. */
   private record SilentMachine(String host, String zone) {}
 
-  /** What one turn finds out. */
+  /** What one turn finds out about controllers and machines. */
   private static final class Survey {
-    /** Zones of controllers that are neither heard nor refuse connections. */
+    /** Zones of controllers that neither answer nor refuse connections. */
     final Set<String> unansweredZones = new HashSet<>();
 
-    /** Zones of which a machine is heard. */
+    /** Zones from which at least one machine reports. */
     final Set<String> heardZones = new HashSet<>();
 
     final List<SilentMachine> silentMachines = new ArrayList<>();
 
     /**
-     * Machines that are silent while others are heard. A zone of which nothing is heard, neither
-     * machines nor its controller, is cut off: that controller may know what was cancelled.
+     * Returns the machines that are silent while others report. A zone in which neither a machine
+     * nor the controller is heard is disconnected and left out, since its controller may know which
+     * jobs were cancelled.
      */
     List<String> forgottenHosts() {
       if (heardZones.isEmpty()) {
-        // It is rather we who are cut off.
+        // More likely it is this controller that is disconnected.
         return List.of();
       }
       return silentMachines.stream()
@@ -80,7 +82,7 @@
   private long startedAtMs;
   private boolean turnInProgress;
 
-  /** {@code hasNoRecords} is true while this controller has read no record since it began. */
+  /** {@code hasNoRecords} is true while this controller has read no records since it started. */
   ForgottenMachines(
       Clock clock,
       Timers timers,
@@ -105,14 +107,14 @@
             (body, reply) -> reply.accept(new byte[] {hasNoRecords.getAsBoolean() ? YES : NO}));
   }
 
-  /** A machine reported here. */
+  /** Records that a machine has reported to this controller. */
   void recordReport(String host) {
     if (hasNoRecords.getAsBoolean()) {
       lastReportAtMs.put(host, clock.now());
     }
   }
 
-  /** One turn. */
+  /** Starts a turn, unless this controller has records or another turn is in progress. */
   void runTurn() {
     if (!hasNoRecords.getAsBoolean()) {
       lastReportAtMs.clear();
@@ -129,8 +131,9 @@
   }
 
   /**
-   * None of them may say that it has records: it looks after what it knows. One that is away, or
-   * cut off, cannot be asked, and need not remember either.
+   * Asks the peers one by one whether they have records. The turn ends if a peer has, since that
+   * peer handles the cancellations it knows of. A peer that is down or disconnected cannot be
+   * asked, and it may not remember any cancellations either.
    */
   private void askPeers(int peerIndex, Survey survey) {
     if (peerIndex == settings.peers().size()) {
@@ -160,7 +163,7 @@
     askPeers(peerIndex + 1, survey);
   }
 
-  /** The next turn comes after a while: the leader to be needs nearly all of the cloud's calls. */
+  /** Ends this turn, with a delay before the next: a future leader needs nearly all cloud calls. */
   private void endTurn() {
     timers.after(Math.round(4000 / settings.cloud().rps()), () -> turnInProgress = false);
   }
@@ -202,7 +205,9 @@
     return reportAtMs != null && clock.now() - reportAtMs < silenceThresholdMs();
   }
 
-  /** True when it was up before this controller began, so that something may run there. */
+  /**
+   * Returns true if the machine ran before this controller started, so that tasks may run there.
+   */
   private boolean ranBeforeStart(JsonNode node) {
     double ageMs = 1000 * node.path("ageS").asDouble();
     return "running".equals(Json.text(node, "status")) && ageMs > clock.now() - startedAtMs;
@@ -215,7 +220,9 @@
     }
     int count = Math.min(MAX_RETURNED_PER_CALL, hosts.size());
     List<String> batch = hosts.subList(0, count);
-    LOG.warn("no controller has records, and {} are silent: returning them", batch);
+    LOG.warn(
+        "No controller has read records since its start; returning silent machines {} to the cloud",
+        batch);
     cloud.enforceRelease(batch, reply -> returnMachines(hosts.subList(count, hosts.size())));
   }
 }
--- a/src/main/java/dapplestair/cancellations/KnownCancellations.java
+++ b/src/main/java/dapplestair/cancellations/KnownCancellations.java
@@ -11,23 +11,24 @@
 import java.util.Set;
 
 /**
- * The cancellations that this controller knows of, from whomever, and among them the log of those
- * that it told users itself. Kept for as long as a task of theirs can be anywhere.
+ * The cancellations that this controller knows of from any source, and the log of those that it
+ * confirmed to users itself. A cancellation is retained for as long as a task of its job can be
+ * left on a machine.
  */
 public final class KnownCancellations {
   /**
-   * Beyond these the oldest are forgotten. Whoever forgets one before its time must not vouch for
-   * what it knows: see {@link #hasForgottenTooEarly}.
+   * Maximum number of cancellations retained; beyond it the oldest are dropped. A controller that
+   * has dropped one too early must not claim to know all: see {@link #hasForgottenTooEarly}.
    */
   private static final int MAX_CANCELLATIONS = 20_000;
 
-  /** A cancelled job's attempt at a place. */
+  /** An attempt of a cancelled job at a location. */
   public record CancelledTask(String ref, Cancellation.TaskLocation location) {}
 
   private final Clock clock;
   private final long retentionMs;
   private final Map<String, Cancellation> cancellationsByJob = new LinkedHashMap<>();
-  // What was told to users here, in the order of its telling.
+  // The log: jobs whose cancellation this controller confirmed, in the order of confirmation.
   private final Map<String, Long> logNumbers = new LinkedHashMap<>();
   private final Set<String> jobsToldToUsers = new HashSet<>();
   private final Map<String, Set<CancelledTask>> tasksByHost = new HashMap<>();
@@ -47,7 +48,10 @@
     return cancellationsByJob.get(ref);
   }
 
-  /** Enters one; true when it is new. What is learned of its places later is added. */
+  /**
+   * Adds a cancellation, or adds the locations that were not known to one that is already there.
+   * Returns true if the cancellation is new.
+   */
   boolean learn(String ref, long ageMs, List<Cancellation.TaskLocation> locations) {
     removeExpired();
     Cancellation previous = cancellationsByJob.get(ref);
@@ -78,17 +82,23 @@
     }
   }
 
-  /** Attempts of cancelled jobs that may be on this machine. */
+  /** Returns the attempts of cancelled jobs that may be on this machine. */
   Set<CancelledTask> tasksOn(String host) {
     return tasksByHost.getOrDefault(host, Set.of());
   }
 
-  /** A user is told of it, here or elsewhere. True the first time. */
+  /**
+   * Records that this controller or another one confirms the cancellation to a user. Returns true
+   * the first time.
+   */
   boolean markToldToUser(String ref) {
     return cancellationsByJob.containsKey(ref) && jobsToldToUsers.add(ref);
   }
 
-  /** It is about to be told to a user here. False if it was before. */
+  /**
+   * Adds a cancellation to the log that this controller is about to confirm to a user. Returns
+   * false if the log already has it.
+   */
   boolean appendToLog(String ref) {
     if (logNumbers.containsKey(ref)) {
       return false;
@@ -97,12 +107,12 @@
     return true;
   }
 
-  /** True when a user was told of it here. */
+  /** Returns true if this controller confirmed the cancellation to a user. */
   boolean isInLog(String ref) {
     return logNumbers.containsKey(ref);
   }
 
-  /** The place of a cancellation in this controller's log, or 0. */
+  /** Returns the number of a cancellation in this controller's log, or 0 if it is not there. */
   long logNumber(String ref) {
     return logNumbers.getOrDefault(ref, 0L);
   }
@@ -111,7 +121,10 @@
     return lastLogNumber;
   }
 
-  /** Entries of the log after a number, oldest first; stops before {@code maxLocations}. */
+  /**
+   * Returns the log entries after the given number, oldest first, with at most {@code maxLocations}
+   * locations in total.
+   */
   List<CancellationCodec.LogEntry> entriesAfter(long number, int maxEntries, int maxLocations) {
     removeExpired();
     List<CancellationCodec.LogEntry> entries = new ArrayList<>();
@@ -136,12 +149,12 @@
     return entries;
   }
 
-  /** True when something was forgotten that may matter still. */
+  /** Returns true if a cancellation was dropped that may still matter. */
   boolean hasForgottenTooEarly() {
     return clock.now() - forgotTooEarlyAtMs < retentionMs;
   }
 
-  /** What is too old to matter goes. */
+  /** Removes cancellations that have expired, or that exceed the maximum number. */
   void removeExpired() {
     long expiryMs = clock.now() - retentionMs;
     Iterator<Cancellation> oldest = cancellationsByJob.values().iterator();
--- a/src/main/java/dapplestair/cancellations/OpenCancellations.java
+++ b/src/main/java/dapplestair/cancellations/OpenCancellations.java
@@ -9,8 +9,9 @@
 import java.util.function.Predicate;
 
 /**
- * Cancellations that users were told of here and that are not known to be carried out; with them
- * those of other controllers' users, which are looked after here once that controller has ended.
+ * Cancellations that this controller confirmed to users and that are not known to be complete. Also
+ * holds cancellations that other controllers confirmed: this controller adopts them once their
+ * controller has ended.
  */
 final class OpenCancellations {
   private static final long THIS_CONTROLLER = 0;
@@ -35,7 +36,10 @@
   private final long leaderConfirmationValidMs;
   private final Map<String, OpenCancellation> openByJob = new LinkedHashMap<>();
 
-  /** Whoever says that it carries one on is believed for {@code leaderConfirmationValidMs}. */
+  /**
+   * Creates an empty set. A leader's confirmation that it handles a cancellation is valid for
+   * {@code leaderConfirmationValidMs}.
+   */
   OpenCancellations(
       Clock clock, KnownCancellations knownCancellations, long leaderConfirmationValidMs) {
     this.clock = clock;
@@ -43,41 +47,45 @@
     this.leaderConfirmationValidMs = leaderConfirmationValidMs;
   }
 
-  /** Its user is told now. */
+  /** Adds a cancellation that this controller now confirms to its user. */
   void addOwn(String ref) {
     openByJob.put(ref, new OpenCancellation(clock.now(), THIS_CONTROLLER));
   }
 
-  /** Its user was told some time ago by another controller's process, which looks after it. */
+  /**
+   * Adds a cancellation that another controller confirmed {@code ageMs} ago; that controller's
+   * process follows it up.
+   */
   void addFromPeer(String ref, long ownerProcess, long ageMs) {
     openByJob.putIfAbsent(ref, new OpenCancellation(clock.now() - ageMs, ownerProcess));
   }
 
   /**
-   * Takes over from those that have ended. In an outage nobody leads who would read of it: without
-   * this, what a machine that hangs runs of a cancelled job would stay for as long as it hangs.
+   * Adopts the cancellations of controller processes that have ended. During an outage of the state
+   * service there is no leader that would read of them. Without adoption, tasks of a cancelled job
+   * on a machine that hangs would remain for as long as the machine hangs.
    */
   void adoptOrphaned(LongPredicate isAlive) {
     for (OpenCancellation cancellation : openByJob.values()) {
       if (!cancellation.isOwnedHere() && !isAlive.test(cancellation.ownerProcess)) {
         cancellation.ownerProcess = THIS_CONTROLLER;
-        // A leader may carry it on: it is asked before anything is done here.
+        // A leader may be handling it, and is asked before this controller acts.
         cancellation.leaderConfirmedAtMs = clock.now();
       }
     }
   }
 
-  /** It is proved that nothing is left of it. */
+  /** Removes a cancellation of which no task is left. */
   void remove(String ref) {
     openByJob.remove(ref);
   }
 
-  /** Those of which this holds need nothing more. */
+  /** Removes the cancellations that are complete. */
   void removeIf(Predicate<String> isCarriedOut) {
     openByJob.keySet().removeIf(isCarriedOut);
   }
 
-  /** A leader says that it carries this one out. */
+  /** Records that a leader has just confirmed that it handles this cancellation. */
   void recordLeaderConfirmation(String ref) {
     OpenCancellation cancellation = openByJob.get(ref);
     if (cancellation != null) {
@@ -85,7 +93,7 @@
     }
   }
 
-  /** True while a leader says that it carries this one out. */
+  /** Returns true if a leader has recently confirmed that it handles this cancellation. */
   boolean isHandledByLeader(String ref) {
     OpenCancellation cancellation = openByJob.get(ref);
     return cancellation == null
@@ -96,7 +104,7 @@
     return ownRefs().size();
   }
 
-  /** For how long the oldest has been open, milliseconds. */
+  /** Returns for how long the oldest cancellation has been open here, in milliseconds. */
   long oldestAgeMs() {
     return openByJob.values().stream()
         .filter(OpenCancellation::isOwnedHere)
@@ -112,7 +120,10 @@
         .toList();
   }
 
-  /** Each with its places, as of the moment at which its user was told. */
+  /**
+   * Returns the cancellations that this controller follows up, with their locations and the time of
+   * the confirmation to the user.
+   */
   List<Cancellation> ownCancellations() {
     List<Cancellation> cancellations = new ArrayList<>();
     openByJob.forEach(
--- a/src/main/java/dapplestair/cancellations/package-info.java
+++ b/src/main/java/dapplestair/cancellations/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Cancellations that were confirmed to users: who knows of them, who ends them, who may not renew.
+ * Cancellations that were confirmed to users: how controllers exchange them, how their tasks are
+ * ended, and when a controller must not renew workers' leases.
  */
 package dapplestair.cancellations;
--- a/src/main/java/dapplestair/submissions/FirstSubmissionTimes.java
+++ b/src/main/java/dapplestair/submissions/FirstSubmissionTimes.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * When users first tried to submit jobs that were turned away. Their waits are measured from then,
- * so a job that could not be accepted for a while is older than its record.
+ * Remembers when users first tried to submit jobs that were deferred. The wait of such a job is
+ * measured from then, so a job that could not be accepted for a while is older than its record.
  */
 final class FirstSubmissionTimes {
   private static final int MAX_JOBS = 10_000;
 
-  // Users repeat a submission for 60 seconds; a try after a longer pause begins anew.
+  // Users repeat a submission for 60 seconds; an attempt after a longer pause counts as the first.
   private static final long MAX_AGE_MS = 75_000;
 
   private final Clock clock;
@@ -21,13 +21,14 @@
     this.clock = clock;
   }
 
-  /** A submission was turned away now. */
+  /** Records that a submission is deferred now. */
   void recordDeferred(String ref) {
     firstAttemptMsByJob.put(ref, firstAttemptMs(ref));
   }
 
   /**
-   * Time of day of the first attempt to submit this job, as far as known here: now at the latest.
+   * Returns the wall-clock time of the first attempt to submit this job that is known here, or the
+   * current time if none is known.
    */
   long firstAttemptMs(String ref) {
     long nowMs = clock.wall();
@@ -35,7 +36,7 @@
     return firstMs == null || firstMs > nowMs || nowMs - firstMs > MAX_AGE_MS ? nowMs : firstMs;
   }
 
-  /** The job was accepted. */
+  /** Removes a job that was accepted. */
   void removeAccepted(String ref) {
     firstAttemptMsByJob.remove(ref);
   }
--- a/src/main/java/dapplestair/submissions/JobFinder.java
+++ b/src/main/java/dapplestair/submissions/JobFinder.java
@@ -12,7 +12,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * Finds jobs by their reference, live or over, with answers that are never older than one given.
+ * Finds live and ended jobs by their reference. A result is never older than one returned earlier
+ * by any controller.
  */
 final class JobFinder {
   private static final int MAX_FINAL_STATES = 20_000;
@@ -28,27 +29,28 @@
     this.ledger = ledger;
   }
 
-  /** A job is over for good; {@code isDone} or cancelled. */
+  /** Records that a job is over for good: {@code done}, or cancelled. */
   void recordEnd(String ref, boolean done) {
     doneByEndedJob.put(ref, done);
   }
 
-  /** True when it is remembered here how this job ended. */
+  /** Returns true if the job is over and this controller remembers how it ended. */
   boolean isOver(String ref) {
     return doneByEndedJob.containsKey(ref);
   }
 
-  /** True when a job that is over is done, false when it was cancelled. */
+  /** Returns true if a job that is over is done, false if it was cancelled. */
   boolean isDone(String ref) {
     return doneByEndedJob.get(ref);
   }
 
-  /** What is known of a job: live, or how it ended. */
+  /** The result for a job that exists: the live job, or null and whether it ended as done. */
   record Found(Job job, boolean isDone) {}
 
   /**
-   * Finds a job. Final states are known for ever; everything else is told only after a read
-   * barrier, so that no controller gives an older answer than one already given.
+   * Finds a job. Passes to the callback whether the result is known, and the job, which is null if
+   * there is none. A final state never changes and is passed at once; everything else only after a
+   * read barrier, so that no controller gives an older answer than one already given.
    */
   void find(String ref, BiConsumer<Boolean, Found> callback) {
     if (doneByEndedJob.containsKey(ref)) {
@@ -72,7 +74,7 @@
   }
 
   private void findEndedJob(String ref, BiConsumer<Boolean, Found> callback) {
-    // Not live as of the barrier: over before now, or never accepted before now.
+    // At the barrier the job was not live: it was over by then, or not yet accepted.
     state.get(
         StateKeys.finishedJob(ref),
         read -> {
--- a/src/main/java/dapplestair/submissions/RequestRelay.java
+++ b/src/main/java/dapplestair/submissions/RequestRelay.java
@@ -6,15 +6,16 @@
 import java.util.function.Consumer;
 
 /**
- * Passes users' requests on to a peer that is served by the state service, while this controller is
- * not: users' connections stay here for seconds after the load balancer was told. The peer answers
- * as it would answer the user itself, after its own transaction or read barrier, and does not pass
- * the request on again. What it confirms is in its own log of cancellations before the user hears.
+ * Relays users' requests to a peer that the state service serves while it does not serve this
+ * controller: users' connections remain here for seconds after the load balancer was informed. The
+ * peer answers as it would answer the user directly, after its own transaction or read barrier, and
+ * does not relay the request again. Cancellations that it confirms are in its own log before the
+ * user receives the confirmation.
  */
 public final class RequestRelay {
   private static final String TOPIC = "user-request";
 
-  // Questions of all kinds share one bound: these leave room for the others.
+  // Requests of all topics share one limit: this lower one leaves capacity for other topics.
   private static final int MAX_OPEN_REQUESTS = 64;
 
   private final Peers peers;
@@ -22,20 +23,21 @@
   private int openRequests;
   private int nextPeerIndex;
 
-  /** Asks {@code peers}, each for {@code timeoutMs} at the most. */
+  /** Creates a relay to {@code peers}; a relayed request times out after {@code timeoutMs}. */
   public RequestRelay(Peers peers, long timeoutMs) {
     this.peers = peers;
     this.timeoutMs = timeoutMs;
   }
 
-  /** Answers requests that peers pass on by {@code handler}, from now on. */
+  /** Starts to answer requests that peers relay, using {@code handler}. */
   public void start(Consumer<Exchange> handler) {
     peers.questions().answer(TOPIC, (body, reply) -> handleRelayed(body, reply, handler));
   }
 
   /**
-   * Passes a request on; {@code onResponse} gets the peer's answer, or null when none came. False,
-   * with nothing done, when there is nobody to ask.
+   * Relays a request to a peer; {@code onResponse} receives the peer's response, or null if there
+   * is none in time. Returns false, without calling {@code onResponse}, if the request cannot be
+   * relayed.
    */
   boolean relay(Exchange exchange, Consumer<UserRequestCodec.Response> onResponse) {
     List<String> served = peers.served();
@@ -83,7 +85,7 @@
     handler.accept(new RelayedExchange(request, reply));
   }
 
-  /** A request that a peer passed on. */
+  /** A request that a peer has relayed to this controller. */
   private record RelayedExchange(UserRequestCodec.Request request, Consumer<byte[]> replySink)
       implements Exchange {
     @Override
--- a/src/main/java/dapplestair/submissions/RetryAdvice.java
+++ b/src/main/java/dapplestair/submissions/RetryAdvice.java
@@ -2,11 +2,11 @@
 
 import dapplestair.ports.Clock;
 
-/** When those that were put off are told to come back: the later the more there are. */
+/** Computes the Retry-After of deferred submissions: the more are deferred, the longer it is. */
 final class RetryAdvice {
   private static final long WINDOW_MS = 1000;
 
-  // Users repeat a submission for 60 seconds: several more tries must fit in.
+  // Users repeat a submission for 60 seconds, and several retries must fit into that time.
   private static final int MAX_RETRY_AFTER_S = 10;
 
   private final Clock clock;
@@ -20,8 +20,10 @@
   }
 
   /**
-   * One more is put off while {@code acceptedPerSecond} are accepted a second; seconds to wait, 1
-   * at least.
+   * Counts one more deferred submission and returns the seconds, at least 1, after which it is to
+   * be retried.
+   *
+   * @param acceptedPerSecond how many submissions can be accepted per second
    */
   int retryAfterS(double acceptedPerSecond) {
     long elapsedMs = clock.now() - windowStartMs;
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers users. Nothing is confirmed before it is known to be in the state service, and nothing is
- * told from memory alone unless it can never change.
+ * Answers users' requests. Confirms nothing before it is known to be in the state service, and
+ * answers from memory alone only what can never change.
  */
 public final class SubmissionHandler {
   private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
@@ -48,7 +48,7 @@
   private final JobFinder finder;
   private int pending;
 
-  /** Serves users of this controller. */
+  /** Creates the handler for users' requests to this controller. */
   public SubmissionHandler(
       Clock clock,
       Settings settings,
@@ -75,19 +75,23 @@
     this.unanswered = new UnansweredRequests(clock, settings.workers().leaseMs());
   }
 
-  /** A job is over for good; {@code done} or cancelled. */
+  /** Records that a job is over for good: {@code done}, or cancelled. */
   public void recordEnd(String ref, boolean done) {
     finder.recordEnd(ref, done);
   }
 
-  /** For how long a job that users still ask about has had no answer here, milliseconds. */
+  /**
+   * Returns for how long requests about a job have remained unanswered here, in milliseconds; the
+   * longest of all jobs that users still ask about.
+   */
   public long unansweredMs() {
     return unanswered.longestMs();
   }
 
   /**
-   * Has a served peer answer while this controller cannot, unless the job is known to be over,
-   * which any controller may say at any time.
+   * Relays the request to a peer that the state service serves, if this controller cannot answer it
+   * itself. A request about a job that is known to be over is not relayed, since every controller
+   * may answer it at any time. Returns true if the request was relayed.
    */
   private boolean relayIfUnserved(Exchange exchange, String ref) {
     boolean isServed = replica.isReady() && types.known() && state.isReachable();
@@ -110,7 +114,7 @@
 
   // ---- POST /submissions ----
 
-  /** A user submits. */
+  /** Handles a user's submission. */
   public void submit(Exchange exchange) {
     Submission submission;
     try {
@@ -121,7 +125,7 @@
       }
       String ref = Json.text(body, "ref");
       if (ref != null && Submission.validRef(ref)) {
-        // A known job is answered with its state, whatever else the retry holds.
+        // Answers with the state of a known job, whatever the rest of the repeated request says.
         if (finder.isOver(ref)) {
           replyFinal(exchange, 200, ref, finder.isDone(ref));
           return;
@@ -149,7 +153,7 @@
       return;
     }
     if (submission.rank() == Rank.LOW && pending >= maxPendingLowRank()) {
-      // A swarm of the lowest rank is put off before anybody else waits behind it.
+      // Defers large numbers of lowest-rank submissions before other submissions queue behind them.
       deferSubmission(exchange, submission, retryAdvice.retryAfterS(state.maxPutsPerSecond()));
       return;
     }
@@ -161,15 +165,24 @@
     replyUnavailable(exchange, retryAfterS);
   }
 
-  /** As many as this controller's puts take within a small part of what a user waits. */
+  /**
+   * Returns how many submissions may be pending for another one of the lowest rank to be taken: as
+   * many as this controller can put within a sixteenth of the time that a user waits.
+   */
   private int maxPendingLowRank() {
     return (int)
         Math.max(MIN_PENDING_LOW_RANK, state.maxPutsPerSecond() * commitTimeoutMs / 1000 / 16);
   }
 
-  /** A repeated submission of an accepted job is never told 400 or 422. */
+  /**
+   * Rejects a submission, unless its job is known: a repeated submission of an accepted job is
+   * never answered with 400 or 422.
+   */
   private void rejectUnlessKnown(Exchange exchange, int status, String reason) {
-    LOG.debug("{}: {}", status, reason);
+    LOG.debug(
+        "Submission is rejected with status {} unless its job is already known: {}",
+        status,
+        reason);
     String ref = Json.text(Json.parse(exchange.body()), "ref");
     if (ref == null || !Submission.validRef(ref)) {
       replyError(exchange, status, reason);
@@ -182,7 +195,10 @@
         found -> replyFound(exchange, 200, ref, found));
   }
 
-  /** Finds a job and goes on as it turns out; 503 when that cannot be told now. */
+  /**
+   * Finds a job and continues with {@code onAbsent} or {@code onPresent}. Replies 503 if it cannot
+   * be determined now whether the job exists.
+   */
   private void withJob(
       Exchange exchange, String ref, Runnable onAbsent, Consumer<JobFinder.Found> onPresent) {
     finder.find(
@@ -242,8 +258,8 @@
           } else if (outcome instanceof TxnOutcome.Conflict) {
             replyJobStatus(exchange, submission.ref());
           } else if (outcome instanceof TxnOutcome.Unknown && clock.now() < deadlineMs) {
-            // The same conditions again: if the lost one was applied after all, this one is
-            // refused and the job is found; both can never be.
+            // Retries under the same conditions. If the transaction with the unknown outcome was
+            // applied after all, this one conflicts and the job is found; never are both applied.
             commitSubmission(exchange, submission, deadlineMs, receivedAtMs);
           } else {
             deferSubmission(exchange, submission, 1);
@@ -253,7 +269,7 @@
 
   // ---- GET /submissions/{id} ----
 
-  /** A user polls. */
+  /** Handles a user's request for the state of a job. */
   public void poll(Exchange exchange, String ref) {
     if (!relayIfUnserved(exchange, ref)) {
       replyJobStatus(exchange, ref);
@@ -279,7 +295,7 @@
 
   // ---- POST /submissions/{id}/withdraw ----
 
-  /** A user cancels. */
+  /** Handles a user's request to cancel a job. */
   public void cancel(Exchange exchange, String ref) {
     if (!relayIfUnserved(exchange, ref)) {
       findAndCancel(exchange, ref, clock.now() + commitTimeoutMs);
@@ -314,13 +330,15 @@
         Math.max(0, deadlineMs - clock.now()),
         outcome -> {
           if (outcome instanceof TxnOutcome.Applied) {
-            // Where its tasks are is on record by now, and whoever tells the user has read it: what
-            // is told to the others is all there is. If that fails the user is told nothing yet.
+            // The locations of the job's tasks are on record by now. The barrier makes sure that
+            // this controller has read them before it informs its peers and the user, so that the
+            // peers learn all locations. If the barrier fails, the user gets no confirmation yet.
             replica.barrier(passed -> replyCancelled(exchange, ref, passed));
           } else if (outcome instanceof TxnOutcome.Refused || clock.now() >= deadlineMs) {
             replyUnavailable(exchange);
           } else {
-            // Done meanwhile, cancelled elsewhere, or unanswered: look again.
+            // The job is done, it was cancelled elsewhere, or the outcome is unknown: finds it
+            // again.
             findAndCancel(exchange, ref, deadlineMs);
           }
         });
@@ -335,7 +353,10 @@
     }
   }
 
-  /** A final state. That a job is cancelled is told to the other controllers before its user. */
+  /**
+   * Replies with a final state. Informs the other controllers of a cancellation before it replies
+   * to the user.
+   */
   private void replyFinal(Exchange exchange, int status, String ref, boolean done) {
     if (done) {
       replyStatus(exchange, status, ref, "done", null);
--- a/src/main/java/dapplestair/submissions/UnansweredRequests.java
+++ b/src/main/java/dapplestair/submissions/UnansweredRequests.java
@@ -4,8 +4,9 @@
 import dapplestair.work.ExpiringLruMap;
 
 /**
- * Jobs about which this controller was asked in vain, and for how long. Users ask again every few
- * seconds, and may ask another controller: one that is asked here no more is forgotten here.
+ * Tracks the jobs about which this controller could not answer requests, and for how long. Users
+ * repeat a request every few seconds, possibly to another controller. A job that is no longer asked
+ * about here is therefore dropped.
  */
 final class UnansweredRequests {
   private static final int MAX_JOBS = 10_000;
@@ -15,14 +16,14 @@
   private final Clock clock;
   private final ExpiringLruMap<String, UnansweredPeriod> periodsByJob;
 
-  /** One that was not asked again for {@code retentionMs} does not count any more. */
+  /** Creates a tracker that drops a job after {@code retentionMs} without another request. */
   UnansweredRequests(Clock clock, long retentionMs) {
     this.clock = clock;
     this.periodsByJob =
         new ExpiringLruMap<>(clock, retentionMs, MAX_JOBS, UnansweredPeriod::lastAskedAtMs);
   }
 
-  /** A question about this job could not be answered. */
+  /** Records that a request about this job could not be answered. */
   void recordUnanswered(String ref) {
     long nowMs = clock.now();
     UnansweredPeriod previous = periodsByJob.remove(ref);
@@ -30,12 +31,12 @@
         ref, new UnansweredPeriod(previous == null ? nowMs : previous.sinceMs(), nowMs));
   }
 
-  /** A question about this job was answered. */
+  /** Records that a request about this job was answered. */
   void recordAnswered(String ref) {
     periodsByJob.remove(ref);
   }
 
-  /** For how long at the most a job that is still asked about has had no answer here. */
+  /** Returns the longest time, in milliseconds, that a tracked job has been without an answer. */
   long longestMs() {
     long nowMs = clock.now();
     return periodsByJob.values().stream()
--- a/src/main/java/dapplestair/submissions/UserRequestCodec.java
+++ b/src/main/java/dapplestair/submissions/UserRequestCodec.java
@@ -5,9 +5,12 @@
 import com.esotericsoftware.kryo.io.Output;
 import java.util.Set;
 
-/** The form of users' requests and their answers between controllers: bounded and versioned. */
+/**
+ * Encodes and decodes users' requests and their responses between controllers. Messages have a
+ * bounded size and a format version.
+ */
 final class UserRequestCodec {
-  /** Raised whenever the form changes; other forms are not understood. */
+  /** Incremented whenever the format changes. Messages of other versions are not decoded. */
   static final byte FORMAT_VERSION = 1;
 
   private static final int MAX_PATH_LENGTH = 512;
@@ -18,13 +21,13 @@
 
   private UserRequestCodec() {}
 
-  /** A user's request as it came. */
+  /** A user's request as received. */
   record Request(String method, String path, byte[] body) {}
 
-  /** What to tell the user. */
+  /** The response to send to the user. */
   record Response(int status, int retryAfterS, byte[] body) {}
 
-  /** Writes a request, or gives null when it is too large. */
+  /** Encodes a request. Returns null if it is too large. */
   static byte[] encode(Request request) {
     if (request.path().length() > MAX_PATH_LENGTH || request.body().length > MAX_BODY_BYTES) {
       return null;
@@ -37,7 +40,7 @@
     return out.toBytes();
   }
 
-  /** Writes an answer, or gives null when it is too large. */
+  /** Encodes a response. Returns null if it is too large. */
   static byte[] encode(Response response) {
     if (response.body().length > MAX_BODY_BYTES) {
       return null;
@@ -55,7 +58,7 @@
     out.writeBytes(body);
   }
 
-  /** Reads a request, or gives null when it is garbled, too large or of another form. */
+  /** Decodes a request. Returns null if it is malformed, too large or of another version. */
   static Request decodeRequest(byte[] bytes) {
     if (!isValidMessage(bytes)) {
       return null;
@@ -75,7 +78,7 @@
     }
   }
 
-  /** Reads an answer, or gives null when it is garbled, too large or of another form. */
+  /** Decodes a response. Returns null if it is malformed, too large or of another version. */
   static Response decodeResponse(byte[] bytes) {
     if (!isValidMessage(bytes)) {
       return null;
@@ -102,7 +105,8 @@
   private static byte[] readBody(Input in) {
     int length = in.readVarInt(true);
     if (length < 0 || length > MAX_BODY_BYTES) {
-      throw new IllegalArgumentException("no body of a request or an answer");
+      throw new IllegalArgumentException(
+          "invalid body length in a relayed user request or response");
     }
     return in.readBytes(length);
   }
--- a/src/main/java/dapplestair/submissions/package-info.java
+++ b/src/main/java/dapplestair/submissions/package-info.java
@@ -1,2 +1,2 @@
-/** What users ask: submitting, polling and cancelling jobs, on any controller. */
+/** Handles users' requests on any controller: submitting, polling and cancelling jobs. */
 package dapplestair.submissions;
--- a/src/test/java/dapplestair/accepted/AcceptedJobsCodecTest.java
+++ b/src/test/java/dapplestair/accepted/AcceptedJobsCodecTest.java
@@ -9,7 +9,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Accepted jobs told between controllers: what is garbled or of another form is refused. */
+/**
+ * Tests the messages that announce accepted jobs: malformed ones and those of another version are
+ * rejected.
+ */
 class AcceptedJobsCodecTest {
   private static final Map<String, Long> JOBS = Map.of("wk-000412", 7L, "wk-000413", 1L << 40);
 
@@ -24,7 +27,9 @@
     byte[] validMessage = AcceptedJobsCodec.encode(JOBS);
     assertNull(AcceptedJobsCodec.decode(new byte[0]));
     for (int length = 1; length < validMessage.length; length++) {
-      assertNull(AcceptedJobsCodec.decode(Arrays.copyOf(validMessage, length)), "cut to " + length);
+      assertNull(
+          AcceptedJobsCodec.decode(Arrays.copyOf(validMessage, length)),
+          "truncated to length " + length);
     }
     assertNull(AcceptedJobsCodec.decode(Arrays.copyOf(validMessage, validMessage.length + 1)));
     byte[] otherVersion = validMessage.clone();
@@ -39,7 +44,7 @@
     assertNull(AcceptedJobsCodec.encode(tooMany));
   }
 
-  /** Random bytes end no process, whatever they happen to say. */
+  /** Guards against exceptions from corrupted messages, which could end a controller. */
   @Test
   void corruptedBytesCauseNoExceptions() {
     SplittableRandom random = new SplittableRandom(11);
--- a/src/test/java/dapplestair/accepted/AcceptedJobsTest.java
+++ b/src/test/java/dapplestair/accepted/AcceptedJobsTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which jobs count as accepted after the newest read of the records. */
+/** Tests which jobs count as accepted after the newest read of the records. */
 class AcceptedJobsTest {
   private static final String JOB = "wk-000412";
 
@@ -36,20 +36,24 @@
         null);
   }
 
-  /** Guards against leases kept for jobs of which nobody ever spoke. */
+  /** Guards against leases that are renewed for jobs that no leader has announced. */
   @Test
   void unannouncedJobIsNotUnread() {
     assertFalse(acceptedJobs.isUnread(JOB));
   }
 
-  /** Guards against late messages: what the records cover, the records tell. */
+  /**
+   * Guards against late announcements: once the records are read up to a job's revision, they alone
+   * decide whether the job is live.
+   */
   @Test
   void jobCoveredByTheReadRevisionIsNotUnread() {
     acceptedJobs.handleLeaderMessage(Map.of(JOB, readRevision));
-    assertFalse(acceptedJobs.isUnread(JOB), "told after the records were read up to its revision");
+    assertFalse(
+        acceptedJobs.isUnread(JOB), "announced after the records were read up to its revision");
     acceptedJobs.handleLeaderMessage(Map.of(JOB, readRevision + 1));
     assertTrue(acceptedJobs.isUnread(JOB));
     readRevision++;
-    assertFalse(acceptedJobs.isUnread(JOB), "the records were read up to its revision since");
+    assertFalse(acceptedJobs.isUnread(JOB), "the records have since been read up to its revision");
   }
 }
--- a/src/test/java/dapplestair/cancellations/CancellationCodecTest.java
+++ b/src/test/java/dapplestair/cancellations/CancellationCodecTest.java
@@ -30,7 +30,10 @@
     assertEquals(response, CancellationCodec.decodeResponse(CancellationCodec.encode(response)));
   }
 
-  /** Whatever comes, nothing is thrown; forms, terms and sizes that are not ours are refused. */
+  /**
+   * Guards against exceptions from corrupted messages, and against messages with another format
+   * version, an impossible term or too many locations being accepted.
+   */
   @Test
   void invalidMessagesAreRejectedWithoutExceptions() {
     SplittableRandom random = new SplittableRandom(1);
@@ -48,24 +51,24 @@
     }
     assertNull(
         CancellationCodec.decodeResponse(Arrays.copyOf(validResponse, validResponse.length - 1)),
-        "cut short");
+        "truncated message");
     assertNull(
         CancellationCodec.decodeResponse(Arrays.copyOf(validResponse, validResponse.length + 1)),
-        "something after it");
+        "trailing byte");
     assertNull(CancellationCodec.decodeRequest(new byte[0]));
     validResponse[0] = CancellationCodec.FORMAT_VERSION + 1;
     validRequest[0] = CancellationCodec.FORMAT_VERSION + 1;
-    assertNull(CancellationCodec.decodeResponse(validResponse), "another form");
-    assertNull(CancellationCodec.decodeRequest(validRequest), "another form");
+    assertNull(CancellationCodec.decodeResponse(validResponse), "another format version");
+    assertNull(CancellationCodec.decodeRequest(validRequest), "another format version");
     CancellationCodec.LogResponse termTooHigh =
         new CancellationCodec.LogResponse(1, 1, 1, 1L << 50, true, List.of());
     assertNull(
         CancellationCodec.decodeResponse(CancellationCodec.encode(termTooHigh)),
-        "no term of any leader");
+        "term above the maximum");
     CancellationCodec.LogResponse tooManyLocations =
         response(2, CancellationCodec.MAX_LOCATIONS / 2 + 1);
     assertNull(
         CancellationCodec.decodeResponse(CancellationCodec.encode(tooManyLocations)),
-        "too many places");
+        "too many locations");
   }
 }
--- a/src/test/java/dapplestair/cancellations/CancellationWatermarkTest.java
+++ b/src/test/java/dapplestair/cancellations/CancellationWatermarkTest.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Up to when a controller knows all, case by case (docs/cancellations.md). */
+/**
+ * Tests the time up to which a controller knows all cancellations, case by case
+ * (docs/cancellations.md).
+ */
 class CancellationWatermarkTest {
   private long nowMs = 100_000;
   private long stateReadAtMs = CancellationWatermark.NEVER;
@@ -51,18 +54,25 @@
     assertTrue(watermark.ageMs() > Integer.MAX_VALUE);
   }
 
-  /** In an outage of all it goes on as long as all tell, and stands still when one does not. */
+  /**
+   * While the state service is down, the watermark advances as long as all peers send their logs,
+   * and stays when one of them does not.
+   */
   @Test
   void ageIsThatOfThePeerWithTheOldestLog() {
     receiveAllLogsAfterStateRead();
     nowMs += 30_000;
     completeLogReceived("b", 1);
-    assertEquals(30_000, watermark.ageMs(), "one is dead or cut off, which cannot be told");
+    assertEquals(
+        30_000, watermark.ageMs(), "peer c is dead or disconnected, which cannot be distinguished");
     completeLogReceived("c", 1);
     assertEquals(0, watermark.ageMs());
   }
 
-  /** Its new life does not know what the former one confirmed: only the records do. */
+  /**
+   * A restarted peer does not know what its former process confirmed. Only the records show that,
+   * so the watermark stays until they are read again.
+   */
   @Test
   void restartedPeerCountsOnlyAfterTheStateWasReadAgain() {
     receiveAllLogsAfterStateRead();
@@ -88,6 +98,6 @@
     assertEquals(
         12_000,
         Cancellations.renewalWindowMs(new Settings.Workers(6000, 36_000, 30_000)),
-        "the least");
+        "minimum window");
   }
 }
--- a/src/test/java/dapplestair/submissions/RetryAdviceTest.java
+++ b/src/test/java/dapplestair/submissions/RetryAdviceTest.java
@@ -21,7 +21,10 @@
     }
   }
 
-  /** Found on a day of 12 singles a second: after 55 s without controllers 21,000 were told 1 s. */
+  /**
+   * Guards against retries that all come back at once. On a day with 12 single-task jobs a second,
+   * after 55 s without controllers, 21,000 submissions were told to retry after 1 s.
+   */
   @Test
   void retryDelayGrowsWithTheNumberOfDeferredSubmissions() {
     ManualClock clock = new ManualClock();
@@ -38,6 +41,7 @@
     for (int i = 0; i < 20; i++) {
       lastRetryAfterS = advice.retryAfterS(6);
     }
-    assertTrue(lastRetryAfterS >= 3 && lastRetryAfterS < 10, "seconds: " + lastRetryAfterS);
+    assertTrue(
+        lastRetryAfterS >= 3 && lastRetryAfterS < 10, "retry-after seconds: " + lastRetryAfterS);
   }
 }
--- a/src/test/java/dapplestair/submissions/UserRequestCodecTest.java
+++ b/src/test/java/dapplestair/submissions/UserRequestCodecTest.java
@@ -29,7 +29,10 @@
     assertArrayEquals(BODY, response.body());
   }
 
-  /** Whatever comes, nothing is thrown; forms, sizes and methods that are not ours are refused. */
+  /**
+   * Guards against exceptions from corrupted messages, and against messages with another format
+   * version, size or method being accepted.
+   */
   @Test
   void invalidMessagesAreRejectedWithoutExceptions() {
     SplittableRandom random = new SplittableRandom(1);
@@ -45,17 +48,19 @@
     }
     assertNull(
         UserRequestCodec.decodeRequest(Arrays.copyOf(validRequest, validRequest.length - 1)),
-        "cut short");
+        "truncated message");
     assertNull(
         UserRequestCodec.decodeRequest(Arrays.copyOf(validRequest, validRequest.length + 1)),
-        "something after it");
-    assertNull(UserRequestCodec.decodeRequest(encodedRequest("DELETE", BODY)), "no user's method");
-    assertNull(encodedRequest("POST", new byte[64 * 1024 + 1]), "too large");
+        "trailing byte");
+    assertNull(
+        UserRequestCodec.decodeRequest(encodedRequest("DELETE", BODY)),
+        "method that users do not use");
+    assertNull(encodedRequest("POST", new byte[64 * 1024 + 1]), "body above the maximum size");
     assertNull(
         UserRequestCodec.decodeResponse(
             UserRequestCodec.encode(new UserRequestCodec.Response(200, 31, BODY))),
-        "too long");
+        "retry-after above the maximum");
     validRequest[0] = UserRequestCodec.FORMAT_VERSION + 1;
-    assertNull(UserRequestCodec.decodeRequest(validRequest), "another form");
+    assertNull(UserRequestCodec.decodeRequest(validRequest), "another format version");
   }
 }
