--- a/src/main/java/dapplestair/cancellations/CancellationCodec.java
+++ b/src/main/java/dapplestair/cancellations/CancellationCodec.java
@@ -37,12 +37,12 @@
   private CancellationCodec() {}
 
   /**
-   * Requests the entries of a peer's log that follow a given entry.
+   * A request for the entries of a peer's log that follow a given entry.
    *
-   * @param asker the requesting process, distinct from earlier processes of the same controller
-   * @param number number of this request, repeated in the response
-   * @param log the process whose log {@code lastEntryNumber} refers to, 0 if none is known
-   * @param after number of the last entry that the requester has
+   * @param requester the requesting process, distinct from earlier processes of the same controller
+   * @param requestNumber number of this request, repeated in the response
+   * @param logId the process whose log {@code lastEntryNumber} refers to, 0 if none is known
+   * @param lastEntryNumber number of the last entry that the requester has
    */
   record LogRequest(long requester, long requestNumber, long logId, long lastEntryNumber) {}
 
@@ -50,7 +50,7 @@
   record LogEntry(long number, String ref, long ageMs, List<Cancellation.TaskLocation> locations) {}
 
   /**
-   * Responds with the entries that follow the requested one.
+   * A response with the entries that follow the one named in the request.
    *
    * @param logId the responding process, which owns the log
    * @param term the highest term that the responding process has seen
--- a/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
+++ b/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
@@ -119,7 +119,7 @@
         tasksByHost
             .computeIfAbsent(location.host(), h -> new ArrayList<>())
             .add(new RemainingTask(cancellation, location));
-        // A leader returns a machine after half of this time at the latest.
+        // A leader returns a machine after half of cancelMs at the latest.
         if (!handledByLeader
             && ageMs > cancelMs * 5 / 8
             && hostsToReturn.size() < MAX_RETURNED_PER_TURN) {
--- a/src/main/java/dapplestair/cancellations/Cancellations.java
+++ b/src/main/java/dapplestair/cancellations/Cancellations.java
@@ -183,9 +183,7 @@
     return knownCancellations.contains(ref);
   }
 
-  /**
-   * Returns the recorded attempts of ended jobs that may be on a machine in this worker session.
-   */
+  /** Returns recorded attempts of ended jobs that may be on a machine in this worker session. */
   public List<KnownCancellations.CancelledTask> tasksOn(String host, long session) {
     return knownCancellations.tasksOn(host).stream()
         .filter(task -> task.location().session() == session)
@@ -212,7 +210,7 @@
     return openCancellations.oldestAgeMs();
   }
 
-  /** Records that the job is over according to the records: cancelled, or done. */
+  /** Learns from the records that a job is over: cancelled, or done. */
   public void recordRemovedJob(String ref) {
     knownCancellations.learn(ref, 0, listener.taskLocations(ref));
     lastLearnedAtMs = clock.now();
--- a/src/main/java/dapplestair/cancellations/ForgottenMachines.java
+++ b/src/main/java/dapplestair/cancellations/ForgottenMachines.java
@@ -132,8 +132,8 @@
 
   /**
    * Asks the peers one by one whether they have records. The turn ends if a peer has, since that
-   * peer handles the cancellations it knows of. A peer that is down or disconnected cannot be
-   * asked, and it may not remember any cancellations either.
+   * peer handles the cancellations it knows of, or if a live peer does not answer. A peer that is
+   * down or disconnected cannot be asked, and it may not remember any cancellations either.
    */
   private void askPeers(int peerIndex, Survey survey) {
     if (peerIndex == settings.peers().size()) {
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -337,8 +337,7 @@
           } else if (outcome instanceof TxnOutcome.Refused || clock.now() >= deadlineMs) {
             replyUnavailable(exchange);
           } else {
-            // The job is done, it was cancelled elsewhere, or the outcome is unknown: finds it
-            // again.
+            // Looks again: the job is done, cancelled elsewhere, or the outcome is unknown.
             findAndCancel(exchange, ref, deadlineMs);
           }
         });
--- a/src/test/java/dapplestair/cancellations/CancellationCodecTest.java
+++ b/src/test/java/dapplestair/cancellations/CancellationCodecTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 class CancellationCodecTest {
-  private static CancellationCodec.LogResponse response(int entryCount, int locationCount) {
+  private static CancellationCodec.LogResponse createResponse(int entryCount, int locationCount) {
     List<CancellationCodec.LogEntry> entries = new ArrayList<>();
     for (int i = 1; i <= entryCount; i++) {
       List<Cancellation.TaskLocation> locations = new ArrayList<>();
@@ -26,7 +26,7 @@
   void decodedMessagesEqualTheEncodedOnes() {
     CancellationCodec.LogRequest request = new CancellationCodec.LogRequest(-77, 4, 99, 1000);
     assertEquals(request, CancellationCodec.decodeRequest(CancellationCodec.encode(request)));
-    CancellationCodec.LogResponse response = response(5, 40);
+    CancellationCodec.LogResponse response = createResponse(5, 40);
     assertEquals(response, CancellationCodec.decodeResponse(CancellationCodec.encode(response)));
   }
 
@@ -37,7 +37,7 @@
   @Test
   void invalidMessagesAreRejectedWithoutExceptions() {
     SplittableRandom random = new SplittableRandom(1);
-    byte[] validResponse = CancellationCodec.encode(response(4, 10));
+    byte[] validResponse = CancellationCodec.encode(createResponse(4, 10));
     byte[] validRequest = CancellationCodec.encode(new CancellationCodec.LogRequest(1, 2, 3, 4));
     for (int i = 0; i < 5000; i++) {
       byte[] corrupted = validResponse.clone();
@@ -66,7 +66,7 @@
         CancellationCodec.decodeResponse(CancellationCodec.encode(termTooHigh)),
         "term above the maximum");
     CancellationCodec.LogResponse tooManyLocations =
-        response(2, CancellationCodec.MAX_LOCATIONS / 2 + 1);
+        createResponse(2, CancellationCodec.MAX_LOCATIONS / 2 + 1);
     assertNull(
         CancellationCodec.decodeResponse(CancellationCodec.encode(tooManyLocations)),
         "too many locations");
--- a/src/test/java/dapplestair/cancellations/CancellationWatermarkTest.java
+++ b/src/test/java/dapplestair/cancellations/CancellationWatermarkTest.java
@@ -30,7 +30,7 @@
   private final CancellationWatermark watermark =
       new CancellationWatermark(clock, () -> stateReadAtMs, List.of("b", "c"));
 
-  private void completeLogReceived(String member, long logId) {
+  private void receiveCompleteLog(String member, long logId) {
     CancellationWatermark.PeerLog peerLog = watermark.peerLog(member);
     if (peerLog.logId != logId) {
       watermark.startNewLog(peerLog, logId);
@@ -39,18 +39,18 @@
   }
 
   private void receiveAllLogsAfterStateRead() {
-    completeLogReceived("b", 1);
-    completeLogReceived("c", 1);
+    receiveCompleteLog("b", 1);
+    receiveCompleteLog("c", 1);
     stateReadAtMs = nowMs;
     nowMs += 10;
-    completeLogReceived("b", 1);
-    completeLogReceived("c", 1);
+    receiveCompleteLog("b", 1);
+    receiveCompleteLog("c", 1);
   }
 
   @Test
   void nothingIsKnownBeforeTheStateWasRead() {
-    completeLogReceived("b", 1);
-    completeLogReceived("c", 1);
+    receiveCompleteLog("b", 1);
+    receiveCompleteLog("c", 1);
     assertTrue(watermark.ageMs() > Integer.MAX_VALUE);
   }
 
@@ -62,10 +62,10 @@
   void ageIsThatOfThePeerWithTheOldestLog() {
     receiveAllLogsAfterStateRead();
     nowMs += 30_000;
-    completeLogReceived("b", 1);
+    receiveCompleteLog("b", 1);
     assertEquals(
         30_000, watermark.ageMs(), "peer c is dead or disconnected, which cannot be distinguished");
-    completeLogReceived("c", 1);
+    receiveCompleteLog("c", 1);
     assertEquals(0, watermark.ageMs());
   }
 
@@ -77,16 +77,16 @@
   void restartedPeerCountsOnlyAfterTheStateWasReadAgain() {
     receiveAllLogsAfterStateRead();
     nowMs += 500;
-    completeLogReceived("b", 2);
-    completeLogReceived("c", 1);
+    receiveCompleteLog("b", 2);
+    receiveCompleteLog("c", 1);
     nowMs += 5000;
-    completeLogReceived("b", 2);
-    completeLogReceived("c", 1);
+    receiveCompleteLog("b", 2);
+    receiveCompleteLog("c", 1);
     assertEquals(5500, watermark.ageMs());
     stateReadAtMs = nowMs;
     nowMs += 7;
-    completeLogReceived("b", 2);
-    completeLogReceived("c", 1);
+    receiveCompleteLog("b", 2);
+    receiveCompleteLog("c", 1);
     assertEquals(0, watermark.ageMs());
   }
 
