--- a/src/main/java/dapplestair/cancellations/CancellationWatermark.java
+++ b/src/main/java/dapplestair/cancellations/CancellationWatermark.java
@@ -7,76 +7,92 @@
 import java.util.function.Predicate;
 
 /**
- * Up to which moment this controller knows every cancellation that any controller has confirmed:
- * its last read of the state service, or the least of the moments up to which each peer has told
- * all.
+ * Tracks the time up to which this controller knows every cancellation that any controller has
+ * confirmed. This is the later of two times: that of its last read of the state service, and the
+ * earliest of the times up to which each peer has sent its complete log.
  */
 final class CancellationWatermark {
   static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** What is known of one peer's log. */
+  /** What this controller knows of the log of one peer. */
   static final class PeerLog {
-    /** The process whose log it is; a process that begins again has another one. */
-    long log;
+    /** The process that owns the log. A peer that restarts has a new process and a new log. */
+    long logId;
 
-    /** The last entry of it that is here. */
-    long after;
+    /** Number of the last entry received from the log. */
+    long lastEntryNumber;
 
-    /** When this process was first heard. */
-    long metAt = NEVER;
+    /** When the first response of this process was received. */
+    long firstHeardAtMs = NEVER;
 
-    /** All that the peer confirmed before this moment is known here. */
-    long upTo = NEVER;
+    /** All cancellations that the peer confirmed before this time are known here. */
+    long completeUpToMs = NEVER;
   }
 
   private final Clock clock;
-  private final LongSupplier stateAsOf;
-  private final Map<String, PeerLog> peers = new HashMap<>();
+  private final LongSupplier stateReadAtMs;
+  private final Map<String, PeerLog> peerLogs = new HashMap<>();
 
-  /** {@code stateAsOf} is when the newest read of the records was asked for, or {@link #NEVER}. */
-  CancellationWatermark(Clock clock, LongSupplier stateAsOf, Iterable<String> members) {
+  /**
+   * Creates a watermark.
+   *
+   * @param stateReadAtMs when the newest read of the records was requested, or {@link #NEVER}
+   * @param members the peers whose logs count
+   */
+  CancellationWatermark(Clock clock, LongSupplier stateReadAtMs, Iterable<String> members) {
     this.clock = clock;
-    this.stateAsOf = stateAsOf;
-    members.forEach(m -> peers.put(m, new PeerLog()));
+    this.stateReadAtMs = stateReadAtMs;
+    members.forEach(member -> peerLogs.put(member, new PeerLog()));
   }
 
-  PeerLog peer(String member) {
-    return peers.get(member);
+  PeerLog peerLog(String member) {
+    return peerLogs.get(member);
   }
 
-  /** True when this process is a peer's present one and {@code alive} says so of that peer. */
-  boolean lives(long process, Predicate<String> alive) {
-    return peers.entrySet().stream()
-        .anyMatch(e -> e.getValue().log == process && alive.test(e.getKey()));
+  /**
+   * Returns true if this process is the current one of a peer and {@code isMemberAlive} accepts
+   * that peer.
+   */
+  boolean isAlive(long processId, Predicate<String> isMemberAlive) {
+    return peerLogs.entrySet().stream()
+        .anyMatch(
+            entry -> entry.getValue().logId == processId && isMemberAlive.test(entry.getKey()));
   }
 
-  /** The peer's process is another one than before. */
-  void met(PeerLog peer, long log) {
-    peer.log = log;
-    peer.after = 0;
-    peer.metAt = clock.now();
+  /** Starts a new log for a peer whose process has changed. */
+  void startNewLog(PeerLog peerLog, long logId) {
+    peerLog.logId = logId;
+    peerLog.lastEntryNumber = 0;
+    peerLog.firstHeardAtMs = clock.now();
   }
 
   /**
-   * The peer has told all that its present life confirmed before {@code askedAt}. What an earlier
-   * life of it confirmed it does not know itself: only the records tell, if they were read after
-   * that life's end. A refused connection or a silence says nothing; both a dead peer and one that
-   * is cut off stay at what they told last.
+   * Records that the peer has sent everything that its current process confirmed before {@code
+   * askedAtMs}. The peer does not know what an earlier process of its own confirmed: only the
+   * records show that, if they were read after that process had ended. Nothing is concluded from a
+   * refused connection or a missing response, so the time of a dead or disconnected peer stays at
+   * that of its last complete response.
    */
-  void told(PeerLog peer, long askedAt) {
-    if (stateAsOf.getAsLong() >= peer.metAt || peer.upTo >= peer.metAt) {
-      peer.upTo = Math.max(peer.upTo, askedAt);
+  void recordComplete(PeerLog peerLog, long askedAtMs) {
+    if (stateReadAtMs.getAsLong() >= peerLog.firstHeardAtMs
+        || peerLog.completeUpToMs >= peerLog.firstHeardAtMs) {
+      peerLog.completeUpToMs = Math.max(peerLog.completeUpToMs, askedAtMs);
     }
   }
 
-  /** How old this knowledge is. */
+  /** Returns the age of this controller's knowledge: milliseconds since the watermark. */
   long ageMs() {
-    long records = stateAsOf.getAsLong();
-    if (records <= NEVER) {
-      // What an earlier life of this controller confirmed is on record at best.
+    long lastReadAtMs = stateReadAtMs.getAsLong();
+    if (lastReadAtMs <= NEVER) {
+      // Cancellations confirmed by an earlier process of this controller can only be read from the
+      // records, which have not been read yet.
       return Long.MAX_VALUE / 2;
     }
-    long least = peers.values().stream().mapToLong(p -> p.upTo).min().orElse(clock.now());
-    return clock.now() - Math.max(records, least);
+    long earliestPeerMs =
+        peerLogs.values().stream()
+            .mapToLong(peerLog -> peerLog.completeUpToMs)
+            .min()
+            .orElse(clock.now());
+    return clock.now() - Math.max(lastReadAtMs, earliestPeerMs);
   }
 }
--- a/src/main/java/dapplestair/cancellations/OpenCancellations.java
+++ b/src/main/java/dapplestair/cancellations/OpenCancellations.java
@@ -9,117 +9,131 @@
 import java.util.function.Predicate;
 
 /**
- * Cancellations that users were told of here and that are not known to be carried out; with them
- * those of other controllers' users, which are looked after here once that controller has ended.
+ * Cancellations that this controller confirmed to users and that are not known to be complete. Also
+ * holds cancellations that other controllers confirmed: this controller adopts them once their
+ * controller has ended.
  */
 final class OpenCancellations {
-  private static final long OURS = 0;
+  private static final long THIS_CONTROLLER = 0;
 
   private static final class OpenCancellation {
-    final long toldAt;
-    long teller;
-    long carriedOnAt = CancellationWatermark.NEVER;
+    final long userToldAtMs;
+    long ownerProcess;
+    long leaderConfirmedAtMs = CancellationWatermark.NEVER;
 
-    OpenCancellation(long toldAt, long teller) {
-      this.toldAt = toldAt;
-      this.teller = teller;
+    OpenCancellation(long userToldAtMs, long ownerProcess) {
+      this.userToldAtMs = userToldAtMs;
+      this.ownerProcess = ownerProcess;
     }
 
-    boolean ours() {
-      return teller == OURS;
+    boolean isOwnedHere() {
+      return ownerProcess == THIS_CONTROLLER;
     }
   }
 
   private final Clock clock;
-  private final KnownCancellations known;
-  private final long carriedOnMs;
-  private final Map<String, OpenCancellation> open = new LinkedHashMap<>();
+  private final KnownCancellations knownCancellations;
+  private final long leaderConfirmationValidMs;
+  private final Map<String, OpenCancellation> openByJob = new LinkedHashMap<>();
 
-  /** Whoever says that it carries one on is believed for {@code carriedOnMs}. */
-  OpenCancellations(Clock clock, KnownCancellations known, long carriedOnMs) {
+  /**
+   * Creates an empty set. A leader's confirmation that it handles a cancellation is valid for
+   * {@code leaderConfirmationValidMs}.
+   */
+  OpenCancellations(
+      Clock clock, KnownCancellations knownCancellations, long leaderConfirmationValidMs) {
     this.clock = clock;
-    this.known = known;
-    this.carriedOnMs = carriedOnMs;
+    this.knownCancellations = knownCancellations;
+    this.leaderConfirmationValidMs = leaderConfirmationValidMs;
   }
 
-  /** Its user is told now. */
-  void told(String ref) {
-    open.put(ref, new OpenCancellation(clock.now(), OURS));
+  /** Adds a cancellation that this controller now confirms to its user. */
+  void addOwn(String ref) {
+    openByJob.put(ref, new OpenCancellation(clock.now(), THIS_CONTROLLER));
   }
 
-  /** Its user was told some time ago by another controller's process, which looks after it. */
-  void heard(String ref, long teller, long ageMs) {
-    open.putIfAbsent(ref, new OpenCancellation(clock.now() - ageMs, teller));
+  /**
+   * Adds a cancellation that another controller confirmed {@code ageMs} ago; that controller's
+   * process follows it up.
+   */
+  void addFromPeer(String ref, long ownerProcess, long ageMs) {
+    openByJob.putIfAbsent(ref, new OpenCancellation(clock.now() - ageMs, ownerProcess));
   }
 
   /**
-   * Takes over from those that have ended. In an outage nobody leads who would read of it: without
-   * this, what a machine that hangs runs of a cancelled job would stay for as long as it hangs.
+   * Adopts the cancellations of controller processes that have ended. During an outage of the state
+   * service there is no leader that would read of them. Without adoption, tasks of a cancelled job
+   * on a machine that hangs would remain for as long as the machine hangs.
    */
-  void adopt(LongPredicate lives) {
-    for (OpenCancellation o : open.values()) {
-      if (!o.ours() && !lives.test(o.teller)) {
-        o.teller = OURS;
-        // A leader may carry it on: it is asked before anything is done here.
-        o.carriedOnAt = clock.now();
+  void adoptOrphaned(LongPredicate isAlive) {
+    for (OpenCancellation cancellation : openByJob.values()) {
+      if (!cancellation.isOwnedHere() && !isAlive.test(cancellation.ownerProcess)) {
+        cancellation.ownerProcess = THIS_CONTROLLER;
+        // A leader may be handling it, and is asked before this controller acts.
+        cancellation.leaderConfirmedAtMs = clock.now();
       }
     }
   }
 
-  /** It is proved that nothing is left of it. */
-  void proved(String ref) {
-    open.remove(ref);
+  /** Removes a cancellation of which no task is left. */
+  void remove(String ref) {
+    openByJob.remove(ref);
   }
 
-  /** Those of which this holds need nothing more. */
-  void prove(Predicate<String> carriedOut) {
-    open.keySet().removeIf(carriedOut);
+  /** Removes the cancellations that are complete. */
+  void removeIf(Predicate<String> isCarriedOut) {
+    openByJob.keySet().removeIf(isCarriedOut);
   }
 
-  /** A leader says that it carries this one out. */
-  void carriedOnNow(String ref) {
-    OpenCancellation o = open.get(ref);
-    if (o != null) {
-      o.carriedOnAt = clock.now();
+  /** Records that a leader has just confirmed that it handles this cancellation. */
+  void recordLeaderConfirmation(String ref) {
+    OpenCancellation cancellation = openByJob.get(ref);
+    if (cancellation != null) {
+      cancellation.leaderConfirmedAtMs = clock.now();
     }
   }
 
-  /** True while a leader says that it carries this one out. */
-  boolean carriedOn(String ref) {
-    OpenCancellation o = open.get(ref);
-    return o == null || clock.now() - o.carriedOnAt < carriedOnMs;
+  /** Returns true if a leader has recently confirmed that it handles this cancellation. */
+  boolean isHandledByLeader(String ref) {
+    OpenCancellation cancellation = openByJob.get(ref);
+    return cancellation == null
+        || clock.now() - cancellation.leaderConfirmedAtMs < leaderConfirmationValidMs;
   }
 
   int size() {
-    return refs().size();
+    return ownRefs().size();
   }
 
-  /** For how long the oldest has been open, milliseconds. */
-  long oldestMs() {
-    return open.values().stream()
-        .filter(OpenCancellation::ours)
-        .mapToLong(o -> clock.now() - o.toldAt)
+  /** Returns for how long the oldest cancellation has been open here, in milliseconds. */
+  long oldestAgeMs() {
+    return openByJob.values().stream()
+        .filter(OpenCancellation::isOwnedHere)
+        .mapToLong(cancellation -> clock.now() - cancellation.userToldAtMs)
         .max()
         .orElse(0);
   }
 
-  List<String> refs() {
-    return open.entrySet().stream()
-        .filter(e -> e.getValue().ours())
+  List<String> ownRefs() {
+    return openByJob.entrySet().stream()
+        .filter(entry -> entry.getValue().isOwnedHere())
         .map(Map.Entry::getKey)
         .toList();
   }
 
-  /** Each with its places, as of the moment at which its user was told. */
-  List<Cancellation> all() {
-    List<Cancellation> out = new ArrayList<>();
-    open.forEach(
-        (ref, o) -> {
-          Cancellation cancellation = known.get(ref);
-          if (cancellation != null && o.ours()) {
-            out.add(new Cancellation(ref, o.toldAt, cancellation.places()));
+  /**
+   * Returns the cancellations that this controller follows up, with their locations and the time of
+   * the confirmation to the user.
+   */
+  List<Cancellation> ownCancellations() {
+    List<Cancellation> cancellations = new ArrayList<>();
+    openByJob.forEach(
+        (ref, openCancellation) -> {
+          Cancellation cancellation = knownCancellations.get(ref);
+          if (cancellation != null && openCancellation.isOwnedHere()) {
+            cancellations.add(
+                new Cancellation(ref, openCancellation.userToldAtMs, cancellation.locations()));
           }
         });
-    return out;
+    return cancellations;
   }
 }
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -75,7 +75,7 @@
       ledger.onLaunchBatchPut(key, value, stamp);
     } else if (key.startsWith(StateKeys.JOB)) {
       ledger.onJobPut(key.substring(StateKeys.JOB.length()), value, stamp);
-      accepted.read(key.substring(StateKeys.JOB.length()), stamp);
+      accepted.recordLiveJob(key.substring(StateKeys.JOB.length()), stamp);
       if (admin != null) {
         admin.jobPut(key.substring(StateKeys.JOB.length()));
       }
@@ -115,7 +115,7 @@
       ledger.onLaunchBatchRemoved(key);
     } else if (key.startsWith(StateKeys.JOB)) {
       // While the ledger still has what was recorded of it.
-      cancellations.removed(key.substring(StateKeys.JOB.length()));
+      cancellations.recordRemovedJob(key.substring(StateKeys.JOB.length()));
       ledger.onJobRemoved(key.substring(StateKeys.JOB.length()));
       if (admin != null) {
         admin.jobRemoved(key.substring(StateKeys.JOB.length()));
--- a/src/main/java/dapplestair/submissions/JobFinder.java
+++ b/src/main/java/dapplestair/submissions/JobFinder.java
@@ -12,15 +12,16 @@
 import java.util.function.BiConsumer;
 
 /**
- * Finds jobs by their reference, live or over, with answers that are never older than one given.
+ * Finds live and ended jobs by their reference. A result is never older than one returned earlier
+ * by any controller.
  */
 final class JobFinder {
-  private static final int MOST_OVER_KEPT = 20_000;
+  private static final int MAX_FINAL_STATES = 20_000;
 
   private final StateClient state;
   private final Replica replica;
   private final Ledger ledger;
-  private final Map<String, Boolean> over = new BoundedMap<>(MOST_OVER_KEPT);
+  private final Map<String, Boolean> doneByEndedJob = new BoundedMap<>(MAX_FINAL_STATES);
 
   JobFinder(StateClient state, Replica replica, Ledger ledger) {
     this.state = state;
@@ -28,62 +29,63 @@
     this.ledger = ledger;
   }
 
-  /** A job is over for good; {@code done} or cancelled. */
-  void ended(String ref, boolean done) {
-    over.put(ref, done);
+  /** Records that a job is over for good: {@code done}, or cancelled. */
+  void recordEnd(String ref, boolean done) {
+    doneByEndedJob.put(ref, done);
   }
 
-  /** True when it is remembered here how this job ended. */
-  boolean over(String ref) {
-    return over.containsKey(ref);
+  /** Returns true if the job is over and this controller remembers how it ended. */
+  boolean isOver(String ref) {
+    return doneByEndedJob.containsKey(ref);
   }
 
-  /** True when a job that is over is done, false when it was cancelled. */
-  boolean done(String ref) {
-    return over.get(ref);
+  /** Returns true if a job that is over is done, false if it was cancelled. */
+  boolean isDone(String ref) {
+    return doneByEndedJob.get(ref);
   }
 
-  /** What is known of a job: live, or how it ended. */
-  record Found(Job job, boolean done) {}
+  /** The result for a job that exists: the live job, or null and whether it ended as done. */
+  record Found(Job job, boolean isDone) {}
 
   /**
-   * Finds a job. Final states are known for ever; everything else is told only after a read
-   * barrier, so that no controller gives an older answer than one already given.
+   * Finds a job. Passes to the callback whether the result is known, and the job, which is null if
+   * there is none. A final state never changes and is passed at once; everything else only after a
+   * read barrier, so that no controller gives an older answer than one already given.
    */
-  void find(String ref, BiConsumer<Boolean, Found> done) {
-    if (over.containsKey(ref)) {
-      done.accept(true, new Found(null, over.get(ref)));
+  void find(String ref, BiConsumer<Boolean, Found> callback) {
+    if (doneByEndedJob.containsKey(ref)) {
+      callback.accept(true, new Found(null, doneByEndedJob.get(ref)));
       return;
     }
     if (!Submission.isValidRef(ref)) {
-      done.accept(true, null);
+      callback.accept(true, null);
       return;
     }
     replica.barrier(
         passed -> {
           if (!passed) {
-            done.accept(false, null);
+            callback.accept(false, null);
           } else if (replica.stamp(StateKeys.job(ref)) != 0 && ledger.job(ref) != null) {
-            done.accept(true, new Found(ledger.job(ref), false));
+            callback.accept(true, new Found(ledger.job(ref), false));
           } else {
-            findOver(ref, done);
+            findEndedJob(ref, callback);
           }
         });
   }
 
-  private void findOver(String ref, BiConsumer<Boolean, Found> done) {
-    // Not live as of the barrier: over before now, or never accepted before now.
+  private void findEndedJob(String ref, BiConsumer<Boolean, Found> callback) {
+    // At the barrier the job was not live: it was over by then, or not yet accepted.
     state.get(
         StateKeys.finishedJob(ref),
         read -> {
           if (!read.known()) {
-            done.accept(false, null);
+            callback.accept(false, null);
           } else if (!read.exists()) {
-            done.accept(true, null);
+            callback.accept(true, null);
           } else {
             boolean finished = "done".equals(Json.text(read.value(), "status"));
-            ended(ref, finished);
-            done.accept(true, new Found(null, finished));
+            recordEnd(ref, finished);
+            callback.accept(true, new Found(null, finished));
           }
         });
   }
--- a/src/main/java/dapplestair/submissions/RequestRelay.java
+++ b/src/main/java/dapplestair/submissions/RequestRelay.java
@@ -6,40 +6,44 @@
 import java.util.function.Consumer;
 
 /**
- * Passes users' requests on to a peer that is served by the state service, while this controller is
- * not: users' connections stay here for seconds after the load balancer was told. The peer answers
- * as it would answer the user itself, after its own transaction or read barrier, and does not pass
- * the request on again. What it confirms is in its own log of cancellations before the user hears.
+ * Relays users' requests to a peer that the state service serves while it does not serve this
+ * controller: users' connections remain here for seconds after the load balancer was informed. The
+ * peer answers as it would answer the user directly, after its own transaction or read barrier, and
+ * does not relay the request again. Cancellations that it confirms are in its own log before the
+ * user receives the confirmation.
  */
 public final class RequestRelay {
   private static final String TOPIC = "user-request";
 
-  // Questions of all kinds share one bound: these leave room for the others.
-  private static final int MOST_OPEN = 64;
+  // Requests of all topics share one limit: this lower one leaves capacity for other topics.
+  private static final int MAX_OPEN_REQUESTS = 64;
 
   private final Peers peers;
   private final long timeoutMs;
-  private int open;
-  private int turn;
+  private int openRequests;
+  private int nextPeerIndex;
 
-  /** Asks {@code peers}, each for {@code timeoutMs} at the most. */
+  /** Creates a relay to {@code peers}; a relayed request times out after {@code timeoutMs}. */
   public RequestRelay(Peers peers, long timeoutMs) {
     this.peers = peers;
     this.timeoutMs = timeoutMs;
   }
 
-  /** Answers requests that peers pass on by {@code handler}, from now on. */
+  /** Starts to answer requests that peers relay, using {@code handler}. */
   public void start(Consumer<Exchange> handler) {
-    peers.questions().answer(TOPIC, (body, reply) -> asked(body, reply, handler));
+    peers.questions().answer(TOPIC, (body, reply) -> handleRelayed(body, reply, handler));
   }
 
   /**
-   * Passes a request on; {@code done} gets the peer's answer, or null when none came. False, with
-   * nothing done, when there is nobody to ask.
+   * Relays a request to a peer; {@code onResponse} receives the peer's response, or null if there
+   * is none in time. Returns false, without calling {@code onResponse}, if the request cannot be
+   * relayed.
    */
-  boolean pass(Exchange exchange, Consumer<UserRequestCodec.Response> done) {
+  boolean relay(Exchange exchange, Consumer<UserRequestCodec.Response> onResponse) {
     List<String> served = peers.served();
-    if (served.isEmpty() || open >= MOST_OPEN || exchange instanceof RelayedExchange) {
+    if (served.isEmpty()
+        || openRequests >= MAX_OPEN_REQUESTS
+        || exchange instanceof RelayedExchange) {
       return false;
     }
     byte[] request =
@@ -48,8 +52,8 @@
     if (request == null) {
       return false;
     }
-    String peer = served.get(Math.floorMod(turn++, served.size()));
-    open++;
+    String peer = served.get(Math.floorMod(nextPeerIndex++, served.size()));
+    openRequests++;
     peers
         .questions()
         .ask(
@@ -58,22 +62,22 @@
             request,
             timeoutMs,
             reply -> {
-              open--;
-              done.accept(reply == null ? null : read(reply));
+              openRequests--;
+              onResponse.accept(reply == null ? null : decodeResponse(reply));
             });
     return true;
   }
 
-  private UserRequestCodec.Response read(byte[] reply) {
-    UserRequestCodec.Response response = UserRequestCodec.answer(reply);
+  private UserRequestCodec.Response decodeResponse(byte[] reply) {
+    UserRequestCodec.Response response = UserRequestCodec.decodeResponse(reply);
     if (response == null) {
       peers.questions().refused();
     }
     return response;
   }
 
-  private void asked(byte[] body, Consumer<byte[]> reply, Consumer<Exchange> handler) {
-    UserRequestCodec.Request request = UserRequestCodec.request(body);
+  private void handleRelayed(byte[] body, Consumer<byte[]> reply, Consumer<Exchange> handler) {
+    UserRequestCodec.Request request = UserRequestCodec.decodeRequest(body);
     if (request == null) {
       peers.questions().refused();
       return;
@@ -81,8 +85,8 @@
     handler.accept(new RelayedExchange(request, reply));
   }
 
-  /** A request that a peer passed on. */
-  private record RelayedExchange(UserRequestCodec.Request request, Consumer<byte[]> to)
+  /** A request that a peer has relayed to this controller. */
+  private record RelayedExchange(UserRequestCodec.Request request, Consumer<byte[]> replySink)
       implements Exchange {
     @Override
     public String method() {
@@ -104,7 +108,7 @@
       byte[] answer =
           UserRequestCodec.encode(new UserRequestCodec.Response(status, retryAfterS, body));
       if (answer != null) {
-        to.accept(answer);
+        replySink.accept(answer);
       }
     }
   }
--- a/src/main/java/dapplestair/workers/LeaseRenewal.java
+++ b/src/main/java/dapplestair/workers/LeaseRenewal.java
@@ -75,7 +75,7 @@
       }
     }
     for (Report.Task task : report.tasks()) {
-      boolean isOver = cancellations.knows(task.jobRef()) || !ledger.isJobActive(task.jobRef());
+      boolean isOver = cancellations.isKnown(task.jobRef()) || !ledger.isJobActive(task.jobRef());
       if (task.status() != Report.Status.EXITED && isOver) {
         addHalt(halts, task.key(), task.attempt());
       }
@@ -104,7 +104,7 @@
       if (task.status() == Report.Status.EXITED) {
         continue;
       }
-      if (cancellations.knows(task.jobRef())) {
+      if (cancellations.isKnown(task.jobRef())) {
         addHalt(halts, task.key(), task.attempt());
       } else if (!ledger.isJobActive(task.jobRef()) && !wasLiveWhenRead.test(task.jobRef())) {
         LOG.debug(
@@ -115,8 +115,8 @@
       }
     }
     for (KnownCancellations.CancelledTask cancelled :
-        cancellations.on(report.host(), report.session())) {
-      addHalt(halts, cancelled.place().key(cancelled.ref()), cancelled.place().number());
+        cancellations.tasksOn(report.host(), report.session())) {
+      addHalt(halts, cancelled.location().taskKey(cancelled.ref()), cancelled.location().attempt());
     }
     long token = tokenFor(report);
     return token < 0 ? null : buildAnswer(token, halts);
@@ -129,12 +129,13 @@
    */
   private long tokenFor(Report report) {
     RaisedToken lastRaised = raisedTokensByHost.get(report.host());
-    long launchesEndAt = cancellations.newestAt() + cancellations.launchMs();
+    long launchesEndAt = cancellations.lastLearnedAtMs() + cancellations.launchWindowMs();
     boolean alreadyShown =
         lastRaised != null
             && lastRaised.raisedAt() > launchesEndAt
             && report.token() >= lastRaised.token();
-    if (alreadyShown || clock.now() - cancellations.newestAt() > cancellations.keptMs()) {
+    if (alreadyShown
+        || clock.now() - cancellations.lastLearnedAtMs() > cancellations.retentionMs()) {
       return report.token();
     }
     long token = FencingToken.raisedByNonLeader(report.token());
--- a/src/main/java/dapplestair/workers/ReportHandler.java
+++ b/src/main/java/dapplestair/workers/ReportHandler.java
@@ -93,7 +93,7 @@
     // before any 200 is sent: a worker that has to ignore a 200 keeps reporting here while its
     // lease runs out.
     leadership.observeTerm(FencingToken.term(report.token()));
-    cancellations.addressed(report.host(), report.endpoint());
+    cancellations.recordAddress(report.host(), report.endpoint());
     currentCount++;
     if (!isLeading.getAsBoolean() || !leadership.isLeading()) {
       if (!relay.take(exchange, report, () -> redirectOrRenew(exchange, report))) {
--- a/src/test/java/dapplestair/cancellations/CancellationWatermarkTest.java
+++ b/src/test/java/dapplestair/cancellations/CancellationWatermarkTest.java
@@ -8,83 +8,96 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Up to when a controller knows all, case by case (docs/cancellations.md). */
+/**
+ * Tests the time up to which a controller knows all cancellations, case by case
+ * (docs/cancellations.md).
+ */
 class CancellationWatermarkTest {
-  private long now = 100_000;
-  private long records = CancellationWatermark.NEVER;
+  private long nowMs = 100_000;
+  private long stateReadAtMs = CancellationWatermark.NEVER;
   private final Clock clock =
       new Clock() {
         @Override
         public long now() {
-          return now;
+          return nowMs;
         }
 
         @Override
         public long wall() {
-          return now;
+          return nowMs;
         }
       };
   private final CancellationWatermark watermark =
-      new CancellationWatermark(clock, () -> records, List.of("b", "c"));
+      new CancellationWatermark(clock, () -> stateReadAtMs, List.of("b", "c"));
 
-  private void tells(String member, long log) {
-    CancellationWatermark.PeerLog p = watermark.peer(member);
-    if (p.log != log) {
-      watermark.met(p, log);
+  private void receiveCompleteLog(String member, long logId) {
+    CancellationWatermark.PeerLog peerLog = watermark.peerLog(member);
+    if (peerLog.logId != logId) {
+      watermark.startNewLog(peerLog, logId);
     }
-    watermark.told(p, now);
+    watermark.recordComplete(peerLog, nowMs);
   }
 
-  private void allTellAfterTheRecordsWereRead() {
-    tells("b", 1);
-    tells("c", 1);
-    records = now;
-    now += 10;
-    tells("b", 1);
-    tells("c", 1);
+  private void receiveAllLogsAfterStateRead() {
+    receiveCompleteLog("b", 1);
+    receiveCompleteLog("c", 1);
+    stateReadAtMs = nowMs;
+    nowMs += 10;
+    receiveCompleteLog("b", 1);
+    receiveCompleteLog("c", 1);
   }
 
   @Test
-  void nothingIsKnownBeforeTheRecordsWereRead() {
-    tells("b", 1);
-    tells("c", 1);
+  void nothingIsKnownBeforeTheStateWasRead() {
+    receiveCompleteLog("b", 1);
+    receiveCompleteLog("c", 1);
     assertTrue(watermark.ageMs() > Integer.MAX_VALUE);
   }
 
-  /** In an outage of all it goes on as long as all tell, and stands still when one does not. */
+  /**
+   * While the state service is down, the watermark advances as long as all peers send their logs,
+   * and stays when one of them does not.
+   */
   @Test
-  void theLeastOfAllPeers() {
-    allTellAfterTheRecordsWereRead();
-    now += 30_000;
-    tells("b", 1);
-    assertEquals(30_000, watermark.ageMs(), "one is dead or cut off, which cannot be told");
-    tells("c", 1);
+  void ageIsThatOfThePeerWithTheOldestLog() {
+    receiveAllLogsAfterStateRead();
+    nowMs += 30_000;
+    receiveCompleteLog("b", 1);
+    assertEquals(
+        30_000, watermark.ageMs(), "peer c is dead or disconnected, which cannot be distinguished");
+    receiveCompleteLog("c", 1);
     assertEquals(0, watermark.ageMs());
   }
 
-  /** Its new life does not know what the former one confirmed: only the records do. */
+  /**
+   * A restarted peer does not know what its former process confirmed. Only the records show that,
+   * so the watermark stays until they are read again.
+   */
   @Test
-  void aPeerThatIsBackAtOnceRemembersNothing() {
-    allTellAfterTheRecordsWereRead();
-    now += 500;
-    tells("b", 2);
-    tells("c", 1);
-    now += 5000;
-    tells("b", 2);
-    tells("c", 1);
+  void restartedPeerCountsOnlyAfterTheStateWasReadAgain() {
+    receiveAllLogsAfterStateRead();
+    nowMs += 500;
+    receiveCompleteLog("b", 2);
+    receiveCompleteLog("c", 1);
+    nowMs += 5000;
+    receiveCompleteLog("b", 2);
+    receiveCompleteLog("c", 1);
     assertEquals(5500, watermark.ageMs());
-    records = now;
-    now += 7;
-    tells("b", 2);
-    tells("c", 1);
+    stateReadAtMs = nowMs;
+    nowMs += 7;
+    receiveCompleteLog("b", 2);
+    receiveCompleteLog("c", 1);
     assertEquals(0, watermark.ageMs());
   }
 
   @Test
-  void theWindowLeavesALeaseAndASixteenth() {
+  void renewalWindowLeavesTimeForOneLeaseAndASixteenth() {
     assertEquals(
-        66_000 - 36_000 - 2250, Cancellations.windowMs(new Settings.Workers(6000, 36_000, 66_000)));
+        66_000 - 36_000 - 2250,
+        Cancellations.renewalWindowMs(new Settings.Workers(6000, 36_000, 66_000)));
     assertEquals(
-        12_000, Cancellations.windowMs(new Settings.Workers(6000, 36_000, 30_000)), "the least");
+        12_000,
+        Cancellations.renewalWindowMs(new Settings.Workers(6000, 36_000, 30_000)),
+        "minimum window");
   }
 }
