--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -145,7 +145,7 @@
     double unused = 0;
     for (Settings.Team team : settings.teams().values()) {
       double use = ledger.teamCpus(team.name());
-      borrowed += team.bounded() ? Math.max(0, use - team.cpus()) : 0;
+      borrowed += team.hasGuaranteeOrLimit() ? Math.max(0, use - team.cpus()) : 0;
       unused += Math.max(0, team.cpus() - use);
     }
     Map<String, Double> waiting = new TreeMap<>();
@@ -165,7 +165,7 @@
           .put("guarantee", team.cpus())
           .put("limit", team.cpusMax())
           .put("use", use)
-          .put("borrowed", team.bounded() ? Math.max(0, use - team.cpus()) : 0)
+          .put("borrowed", team.hasGuaranteeOrLimit() ? Math.max(0, use - team.cpus()) : 0)
           .put("lent", Math.max(0, team.cpus() - use) * lentShare)
           .put("waiting", waiting.getOrDefault(team.name(), 0.0))
           .put("gpus_guarantee", team.gpus())
--- a/src/main/java/dapplestair/admin/EventViews.java
+++ b/src/main/java/dapplestair/admin/EventViews.java
@@ -68,7 +68,7 @@
     }
 
     private void await(long waitMs) {
-      if (waitMs <= 0 || !log.next(wake)) {
+      if (waitMs <= 0 || !log.addWaiter(wake)) {
         answer(List.of());
         return;
       }
@@ -80,7 +80,7 @@
         return;
       }
       look();
-      if (!over && !log.next(wake)) {
+      if (!over && !log.addWaiter(wake)) {
         answer(List.of());
       }
     }
@@ -91,7 +91,7 @@
       }
       over = true;
       timer.cancel();
-      log.unwait(wake);
+      log.removeWaiter(wake);
       done.accept(listing.page(rows, Long.toString(after)));
     }
   }
--- a/src/main/java/dapplestair/admin/JobViews.java
+++ b/src/main/java/dapplestair/admin/JobViews.java
@@ -100,7 +100,7 @@
             last = node.path("k").asText().substring(StateKeys.FINISHED_JOB.length());
             PagedListing.WritableRow written = overRow(node.path("value"));
             if (written != null && filter.test(written)) {
-              rows.add(Json.written(written::write));
+              rows.add(Json.writeBytes(written::write));
             }
           }
           done.accept(listing.page(rows, Json.flag(page, "more") ? last : null));
--- a/src/main/java/dapplestair/admin/PagedListing.java
+++ b/src/main/java/dapplestair/admin/PagedListing.java
@@ -73,7 +73,7 @@
       last = name;
       WritableRow written = row.apply(name);
       if (written != null && filter.test(written)) {
-        rows.add(Json.written(written::write));
+        rows.add(Json.writeBytes(written::write));
       }
     }
     done.accept(page(rows, null));
@@ -82,7 +82,7 @@
   /** One answer; {@code next} is the cursor of the page behind, or null at the end. */
   AdminResponse page(List<byte[]> rows, String next) {
     byte[] body =
-        Json.written(
+        Json.writeBytes(
             out -> {
               out.writeStartObject();
               asOf.write(out);
--- a/src/main/java/dapplestair/calendar/Calendars.java
+++ b/src/main/java/dapplestair/calendar/Calendars.java
@@ -150,7 +150,7 @@
   /** Releases the current cycle if it is due, and records earlier cycles as missed. */
   private void releaseIfDue(RunCalendar calendar) {
     long wallMs = clock.wall();
-    long currentMs = calendar.cycle(wallMs);
+    long currentMs = calendar.cycleStartMs(wallMs);
     Cycle last = lastCycle(calendar.name());
     ReleaseCause cause = currentMs > last.startMs() ? dueCause(calendar, currentMs, wallMs) : null;
     if (cause != null) {
@@ -159,7 +159,8 @@
           last.withRelease(currentMs, cause, wallMs, deliveredCount(calendar, currentMs)));
       return;
     }
-    long nextUnreleased = last.startMs() == 0 ? currentMs : calendar.next(last.startMs());
+    long nextUnreleased =
+        last.startMs() == 0 ? currentMs : calendar.nextCycleStartMs(last.startMs());
     if (nextUnreleased < currentMs) {
       // No controller led, or none could write, until this cycle ended; its runs have long started.
       release(
@@ -219,7 +220,7 @@
         cycle.cause().label(),
         cycle.deliveredCount(),
         calendar.complete());
-    events.note(
+    events.publish(
         Events.Kind.CYCLE,
         o ->
             o.put("calendar", calendar.name())
@@ -283,7 +284,7 @@
 
   /** Returns true from one boot time before the usual release of a job's cycle. */
   private boolean isReleaseNear(RunCalendar calendar, Job job) {
-    long startMs = calendar.cycle(job.acceptedWallMs());
+    long startMs = calendar.cycleStartMs(job.acceptedWallMs());
     double usualLagMs = lastCycle(calendar.name()).usualLagMs(calendar.cutOffMs());
     return clock.wall() >= startMs + usualLagMs - 1000 * bootS.getAsDouble();
   }
@@ -305,7 +306,7 @@
     if (calendar == null) {
       return false;
     }
-    long startMs = calendar.cycle(job.acceptedWallMs());
+    long startMs = calendar.cycleStartMs(job.acceptedWallMs());
     return lastCycle(calendar.name()).startMs() < startMs
         && clock.wall() - startMs < calendar.cutOffMs();
   }
@@ -314,14 +315,14 @@
   public boolean isRunOfLastReleasedCycle(Job job) {
     RunCalendar calendar = calendars.isEmpty() ? null : calendarFor(job.spec());
     return calendar != null
-        && lastCycle(calendar.name()).startMs() == calendar.cycle(job.acceptedWallMs());
+        && lastCycle(calendar.name()).startMs() == calendar.cycleStartMs(job.acceptedWallMs());
   }
 
   /** Adds a mark for each calendar the job is a delivery of, in the put that makes it done. */
   public void addDeliveryMarks(Job job, Txn txn) {
     for (RunCalendar calendar : calendars.values()) {
       if (calendar.isDelivery(job.spec())) {
-        long startMs = calendar.cycle(job.acceptedWallMs());
+        long startMs = calendar.cycleStartMs(job.acceptedWallMs());
         if (deliveredCount(calendar, startMs) < calendar.complete()
             && startMs > lastCycle(calendar.name()).startMs()) {
           txn.put(markKey(calendar.name(), startMs, job.spec().ref()), Json.object());
@@ -369,7 +370,7 @@
     List<CalendarStatus> statuses = new ArrayList<>();
     long wallMs = clock.wall();
     for (RunCalendar calendar : calendars.values()) {
-      long currentStartMs = calendar.cycle(wallMs);
+      long currentStartMs = calendar.cycleStartMs(wallMs);
       Cycle last = lastCycle(calendar.name());
       int delivered = deliveredCount(calendar, currentStartMs);
       String state =
@@ -383,7 +384,7 @@
               currentStartMs,
               Math.max(delivered, last.startMs() == currentStartMs ? last.deliveredCount() : 0),
               calendar.complete(),
-              calendar.next(currentStartMs) - wallMs,
+              calendar.nextCycleStartMs(currentStartMs) - wallMs,
               last.startMs() == 0 ? null : last.cause().label(),
               (last.releasedAtMs() - last.startMs()) / 1000.0,
               (int) heldRuns));
--- a/src/main/java/dapplestair/cli/ControllerServer.java
+++ b/src/main/java/dapplestair/cli/ControllerServer.java
@@ -99,8 +99,8 @@
     try {
       TlsFiles tls = on.tls() == null ? null : TlsFiles.watch(on.tls(), loop, loop);
       HttpServer.Options options =
-          new HttpServer.Options(on.mostConnections(), true, ADMIN_IDLE_S, tls);
-      return new HttpServer(loop, options, controller::operators);
+          new HttpServer.Options(on.maxConnections(), true, ADMIN_IDLE_S, tls);
+      return new HttpServer(loop, options, controller::handleOperatorRequest);
     } catch (IOException e) {
       throw new SettingsException(e.getMessage());
     }
@@ -127,7 +127,7 @@
   }
 
   private void look(CountDownLatch serving) {
-    if (controller.serving()) {
+    if (controller.isServing()) {
       serving.countDown();
     } else {
       loop.after(10, () -> look(serving));
@@ -150,7 +150,7 @@
     loop.executor()
         .execute(
             () -> {
-              controller.leave();
+              controller.resignAndClose();
               // What was just written leaves before the sockets close.
               loop.after(50, left::countDown);
             });
--- a/src/main/java/dapplestair/cli/DaemonCommand.java
+++ b/src/main/java/dapplestair/cli/DaemonCommand.java
@@ -62,8 +62,9 @@
           SettingsOptions.operator(operatorFile, settings.controller(users, ""));
       // Unless the operators' file says who may come, everybody on this machine may.
       if (operatorSettings.admin() == null) {
-        operatorSettings = operatorSettings.withAdmin(OperatorSettings.Admin.open(at));
-        OperatorSettingsLoader.check(operatorSettings.admin());
+        operatorSettings =
+            operatorSettings.withAdmin(OperatorSettings.Admin.withoutAuthentication(at));
+        OperatorSettingsLoader.checkAdmin(operatorSettings.admin());
       }
       return run(settings, operatorSettings, users);
     } catch (SettingsException e) {
--- a/src/main/java/dapplestair/cli/SettingsOptions.java
+++ b/src/main/java/dapplestair/cli/SettingsOptions.java
@@ -40,9 +40,9 @@
       return OperatorSettings.defaults();
     }
     OperatorSettings read = OperatorSettingsLoader.load(file);
-    DisruptionBudgetsLoader.check(file, read.budgets(), settings);
-    LanesLoader.check(file, read.lanes(), settings);
-    CalendarsLoader.check(file, read.calendars(), settings);
+    DisruptionBudgetsLoader.checkTeams(file, read.budgets(), settings);
+    LanesLoader.checkTeams(file, read.lanes(), settings);
+    CalendarsLoader.checkTeams(file, read.calendars(), settings);
     return read;
   }
 
--- a/src/main/java/dapplestair/disruption/DisruptionGate.java
+++ b/src/main/java/dapplestair/disruption/DisruptionGate.java
@@ -164,16 +164,16 @@
 
   private DisruptionRefusal refusal(Attempt attempt) {
     String team = attempt.spec().team();
-    DisruptionBudget budget = budgets.of(team);
+    DisruptionBudget budget = budgets.forTeam(team);
     Sum sum = sum(team);
     if (attempt.spec().service()) {
-      int ofTeam = budget.ofTeam(sum.wanted);
+      int ofTeam = budget.maxTeamReplicasOut(sum.wanted);
       if (sum.out >= ofTeam) {
         return new DisruptionRefusal(
             team, "replicas of the team", ofTeam, sum.out, because(sum.out, sum.stopping));
       }
       int steps = attempt.spec().steps();
-      int ofJob = budget.ofJob(steps);
+      int ofJob = budget.maxJobReplicasOut(steps);
       int gone = missing.getOrDefault(attempt.job(), steps);
       return gone < ofJob
           ? null
@@ -231,14 +231,14 @@
     Map<String, BudgetStatus> out = new TreeMap<>();
     teams.forEach(
         (team, s) -> {
-          DisruptionBudget budget = budgets.of(team);
+          DisruptionBudget budget = budgets.forTeam(team);
           out.put(
               team,
               new BudgetStatus(
                   s.wanted,
                   s.out,
                   s.stopping,
-                  budget.ofTeam(s.wanted),
+                  budget.maxTeamReplicasOut(s.wanted),
                   s.arraysOut,
                   budget.arrayTasks(),
                   lost.spent(team),
--- a/src/main/java/dapplestair/disruption/LostWork.java
+++ b/src/main/java/dapplestair/disruption/LostWork.java
@@ -133,7 +133,7 @@
 
   /** Null when so much may be thrown away now; otherwise a reservation is begun if one may be. */
   DisruptionRefusal refusal(String team, double cpuS) {
-    double allowed = budgets.of(team).lostCpuS();
+    double allowed = budgets.forTeam(team).lostCpuS();
     if (Double.isInfinite(allowed) || cpuS <= 0) {
       return null;
     }
@@ -168,20 +168,20 @@
 
   /** A stop was granted: what it throws away was reserved. */
   void spend(String team, double cpuS) {
-    if (!budgets.of(team).anyLoss()) {
+    if (!budgets.forTeam(team).isLostWorkUnlimited()) {
       now(team).spent += cpuS;
     }
   }
 
   /** A stop could not wait: what it throws away is put on record when there is time. */
   void debit(String team, double cpuS) {
-    if (budgets.of(team).anyLoss() || cpuS <= 0) {
+    if (budgets.forTeam(team).isLostWorkUnlimited() || cpuS <= 0) {
       return;
     }
     TeamLostWork teamLostWork = now(team);
     teamLostWork.spent += cpuS;
     if (teamLostWork.spent > teamLostWork.reserved.getOrDefault(teamLostWork.slice, 0.0)) {
-      write(team, teamLostWork, teamLostWork.spent + budgets.of(team).lostCpuS() * SHARE);
+      write(team, teamLostWork, teamLostWork.spent + budgets.forTeam(team).lostCpuS() * SHARE);
     }
   }
 
--- a/src/main/java/dapplestair/drain/Drains.java
+++ b/src/main/java/dapplestair/drain/Drains.java
@@ -94,7 +94,7 @@
     }
     if (leading) {
       Drain drain = of.get(name);
-      events.note(
+      events.publish(
           Events.Kind.DRAIN,
           o -> {
             o.put(zone ? "zone" : "machine", name).put("on", drain != null);
--- a/src/main/java/dapplestair/events/EventLog.java
+++ b/src/main/java/dapplestair/events/EventLog.java
@@ -19,9 +19,9 @@
   private static final Logger LOG = LoggerFactory.getLogger(EventLog.class);
 
   /** Events kept; what is older is forgotten. */
-  public static final int MOST_KEPT = 2000;
+  public static final int MAX_EVENTS = 2000;
 
-  private static final int MOST_FOLLOWERS = 32;
+  private static final int MAX_WAITERS = 32;
 
   // A term's events are numbered from its high part on, so that cursors never mean two things.
   private static final int NUMBER_BITS = 32;
@@ -30,9 +30,9 @@
   public record Event(long number, ObjectNode fields) {}
 
   private final Clock clock;
-  private final ArrayDeque<Event> kept = new ArrayDeque<>();
-  private final List<Runnable> waiting = new ArrayList<>();
-  private long last;
+  private final ArrayDeque<Event> events = new ArrayDeque<>();
+  private final List<Runnable> waiters = new ArrayList<>();
+  private long lastNumber;
 
   /** An empty log. */
   public EventLog(Clock clock) {
@@ -40,61 +40,64 @@
   }
 
   /** A new term begins: its events are numbered after all earlier ones. */
-  public void begin(long term) {
-    last = Math.max(last, term << NUMBER_BITS);
+  public void beginTerm(long term) {
+    lastNumber = Math.max(lastNumber, term << NUMBER_BITS);
   }
 
   @Override
-  public void note(Kind kind, Consumer<ObjectNode> fields) {
+  public void publish(Kind kind, Consumer<ObjectNode> fields) {
     ObjectNode object =
-        Json.object().put("id", ++last).put("at", clock.wall()).put("kind", kind.shown());
+        Json.object()
+            .put("id", ++lastNumber)
+            .put("at", clock.wall())
+            .put("kind", kind.displayName());
     fields.accept(object);
     if (LOG.isDebugEnabled()) {
-      say(object);
+      logEvent(object);
     }
-    if (kept.size() == MOST_KEPT) {
-      kept.poll();
+    if (events.size() == MAX_EVENTS) {
+      events.poll();
     }
-    kept.add(new Event(last, object));
-    if (!waiting.isEmpty()) {
-      List<Runnable> wake = List.copyOf(waiting);
-      waiting.clear();
-      wake.forEach(Runnable::run);
+    events.add(new Event(lastNumber, object));
+    if (!waiters.isEmpty()) {
+      List<Runnable> toNotify = List.copyOf(waiters);
+      waiters.clear();
+      toNotify.forEach(Runnable::run);
     }
   }
 
   /** A line with fields, for logs that are read by programs. */
-  private static void say(ObjectNode object) {
-    LoggingEventBuilder line = LOG.atDebug();
-    object.fields().forEachRemaining(f -> line.addKeyValue(f.getKey(), f.getValue().asText()));
-    line.log("event");
+  private static void logEvent(ObjectNode object) {
+    LoggingEventBuilder logEntry = LOG.atDebug();
+    object.fields().forEachRemaining(f -> logEntry.addKeyValue(f.getKey(), f.getValue().asText()));
+    logEntry.log("event");
   }
 
   /** Events after a number, oldest first. */
   public Iterable<Event> after(long number) {
-    List<Event> out = new ArrayList<>();
-    for (var it = kept.descendingIterator(); it.hasNext(); ) {
+    List<Event> newer = new ArrayList<>();
+    for (var it = events.descendingIterator(); it.hasNext(); ) {
       Event event = it.next();
       if (event.number() <= number) {
         break;
       }
-      out.add(event);
+      newer.add(event);
     }
-    java.util.Collections.reverse(out);
-    return out;
+    java.util.Collections.reverse(newer);
+    return newer;
   }
 
   /** Runs {@code task} at the next event; false when too many wait already. */
-  public boolean next(Runnable task) {
-    if (waiting.size() >= MOST_FOLLOWERS) {
+  public boolean addWaiter(Runnable task) {
+    if (waiters.size() >= MAX_WAITERS) {
       return false;
     }
-    waiting.add(task);
+    waiters.add(task);
     return true;
   }
 
   /** No longer interested. */
-  public void unwait(Runnable task) {
-    waiting.remove(task);
+  public void removeWaiter(Runnable task) {
+    waiters.remove(task);
   }
 }
--- a/src/main/java/dapplestair/events/Events.java
+++ b/src/main/java/dapplestair/events/Events.java
@@ -10,7 +10,7 @@
   Events OFF = (kind, fields) -> {};
 
   /** Something happened; {@code fields} fills in what is known of it, if anybody wants it. */
-  void note(Kind kind, Consumer<ObjectNode> fields);
+  void publish(Kind kind, Consumer<ObjectNode> fields);
 
   /** What can happen. */
   enum Kind {
@@ -54,7 +54,7 @@
     LEADING;
 
     /** The form shown to people. */
-    public String shown() {
+    public String displayName() {
       return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
     }
   }
--- a/src/main/java/dapplestair/fleet/CapacityEstimator.java
+++ b/src/main/java/dapplestair/fleet/CapacityEstimator.java
@@ -73,7 +73,7 @@
           pool.kind().spot() ? "spot" : "steady",
           pool.zone(),
           refusalMs);
-      events.note(Events.Kind.REFUSED, pool::describe);
+      events.publish(Events.Kind.REFUSED, pool::describe);
     }
     refusedUntilMs.put(pool, clock.now() + refusalMs);
     // Machines that other rentals have requested there are not granted. A plan that counted on
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -315,7 +315,7 @@
 
   private void reportLost(Host host, String reason) {
     onCapacityLost.run();
-    events.note(
+    events.publish(
         Events.Kind.MACHINE_LOST,
         o -> o.put("machine", host.id()).put("zone", host.zone()).put("reason", reason));
   }
--- a/src/main/java/dapplestair/fleet/Releases.java
+++ b/src/main/java/dapplestair/fleet/Releases.java
@@ -81,7 +81,7 @@
     Host host = workers.known(id);
     if (host != null) {
       LOG.debug("the cloud confirmed the return of machine {}", id);
-      events.note(Events.Kind.RETURNED, o -> o.put("machine", id).put("zone", host.zone()));
+      events.publish(Events.Kind.RETURNED, o -> o.put("machine", id).put("zone", host.zone()));
       workers.gone(host);
     }
   }
--- a/src/main/java/dapplestair/fleet/Rentals.java
+++ b/src/main/java/dapplestair/fleet/Rentals.java
@@ -298,7 +298,7 @@
         rental.pool.kind().type(),
         rental.pool.kind().spot() ? "spot" : "steady",
         rental.pool.zone());
-    events.note(
+    events.publish(
         Events.Kind.RENTED,
         o -> {
           rental.pool.describe(o);
--- a/src/main/java/dapplestair/json/Json.java
+++ b/src/main/java/dapplestair/json/Json.java
@@ -52,14 +52,14 @@
   @FunctionalInterface
   public interface JsonWriter {
     /** Writes. */
-    void to(JsonGenerator out) throws IOException;
+    void writeTo(JsonGenerator out) throws IOException;
   }
 
   /** Bytes of what is written. */
-  public static byte[] written(JsonWriter value) {
+  public static byte[] writeBytes(JsonWriter writer) {
     ByteArrayBuilder bytes = new ByteArrayBuilder();
     try (JsonGenerator out = MAPPER.createGenerator(bytes)) {
-      value.to(out);
+      writer.writeTo(out);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -68,27 +68,29 @@
 
   /** A text field, or null when absent, null or not text. */
   public static String text(JsonNode node, String field) {
-    JsonNode v = node.get(field);
-    return v != null && v.isTextual() ? v.textValue() : null;
+    JsonNode value = node.get(field);
+    return value != null && value.isTextual() ? value.textValue() : null;
   }
 
-  /** A whole number field, or {@code otherwise}. */
-  public static long number(JsonNode node, String field, long otherwise) {
-    JsonNode v = node.get(field);
-    return v != null && v.canConvertToLong() && v.isIntegralNumber() ? v.longValue() : otherwise;
+  /** A whole number field, or {@code defaultValue}. */
+  public static long number(JsonNode node, String field, long defaultValue) {
+    JsonNode value = node.get(field);
+    return value != null && value.canConvertToLong() && value.isIntegralNumber()
+        ? value.longValue()
+        : defaultValue;
   }
 
-  /** A decimal field, or {@code otherwise} when absent or not finite. */
-  public static double decimal(JsonNode node, String field, double otherwise) {
-    JsonNode v = node.get(field);
-    return v != null && v.isNumber() && Double.isFinite(v.doubleValue())
-        ? v.doubleValue()
-        : otherwise;
+  /** A decimal field, or {@code defaultValue} when absent or not finite. */
+  public static double decimal(JsonNode node, String field, double defaultValue) {
+    JsonNode value = node.get(field);
+    return value != null && value.isNumber() && Double.isFinite(value.doubleValue())
+        ? value.doubleValue()
+        : defaultValue;
   }
 
   /** A flag, false when absent. */
   public static boolean flag(JsonNode node, String field) {
-    JsonNode v = node.get(field);
-    return v != null && v.isBoolean() && v.booleanValue();
+    JsonNode value = node.get(field);
+    return value != null && value.isBoolean() && value.booleanValue();
   }
 }
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -245,7 +245,7 @@
 
   private Lane findLane(Submission submission) {
     for (Lane lane : lanes.values()) {
-      if (lane.rides(submission)) {
+      if (lane.isRider(submission)) {
         return lane;
       }
     }
@@ -277,8 +277,8 @@
    */
   public boolean leavesReserve(Submission submission, Host host) {
     for (Lane lane : lanes.values()) {
-      if (lane.over(submission)
-          && !lane.goneInTime(submission)
+      if (lane.isPreemptible(submission)
+          && !lane.canStopInTime(submission)
           && !reserveCapacity.leavesReserve(lane, submission, host)) {
         return false;
       }
--- a/src/main/java/dapplestair/lane/VictimSelector.java
+++ b/src/main/java/dapplestair/lane/VictimSelector.java
@@ -108,7 +108,7 @@
         cpus += attempt.spec().cpus();
         memory += attempt.spec().memoryGb();
         gpus += attempt.spec().gpus();
-      } else if (!attempt.exited() && lane.over(attempt.spec())) {
+      } else if (!attempt.exited() && lane.isPreemptible(attempt.spec())) {
         evictable.add(attempt);
       }
     }
--- a/src/main/java/dapplestair/metrics/Exposition.java
+++ b/src/main/java/dapplestair/metrics/Exposition.java
@@ -17,33 +17,33 @@
   private static final String PREFIX = "dapplestair_";
 
   private final PrometheusRegistry registry = new PrometheusRegistry();
-  private final Histogram accepted =
+  private final Histogram acceptanceSeconds =
       Histogram.builder()
           .name(PREFIX + "submission_accept_seconds")
           .help("Time from a submission's arrival to its acceptance.")
           .classicOnly()
           .classicUpperBounds(.005, .01, .025, .05, .1, .2, .3, .5, 1, 2, 5)
           .register(registry);
-  private final Histogram started =
+  private final Histogram taskStartSeconds =
       Histogram.builder()
           .name(PREFIX + "task_start_seconds")
           .help("Time from a job's acceptance to the start of one of its tasks.")
           .classicOnly()
           .classicUpperBounds(.5, 1, 2, 5, 10, 20, 50, 100, 200, 500)
           .register(registry);
-  private final Histogram lag =
+  private final Histogram loopLagSeconds =
       Histogram.builder()
           .name(PREFIX + "loop_lag_seconds")
           .help("How much late the loop's timers fire.")
           .classicOnly()
           .classicUpperBounds(.001, .005, .01, .025, .05, .1, .25, .5, 1, 5)
           .register(registry);
-  private final Counter shed =
+  private final Counter shedRequests =
       Counter.builder()
           .name(PREFIX + "requests_shed_total")
           .help("Users' requests answered with 503.")
           .register(registry);
-  private final Counter lost =
+  private final Counter failedAttempts =
       Counter.builder()
           .name(PREFIX + "attempts_failed_total")
           .help("Attempts that ended by themselves without completing.")
@@ -85,32 +85,32 @@
   }
 
   @Override
-  public void accepted(long ms) {
-    accepted.observe(ms / 1000.0);
+  public void recordAcceptance(long ms) {
+    acceptanceSeconds.observe(ms / 1000.0);
   }
 
   @Override
-  public void started(long ms) {
-    started.observe(ms / 1000.0);
+  public void recordTaskStart(long ms) {
+    taskStartSeconds.observe(ms / 1000.0);
   }
 
   @Override
-  public void lagged(long ms) {
-    lag.observe(ms / 1000.0);
+  public void recordLoopLag(long ms) {
+    loopLagSeconds.observe(ms / 1000.0);
   }
 
   @Override
-  public void shed() {
-    shed.inc();
+  public void recordShedRequest() {
+    shedRequests.inc();
   }
 
   @Override
-  public void lost() {
-    lost.inc();
+  public void recordFailedAttempt() {
+    failedAttempts.inc();
   }
 
   /** All of it, as it is now. */
-  public byte[] text() {
+  public byte[] scrape() {
     ByteArrayOutputStream out = new ByteArrayOutputStream(8192);
     try {
       new PrometheusTextFormatWriter(false).write(out, registry.scrape());
--- a/src/main/java/dapplestair/metrics/Metrics.java
+++ b/src/main/java/dapplestair/metrics/Metrics.java
@@ -10,97 +10,97 @@
 
   /** Wants to hear of each figure, too. */
   public interface Sink {
-    /** See {@link Metrics#accepted}. */
-    void accepted(long ms);
+    /** See {@link Metrics#recordAcceptance}. */
+    void recordAcceptance(long ms);
 
-    /** See {@link Metrics#started}. */
-    void started(long ms);
+    /** See {@link Metrics#recordTaskStart}. */
+    void recordTaskStart(long ms);
 
-    /** See {@link Metrics#lagged}. */
-    void lagged(long ms);
+    /** See {@link Metrics#recordLoopLag}. */
+    void recordLoopLag(long ms);
 
-    /** See {@link Metrics#shed}. */
-    void shed();
+    /** See {@link Metrics#recordShedRequest}. */
+    void recordShedRequest();
 
-    /** See {@link Metrics#lost}. */
-    void lost();
+    /** See {@link Metrics#recordFailedAttempt}. */
+    void recordFailedAttempt();
   }
 
   private Sink sink;
-  private final Histogram accept = new Histogram(60_000, 2);
-  private final Histogram start = new Histogram(3_600_000, 2);
-  private final Histogram lag = new Histogram(60_000, 2);
-  private long shed;
-  private long launches;
-  private long lost;
+  private final Histogram acceptanceMs = new Histogram(60_000, 2);
+  private final Histogram taskStartMs = new Histogram(3_600_000, 2);
+  private final Histogram loopLagMs = new Histogram(60_000, 2);
+  private long shedRequests;
+  private long startedTasks;
+  private long failedAttempts;
 
   /** From now on somebody else hears of all figures. */
-  public void tell(Sink to) {
-    sink = to;
+  public void setSink(Sink newSink) {
+    sink = newSink;
   }
 
   /** A submission was accepted after this long. */
-  public void accepted(long ms) {
+  public void recordAcceptance(long ms) {
     if (sink != null) {
-      sink.accepted(ms);
+      sink.recordAcceptance(ms);
     }
-    accept.recordValue(Math.min(60_000, Math.max(0, ms)));
+    acceptanceMs.recordValue(Math.min(60_000, Math.max(0, ms)));
   }
 
   /** A task runs, this long after its job was accepted. */
-  public void started(long ms) {
-    launches++;
+  public void recordTaskStart(long ms) {
+    startedTasks++;
     if (sink != null) {
-      sink.started(ms);
+      sink.recordTaskStart(ms);
     }
-    start.recordValue(Math.min(3_600_000, Math.max(0, ms)));
+    taskStartMs.recordValue(Math.min(3_600_000, Math.max(0, ms)));
   }
 
   /** A timer fired this much late: how far the loop lags behind its work. */
-  public void lagged(long ms) {
+  public void recordLoopLag(long ms) {
     if (sink != null) {
-      sink.lagged(Math.max(0, ms));
+      sink.recordLoopLag(Math.max(0, ms));
     }
-    lag.recordValue(Math.min(60_000, Math.max(0, ms)));
+    loopLagMs.recordValue(Math.min(60_000, Math.max(0, ms)));
   }
 
   /** A request was turned away. */
-  public void shed() {
-    shed++;
+  public void recordShedRequest() {
+    shedRequests++;
     if (sink != null) {
-      sink.shed();
+      sink.recordShedRequest();
     }
   }
 
   /** An attempt ended without completing and without being asked to. */
-  public void lost() {
-    lost++;
+  public void recordFailedAttempt() {
+    failedAttempts++;
     if (sink != null) {
-      sink.lost();
+      sink.recordFailedAttempt();
     }
   }
 
   /** Writes one line and begins anew. */
-  public void summarise(String more) {
+  public void logSummary(String status) {
     LOG.info(
         "summary: accepted {} (p50 {} ms, p99 {} ms), turned away {}, started {} (p50 {} ms,"
             + " p90 {} ms), lost {}, lag p99 {} ms, most {} ms; {}",
-        accept.getTotalCount(),
-        accept.getValueAtPercentile(50),
-        accept.getValueAtPercentile(99),
-        shed,
-        launches,
-        start.getValueAtPercentile(50),
-        start.getValueAtPercentile(90),
-        lost,
-        lag.getValueAtPercentile(99),
-        lag.getMaxValue(),
-        more);
-    lag.reset();
-    accept.reset();
-    start.reset();
-    shed = 0;
-    launches = 0;
-    lost = 0;
+        acceptanceMs.getTotalCount(),
+        acceptanceMs.getValueAtPercentile(50),
+        acceptanceMs.getValueAtPercentile(99),
+        shedRequests,
+        startedTasks,
+        taskStartMs.getValueAtPercentile(50),
+        taskStartMs.getValueAtPercentile(90),
+        failedAttempts,
+        loopLagMs.getValueAtPercentile(99),
+        loopLagMs.getMaxValue(),
+        status);
+    loopLagMs.reset();
+    acceptanceMs.reset();
+    taskStartMs.reset();
+    shedRequests = 0;
+    startedTasks = 0;
+    failedAttempts = 0;
   }
 }
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -21,7 +21,7 @@
 /** One controller. All of it runs on one loop. */
 public final class Controller implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-  private static final int SUMMARY_EVERY_REPORTS = 20;
+  private static final int SUMMARY_INTERVAL_REPORTS = 20;
 
   private final ControllerEnvironment environment;
   private final Settings settings;
@@ -33,7 +33,7 @@
   private final RecordDispatcher dispatcher;
   private final HttpRouter router;
   private final EventLoopMonitor loopMonitor;
-  private final StatusReporter self;
+  private final StatusReporter statusReporter;
 
   /** Wires the duties, without an operators' interface; nothing runs before {@link #start}. */
   public Controller(
@@ -42,7 +42,8 @@
   }
 
   /**
-   * Wires the duties; operators are served by {@link #operators} if {@code authenticator} is given.
+   * Wires the duties; operators are served by {@link #handleOperatorRequest} if {@code
+   * authenticator} is given.
    */
   public Controller(
       Settings settings,
@@ -59,37 +60,38 @@
             authenticator != null,
             new CoreComponents.Listeners(
                 this::ownStatus,
-                this::peerStatus,
+                this::onPeerStatus,
                 new RoleEvents(),
                 new CancellationEvents(),
-                this::hostChanged,
+                this::onHostChanged,
                 new ReplicaEvents()));
     scheduling = new SchedulingComponents(settings, operatorSettings, environment, core);
-    core.callbacks.wire(core, scheduling);
-    self = new StatusReporter(core);
+    core.ledgerCallbacks.wire(core, scheduling);
+    statusReporter = new StatusReporter(core);
     long reportMs = settings.workers().reportMs();
     loopMonitor =
         new EventLoopMonitor(
             environment.clock(),
             environment.timers(),
             core.metrics,
-            SUMMARY_EVERY_REPORTS * reportMs,
-            self::line);
+            SUMMARY_INTERVAL_REPORTS * reportMs,
+            statusReporter::summaryLine);
     router =
         new HttpRouter(
-            core.workers,
-            core.submissions,
-            self::able,
+            core.workerManager,
+            core.submissionHandler,
+            statusReporter::canTakeRequests,
             core.peers,
             core.state::unreachableMs,
             reportMs / 4);
     operations = new OperationsComponents(settings, environment, core, scheduling);
-    admin = authenticator == null ? null : admin(operatorSettings, authenticator);
+    admin = authenticator == null ? null : createAdminHandler(operatorSettings, authenticator);
     roleChanges = new RoleChangeNotifier(settings.member(), core, scheduling, operations, admin);
     dispatcher = new RecordDispatcher(core, scheduling, operations, admin);
   }
 
-  private AdminHandler admin(OperatorSettings operatorSettings, Authenticator authenticator) {
+  private AdminHandler createAdminHandler(
+      OperatorSettings operatorSettings, Authenticator authenticator) {
     ControllerComponents components =
         new ControllerComponents(
             settings,
@@ -98,9 +100,9 @@
             environment.timers(),
             core.leadership,
             core.ledger,
-            core.workers,
+            core.workerManager,
             scheduling.fleet,
-            core.types,
+            core.machineTypes,
             scheduling.placer,
             scheduling.autoscaler,
             core.peers,
@@ -116,24 +118,24 @@
             operations.conditionalWriter,
             core.cancellations,
             core.relay,
-            core.log);
-    Exposition exposition = ControllerMetrics.of(components);
-    core.metrics.tell(exposition);
-    return new AdminHandler(components, authenticator, this::handle, exposition::text);
+            core.eventLog);
+    Exposition exposition = ControllerMetrics.createExposition(components);
+    core.metrics.setSink(exposition);
+    return new AdminHandler(components, authenticator, this::handle, exposition::scrape);
   }
 
   /** Answers a request of an operator; only with access given. */
-  public void operators(Exchange exchange) {
+  public void handleOperatorRequest(Exchange exchange) {
     admin.handle(exchange);
   }
 
   /** True once this controller leads and may launch tasks, so that a lone one serves fully. */
-  public boolean serving() {
-    return core.ledger.canLaunch() && core.types.isLoaded();
+  public boolean isServing() {
+    return core.ledger.canLaunch() && core.machineTypes.isLoaded();
   }
 
   /** Gives the lead away and ends; what is recorded stays. */
-  public void leave() {
+  public void resignAndClose() {
     core.leadership.resign("this process is ending");
     close();
   }
@@ -142,11 +144,11 @@
   public void start() {
     LOG.info("{} in {} starts", settings.member(), settings.zone());
     core.replica.reload();
-    core.workers.start();
+    core.workerManager.start();
     core.peers.start();
     core.cancellations.start();
-    core.accepted.start();
-    core.requestRelay.start(router::handleUser);
+    core.acceptedJobs.start();
+    core.userRequestRelay.start(router::handleUser);
     core.leadership.start(core.replica);
     loopMonitor.start();
   }
@@ -159,17 +161,17 @@
   // ---- between the duties ----
 
   private PeerStatus ownStatus() {
-    return self.toPeers();
+    return statusReporter.peerStatus();
   }
 
-  private void peerStatus(PeerStatus status) {
+  private void onPeerStatus(PeerStatus status) {
     core.leadership.observeTerm(status.term());
     if (core.leadership.isLeading()) {
       core.state.setPeerDemand(core.peers.puts());
     }
   }
 
-  private void hostChanged(Host host) {
+  private void onHostChanged(Host host) {
     operations.drains.mark(host);
     if (host.recalled() && !host.gone()) {
       scheduling.reclaimNoticeHandler.handleNotice(host);
@@ -194,7 +196,7 @@
   private final class CancellationEvents implements Cancellations.Listener {
     @Override
     public void cancelled(String ref) {
-      core.submissions.ended(ref, false);
+      core.submissionHandler.ended(ref, false);
       core.ledger.onJobCancelled(ref);
     }
 
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -20,13 +20,13 @@
 
   private ControllerMetrics() {}
 
-  static Exposition of(ControllerComponents components) {
+  static Exposition createExposition(ControllerComponents components) {
     Exposition exposition = new Exposition(VERSION);
     addCluster(exposition, components);
     addState(exposition, components);
     addTeams(exposition, components);
     addClasses(exposition, components);
-    addStops(exposition, components);
+    addDisruptions(exposition, components);
     addPlan(exposition, components);
     return exposition;
   }
@@ -89,13 +89,19 @@
             "tasks_unaccounted_for",
             "How often a task was reported that no record explains.",
             () -> components.workers().unaccountedTasks())
-        .gauge("machines_drained", "Machines drained by operators.", () -> drained(components));
+        .gauge(
+            "machines_drained",
+            "Machines drained by operators.",
+            () -> drainedMachineCount(components));
   }
 
   /** The state service, and what waits for it. */
   private static void addState(Exposition exposition, ControllerComponents components) {
     exposition
-        .gauge("state_reachable", "1 while the state service answers.", () -> reachable(components))
+        .gauge(
+            "state_reachable",
+            "1 while the state service answers.",
+            () -> stateReachable(components))
         .gauge(
             "puts_allowed",
             "Puts a second that may be made.",
@@ -105,24 +111,30 @@
             "Puts a second made or waiting.",
             () -> components.state().demandPutsPerSecond())
         .gauges(
-            "transactions_queued", "Transactions that wait.", "priority", () -> queued(components));
+            "transactions_queued",
+            "Transactions that wait.",
+            "priority",
+            () -> queuedTransactions(components));
   }
 
   /** What teams use, and what they were promised. */
   private static void addTeams(Exposition exposition, ControllerComponents components) {
     exposition
         .gauges(
-            "team_cpus_used", "CPUs that a team's attempts use.", "team", () -> used(components))
+            "team_cpus_used",
+            "CPUs that a team's attempts use.",
+            "team",
+            () -> usedCpusByTeam(components))
         .gauges(
             "team_cpus_guaranteed",
             "CPUs guaranteed to a team.",
             "team",
-            () -> teams(components, Settings.Team::cpus))
+            () -> valuesByTeam(components, Settings.Team::cpus))
         .gauges(
             "team_cpus_limit",
             "Most CPUs of a team, 0 for no limit.",
             "team",
-            () -> teams(components, Settings.Team::cpusMax))
+            () -> valuesByTeam(components, Settings.Team::cpusMax))
         .gauges(
             "team_jobs_started_share",
             "Share of a team's accepted jobs that started, since this controller leads.",
@@ -179,7 +191,7 @@
   }
 
   /** What is stopped by choice. */
-  private static void addStops(Exposition exposition, ControllerComponents components) {
+  private static void addDisruptions(Exposition exposition, ControllerComponents components) {
     exposition
         .gauges(
             "team_replicas_out",
@@ -217,47 +229,48 @@
         .gauge(
             "plan_makespan_seconds",
             "Mean makespan of the plan applied.",
-            () -> plan(components, Autoscaler.AppliedPlan::makespanS))
+            () -> planMetric(components, Autoscaler.AppliedPlan::makespanS))
         .gauge(
             "plan_spend_per_hour",
             "What the plan applied costs an hour.",
-            () -> plan(components, Autoscaler.AppliedPlan::perHour))
+            () -> planMetric(components, Autoscaler.AppliedPlan::perHour))
         .gauge(
             "plan_risk",
             "Spot CPUs of the plan applied, times their risk.",
-            () -> plan(components, Autoscaler.AppliedPlan::risk));
+            () -> planMetric(components, Autoscaler.AppliedPlan::risk));
   }
 
-  private static double drained(ControllerComponents components) {
+  private static double drainedMachineCount(ControllerComponents components) {
     return components.workers().hosts().stream().filter(h -> h.drained()).count();
   }
 
-  private static double reachable(ControllerComponents components) {
+  private static double stateReachable(ControllerComponents components) {
     return components.state().isReachable() ? 1 : 0;
   }
 
-  private static Map<String, Integer> queued(ControllerComponents components) {
-    Map<String, Integer> out = new TreeMap<>();
+  private static Map<String, Integer> queuedTransactions(ControllerComponents components) {
+    Map<String, Integer> values = new TreeMap<>();
     for (StateClient.Priority priority : StateClient.Priority.values()) {
-      out.put(priority.name().toLowerCase(Locale.ROOT), components.state().queuedCount(priority));
+      values.put(
+          priority.name().toLowerCase(Locale.ROOT), components.state().queuedCount(priority));
     }
-    return out;
+    return values;
   }
 
-  private static Map<String, Double> used(ControllerComponents components) {
-    return teams(components, t -> components.ledger().teamCpus(t.name()));
+  private static Map<String, Double> usedCpusByTeam(ControllerComponents components) {
+    return valuesByTeam(components, t -> components.ledger().teamCpus(t.name()));
   }
 
-  private static Map<String, Double> teams(
-      ControllerComponents components, Function<Settings.Team, Double> figure) {
-    Map<String, Double> out = new TreeMap<>();
-    components.settings().teams().values().forEach(t -> out.put(t.name(), figure.apply(t)));
-    return out;
+  private static Map<String, Double> valuesByTeam(
+      ControllerComponents components, Function<Settings.Team, Double> metric) {
+    Map<String, Double> values = new TreeMap<>();
+    components.settings().teams().values().forEach(t -> values.put(t.name(), metric.apply(t)));
+    return values;
   }
 
-  private static double plan(
-      ControllerComponents components, ToDoubleFunction<Autoscaler.AppliedPlan> figure) {
+  private static double planMetric(
+      ControllerComponents components, ToDoubleFunction<Autoscaler.AppliedPlan> metric) {
     Autoscaler.AppliedPlan applied = components.autoscaler().applied();
-    return applied == null ? Double.NaN : figure.applyAsDouble(applied);
+    return applied == null ? Double.NaN : metric.applyAsDouble(applied);
   }
 }
--- a/src/main/java/dapplestair/node/CoreComponents.java
+++ b/src/main/java/dapplestair/node/CoreComponents.java
@@ -31,27 +31,27 @@
  */
 final class CoreComponents implements AutoCloseable {
   final StateClient state;
-  final MachineTypes types = new MachineTypes();
+  final MachineTypes machineTypes = new MachineTypes();
   final Metrics metrics = new Metrics();
-  final RuntimeEstimates estimates = new RuntimeEstimates();
+  final RuntimeEstimates runtimeEstimates = new RuntimeEstimates();
   final Peers peers;
   final Leadership leadership;
   final CloudClient cloud;
-  final LedgerCallbackRouter callbacks;
+  final LedgerCallbackRouter ledgerCallbacks;
   final TermTimers termTimers;
   final Ledger ledger;
   final Cancellations cancellations;
-  final AcceptedJobs accepted;
+  final AcceptedJobs acceptedJobs;
   final Relay relay;
-  final WorkerManager workers;
+  final WorkerManager workerManager;
 
   /** Null where operators are not served. */
-  final EventLog log;
+  final EventLog eventLog;
 
   final Events events;
   final Replica replica;
-  final RequestRelay requestRelay;
-  final SubmissionHandler submissions;
+  final RequestRelay userRequestRelay;
+  final SubmissionHandler submissionHandler;
 
   /**
    * Who hears of what the core duties find out.
@@ -71,7 +71,7 @@
       Settings settings,
       OperatorSettings operatorSettings,
       ControllerEnvironment environment,
-      boolean logsEvents,
+      boolean recordsEvents,
       Listeners listeners) {
     Clock clock = environment.clock();
     Timers timers = environment.timers();
@@ -87,11 +87,17 @@
     leadership =
         new Leadership(
             clock, timers, environment.random(), settings, state, peers, listeners.leadership);
-    callbacks = new LedgerCallbackRouter(clock, metrics, estimates);
+    ledgerCallbacks = new LedgerCallbackRouter(clock, metrics, runtimeEstimates);
     termTimers = new TermTimers(timers, leadership);
     ledger =
         new Ledger(
-            clock, termTimers, settings, state, leadership, environment.launchBatches(), callbacks);
+            clock,
+            termTimers,
+            settings,
+            state,
+            leadership,
+            environment.launchBatches(),
+            ledgerCallbacks);
     cloud = new CloudClient(clock, timers, environment.http(), settings);
     cancellations =
         new Cancellations(
@@ -102,10 +108,10 @@
             settings,
             peers,
             leadership,
-            this::recordsAsOf,
+            this::recordsAsOfMs,
             listeners.cancellations);
-    accepted =
-        new AcceptedJobs(timers, settings, peers, leadership::isLeading, this::recordsPosition);
+    acceptedJobs =
+        new AcceptedJobs(timers, settings, peers, leadership::isLeading, this::appliedEpoch);
     relay =
         new Relay(
             clock,
@@ -115,7 +121,7 @@
             operatorSettings.relayAbove(),
             leadership,
             peers);
-    workers =
+    workerManager =
         new WorkerManager(
             clock,
             timers,
@@ -124,26 +130,34 @@
             leadership,
             peers,
             state,
-            types,
+            machineTypes,
             ledger,
             cancellations,
-            this::notOverWhenRead,
+            this::wasUnfinishedAtLastRead,
             listeners.workers);
-    log = logsEvents ? new EventLog(clock) : null;
-    events = logsEvents ? log : Events.OFF;
+    eventLog = recordsEvents ? new EventLog(clock) : null;
+    events = recordsEvents ? eventLog : Events.OFF;
     replica =
         new Replica(state, timers, environment.random(), leadership::isLeading, listeners.replica);
-    requestRelay = new RequestRelay(peers, settings.workers().reportMs() / 4);
-    submissions =
+    userRequestRelay = new RequestRelay(peers, settings.workers().reportMs() / 4);
+    submissionHandler =
         new SubmissionHandler(
-            clock, settings, state, replica, ledger, types, cancellations, requestRelay, metrics);
+            clock,
+            settings,
+            state,
+            replica,
+            ledger,
+            machineTypes,
+            cancellations,
+            userRequestRelay,
+            metrics);
   }
 
-  private long recordsAsOf() {
+  private long recordsAsOfMs() {
     return replica.asOfMs();
   }
 
-  private long recordsPosition() {
+  private long appliedEpoch() {
     return replica.appliedEpoch();
   }
 
@@ -152,13 +166,13 @@
    * a cut only: while a peer is served, workers with such jobs are better off with a controller
    * that can read of them, and its leader would take them for silent if they stayed here.
    */
-  private boolean notOverWhenRead(String job) {
-    return !peers.anyServed() && (accepted.unread(job) || replica.heldBeforeRestart(job));
+  private boolean wasUnfinishedAtLastRead(String job) {
+    return !peers.anyServed() && (acceptedJobs.unread(job) || replica.heldBeforeRestart(job));
   }
 
   @Override
   public void close() {
-    workers.close();
+    workerManager.close();
     relay.close();
     cancellations.close();
     leadership.close();
--- a/src/main/java/dapplestair/node/EventLoopMonitor.java
+++ b/src/main/java/dapplestair/node/EventLoopMonitor.java
@@ -8,45 +8,49 @@
 
 /** Measures how late timers fire, and writes the summary line now and then. */
 final class EventLoopMonitor implements AutoCloseable {
-  private static final long LAG_EVERY_MS = 50;
+  private static final long LAG_CHECK_INTERVAL_MS = 50;
 
   private final Clock clock;
   private final Timers timers;
   private final Metrics metrics;
-  private final long summaryEveryMs;
-  private final Supplier<String> standing;
-  private Cancellable summary = () -> {};
-  private Cancellable lag = () -> {};
+  private final long summaryIntervalMs;
+  private final Supplier<String> statusLine;
+  private Cancellable summaryTimer = () -> {};
+  private Cancellable lagTimer = () -> {};
 
-  /** {@code standing} is what a summary says besides the figures. */
+  /** {@code statusLine} is what a summary says besides the figures. */
   EventLoopMonitor(
-      Clock clock, Timers timers, Metrics metrics, long summaryEveryMs, Supplier<String> standing) {
+      Clock clock,
+      Timers timers,
+      Metrics metrics,
+      long summaryIntervalMs,
+      Supplier<String> statusLine) {
     this.clock = clock;
     this.timers = timers;
     this.metrics = metrics;
-    this.summaryEveryMs = summaryEveryMs;
-    this.standing = standing;
+    this.summaryIntervalMs = summaryIntervalMs;
+    this.statusLine = statusLine;
   }
 
   void start() {
-    watch(clock.now());
-    summarise();
+    measureLag(clock.now());
+    logSummary();
   }
 
-  private void watch(long dueAt) {
-    long now = clock.now();
-    metrics.lagged(now - dueAt);
-    lag = timers.after(LAG_EVERY_MS, () -> watch(now + LAG_EVERY_MS));
+  private void measureLag(long dueAtMs) {
+    long nowMs = clock.now();
+    metrics.recordLoopLag(nowMs - dueAtMs);
+    lagTimer = timers.after(LAG_CHECK_INTERVAL_MS, () -> measureLag(nowMs + LAG_CHECK_INTERVAL_MS));
   }
 
-  private void summarise() {
-    summary = timers.after(summaryEveryMs, this::summarise);
-    metrics.summarise(standing.get());
+  private void logSummary() {
+    summaryTimer = timers.after(summaryIntervalMs, this::logSummary);
+    metrics.logSummary(statusLine.get());
   }
 
   @Override
   public void close() {
-    summary.cancel();
-    lag.cancel();
+    summaryTimer.cancel();
+    lagTimer.cancel();
   }
 }
--- a/src/main/java/dapplestair/node/FaultAttributionEvents.java
+++ b/src/main/java/dapplestair/node/FaultAttributionEvents.java
@@ -6,19 +6,19 @@
 import dapplestair.workers.Host;
 
 /** What is found out about jobs and machines that fail, brought to operators and to the plan. */
-record FaultAttributionEvents(Events events, Runnable roomLost)
+record FaultAttributionEvents(Events events, Runnable onCapacityLost)
     implements FaultAttribution.Listener {
   @Override
   public void onFaultyMachine(Host host) {
-    events.note(
+    events.publish(
         Events.Kind.FAULTY,
         o -> o.put("machine", host.id()).put("zone", host.zone()).put("failures", host.failures()));
-    roomLost.run();
+    onCapacityLost.run();
   }
 
   @Override
   public void onSuspectedJob(Job job, int failures, int machines, long pauseMs) {
-    events.note(
+    events.publish(
         Events.Kind.SUSPECTED,
         o ->
             EventFields.of(o, job)
@@ -29,6 +29,6 @@
 
   @Override
   public void onJobCleared(Job job) {
-    events.note(Events.Kind.WORKS, o -> EventFields.of(o, job));
+    events.publish(Events.Kind.WORKS, o -> EventFields.of(o, job));
   }
 }
--- a/src/main/java/dapplestair/node/HttpRouter.java
+++ b/src/main/java/dapplestair/node/HttpRouter.java
@@ -14,40 +14,41 @@
 
   private final WorkerManager workers;
   private final SubmissionHandler submissions;
-  private final BooleanSupplier able;
+  private final BooleanSupplier canTakeRequests;
   private final Peers peers;
-  private final LongSupplier unreachableMs;
-  private final long doubtfulMs;
+  private final LongSupplier stateUnreachableMs;
+  private final long outageThresholdMs;
 
   /**
-   * {@code able} says whether this controller can take requests now, {@code unreachableMs} for how
-   * long the state service has not answered; from {@code doubtfulMs} on it is no passing trouble.
+   * {@code canTakeRequests} says whether this controller can take requests now, {@code
+   * stateUnreachableMs} for how long the state service has not answered; from {@code
+   * outageThresholdMs} on it is no passing trouble.
    */
   HttpRouter(
       WorkerManager workers,
       SubmissionHandler submissions,
-      BooleanSupplier able,
+      BooleanSupplier canTakeRequests,
       Peers peers,
-      LongSupplier unreachableMs,
-      long doubtfulMs) {
+      LongSupplier stateUnreachableMs,
+      long outageThresholdMs) {
     this.workers = workers;
     this.submissions = submissions;
-    this.able = able;
+    this.canTakeRequests = canTakeRequests;
     this.peers = peers;
-    this.unreachableMs = unreachableMs;
-    this.doubtfulMs = doubtfulMs;
+    this.stateUnreachableMs = stateUnreachableMs;
+    this.outageThresholdMs = outageThresholdMs;
   }
 
   /** Answers a request of a user, a worker or a health check. */
   void handle(Exchange exchange) {
     String path = exchange.path();
     if (path.equals("/agent/beat")) {
-      if (method(exchange, "POST")) {
+      if (requireMethod(exchange, "POST")) {
         workers.beat(exchange);
       }
     } else if (path.equals("/up")) {
-      if (method(exchange, "GET")) {
-        up(exchange);
+      if (requireMethod(exchange, "GET")) {
+        handleHealthCheck(exchange);
       }
     } else {
       handleUser(exchange);
@@ -58,28 +59,28 @@
   void handleUser(Exchange exchange) {
     String path = exchange.path();
     if (path.equals(SUBMISSIONS)) {
-      if (method(exchange, "POST")) {
+      if (requireMethod(exchange, "POST")) {
         submissions.submit(exchange);
       }
     } else if (path.startsWith(SUBMISSIONS + "/")) {
-      oneSubmission(exchange, path.substring(SUBMISSIONS.length() + 1));
+      handleSubmission(exchange, path.substring(SUBMISSIONS.length() + 1));
     } else {
-      error(exchange, 404, "no such path");
+      replyError(exchange, 404, "no such path");
     }
   }
 
-  private void oneSubmission(Exchange exchange, String rest) {
-    int slash = rest.indexOf('/');
+  private void handleSubmission(Exchange exchange, String subPath) {
+    int slash = subPath.indexOf('/');
     if (slash < 0) {
-      if (method(exchange, "GET")) {
-        submissions.poll(exchange, rest);
+      if (requireMethod(exchange, "GET")) {
+        submissions.poll(exchange, subPath);
       }
-    } else if (rest.substring(slash).equals("/withdraw")) {
-      if (method(exchange, "POST")) {
-        submissions.cancel(exchange, rest.substring(0, slash));
+    } else if (subPath.substring(slash).equals("/withdraw")) {
+      if (requireMethod(exchange, "POST")) {
+        submissions.cancel(exchange, subPath.substring(0, slash));
       }
     } else {
-      error(exchange, 404, "no such path");
+      replyError(exchange, 404, "no such path");
     }
   }
 
@@ -89,21 +90,21 @@
    * any peer cannot know; it takes itself for the one that is cut off, since an outage of all is
    * over for all at once, and costs users little if they find nobody meanwhile.
    */
-  private void up(Exchange exchange) {
-    boolean cutOff = peers.cutOff() && unreachableMs.getAsLong() > doubtfulMs;
-    boolean healthy = able.getAsBoolean() || !peers.anyServed() && !cutOff;
+  private void handleHealthCheck(Exchange exchange) {
+    boolean cutOff = peers.cutOff() && stateUnreachableMs.getAsLong() > outageThresholdMs;
+    boolean healthy = canTakeRequests.getAsBoolean() || !peers.anyServed() && !cutOff;
     exchange.reply(healthy ? 200 : 503, Json.bytes(Json.object().put("up", healthy)), 0);
   }
 
-  private static boolean method(Exchange exchange, String wanted) {
-    if (exchange.method().equals(wanted)) {
+  private static boolean requireMethod(Exchange exchange, String expected) {
+    if (exchange.method().equals(expected)) {
       return true;
     }
-    error(exchange, 405, "use " + wanted);
+    replyError(exchange, 405, "use " + expected);
     return false;
   }
 
-  private static void error(Exchange exchange, int status, String why) {
-    exchange.reply(status, Json.bytes(Json.object().put("error", why)), 0);
+  private static void replyError(Exchange exchange, int status, String message) {
+    exchange.reply(status, Json.bytes(Json.object().put("error", message)), 0);
   }
 }
--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -39,8 +39,8 @@
 
   /** The ledger is made before those that hear of it. */
   void wire(CoreComponents core, SchedulingComponents scheduling) {
-    workers = core.workers;
-    submissions = core.submissions;
+    workers = core.workerManager;
+    submissions = core.submissionHandler;
     events = core.events;
     demand = scheduling.demand;
     placer = scheduling.placer;
@@ -64,19 +64,20 @@
   }
 
   @Override
-  public void onFirstStopRequest(Attempt attempt, StopReason why) {
-    events.note(Events.Kind.STOPPING, o -> EventFields.of(o, attempt).put("reason", why.shown()));
+  public void onFirstStopRequest(Attempt attempt, StopReason reason) {
+    events.publish(
+        Events.Kind.STOPPING, o -> EventFields.of(o, attempt).put("reason", reason.shown()));
   }
 
   @Override
   public void onAttemptLost(Attempt attempt) {
-    events.note(Events.Kind.LOST, o -> EventFields.of(o, attempt));
+    events.publish(Events.Kind.LOST, o -> EventFields.of(o, attempt));
   }
 
   @Override
   public void onJobAccepted(Job job) {
     demand.arrived(job.spec());
-    events.note(Events.Kind.ACCEPTED, o -> EventFields.of(o, job));
+    events.publish(Events.Kind.ACCEPTED, o -> EventFields.of(o, job));
   }
 
   @Override
@@ -87,7 +88,7 @@
   @Override
   public void onJobCancelled(Job job) {
     faultAttribution.closeJob(job.spec().ref());
-    events.note(Events.Kind.OVER, o -> EventFields.of(o, job).put("status", "aborted"));
+    events.publish(Events.Kind.OVER, o -> EventFields.of(o, job).put("status", "aborted"));
   }
 
   @Override
@@ -104,33 +105,34 @@
   public void onJobEnded(String ref, boolean done) {
     faultAttribution.closeJob(ref);
     submissions.ended(ref, done);
-    events.note(Events.Kind.OVER, o -> o.put("job", ref).put("status", done ? "done" : "aborted"));
+    events.publish(
+        Events.Kind.OVER, o -> o.put("job", ref).put("status", done ? "done" : "aborted"));
   }
 
   @Override
   public void onTaskStarted(Attempt attempt) {
-    metrics.started(clock.wall() - attempt.job().firstRequestWallMs());
-    events.note(Events.Kind.STARTED, o -> EventFields.of(o, attempt));
+    metrics.recordTaskStart(clock.wall() - attempt.job().firstRequestWallMs());
+    events.publish(Events.Kind.STARTED, o -> EventFields.of(o, attempt));
   }
 
   @Override
-  public void onTaskCompleted(Attempt attempt, Machine machine, double ranS) {
-    double seconds = ranS > 0 ? ranS + attempt.savedS() : 0;
-    events.note(Events.Kind.COMPLETED, o -> EventFields.of(o, attempt));
+  public void onTaskCompleted(Attempt attempt, Machine machine, double runS) {
+    double totalRunS = runS > 0 ? runS + attempt.savedS() : 0;
+    events.publish(Events.Kind.COMPLETED, o -> EventFields.of(o, attempt));
     Host host = workers.host(machine.id());
     host.taskCompleted();
-    double expected = estimates.expectedRunS(attempt.spec());
-    if (expected > 0 && seconds > 0) {
-      host.observeSlowness(seconds / expected);
+    double expectedRunS = estimates.expectedRunS(attempt.spec());
+    if (expectedRunS > 0 && totalRunS > 0) {
+      host.observeSlowness(totalRunS / expectedRunS);
     }
-    estimates.recordRunTime(attempt.spec(), seconds);
+    estimates.recordRunTime(attempt.spec(), totalRunS);
     faultAttribution.recordCompletion(attempt, host);
   }
 
   @Override
   public void onTaskFailed(Attempt attempt, Machine machine) {
-    metrics.lost();
-    events.note(Events.Kind.FAILED, o -> EventFields.of(o, attempt));
+    metrics.recordFailedAttempt();
+    events.publish(Events.Kind.FAILED, o -> EventFields.of(o, attempt));
     faultAttribution.recordFailure(attempt, workers.host(machine.id()));
   }
 
--- a/src/main/java/dapplestair/node/OperationsComponents.java
+++ b/src/main/java/dapplestair/node/OperationsComponents.java
@@ -34,8 +34,9 @@
             core.replica,
             conditionalWriter,
             core.leadership,
-            core.workers,
-            new DrainExecutor(clock, core.workers, scheduling.fleet, scheduling.disruptionGate),
+            core.workerManager,
+            new DrainExecutor(
+                clock, core.workerManager, scheduling.fleet, scheduling.disruptionGate),
             core.events);
     scheduling.demand.drainsLackRoom(drains::lackRoom);
     replacements =
@@ -45,11 +46,12 @@
             settings,
             core.state,
             core.leadership,
-            core.types,
-            core.workers,
+            core.machineTypes,
+            core.workerManager,
             drains,
             scheduling.disruptionGate,
-            new SurgeCapacity(core.workers, scheduling.fleet, core.types, scheduling.autoscaler),
+            new SurgeCapacity(
+                core.workerManager, scheduling.fleet, core.machineTypes, scheduling.autoscaler),
             core.events);
     scheduling.autoscaler.beyond(replacements::extra);
     zones =
@@ -60,10 +62,11 @@
             core.state,
             core.replica,
             core.leadership,
-            core.workers,
-            z -> !drains.zones().containsKey(z) && scheduling.fleet.rentCheapestIn(z),
+            core.workerManager,
+            zone -> !drains.zones().containsKey(zone) && scheduling.fleet.rentCheapestIn(zone),
             core.events);
-    scheduling.fleet.setZoneClosedTest(z -> drains.zones().containsKey(z) || zones.isClosed(z));
+    scheduling.fleet.setZoneClosedTest(
+        zone -> drains.zones().containsKey(zone) || zones.isClosed(zone));
   }
 
   @Override
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -44,7 +44,7 @@
     this.leadership = core.leadership;
     this.ledger = core.ledger;
     this.cancellations = core.cancellations;
-    this.accepted = core.accepted;
+    this.accepted = core.acceptedJobs;
     this.fleet = scheduling.fleet;
     this.lostWork = scheduling.lostWork;
     this.lanes = scheduling.lanes;
--- a/src/main/java/dapplestair/node/RoleChangeNotifier.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -31,9 +31,9 @@
     core.state.setLeading(true);
     scheduling.fleet.lead();
     core.ledger.beginTerm(term);
-    core.accepted.lead();
+    core.acceptedJobs.lead();
     scheduling.disruptionGate.lead();
-    core.workers.lead();
+    core.workerManager.lead();
     // Before anything is placed: room that was freed for a rider is its own.
     scheduling.lanes.lead();
     scheduling.calendars.lead();
@@ -43,9 +43,9 @@
     operations.zones.lead();
     scheduling.faultAttribution.lead();
     scheduling.autoscaler.lead();
-    if (core.log != null) {
-      core.log.begin(term);
-      core.log.note(Events.Kind.LEADING, o -> o.put("term", term).put("by", member));
+    if (core.eventLog != null) {
+      core.eventLog.beginTerm(term);
+      core.eventLog.publish(Events.Kind.LEADING, o -> o.put("term", term).put("by", member));
     }
     core.peers.tell();
   }
@@ -67,7 +67,7 @@
     scheduling.fleet.clear();
     core.ledger.clear();
     scheduling.disruptionGate.clear();
-    core.workers.clear();
+    core.workerManager.clear();
     // What was in memory may not be what was recorded: read all of it again.
     core.replica.restart();
     core.peers.tell();
--- a/src/main/java/dapplestair/node/SchedulingComponents.java
+++ b/src/main/java/dapplestair/node/SchedulingComponents.java
@@ -41,7 +41,8 @@
         new LostWork(
             clock, settings, operatorSettings.budgets(), core.state, core.replica, core.leadership);
     disruptionGate =
-        new DisruptionGate(clock, operatorSettings.budgets(), core.ledger, core.workers, lostWork);
+        new DisruptionGate(
+            clock, operatorSettings.budgets(), core.ledger, core.workerManager, lostWork);
     fleet =
         new Fleet(
             clock,
@@ -50,13 +51,19 @@
             settings,
             core.state,
             core.leadership,
-            core.types,
-            core.workers,
+            core.machineTypes,
+            core.workerManager,
             disruptionGate,
             core.events);
     demand =
         new DemandView(
-            clock, settings, core.ledger, core.workers, fleet, core.types, core.estimates);
+            clock,
+            settings,
+            core.ledger,
+            core.workerManager,
+            fleet,
+            core.machineTypes,
+            core.runtimeEstimates);
     lanes =
         new Lanes(
             clock,
@@ -67,7 +74,7 @@
             core.replica,
             core.leadership,
             core.ledger,
-            core.workers,
+            core.workerManager,
             disruptionGate);
     calendars =
         new Calendars(
@@ -81,22 +88,23 @@
             core.ledger,
             core.events);
     imageLocations =
-        new ImageLocations(clock, timers, settings, core.state, core.leadership, core.workers);
+        new ImageLocations(
+            clock, timers, settings, core.state, core.leadership, core.workerManager);
     placer =
         new Placer(
             clock,
             environment.timers(),
             settings,
             core.ledger,
-            core.workers,
-            core.estimates,
+            core.workerManager,
+            core.runtimeEstimates,
             disruptionGate,
             lanes,
             calendars,
             demand::roomForServices,
             operatorSettings.beginWithinMs());
     lanes.setCallbacks(placer::scheduleTurn, placer::isProtectedFromEviction);
-    reclaimNoticeHandler = new ReclaimNoticeHandler(clock, disruptionGate, core.estimates);
+    reclaimNoticeHandler = new ReclaimNoticeHandler(clock, disruptionGate, core.runtimeEstimates);
     autoscaler =
         new Autoscaler(
             clock,
@@ -108,7 +116,7 @@
             core.state,
             core.replica,
             fleet,
-            core.types,
+            core.machineTypes,
             demand);
     fleet.setCapacityCallbacks(demand::waitingCpus, autoscaler::soon);
     calendars.setCallbacks(
@@ -116,14 +124,14 @@
           placer.scheduleTurn();
           autoscaler.soon();
         },
-        () -> core.types.bootS(null));
+        () -> core.machineTypes.bootS(null));
     faultAttribution =
         new FaultAttribution(
             clock,
             timers,
             settings.workers().reportMs(),
             core.ledger,
-            core.workers,
+            core.workerManager,
             new FaultAttributionEvents(core.events, autoscaler::soon));
   }
 
--- a/src/main/java/dapplestair/node/StatusReporter.java
+++ b/src/main/java/dapplestair/node/StatusReporter.java
@@ -26,42 +26,42 @@
   StatusReporter(CoreComponents core) {
     this.leadership = core.leadership;
     this.ledger = core.ledger;
-    this.workers = core.workers;
-    this.submissions = core.submissions;
+    this.workers = core.workerManager;
+    this.submissions = core.submissionHandler;
     this.cancellations = core.cancellations;
     this.relay = core.relay;
     this.state = core.state;
     this.replica = core.replica;
-    this.types = core.types;
+    this.types = core.machineTypes;
   }
 
   /** True when it can take requests now. */
-  boolean able() {
-    return ready() && state.unreachableMs() == 0;
+  boolean canTakeRequests() {
+    return isReady() && state.unreachableMs() == 0;
   }
 
-  private boolean ready() {
+  private boolean isReady() {
     return replica.isReady() && types.isLoaded();
   }
 
-  PeerStatus toPeers() {
+  PeerStatus peerStatus() {
     return new PeerStatus(
         leadership.isLeading() ? leadership.term() : leadership.highestTermSeen(),
         leadership.currentLeader(),
         state.isReachable(),
-        ready(),
+        isReady(),
         workers.beatsLately(),
         (float) state.demandPutsPerSecond());
   }
 
   /** Before the records were read once nothing is known at all. */
-  private String knownTo() {
-    long ms = cancellations.ageMs();
-    return ms > Integer.MAX_VALUE ? "never" : "%.1f s".formatted(ms / 1000.0);
+  private String formatCancellationsAge() {
+    long ageMs = cancellations.ageMs();
+    return ageMs > Integer.MAX_VALUE ? "never" : "%.1f s".formatted(ageMs / 1000.0);
   }
 
-  String line() {
-    String line =
+  String summaryLine() {
+    String summary =
         ("%s, %d jobs, %d attempts, %d machines, %d transactions waiting; puts: %s; longest without an answer: %.0f s; "
                 + "cancellations known to %s ago, %d told here not proved done, the oldest for %.0f s")
             .formatted(
@@ -72,20 +72,20 @@
                 state.queuedCount(),
                 state.takePutCounts(),
                 submissions.unansweredMs() / 1000.0,
-                knownTo(),
+                formatCancellationsAge(),
                 cancellations.open(),
                 cancellations.openMs() / 1000.0);
     if (relay.on()) {
-      line += "; connections spread, %d reports relayed".formatted(relay.relayed());
+      summary += "; connections spread, %d reports relayed".formatted(relay.relayed());
     }
     return leadership.isLeading()
         ? "%s; starts refused: %s, tasks unaccounted for: %d; served least: %s; largest: %s"
             .formatted(
-                line,
+                summary,
                 ledger.refusedStarts(),
                 workers.unaccountedTasks(),
                 ledger.jobStatistics().worstServedSummary(),
                 ledger.jobStatistics().longestWaitSummary())
-        : line;
+        : summary;
   }
 }
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -85,7 +85,7 @@
     lowestRank = Rank.values()[0];
     borrowedCpusByTeam.clear();
     for (Settings.Team team : settings.teams().values()) {
-      if (team.bounded()) {
+      if (team.hasGuaranteeOrLimit()) {
         borrowedCpusByTeam.put(team.name(), ledger.teamCpus(team.name()) - team.cpus());
       }
     }
--- a/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
+++ b/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
@@ -367,7 +367,7 @@
 
   /** An event of an order. */
   void note(String name, String what, String why) {
-    events.note(
+    events.publish(
         Events.Kind.REPLACEMENT,
         o -> {
           o.put("replacement", name).put("state", what);
--- a/src/main/java/dapplestair/settings/CalendarsLoader.java
+++ b/src/main/java/dapplestair/settings/CalendarsLoader.java
@@ -13,91 +13,91 @@
 /** Reads run calendars from the operators' file. */
 public final class CalendarsLoader {
   private static final double DAY_S = 86_400;
-  private static final int MOST_DELIVERIES = 500;
+  private static final int MAX_DELIVERIES = 500;
 
   private CalendarsLoader() {}
 
-  static List<RunCalendar> read(Path path, List<dapplestair.settings.proto.Calendar> list)
+  static List<RunCalendar> read(Path path, List<dapplestair.settings.proto.Calendar> protos)
       throws SettingsException {
-    List<RunCalendar> out = new ArrayList<>();
+    List<RunCalendar> calendars = new ArrayList<>();
     Set<String> names = new HashSet<>();
     Set<String> classes = new HashSet<>();
-    for (dapplestair.settings.proto.Calendar in : list) {
-      RunCalendar calendar = calendar(path, in);
+    for (dapplestair.settings.proto.Calendar proto : protos) {
+      RunCalendar calendar = calendar(path, proto);
       if (!names.add(calendar.name())) {
-        throw wrong(path, "name", calendar.name(), "given twice");
+        throw invalid(path, "name", calendar.name(), "given twice");
       }
       for (String run : calendar.runs()) {
         if (!classes.add(run)) {
-          throw wrong(path, "runs", run, "is on two calendars");
+          throw invalid(path, "runs", run, "is on two calendars");
         }
         if (calendar.deliveries().contains(run)) {
-          throw wrong(path, "runs", run, "would wait for itself");
+          throw invalid(path, "runs", run, "would wait for itself");
         }
       }
-      out.add(calendar);
+      calendars.add(calendar);
     }
-    return List.copyOf(out);
+    return List.copyOf(calendars);
   }
 
-  private static RunCalendar calendar(Path path, dapplestair.settings.proto.Calendar in)
+  private static RunCalendar calendar(Path path, dapplestair.settings.proto.Calendar proto)
       throws SettingsException {
-    if (!in.getName().matches("[a-z][a-z0-9-]{0,39}")) {
-      throw wrong(path, "name", in.getName(), "must be small letters, digits and dashes");
+    if (!proto.getName().matches("[a-z][a-z0-9-]{0,39}")) {
+      throw invalid(path, "name", proto.getName(), "must be small letters, digits and dashes");
     }
-    if (in.getRunsCount() == 0 || in.getDeliveriesCount() == 0) {
-      throw wrong(path, in.getRunsCount() == 0 ? "runs" : "deliveries", "", "missing");
+    if (proto.getRunsCount() == 0 || proto.getDeliveriesCount() == 0) {
+      throw invalid(path, proto.getRunsCount() == 0 ? "runs" : "deliveries", "", "missing");
     }
-    double period = number(path, "period_s", in.getPeriodS(), 1, DAY_S);
-    int complete = (int) number(path, "complete", in.getComplete(), 1, MOST_DELIVERIES);
-    int quorum = (int) number(path, "quorum", in.getQuorum(), 0, complete);
-    double cutOff = number(path, "cut_off_s", in.getCutOffS(), 0.1, period);
+    double periodS = number(path, "period_s", proto.getPeriodS(), 1, DAY_S);
+    int complete = (int) number(path, "complete", proto.getComplete(), 1, MAX_DELIVERIES);
+    int quorum = (int) number(path, "quorum", proto.getQuorum(), 0, complete);
+    double cutOffS = number(path, "cut_off_s", proto.getCutOffS(), 0.1, periodS);
     return new RunCalendar(
-        in.getName(),
-        Set.copyOf(in.getRunsList()),
-        in.getTeam().isEmpty() ? null : in.getTeam(),
-        at(path, in.getAt()),
-        Math.round(1000 * period),
-        zone(path, in.getTimeZone()),
-        Set.copyOf(in.getDeliveriesList()),
+        proto.getName(),
+        Set.copyOf(proto.getRunsList()),
+        proto.getTeam().isEmpty() ? null : proto.getTeam(),
+        timeOfDay(path, proto.getAt()),
+        Math.round(1000 * periodS),
+        timeZone(path, proto.getTimeZone()),
+        Set.copyOf(proto.getDeliveriesList()),
         complete,
         quorum,
-        Math.round(1000 * number(path, "quorum_after_s", in.getQuorumAfterS(), 0, cutOff)),
-        Math.round(1000 * cutOff));
+        Math.round(1000 * number(path, "quorum_after_s", proto.getQuorumAfterS(), 0, cutOffS)),
+        Math.round(1000 * cutOffS));
   }
 
-  private static double number(Path path, String field, double v, double low, double high)
+  private static double number(Path path, String field, double value, double min, double max)
       throws SettingsException {
-    return OperatorSettingsLoader.within(path, "calendar." + field, v, low, high);
+    return OperatorSettingsLoader.requireWithin(path, "calendar." + field, value, min, max);
   }
 
-  private static LocalTime at(Path path, String text) throws SettingsException {
+  private static LocalTime timeOfDay(Path path, String text) throws SettingsException {
     try {
       return text.isEmpty() ? LocalTime.MIDNIGHT : LocalTime.parse(text);
     } catch (DateTimeParseException e) {
-      throw wrong(path, "at", text, "must be a time of day such as 00:15");
+      throw invalid(path, "at", text, "must be a time of day such as 00:15");
     }
   }
 
-  private static ZoneId zone(Path path, String text) throws SettingsException {
+  private static ZoneId timeZone(Path path, String text) throws SettingsException {
     try {
       return ZoneId.of(text.isEmpty() ? "UTC" : text);
     } catch (DateTimeException e) {
-      throw wrong(path, "time_zone", text, "is no time zone");
+      throw invalid(path, "time_zone", text, "is no time zone");
     }
   }
 
   /** A team that the platform does not know is a slip, not a wish. */
-  public static void check(Path path, List<RunCalendar> calendars, Settings settings)
+  public static void checkTeams(Path path, List<RunCalendar> calendars, Settings settings)
       throws SettingsException {
     for (RunCalendar calendar : calendars) {
       if (calendar.team() != null && !settings.teams().containsKey(calendar.team())) {
-        throw wrong(path, "team", calendar.team(), "no such team in the settings");
+        throw invalid(path, "team", calendar.team(), "no such team in the settings");
       }
     }
   }
 
-  private static SettingsException wrong(Path path, String field, String value, String why) {
-    return new SettingsException(path + ": calendar." + field + " = \"" + value + "\": " + why);
+  private static SettingsException invalid(Path path, String field, String value, String reason) {
+    return new SettingsException(path + ": calendar." + field + " = \"" + value + "\": " + reason);
   }
 }
--- a/src/main/java/dapplestair/settings/DisruptionBudgets.java
+++ b/src/main/java/dapplestair/settings/DisruptionBudgets.java
@@ -6,14 +6,15 @@
  * How much disruption of our own choice each team allows.
  *
  * @param teams budgets of teams that have their own
- * @param others the budget of all other teams
+ * @param defaultBudget the budget of all other teams
  */
-public record DisruptionBudgets(Map<String, DisruptionBudget> teams, DisruptionBudget others) {
+public record DisruptionBudgets(
+    Map<String, DisruptionBudget> teams, DisruptionBudget defaultBudget) {
   static final int NO_LIMIT = Integer.MAX_VALUE;
   static final double NO_RATIO = Double.POSITIVE_INFINITY;
 
   /** Holds when nothing is said: a replica of each job, and a tenth of a team's, at a time. */
-  public static final DisruptionBudgets USUAL =
+  public static final DisruptionBudgets DEFAULTS =
       new DisruptionBudgets(
           Map.of(), new DisruptionBudget(NO_LIMIT, 0.1, 1, NO_RATIO, NO_LIMIT, NO_RATIO));
 
@@ -37,27 +38,27 @@
       double lostCpuS) {
 
     /** Replicas of a team that may be out at once. */
-    public int ofTeam(int wanted) {
-      return Math.min(replicas, share(replicasRatio, wanted));
+    public int maxTeamReplicasOut(int desiredReplicas) {
+      return Math.min(replicas, limitByRatio(replicasRatio, desiredReplicas));
     }
 
     /** Replicas of one job that may be out at once. */
-    public int ofJob(int wanted) {
-      return Math.min(jobReplicas, share(jobRatio, wanted));
+    public int maxJobReplicasOut(int desiredReplicas) {
+      return Math.min(jobReplicas, limitByRatio(jobRatio, desiredReplicas));
     }
 
-    private static int share(double ratio, int wanted) {
-      return Double.isInfinite(ratio) ? NO_LIMIT : (int) Math.ceil(ratio * wanted - 1e-9);
+    private static int limitByRatio(double ratio, int desiredReplicas) {
+      return Double.isInfinite(ratio) ? NO_LIMIT : (int) Math.ceil(ratio * desiredReplicas - 1e-9);
     }
 
     /** True when nothing is said of work thrown away, so that nothing needs to be recorded. */
-    public boolean anyLoss() {
+    public boolean isLostWorkUnlimited() {
       return Double.isInfinite(lostCpuS);
     }
   }
 
   /** The budget of a team. */
-  public DisruptionBudget of(String team) {
-    return teams.getOrDefault(team, others);
+  public DisruptionBudget forTeam(String team) {
+    return teams.getOrDefault(team, defaultBudget);
   }
 }
--- a/src/main/java/dapplestair/settings/DisruptionBudgetsLoader.java
+++ b/src/main/java/dapplestair/settings/DisruptionBudgetsLoader.java
@@ -9,65 +9,66 @@
 /** Reads budgets of disruption from the operators' file. */
 public final class DisruptionBudgetsLoader {
   // Larger figures are slips of the keyboard.
-  private static final double MOST_REPLICAS = 1e6;
-  private static final double MOST_CPU_S = 1e12;
+  private static final double MAX_REPLICAS = 1e6;
+  private static final double MAX_CPU_S = 1e12;
 
   private DisruptionBudgetsLoader() {}
 
-  static DisruptionBudgets read(Path path, List<dapplestair.settings.proto.Budget> list)
+  static DisruptionBudgets read(Path path, List<dapplestair.settings.proto.Budget> protos)
       throws SettingsException {
-    DisruptionBudget others = DisruptionBudgets.USUAL.others();
-    for (dapplestair.settings.proto.Budget budget : list) {
-      if (budget.getTeam().isEmpty()) {
-        if (others != DisruptionBudgets.USUAL.others()) {
+    DisruptionBudget defaultBudget = DisruptionBudgets.DEFAULTS.defaultBudget();
+    for (dapplestair.settings.proto.Budget proto : protos) {
+      if (proto.getTeam().isEmpty()) {
+        if (defaultBudget != DisruptionBudgets.DEFAULTS.defaultBudget()) {
           throw new SettingsException(path + ": disruption.team = \"\": given twice");
         }
-        others = budget(path, budget, others);
+        defaultBudget = budget(path, proto, defaultBudget);
       }
     }
     Map<String, DisruptionBudget> teams = new HashMap<>();
-    for (dapplestair.settings.proto.Budget budget : list) {
-      if (!budget.getTeam().isEmpty()
-          && teams.put(budget.getTeam(), budget(path, budget, others)) != null) {
+    for (dapplestair.settings.proto.Budget proto : protos) {
+      if (!proto.getTeam().isEmpty()
+          && teams.put(proto.getTeam(), budget(path, proto, defaultBudget)) != null) {
         throw new SettingsException(
-            path + ": disruption.team = \"" + budget.getTeam() + "\": given twice");
+            path + ": disruption.team = \"" + proto.getTeam() + "\": given twice");
       }
     }
-    return new DisruptionBudgets(Map.copyOf(teams), others);
+    return new DisruptionBudgets(Map.copyOf(teams), defaultBudget);
   }
 
   /** What a team does not say holds as for all others. */
   private static DisruptionBudget budget(
-      Path path, dapplestair.settings.proto.Budget budget, DisruptionBudget d)
+      Path path, dapplestair.settings.proto.Budget proto, DisruptionBudget defaults)
       throws SettingsException {
     return new DisruptionBudget(
-        budget.hasReplicas() ? count(path, "replicas", budget.getReplicas()) : d.replicas(),
-        budget.hasReplicasRatio()
-            ? ratio(path, "replicas_ratio", budget.getReplicasRatio())
-            : d.replicasRatio(),
-        budget.hasJobReplicas()
-            ? count(path, "job_replicas", budget.getJobReplicas())
-            : d.jobReplicas(),
-        budget.hasJobRatio() ? ratio(path, "job_ratio", budget.getJobRatio()) : d.jobRatio(),
-        budget.hasArrayTasks()
-            ? count(path, "array_tasks", budget.getArrayTasks())
-            : d.arrayTasks(),
-        budget.hasLostCpuSPerHour()
-            ? OperatorSettingsLoader.within(
-                path, "disruption.lost_cpu_s_per_hour", budget.getLostCpuSPerHour(), 0, MOST_CPU_S)
-            : d.lostCpuS());
+        proto.hasReplicas() ? count(path, "replicas", proto.getReplicas()) : defaults.replicas(),
+        proto.hasReplicasRatio()
+            ? ratio(path, "replicas_ratio", proto.getReplicasRatio())
+            : defaults.replicasRatio(),
+        proto.hasJobReplicas()
+            ? count(path, "job_replicas", proto.getJobReplicas())
+            : defaults.jobReplicas(),
+        proto.hasJobRatio() ? ratio(path, "job_ratio", proto.getJobRatio()) : defaults.jobRatio(),
+        proto.hasArrayTasks()
+            ? count(path, "array_tasks", proto.getArrayTasks())
+            : defaults.arrayTasks(),
+        proto.hasLostCpuSPerHour()
+            ? OperatorSettingsLoader.requireWithin(
+                path, "disruption.lost_cpu_s_per_hour", proto.getLostCpuSPerHour(), 0, MAX_CPU_S)
+            : defaults.lostCpuS());
   }
 
-  private static int count(Path path, String field, int v) throws SettingsException {
-    return (int) OperatorSettingsLoader.within(path, "disruption." + field, v, 0, MOST_REPLICAS);
+  private static int count(Path path, String field, int value) throws SettingsException {
+    return (int)
+        OperatorSettingsLoader.requireWithin(path, "disruption." + field, value, 0, MAX_REPLICAS);
   }
 
-  private static double ratio(Path path, String field, double v) throws SettingsException {
-    return OperatorSettingsLoader.within(path, "disruption." + field, v, 0, 1);
+  private static double ratio(Path path, String field, double value) throws SettingsException {
+    return OperatorSettingsLoader.requireWithin(path, "disruption." + field, value, 0, 1);
   }
 
   /** A budget for a team that the platform does not know is a slip, not a wish. */
-  public static void check(Path path, DisruptionBudgets budgets, Settings settings)
+  public static void checkTeams(Path path, DisruptionBudgets budgets, Settings settings)
       throws SettingsException {
     for (String team : budgets.teams().keySet()) {
       if (!settings.teams().containsKey(team)) {
--- a/src/main/java/dapplestair/settings/Lane.java
+++ b/src/main/java/dapplestair/settings/Lane.java
@@ -24,25 +24,25 @@
     long beginWithinMs) {
 
   /** True when this job rides here. */
-  public boolean rides(Submission submission) {
+  public boolean isRider(Submission submission) {
     return riders.contains(submission.jobClass())
         && (teams.isEmpty() || teams.contains(submission.team()))
         && !rank.above(submission.rank());
   }
 
   /** True when this job is one that riders go over. */
-  public boolean over(Submission submission) {
+  public boolean isPreemptible(Submission submission) {
     return over.contains(submission.jobClass()) && !submission.rank().above(overRank);
   }
 
   /** Seconds that a task is given to save before it makes room; 0 when that would be too long. */
   public double windDownS(Submission submission) {
-    double saving = submission.saves() ? 2 * submission.saveS() : 0;
-    return 1000 * saving <= beginWithinMs ? saving : 0;
+    double savingS = submission.saves() ? 2 * submission.saveS() : 0;
+    return 1000 * savingS <= beginWithinMs ? savingS : 0;
   }
 
   /** True when a task can be gone within the lane's time with all that it has done. */
-  public boolean goneInTime(Submission submission) {
+  public boolean canStopInTime(Submission submission) {
     return !submission.saves() || windDownS(submission) > 0;
   }
 }
--- a/src/main/java/dapplestair/settings/LanesLoader.java
+++ b/src/main/java/dapplestair/settings/LanesLoader.java
@@ -9,102 +9,108 @@
 
 /** Reads lanes from the operators' file, and refuses those that the protocol forbids. */
 public final class LanesLoader {
-  private static final double MOST_CPUS = 1e6;
+  private static final double MAX_CPUS = 1e6;
 
   private LanesLoader() {}
 
-  static List<Lane> read(Path path, List<dapplestair.settings.proto.Lane> list)
+  static List<Lane> read(Path path, List<dapplestair.settings.proto.Lane> protos)
       throws SettingsException {
-    List<Lane> out = new ArrayList<>();
+    List<Lane> lanes = new ArrayList<>();
     Set<String> names = new HashSet<>();
-    for (dapplestair.settings.proto.Lane in : list) {
-      Lane lane = lane(path, in);
+    for (dapplestair.settings.proto.Lane proto : protos) {
+      Lane lane = lane(path, proto);
       if (!names.add(lane.name())) {
-        throw wrong(path, "name", lane.name(), "given twice");
+        throw invalid(path, "name", lane.name(), "given twice");
       }
-      out.add(lane);
+      lanes.add(lane);
     }
-    refuseCircles(path, out);
-    return List.copyOf(out);
+    rejectCircularPreemption(path, lanes);
+    return List.copyOf(lanes);
   }
 
-  private static Lane lane(Path path, dapplestair.settings.proto.Lane in) throws SettingsException {
-    if (!in.getName().matches("[a-z][a-z0-9-]{0,39}")) {
-      throw wrong(path, "name", in.getName(), "must be small letters, digits and dashes");
+  private static Lane lane(Path path, dapplestair.settings.proto.Lane proto)
+      throws SettingsException {
+    if (!proto.getName().matches("[a-z][a-z0-9-]{0,39}")) {
+      throw invalid(path, "name", proto.getName(), "must be small letters, digits and dashes");
     }
-    if (in.getRidersCount() == 0) {
-      throw wrong(path, "riders", "", "missing");
+    if (proto.getRidersCount() == 0) {
+      throw invalid(path, "riders", "", "missing");
     }
-    if (in.getOverCount() == 0) {
-      throw wrong(path, "over", "", "missing");
+    if (proto.getOverCount() == 0) {
+      throw invalid(path, "over", "", "missing");
     }
-    Rank rank = rank(path, "rank", in.getRank());
-    Rank overRank = rank(path, "over_rank", in.getOverRank());
+    Rank rank = rank(path, "rank", proto.getRank());
+    Rank overRank = rank(path, "over_rank", proto.getOverRank());
     if (!rank.above(overRank)) {
-      throw wrong(
+      throw invalid(
           path,
           "over_rank",
-          in.getOverRank(),
-          "must be below rank = \"" + in.getRank() + "\": equal or higher work is not preempted");
+          proto.getOverRank(),
+          "must be below rank = \""
+              + proto.getRank()
+              + "\": equal or higher work is not preempted");
     }
     return new Lane(
-        in.getName(),
-        Set.copyOf(in.getRidersList()),
-        Set.copyOf(in.getTeamsList()),
-        Set.copyOf(in.getOverList()),
+        proto.getName(),
+        Set.copyOf(proto.getRidersList()),
+        Set.copyOf(proto.getTeamsList()),
+        Set.copyOf(proto.getOverList()),
         rank,
         overRank,
-        OperatorSettingsLoader.within(path, "lane.reserve_cpus", in.getReserveCpus(), 0, MOST_CPUS),
+        OperatorSettingsLoader.requireWithin(
+            path, "lane.reserve_cpus", proto.getReserveCpus(), 0, MAX_CPUS),
         Math.round(
             1000
-                * (in.hasBeginWithinS()
-                    ? OperatorSettingsLoader.within(
-                        path, "lane.begin_within_s", in.getBeginWithinS(), 0.1, 3600)
+                * (proto.hasBeginWithinS()
+                    ? OperatorSettingsLoader.requireWithin(
+                        path, "lane.begin_within_s", proto.getBeginWithinS(), 0.1, 3600)
                     : 2)));
   }
 
-  private static Rank rank(Path path, String field, String word) throws SettingsException {
-    Rank rank = Rank.of(word);
+  private static Rank rank(Path path, String field, String text) throws SettingsException {
+    Rank rank = Rank.of(text);
     if (rank == null) {
-      throw wrong(path, field, word, "must be critical, high, standard or low");
+      throw invalid(path, field, text, "must be critical, high, standard or low");
     }
     return rank;
   }
 
   /** A class that goes over itself, by whatever way. */
-  private static void refuseCircles(Path path, List<Lane> lanes) throws SettingsException {
-    for (Lane from : lanes) {
-      Set<String> below = new HashSet<>(from.over());
-      boolean more = true;
-      while (more) {
-        more = false;
+  private static void rejectCircularPreemption(Path path, List<Lane> lanes)
+      throws SettingsException {
+    for (Lane firstLane : lanes) {
+      Set<String> preempted = new HashSet<>(firstLane.over());
+      boolean changed = true;
+      while (changed) {
+        changed = false;
         for (Lane lane : lanes) {
-          if (lane.riders().stream().anyMatch(below::contains)) {
-            more |= below.addAll(lane.over());
+          if (lane.riders().stream().anyMatch(preempted::contains)) {
+            changed |= preempted.addAll(lane.over());
           }
         }
       }
-      for (String rider : from.riders()) {
-        if (below.contains(rider)) {
-          throw wrong(path, "over", rider, "goes over itself by lane \"" + from.name() + "\"");
+      for (String rider : firstLane.riders()) {
+        if (preempted.contains(rider)) {
+          throw invalid(
+              path, "over", rider, "goes over itself by lane \"" + firstLane.name() + "\"");
         }
       }
     }
   }
 
   /** A team that the platform does not know is a slip, not a wish. */
-  public static void check(Path path, List<Lane> lanes, Settings settings)
+  public static void checkTeams(Path path, List<Lane> lanes, Settings settings)
       throws SettingsException {
     for (Lane lane : lanes) {
       for (String team : lane.teams()) {
         if (!settings.teams().containsKey(team)) {
-          throw wrong(path, "teams", team, "no such team in the settings");
+          throw invalid(path, "teams", team, "no such team in the settings");
         }
       }
     }
   }
 
-  private static SettingsException wrong(Path path, String field, String value, String why) {
-    return new SettingsException(path + ": lane." + field + " = \"" + value + "\": " + why);
+  private static SettingsException invalid(Path path, String field, String value, String reason) {
+    return new SettingsException(path + ": lane." + field + " = \"" + value + "\": " + reason);
   }
 }
--- a/src/main/java/dapplestair/settings/OperatorSettings.java
+++ b/src/main/java/dapplestair/settings/OperatorSettings.java
@@ -30,24 +30,24 @@
   /**
    * The operators' interface.
    *
-   * @param mostConnections at once; those beyond get 503
+   * @param maxConnections at once; those beyond get 503
    * @param tokens file of tokens, or null
    * @param tls key files, or null for plain HTTP on loopback
    */
-  public record Admin(Settings.Address listen, int mostConnections, Path tokens, Tls tls) {
+  public record Admin(Settings.Address listen, int maxConnections, Path tokens, Tls tls) {
     /** On this address, for everybody on this machine. */
-    public static Admin open(Settings.Address listen) {
-      return new Admin(listen, MOST_CONNECTIONS, null, null);
+    public static Admin withoutAuthentication(Settings.Address listen) {
+      return new Admin(listen, DEFAULT_MAX_CONNECTIONS, null, null);
     }
   }
 
   /** PEM files. */
   public record Tls(Path certificate, Path key, Path authority) {}
 
-  static final int MOST_CONNECTIONS = 32;
+  static final int DEFAULT_MAX_CONNECTIONS = 32;
 
   /** The rest is for users, peers, the state service and the cloud. */
-  private static final double RELAY_ABOVE = 0.9;
+  private static final double DEFAULT_RELAY_ABOVE = 0.9;
 
   /** What holds without an operator file. */
   public static OperatorSettings defaults() {
@@ -62,41 +62,41 @@
         1,
         0.5,
         240_000,
-        RELAY_ABOVE,
+        DEFAULT_RELAY_ABOVE,
         List.of(),
         List.of(),
-        DisruptionBudgets.USUAL,
+        DisruptionBudgets.DEFAULTS,
         null);
   }
 
   /** The same with this operators' interface. */
-  public OperatorSettings withAdmin(Admin other) {
-    return with(beginWithinMs, relayAbove, lanes, calendars, budgets, other);
+  public OperatorSettings withAdmin(Admin newAdmin) {
+    return with(beginWithinMs, relayAbove, lanes, calendars, budgets, newAdmin);
   }
 
   /** The same with another bound within what every job is to begin. */
-  public OperatorSettings withBeginWithin(long ms) {
-    return with(ms, relayAbove, lanes, calendars, budgets, admin);
+  public OperatorSettings withBeginWithinMs(long newBeginWithinMs) {
+    return with(newBeginWithinMs, relayAbove, lanes, calendars, budgets, admin);
   }
 
   /** The same with connections spread beyond this share. */
-  public OperatorSettings withRelayAbove(double share) {
-    return with(beginWithinMs, share, lanes, calendars, budgets, admin);
+  public OperatorSettings withRelayAbove(double newRelayAbove) {
+    return with(beginWithinMs, newRelayAbove, lanes, calendars, budgets, admin);
   }
 
   /** The same with these lanes. */
-  public OperatorSettings withLanes(List<Lane> others) {
-    return with(beginWithinMs, relayAbove, others, calendars, budgets, admin);
+  public OperatorSettings withLanes(List<Lane> newLanes) {
+    return with(beginWithinMs, relayAbove, newLanes, calendars, budgets, admin);
   }
 
   /** The same with these calendars. */
-  public OperatorSettings withCalendars(List<RunCalendar> others) {
-    return with(beginWithinMs, relayAbove, lanes, others, budgets, admin);
+  public OperatorSettings withCalendars(List<RunCalendar> newCalendars) {
+    return with(beginWithinMs, relayAbove, lanes, newCalendars, budgets, admin);
   }
 
   /** The same with these budgets of disruption. */
-  public OperatorSettings withBudgets(DisruptionBudgets other) {
-    return with(beginWithinMs, relayAbove, lanes, calendars, other, admin);
+  public OperatorSettings withBudgets(DisruptionBudgets newBudgets) {
+    return with(beginWithinMs, relayAbove, lanes, calendars, newBudgets, admin);
   }
 
   private OperatorSettings with(
--- a/src/main/java/dapplestair/settings/RunCalendar.java
+++ b/src/main/java/dapplestair/settings/RunCalendar.java
@@ -23,9 +23,9 @@
     String name,
     Set<String> runs,
     String team,
-    LocalTime at,
+    LocalTime firstStart,
     long periodMs,
-    ZoneId zone,
+    ZoneId timeZone,
     Set<String> deliveries,
     int complete,
     int quorum,
@@ -44,24 +44,24 @@
   }
 
   /** The start of the cycle to which a moment belongs, both in milliseconds of the time of day. */
-  public long cycle(long wallMs) {
-    LocalDate day = Instant.ofEpochMilli(wallMs).atZone(zone).toLocalDate();
-    long first = first(day);
-    if (wallMs < first) {
-      first = first(day.minusDays(1));
+  public long cycleStartMs(long wallMs) {
+    LocalDate day = Instant.ofEpochMilli(wallMs).atZone(timeZone).toLocalDate();
+    long firstMs = firstStartMs(day);
+    if (wallMs < firstMs) {
+      firstMs = firstStartMs(day.minusDays(1));
     }
-    return first + Math.floorDiv(wallMs - first, periodMs) * periodMs;
+    return firstMs + Math.floorDiv(wallMs - firstMs, periodMs) * periodMs;
   }
 
   /** The start of the cycle after this one. */
-  public long next(long startMs) {
-    LocalDate day = Instant.ofEpochMilli(startMs).atZone(zone).toLocalDate();
-    long first = first(day);
-    long tomorrow = startMs < first ? first : first(day.plusDays(1));
-    return Math.min(startMs + periodMs, tomorrow);
+  public long nextCycleStartMs(long startMs) {
+    LocalDate day = Instant.ofEpochMilli(startMs).atZone(timeZone).toLocalDate();
+    long firstMs = firstStartMs(day);
+    long nextFirstMs = startMs < firstMs ? firstMs : firstStartMs(day.plusDays(1));
+    return Math.min(startMs + periodMs, nextFirstMs);
   }
 
-  private long first(LocalDate day) {
-    return day.atTime(at).atZone(zone).toInstant().toEpochMilli();
+  private long firstStartMs(LocalDate day) {
+    return day.atTime(firstStart).atZone(timeZone).toInstant().toEpochMilli();
   }
 }
--- a/src/main/java/dapplestair/settings/Settings.java
+++ b/src/main/java/dapplestair/settings/Settings.java
@@ -47,7 +47,7 @@
   /** A team's guarantee and limit; 0 means none. */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
     /** True when this team has any limit or guarantee. */
-    public boolean bounded() {
+    public boolean hasGuaranteeOrLimit() {
       return cpus > 0 || cpusMax > 0 || gpus > 0 || gpusMax > 0;
     }
   }
@@ -68,16 +68,16 @@
   public record Resources(double cpu, double ramMb, int maxConnections) {}
 
   /** Controllers in all, this one included. */
-  public int controllers() {
+  public int controllerCount() {
     return peers.size() + 1;
   }
 
-  /** The tightest start time any class is promised, or {@code otherwise}. */
-  public double tightestStartS(double otherwise) {
+  /** The tightest start time any class is promised, or {@code defaultS}. */
+  public double tightestStartS(double defaultS) {
     return objectives.stream()
         .filter(o -> o.kind().equals("wait"))
         .mapToDouble(Objective::withinS)
         .min()
-        .orElse(otherwise);
+        .orElse(defaultS);
   }
 }
--- a/src/main/java/dapplestair/settings/SettingsLoader.java
+++ b/src/main/java/dapplestair/settings/SettingsLoader.java
@@ -44,22 +44,24 @@
   }
 
   private Settings read(JsonNode root) throws SettingsException {
-    JsonNode outside = table(root, "outside", "");
+    JsonNode endpoints = table(root, "outside", "");
     JsonNode settings = table(root, "settings", "");
     List<Settings.Peer> peers = new ArrayList<>();
-    int i = 0;
+    int index = 0;
     for (JsonNode node : root.path("peers")) {
-      String at = "peers[" + i++ + "].";
+      String prefix = "peers[" + index++ + "].";
       peers.add(
           new Settings.Peer(
-              text(node, "member", at), text(node, "zone", at), address(node, "endpoint", at)));
+              text(node, "member", prefix),
+              text(node, "zone", prefix),
+              address(node, "endpoint", prefix)));
     }
     List<String> zones = new ArrayList<>();
-    for (JsonNode z : settings.path("zones")) {
-      if (!z.isTextual()) {
-        throw bad("settings.zones", z, "a name");
+    for (JsonNode zone : settings.path("zones")) {
+      if (!zone.isTextual()) {
+        throw invalid("settings.zones", zone, "a name");
       }
-      zones.add(z.textValue());
+      zones.add(zone.textValue());
     }
     return new Settings(
         text(root, "member", ""),
@@ -67,8 +69,8 @@
         address(root, "client_listen", ""),
         address(root, "peer_bind", ""),
         List.copyOf(peers),
-        address(outside, "cloud", "outside.").toString(),
-        address(outside, "state", "outside.").toString(),
+        address(endpoints, "cloud", "outside.").toString(),
+        address(endpoints, "state", "outside.").toString(),
         List.copyOf(zones),
         teams(settings),
         objectives(settings),
@@ -80,113 +82,117 @@
 
   private Map<String, Settings.Team> teams(JsonNode settings) throws SettingsException {
     Map<String, Settings.Team> teams = new LinkedHashMap<>();
-    int i = 0;
+    int index = 0;
     for (JsonNode node : settings.path("teams")) {
-      String at = "settings.teams[" + i++ + "].";
-      String name = text(node, "name", at);
+      String prefix = "settings.teams[" + index++ + "].";
+      String name = text(node, "name", prefix);
       teams.put(
           name,
           new Settings.Team(
               name,
-              amount(node, "cpus", at),
-              amount(node, "cpus_max", at),
-              amount(node, "gpus", at),
-              amount(node, "gpus_max", at)));
+              nonNegative(node, "cpus", prefix),
+              nonNegative(node, "cpus_max", prefix),
+              nonNegative(node, "gpus", prefix),
+              nonNegative(node, "gpus_max", prefix)));
     }
     return Map.copyOf(teams);
   }
 
   private List<Settings.Objective> objectives(JsonNode settings) {
-    List<Settings.Objective> out = new ArrayList<>();
+    List<Settings.Objective> objectives = new ArrayList<>();
     for (JsonNode node : settings.path("objectives")) {
       // Kinds may be added by the platform: what is not understood is passed over.
-      out.add(
+      objectives.add(
           new Settings.Objective(
               node.path("kind").asText(""),
               node.path("class").asText(""),
               node.path("within_s").asDouble(0),
               node.path("share").asDouble(0)));
     }
-    return List.copyOf(out);
+    return List.copyOf(objectives);
   }
 
   private Settings.Workers workers(JsonNode node) throws SettingsException {
-    String at = "settings.workers.";
+    String prefix = "settings.workers.";
     return new Settings.Workers(
-        millis(node, "report_s", at), millis(node, "lease_s", at), millis(node, "cancel_s", at));
+        millis(node, "report_s", prefix),
+        millis(node, "lease_s", prefix),
+        millis(node, "cancel_s", prefix));
   }
 
   private Settings.State state(JsonNode node) throws SettingsException {
-    String at = "settings.state.";
+    String prefix = "settings.state.";
     return new Settings.State(
-        positive(node, "rps", at),
-        positive(node, "write_rps", at),
-        (int) (positive(node, "value_kb", at) * 1024),
-        (int) positive(node, "txn_ops", at));
+        positive(node, "rps", prefix),
+        positive(node, "write_rps", prefix),
+        (int) (positive(node, "value_kb", prefix) * 1024),
+        (int) positive(node, "txn_ops", prefix));
   }
 
   private Settings.Cloud cloud(JsonNode node) throws SettingsException {
-    String at = "settings.cloud.";
-    return new Settings.Cloud(positive(node, "rps", at), millis(node, "list_lag_s", at));
+    String prefix = "settings.cloud.";
+    return new Settings.Cloud(positive(node, "rps", prefix), millis(node, "list_lag_s", prefix));
   }
 
   private Settings.Resources resources(JsonNode node) throws SettingsException {
-    String at = "settings.resources.";
+    String prefix = "settings.resources.";
     return new Settings.Resources(
-        positive(node, "cpu", at),
-        positive(node, "ram_mb", at),
-        (int) positive(node, "max_connections", at));
+        positive(node, "cpu", prefix),
+        positive(node, "ram_mb", prefix),
+        (int) positive(node, "max_connections", prefix));
   }
 
-  private JsonNode table(JsonNode parent, String field, String at) throws SettingsException {
+  private JsonNode table(JsonNode parent, String field, String prefix) throws SettingsException {
     JsonNode node = parent.path(field);
     if (!node.isObject()) {
-      throw bad(at + field, node, "a table");
+      throw invalid(prefix + field, node, "a table");
     }
     return node;
   }
 
-  private String text(JsonNode parent, String field, String at) throws SettingsException {
+  private String text(JsonNode parent, String field, String prefix) throws SettingsException {
     JsonNode node = parent.path(field);
     if (!node.isTextual() || node.textValue().isEmpty()) {
-      throw bad(at + field, node, "a text");
+      throw invalid(prefix + field, node, "a text");
     }
     return node.textValue();
   }
 
-  private Address address(JsonNode parent, String field, String at) throws SettingsException {
-    Address address = Address.parse(text(parent, field, at));
+  private Address address(JsonNode parent, String field, String prefix) throws SettingsException {
+    Address address = Address.parse(text(parent, field, prefix));
     if (address != null) {
       return address;
     }
-    throw bad(at + field, parent.path(field), "host:port");
+    throw invalid(prefix + field, parent.path(field), "host:port");
   }
 
-  private double amount(JsonNode parent, String field, String at) throws SettingsException {
+  private double nonNegative(JsonNode parent, String field, String prefix)
+      throws SettingsException {
     JsonNode node = parent.path(field);
     if (node.isMissingNode()) {
       return 0;
     }
     if (!node.isNumber() || !Double.isFinite(node.doubleValue()) || node.doubleValue() < 0) {
-      throw bad(at + field, node, "a number of at least 0");
+      throw invalid(prefix + field, node, "a number of at least 0");
     }
     return node.doubleValue();
   }
 
-  private double positive(JsonNode parent, String field, String at) throws SettingsException {
+  private double positive(JsonNode parent, String field, String prefix) throws SettingsException {
     JsonNode node = parent.path(field);
     if (!node.isNumber() || !Double.isFinite(node.doubleValue()) || node.doubleValue() <= 0) {
-      throw bad(at + field, node, "a number above 0");
+      throw invalid(prefix + field, node, "a number above 0");
     }
     return node.doubleValue();
   }
 
-  private long millis(JsonNode parent, String field, String at) throws SettingsException {
-    return Math.round(positive(parent, field, at) * 1000);
+  private long millis(JsonNode parent, String field, String prefix) throws SettingsException {
+    return Math.round(positive(parent, field, prefix) * 1000);
   }
 
-  private SettingsException bad(String field, JsonNode value, String wanted) {
-    String shown = value.isMissingNode() ? "missing" : value.toString();
-    return new SettingsException(file + ": " + field + " = " + shown + ": must be " + wanted);
+  private SettingsException invalid(String field, JsonNode value, String expected) {
+    String shownValue = value.isMissingNode() ? "missing" : value.toString();
+    return new SettingsException(
+        file + ": " + field + " = " + shownValue + ": must be " + expected);
   }
 }
--- a/src/main/java/dapplestair/state/StateClient.java
+++ b/src/main/java/dapplestair/state/StateClient.java
@@ -74,7 +74,7 @@
     this.http = http;
     this.endpoint = settings.stateEndpoint();
     this.limits = settings.state();
-    this.controllers = settings.controllers();
+    this.controllers = settings.controllerCount();
     this.timeoutMs = settings.workers().reportMs() / 2;
     this.requestBucket = new TokenBucket(clock, limits.rps() * SAFETY_FACTOR / controllers, 0.5);
     this.writeBucket = new TokenBucket(clock, limits.writeRps() * SAFETY_FACTOR / controllers, 0.5);
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -235,7 +235,7 @@
           pending--;
           if (outcome instanceof TxnOutcome.Applied) {
             firstSubmissionTimes.accepted(submission.ref());
-            metrics.accepted(clock.now() - began);
+            metrics.recordAcceptance(clock.now() - began);
             status(exchange, 201, submission.ref(), "queued", null);
           } else if (outcome instanceof TxnOutcome.Conflict) {
             look(exchange, submission.ref());
@@ -359,7 +359,7 @@
   }
 
   private void busy(Exchange exchange, int afterS) {
-    metrics.shed();
+    metrics.recordShedRequest();
     exchange.reply(
         503, Json.bytes(Json.object().put("error", "cannot tell now, ask again")), afterS);
   }
--- a/src/main/java/dapplestair/zones/Zones.java
+++ b/src/main/java/dapplestair/zones/Zones.java
@@ -222,7 +222,7 @@
             statuses.put(zone, next);
             LOG.info(
                 "zone {} is now {} (recent cuts: {})", zone, next.state().label(), next.cuts());
-            events.note(
+            events.publish(
                 Events.Kind.ZONE,
                 o ->
                     o.put("zone", zone)
--- a/src/test/java/dapplestair/settings/LanesLoaderTest.java
+++ b/src/test/java/dapplestair/settings/LanesLoaderTest.java
@@ -44,25 +44,27 @@
         "over: \"settle\"; over: \"orders\"; lane.over = \"orders\"",
         "rank: \"high\"; rank: \"high\" reserve_cpus: -1; lane.reserve_cpus = -1.0",
       })
-  void refuses(String from, String to, String field) {
-    String text = GOOD.replaceFirst(from, to == null ? "" : to);
-    String said = assertThrows(SettingsException.class, () -> load(text)).getMessage();
-    assertTrue(said.startsWith(dir.resolve("o.textproto") + ": " + field + ": "), said);
+  void rejectsInvalidFields(String original, String replacement, String field) {
+    String text = GOOD.replaceFirst(original, replacement == null ? "" : replacement);
+    String message = assertThrows(SettingsException.class, () -> load(text)).getMessage();
+    assertTrue(message.startsWith(dir.resolve("o.textproto") + ": " + field + ": "), message);
   }
 
   @Test
-  void refusesCircles() {
-    String back =
+  void rejectsCircularPreemption() {
+    String reverseLane =
         "lane { name: \"back\" riders: \"settle\" over: \"orders\" rank: \"high\" over_rank: \"low\" }";
-    String said = assertThrows(SettingsException.class, () -> load(GOOD + back)).getMessage();
+    String message =
+        assertThrows(SettingsException.class, () -> load(GOOD + reverseLane)).getMessage();
     assertEquals(
         "lane.over = \"orders\": goes over itself by lane \"gate\"",
-        said.substring(said.indexOf("lane.over")));
+        message.substring(message.indexOf("lane.over")));
   }
 
   @Test
-  void refusesANameGivenTwice() {
-    String said = assertThrows(SettingsException.class, () -> load(GOOD + GOOD)).getMessage();
-    assertEquals("lane.name = \"gate\": given twice", said.substring(said.indexOf("lane.name")));
+  void rejectsDuplicateNames() {
+    String message = assertThrows(SettingsException.class, () -> load(GOOD + GOOD)).getMessage();
+    assertEquals(
+        "lane.name = \"gate\": given twice", message.substring(message.indexOf("lane.name")));
   }
 }
--- a/src/test/java/dapplestair/settings/RunCalendarTest.java
+++ b/src/test/java/dapplestair/settings/RunCalendarTest.java
@@ -23,7 +23,7 @@
 
   @TempDir Path dir;
 
-  private static RunCalendar every(long hours, String zone) {
+  private static RunCalendar calendarWithPeriod(long hours, String zone) {
     return new RunCalendar(
         "c",
         Set.of("model"),
@@ -38,7 +38,7 @@
         600_000);
   }
 
-  private static long ms(String instant) {
+  private static long epochMs(String instant) {
     return Instant.parse(instant).toEpochMilli();
   }
 
@@ -54,23 +54,23 @@
     // Clocks go back: its last cycle is one hour long.
     "3,Europe/Berlin,2026-10-25T23:00:00Z,2026-10-25T22:15:00Z,2026-10-25T23:15:00Z",
   })
-  void cyclesFollowEachOther(int hours, String zone, String at, String start, String next) {
-    RunCalendar c = every(hours, zone);
-    assertEquals(ms(start), c.cycle(ms(at)));
-    assertEquals(ms(next), c.next(c.cycle(ms(at))));
+  void findsCycleAndNextCycle(int hours, String zone, String at, String start, String next) {
+    RunCalendar calendar = calendarWithPeriod(hours, zone);
+    assertEquals(epochMs(start), calendar.cycleStartMs(epochMs(at)));
+    assertEquals(epochMs(next), calendar.nextCycleStartMs(calendar.cycleStartMs(epochMs(at))));
   }
 
   /** Whatever the zone: each moment lies in one cycle, and none is left out. */
   @Test
-  void noMomentIsLeftOut() {
+  void cyclesCoverAllTimes() {
     for (String zone : new String[] {"UTC", "Europe/Berlin", "America/Sao_Paulo", "Asia/Kolkata"}) {
-      RunCalendar c = every(5, zone);
-      long start = c.cycle(ms("2026-03-20T00:00:00Z"));
-      while (start < ms("2026-11-05T00:00:00Z")) {
-        long next = c.next(start);
+      RunCalendar calendar = calendarWithPeriod(5, zone);
+      long start = calendar.cycleStartMs(epochMs("2026-03-20T00:00:00Z"));
+      while (start < epochMs("2026-11-05T00:00:00Z")) {
+        long next = calendar.nextCycleStartMs(start);
         assertTrue(next > start && next - start <= 5 * 3_600_000, zone + " " + start);
-        assertEquals(start, c.cycle(next - 1));
-        assertEquals(next, c.cycle(next));
+        assertEquals(start, calendar.cycleStartMs(next - 1));
+        assertEquals(next, calendar.cycleStartMs(next));
         start = next;
       }
     }
@@ -96,16 +96,16 @@
         "Europe/Berlin; Europe/Nowhere; calendar.time_zone = \"Europe/Nowhere\"",
         "runs: \"model\"; runs: \"gauge\"; calendar.runs = \"gauge\"",
       })
-  void refuses(String from, String to, String field) {
-    String text = GOOD.replaceFirst(from, to);
-    String said = assertThrows(SettingsException.class, () -> load(text)).getMessage();
-    assertTrue(said.startsWith(dir.resolve("o.textproto") + ": " + field + ": "), said);
+  void rejectsInvalidFields(String original, String replacement, String field) {
+    String text = GOOD.replaceFirst(original, replacement);
+    String message = assertThrows(SettingsException.class, () -> load(text)).getMessage();
+    assertTrue(message.startsWith(dir.resolve("o.textproto") + ": " + field + ": "), message);
   }
 
   @Test
-  void refusesTwoCalendarsOnOneClass() {
-    String two = GOOD + GOOD.replace("basin", "other");
-    String said = assertThrows(SettingsException.class, () -> load(two)).getMessage();
-    assertTrue(said.contains("calendar.runs = \"model\": is on two calendars"), said);
+  void rejectsClassOnTwoCalendars() {
+    String twoCalendars = GOOD + GOOD.replace("basin", "other");
+    String message = assertThrows(SettingsException.class, () -> load(twoCalendars)).getMessage();
+    assertTrue(message.contains("calendar.runs = \"model\": is on two calendars"), message);
   }
 }
--- a/src/test/java/dapplestair/settings/SettingsLoaderTest.java
+++ b/src/test/java/dapplestair/settings/SettingsLoaderTest.java
@@ -46,41 +46,44 @@
       """;
 
   @Test
-  void readsWhatItKnowsAndPassesOverTheRest() throws SettingsException {
-    Settings s = SettingsLoader.parse("f", GOOD);
-    assertEquals(36_000, s.workers().leaseMs());
-    assertEquals(12.5, s.teams().get("t").cpusMax());
-    assertEquals(8192, s.state().valueBytes());
+  void ignoresUnknownFields() throws SettingsException {
+    Settings settings = SettingsLoader.parse("f", GOOD);
+    assertEquals(36_000, settings.workers().leaseMs());
+    assertEquals(12.5, settings.teams().get("t").cpusMax());
+    assertEquals(8192, settings.state().valueBytes());
   }
 
-  private static String refusal(String from, String to) {
-    assertTrue(GOOD.contains(from));
+  private static String rejectionMessage(String original, String replacement) {
+    assertTrue(GOOD.contains(original));
     return assertThrows(
-            SettingsException.class, () -> SettingsLoader.parse("f.toml", GOOD.replace(from, to)))
+            SettingsException.class,
+            () -> SettingsLoader.parse("f.toml", GOOD.replace(original, replacement)))
         .getMessage();
   }
 
   @Test
-  void namesFileFieldAndValueOfWhatIsWrong() {
+  void messageNamesFileFieldAndValue() {
     assertEquals(
         "f.toml: settings.workers.lease_s = -1: must be a number above 0",
-        refusal("lease_s = 36.0", "lease_s = -1"));
+        rejectionMessage("lease_s = 36.0", "lease_s = -1"));
     assertEquals(
-        "f.toml: outside.state = missing: must be a text", refusal("state = \"127.0.0.1:2\"", ""));
+        "f.toml: outside.state = missing: must be a text",
+        rejectionMessage("state = \"127.0.0.1:2\"", ""));
     assertEquals(
         "f.toml: client_listen = \"here\": must be host:port",
-        refusal("client_listen = \"127.0.0.1:8080\"", "client_listen = \"here\""));
-    assertTrue(refusal("[settings.cloud]", "[settings.cloud").startsWith("f.toml: not TOML"));
+        rejectionMessage("client_listen = \"127.0.0.1:8080\"", "client_listen = \"here\""));
+    assertTrue(
+        rejectionMessage("[settings.cloud]", "[settings.cloud").startsWith("f.toml: not TOML"));
   }
 
   @Test
-  void operatorsFileIsCheckedToo(@TempDir Path dir) throws Exception {
+  void checksOperatorsFile(@TempDir Path dir) throws Exception {
     Path file = dir.resolve("o.textproto");
     Files.writeString(file, "population: 40 plan_interval_s: 5");
-    OperatorSettings o = OperatorSettingsLoader.load(file);
-    assertEquals(40, o.population());
-    assertEquals(5000, o.planIntervalMs());
-    assertEquals(OperatorSettings.defaults().evaluations(), o.evaluations());
+    OperatorSettings operatorSettings = OperatorSettingsLoader.load(file);
+    assertEquals(40, operatorSettings.population());
+    assertEquals(5000, operatorSettings.planIntervalMs());
+    assertEquals(OperatorSettings.defaults().evaluations(), operatorSettings.evaluations());
     Files.writeString(file, "population: 1");
     String message =
         assertThrows(SettingsException.class, () -> OperatorSettingsLoader.load(file)).getMessage();
@@ -90,23 +93,29 @@
   }
 
   @Test
-  void budgetsOfDisruptionAreChecked(@TempDir Path dir) throws Exception {
+  void checksDisruptionBudgets(@TempDir Path dir) throws Exception {
     Path file = dir.resolve("o.textproto");
     Files.writeString(
         file,
         "disruption { team: \"t\" replicas: 0 } disruption { replicas_ratio: 0.05 job_replicas: 2 }");
     DisruptionBudgets budgets = OperatorSettingsLoader.load(file).budgets();
-    assertEquals(0, budgets.of("t").ofTeam(100));
-    assertEquals(5, budgets.of("other").ofTeam(100));
-    assertEquals(1, budgets.of("other").ofTeam(3), "a ratio above zero allows one");
-    assertEquals(2, budgets.of("t").ofJob(9), "what a team does not say holds as for others");
-    DisruptionBudgetsLoader.check(file, budgets, SettingsLoader.parse("f", GOOD));
+    assertEquals(0, budgets.forTeam("t").maxTeamReplicasOut(100));
+    assertEquals(5, budgets.forTeam("other").maxTeamReplicasOut(100));
+    assertEquals(
+        1, budgets.forTeam("other").maxTeamReplicasOut(3), "a ratio above zero allows one");
+    assertEquals(
+        2,
+        budgets.forTeam("t").maxJobReplicasOut(9),
+        "what a team does not say holds as for others");
+    DisruptionBudgetsLoader.checkTeams(file, budgets, SettingsLoader.parse("f", GOOD));
     Files.writeString(file, "disruption { team: \"nobody\" replicas: 3 }");
-    DisruptionBudgets unknown = OperatorSettingsLoader.load(file).budgets();
+    DisruptionBudgets unknownTeam = OperatorSettingsLoader.load(file).budgets();
     String message =
         assertThrows(
                 SettingsException.class,
-                () -> DisruptionBudgetsLoader.check(file, unknown, SettingsLoader.parse("f", GOOD)))
+                () ->
+                    DisruptionBudgetsLoader.checkTeams(
+                        file, unknownTeam, SettingsLoader.parse("f", GOOD)))
             .getMessage();
     assertTrue(
         message.endsWith("disruption.team = \"nobody\": no such team in the settings"), message);
--- a/src/test/java/dapplestair/world/CalendarTest.java
+++ b/src/test/java/dapplestair/world/CalendarTest.java
@@ -62,7 +62,7 @@
   }
 
   private static void toNextCycle(SimulatedCluster w) {
-    w.run(BASIN.next(BASIN.cycle(wall(w))) - wall(w) + 200);
+    w.run(BASIN.nextCycleStartMs(BASIN.cycleStartMs(wall(w))) - wall(w) + 200);
   }
 
   static SimulatedUsers.KnownJob model(SimulatedCluster w) {
@@ -120,7 +120,7 @@
   @CsvSource({"6411,2,quorum", "6412,3,quorum", "6413,1,cut-off", "6414,0,cut-off"})
   void fewerReleaseLater(long seed, int gauges, String by) {
     SimulatedCluster w = begun(seed);
-    long start = BASIN.cycle(wall(w));
+    long start = BASIN.cycleStartMs(wall(w));
     SimulatedUsers.KnownJob model = model(w);
     deliver(w, gauges);
     long due = by.equals("quorum") ? 20_000 : CUT_OFF_MS;
@@ -192,7 +192,7 @@
     w.run(CUT_OFF_MS - 12_000);
     assertEquals(
         COMPLETE - 1,
-        w.state.keys("live/calendar/basin/" + BASIN.cycle(wall(w)) + "/").size(),
+        w.state.keys("live/calendar/basin/" + BASIN.cycleStartMs(wall(w)) + "/").size(),
         "deliveries of this cycle");
     w.run(CUT_OFF_MS);
     assertTrue(model.started);
--- a/src/test/java/dapplestair/world/DisruptionTest.java
+++ b/src/test/java/dapplestair/world/DisruptionTest.java
@@ -41,7 +41,7 @@
 
   /** From the next start of each controller on; all of them start again now. */
   private static void allow(SimulatedCluster w, int one, int two) {
-    DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
+    DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.DEFAULTS.defaultBudget();
     w.operatorSettings =
         OperatorSettings.defaults()
             .withBudgets(
@@ -232,7 +232,7 @@
 
   /** Operators allow so many CPU seconds of each team's work to be thrown away in an hour. */
   static void allowLoss(SimulatedCluster w, double cpuS) {
-    DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
+    DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.DEFAULTS.defaultBudget();
     w.operatorSettings =
         OperatorSettings.defaults()
             .withBudgets(
--- a/src/test/java/dapplestair/world/LargestJobsTest.java
+++ b/src/test/java/dapplestair/world/LargestJobsTest.java
@@ -157,7 +157,7 @@
   void withoutTheBoundTheyDoNotBegin() {
     SimulatedCluster w = new SimulatedCluster(6003, SimulatedCluster.Size.MIDDLE);
     OperatorSettings d = OperatorSettings.defaults();
-    w.operatorSettings = d.withBeginWithin(24 * 3600_000);
+    w.operatorSettings = d.withBeginWithinMs(24 * 3600_000);
     w.nodes.forEach(n -> n.crash(500));
     w.net.loss = 0;
     w.users.quiet = true;
--- a/src/test/java/dapplestair/world/ReplacementCosts.java
+++ b/src/test/java/dapplestair/world/ReplacementCosts.java
@@ -83,7 +83,7 @@
             4711, new SimulatedCluster.Size(perPlace, 8.0 * perPlace * 3, 1_000_000, 1), true);
     w.net.loss = 0;
     w.users.quiet = true;
-    DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
+    DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.DEFAULTS.defaultBudget();
     w.operatorSettings =
         OperatorSettings.defaults()
             .withBudgets(
--- a/src/test/java/dapplestair/world/SimulatedCluster.java
+++ b/src/test/java/dapplestair/world/SimulatedCluster.java
@@ -408,7 +408,7 @@
     /** It hands over and ends, as for a new version. */
     void leave(long backAfterMs) {
       if (process != null) {
-        process.controller.leave();
+        process.controller.resignAndClose();
         crash(backAfterMs);
       }
     }
@@ -433,7 +433,7 @@
       if (process == null) {
         reply.accept(HttpReply.of(HttpReply.NOT_SENT));
       } else {
-        process.controller.operators(new Request(method, path, body, reply));
+        process.controller.handleOperatorRequest(new Request(method, path, body, reply));
       }
     }
 
