--- a/src/main/java/dapplestair/events/EventLog.java
+++ b/src/main/java/dapplestair/events/EventLog.java
@@ -12,21 +12,22 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * The last events of this controller. Each has a number; numbers go on from one term to the next,
- * as the term is their high part.
+ * Bounded log of the most recent events of this controller. Each event has a number. Numbers grow
+ * from one term to the next, as the term is their high part.
  */
 public final class EventLog implements Events {
   private static final Logger LOG = LoggerFactory.getLogger(EventLog.class);
 
-  /** Events kept; what is older is forgotten. */
+  /** Maximum number of events kept; older events are dropped. */
   public static final int MAX_EVENTS = 2000;
 
   private static final int MAX_WAITERS = 32;
 
-  // A term's events are numbered from its high part on, so that cursors never mean two things.
+  // The term is shifted by this many bits to number its events, so that a cursor is never
+  // ambiguous.
   private static final int NUMBER_BITS = 32;
 
-  /** One event. */
+  /** An event with its number. */
   public record Event(long number, ObjectNode fields) {}
 
   private final Clock clock;
@@ -34,12 +35,12 @@
   private final List<Runnable> waiters = new ArrayList<>();
   private long lastNumber;
 
-  /** An empty log. */
+  /** Creates an empty log. */
   public EventLog(Clock clock) {
     this.clock = clock;
   }
 
-  /** A new term begins: its events are numbered after all earlier ones. */
+  /** Begins a term; its events are numbered after all earlier ones. */
   public void beginTerm(long term) {
     lastNumber = Math.max(lastNumber, term << NUMBER_BITS);
   }
@@ -66,14 +67,14 @@
     }
   }
 
-  /** A line with fields, for logs that are read by programs. */
+  /** Logs an event as key-value pairs, for logs that programs read. */
   private static void logEvent(ObjectNode object) {
     LoggingEventBuilder logEntry = LOG.atDebug();
     object.fields().forEachRemaining(f -> logEntry.addKeyValue(f.getKey(), f.getValue().asText()));
     logEntry.log("event");
   }
 
-  /** Events after a number, oldest first. */
+  /** Returns the kept events with numbers above {@code number}, oldest first. */
   public Iterable<Event> after(long number) {
     List<Event> newer = new ArrayList<>();
     for (var it = events.descendingIterator(); it.hasNext(); ) {
@@ -87,7 +88,7 @@
     return newer;
   }
 
-  /** Runs {@code task} at the next event; false when too many wait already. */
+  /** Runs {@code task} at the next event; returns false if too many tasks wait already. */
   public boolean addWaiter(Runnable task) {
     if (waiters.size() >= MAX_WAITERS) {
       return false;
@@ -96,7 +97,7 @@
     return true;
   }
 
-  /** No longer interested. */
+  /** Removes a task that was added by {@link #addWaiter}. */
   public void removeWaiter(Runnable task) {
     waiters.remove(task);
   }
--- a/src/main/java/dapplestair/events/Events.java
+++ b/src/main/java/dapplestair/events/Events.java
@@ -3,57 +3,59 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.Consumer;
 
-/** Where the duties note what happens. */
+/** Receives the events that the components publish. */
 @FunctionalInterface
 public interface Events {
-  /** Nobody listens: nothing is even put together. */
+  /** Discards all events without building them. */
   Events OFF = (kind, fields) -> {};
 
-  /** Something happened; {@code fields} fills in what is known of it, if anybody wants it. */
+  /** Publishes an event; {@code fields} adds its fields, and is called only if it is kept. */
   void publish(Kind kind, Consumer<ObjectNode> fields);
 
-  /** What can happen. */
+  /** Kinds of events. */
   enum Kind {
-    /** A task runs. */
+    /** A task has started to run. */
     STARTED,
     /** A task completed. */
     COMPLETED,
-    /** A task ended by itself without completing. */
+    /** A task ended on its own without completing. */
     FAILED,
-    /** A job fails wherever it runs: it is tried by one task at a time. */
+    /** A job fails on every machine, so only one of its tasks is tried at a time. */
     SUSPECTED,
-    /** A job that failed wherever it ran works after all. */
+    /** A job that was suspected has turned out to work. */
     WORKS,
-    /** A machine fails what others complete, so it is emptied. */
+    /** Tasks fail on a machine that complete on others, so the machine is emptied. */
     FAULTY,
-    /** A task is told to stop; {@code reason} says why. */
+    /** A task is told to stop; the field {@code reason} says why. */
     STOPPING,
-    /** An attempt is proved to be absent though nobody stopped it. */
+    /** An attempt that nobody stopped is proved to be absent. */
     LOST,
     /** A job was accepted. */
     ACCEPTED,
-    /** A job is over. */
+    /** A job is done or aborted. */
     OVER,
-    /** The cloud gave machines. */
+    /** The cloud granted machines. */
     RENTED,
-    /** The cloud has none to give. */
+    /** The cloud refused machines for lack of capacity. */
     REFUSED,
-    /** A machine was returned. */
+    /** A machine was returned to the cloud. */
     RETURNED,
-    /** A machine is given up, has failed or was taken. */
+    /** A machine was given up, has failed or was reclaimed by the cloud. */
     MACHINE_LOST,
-    /** A machine or a zone is to be emptied, or no longer. */
+    /** A drain of a machine or a zone was ordered or ended. */
     DRAIN,
-    /** An order to replace machines has come further; {@code reason} says why it pauses. */
+    /**
+     * An order to replace machines has made progress; the field {@code reason} says why it pauses.
+     */
     REPLACEMENT,
-    /** A zone is cut, lost, returning or steady again. */
+    /** A zone's state has changed: it is cut off, lost, returning or steady again. */
     ZONE,
-    /** A calendar's cycle is released. */
+    /** A cycle of a calendar was released. */
     CYCLE,
-    /** This controller leads from now on. */
+    /** This controller has become the leader. */
     LEADING;
 
-    /** The form shown to people. */
+    /** Returns the name of this kind as operators see it. */
     public String displayName() {
       return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
     }
--- a/src/main/java/dapplestair/events/package-info.java
+++ b/src/main/java/dapplestair/events/package-info.java
@@ -1,2 +1,2 @@
-/** What happened, for operators: a bounded log that a leader keeps. */
+/** Events for operators, kept by the leader in a bounded log. */
 package dapplestair.events;
--- a/src/main/java/dapplestair/json/Json.java
+++ b/src/main/java/dapplestair/json/Json.java
@@ -12,14 +12,17 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** The one JSON mapper, tree model only: reflection would cost start-up time. */
+/**
+ * Reads and writes JSON with a shared mapper. Only the tree model is used, as data binding by
+ * reflection would cost start-up time.
+ */
 public final class Json {
   private static final JsonMapper MAPPER =
       JsonMapper.builder().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
 
   private Json() {}
 
-  /** Parses, or gives a missing node when the bytes are not JSON. */
+  /** Parses JSON; returns a missing node if the bytes are not valid JSON. */
   public static JsonNode parse(byte[] bytes) {
     try {
       JsonNode node = MAPPER.readTree(bytes);
@@ -29,17 +32,17 @@
     }
   }
 
-  /** An empty object. */
+  /** Returns a new, empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** An empty array. */
+  /** Returns a new, empty array. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
 
-  /** Bytes to send. */
+  /** Returns a node as JSON bytes. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
@@ -48,14 +51,14 @@
     }
   }
 
-  /** Writes one value to a generator; for long answers, of which no tree is built. */
+  /** Writes one value to a generator; used for long responses, for which no tree is built. */
   @FunctionalInterface
   public interface JsonWriter {
-    /** Writes. */
+    /** Writes the value. */
     void writeTo(JsonGenerator out) throws IOException;
   }
 
-  /** Bytes of what is written. */
+  /** Returns what {@code writer} writes, as JSON bytes. */
   public static byte[] writeBytes(JsonWriter writer) {
     ByteArrayBuilder bytes = new ByteArrayBuilder();
     try (JsonGenerator out = MAPPER.createGenerator(bytes)) {
@@ -66,13 +69,13 @@
     return bytes.toByteArray();
   }
 
-  /** A text field, or null when absent, null or not text. */
+  /** Returns a text field, or null if it is absent, null or not text. */
   public static String text(JsonNode node, String field) {
     JsonNode value = node.get(field);
     return value != null && value.isTextual() ? value.textValue() : null;
   }
 
-  /** A whole number field, or {@code defaultValue}. */
+  /** Returns an integer field, or {@code defaultValue} if it is absent or not an integer. */
   public static long number(JsonNode node, String field, long defaultValue) {
     JsonNode value = node.get(field);
     return value != null && value.canConvertToLong() && value.isIntegralNumber()
@@ -80,7 +83,9 @@
         : defaultValue;
   }
 
-  /** A decimal field, or {@code defaultValue} when absent or not finite. */
+  /**
+   * Returns a number field, or {@code defaultValue} if it is absent, not a number or not finite.
+   */
   public static double decimal(JsonNode node, String field, double defaultValue) {
     JsonNode value = node.get(field);
     return value != null && value.isNumber() && Double.isFinite(value.doubleValue())
@@ -88,7 +93,7 @@
         : defaultValue;
   }
 
-  /** A flag, false when absent. */
+  /** Returns a boolean field, or false if it is absent or not a boolean. */
   public static boolean flag(JsonNode node, String field) {
     JsonNode value = node.get(field);
     return value != null && value.isBoolean() && value.booleanValue();
--- a/src/main/java/dapplestair/json/package-info.java
+++ b/src/main/java/dapplestair/json/package-info.java
@@ -1,2 +1,2 @@
-/** Reading and writing JSON. */
+/** JSON parsing and serialisation. */
 package dapplestair.json;
--- a/src/main/java/dapplestair/metrics/Exposition.java
+++ b/src/main/java/dapplestair/metrics/Exposition.java
@@ -12,7 +12,7 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.Supplier;
 
-/** What is measured, in the Prometheus text format; exists only where operators are served. */
+/** Exposes metrics in the Prometheus text format; exists only where operators are served. */
 public final class Exposition implements Metrics.Sink {
   private static final String PREFIX = "dapplestair_";
 
@@ -49,7 +49,7 @@
           .help("Attempts that ended by themselves without completing.")
           .register(registry);
 
-  /** Nothing measured yet. */
+  /** Creates an exposition that has measured nothing yet. */
   public Exposition(String version) {
     Info.builder()
         .name(PREFIX + "build_info")
@@ -59,7 +59,7 @@
         .addLabelValues(version);
   }
 
-  /** A figure that is looked up when somebody asks. */
+  /** Registers a gauge whose value is read at each scrape. */
   public Exposition gauge(String name, String help, DoubleSupplier value) {
     GaugeWithCallback.builder()
         .name(PREFIX + name)
@@ -69,7 +69,7 @@
     return this;
   }
 
-  /** Several figures told apart by a label. */
+  /** Registers gauges that differ by a label and whose values are read at each scrape. */
   public Exposition gauges(
       String name,
       String help,
@@ -109,7 +109,7 @@
     failedAttempts.inc();
   }
 
-  /** All of it, as it is now. */
+  /** Returns the current values of all metrics in the text format. */
   public byte[] scrape() {
     ByteArrayOutputStream out = new ByteArrayOutputStream(8192);
     try {
--- a/src/main/java/dapplestair/metrics/Metrics.java
+++ b/src/main/java/dapplestair/metrics/Metrics.java
@@ -4,11 +4,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Histograms and counters since the last summary. */
+/** Histograms and counters of the time since the last summary. */
 public final class Metrics {
   private static final Logger LOG = LoggerFactory.getLogger(Metrics.class);
 
-  /** Wants to hear of each figure, too. */
+  /** Receives each measurement in addition to the summary. */
   public interface Sink {
     /** See {@link Metrics#recordAcceptance}. */
     void recordAcceptance(long ms);
@@ -34,12 +34,12 @@
   private long startedTasks;
   private long failedAttempts;
 
-  /** From now on somebody else hears of all figures. */
+  /** Sets the sink that receives all further measurements. */
   public void setSink(Sink newSink) {
     sink = newSink;
   }
 
-  /** A submission was accepted after this long. */
+  /** Records that a submission was accepted {@code ms} after it arrived. */
   public void recordAcceptance(long ms) {
     if (sink != null) {
       sink.recordAcceptance(ms);
@@ -47,7 +47,7 @@
     acceptanceMs.recordValue(Math.min(60_000, Math.max(0, ms)));
   }
 
-  /** A task runs, this long after its job was accepted. */
+  /** Records that a task started {@code ms} after its job was accepted. */
   public void recordTaskStart(long ms) {
     startedTasks++;
     if (sink != null) {
@@ -56,7 +56,7 @@
     taskStartMs.recordValue(Math.min(3_600_000, Math.max(0, ms)));
   }
 
-  /** A timer fired this much late: how far the loop lags behind its work. */
+  /** Records that a timer fired {@code ms} late, which is how far the event loop lags behind. */
   public void recordLoopLag(long ms) {
     if (sink != null) {
       sink.recordLoopLag(Math.max(0, ms));
@@ -64,7 +64,7 @@
     loopLagMs.recordValue(Math.min(60_000, Math.max(0, ms)));
   }
 
-  /** A request was turned away. */
+  /** Records that a user's request was rejected with 503. */
   public void recordShedRequest() {
     shedRequests++;
     if (sink != null) {
@@ -72,7 +72,7 @@
     }
   }
 
-  /** An attempt ended without completing and without being asked to. */
+  /** Records that an attempt ended on its own without completing. */
   public void recordFailedAttempt() {
     failedAttempts++;
     if (sink != null) {
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Writes one line and begins anew. */
+  /** Logs one summary line, which ends with {@code status}, and resets all measurements. */
   public void logSummary(String status) {
     LOG.info(
         "summary: accepted {} (p50 {} ms, p99 {} ms), turned away {}, started {} (p50 {} ms,"
--- a/src/main/java/dapplestair/metrics/package-info.java
+++ b/src/main/java/dapplestair/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** What the controller measures of itself, summarised in the log. */
+/** Measurements of the controller, summarised in the log and exposed to Prometheus. */
 package dapplestair.metrics;
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -18,7 +18,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller. All of it runs on one loop. */
+/** A controller. All of its components run on a single event loop. */
 public final class Controller implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
   private static final int SUMMARY_INTERVAL_REPORTS = 20;
@@ -35,15 +35,15 @@
   private final EventLoopMonitor loopMonitor;
   private final StatusReporter statusReporter;
 
-  /** Wires the duties, without an operators' interface; nothing runs before {@link #start}. */
+  /** Wires the components, without an operators' interface; nothing runs before {@link #start}. */
   public Controller(
       Settings settings, OperatorSettings operatorSettings, ControllerEnvironment environment) {
     this(settings, operatorSettings, environment, null);
   }
 
   /**
-   * Wires the duties; operators are served by {@link #handleOperatorRequest} if {@code
-   * authenticator} is given.
+   * Wires the components; {@link #handleOperatorRequest} serves operators unless {@code
+   * authenticator} is null.
    */
   public Controller(
       Settings settings,
@@ -124,25 +124,28 @@
     return new AdminHandler(components, authenticator, this::handle, exposition::scrape);
   }
 
-  /** Answers a request of an operator; only with access given. */
+  /** Answers a request of an operator; requires that an authenticator was given. */
   public void handleOperatorRequest(Exchange exchange) {
     admin.handle(exchange);
   }
 
-  /** True once this controller leads and may launch tasks, so that a lone one serves fully. */
+  /**
+   * Returns whether this controller leads, may launch tasks and knows the machine types, so that it
+   * serves fully even if it is the only one.
+   */
   public boolean isServing() {
     return core.ledger.canLaunch() && core.machineTypes.isLoaded();
   }
 
-  /** Gives the lead away and ends; what is recorded stays. */
+  /** Resigns leadership and closes this controller; its records stay in the state service. */
   public void resignAndClose() {
     core.leadership.resign("this process is ending");
     close();
   }
 
-  /** Begins to take part. */
+  /** Starts all components; this controller may be elected from then on. */
   public void start() {
-    LOG.info("{} in {} starts", settings.member(), settings.zone());
+    LOG.info("controller {} in zone {} starts", settings.member(), settings.zone());
     core.replica.reload();
     core.workerManager.start();
     core.peers.start();
@@ -158,7 +161,7 @@
     router.handle(exchange);
   }
 
-  // ---- between the duties ----
+  // ---- callbacks of the components ----
 
   private PeerStatus ownStatus() {
     return statusReporter.peerStatus();
@@ -179,7 +182,7 @@
     scheduling.placer.scheduleTurn();
   }
 
-  /** Leadership is made before those that hear of it. */
+  /** Forwards role changes; needed since leadership is created before their notifier. */
   private final class RoleEvents implements Leadership.Listener {
     @Override
     public void lead(long term) {
@@ -192,7 +195,9 @@
     }
   }
 
-  /** The ledger and the users' desk hear of what others confirmed. */
+  /**
+   * Tells the ledger and the submission handler which cancellations other controllers confirmed.
+   */
   private final class CancellationEvents implements Cancellations.Listener {
     @Override
     public void cancelled(String ref) {
@@ -216,7 +221,7 @@
     }
   }
 
-  /** The replica is made before some of those that hear of it. */
+  /** Forwards records; needed since the replica is created before their dispatcher. */
   private final class ReplicaEvents implements Replica.Listener {
     @Override
     public void put(String key, JsonNode value, long stamp) {
--- a/src/main/java/dapplestair/node/ControllerEnvironment.java
+++ b/src/main/java/dapplestair/node/ControllerEnvironment.java
@@ -8,10 +8,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Everything a controller is given from outside itself.
+ * The ports and settings of a controller that depend on where it runs: in production or in a test.
  *
- * @param launchBatches whether launches of many services are recorded by one put; every controller
- *     of the deployment must be able to read those (docs/silence.md)
+ * @param launchBatches whether the launches of many services are recorded by one put; every
+ *     controller of the deployment must be able to read these records (docs/silence.md)
  */
 public record ControllerEnvironment(
     Clock clock,
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -14,7 +14,7 @@
 import java.util.function.Function;
 import java.util.function.ToDoubleFunction;
 
-/** The figures of a controller that are looked up when somebody asks for them. */
+/** Metrics of a controller whose values are read at each scrape. */
 final class ControllerMetrics {
   private static final String VERSION = "0.2.0";
 
@@ -31,7 +31,7 @@
     return exposition;
   }
 
-  /** Who leads, and what there is in the cluster. */
+  /** Adds metrics on leadership and on the jobs, attempts and machines of the cluster. */
   private static void addCluster(Exposition exposition, ControllerComponents components) {
     exposition
         .gauge(
@@ -89,13 +89,10 @@
             "tasks_unaccounted_for",
             "How often a task was reported that no record explains.",
             () -> components.workers().unaccountedTasks())
-        .gauge(
-            "machines_drained",
-            "Machines drained by operators.",
-            () -> drainedMachineCount(components));
+        .gauge("machines_drained", "Machines drained by operators.", () -> numDrained(components));
   }
 
-  /** The state service, and what waits for it. */
+  /** Adds metrics on the state service and on the transactions that wait for it. */
   private static void addState(Exposition exposition, ControllerComponents components) {
     exposition
         .gauge(
@@ -117,7 +114,7 @@
             () -> queuedTransactions(components));
   }
 
-  /** What teams use, and what they were promised. */
+  /** Adds metrics on what each team uses, its guarantees and its limits. */
   private static void addTeams(Exposition exposition, ControllerComponents components) {
     exposition
         .gauges(
@@ -153,7 +150,7 @@
                     JobStatistics.JobCounts::doneShare));
   }
 
-  /** How classes of jobs are served. */
+  /** Adds metrics on how the jobs of each class are served. */
   private static void addClasses(Exposition exposition, ControllerComponents components) {
     exposition
         .gauges(
@@ -190,7 +187,7 @@
                     JobStatistics.LargestJobStatistics::longestWaitS));
   }
 
-  /** What is stopped by choice. */
+  /** Adds metrics on voluntary disruptions: tasks that the scheduler stops by its own choice. */
   private static void addDisruptions(Exposition exposition, ControllerComponents components) {
     exposition
         .gauges(
@@ -223,7 +220,7 @@
             () -> components.disruptionGate().forced());
   }
 
-  /** The plan applied. */
+  /** Adds metrics on the applied plan. */
   private static void addPlan(Exposition exposition, ControllerComponents components) {
     exposition
         .gauge(
@@ -240,7 +237,7 @@
             () -> planMetric(components, Autoscaler.AppliedPlan::risk));
   }
 
-  private static double drainedMachineCount(ControllerComponents components) {
+  private static double numDrained(ControllerComponents components) {
     return components.workers().hosts().stream().filter(h -> h.drained()).count();
   }
 
--- a/src/main/java/dapplestair/node/CoreComponents.java
+++ b/src/main/java/dapplestair/node/CoreComponents.java
@@ -27,7 +27,8 @@
 import java.util.function.Supplier;
 
 /**
- * What every controller runs, whoever leads: the state service, its peers, the ledger, the workers.
+ * Components that every controller runs, whether it leads or follows: the client of the state
+ * service, the connections to peers, the ledger, and the workers.
  */
 final class CoreComponents implements AutoCloseable {
   final StateClient state;
@@ -45,7 +46,7 @@
   final Relay relay;
   final WorkerManager workerManager;
 
-  /** Null where operators are not served. */
+  /** Null if this controller does not serve operators. */
   final EventLog eventLog;
 
   final Events events;
@@ -54,10 +55,10 @@
   final SubmissionHandler submissionHandler;
 
   /**
-   * Who hears of what the core duties find out.
+   * Suppliers and listeners that the core components call back.
    *
-   * @param ownStatus what peers are told
-   * @param peerStatus hears what a peer told
+   * @param ownStatus supplies the status that is sent to peers
+   * @param peerStatus receives each status that a peer sends
    */
   record Listeners(
       Supplier<PeerStatus> ownStatus,
@@ -162,9 +163,11 @@
   }
 
   /**
-   * A job that is not in the ledger was not over when the records were last read. It matters behind
-   * a cut only: while a peer is served, workers with such jobs are better off with a controller
-   * that can read of them, and its leader would take them for silent if they stayed here.
+   * Returns whether a job that is missing from the ledger was unfinished when the records were last
+   * read. This matters only while this controller is on the wrong side of a network cut: while the
+   * state service serves a peer, workers with such jobs are better served by a controller that can
+   * read the records of these jobs, and the leader would consider these workers silent if they kept
+   * reporting here.
    */
   private boolean wasUnfinishedAtLastRead(String job) {
     return !peers.anyServed() && (acceptedJobs.unread(job) || replica.heldBeforeRestart(job));
--- a/src/main/java/dapplestair/node/EventFields.java
+++ b/src/main/java/dapplestair/node/EventFields.java
@@ -4,7 +4,7 @@
 import dapplestair.ledger.Attempt;
 import dapplestair.ledger.Job;
 
-/** How attempts and jobs appear in events. */
+/** Adds the fields of attempts and jobs to events. */
 final class EventFields {
   private EventFields() {}
 
--- a/src/main/java/dapplestair/node/EventLoopMonitor.java
+++ b/src/main/java/dapplestair/node/EventLoopMonitor.java
@@ -6,7 +6,7 @@
 import dapplestair.ports.Timers;
 import java.util.function.Supplier;
 
-/** Measures how late timers fire, and writes the summary line now and then. */
+/** Measures how late timers fire, and periodically logs the summary line. */
 final class EventLoopMonitor implements AutoCloseable {
   private static final long LAG_CHECK_INTERVAL_MS = 50;
 
@@ -18,7 +18,7 @@
   private Cancellable summaryTimer = () -> {};
   private Cancellable lagTimer = () -> {};
 
-  /** {@code statusLine} is what a summary says besides the figures. */
+  /** Creates a monitor; each summary ends with {@code statusLine}, after the metrics. */
   EventLoopMonitor(
       Clock clock,
       Timers timers,
--- a/src/main/java/dapplestair/node/FaultAttributionEvents.java
+++ b/src/main/java/dapplestair/node/FaultAttributionEvents.java
@@ -5,7 +5,10 @@
 import dapplestair.ledger.Job;
 import dapplestair.workers.Host;
 
-/** What is found out about jobs and machines that fail, brought to operators and to the plan. */
+/**
+ * Publishes findings about failing jobs and machines as events, and runs {@code onCapacityLost}
+ * when a machine is found faulty.
+ */
 record FaultAttributionEvents(Events events, Runnable onCapacityLost)
     implements FaultAttribution.Listener {
   @Override
--- a/src/main/java/dapplestair/node/HttpRouter.java
+++ b/src/main/java/dapplestair/node/HttpRouter.java
@@ -8,7 +8,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 
-/** Brings each request of users, workers and health checks to the duty whose it is. */
+/** Routes each request of users, workers and health checks to the component that handles it. */
 final class HttpRouter {
   private static final String SUBMISSIONS = "/submissions";
 
@@ -20,9 +20,12 @@
   private final long outageThresholdMs;
 
   /**
-   * {@code canTakeRequests} says whether this controller can take requests now, {@code
-   * stateUnreachableMs} for how long the state service has not answered; from {@code
-   * outageThresholdMs} on it is no passing trouble.
+   * Creates the router.
+   *
+   * @param canTakeRequests whether this controller can take requests now
+   * @param stateUnreachableMs for how long the state service has not answered
+   * @param outageThresholdMs after which silence of the state service counts as an outage rather
+   *     than a transient failure
    */
   HttpRouter(
       WorkerManager workers,
@@ -55,7 +58,7 @@
     }
   }
 
-  /** Answers a request of a user, also one that a peer passed on. */
+  /** Answers a request of a user, including one that a peer relayed. */
   void handleUser(Exchange exchange) {
     String path = exchange.path();
     if (path.equals(SUBMISSIONS)) {
@@ -85,10 +88,12 @@
   }
 
   /**
-   * Unhealthy only while another controller can do better: in an outage of all, users are told when
-   * to come back instead of finding nobody. Whoever is served neither by the state service nor by
-   * any peer cannot know; it takes itself for the one that is cut off, since an outage of all is
-   * over for all at once, and costs users little if they find nobody meanwhile.
+   * Answers a health check. A controller reports itself unhealthy only while another controller can
+   * serve users better: in an outage that affects all controllers, users are told when to come back
+   * instead of finding no controller. A controller that reaches neither the state service nor any
+   * peer cannot tell these cases apart. It assumes that it alone is cut off: an outage of all
+   * controllers ends for all of them at once, and it costs users little if they find no controller
+   * until then.
    */
   private void handleHealthCheck(Exchange exchange) {
     boolean cutOff = peers.cutOff() && stateUnreachableMs.getAsLong() > outageThresholdMs;
--- a/src/main/java/dapplestair/node/LedgerCallbackRouter.java
+++ b/src/main/java/dapplestair/node/LedgerCallbackRouter.java
@@ -18,7 +18,7 @@
 import dapplestair.workers.Host;
 import dapplestair.workers.WorkerManager;
 
-/** What the ledger tells and asks, brought to the duties whose it is. */
+/** Routes the callbacks of the ledger to the components that handle them. */
 final class LedgerCallbackRouter implements LedgerCallbacks {
   private final Clock clock;
   private final Metrics metrics;
@@ -37,7 +37,7 @@
     this.estimates = estimates;
   }
 
-  /** The ledger is made before those that hear of it. */
+  /** Sets the components that are called; they are created after the ledger. */
   void wire(CoreComponents core, SchedulingComponents scheduling) {
     workers = core.workerManager;
     submissions = core.submissionHandler;
--- a/src/main/java/dapplestair/node/OperationsComponents.java
+++ b/src/main/java/dapplestair/node/OperationsComponents.java
@@ -10,7 +10,7 @@
 import dapplestair.state.ConditionalWriter;
 import dapplestair.zones.Zones;
 
-/** What operators ask of machines and zones, carried out by the leader. */
+/** Components by which the leader carries out orders of operators on machines and zones. */
 final class OperationsComponents implements AutoCloseable {
   final ConditionalWriter conditionalWriter;
   final Drains drains;
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -18,7 +18,9 @@
 import dapplestair.weights.ImageLocations;
 import dapplestair.zones.Zones;
 
-/** Hands each record of the replica to the duty whose it is. */
+/**
+ * Dispatches each record of the replica to the components that keep it, by the prefix of its key.
+ */
 final class RecordDispatcher implements Replica.Listener {
   private final Leadership leadership;
   private final Ledger ledger;
@@ -35,7 +37,7 @@
   private final Placer placer;
   private final AdminHandler admin;
 
-  /** {@code admin} is null where operators are not served. */
+  /** Creates a dispatcher; {@code admin} is null if operators are not served. */
   RecordDispatcher(
       CoreComponents core,
       SchedulingComponents scheduling,
@@ -114,7 +116,8 @@
     } else if (key.startsWith(StateKeys.LAUNCH_BATCH)) {
       ledger.onLaunchBatchRemoved(key);
     } else if (key.startsWith(StateKeys.JOB)) {
-      // While the ledger still has what was recorded of it.
+      // Before the ledger is told: cancellations need the job's records, which the ledger drops
+      // then.
       cancellations.removed(key.substring(StateKeys.JOB.length()));
       ledger.onJobRemoved(key.substring(StateKeys.JOB.length()));
       if (admin != null) {
--- a/src/main/java/dapplestair/node/RoleChangeNotifier.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -4,7 +4,7 @@
 import dapplestair.events.Events;
 import dapplestair.leadership.Leadership;
 
-/** Tells all duties, in order, that this controller begins or ceases to lead. */
+/** Notifies all components, in a fixed order, that this controller begins or ceases to lead. */
 final class RoleChangeNotifier implements Leadership.Listener {
   private final String member;
   private final CoreComponents core;
@@ -12,7 +12,7 @@
   private final OperationsComponents operations;
   private final AdminHandler admin;
 
-  /** {@code admin} is null where operators are not served. */
+  /** Creates a notifier; {@code admin} is null if operators are not served. */
   RoleChangeNotifier(
       String member,
       CoreComponents core,
@@ -34,7 +34,7 @@
     core.acceptedJobs.lead();
     scheduling.disruptionGate.lead();
     core.workerManager.lead();
-    // Before anything is placed: room that was freed for a rider is its own.
+    // Lanes come before placement: capacity that was freed for a rider is reserved for it.
     scheduling.lanes.lead();
     scheduling.calendars.lead();
     scheduling.imageLocations.lead();
@@ -68,7 +68,7 @@
     core.ledger.clear();
     scheduling.disruptionGate.clear();
     core.workerManager.clear();
-    // What was in memory may not be what was recorded: read all of it again.
+    // The memory may hold changes that were never recorded: reload all records.
     core.replica.restart();
     core.peers.tell();
   }
--- a/src/main/java/dapplestair/node/SchedulingComponents.java
+++ b/src/main/java/dapplestair/node/SchedulingComponents.java
@@ -16,7 +16,7 @@
 import dapplestair.settings.Settings;
 import dapplestair.weights.ImageLocations;
 
-/** Which machines are rented and what runs on them: only a leader's work. */
+/** Components that decide which machines are rented and what runs on them; only a leader acts. */
 final class SchedulingComponents implements AutoCloseable {
   final LostWork lostWork;
   final DisruptionGate disruptionGate;
--- a/src/main/java/dapplestair/node/StatusReporter.java
+++ b/src/main/java/dapplestair/node/StatusReporter.java
@@ -11,7 +11,7 @@
 import dapplestair.submissions.SubmissionHandler;
 import dapplestair.workers.WorkerManager;
 
-/** What a controller says of itself: to its peers, at `/up`, and in the summary line. */
+/** Reports the status of this controller to its peers, at `/up`, and in the summary line. */
 final class StatusReporter {
   private final Leadership leadership;
   private final Ledger ledger;
@@ -35,7 +35,7 @@
     this.types = core.machineTypes;
   }
 
-  /** True when it can take requests now. */
+  /** Returns whether this controller can take requests now. */
   boolean canTakeRequests() {
     return isReady() && state.unreachableMs() == 0;
   }
@@ -54,7 +54,10 @@
         (float) state.demandPutsPerSecond());
   }
 
-  /** Before the records were read once nothing is known at all. */
+  /**
+   * Formats the age of the knowledge of cancellations; "never" until the records have been read
+   * once, since no cancellation is known before.
+   */
   private String formatCancellationsAge() {
     long ageMs = cancellations.ageMs();
     return ageMs > Integer.MAX_VALUE ? "never" : "%.1f s".formatted(ageMs / 1000.0);
--- a/src/main/java/dapplestair/node/package-info.java
+++ b/src/main/java/dapplestair/node/package-info.java
@@ -1,2 +1,2 @@
-/** One controller: its duties, wired together over the ports. */
+/** A controller: wires its components to each other and to the ports. */
 package dapplestair.node;
--- a/src/main/java/dapplestair/settings/CalendarsLoader.java
+++ b/src/main/java/dapplestair/settings/CalendarsLoader.java
@@ -87,7 +87,7 @@
     }
   }
 
-  /** A team that the platform does not know is a slip, not a wish. */
+  /** Rejects calendars of teams that the platform does not know: these must be typing errors. */
   public static void checkTeams(Path path, List<RunCalendar> calendars, Settings settings)
       throws SettingsException {
     for (RunCalendar calendar : calendars) {
--- a/src/main/java/dapplestair/settings/DisruptionBudgets.java
+++ b/src/main/java/dapplestair/settings/DisruptionBudgets.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 
 /**
- * How much disruption of our own choice each team allows.
+ * Disruption budgets: how much voluntary disruption each team allows.
  *
- * @param teams budgets of teams that have their own
+ * @param teams budgets of the teams that have their own, by team
  * @param defaultBudget the budget of all other teams
  */
 public record DisruptionBudgets(
@@ -13,21 +13,22 @@
   static final int NO_LIMIT = Integer.MAX_VALUE;
   static final double NO_RATIO = Double.POSITIVE_INFINITY;
 
-  /** Holds when nothing is said: a replica of each job, and a tenth of a team's, at a time. */
+  /** The defaults: one replica of each job, and a tenth of a team's replicas, at a time. */
   public static final DisruptionBudgets DEFAULTS =
       new DisruptionBudgets(
           Map.of(), new DisruptionBudget(NO_LIMIT, 0.1, 1, NO_RATIO, NO_LIMIT, NO_RATIO));
 
   /**
-   * One team's budget. What is out for any reason counts against it. Where both a count and a ratio
-   * are given, the lesser holds; a ratio is rounded up, so that one above zero always allows one.
+   * The budget of one team. Replicas that are out for any reason count against it. If both a count
+   * and a ratio are given, the lower limit applies. A ratio is rounded up, so that a ratio above
+   * zero always allows one replica.
    *
-   * @param replicas most replicas out at once
-   * @param replicasRatio the same, as a ratio to the replicas that the team wants
-   * @param jobReplicas most replicas of one job out at once
-   * @param jobRatio the same, as a ratio to those that the job wants
-   * @param arrayTasks most tasks of arrays stopped at once
-   * @param lostCpuS most work thrown away in an hour, CPU seconds
+   * @param replicas maximum number of replicas out at once
+   * @param replicasRatio the same limit as a ratio of the replicas that the team wants
+   * @param jobReplicas maximum number of replicas of one job out at once
+   * @param jobRatio the same limit as a ratio of the replicas that the job wants
+   * @param arrayTasks maximum number of tasks of arrays stopped at once
+   * @param lostCpuS maximum work lost in an hour, in CPU seconds
    */
   public record DisruptionBudget(
       int replicas,
@@ -37,12 +38,12 @@
       int arrayTasks,
       double lostCpuS) {
 
-    /** Replicas of a team that may be out at once. */
+    /** Returns how many replicas of a team may be out at once. */
     public int maxTeamReplicasOut(int desiredReplicas) {
       return Math.min(replicas, limitByRatio(replicasRatio, desiredReplicas));
     }
 
-    /** Replicas of one job that may be out at once. */
+    /** Returns how many replicas of one job may be out at once. */
     public int maxJobReplicasOut(int desiredReplicas) {
       return Math.min(jobReplicas, limitByRatio(jobRatio, desiredReplicas));
     }
@@ -51,13 +52,13 @@
       return Double.isInfinite(ratio) ? NO_LIMIT : (int) Math.ceil(ratio * desiredReplicas - 1e-9);
     }
 
-    /** True when nothing is said of work thrown away, so that nothing needs to be recorded. */
+    /** Returns whether lost work is unlimited, so that it need not be recorded. */
     public boolean isLostWorkUnlimited() {
       return Double.isInfinite(lostCpuS);
     }
   }
 
-  /** The budget of a team. */
+  /** Returns the budget of a team. */
   public DisruptionBudget forTeam(String team) {
     return teams.getOrDefault(team, defaultBudget);
   }
--- a/src/main/java/dapplestair/settings/DisruptionBudgetsLoader.java
+++ b/src/main/java/dapplestair/settings/DisruptionBudgetsLoader.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads budgets of disruption from the operators' file. */
+/** Reads disruption budgets from the operators' file. */
 public final class DisruptionBudgetsLoader {
-  // Larger figures are slips of the keyboard.
+  // Larger values are assumed to be typing errors.
   private static final double MAX_REPLICAS = 1e6;
   private static final double MAX_CPU_S = 1e12;
 
@@ -36,7 +36,7 @@
     return new DisruptionBudgets(Map.copyOf(teams), defaultBudget);
   }
 
-  /** What a team does not say holds as for all others. */
+  /** Reads a team's budget; fields that it does not set are taken from {@code defaults}. */
   private static DisruptionBudget budget(
       Path path, dapplestair.settings.proto.Budget proto, DisruptionBudget defaults)
       throws SettingsException {
@@ -67,7 +67,7 @@
     return OperatorSettingsLoader.requireWithin(path, "disruption." + field, value, 0, 1);
   }
 
-  /** A budget for a team that the platform does not know is a slip, not a wish. */
+  /** Rejects budgets of teams that the platform does not know, since they must be typing errors. */
   public static void checkTeams(Path path, DisruptionBudgets budgets, Settings settings)
       throws SettingsException {
     for (String team : budgets.teams().keySet()) {
--- a/src/main/java/dapplestair/settings/Lane.java
+++ b/src/main/java/dapplestair/settings/Lane.java
@@ -5,13 +5,15 @@
 import java.util.Set;
 
 /**
- * Classes of jobs that always go over others. Only jobs of at least {@code rank} ride, and only
- * over jobs of at most {@code overRank}, which is lower: so the protocol's rule on preemption holds
- * whatever users submit.
+ * A lane: jobs of some classes, its riders, always take precedence over jobs of other classes. Only
+ * jobs of at least {@code rank} are riders, and they preempt only jobs of at most {@code overRank},
+ * which is lower. The protocol's rule on preemption therefore holds whatever users submit.
  *
- * @param teams whose jobs ride; all with an empty set
- * @param reserveCpus of steady machines, kept free of what cannot be gone in time
- * @param beginWithinMs how soon a rider is to begin
+ * @param riders classes whose jobs are riders
+ * @param teams teams whose jobs may be riders; an empty set means all teams
+ * @param over classes whose jobs riders may preempt
+ * @param reserveCpus CPUs of steady machines that are kept free of tasks that cannot stop in time
+ * @param beginWithinMs time within which a rider is to begin
  */
 public record Lane(
     String name,
@@ -23,25 +25,28 @@
     double reserveCpus,
     long beginWithinMs) {
 
-  /** True when this job rides here. */
+  /** Returns whether a job is a rider of this lane. */
   public boolean isRider(Submission submission) {
     return riders.contains(submission.jobClass())
         && (teams.isEmpty() || teams.contains(submission.team()))
         && !rank.above(submission.rank());
   }
 
-  /** True when this job is one that riders go over. */
+  /** Returns whether the riders of this lane may preempt a job. */
   public boolean isPreemptible(Submission submission) {
     return over.contains(submission.jobClass()) && !submission.rank().above(overRank);
   }
 
-  /** Seconds that a task is given to save before it makes room; 0 when that would be too long. */
+  /**
+   * Returns the seconds that a preempted task is given to save its progress; 0 if saving would take
+   * longer than a rider may wait to begin.
+   */
   public double windDownS(Submission submission) {
     double savingS = submission.saves() ? 2 * submission.saveS() : 0;
     return 1000 * savingS <= beginWithinMs ? savingS : 0;
   }
 
-  /** True when a task can be gone within the lane's time with all that it has done. */
+  /** Returns whether a task can stop within the time of this lane without losing its progress. */
   public boolean canStopInTime(Submission submission) {
     return !submission.saves() || windDownS(submission) > 0;
   }
--- a/src/main/java/dapplestair/settings/LanesLoader.java
+++ b/src/main/java/dapplestair/settings/LanesLoader.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads lanes from the operators' file, and refuses those that the protocol forbids. */
+/** Reads lanes from the operators' file, and rejects those that the protocol forbids. */
 public final class LanesLoader {
   private static final double MAX_CPUS = 1e6;
 
@@ -75,7 +75,7 @@
     return rank;
   }
 
-  /** A class that goes over itself, by whatever way. */
+  /** Rejects lanes by which a class would preempt itself, directly or through other lanes. */
   private static void rejectCircularPreemption(Path path, List<Lane> lanes)
       throws SettingsException {
     for (Lane firstLane : lanes) {
@@ -98,7 +98,7 @@
     }
   }
 
-  /** A team that the platform does not know is a slip, not a wish. */
+  /** Rejects lanes of teams that the platform does not know: these must be typing errors. */
   public static void checkTeams(Path path, List<Lane> lanes, Settings settings)
       throws SettingsException {
     for (Lane lane : lanes) {
--- a/src/main/java/dapplestair/settings/OperatorSettings.java
+++ b/src/main/java/dapplestair/settings/OperatorSettings.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Operators' own choices, with the values that hold when nothing is said.
+ * Settings that operators choose, with defaults for those that they do not set.
  *
- * @param beginWithinMs within what every job is to begin, the largest ones too
- * @param relayAbove share of the leader's connections that machines may take before their
- *     connections are spread over all controllers; 0 spreads them always
+ * @param beginWithinMs time within which every job is to begin, including the largest ones
+ * @param relayAbove share of the leader's connections that machines may use before their
+ *     connections are spread over all controllers; 0 always spreads them
  */
 public record OperatorSettings(
     long planIntervalMs,
@@ -28,28 +28,28 @@
     Admin admin) {
 
   /**
-   * The operators' interface.
+   * Settings of the operators' interface.
    *
-   * @param maxConnections at once; those beyond get 503
+   * @param maxConnections maximum number of connections at once; further ones are answered with 503
    * @param tokens file of tokens, or null
    * @param tls key files, or null for plain HTTP on loopback
    */
   public record Admin(Settings.Address listen, int maxConnections, Path tokens, Tls tls) {
-    /** On this address, for everybody on this machine. */
+    /** Returns settings for plain HTTP on {@code listen}, open to every user of this machine. */
     public static Admin withoutAuthentication(Settings.Address listen) {
       return new Admin(listen, DEFAULT_MAX_CONNECTIONS, null, null);
     }
   }
 
-  /** PEM files. */
+  /** The PEM files for TLS. */
   public record Tls(Path certificate, Path key, Path authority) {}
 
   static final int DEFAULT_MAX_CONNECTIONS = 32;
 
-  /** The rest is for users, peers, the state service and the cloud. */
+  /** The remaining connections are for users, peers, the state service and the cloud. */
   private static final double DEFAULT_RELAY_ABOVE = 0.9;
 
-  /** What holds without an operator file. */
+  /** Returns the settings that apply without an operators' file. */
   public static OperatorSettings defaults() {
     return new OperatorSettings(
         3_000,
@@ -69,32 +69,32 @@
         null);
   }
 
-  /** The same with this operators' interface. */
+  /** Returns a copy with these settings of the operators' interface. */
   public OperatorSettings withAdmin(Admin newAdmin) {
     return with(beginWithinMs, relayAbove, lanes, calendars, budgets, newAdmin);
   }
 
-  /** The same with another bound within what every job is to begin. */
+  /** Returns a copy with this time within which every job is to begin. */
   public OperatorSettings withBeginWithinMs(long newBeginWithinMs) {
     return with(newBeginWithinMs, relayAbove, lanes, calendars, budgets, admin);
   }
 
-  /** The same with connections spread beyond this share. */
+  /** Returns a copy that spreads connections above this share of the leader's. */
   public OperatorSettings withRelayAbove(double newRelayAbove) {
     return with(beginWithinMs, newRelayAbove, lanes, calendars, budgets, admin);
   }
 
-  /** The same with these lanes. */
+  /** Returns a copy with these lanes. */
   public OperatorSettings withLanes(List<Lane> newLanes) {
     return with(beginWithinMs, relayAbove, newLanes, calendars, budgets, admin);
   }
 
-  /** The same with these calendars. */
+  /** Returns a copy with these calendars. */
   public OperatorSettings withCalendars(List<RunCalendar> newCalendars) {
     return with(beginWithinMs, relayAbove, lanes, newCalendars, budgets, admin);
   }
 
-  /** The same with these budgets of disruption. */
+  /** Returns a copy with these disruption budgets. */
   public OperatorSettings withBudgets(DisruptionBudgets newBudgets) {
     return with(beginWithinMs, relayAbove, lanes, calendars, newBudgets, admin);
   }
--- a/src/main/java/dapplestair/settings/OperatorSettingsLoader.java
+++ b/src/main/java/dapplestair/settings/OperatorSettingsLoader.java
@@ -6,11 +6,11 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Reads the operators' file, protobuf text format. */
+/** Reads the operators' file, which is in protobuf text format. */
 public final class OperatorSettingsLoader {
   private OperatorSettingsLoader() {}
 
-  /** Loads and checks a file. */
+  /** Loads and validates a file. */
   public static OperatorSettings load(Path path) throws SettingsException {
     dapplestair.settings.proto.Operator.Builder proto =
         dapplestair.settings.proto.Operator.newBuilder();
@@ -95,7 +95,7 @@
     return admin;
   }
 
-  /** Plain HTTP is for this machine only. */
+  /** Rejects plain HTTP on an address that is not loopback, as it must serve this machine only. */
   public static void checkAdmin(OperatorSettings.Admin admin) throws SettingsException {
     if (admin.tls() == null && !isLoopback(admin.listen())) {
       throw new SettingsException(
@@ -103,14 +103,17 @@
     }
   }
 
-  /** True for 127.0.0.0/8 and ::1; names are not looked up, except the usual one. */
+  /**
+   * Returns whether an address is in 127.0.0.0/8 or is ::1. Of host names, only {@code localhost}
+   * is accepted, as none is looked up.
+   */
   static boolean isLoopback(Settings.Address address) {
     return address.host().equals("localhost")
         || InetAddresses.isInetAddress(address.host())
             && InetAddresses.forString(address.host()).isLoopbackAddress();
   }
 
-  /** A file named in the operators' file: relative to where that lies. */
+  /** Resolves a file name in the operators' file relative to the folder of that file. */
   private static Path resolveFile(Path path, String field, String name) throws SettingsException {
     if (name.isEmpty()) {
       throw new SettingsException(path + ": " + field + ": missing");
--- a/src/main/java/dapplestair/settings/RunCalendar.java
+++ b/src/main/java/dapplestair/settings/RunCalendar.java
@@ -8,16 +8,19 @@
 import java.util.Set;
 
 /**
- * When cycles of runs begin, and what they wait for. Cycles follow each other at a steady period
- * from a time of day on, and begin anew with each day: where clocks are changed the last cycle of
- * that day is shorter or longer, and none is left out.
+ * A calendar that says when cycles of runs begin, and for which deliveries they wait. Each day, the
+ * first cycle begins at a fixed time of day and the others follow at a fixed period. On days on
+ * which clocks are changed, the last cycle is shorter or longer, and no time is left without a
+ * cycle.
  *
- * @param runs classes whose jobs are the cycle's runs
- * @param team whose jobs they are; null for any
+ * @param runs classes whose jobs are the runs of a cycle
+ * @param team team whose jobs are the runs and deliveries; null for any team
+ * @param firstStart time of day at which the first cycle of a day begins
  * @param deliveries classes whose jobs, once done, are deliveries
- * @param complete so many deliveries release a cycle
- * @param quorum so many do once {@code quorumAfterMs} has passed since its start; 0 for never
- * @param cutOffMs after which it is released with what is there
+ * @param complete number of deliveries that releases a cycle
+ * @param quorum number of deliveries that releases a cycle once {@code quorumAfterMs} has passed
+ *     since its start; 0 for never
+ * @param cutOffMs time since its start after which a cycle is released with whatever was delivered
  */
 public record RunCalendar(
     String name,
@@ -32,18 +35,20 @@
     long quorumAfterMs,
     long cutOffMs) {
 
-  /** True for a job that this calendar releases. */
+  /** Returns whether a job is a run that this calendar releases. */
   public boolean isRun(Submission submission) {
     return runs.contains(submission.jobClass()) && (team == null || team.equals(submission.team()));
   }
 
-  /** True for a job that is a delivery once it is done. */
+  /** Returns whether a job is a delivery once it is done. */
   public boolean isDelivery(Submission submission) {
     return deliveries.contains(submission.jobClass())
         && (team == null || team.equals(submission.team()));
   }
 
-  /** The start of the cycle to which a moment belongs, both in milliseconds of the time of day. */
+  /**
+   * Returns the start of the cycle that contains {@code wallMs}, both in wall clock milliseconds.
+   */
   public long cycleStartMs(long wallMs) {
     LocalDate day = Instant.ofEpochMilli(wallMs).atZone(timeZone).toLocalDate();
     long firstMs = firstStartMs(day);
@@ -53,7 +58,7 @@
     return firstMs + Math.floorDiv(wallMs - firstMs, periodMs) * periodMs;
   }
 
-  /** The start of the cycle after this one. */
+  /** Returns the start of the cycle after the one that starts at {@code startMs}. */
   public long nextCycleStartMs(long startMs) {
     LocalDate day = Instant.ofEpochMilli(startMs).atZone(timeZone).toLocalDate();
     long firstMs = firstStartMs(day);
--- a/src/main/java/dapplestair/settings/Settings.java
+++ b/src/main/java/dapplestair/settings/Settings.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the platform hands over, checked. Durations ending in Ms are milliseconds. */
+/** Validated settings that the platform provides. Names that end in Ms are milliseconds. */
 public record Settings(
     String member,
     String zone,
@@ -22,7 +22,7 @@
 
   /** A host and a port. */
   public record Address(String host, int port) {
-    /** Reads {@code host:port}, or gives null. */
+    /** Parses {@code host:port}; returns null if the text has another form. */
     public static Address parse(String text) {
       int colon = text.lastIndexOf(':');
       try {
@@ -44,35 +44,37 @@
   /** Another controller. */
   public record Peer(String member, String zone, Address endpoint) {}
 
-  /** A team's guarantee and limit; 0 means none. */
+  /** The guarantees and limits of a team; 0 means none. */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-    /** True when this team has any limit or guarantee. */
+    /** Returns whether this team has any guarantee or limit. */
     public boolean hasGuaranteeOrLimit() {
       return cpus > 0 || cpusMax > 0 || gpus > 0 || gpusMax > 0;
     }
   }
 
-  /** An aim as its users state it. */
+  /** A service objective of a class of jobs, as its users state it. */
   public record Objective(String kind, String jobClass, double withinS, double share) {}
 
-  /** Workers' timing. */
+  /** Reporting interval, lease duration and cancellation time of workers. */
   public record Workers(long reportMs, long leaseMs, long cancelMs) {}
 
-  /** The state service's limits. */
+  /** Limits of the state service. */
   public record State(double rps, double writeRps, int valueBytes, int txnOps) {}
 
-  /** The cloud's limits. */
+  /** Limits of the cloud interface. */
   public record Cloud(double rps, long listLagMs) {}
 
-  /** This machine. */
+  /** Resources of the machine on which this controller runs. */
   public record Resources(double cpu, double ramMb, int maxConnections) {}
 
-  /** Controllers in all, this one included. */
+  /** Returns the number of controllers, including this one. */
   public int controllerCount() {
     return peers.size() + 1;
   }
 
-  /** The tightest start time any class is promised, or {@code defaultS}. */
+  /**
+   * Returns the shortest start time promised to any class, or {@code defaultS} if there is none.
+   */
   public double tightestStartS(double defaultS) {
     return objectives.stream()
         .filter(o -> o.kind().equals("wait"))
--- a/src/main/java/dapplestair/settings/SettingsException.java
+++ b/src/main/java/dapplestair/settings/SettingsException.java
@@ -1,10 +1,10 @@
 package dapplestair.settings;
 
-/** A settings file that cannot be used; the message names file, field and value. */
+/** Thrown if a settings file is invalid; the message names the file, the field and its value. */
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** With the line to show to the operator. */
+  /** Creates an exception with the line to show to the operator. */
   public SettingsException(String message) {
     super(message);
   }
--- a/src/main/java/dapplestair/settings/SettingsLoader.java
+++ b/src/main/java/dapplestair/settings/SettingsLoader.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads and checks the platform's file. Fields it does not know are ignored. */
+/** Reads and validates the platform's file. Unknown fields are ignored. */
 public final class SettingsLoader {
   private final String file;
 
@@ -20,7 +20,7 @@
     this.file = file;
   }
 
-  /** Loads a file. */
+  /** Loads and validates a file. */
   public static Settings load(Path path) throws SettingsException {
     String text;
     try {
@@ -31,7 +31,7 @@
     return parse(path.toString(), text);
   }
 
-  /** Parses a file's text; {@code name} is used in messages. */
+  /** Parses the text of a file; {@code name} names the file in messages. */
   public static Settings parse(String name, String text) throws SettingsException {
     SettingsLoader loader = new SettingsLoader(name);
     JsonNode root;
@@ -101,7 +101,7 @@
   private List<Settings.Objective> objectives(JsonNode settings) {
     List<Settings.Objective> objectives = new ArrayList<>();
     for (JsonNode node : settings.path("objectives")) {
-      // Kinds may be added by the platform: what is not understood is passed over.
+      // The platform may add kinds of objectives, so unknown kinds are not rejected.
       objectives.add(
           new Settings.Objective(
               node.path("kind").asText(""),
--- a/src/main/java/dapplestair/settings/package-info.java
+++ b/src/main/java/dapplestair/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's settings and the operators' own, checked when read. */
+/** Settings of the platform and of the operators, validated when they are read. */
 package dapplestair.settings;
--- a/src/test/java/dapplestair/settings/LanesLoaderTest.java
+++ b/src/test/java/dapplestair/settings/LanesLoaderTest.java
@@ -31,7 +31,7 @@
     assertEquals(2000, lane.beginWithinMs());
   }
 
-  /** What the protocol forbids, and slips: one line with file, field and value. */
+  /** Lanes that the protocol forbids and typing errors: the message names file, field and value. */
   @ParameterizedTest(name = "{0}")
   @CsvSource(
       delimiter = ';',
--- a/src/test/java/dapplestair/settings/RunCalendarTest.java
+++ b/src/test/java/dapplestair/settings/RunCalendarTest.java
@@ -42,16 +42,18 @@
     return Instant.parse(instant).toEpochMilli();
   }
 
-  /** Days of 23 and 25 hours, a leap day, a year's end, and the moment of a start itself. */
+  /**
+   * Covers days of 23 and 25 hours, a leap day, the end of a year, and the start of a cycle itself.
+   */
   @ParameterizedTest(name = "{0} h in {1}: {2}")
   @CsvSource({
     "3,UTC,2026-12-31T23:59:59Z,2026-12-31T21:15:00Z,2027-01-01T00:15:00Z",
     "3,UTC,2027-01-01T00:15:00Z,2027-01-01T00:15:00Z,2027-01-01T03:15:00Z",
     "3,UTC,2027-01-01T00:14:59Z,2026-12-31T21:15:00Z,2027-01-01T00:15:00Z",
     "24,UTC,2028-02-29T12:00:00Z,2028-02-29T00:15:00Z,2028-03-01T00:15:00Z",
-    // Clocks go forward at 01:00 UTC: that day's last cycle is two hours long.
+    // Clocks go forward at 01:00 UTC, so that the last cycle of the day is two hours long.
     "3,Europe/Berlin,2026-03-29T21:00:00Z,2026-03-29T20:15:00Z,2026-03-29T22:15:00Z",
-    // Clocks go back: its last cycle is one hour long.
+    // Clocks go back, so that the last cycle of the day is one hour long.
     "3,Europe/Berlin,2026-10-25T23:00:00Z,2026-10-25T22:15:00Z,2026-10-25T23:15:00Z",
   })
   void findsCycleAndNextCycle(int hours, String zone, String at, String start, String next) {
@@ -60,7 +62,7 @@
     assertEquals(epochMs(next), calendar.nextCycleStartMs(calendar.cycleStartMs(epochMs(at))));
   }
 
-  /** Whatever the zone: each moment lies in one cycle, and none is left out. */
+  /** In every time zone, each moment lies in exactly one cycle. */
   @Test
   void cyclesCoverAllTimes() {
     for (String zone : new String[] {"UTC", "Europe/Berlin", "America/Sao_Paulo", "Asia/Kolkata"}) {
--- a/src/test/java/dapplestair/settings/SettingsLoaderTest.java
+++ b/src/test/java/dapplestair/settings/SettingsLoaderTest.java
@@ -106,7 +106,7 @@
     assertEquals(
         2,
         budgets.forTeam("t").maxJobReplicasOut(9),
-        "what a team does not say holds as for others");
+        "a field that a team does not set is taken from the default budget");
     DisruptionBudgetsLoader.checkTeams(file, budgets, SettingsLoader.parse("f", GOOD));
     Files.writeString(file, "disruption { team: \"nobody\" replicas: 3 }");
     DisruptionBudgets unknownTeam = OperatorSettingsLoader.load(file).budgets();
