--- a/src/main/java/dapplestair/settings/CalendarsLoader.java
+++ b/src/main/java/dapplestair/settings/CalendarsLoader.java
@@ -23,7 +23,7 @@
     Set<String> names = new HashSet<>();
     Set<String> classes = new HashSet<>();
     for (dapplestair.settings.proto.Calendar proto : protos) {
-      RunCalendar calendar = calendar(path, proto);
+      RunCalendar calendar = parseCalendar(path, proto);
       if (!names.add(calendar.name())) {
         throw invalid(path, "name", calendar.name(), "given twice");
       }
@@ -40,7 +40,7 @@
     return List.copyOf(calendars);
   }
 
-  private static RunCalendar calendar(Path path, dapplestair.settings.proto.Calendar proto)
+  private static RunCalendar parseCalendar(Path path, dapplestair.settings.proto.Calendar proto)
       throws SettingsException {
     if (!proto.getName().matches("[a-z][a-z0-9-]{0,39}")) {
       throw invalid(path, "name", proto.getName(), "must be small letters, digits and dashes");
@@ -48,30 +48,31 @@
     if (proto.getRunsCount() == 0 || proto.getDeliveriesCount() == 0) {
       throw invalid(path, proto.getRunsCount() == 0 ? "runs" : "deliveries", "", "missing");
     }
-    double periodS = number(path, "period_s", proto.getPeriodS(), 1, DAY_S);
-    int complete = (int) number(path, "complete", proto.getComplete(), 1, MAX_DELIVERIES);
-    int quorum = (int) number(path, "quorum", proto.getQuorum(), 0, complete);
-    double cutOffS = number(path, "cut_off_s", proto.getCutOffS(), 0.1, periodS);
+    double periodS = requireWithin(path, "period_s", proto.getPeriodS(), 1, DAY_S);
+    int complete = (int) requireWithin(path, "complete", proto.getComplete(), 1, MAX_DELIVERIES);
+    int quorum = (int) requireWithin(path, "quorum", proto.getQuorum(), 0, complete);
+    double cutOffS = requireWithin(path, "cut_off_s", proto.getCutOffS(), 0.1, periodS);
     return new RunCalendar(
         proto.getName(),
         Set.copyOf(proto.getRunsList()),
         proto.getTeam().isEmpty() ? null : proto.getTeam(),
-        timeOfDay(path, proto.getAt()),
+        parseTimeOfDay(path, proto.getAt()),
         Math.round(1000 * periodS),
-        timeZone(path, proto.getTimeZone()),
+        parseTimeZone(path, proto.getTimeZone()),
         Set.copyOf(proto.getDeliveriesList()),
         complete,
         quorum,
-        Math.round(1000 * number(path, "quorum_after_s", proto.getQuorumAfterS(), 0, cutOffS)),
+        Math.round(
+            1000 * requireWithin(path, "quorum_after_s", proto.getQuorumAfterS(), 0, cutOffS)),
         Math.round(1000 * cutOffS));
   }
 
-  private static double number(Path path, String field, double value, double min, double max)
+  private static double requireWithin(Path path, String field, double value, double min, double max)
       throws SettingsException {
     return OperatorSettingsLoader.requireWithin(path, "calendar." + field, value, min, max);
   }
 
-  private static LocalTime timeOfDay(Path path, String text) throws SettingsException {
+  private static LocalTime parseTimeOfDay(Path path, String text) throws SettingsException {
     try {
       return text.isEmpty() ? LocalTime.MIDNIGHT : LocalTime.parse(text);
     } catch (DateTimeParseException e) {
@@ -79,7 +80,7 @@
     }
   }
 
-  private static ZoneId timeZone(Path path, String text) throws SettingsException {
+  private static ZoneId parseTimeZone(Path path, String text) throws SettingsException {
     try {
       return ZoneId.of(text.isEmpty() ? "UTC" : text);
     } catch (DateTimeException e) {
--- a/src/main/java/dapplestair/settings/DisruptionBudgetsLoader.java
+++ b/src/main/java/dapplestair/settings/DisruptionBudgetsLoader.java
@@ -22,13 +22,13 @@
         if (defaultBudget != DisruptionBudgets.DEFAULTS.defaultBudget()) {
           throw new SettingsException(path + ": disruption.team = \"\": given twice");
         }
-        defaultBudget = budget(path, proto, defaultBudget);
+        defaultBudget = parseBudget(path, proto, defaultBudget);
       }
     }
     Map<String, DisruptionBudget> teams = new HashMap<>();
     for (dapplestair.settings.proto.Budget proto : protos) {
       if (!proto.getTeam().isEmpty()
-          && teams.put(proto.getTeam(), budget(path, proto, defaultBudget)) != null) {
+          && teams.put(proto.getTeam(), parseBudget(path, proto, defaultBudget)) != null) {
         throw new SettingsException(
             path + ": disruption.team = \"" + proto.getTeam() + "\": given twice");
       }
@@ -37,20 +37,24 @@
   }
 
   /** Reads a team's budget; fields that it does not set are taken from {@code defaults}. */
-  private static DisruptionBudget budget(
+  private static DisruptionBudget parseBudget(
       Path path, dapplestair.settings.proto.Budget proto, DisruptionBudget defaults)
       throws SettingsException {
     return new DisruptionBudget(
-        proto.hasReplicas() ? count(path, "replicas", proto.getReplicas()) : defaults.replicas(),
+        proto.hasReplicas()
+            ? requireCount(path, "replicas", proto.getReplicas())
+            : defaults.replicas(),
         proto.hasReplicasRatio()
-            ? ratio(path, "replicas_ratio", proto.getReplicasRatio())
+            ? requireRatio(path, "replicas_ratio", proto.getReplicasRatio())
             : defaults.replicasRatio(),
         proto.hasJobReplicas()
-            ? count(path, "job_replicas", proto.getJobReplicas())
+            ? requireCount(path, "job_replicas", proto.getJobReplicas())
             : defaults.jobReplicas(),
-        proto.hasJobRatio() ? ratio(path, "job_ratio", proto.getJobRatio()) : defaults.jobRatio(),
+        proto.hasJobRatio()
+            ? requireRatio(path, "job_ratio", proto.getJobRatio())
+            : defaults.jobRatio(),
         proto.hasArrayTasks()
-            ? count(path, "array_tasks", proto.getArrayTasks())
+            ? requireCount(path, "array_tasks", proto.getArrayTasks())
             : defaults.arrayTasks(),
         proto.hasLostCpuSPerHour()
             ? OperatorSettingsLoader.requireWithin(
@@ -58,12 +62,13 @@
             : defaults.lostCpuS());
   }
 
-  private static int count(Path path, String field, int value) throws SettingsException {
+  private static int requireCount(Path path, String field, int value) throws SettingsException {
     return (int)
         OperatorSettingsLoader.requireWithin(path, "disruption." + field, value, 0, MAX_REPLICAS);
   }
 
-  private static double ratio(Path path, String field, double value) throws SettingsException {
+  private static double requireRatio(Path path, String field, double value)
+      throws SettingsException {
     return OperatorSettingsLoader.requireWithin(path, "disruption." + field, value, 0, 1);
   }
 
--- a/src/main/java/dapplestair/settings/LanesLoader.java
+++ b/src/main/java/dapplestair/settings/LanesLoader.java
@@ -18,7 +18,7 @@
     List<Lane> lanes = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (dapplestair.settings.proto.Lane proto : protos) {
-      Lane lane = lane(path, proto);
+      Lane lane = parseLane(path, proto);
       if (!names.add(lane.name())) {
         throw invalid(path, "name", lane.name(), "given twice");
       }
@@ -28,7 +28,7 @@
     return List.copyOf(lanes);
   }
 
-  private static Lane lane(Path path, dapplestair.settings.proto.Lane proto)
+  private static Lane parseLane(Path path, dapplestair.settings.proto.Lane proto)
       throws SettingsException {
     if (!proto.getName().matches("[a-z][a-z0-9-]{0,39}")) {
       throw invalid(path, "name", proto.getName(), "must be small letters, digits and dashes");
@@ -39,8 +39,8 @@
     if (proto.getOverCount() == 0) {
       throw invalid(path, "over", "", "missing");
     }
-    Rank rank = rank(path, "rank", proto.getRank());
-    Rank overRank = rank(path, "over_rank", proto.getOverRank());
+    Rank rank = parseRank(path, "rank", proto.getRank());
+    Rank overRank = parseRank(path, "over_rank", proto.getOverRank());
     if (!rank.above(overRank)) {
       throw invalid(
           path,
@@ -67,7 +67,7 @@
                     : 2)));
   }
 
-  private static Rank rank(Path path, String field, String text) throws SettingsException {
+  private static Rank parseRank(Path path, String field, String text) throws SettingsException {
     Rank rank = Rank.of(text);
     if (rank == null) {
       throw invalid(path, field, text, "must be critical, high, standard or low");
--- a/src/main/java/dapplestair/settings/OperatorSettingsLoader.java
+++ b/src/main/java/dapplestair/settings/OperatorSettingsLoader.java
@@ -62,11 +62,11 @@
         LanesLoader.read(path, proto.getLaneList()),
         CalendarsLoader.read(path, proto.getCalendarList()),
         DisruptionBudgetsLoader.read(path, proto.getDisruptionList()),
-        proto.hasAdmin() ? admin(path, proto.getAdmin()) : null);
+        proto.hasAdmin() ? parseAdmin(path, proto.getAdmin()) : null);
   }
 
-  private static OperatorSettings.Admin admin(Path path, dapplestair.settings.proto.Admin proto)
-      throws SettingsException {
+  private static OperatorSettings.Admin parseAdmin(
+      Path path, dapplestair.settings.proto.Admin proto) throws SettingsException {
     Settings.Address listen = Settings.Address.parse(proto.getListen());
     if (listen == null) {
       throw new SettingsException(
--- a/src/main/java/dapplestair/settings/SettingsLoader.java
+++ b/src/main/java/dapplestair/settings/SettingsLoader.java
@@ -44,17 +44,17 @@
   }
 
   private Settings read(JsonNode root) throws SettingsException {
-    JsonNode endpoints = table(root, "outside", "");
-    JsonNode settings = table(root, "settings", "");
+    JsonNode endpoints = requireTable(root, "outside", "");
+    JsonNode settings = requireTable(root, "settings", "");
     List<Settings.Peer> peers = new ArrayList<>();
     int index = 0;
     for (JsonNode node : root.path("peers")) {
       String prefix = "peers[" + index++ + "].";
       peers.add(
           new Settings.Peer(
-              text(node, "member", prefix),
-              text(node, "zone", prefix),
-              address(node, "endpoint", prefix)));
+              requireText(node, "member", prefix),
+              requireText(node, "zone", prefix),
+              requireAddress(node, "endpoint", prefix)));
     }
     List<String> zones = new ArrayList<>();
     for (JsonNode zone : settings.path("zones")) {
@@ -64,41 +64,41 @@
       zones.add(zone.textValue());
     }
     return new Settings(
-        text(root, "member", ""),
-        text(root, "zone", ""),
-        address(root, "client_listen", ""),
-        address(root, "peer_bind", ""),
+        requireText(root, "member", ""),
+        requireText(root, "zone", ""),
+        requireAddress(root, "client_listen", ""),
+        requireAddress(root, "peer_bind", ""),
         List.copyOf(peers),
-        address(endpoints, "cloud", "outside.").toString(),
-        address(endpoints, "state", "outside.").toString(),
+        requireAddress(endpoints, "cloud", "outside.").toString(),
+        requireAddress(endpoints, "state", "outside.").toString(),
         List.copyOf(zones),
-        teams(settings),
-        objectives(settings),
-        workers(table(settings, "workers", "settings.")),
-        state(table(settings, "state", "settings.")),
-        cloud(table(settings, "cloud", "settings.")),
-        resources(settings.path("resources")));
+        parseTeams(settings),
+        parseObjectives(settings),
+        parseWorkers(requireTable(settings, "workers", "settings.")),
+        parseState(requireTable(settings, "state", "settings.")),
+        parseCloud(requireTable(settings, "cloud", "settings.")),
+        parseResources(settings.path("resources")));
   }
 
-  private Map<String, Settings.Team> teams(JsonNode settings) throws SettingsException {
+  private Map<String, Settings.Team> parseTeams(JsonNode settings) throws SettingsException {
     Map<String, Settings.Team> teams = new LinkedHashMap<>();
     int index = 0;
     for (JsonNode node : settings.path("teams")) {
       String prefix = "settings.teams[" + index++ + "].";
-      String name = text(node, "name", prefix);
+      String name = requireText(node, "name", prefix);
       teams.put(
           name,
           new Settings.Team(
               name,
-              nonNegative(node, "cpus", prefix),
-              nonNegative(node, "cpus_max", prefix),
-              nonNegative(node, "gpus", prefix),
-              nonNegative(node, "gpus_max", prefix)));
+              parseNonNegative(node, "cpus", prefix),
+              parseNonNegative(node, "cpus_max", prefix),
+              parseNonNegative(node, "gpus", prefix),
+              parseNonNegative(node, "gpus_max", prefix)));
     }
     return Map.copyOf(teams);
   }
 
-  private List<Settings.Objective> objectives(JsonNode settings) {
+  private List<Settings.Objective> parseObjectives(JsonNode settings) {
     List<Settings.Objective> objectives = new ArrayList<>();
     for (JsonNode node : settings.path("objectives")) {
       // The platform may add kinds of objectives, so unknown kinds are not rejected.
@@ -112,37 +112,39 @@
     return List.copyOf(objectives);
   }
 
-  private Settings.Workers workers(JsonNode node) throws SettingsException {
+  private Settings.Workers parseWorkers(JsonNode node) throws SettingsException {
     String prefix = "settings.workers.";
     return new Settings.Workers(
-        millis(node, "report_s", prefix),
-        millis(node, "lease_s", prefix),
-        millis(node, "cancel_s", prefix));
+        requireMillis(node, "report_s", prefix),
+        requireMillis(node, "lease_s", prefix),
+        requireMillis(node, "cancel_s", prefix));
   }
 
-  private Settings.State state(JsonNode node) throws SettingsException {
+  private Settings.State parseState(JsonNode node) throws SettingsException {
     String prefix = "settings.state.";
     return new Settings.State(
-        positive(node, "rps", prefix),
-        positive(node, "write_rps", prefix),
-        (int) (positive(node, "value_kb", prefix) * 1024),
-        (int) positive(node, "txn_ops", prefix));
+        requirePositive(node, "rps", prefix),
+        requirePositive(node, "write_rps", prefix),
+        (int) (requirePositive(node, "value_kb", prefix) * 1024),
+        (int) requirePositive(node, "txn_ops", prefix));
   }
 
-  private Settings.Cloud cloud(JsonNode node) throws SettingsException {
+  private Settings.Cloud parseCloud(JsonNode node) throws SettingsException {
     String prefix = "settings.cloud.";
-    return new Settings.Cloud(positive(node, "rps", prefix), millis(node, "list_lag_s", prefix));
+    return new Settings.Cloud(
+        requirePositive(node, "rps", prefix), requireMillis(node, "list_lag_s", prefix));
   }
 
-  private Settings.Resources resources(JsonNode node) throws SettingsException {
+  private Settings.Resources parseResources(JsonNode node) throws SettingsException {
     String prefix = "settings.resources.";
     return new Settings.Resources(
-        positive(node, "cpu", prefix),
-        positive(node, "ram_mb", prefix),
-        (int) positive(node, "max_connections", prefix));
+        requirePositive(node, "cpu", prefix),
+        requirePositive(node, "ram_mb", prefix),
+        (int) requirePositive(node, "max_connections", prefix));
   }
 
-  private JsonNode table(JsonNode parent, String field, String prefix) throws SettingsException {
+  private JsonNode requireTable(JsonNode parent, String field, String prefix)
+      throws SettingsException {
     JsonNode node = parent.path(field);
     if (!node.isObject()) {
       throw invalid(prefix + field, node, "a table");
@@ -150,7 +152,8 @@
     return node;
   }
 
-  private String text(JsonNode parent, String field, String prefix) throws SettingsException {
+  private String requireText(JsonNode parent, String field, String prefix)
+      throws SettingsException {
     JsonNode node = parent.path(field);
     if (!node.isTextual() || node.textValue().isEmpty()) {
       throw invalid(prefix + field, node, "a text");
@@ -158,15 +161,16 @@
     return node.textValue();
   }
 
-  private Address address(JsonNode parent, String field, String prefix) throws SettingsException {
-    Address address = Address.parse(text(parent, field, prefix));
+  private Address requireAddress(JsonNode parent, String field, String prefix)
+      throws SettingsException {
+    Address address = Address.parse(requireText(parent, field, prefix));
     if (address != null) {
       return address;
     }
     throw invalid(prefix + field, parent.path(field), "host:port");
   }
 
-  private double nonNegative(JsonNode parent, String field, String prefix)
+  private double parseNonNegative(JsonNode parent, String field, String prefix)
       throws SettingsException {
     JsonNode node = parent.path(field);
     if (node.isMissingNode()) {
@@ -178,7 +182,8 @@
     return node.doubleValue();
   }
 
-  private double positive(JsonNode parent, String field, String prefix) throws SettingsException {
+  private double requirePositive(JsonNode parent, String field, String prefix)
+      throws SettingsException {
     JsonNode node = parent.path(field);
     if (!node.isNumber() || !Double.isFinite(node.doubleValue()) || node.doubleValue() <= 0) {
       throw invalid(prefix + field, node, "a number above 0");
@@ -186,8 +191,9 @@
     return node.doubleValue();
   }
 
-  private long millis(JsonNode parent, String field, String prefix) throws SettingsException {
-    return Math.round(positive(parent, field, prefix) * 1000);
+  private long requireMillis(JsonNode parent, String field, String prefix)
+      throws SettingsException {
+    return Math.round(requirePositive(parent, field, prefix) * 1000);
   }
 
   private SettingsException invalid(String field, JsonNode value, String expected) {
