--- a/src/main/java/dapplestair/disruption/DisruptionGate.java
+++ b/src/main/java/dapplestair/disruption/DisruptionGate.java
@@ -174,10 +174,10 @@
 
   private DisruptionRefusal checkBudget(Attempt attempt) {
     String team = attempt.spec().team();
-    DisruptionBudget budget = budgets.of(team);
+    DisruptionBudget budget = budgets.forTeam(team);
     TeamTotals totals = totalsOf(team);
     if (attempt.spec().isService()) {
-      int maxOfTeam = budget.ofTeam(totals.wantedReplicas);
+      int maxOfTeam = budget.maxTeamReplicasOut(totals.wantedReplicas);
       if (totals.unavailableReplicas >= maxOfTeam) {
         return new DisruptionRefusal(
             team,
@@ -187,7 +187,7 @@
             describeUnavailable(totals.unavailableReplicas, totals.stoppingReplicas));
       }
       int steps = attempt.spec().taskCount();
-      int maxOfJob = budget.ofJob(steps);
+      int maxOfJob = budget.maxJobReplicasOut(steps);
       int missing = missingReplicas.getOrDefault(attempt.job(), steps);
       return missing < maxOfJob
           ? null
@@ -252,14 +252,14 @@
     Map<String, BudgetStatus> statuses = new TreeMap<>();
     totalsByTeam.forEach(
         (team, totals) -> {
-          DisruptionBudget budget = budgets.of(team);
+          DisruptionBudget budget = budgets.forTeam(team);
           statuses.put(
               team,
               new BudgetStatus(
                   totals.wantedReplicas,
                   totals.unavailableReplicas,
                   totals.stoppingReplicas,
-                  budget.ofTeam(totals.wantedReplicas),
+                  budget.maxTeamReplicasOut(totals.wantedReplicas),
                   totals.unavailableArrayTasks,
                   budget.arrayTasks(),
                   lostWork.usedCpuS(team),
--- a/src/main/java/dapplestair/disruption/LostWork.java
+++ b/src/main/java/dapplestair/disruption/LostWork.java
@@ -146,7 +146,7 @@
    * starts a reservation if the budget allows one.
    */
   DisruptionRefusal checkOrReserve(String team, double cpuS) {
-    double allowedCpuS = budgets.of(team).lostCpuS();
+    double allowedCpuS = budgets.forTeam(team).lostCpuS();
     if (Double.isInfinite(allowedCpuS) || cpuS <= 0) {
       return null;
     }
@@ -189,14 +189,14 @@
 
   /** Charges a granted stop, whose lost work was reserved before, to the team. */
   void chargeGranted(String team, double cpuS) {
-    if (!budgets.of(team).anyLoss()) {
+    if (!budgets.forTeam(team).isLostWorkUnlimited()) {
       currentAccount(team).spentCpuS += cpuS;
     }
   }
 
   /** Charges a stop that could not wait to the team, and records its lost work afterwards. */
   void chargeForced(String team, double cpuS) {
-    if (budgets.of(team).anyLoss() || cpuS <= 0) {
+    if (budgets.forTeam(team).isLostWorkUnlimited() || cpuS <= 0) {
       return;
     }
     TeamLostWork teamLostWork = currentAccount(team);
@@ -206,7 +206,7 @@
       recordReservation(
           team,
           teamLostWork,
-          teamLostWork.spentCpuS + budgets.of(team).lostCpuS() * RESERVATION_SHARE);
+          teamLostWork.spentCpuS + budgets.forTeam(team).lostCpuS() * RESERVATION_SHARE);
     }
   }
 
--- a/src/main/java/dapplestair/drain/Drains.java
+++ b/src/main/java/dapplestair/drain/Drains.java
@@ -97,7 +97,7 @@
     }
     if (leading) {
       Drain drain = drainsByName.get(name);
-      events.note(
+      events.publish(
           Events.Kind.DRAIN,
           o -> {
             o.put(isZone ? "zone" : "machine", name).put("on", drain != null);
--- a/src/main/java/dapplestair/metrics/Exposition.java
+++ b/src/main/java/dapplestair/metrics/Exposition.java
@@ -12,44 +12,44 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.Supplier;
 
-/** What is measured, in the Prometheus text format; exists only where operators are served. */
+/** Exposes metrics in the Prometheus text format; exists only where operators are served. */
 public final class Exposition implements Metrics.Sink {
   private static final String PREFIX = "dapplestair_";
 
   private final PrometheusRegistry registry = new PrometheusRegistry();
-  private final Histogram accepted =
+  private final Histogram acceptanceSeconds =
       Histogram.builder()
           .name(PREFIX + "submission_accept_seconds")
           .help("Time from a submission's arrival to its acceptance.")
           .classicOnly()
           .classicUpperBounds(.005, .01, .025, .05, .1, .2, .3, .5, 1, 2, 5)
           .register(registry);
-  private final Histogram started =
+  private final Histogram taskStartSeconds =
       Histogram.builder()
           .name(PREFIX + "task_start_seconds")
           .help("Time from a job's acceptance to the start of one of its tasks.")
           .classicOnly()
           .classicUpperBounds(.5, 1, 2, 5, 10, 20, 50, 100, 200, 500)
           .register(registry);
-  private final Histogram lag =
+  private final Histogram loopLagSeconds =
       Histogram.builder()
           .name(PREFIX + "loop_lag_seconds")
           .help("How much late the loop's timers fire.")
           .classicOnly()
           .classicUpperBounds(.001, .005, .01, .025, .05, .1, .25, .5, 1, 5)
           .register(registry);
-  private final Counter shed =
+  private final Counter shedRequests =
       Counter.builder()
           .name(PREFIX + "requests_shed_total")
           .help("Users' requests answered with 503.")
           .register(registry);
-  private final Counter lost =
+  private final Counter failedAttempts =
       Counter.builder()
           .name(PREFIX + "attempts_failed_total")
           .help("Attempts that ended by themselves without completing.")
           .register(registry);
 
-  /** Nothing measured yet. */
+  /** Creates an exposition that has measured nothing yet. */
   public Exposition(String version) {
     Info.builder()
         .name(PREFIX + "build_info")
@@ -59,7 +59,7 @@
         .addLabelValues(version);
   }
 
-  /** A figure that is looked up when somebody asks. */
+  /** Registers a gauge whose value is read at each scrape. */
   public Exposition gauge(String name, String help, DoubleSupplier value) {
     GaugeWithCallback.builder()
         .name(PREFIX + name)
@@ -69,7 +69,7 @@
     return this;
   }
 
-  /** Several figures told apart by a label. */
+  /** Registers gauges that differ by a label and whose values are read at each scrape. */
   public Exposition gauges(
       String name,
       String help,
@@ -85,32 +85,32 @@
   }
 
   @Override
-  public void accepted(long ms) {
-    accepted.observe(ms / 1000.0);
+  public void recordAcceptance(long ms) {
+    acceptanceSeconds.observe(ms / 1000.0);
   }
 
   @Override
-  public void started(long ms) {
-    started.observe(ms / 1000.0);
+  public void recordTaskStart(long ms) {
+    taskStartSeconds.observe(ms / 1000.0);
   }
 
   @Override
-  public void lagged(long ms) {
-    lag.observe(ms / 1000.0);
+  public void recordLoopLag(long ms) {
+    loopLagSeconds.observe(ms / 1000.0);
   }
 
   @Override
-  public void shed() {
-    shed.inc();
+  public void recordShedRequest() {
+    shedRequests.inc();
   }
 
   @Override
-  public void lost() {
-    lost.inc();
+  public void recordFailedAttempt() {
+    failedAttempts.inc();
   }
 
-  /** All of it, as it is now. */
-  public byte[] text() {
+  /** Returns the current values of all metrics in the text format. */
+  public byte[] scrape() {
     ByteArrayOutputStream out = new ByteArrayOutputStream(8192);
     try {
       new PrometheusTextFormatWriter(false).write(out, registry.scrape());
--- a/src/main/java/dapplestair/node/CoreComponents.java
+++ b/src/main/java/dapplestair/node/CoreComponents.java
@@ -27,37 +27,38 @@
 import java.util.function.Supplier;
 
 /**
- * What every controller runs, whoever leads: the state service, its peers, the ledger, the workers.
+ * Components that every controller runs, whether it leads or follows: the client of the state
+ * service, the connections to peers, the ledger, and the workers.
  */
 final class CoreComponents implements AutoCloseable {
   final StateClient state;
-  final MachineTypes types = new MachineTypes();
+  final MachineTypes machineTypes = new MachineTypes();
   final Metrics metrics = new Metrics();
-  final RuntimeEstimates estimates = new RuntimeEstimates();
+  final RuntimeEstimates runtimeEstimates = new RuntimeEstimates();
   final Peers peers;
   final Leadership leadership;
   final CloudClient cloud;
-  final LedgerCallbackRouter callbacks;
+  final LedgerCallbackRouter ledgerCallbacks;
   final TermTimers termTimers;
   final Ledger ledger;
   final Cancellations cancellations;
-  final AcceptedJobs accepted;
+  final AcceptedJobs acceptedJobs;
   final Relay relay;
-  final WorkerManager workers;
+  final WorkerManager workerManager;
 
-  /** Null where operators are not served. */
-  final EventLog log;
+  /** Null if this controller does not serve operators. */
+  final EventLog eventLog;
 
   final Events events;
   final Replica replica;
-  final RequestRelay requestRelay;
-  final SubmissionHandler submissions;
+  final RequestRelay userRequestRelay;
+  final SubmissionHandler submissionHandler;
 
   /**
-   * Who hears of what the core duties find out.
+   * Suppliers and listeners that the core components call back.
    *
-   * @param ownStatus what peers are told
-   * @param peerStatus hears what a peer told
+   * @param ownStatus supplies the status that is sent to peers
+   * @param peerStatus receives each status that a peer sends
    */
   record Listeners(
       Supplier<PeerStatus> ownStatus,
@@ -71,7 +72,7 @@
       Settings settings,
       OperatorSettings operatorSettings,
       ControllerEnvironment environment,
-      boolean logsEvents,
+      boolean recordsEvents,
       Listeners listeners) {
     Clock clock = environment.clock();
     Timers timers = environment.timers();
@@ -87,11 +88,17 @@
     leadership =
         new Leadership(
             clock, timers, environment.random(), settings, state, peers, listeners.leadership);
-    callbacks = new LedgerCallbackRouter(clock, metrics, estimates);
+    ledgerCallbacks = new LedgerCallbackRouter(clock, metrics, runtimeEstimates);
     termTimers = new TermTimers(timers, leadership);
     ledger =
         new Ledger(
-            clock, termTimers, settings, state, leadership, environment.launchBatches(), callbacks);
+            clock,
+            termTimers,
+            settings,
+            state,
+            leadership,
+            environment.launchBatches(),
+            ledgerCallbacks);
     cloud = new CloudClient(clock, timers, environment.http(), settings);
     cancellations =
         new Cancellations(
@@ -102,10 +109,10 @@
             settings,
             peers,
             leadership,
-            this::recordsAsOf,
+            this::recordsAsOfMs,
             listeners.cancellations);
-    accepted =
-        new AcceptedJobs(timers, settings, peers, leadership::isLeading, this::recordsPosition);
+    acceptedJobs =
+        new AcceptedJobs(timers, settings, peers, leadership::isLeading, this::appliedEpoch);
     relay =
         new Relay(
             clock,
@@ -115,7 +122,7 @@
             operatorSettings.relayAbove(),
             leadership,
             peers);
-    workers =
+    workerManager =
         new WorkerManager(
             clock,
             timers,
@@ -124,41 +131,51 @@
             leadership,
             peers,
             state,
-            types,
+            machineTypes,
             ledger,
             cancellations,
-            this::notOverWhenRead,
+            this::wasUnfinishedAtLastRead,
             listeners.workers);
-    log = logsEvents ? new EventLog(clock) : null;
-    events = logsEvents ? log : Events.OFF;
+    eventLog = recordsEvents ? new EventLog(clock) : null;
+    events = recordsEvents ? eventLog : Events.OFF;
     replica =
         new Replica(state, timers, environment.random(), leadership::isLeading, listeners.replica);
-    requestRelay = new RequestRelay(peers, settings.workers().reportMs() / 4);
-    submissions =
+    userRequestRelay = new RequestRelay(peers, settings.workers().reportMs() / 4);
+    submissionHandler =
         new SubmissionHandler(
-            clock, settings, state, replica, ledger, types, cancellations, requestRelay, metrics);
+            clock,
+            settings,
+            state,
+            replica,
+            ledger,
+            machineTypes,
+            cancellations,
+            userRequestRelay,
+            metrics);
   }
 
-  private long recordsAsOf() {
+  private long recordsAsOfMs() {
     return replica.asOfMs();
   }
 
-  private long recordsPosition() {
+  private long appliedEpoch() {
     return replica.appliedEpoch();
   }
 
   /**
-   * A job that is not in the ledger was not over when the records were last read. It matters behind
-   * a cut only: while a peer is served, workers with such jobs are better off with a controller
-   * that can read of them, and its leader would take them for silent if they stayed here.
+   * Returns whether a job that is missing from the ledger was unfinished when the records were last
+   * read. This matters only while this controller is on the wrong side of a network cut: while the
+   * state service serves a peer, workers with such jobs are better served by a controller that can
+   * read the records of these jobs, and the leader would consider these workers silent if they kept
+   * reporting here.
    */
-  private boolean notOverWhenRead(String job) {
-    return !peers.anyServed() && (accepted.isUnread(job) || replica.heldBeforeRestart(job));
+  private boolean wasUnfinishedAtLastRead(String job) {
+    return !peers.anyServed() && (acceptedJobs.isUnread(job) || replica.heldBeforeRestart(job));
   }
 
   @Override
   public void close() {
-    workers.close();
+    workerManager.close();
     relay.close();
     cancellations.close();
     leadership.close();
--- a/src/main/java/dapplestair/node/RoleChangeNotifier.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -4,7 +4,7 @@
 import dapplestair.events.Events;
 import dapplestair.leadership.Leadership;
 
-/** Tells all duties, in order, that this controller begins or ceases to lead. */
+/** Notifies all components, in a fixed order, that this controller begins or ceases to lead. */
 final class RoleChangeNotifier implements Leadership.Listener {
   private final String member;
   private final CoreComponents core;
@@ -12,7 +12,7 @@
   private final OperationsComponents operations;
   private final AdminHandler admin;
 
-  /** {@code admin} is null where operators are not served. */
+  /** Creates a notifier; {@code admin} is null if operators are not served. */
   RoleChangeNotifier(
       String member,
       CoreComponents core,
@@ -31,10 +31,10 @@
     core.state.setLeading(true);
     scheduling.fleet.lead();
     core.ledger.beginTerm(term);
-    core.accepted.onLeadershipGained();
+    core.acceptedJobs.onLeadershipGained();
     scheduling.disruptionGate.lead();
-    core.workers.startLeading();
-    // Before anything is placed: room that was freed for a rider is its own.
+    core.workerManager.startLeading();
+    // Lanes come before placement: capacity that was freed for a rider is reserved for it.
     scheduling.lanes.lead();
     scheduling.calendars.lead();
     scheduling.imageLocations.lead();
@@ -43,9 +43,9 @@
     operations.zones.lead();
     scheduling.faultAttribution.lead();
     scheduling.autoscaler.lead();
-    if (core.log != null) {
-      core.log.begin(term);
-      core.log.note(Events.Kind.LEADING, o -> o.put("term", term).put("by", member));
+    if (core.eventLog != null) {
+      core.eventLog.beginTerm(term);
+      core.eventLog.publish(Events.Kind.LEADING, o -> o.put("term", term).put("by", member));
     }
     core.peers.tell();
   }
@@ -67,8 +67,8 @@
     scheduling.fleet.clear();
     core.ledger.clear();
     scheduling.disruptionGate.clear();
-    core.workers.stopLeading();
-    // What was in memory may not be what was recorded: read all of it again.
+    core.workerManager.stopLeading();
+    // The memory may hold changes that were never recorded: reload all records.
     core.replica.restart();
     core.peers.tell();
   }
--- a/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
+++ b/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
@@ -386,7 +386,7 @@
 
   /** Emits an event about an order. */
   void emitEvent(String name, String newState, String reason) {
-    events.note(
+    events.publish(
         Events.Kind.REPLACEMENT,
         o -> {
           o.put("replacement", name).put("state", newState);
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -256,7 +256,7 @@
           pending--;
           if (outcome instanceof TxnOutcome.Applied) {
             firstSubmissionTimes.removeAccepted(submission.ref());
-            metrics.accepted(clock.now() - receivedAtMs);
+            metrics.recordAcceptance(clock.now() - receivedAtMs);
             replyStatus(exchange, 201, submission.ref(), "queued", null);
           } else if (outcome instanceof TxnOutcome.Conflict) {
             replyJobStatus(exchange, submission.ref());
@@ -385,7 +385,7 @@
   }
 
   private void replyUnavailable(Exchange exchange, int retryAfterS) {
-    metrics.shed();
+    metrics.recordShedRequest();
     exchange.reply(
         503, Json.bytes(Json.object().put("error", "cannot tell now, ask again")), retryAfterS);
   }
--- a/src/test/java/dapplestair/settings/RunCalendarTest.java
+++ b/src/test/java/dapplestair/settings/RunCalendarTest.java
@@ -23,7 +23,7 @@
 
   @TempDir Path dir;
 
-  private static RunCalendar every(long hours, String zone) {
+  private static RunCalendar calendarWithPeriod(long hours, String zone) {
     return new RunCalendar(
         "c",
         Set.of("model"),
@@ -38,39 +38,41 @@
         600_000);
   }
 
-  private static long ms(String instant) {
+  private static long epochMs(String instant) {
     return Instant.parse(instant).toEpochMilli();
   }
 
-  /** Days of 23 and 25 hours, a leap day, a year's end, and the moment of a start itself. */
+  /**
+   * Covers days of 23 and 25 hours, a leap day, the end of a year, and the start of a cycle itself.
+   */
   @ParameterizedTest(name = "{0} h in {1}: {2}")
   @CsvSource({
     "3,UTC,2026-12-31T23:59:59Z,2026-12-31T21:15:00Z,2027-01-01T00:15:00Z",
     "3,UTC,2027-01-01T00:15:00Z,2027-01-01T00:15:00Z,2027-01-01T03:15:00Z",
     "3,UTC,2027-01-01T00:14:59Z,2026-12-31T21:15:00Z,2027-01-01T00:15:00Z",
     "24,UTC,2028-02-29T12:00:00Z,2028-02-29T00:15:00Z,2028-03-01T00:15:00Z",
-    // Clocks go forward at 01:00 UTC: that day's last cycle is two hours long.
+    // Clocks go forward at 01:00 UTC, so that the last cycle of the day is two hours long.
     "3,Europe/Berlin,2026-03-29T21:00:00Z,2026-03-29T20:15:00Z,2026-03-29T22:15:00Z",
-    // Clocks go back: its last cycle is one hour long.
+    // Clocks go back, so that the last cycle of the day is one hour long.
     "3,Europe/Berlin,2026-10-25T23:00:00Z,2026-10-25T22:15:00Z,2026-10-25T23:15:00Z",
   })
-  void cyclesFollowEachOther(int hours, String zone, String at, String start, String next) {
-    RunCalendar c = every(hours, zone);
-    assertEquals(ms(start), c.cycle(ms(at)));
-    assertEquals(ms(next), c.next(c.cycle(ms(at))));
+  void findsCycleAndNextCycle(int hours, String zone, String at, String start, String next) {
+    RunCalendar calendar = calendarWithPeriod(hours, zone);
+    assertEquals(epochMs(start), calendar.cycleStartMs(epochMs(at)));
+    assertEquals(epochMs(next), calendar.nextCycleStartMs(calendar.cycleStartMs(epochMs(at))));
   }
 
-  /** Whatever the zone: each moment lies in one cycle, and none is left out. */
+  /** In every time zone, each moment lies in exactly one cycle. */
   @Test
-  void noMomentIsLeftOut() {
+  void cyclesCoverAllTimes() {
     for (String zone : new String[] {"UTC", "Europe/Berlin", "America/Sao_Paulo", "Asia/Kolkata"}) {
-      RunCalendar c = every(5, zone);
-      long start = c.cycle(ms("2026-03-20T00:00:00Z"));
-      while (start < ms("2026-11-05T00:00:00Z")) {
-        long next = c.next(start);
+      RunCalendar calendar = calendarWithPeriod(5, zone);
+      long start = calendar.cycleStartMs(epochMs("2026-03-20T00:00:00Z"));
+      while (start < epochMs("2026-11-05T00:00:00Z")) {
+        long next = calendar.nextCycleStartMs(start);
         assertTrue(next > start && next - start <= 5 * 3_600_000, zone + " " + start);
-        assertEquals(start, c.cycle(next - 1));
-        assertEquals(next, c.cycle(next));
+        assertEquals(start, calendar.cycleStartMs(next - 1));
+        assertEquals(next, calendar.cycleStartMs(next));
         start = next;
       }
     }
@@ -96,16 +98,16 @@
         "Europe/Berlin; Europe/Nowhere; calendar.time_zone = \"Europe/Nowhere\"",
         "runs: \"model\"; runs: \"gauge\"; calendar.runs = \"gauge\"",
       })
-  void refuses(String from, String to, String field) {
-    String text = GOOD.replaceFirst(from, to);
-    String said = assertThrows(SettingsException.class, () -> load(text)).getMessage();
-    assertTrue(said.startsWith(dir.resolve("o.textproto") + ": " + field + ": "), said);
+  void rejectsInvalidFields(String original, String replacement, String field) {
+    String text = GOOD.replaceFirst(original, replacement);
+    String message = assertThrows(SettingsException.class, () -> load(text)).getMessage();
+    assertTrue(message.startsWith(dir.resolve("o.textproto") + ": " + field + ": "), message);
   }
 
   @Test
-  void refusesTwoCalendarsOnOneClass() {
-    String two = GOOD + GOOD.replace("basin", "other");
-    String said = assertThrows(SettingsException.class, () -> load(two)).getMessage();
-    assertTrue(said.contains("calendar.runs = \"model\": is on two calendars"), said);
+  void rejectsClassOnTwoCalendars() {
+    String twoCalendars = GOOD + GOOD.replace("basin", "other");
+    String message = assertThrows(SettingsException.class, () -> load(twoCalendars)).getMessage();
+    assertTrue(message.contains("calendar.runs = \"model\": is on two calendars"), message);
   }
 }
