--- a/src/main/java/dapplestair/accepted/AcceptedJobs.java
+++ b/src/main/java/dapplestair/accepted/AcceptedJobs.java
@@ -60,13 +60,13 @@
   /** Begins to hear the leader. */
   public void start() {
     peers
-        .questions()
-        .answer(
+        .requests()
+        .handle(
             TOPIC,
             (body, reply) -> {
               Map<String, Long> revisions = AcceptedJobsCodec.decode(body);
               if (revisions == null) {
-                peers.questions().refused();
+                peers.requests().countRefusedMessage();
               } else {
                 hear(revisions);
                 reply.accept(KNOWN);
@@ -127,7 +127,7 @@
   }
 
   private void tell(String member, Map<String, Long> jobs) {
-    if (jobs.isEmpty() || asked.contains(member) || !peers.alive(member)) {
+    if (jobs.isEmpty() || asked.contains(member) || !peers.isAlive(member)) {
       return;
     }
     Map<String, Long> told = new LinkedHashMap<>(jobs);
@@ -138,7 +138,7 @@
     }
     asked.add(member);
     peers
-        .questions()
+        .requests()
         .ask(member, TOPIC, body, retryMs, reply -> answered(member, told, reply != null));
   }
 
--- a/src/main/java/dapplestair/admin/AdminHandler.java
+++ b/src/main/java/dapplestair/admin/AdminHandler.java
@@ -80,7 +80,7 @@
             new DrainHandler(
                 clock, components.settings(), components.workers(), components.drains(), asOf),
             new ReplacementHandler(components, asOf));
-    peers.questions().answer(TOPIC, this::asked);
+    peers.requests().handle(TOPIC, this::asked);
   }
 
   /** A job is there and not over. */
@@ -175,14 +175,14 @@
       return;
     }
     String leader = leadership.isLeading() ? null : leadership.currentLeader();
-    if (leader == null || !peers.alive(leader)) {
+    if (leader == null || !peers.isAlive(leader)) {
       again(
           request, route, deadline, done, leader == null ? "nobody leads" : leader + " is silent");
       return;
     }
     long timeouts = Math.max(LOOK_AGAIN_MS, deadline - clock.now()) + route.waitMs();
     peers
-        .questions()
+        .requests()
         .ask(
             leader,
             TOPIC,
--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -110,7 +110,7 @@
       w.put("known_to_age_s", cancellations.ageMs() / 1000.0);
     }
     w.put("keeps_leases", cancellations.mayRenew());
-    object.putObject("relay").put("on", relay.on()).put("reports", relay.relayed());
+    object.putObject("relay").put("on", relay.isActive()).put("reports", relay.relayedReports());
     ObjectNode s =
         object
             .putObject("state")
--- a/src/main/java/dapplestair/cancellations/CancellationLogSync.java
+++ b/src/main/java/dapplestair/cancellations/CancellationLogSync.java
@@ -55,7 +55,7 @@
   }
 
   void start() {
-    peers.questions().answer(ASK, this::answer);
+    peers.requests().handle(ASK, this::answer);
     ask();
   }
 
@@ -75,7 +75,7 @@
         CancellationCodec.encode(
             new CancellationCodec.LogRequest(process, number, peer.log, peer.after));
     peers
-        .questions()
+        .requests()
         .ask(member, ASK, body, 4 * everyMs, reply -> answered(peer, number, askedAt, reply));
   }
 
@@ -83,7 +83,7 @@
       CancellationWatermark.PeerLog peer, long number, long askedAt, byte[] reply) {
     CancellationCodec.LogResponse response = reply == null ? null : CancellationCodec.answer(reply);
     if (reply != null && response == null) {
-      peers.questions().refused();
+      peers.requests().countRefusedMessage();
     }
     // An answer to a question of an earlier life of this process says nothing about this one's.
     if (response == null || response.asker() != process || response.number() != number) {
@@ -105,7 +105,7 @@
   private void answer(byte[] body, Consumer<byte[]> reply) {
     CancellationCodec.LogRequest request = CancellationCodec.ask(body);
     if (request == null) {
-      peers.questions().refused();
+      peers.requests().countRefusedMessage();
       return;
     }
     long after = request.log() == process ? request.after() : 0;
--- a/src/main/java/dapplestair/cancellations/Cancellations.java
+++ b/src/main/java/dapplestair/cancellations/Cancellations.java
@@ -139,7 +139,7 @@
           workers.leaseMs() / 1000.0,
           (windowMs + workers.leaseMs() + workers.leaseMs() / 16) / 1000.0);
     }
-    peers.questions().answer(TELL, this::hear);
+    peers.requests().handle(TELL, this::hear);
     logs.start();
     forgotten.start();
     look();
@@ -243,7 +243,7 @@
           }
         };
     for (Settings.Peer peer : settings.peers()) {
-      if (peers.alive(peer.member())) {
+      if (peers.isAlive(peer.member())) {
         waiting[0]++;
         tell(peer.member(), refs, one);
       }
@@ -270,7 +270,7 @@
       return;
     }
     peers
-        .questions()
+        .requests()
         .ask(
             member,
             TELL,
@@ -305,7 +305,7 @@
   private void hear(byte[] body, Consumer<byte[]> reply) {
     CancellationCodec.LogResponse told = CancellationCodec.answer(body);
     if (told == null) {
-      peers.questions().refused();
+      peers.requests().countRefusedMessage();
       return;
     }
     leadership.observeTerm(told.term());
@@ -350,11 +350,11 @@
             !known.knows(ref)
                 || recordsAreNew && listener.places(ref).isEmpty()
                 || listener.proved(ref));
-    open.adopt(process -> watermark.lives(process, peers::alive));
+    open.adopt(process -> watermark.lives(process, peers::isAlive));
     List<String> refs = open.refs();
     if (!refs.isEmpty()) {
       for (Settings.Peer peer : settings.peers()) {
-        if (peers.alive(peer.member())) {
+        if (peers.isAlive(peer.member())) {
           tell(peer.member(), refs, () -> {});
         }
       }
--- a/src/main/java/dapplestair/cancellations/ForgottenMachines.java
+++ b/src/main/java/dapplestair/cancellations/ForgottenMachines.java
@@ -97,8 +97,8 @@
   void start() {
     startedAt = clock.now();
     peers
-        .questions()
-        .answer(
+        .requests()
+        .handle(
             RECORDLESS,
             (body, reply) -> reply.accept(new byte[] {recordless.getAsBoolean() ? YES : NO}));
   }
@@ -137,7 +137,7 @@
     }
     Settings.Peer peer = settings.peers().get(next);
     peers
-        .questions()
+        .requests()
         .ask(
             peer.member(),
             RECORDLESS,
@@ -148,7 +148,7 @@
 
   private void answered(Settings.Peer peer, int index, Survey survey, byte[] reply) {
     boolean answers = reply != null && reply.length == 1;
-    if (answers ? reply[0] != YES : peers.alive(peer.member())) {
+    if (answers ? reply[0] != YES : peers.isAlive(peer.member())) {
       rest();
       return;
     }
--- a/src/main/java/dapplestair/leadership/Leadership.java
+++ b/src/main/java/dapplestair/leadership/Leadership.java
@@ -250,7 +250,7 @@
   }
 
   private boolean mayCampaign() {
-    return clock.now() >= campaignAllowedAtMs || peers.alone();
+    return clock.now() >= campaignAllowedAtMs || peers.hasNoLivePeer();
   }
 
   private boolean isLeaderVacant() {
--- a/src/main/java/dapplestair/netty/PeerLinks.java
+++ b/src/main/java/dapplestair/netty/PeerLinks.java
@@ -79,7 +79,7 @@
       @Override
       protected void initChannel(SocketChannel ch) {
         ch.pipeline()
-            .addLast(new LengthFieldBasedFrameDecoder(PeerCodec.LARGEST_FRAME, 0, 4, 0, 4))
+            .addLast(new LengthFieldBasedFrameDecoder(PeerCodec.MAX_FRAME_BYTES, 0, 4, 0, 4))
             .addLast(new LengthFieldPrepender(4))
             .addLast(handler.get());
       }
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -165,7 +165,7 @@
   private void peerStatus(PeerStatus status) {
     core.leadership.observeTerm(status.term());
     if (core.leadership.isLeading()) {
-      core.state.setPeerDemand(core.peers.puts());
+      core.state.setPeerDemand(core.peers.putsPerSecond());
     }
   }
 
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -71,15 +71,15 @@
         .gauge(
             "peer_messages_refused",
             "Messages of peers that were garbled, too large or of an unknown form.",
-            () -> components.peers().questions().refusedSoFar())
+            () -> components.peers().requests().refusedMessages())
         .gauge(
             "relay_on",
             "1 while the connections of workers are spread over all controllers.",
-            () -> components.relay().on() ? 1 : 0)
+            () -> components.relay().isActive() ? 1 : 0)
         .gauge(
             "relayed_reports",
             "Reports of workers that this controller has passed on to a leader.",
-            () -> components.relay().relayed())
+            () -> components.relay().relayedReports())
         .gauges(
             "starts_refused",
             "Starts that machines have refused, by cause; full: they were emptier in the records.",
--- a/src/main/java/dapplestair/node/CoreComponents.java
+++ b/src/main/java/dapplestair/node/CoreComponents.java
@@ -153,7 +153,7 @@
    * that can read of them, and its leader would take them for silent if they stayed here.
    */
   private boolean notOverWhenRead(String job) {
-    return !peers.anyServed() && (accepted.unread(job) || replica.heldBeforeRestart(job));
+    return !peers.hasReadyPeer() && (accepted.unread(job) || replica.heldBeforeRestart(job));
   }
 
   @Override
--- a/src/main/java/dapplestair/node/HttpRouter.java
+++ b/src/main/java/dapplestair/node/HttpRouter.java
@@ -90,8 +90,8 @@
    * over for all at once, and costs users little if they find nobody meanwhile.
    */
   private void up(Exchange exchange) {
-    boolean cutOff = peers.cutOff() && unreachableMs.getAsLong() > doubtfulMs;
-    boolean healthy = able.getAsBoolean() || !peers.anyServed() && !cutOff;
+    boolean cutOff = peers.isCutOff() && unreachableMs.getAsLong() > doubtfulMs;
+    boolean healthy = able.getAsBoolean() || !peers.hasReadyPeer() && !cutOff;
     exchange.reply(healthy ? 200 : 503, Json.bytes(Json.object().put("up", healthy)), 0);
   }
 
--- a/src/main/java/dapplestair/node/RoleChangeNotifier.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -47,7 +47,7 @@
       core.log.begin(term);
       core.log.note(Events.Kind.LEADING, o -> o.put("term", term).put("by", member));
     }
-    core.peers.tell();
+    core.peers.broadcastStatus();
   }
 
   @Override
@@ -70,6 +70,6 @@
     core.workers.clear();
     // What was in memory may not be what was recorded: read all of it again.
     core.replica.restart();
-    core.peers.tell();
+    core.peers.broadcastStatus();
   }
 }
--- a/src/main/java/dapplestair/node/StatusReporter.java
+++ b/src/main/java/dapplestair/node/StatusReporter.java
@@ -75,8 +75,8 @@
                 knownTo(),
                 cancellations.open(),
                 cancellations.openMs() / 1000.0);
-    if (relay.on()) {
-      line += "; connections spread, %d reports relayed".formatted(relay.relayed());
+    if (relay.isActive()) {
+      line += "; connections spread, %d reports relayed".formatted(relay.relayedReports());
     }
     return leadership.isLeading()
         ? "%s; starts refused: %s, tasks unaccounted for: %d; served least: %s; largest: %s"
--- a/src/main/java/dapplestair/peers/PeerCodec.java
+++ b/src/main/java/dapplestair/peers/PeerCodec.java
@@ -11,10 +11,10 @@
   public static final int VERSION = 3;
 
   /** Frames above this are refused. */
-  public static final int LARGEST_FRAME = 512 * 1024;
+  public static final int MAX_FRAME_BYTES = 512 * 1024;
 
   private final Kryo kryo = new Kryo();
-  private final Output out = new Output(1024, LARGEST_FRAME);
+  private final Output output = new Output(1024, MAX_FRAME_BYTES);
 
   /** A codec for one thread. */
   public PeerCodec() {
@@ -29,10 +29,10 @@
 
   /** Encodes a message. */
   public byte[] encode(Object message) {
-    out.reset();
-    out.writeByte(VERSION);
-    kryo.writeClassAndObject(out, message);
-    return out.toBytes();
+    output.reset();
+    output.writeByte(VERSION);
+    kryo.writeClassAndObject(output, message);
+    return output.toBytes();
   }
 
   /** Decodes a message, or gives null when it is garbled or of another version. */
--- a/src/main/java/dapplestair/peers/PeerRequests.java
+++ b/src/main/java/dapplestair/peers/PeerRequests.java
@@ -12,19 +12,19 @@
 /** Questions between controllers, each answered or timed out. */
 public final class PeerRequests {
   // Room for what a frame holds besides the body.
-  private static final int LARGEST_BODY = PeerCodec.LARGEST_FRAME - 1024;
-  private static final int MOST_OPEN = 128;
+  private static final int MAX_BODY_BYTES = PeerCodec.MAX_FRAME_BYTES - 1024;
+  private static final int MAX_PENDING_REQUESTS = 128;
 
   private record PendingRequest(String member, Consumer<byte[]> done, Cancellable timer) {}
 
   private final Timers timers;
   private final PeerNetwork network;
-  private final Map<Long, PendingRequest> open = new HashMap<>();
-  private final Map<String, BiConsumer<byte[], Consumer<byte[]>>> topics =
+  private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+  private final Map<String, BiConsumer<byte[], Consumer<byte[]>>> handlers =
       new Object2ObjectOpenHashMap<>();
   private final Map<String, BiConsumer<String, byte[]>> listeners = new HashMap<>();
-  private long lastNumber;
-  private long refused;
+  private long lastRequestNumber;
+  private long refusedMessages;
 
   PeerRequests(Timers timers, PeerNetwork network) {
     this.timers = timers;
@@ -32,8 +32,8 @@
   }
 
   /** Answers questions on a topic; an answer may come later. */
-  public void answer(String topic, BiConsumer<byte[], Consumer<byte[]>> by) {
-    topics.put(topic, by);
+  public void handle(String topic, BiConsumer<byte[], Consumer<byte[]>> handler) {
+    handlers.put(topic, handler);
   }
 
   /** Hears what peers tell on a topic, with the peer's name; nothing is answered. */
@@ -42,46 +42,46 @@
   }
 
   /** A message was garbled, too large or of an unknown form: it is dropped. */
-  public void refused() {
-    refused++;
+  public void countRefusedMessage() {
+    refusedMessages++;
   }
 
   /** Messages of peers that were dropped. */
-  public long refusedSoFar() {
-    return refused;
+  public long refusedMessages() {
+    return refusedMessages;
   }
 
   /** Asks a peer; {@code done} gets its answer, or null when none came in time. */
   public void ask(String member, String topic, byte[] body, long timeoutMs, Consumer<byte[]> done) {
-    if (open.size() >= MOST_OPEN || body.length > LARGEST_BODY) {
+    if (pendingRequests.size() >= MAX_PENDING_REQUESTS || body.length > MAX_BODY_BYTES) {
       timers.after(0, () -> done.accept(null));
       return;
     }
-    long number = ++lastNumber;
-    Cancellable timer = timers.after(timeoutMs, () -> end(number, null));
-    open.put(number, new PendingRequest(member, done, timer));
+    long number = ++lastRequestNumber;
+    Cancellable timer = timers.after(timeoutMs, () -> complete(number, null));
+    pendingRequests.put(number, new PendingRequest(member, done, timer));
     network.send(member, new PeerAsk(number, topic, body));
   }
 
   /** Tells a peer something; a number that no question has says that no answer is awaited. */
-  void tell(String member, String topic, byte[] body) {
-    if (body.length <= LARGEST_BODY) {
+  void sendWithoutAnswer(String member, String topic, byte[] body) {
+    if (body.length <= MAX_BODY_BYTES) {
       network.send(member, new PeerAsk(0, topic, body));
     }
   }
 
-  private void end(long number, byte[] answer) {
-    PendingRequest o = open.remove(number);
-    if (o != null) {
-      o.timer().cancel();
-      o.done().accept(answer);
+  private void complete(long number, byte[] answer) {
+    PendingRequest pending = pendingRequests.remove(number);
+    if (pending != null) {
+      pending.timer().cancel();
+      pending.done().accept(answer);
     }
   }
 
-  void asked(String member, PeerAsk ask) {
-    BiConsumer<byte[], Consumer<byte[]>> by = topics.get(ask.topic());
-    if (ask.body() == null || ask.body().length > LARGEST_BODY) {
-      refused();
+  void requestReceived(String member, PeerAsk ask) {
+    BiConsumer<byte[], Consumer<byte[]>> handler = handlers.get(ask.topic());
+    if (ask.body() == null || ask.body().length > MAX_BODY_BYTES) {
+      countRefusedMessage();
       return;
     }
     BiConsumer<String, byte[]> listener = listeners.get(ask.topic());
@@ -89,24 +89,24 @@
       listener.accept(member, ask.body());
       return;
     }
-    if (by == null) {
+    if (handler == null) {
       // A topic of another version.
       return;
     }
-    by.accept(
+    handler.accept(
         ask.body(),
         answer -> {
-          if (answer.length <= LARGEST_BODY) {
+          if (answer.length <= MAX_BODY_BYTES) {
             network.send(member, new PeerAnswer(ask.number(), answer));
           }
         });
   }
 
-  void answered(String member, PeerAnswer answer) {
-    PendingRequest o = open.get(answer.number());
+  void answerReceived(String member, PeerAnswer answer) {
+    PendingRequest pending = pendingRequests.get(answer.number());
     // Late answers, and those of another than was asked, are nobody's.
-    if (o != null && o.member().equals(member)) {
-      end(answer.number(), answer.body());
+    if (pending != null && pending.member().equals(member)) {
+      complete(answer.number(), answer.body());
     }
   }
 }
--- a/src/main/java/dapplestair/peers/Peers.java
+++ b/src/main/java/dapplestair/peers/Peers.java
@@ -15,43 +15,43 @@
 /** Which peers live and what they last said. */
 public final class Peers implements PeerNetwork.Listener, AutoCloseable {
   private static final class PeerState {
-    boolean up;
-    boolean gone;
-    long heardAt = Long.MIN_VALUE / 2;
-    PeerStatus status;
+    boolean linked;
+    boolean refusesConnections;
+    long lastHeardMs = Long.MIN_VALUE / 2;
+    PeerStatus lastStatus;
   }
 
   private final Clock clock;
   private final Timers timers;
   private final PeerNetwork network;
-  private final Supplier<PeerStatus> own;
-  private final Consumer<PeerStatus> heard;
-  private final long everyMs;
+  private final Supplier<PeerStatus> ownStatus;
+  private final Consumer<PeerStatus> statusListener;
+  private final long statusIntervalMs;
   private final Map<String, PeerState> peers = new HashMap<>();
-  private final PeerRequests questions;
+  private final PeerRequests requests;
   private Cancellable timer = () -> {};
 
-  /** {@code own} is what to say; {@code heard} is told of what others say. */
+  /** {@code ownStatus} is what to say; {@code statusListener} is told of what others say. */
   public Peers(
       Clock clock,
       Timers timers,
       PeerNetwork network,
       Settings settings,
-      Supplier<PeerStatus> own,
-      Consumer<PeerStatus> heard) {
+      Supplier<PeerStatus> ownStatus,
+      Consumer<PeerStatus> statusListener) {
     this.clock = clock;
     this.timers = timers;
     this.network = network;
-    this.own = own;
-    this.heard = heard;
-    this.everyMs = settings.workers().reportMs() / 8;
-    this.questions = new PeerRequests(timers, network);
-    settings.peers().forEach(p -> peers.put(p.member(), new PeerState()));
+    this.ownStatus = ownStatus;
+    this.statusListener = statusListener;
+    this.statusIntervalMs = settings.workers().reportMs() / 8;
+    this.requests = new PeerRequests(timers, network);
+    settings.peers().forEach(peer -> peers.put(peer.member(), new PeerState()));
   }
 
   /** Questions to and from peers. */
-  public PeerRequests questions() {
-    return questions;
+  public PeerRequests requests() {
+    return requests;
   }
 
   /** Begins to connect and to speak. */
@@ -62,46 +62,46 @@
   }
 
   private void tick() {
-    tell();
-    timer = timers.after(everyMs, this::tick);
+    broadcastStatus();
+    timer = timers.after(statusIntervalMs, this::tick);
   }
 
   /** Says at once what is new. */
-  public void tell() {
-    PeerStatus status = own.get();
+  public void broadcastStatus() {
+    PeerStatus status = ownStatus.get();
     peers.keySet().forEach(m -> network.send(m, status));
   }
 
   /**
    * Tells every peer something that needs no answer; those that do not know the topic ignore it.
    */
-  public void state(String topic, byte[] body) {
-    peers.keySet().forEach(m -> questions.tell(m, topic, body));
+  public void broadcast(String topic, byte[] body) {
+    peers.keySet().forEach(m -> requests.sendWithoutAnswer(m, topic, body));
   }
 
   /** Tells one peer something that needs no answer. */
-  public void tell(String member, String topic, byte[] body) {
-    questions.tell(member, topic, body);
+  public void send(String member, String topic, byte[] body) {
+    requests.sendWithoutAnswer(member, topic, body);
   }
 
   /** Hears what peers tell on a topic. */
-  public void onTell(String topic, BiConsumer<String, byte[]> listener) {
-    questions.listen(topic, listener);
+  public void listen(String topic, BiConsumer<String, byte[]> listener) {
+    requests.listen(topic, listener);
   }
 
   @Override
   public void messageReceived(String member, Object message) {
     PeerState peer = peers.get(member);
     if (peer != null && message instanceof PeerStatus status) {
-      peer.heardAt = clock.now();
+      peer.lastHeardMs = clock.now();
       // Whoever speaks has not ended, though its port may refuse us.
-      peer.gone = false;
-      peer.status = status;
-      heard.accept(status);
+      peer.refusesConnections = false;
+      peer.lastStatus = status;
+      statusListener.accept(status);
     } else if (peer != null && message instanceof PeerAsk ask) {
-      questions.asked(member, ask);
+      requests.requestReceived(member, ask);
     } else if (peer != null && message instanceof PeerAnswer answer) {
-      questions.answered(member, answer);
+      requests.answerReceived(member, answer);
     }
   }
 
@@ -109,8 +109,8 @@
   public void linkUp(String member) {
     PeerState peer = peers.get(member);
     if (peer != null) {
-      peer.up = true;
-      peer.gone = false;
+      peer.linked = true;
+      peer.refusesConnections = false;
     }
   }
 
@@ -118,13 +118,13 @@
   public void linkDown(String member) {
     PeerState peer = peers.get(member);
     if (peer != null) {
-      peer.up = false;
+      peer.linked = false;
     }
   }
 
   @Override
   public void malformedMessageReceived() {
-    questions.refused();
+    requests.countRefusedMessage();
   }
 
   @Override
@@ -132,80 +132,85 @@
     PeerState peer = peers.get(member);
     // A link that broke and a port that refuses: the process has ended. Were it only filtered away,
     // taking over from it would still be harmless, so there is no need to wait for its silence.
-    if (peer != null && !peer.up) {
-      peer.gone = true;
+    if (peer != null && !peer.linked) {
+      peer.refusesConnections = true;
     }
   }
 
   /** True when this peer spoke within the last few turns. */
-  public boolean alive(String member) {
+  public boolean isAlive(String member) {
     PeerState peer = peers.get(member);
-    return peer != null && !peer.gone && clock.now() - peer.heardAt < 4 * everyMs;
+    return peer != null
+        && !peer.refusesConnections
+        && clock.now() - peer.lastHeardMs < 4 * statusIntervalMs;
   }
 
   /** True when this peer's process has very probably ended: its link broke, its port refuses. */
   public boolean seemsEnded(String member) {
     PeerState peer = peers.get(member);
-    return peer != null && peer.gone && !peer.up;
+    return peer != null && peer.refusesConnections && !peer.linked;
   }
 
   /** True when a living peer is served by the state service. */
-  public boolean anyServed() {
-    return !served().isEmpty();
+  public boolean hasReadyPeer() {
+    return !readyPeers().isEmpty();
   }
 
   /** Living peers that are served by the state service and take requests, by name. */
-  public List<String> served() {
+  public List<String> readyPeers() {
     return peers.entrySet().stream()
         .filter(
             e ->
-                alive(e.getKey())
-                    && e.getValue().status != null
-                    && e.getValue().status.stateReachable()
-                    && e.getValue().status.ready())
+                isAlive(e.getKey())
+                    && e.getValue().lastStatus != null
+                    && e.getValue().lastStatus.stateReachable()
+                    && e.getValue().lastStatus.ready())
         .map(Map.Entry::getKey)
         .sorted()
         .toList();
   }
 
   /** True when a living peer that could lead hears workers. */
-  public boolean othersHear() {
+  public boolean hasPeerHearingWorkers() {
     return peers.entrySet().stream()
         .anyMatch(
             e ->
-                alive(e.getKey())
-                    && e.getValue().status != null
-                    && e.getValue().status.stateReachable()
-                    && e.getValue().status.beats() > 0);
+                isAlive(e.getKey())
+                    && e.getValue().lastStatus != null
+                    && e.getValue().lastStatus.stateReachable()
+                    && e.getValue().lastStatus.beats() > 0);
   }
 
   /** Puts a second that living peers make or want to. */
-  public double puts() {
+  public double putsPerSecond() {
     return peers.entrySet().stream()
-        .filter(e -> alive(e.getKey()) && e.getValue().status != null)
-        .mapToDouble(e -> e.getValue().status.puts())
+        .filter(e -> isAlive(e.getKey()) && e.getValue().lastStatus != null)
+        .mapToDouble(e -> e.getValue().lastStatus.puts())
         .sum();
   }
 
-  /** A peer as this controller sees it; {@code status} is what it last said, or null. */
+  /** A peer as this controller sees it; {@code lastStatus} is what it last said, or null. */
   public record PeerView(String member, boolean alive, boolean linked, PeerStatus status) {}
 
   /** All peers, by name. */
   public List<PeerView> views() {
     return peers.entrySet().stream()
         .sorted(Map.Entry.comparingByKey())
-        .map(e -> new PeerView(e.getKey(), alive(e.getKey()), e.getValue().up, e.getValue().status))
+        .map(
+            e ->
+                new PeerView(
+                    e.getKey(), isAlive(e.getKey()), e.getValue().linked, e.getValue().lastStatus))
         .toList();
   }
 
   /** True when there are peers, and none is known to live. */
-  public boolean cutOff() {
-    return !peers.isEmpty() && alone();
+  public boolean isCutOff() {
+    return !peers.isEmpty() && hasNoLivePeer();
   }
 
   /** True when no peer is known to live. */
-  public boolean alone() {
-    return peers.keySet().stream().noneMatch(this::alive);
+  public boolean hasNoLivePeer() {
+    return peers.keySet().stream().noneMatch(this::isAlive);
   }
 
   @Override
--- a/src/main/java/dapplestair/relay/Relay.java
+++ b/src/main/java/dapplestair/relay/Relay.java
@@ -34,15 +34,15 @@
   private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
 
   /** A machine takes two sockets of the leader: its reports, and the commands sent to it. */
-  private static final int SOCKETS_OF_MACHINE = 2;
+  private static final int SOCKETS_PER_MACHINE = 2;
 
   /** Part of the 4 s for which a worker waits for an answer (PROTOCOL). */
-  private static final long ANSWER_WITHIN_MS = 4000 * 5 / 8;
+  private static final long RELAY_DEADLINE_MS = 4000 * 5 / 8;
 
   /** A leader that ends takes the reports on their way with it: these are sent again. */
-  private static final int ATTEMPTS = 3;
+  private static final int MAX_ATTEMPTS = 3;
 
-  private static final int MOST_MOVES_KEPT = 8192;
+  private static final int MAX_REMEMBERED_REDIRECTS = 8192;
 
   private final Clock clock;
   private final Timers timers;
@@ -52,15 +52,15 @@
   private final Peers peers;
   private final RelayLinks links;
   private final RelayMode mode;
-  private final HeldReports held;
+  private final HeldReports heldReports;
   private final long tickMs;
   private final long leaseMs;
-  private final Map<String, String> zones = new HashMap<>();
-  private final Map<String, Long> aliveSince = new HashMap<>();
-  private final Map<String, Long> movedAt = new BoundedMap<>(MOST_MOVES_KEPT);
-  private Consumer<Exchange> reports = x -> {};
-  private IntSupplier machines = () -> 0;
-  private long relayed;
+  private final Map<String, String> zonesByMember = new HashMap<>();
+  private final Map<String, Long> aliveSinceMs = new HashMap<>();
+  private final Map<String, Long> redirectedAtMs = new BoundedMap<>(MAX_REMEMBERED_REDIRECTS);
+  private Consumer<Exchange> reportHandler = x -> {};
+  private IntSupplier machineCount = () -> 0;
+  private long relayedReports;
   private Cancellable timer = () -> {};
 
   /**
@@ -87,55 +87,56 @@
     this.tickMs = settings.workers().reportMs() / 32;
     long gatherMs = settings.workers().reportMs() / 1000;
     this.links = new RelayLinks(timers, peers, leadership.processId(), gatherMs, this::handle);
-    double most = socketShare * settings.resources().maxConnections() / SOCKETS_OF_MACHINE;
-    this.mode = new RelayMode(clock, most, leaseMs);
-    this.held = new HeldReports(clock);
-    settings.peers().forEach(p -> zones.put(p.member(), p.zone()));
+    double maxDirectMachines =
+        socketShare * settings.resources().maxConnections() / SOCKETS_PER_MACHINE;
+    this.mode = new RelayMode(clock, maxDirectMachines, leaseMs);
+    this.heldReports = new HeldReports(clock);
+    settings.peers().forEach(peer -> zonesByMember.put(peer.member(), peer.zone()));
   }
 
   /**
    * Begins.
    *
-   * @param takeReport serves a report while this controller leads
+   * @param onReport serves a report while this controller leads
    * @param countMachines how many machines the leader knows
    */
-  public void start(Consumer<Exchange> takeReport, IntSupplier countMachines) {
-    reports = takeReport;
-    machines = countMachines;
+  public void start(Consumer<Exchange> onReport, IntSupplier countMachines) {
+    reportHandler = onReport;
+    machineCount = countMachines;
     links.start();
     tick();
   }
 
   /** True while connections are spread. */
-  public boolean on() {
-    return mode.on();
+  public boolean isActive() {
+    return mode.isActive();
   }
 
   /** Reports passed on to a leader so far. */
-  public long relayed() {
-    return relayed;
+  public long relayedReports() {
+    return relayedReports;
   }
 
   private void tick() {
-    for (String member : zones.keySet()) {
-      if (peers.alive(member)) {
-        aliveSince.putIfAbsent(member, clock.now());
+    for (String member : zonesByMember.keySet()) {
+      if (peers.isAlive(member)) {
+        aliveSinceMs.putIfAbsent(member, clock.now());
       } else {
-        aliveSince.remove(member);
+        aliveSinceMs.remove(member);
       }
     }
     if (leadership.isLeading()) {
-      if (mode.decide(leadership.term(), machines.getAsInt())) {
+      if (mode.decide(leadership.term(), machineCount.getAsInt())) {
         LOG.info(
             "connections of {} machines are {}",
-            machines.getAsInt(),
-            mode.on() ? "spread" : "direct");
+            machineCount.getAsInt(),
+            mode.isActive() ? "spread" : "direct");
       }
-      if (mode.worthTelling()) {
-        aliveSince.keySet().forEach(m -> links.tell(m, RequestKind.MODE, mode.encode()));
+      if (mode.shouldAnnounce()) {
+        aliveSinceMs.keySet().forEach(m -> links.send(m, RequestKind.MODE, mode.encode()));
       }
     }
-    retryHeld();
+    retryHeldReports();
     timer = timers.after(tickMs, this::tick);
   }
 
@@ -145,93 +146,97 @@
    * Candidates are this controller and those that have been alive for a while: one that comes and
    * goes must not take connections each time.
    */
-  private String assigned(Report report) {
+  private String assignedController(Report report) {
     List<RelayAssignment.Candidate> candidates = new ArrayList<>();
     candidates.add(new RelayAssignment.Candidate(settings.member(), settings.zone()));
-    aliveSince.forEach(
+    aliveSinceMs.forEach(
         (member, since) -> {
           if (clock.now() - since >= leaseMs / 4) {
-            candidates.add(new RelayAssignment.Candidate(member, zones.get(member)));
+            candidates.add(new RelayAssignment.Candidate(member, zonesByMember.get(member)));
           }
         });
-    return RelayAssignment.of(report.host(), report.zone(), candidates);
+    return RelayAssignment.controllerFor(report.host(), report.zone(), candidates);
   }
 
   /**
    * The controller that a worker is to report to, or null when it may stay. Controllers may see
    * each other differently for a while, so a worker is sent on once a lease at the most.
    */
-  private String sendOnTo(Report report) {
-    String to = assigned(report);
+  private String redirectTarget(Report report) {
+    String target = assignedController(report);
     long now = clock.now();
-    Long last = movedAt.get(report.host());
-    if (to.equals(settings.member()) || last != null && now - last <= leaseMs) {
+    Long lastRedirectMs = redirectedAtMs.get(report.host());
+    if (target.equals(settings.member())
+        || lastRedirectMs != null && now - lastRedirectMs <= leaseMs) {
       return null;
     }
-    movedAt.remove(report.host());
-    movedAt.put(report.host(), now);
-    return to;
+    redirectedAtMs.remove(report.host());
+    redirectedAtMs.put(report.host(), now);
+    return target;
   }
 
   /** The leader's question: where a worker that came directly is to report to, or null. */
-  public String elsewhere(Exchange exchange, Report report) {
-    boolean direct = RelayedReport.relayOf(exchange) == null;
-    return direct && mode.on() ? sendOnTo(report) : null;
+  public String redirectTargetOfDirect(Exchange exchange, Report report) {
+    boolean isDirect = RelayedReport.relayOf(exchange) == null;
+    return isDirect && mode.isActive() ? redirectTarget(report) : null;
   }
 
   // ---- reports, at a controller that does not lead ----
 
   /**
-   * Takes a report if it is to be relayed. {@code otherwise} answers it if no leader can be asked
-   * in time. False when nothing was done.
+   * Takes a report if it is to be relayed. {@code fallback} answers it if no leader can be asked in
+   * time. False when nothing was done.
    */
-  public boolean take(Exchange exchange, Report report, Runnable otherwise) {
+  public boolean tryRelay(Exchange exchange, Report report, Runnable fallback) {
     // One that was relayed already came here by mistake: its sender knows an older leader.
-    if (!mode.on() || RelayedReport.relayOf(exchange) != null) {
+    if (!mode.isActive() || RelayedReport.relayOf(exchange) != null) {
       return false;
     }
-    String to = sendOnTo(report);
-    if (to != null) {
-      exchange.reply(421, Json.bytes(Json.object().put("steward", to)), 0);
+    String target = redirectTarget(report);
+    if (target != null) {
+      exchange.reply(421, Json.bytes(Json.object().put("steward", target)), 0);
       return true;
     }
-    pass(new HeldReport(exchange, clock.now() + ANSWER_WITHIN_MS, otherwise));
+    forward(new HeldReport(exchange, clock.now() + RELAY_DEADLINE_MS, fallback));
     return true;
   }
 
   /** Passes it on, or holds it until there is a leader: one that ends sends no worker away. */
-  private void pass(HeldReport report) {
+  private void forward(HeldReport report) {
     String leader = leadership.currentLeader();
-    long left = report.deadline() - clock.now();
-    if (leader != null && !leader.equals(settings.member()) && peers.alive(leader) && left > 0) {
-      relayed++;
+    long remainingMs = report.deadlineMs() - clock.now();
+    if (leader != null
+        && !leader.equals(settings.member())
+        && peers.isAlive(leader)
+        && remainingMs > 0) {
+      relayedReports++;
       links.call(
           leader,
           RequestKind.REPORT,
           "",
           report.exchange().body(),
-          Math.min(left, ANSWER_WITHIN_MS / ATTEMPTS),
-          reply -> answered(report, reply));
-    } else if (!held.hold(report)) {
-      report.otherwise().run();
+          Math.min(remainingMs, RELAY_DEADLINE_MS / MAX_ATTEMPTS),
+          reply -> replyReceived(report, reply));
+    } else if (!heldReports.hold(report)) {
+      report.fallback().run();
     }
   }
 
-  private void answered(HeldReport report, HttpReply reply) {
+  private void replyReceived(HeldReport report, HttpReply reply) {
     if (reply.status() > 0) {
       report.exchange().reply(reply.status(), reply.body(), 0);
-    } else if (!held.hold(report)) {
-      report.otherwise().run();
+    } else if (!heldReports.hold(report)) {
+      report.fallback().run();
     }
   }
 
-  private void retryHeld() {
-    held.takeExpired().forEach(report -> report.otherwise().run());
+  private void retryHeldReports() {
+    heldReports.takeExpired().forEach(report -> report.fallback().run());
     if (leadership.isLeading()) {
       // Elected meanwhile: these are its own now.
-      held.takeAll().forEach(report -> reports.accept(report.exchange()));
+      heldReports.takeAll().forEach(report -> reportHandler.accept(report.exchange()));
     } else {
-      held.takeAll().forEach(this::pass);
+      heldReports.takeAll().forEach(this::forward);
     }
   }
 
@@ -242,9 +247,9 @@
    *
    * @param relay that controller, or null for a direct call
    */
-  public void command(
+  public void sendCommands(
       String relay, String endpoint, byte[] body, long timeoutMs, Consumer<HttpReply> done) {
-    if (relay == null || !mode.on() || !peers.alive(relay)) {
+    if (relay == null || !mode.isActive() || !peers.isAlive(relay)) {
       deliver(endpoint, body, timeoutMs, done);
     } else {
       // The relay's own call ends first, so that its word on the outcome still counts.
@@ -262,15 +267,15 @@
     switch (request.kind()) {
       case REPORT -> {
         if (leadership.isLeading()) {
-          reports.accept(new RelayedReport(member, request.body(), done));
+          reportHandler.accept(new RelayedReport(member, request.body(), done));
         } else {
           done.accept(HttpReply.of(HttpReply.NOT_SENT));
         }
       }
       case COMMAND -> deliver(request.endpoint(), request.body(), request.timeoutMs(), done);
       case MODE -> {
-        if (!leadership.isLeading() && !mode.heard(request.body())) {
-          peers.questions().refused();
+        if (!leadership.isLeading() && !mode.receive(request.body())) {
+          peers.requests().countRefusedMessage();
         }
       }
       default -> {}
--- a/src/main/java/dapplestair/relay/RelayAssignment.java
+++ b/src/main/java/dapplestair/relay/RelayAssignment.java
@@ -25,7 +25,8 @@
   public record Candidate(String member, String zone) {}
 
   /** The controller for this machine, or null when there is no candidate. */
-  public static String of(String machine, String zone, Collection<Candidate> candidates) {
+  public static String controllerFor(
+      String machine, String zone, Collection<Candidate> candidates) {
     String best = null;
     double bestScore = Double.NEGATIVE_INFINITY;
     for (Candidate candidate : candidates) {
--- a/src/main/java/dapplestair/relay/RelayFrameCodec.java
+++ b/src/main/java/dapplestair/relay/RelayFrameCodec.java
@@ -10,13 +10,13 @@
 /** Frames of relayed requests and replies between controllers: bounded, and of one form. */
 final class RelayFrameCodec {
   /** Raised whenever the form changes; frames of other forms are refused. */
-  static final byte FORM = 1;
+  static final byte FORMAT_VERSION = 1;
 
   /** Most requests and replies of one frame. */
-  static final int MOST_ITEMS = 256;
+  static final int MAX_ITEMS = 256;
 
   /** Largest frame, bytes; a single report may have 64 KiB. */
-  static final int LARGEST = 448 * 1024;
+  static final int MAX_FRAME_BYTES = 448 * 1024;
 
   private RelayFrameCodec() {}
 
@@ -60,8 +60,8 @@
   }
 
   private static byte[] write(Frame frame) {
-    Output out = new Output(4096, LARGEST);
-    out.writeByte(FORM);
+    Output out = new Output(4096, MAX_FRAME_BYTES);
+    out.writeByte(FORMAT_VERSION);
     out.writeLong(frame.sender());
     out.writeLong(frame.receiver());
     out.writeVarInt(frame.requests().size(), true);
@@ -70,25 +70,25 @@
       out.writeByte(request.kind().ordinal());
       out.writeString(request.endpoint());
       out.writeVarLong(request.timeoutMs(), true);
-      bytes(out, request.body());
+      writeBytes(out, request.body());
     }
     out.writeVarInt(frame.replies().size(), true);
     for (Reply reply : frame.replies()) {
       out.writeLong(reply.id());
       out.writeVarInt(reply.status(), false);
-      bytes(out, reply.body());
+      writeBytes(out, reply.body());
     }
     return out.toBytes();
   }
 
-  private static void bytes(Output out, byte[] body) {
+  private static void writeBytes(Output out, byte[] body) {
     out.writeVarInt(body.length, true);
     out.writeBytes(body);
   }
 
   /** Decodes a frame, or gives null when it is garbled, too large or of another form. */
   static Frame decode(byte[] bytes) {
-    if (bytes.length == 0 || bytes.length > LARGEST || bytes[0] != FORM) {
+    if (bytes.length == 0 || bytes.length > MAX_FRAME_BYTES || bytes[0] != FORMAT_VERSION) {
       return null;
     }
     try {
@@ -96,12 +96,12 @@
       long sender = in.readLong();
       long receiver = in.readLong();
       List<Request> requests = new ArrayList<>();
-      for (int left = count(in); left > 0; left--) {
-        requests.add(request(in));
+      for (int remaining = readCount(in); remaining > 0; remaining--) {
+        requests.add(readRequest(in));
       }
       List<Reply> replies = new ArrayList<>();
-      for (int left = count(in); left > 0; left--) {
-        replies.add(new Reply(in.readLong(), in.readVarInt(false), bytes(in)));
+      for (int remaining = readCount(in); remaining > 0; remaining--) {
+        replies.add(new Reply(in.readLong(), in.readVarInt(false), readBytes(in)));
       }
       return in.end() ? new Frame(sender, receiver, requests, replies) : null;
     } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
@@ -109,7 +109,7 @@
     }
   }
 
-  private static Request request(Input in) {
+  private static Request readRequest(Input in) {
     long id = in.readLong();
     RequestKind kind = RequestKind.values()[in.readByte()];
     String endpoint = in.readString();
@@ -117,20 +117,20 @@
     if (endpoint == null || timeoutMs < 0) {
       throw new IllegalArgumentException("not a request");
     }
-    return new Request(id, kind, endpoint, timeoutMs, bytes(in));
+    return new Request(id, kind, endpoint, timeoutMs, readBytes(in));
   }
 
-  private static int count(Input in) {
+  private static int readCount(Input in) {
     int count = in.readVarInt(true);
-    if (count < 0 || count > MOST_ITEMS) {
+    if (count < 0 || count > MAX_ITEMS) {
       throw new IllegalArgumentException("too many items: " + count);
     }
     return count;
   }
 
-  private static byte[] bytes(Input in) {
+  private static byte[] readBytes(Input in) {
     int length = in.readVarInt(true);
-    if (length < 0 || length > LARGEST) {
+    if (length < 0 || length > MAX_FRAME_BYTES) {
       throw new IllegalArgumentException("too long: " + length);
     }
     return in.readBytes(length);
--- a/src/main/java/dapplestair/relay/RelayLinks.java
+++ b/src/main/java/dapplestair/relay/RelayLinks.java
@@ -24,9 +24,9 @@
   private static final String TOPIC = "relay";
 
   /** Requests without a reply that one controller may have with another. */
-  private static final int MOST_OPEN = 4096;
+  private static final int MAX_PENDING_REQUESTS = 4096;
 
-  private static final int LARGEST_BATCH = RelayFrameCodec.LARGEST / 2;
+  private static final int MAX_BATCH_BYTES = RelayFrameCodec.MAX_FRAME_BYTES / 2;
 
   /** Serves the requests of other controllers. */
   interface Handler {
@@ -42,18 +42,18 @@
   private static final class Outbox {
     final ArrayDeque<Request> requests = new ArrayDeque<>();
     final ArrayDeque<Reply> replies = new ArrayDeque<>();
-    long process;
-    int open;
-    boolean flushing;
+    long receiverProcess;
+    int pendingCount;
+    boolean flushScheduled;
   }
 
   private final Timers timers;
   private final Peers peers;
-  private final long process;
+  private final long ownProcess;
   private final long gatherMs;
   private final Handler handler;
   private final Map<String, Outbox> outboxes = new HashMap<>();
-  private final Map<Long, PendingRelay> open = new HashMap<>();
+  private final Map<Long, PendingRelay> pendingRelays = new HashMap<>();
   private long lastId;
 
   /**
@@ -65,13 +65,13 @@
   RelayLinks(Timers timers, Peers peers, long process, long gatherMs, Handler handler) {
     this.timers = timers;
     this.peers = peers;
-    this.process = process;
+    this.ownProcess = process;
     this.gatherMs = gatherMs;
     this.handler = handler;
   }
 
   void start() {
-    peers.onTell(TOPIC, this::received);
+    peers.listen(TOPIC, this::frameReceived);
   }
 
   /** Sends a request; exactly one reply. */
@@ -83,22 +83,23 @@
       long timeoutMs,
       Consumer<HttpReply> done) {
     Outbox outbox = outbox(member);
-    if (outbox.open >= MOST_OPEN) {
+    if (outbox.pendingCount >= MAX_PENDING_REQUESTS) {
       timers.after(0, () -> done.accept(HttpReply.of(HttpReply.NOT_SENT)));
       return;
     }
-    outbox.open++;
+    outbox.pendingCount++;
     long id = ++lastId;
-    Cancellable timer = timers.after(timeoutMs, () -> end(id, HttpReply.of(HttpReply.UNKNOWN)));
-    open.put(id, new PendingRelay(member, done, timer));
+    Cancellable timer =
+        timers.after(timeoutMs, () -> complete(id, HttpReply.of(HttpReply.UNKNOWN)));
+    pendingRelays.put(id, new PendingRelay(member, done, timer));
     outbox.requests.add(new Request(id, kind, endpoint, timeoutMs, body));
     flushSoon(member, outbox);
   }
 
   /** Tells another controller something that has no reply. */
-  void tell(String member, RequestKind kind, byte[] body) {
+  void send(String member, RequestKind kind, byte[] body) {
     Outbox outbox = outbox(member);
-    if (outbox.requests.size() < MOST_OPEN) {
+    if (outbox.requests.size() < MAX_PENDING_REQUESTS) {
       outbox.requests.add(new Request(0, kind, "", 0, body));
       flushSoon(member, outbox);
     }
@@ -109,89 +110,90 @@
   }
 
   private void flushSoon(String member, Outbox outbox) {
-    if (!outbox.flushing) {
-      outbox.flushing = true;
+    if (!outbox.flushScheduled) {
+      outbox.flushScheduled = true;
       timers.after(gatherMs, () -> flush(member, outbox));
     }
   }
 
   private void flush(String member, Outbox outbox) {
-    outbox.flushing = false;
+    outbox.flushScheduled = false;
     while (!outbox.requests.isEmpty() || !outbox.replies.isEmpty()) {
       int bytes = 0;
       List<Request> requests = new ArrayList<>();
-      while (!outbox.requests.isEmpty() && room(requests.size(), bytes)) {
+      while (!outbox.requests.isEmpty() && hasRoom(requests.size(), bytes)) {
         Request request = outbox.requests.poll();
         // One that has timed out while it waited here need not be sent any more.
-        if (request.id() == 0 || open.containsKey(request.id())) {
+        if (request.id() == 0 || pendingRelays.containsKey(request.id())) {
           requests.add(request);
           bytes += request.body().length;
         }
       }
       List<Reply> replies = new ArrayList<>();
-      while (!outbox.replies.isEmpty() && room(replies.size(), bytes)) {
+      while (!outbox.replies.isEmpty() && hasRoom(replies.size(), bytes)) {
         replies.add(outbox.replies.peek());
         bytes += outbox.replies.poll().body().length;
       }
-      byte[] frame = RelayFrameCodec.encode(new Frame(process, outbox.process, requests, replies));
+      byte[] frame =
+          RelayFrameCodec.encode(new Frame(ownProcess, outbox.receiverProcess, requests, replies));
       if (frame != null) {
-        peers.tell(member, TOPIC, frame);
+        peers.send(member, TOPIC, frame);
       }
     }
   }
 
-  private static boolean room(int items, int bytes) {
-    return items < RelayFrameCodec.MOST_ITEMS && bytes < LARGEST_BATCH;
+  private static boolean hasRoom(int items, int bytes) {
+    return items < RelayFrameCodec.MAX_ITEMS && bytes < MAX_BATCH_BYTES;
   }
 
-  private void received(String member, byte[] bytes) {
+  private void frameReceived(String member, byte[] bytes) {
     Frame frame = RelayFrameCodec.decode(bytes);
     if (frame == null) {
-      peers.questions().refused();
+      peers.requests().countRefusedMessage();
       return;
     }
     Outbox outbox = outbox(member);
-    if (outbox.process != frame.sender()) {
+    if (outbox.receiverProcess != frame.sender()) {
       // Its former life waits for nothing any more.
       outbox.replies.clear();
-      outbox.process = frame.sender();
+      outbox.receiverProcess = frame.sender();
     }
-    if (frame.receiver() == process) {
-      frame.replies().forEach(r -> answered(member, r));
+    if (frame.receiver() == ownProcess) {
+      frame.replies().forEach(reply -> replyReceived(member, reply));
     }
     for (Request request : frame.requests()) {
       long sender = frame.sender();
-      handler.handle(member, request, reply -> reply(member, sender, request.id(), reply));
+      handler.handle(member, request, reply -> sendReply(member, sender, request.id(), reply));
     }
   }
 
-  private void reply(String member, long sender, long id, HttpReply reply) {
+  private void sendReply(String member, long sender, long id, HttpReply reply) {
     Outbox outbox = outbox(member);
-    if (id != 0 && outbox.process == sender) {
+    if (id != 0 && outbox.receiverProcess == sender) {
       outbox.replies.add(new Reply(id, reply.status(), reply.body()));
       flushSoon(member, outbox);
     }
   }
 
-  private void answered(String member, Reply reply) {
-    PendingRelay waiting = open.get(reply.id());
-    if (waiting != null && waiting.member().equals(member)) {
-      end(reply.id(), new HttpReply(reply.status(), reply.body()));
+  private void replyReceived(String member, Reply reply) {
+    PendingRelay pending = pendingRelays.get(reply.id());
+    if (pending != null && pending.member().equals(member)) {
+      complete(reply.id(), new HttpReply(reply.status(), reply.body()));
     }
   }
 
-  private void end(long id, HttpReply reply) {
-    PendingRelay waiting = open.remove(id);
-    if (waiting != null) {
-      waiting.timer().cancel();
-      outbox(waiting.member()).open--;
-      waiting.done().accept(reply);
+  private void complete(long id, HttpReply reply) {
+    PendingRelay pending = pendingRelays.remove(id);
+    if (pending != null) {
+      pending.timer().cancel();
+      outbox(pending.member()).pendingCount--;
+      pending.done().accept(reply);
     }
   }
 
   @Override
   public void close() {
-    open.values().forEach(o -> o.timer().cancel());
-    open.clear();
+    pendingRelays.values().forEach(pending -> pending.timer().cancel());
+    pendingRelays.clear();
   }
 }
--- a/src/main/java/dapplestair/relay/RelayMode.java
+++ b/src/main/java/dapplestair/relay/RelayMode.java
@@ -14,69 +14,69 @@
   private static final double OFF_RATIO = 0.8;
 
   private final Clock clock;
-  private final double onAboveMachines;
-  private final long keptMs;
-  private boolean on;
+  private final double maxDirectMachines;
+  private final long holdMs;
+  private boolean isActive;
   private long term;
-  private long saidAt = Long.MIN_VALUE / 2;
-  private long enoughAt;
-  private long lastOnAt = Long.MIN_VALUE / 2;
+  private long announcedAtMs = Long.MIN_VALUE / 2;
+  private long lastManyMachinesMs;
+  private long lastActiveMs = Long.MIN_VALUE / 2;
 
   /**
    * Off at first.
    *
-   * @param onAboveMachines relaying begins with more machines than these
-   * @param keptMs how long a leader's word holds, and how long few machines must last
+   * @param maxDirectMachines relaying begins with more machines than these
+   * @param holdMs how long a leader's word holds, and how long few machines must last
    */
-  RelayMode(Clock clock, double onAboveMachines, long keptMs) {
+  RelayMode(Clock clock, double maxDirectMachines, long holdMs) {
     this.clock = clock;
-    this.onAboveMachines = onAboveMachines;
-    this.keptMs = keptMs;
+    this.maxDirectMachines = maxDirectMachines;
+    this.holdMs = holdMs;
   }
 
   /** True while reports are to be relayed. */
-  boolean on() {
-    return on && clock.now() - saidAt <= keptMs;
+  boolean isActive() {
+    return isActive && clock.now() - announcedAtMs <= holdMs;
   }
 
   /** True while it is on, and for a while after: a deployment that never needs it hears nothing. */
-  boolean worthTelling() {
-    return on || clock.now() - lastOnAt <= keptMs;
+  boolean shouldAnnounce() {
+    return isActive || clock.now() - lastActiveMs <= holdMs;
   }
 
   /** The leader of a term decides; true when that changes the mode. */
   boolean decide(long leaderTerm, int machines) {
     long now = clock.now();
-    boolean before = on();
-    if (leaderTerm != term || machines >= OFF_RATIO * onAboveMachines) {
+    boolean wasActive = isActive();
+    if (leaderTerm != term || machines >= OFF_RATIO * maxDirectMachines) {
       // A leader that has just begun may not know all machines yet.
-      enoughAt = now;
+      lastManyMachinesMs = now;
     }
-    on = machines > onAboveMachines || before && now - enoughAt <= keptMs;
-    lastOnAt = before || on ? now : lastOnAt;
+    isActive = machines > maxDirectMachines || wasActive && now - lastManyMachinesMs <= holdMs;
+    lastActiveMs = wasActive || isActive ? now : lastActiveMs;
     term = leaderTerm;
-    saidAt = now;
-    return before != on;
+    announcedAtMs = now;
+    return wasActive != isActive;
   }
 
   /** The word of the leader for the other controllers. */
   byte[] encode() {
     Output out = new Output(16);
     out.writeVarLong(term, true);
-    out.writeBoolean(on);
+    out.writeBoolean(isActive);
     return out.toBytes();
   }
 
   /** Hears a leader's word; false when it is garbled. */
-  boolean heard(byte[] word) {
+  boolean receive(byte[] announcement) {
     try {
-      Input in = new Input(word);
-      long saidTerm = in.readVarLong(true);
-      boolean saidOn = in.readBoolean();
-      if (saidTerm >= term) {
-        term = saidTerm;
-        on = saidOn;
-        saidAt = clock.now();
+      Input in = new Input(announcement);
+      long announcedTerm = in.readVarLong(true);
+      boolean announcedActive = in.readBoolean();
+      if (announcedTerm >= term) {
+        term = announcedTerm;
+        isActive = announcedActive;
+        announcedAtMs = clock.now();
       }
       return true;
     } catch (KryoException | IndexOutOfBoundsException e) {
--- a/src/main/java/dapplestair/submissions/RequestRelay.java
+++ b/src/main/java/dapplestair/submissions/RequestRelay.java
@@ -30,7 +30,7 @@
 
   /** Answers requests that peers pass on by {@code handler}, from now on. */
   public void start(Consumer<Exchange> handler) {
-    peers.questions().answer(TOPIC, (body, reply) -> asked(body, reply, handler));
+    peers.requests().handle(TOPIC, (body, reply) -> asked(body, reply, handler));
   }
 
   /**
@@ -38,7 +38,7 @@
    * nothing done, when there is nobody to ask.
    */
   boolean pass(Exchange exchange, Consumer<UserRequestCodec.Response> done) {
-    List<String> served = peers.served();
+    List<String> served = peers.readyPeers();
     if (served.isEmpty() || open >= MOST_OPEN || exchange instanceof RelayedExchange) {
       return false;
     }
@@ -51,7 +51,7 @@
     String peer = served.get(Math.floorMod(turn++, served.size()));
     open++;
     peers
-        .questions()
+        .requests()
         .ask(
             peer,
             TOPIC,
@@ -67,7 +67,7 @@
   private UserRequestCodec.Response read(byte[] reply) {
     UserRequestCodec.Response response = UserRequestCodec.answer(reply);
     if (response == null) {
-      peers.questions().refused();
+      peers.requests().countRefusedMessage();
     }
     return response;
   }
@@ -75,7 +75,7 @@
   private void asked(byte[] body, Consumer<byte[]> reply, Consumer<Exchange> handler) {
     UserRequestCodec.Request request = UserRequestCodec.request(body);
     if (request == null) {
-      peers.questions().refused();
+      peers.requests().countRefusedMessage();
       return;
     }
     handler.accept(new RelayedExchange(request, reply));
--- a/src/main/java/dapplestair/workers/CommandSender.java
+++ b/src/main/java/dapplestair/workers/CommandSender.java
@@ -135,7 +135,7 @@
     }
     host.calling = true;
     long term = leadership.term();
-    relay.command(
+    relay.sendCommands(
         // After a call that failed on its way through another controller, the next one is direct.
         host.failedCalls > 0 ? null : host.relay,
         host.endpoint,
--- a/src/main/java/dapplestair/workers/ReportHandler.java
+++ b/src/main/java/dapplestair/workers/ReportHandler.java
@@ -93,12 +93,12 @@
     cancellations.addressed(report.host(), report.endpoint());
     beats++;
     if (!leading.getAsBoolean() || !leadership.isLeading()) {
-      if (!relay.take(exchange, report, () -> redirect(exchange, report))) {
+      if (!relay.tryRelay(exchange, report, () -> redirect(exchange, report))) {
         redirect(exchange, report);
       }
       return;
     }
-    String elsewhere = relay.elsewhere(exchange, report);
+    String elsewhere = relay.redirectTargetOfDirect(exchange, report);
     if (elsewhere != null) {
       sendTo(exchange, elsewhere);
       return;
@@ -138,9 +138,9 @@
     boolean known = leader != null && !leader.equals(settings.member());
     // One that comes back from a living leader was not taken there. In an outage of all the reason
     // may be that this leader may not keep leases any more, since it does not hear all others.
-    boolean notTaken = again && !peers.anyServed();
-    boolean alone = !state.isReachable() && (notTaken || !(known && peers.alive(leader)));
-    if (alone && !again && (leadership.hasUnrecordedSuccessor() || relay.on())) {
+    boolean notTaken = again && !peers.hasReadyPeer();
+    boolean alone = !state.isReachable() && (notTaken || !(known && peers.isAlive(leader)));
+    if (alone && !again && (leadership.hasUnrecordedSuccessor() || relay.isActive())) {
       // Somebody leads whom we cannot ask, and reaches this worker: it had better report there.
       // Where reports are relayed, a relay that is cut off cannot tell whether somebody does.
       // One that comes back was not taken; it is kept as below.
--- a/src/main/java/dapplestair/workers/WorkerManager.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -101,7 +101,7 @@
 
   /** Begins to count what comes, and to share what is heard. */
   public void start() {
-    peers.questions().answer(HEARD, (body, reply) -> heardByOthers(body));
+    peers.requests().handle(HEARD, (body, reply) -> heardByOthers(body));
     reports.start();
     share();
   }
@@ -117,7 +117,7 @@
     LivenessReport livenessReport =
         liveness.account(leading && leadership.isLeading(), leadership.term());
     if (livenessReport.term() > 0 || !livenessReport.zoneAgesMs().isEmpty()) {
-      peers.state(HEARD, livenessReport.encode());
+      peers.broadcast(HEARD, livenessReport.encode());
     }
     sharing = timers.after(reportMs / 8, this::share);
   }
@@ -245,7 +245,7 @@
         commandSender.send(host);
       }
     }
-    if (liveness.nobody() && peers.othersHear()) {
+    if (liveness.nobody() && peers.hasPeerHearingWorkers()) {
       // Cut off from the workers alone: their leases would run out while this controller leads.
       leadership.resign("the workers are heard by others only");
       return;
--- a/src/test/java/dapplestair/relay/RelayAssignmentTest.java
+++ b/src/test/java/dapplestair/relay/RelayAssignmentTest.java
@@ -32,7 +32,7 @@
   }
 
   private static String of(int i, List<Candidate> candidates) {
-    return RelayAssignment.of(machine(i), ZONES.get(i % 3), candidates);
+    return RelayAssignment.controllerFor(machine(i), ZONES.get(i % 3), candidates);
   }
 
   @ParameterizedTest(name = "{0} controllers")
@@ -66,13 +66,13 @@
     List<Candidate> candidates = controllers(2);
     long inZone = 0;
     for (int i = 0; i < MACHINES; i++) {
-      inZone += RelayAssignment.of(machine(i), "a", candidates).equals("node-0") ? 1 : 0;
+      inZone += RelayAssignment.controllerFor(machine(i), "a", candidates).equals("node-0") ? 1 : 0;
     }
     assertEquals(2.0 / 3, (double) inZone / MACHINES, 0.03);
   }
 
   @Test
   void nobodyIsThere() {
-    assertNull(RelayAssignment.of("n-000001", "a", List.of()));
+    assertNull(RelayAssignment.controllerFor("n-000001", "a", List.of()));
   }
 }
--- a/src/test/java/dapplestair/relay/RelayFrameCodecTest.java
+++ b/src/test/java/dapplestair/relay/RelayFrameCodecTest.java
@@ -54,11 +54,11 @@
     byte[] otherForm = good.clone();
     otherForm[0]++;
     assertNull(RelayFrameCodec.decode(otherForm));
-    assertNull(RelayFrameCodec.decode(new byte[RelayFrameCodec.LARGEST + 1]));
+    assertNull(RelayFrameCodec.decode(new byte[RelayFrameCodec.MAX_FRAME_BYTES + 1]));
     Reply reply = new Reply(1, 200, BODY);
-    List<Reply> tooMany = Collections.nCopies(RelayFrameCodec.MOST_ITEMS + 1, reply);
+    List<Reply> tooMany = Collections.nCopies(RelayFrameCodec.MAX_ITEMS + 1, reply);
     assertNull(RelayFrameCodec.decode(RelayFrameCodec.encode(new Frame(1, 1, List.of(), tooMany))));
-    byte[] large = new byte[RelayFrameCodec.LARGEST];
+    byte[] large = new byte[RelayFrameCodec.MAX_FRAME_BYTES];
     assertNull(
         RelayFrameCodec.encode(new Frame(1, 1, List.of(), List.of(new Reply(1, 200, large)))));
   }
--- a/src/test/java/dapplestair/world/RelayTest.java
+++ b/src/test/java/dapplestair/world/RelayTest.java
@@ -70,7 +70,7 @@
       candidates.add(
           new RelayAssignment.Candidate("node-" + i, SimulatedCluster.NODE_ZONES.get(i)));
     }
-    return RelayAssignment.of(machine.id(), machine.zone(), candidates) + ":8080";
+    return RelayAssignment.controllerFor(machine.id(), machine.zone(), candidates) + ":8080";
   }
 
   /** Each controller takes its part, and the leader none of the others'. */
