--- a/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
+++ b/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
@@ -202,7 +202,7 @@
     }
     asking = true;
     String from = host.substring(0, host.length() - 1);
-    cloud.lookUp(
+    cloud.findMachines(
         from,
         MOST_LISTED,
         reply -> {
--- a/src/main/java/dapplestair/cancellations/ForgottenMachines.java
+++ b/src/main/java/dapplestair/cancellations/ForgottenMachines.java
@@ -164,7 +164,7 @@
   }
 
   private void list(String from, Survey survey) {
-    cloud.lookUp(
+    cloud.findMachines(
         from,
         MOST_LISTED,
         reply -> {
--- a/src/main/java/dapplestair/cloud/CloudClient.java
+++ b/src/main/java/dapplestair/cloud/CloudClient.java
@@ -22,9 +22,9 @@
  * returns, its rentals and its questions, and last the look-ups of addresses.
  */
 public final class CloudClient {
-  private static final int MOST_QUEUED = 64;
-  private static final int MOST_LISTED = 500;
-  private static final double RATE_RATIO = 0.9;
+  private static final int MAX_QUEUED_REQUESTS = 64;
+  private static final int MAX_LISTED_MACHINES = 500;
+  private static final double CALL_RATE_SHARE = 0.9;
   private static final int TOO_MANY_REQUESTS = 429;
   private static final int UNAVAILABLE = 503;
 
@@ -33,12 +33,12 @@
     ENFORCEMENT,
     RETURNS,
     RENTALS,
-    QUESTIONS,
-    ADDRESSES;
+    QUERIES,
+    ADDRESS_LOOKUPS;
 
     /** True when its requests make sense only while this controller leads. */
-    boolean leaderOnly() {
-      return this != ENFORCEMENT && this != ADDRESSES;
+    boolean isLeaderOnly() {
+      return this != ENFORCEMENT && this != ADDRESS_LOOKUPS;
     }
   }
 
@@ -47,7 +47,7 @@
       String path,
       byte[] body,
       long timeoutMs,
-      BooleanSupplier wanted,
+      BooleanSupplier isWanted,
       Consumer<HttpReply> done) {
     QueuedRequest(
         String method, String path, byte[] body, long timeoutMs, Consumer<HttpReply> done) {
@@ -62,14 +62,14 @@
   private final long timeoutMs;
   private final Map<RequestPriority, ArrayDeque<QueuedRequest>> queues =
       new EnumMap<>(RequestPriority.class);
-  private boolean waiting;
+  private boolean sendScheduled;
 
   /** A client of the cloud that the settings name. */
   public CloudClient(Clock clock, Timers timers, HttpCaller http, Settings settings) {
     this.timers = timers;
     this.http = http;
     this.endpoint = settings.cloudEndpoint();
-    this.bucket = new TokenBucket(clock, settings.cloud().rps() * RATE_RATIO, 1);
+    this.bucket = new TokenBucket(clock, settings.cloud().rps() * CALL_RATE_SHARE, 1);
     this.timeoutMs = settings.workers().reportMs();
     for (RequestPriority priority : RequestPriority.values()) {
       queues.put(priority, new ArrayDeque<>());
@@ -77,30 +77,30 @@
   }
 
   /** Asks which machine types there are. */
-  public void types(Consumer<HttpReply> done) {
-    add(RequestPriority.QUESTIONS, get("/machine_types", done));
+  public void listMachineTypes(Consumer<HttpReply> done) {
+    enqueue(RequestPriority.QUERIES, getRequest("/machine_types", done));
   }
 
   /** Asks for the next page of machines, after this name or from the beginning. */
-  public void list(String from, Consumer<HttpReply> done) {
-    add(RequestPriority.QUESTIONS, get(listing(from, MOST_LISTED), done));
+  public void listMachines(String afterName, Consumer<HttpReply> done) {
+    enqueue(RequestPriority.QUERIES, getRequest(listingPath(afterName, MAX_LISTED_MACHINES), done));
   }
 
   /** Asks for a few machines that come after this name, whoever leads. */
-  public void lookUp(String from, int most, Consumer<HttpReply> done) {
-    add(RequestPriority.ADDRESSES, get(listing(from, most), done));
+  public void findMachines(String afterName, int maxMachines, Consumer<HttpReply> done) {
+    enqueue(RequestPriority.ADDRESS_LOOKUPS, getRequest(listingPath(afterName, maxMachines), done));
   }
 
-  private static String listing(String from, int limit) {
-    return "/rentals?" + (from == null ? "" : "from=" + from + "&") + "limit=" + limit;
+  private static String listingPath(String afterName, int limit) {
+    return "/rentals?" + (afterName == null ? "" : "from=" + afterName + "&") + "limit=" + limit;
   }
 
-  private QueuedRequest get(String path, Consumer<HttpReply> done) {
+  private QueuedRequest getRequest(String path, Consumer<HttpReply> done) {
     return new QueuedRequest("GET", path, null, timeoutMs, done);
   }
 
   /**
-   * Rents, if that is still {@code wanted} when its turn comes; otherwise the cloud is not asked,
+   * Rents, if that is still {@code isWanted} when its turn comes; otherwise the cloud is not asked,
    * and the reply is null.
    */
   public void rent(
@@ -109,7 +109,7 @@
       boolean spot,
       String zone,
       int count,
-      BooleanSupplier wanted,
+      BooleanSupplier isWanted,
       Consumer<HttpReply> done) {
     ObjectNode body =
         Json.object()
@@ -119,18 +119,18 @@
             .put("loaners", spot)
             .put("howMany", count);
     QueuedRequest request =
-        new QueuedRequest("POST", "/rentals", Json.bytes(body), 2 * timeoutMs, wanted, done);
-    add(RequestPriority.RENTALS, request);
+        new QueuedRequest("POST", "/rentals", Json.bytes(body), 2 * timeoutMs, isWanted, done);
+    enqueue(RequestPriority.RENTALS, request);
   }
 
   /** Returns machines, for a leader. */
   public void release(Collection<String> hosts, Consumer<HttpReply> done) {
-    add(RequestPriority.RETURNS, releaseRequest(hosts, done));
+    enqueue(RequestPriority.RETURNS, releaseRequest(hosts, done));
   }
 
   /** Returns machines that hold cancelled tasks, whoever leads. */
   public void enforceRelease(Collection<String> hosts, Consumer<HttpReply> done) {
-    add(RequestPriority.ENFORCEMENT, releaseRequest(hosts, done));
+    enqueue(RequestPriority.ENFORCEMENT, releaseRequest(hosts, done));
   }
 
   private QueuedRequest releaseRequest(Collection<String> hosts, Consumer<HttpReply> done) {
@@ -141,46 +141,46 @@
   }
 
   /** True when the cloud says that it has none left, as against being in trouble. */
-  public static boolean noCapacity(HttpReply reply) {
+  public static boolean isOutOfCapacity(HttpReply reply) {
     JsonNode body = Json.parse(reply.body());
     String error = Json.text(body, "error");
     return reply.status() == UNAVAILABLE && error != null && error.contains("capacity");
   }
 
-  private void add(RequestPriority priority, QueuedRequest request) {
-    if (queues.get(priority).size() >= MOST_QUEUED) {
+  private void enqueue(RequestPriority priority, QueuedRequest request) {
+    if (queues.get(priority).size() >= MAX_QUEUED_REQUESTS) {
       timers.after(0, () -> request.done.accept(HttpReply.of(HttpReply.NOT_SENT)));
       return;
     }
     queues.get(priority).add(request);
-    pump();
+    sendQueued();
   }
 
-  private void pump() {
+  private void sendQueued() {
     for (ArrayDeque<QueuedRequest> queue : queues.values()) {
       while (!queue.isEmpty()) {
-        if (!queue.peek().wanted.getAsBoolean()) {
+        if (!queue.peek().isWanted.getAsBoolean()) {
           queue.poll().done.accept(null);
         } else if (bucket.take(1)) {
           send(queue.poll());
         } else {
-          pumpLater();
+          scheduleSend();
           return;
         }
       }
     }
   }
 
-  private void pumpLater() {
-    if (waiting) {
+  private void scheduleSend() {
+    if (sendScheduled) {
       return;
     }
-    waiting = true;
+    sendScheduled = true;
     timers.after(
         bucket.waitMs(1) + 1,
         () -> {
-          waiting = false;
-          pump();
+          sendScheduled = false;
+          sendQueued();
         });
   }
 
@@ -200,10 +200,10 @@
   }
 
   /** This controller leads no more: drops what only a leader wants, without a reply. */
-  public void clear() {
+  public void dropLeaderRequests() {
     queues.forEach(
-        (queue, requests) -> {
-          if (queue.leaderOnly()) {
+        (priority, requests) -> {
+          if (priority.isLeaderOnly()) {
             requests.clear();
           }
         });
--- a/src/main/java/dapplestair/daemon/LoopbackEnvironment.java
+++ b/src/main/java/dapplestair/daemon/LoopbackEnvironment.java
@@ -68,7 +68,7 @@
   public void open(String name, RequestHandler place, Consumer<String> opened) {
     HttpServer.Options options = HttpServer.Options.users(CONNECTIONS_A_MACHINE);
     HttpServer server = new HttpServer(loop, options, x -> EmulatorHttpAdapter.hand(x, place));
-    server.open(
+    server.startAsync(
         new Address(HOST, 0),
         port -> {
           if (port < 0) {
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -174,7 +174,7 @@
   public void clear() {
     leading = false;
     timer.cancel();
-    cloud.clear();
+    cloud.dropLeaderRequests();
     rentals.clear();
     releases.clear();
     machineList.clear();
@@ -196,7 +196,7 @@
 
   private void fetchTypes() {
     fetchingTypes = true;
-    cloud.types(
+    cloud.listMachineTypes(
         reply -> {
           fetchingTypes = false;
           typesFetchedAtMs = clock.now();
--- a/src/main/java/dapplestair/fleet/MachineList.java
+++ b/src/main/java/dapplestair/fleet/MachineList.java
@@ -74,7 +74,7 @@
   }
 
   private void fetchPage(String afterId, long requestedAtMs, Set<String> seenIds, int generation) {
-    cloud.list(
+    cloud.listMachines(
         afterId,
         reply -> {
           if (generation != fetchGeneration) {
--- a/src/main/java/dapplestair/fleet/Rentals.java
+++ b/src/main/java/dapplestair/fleet/Rentals.java
@@ -263,7 +263,7 @@
           JsonNode body = Json.parse(reply.body());
           if (reply.status() == 200 && body.path("hosts").isArray()) {
             onRented(rental, body);
-          } else if (CloudClient.noCapacity(reply) || reply.status() == 400) {
+          } else if (CloudClient.isOutOfCapacity(reply) || reply.status() == 400) {
             // Set before the callback, which would otherwise count this rental as held in a pool
             // where the cloud has no more.
             rental.refused = true;
--- a/src/main/java/dapplestair/netty/ControllerEventLoop.java
+++ b/src/main/java/dapplestair/netty/ControllerEventLoop.java
@@ -23,7 +23,7 @@
 
   private final NioEventLoopGroup group =
       new NioEventLoopGroup(1, new DefaultThreadFactory("loop", true));
-  private final ThreadPoolExecutor helper =
+  private final ThreadPoolExecutor backgroundThread =
       new ThreadPoolExecutor(
           0,
           1,
@@ -31,7 +31,7 @@
           TimeUnit.SECONDS,
           new ArrayBlockingQueue<>(4),
           new DefaultThreadFactory("planning", true));
-  private final long zero = System.nanoTime();
+  private final long startNanos = System.nanoTime();
 
   NioEventLoopGroup group() {
     return group;
@@ -48,7 +48,7 @@
 
   @Override
   public long now() {
-    return (System.nanoTime() - zero) / 1_000_000;
+    return (System.nanoTime() - startNanos) / 1_000_000;
   }
 
   @Override
@@ -65,7 +65,7 @@
 
   @Override
   public <R> void compute(Supplier<R> work, Consumer<R> done) {
-    helper.execute(
+    backgroundThread.execute(
         guarded(
             () -> {
               R result = work.get();
@@ -86,7 +86,7 @@
 
   @Override
   public void close() {
-    helper.shutdownNow();
+    backgroundThread.shutdownNow();
     group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
   }
 }
--- a/src/main/java/dapplestair/netty/HttpExchange.java
+++ b/src/main/java/dapplestair/netty/HttpExchange.java
@@ -27,27 +27,27 @@
   private final String query;
   private final HttpHeaders headers;
   private final byte[] body;
-  private final boolean keep;
-  private final Predicate<HttpExchange> ended;
+  private final boolean keepAlive;
+  private final Predicate<HttpExchange> onEnd;
   private boolean answered;
   private boolean abandoned;
 
-  /** {@code ended} is told once, and says whether the connection is to be closed. */
+  /** {@code onEnd} is told once, and says whether the connection is to be closed. */
   HttpExchange(
       ChannelHandlerContext ctx,
       FullHttpRequest request,
-      boolean keep,
-      Predicate<HttpExchange> ended) {
+      boolean keepAlive,
+      Predicate<HttpExchange> onEnd) {
     this.ctx = ctx;
     this.method = request.method().name();
     String uri = request.uri();
-    int mark = uri.indexOf('?');
-    this.path = mark < 0 ? uri : uri.substring(0, mark);
-    this.query = mark < 0 ? "" : uri.substring(mark + 1);
+    int queryStart = uri.indexOf('?');
+    this.path = queryStart < 0 ? uri : uri.substring(0, queryStart);
+    this.query = queryStart < 0 ? "" : uri.substring(queryStart + 1);
     this.headers = request.headers();
     this.body = ByteBufUtil.getBytes(request.content());
-    this.keep = keep;
-    this.ended = ended;
+    this.keepAlive = keepAlive;
+    this.onEnd = onEnd;
   }
 
   @Override
@@ -94,7 +94,7 @@
   void abandon() {
     if (!answered && !abandoned) {
       abandoned = true;
-      ended.test(this);
+      onEnd.test(this);
     }
   }
 
@@ -104,31 +104,32 @@
       return;
     }
     answered = true;
-    boolean close = !keep | (!abandoned && ended.test(this));
-    var f = ctx.writeAndFlush(response(status, type, answer, retryAfterS, !close));
+    boolean close = !keepAlive | (!abandoned && onEnd.test(this));
+    var write = ctx.writeAndFlush(response(status, type, answer, retryAfterS, !close));
     if (close) {
-      f.addListener(ChannelFutureListener.CLOSE);
+      write.addListener(ChannelFutureListener.CLOSE);
     }
   }
 
   /** An answer after which the connection is closed. */
-  static DefaultFullHttpResponse refusal(int status, String why, int retryAfterS) {
-    return response(status, JSON, Json.bytes(Json.object().put("error", why)), retryAfterS, false);
+  static DefaultFullHttpResponse refusal(int status, String reason, int retryAfterS) {
+    return response(
+        status, JSON, Json.bytes(Json.object().put("error", reason)), retryAfterS, false);
   }
 
   private static DefaultFullHttpResponse response(
-      int status, String type, byte[] body, int retryAfterS, boolean keep) {
-    DefaultFullHttpResponse defaultFullHttpResponse =
+      int status, String type, byte[] body, int retryAfterS, boolean keepAlive) {
+    DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
-    defaultFullHttpResponse.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
-    defaultFullHttpResponse.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
+    response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
+    response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
     if (retryAfterS > 0) {
-      defaultFullHttpResponse.headers().setInt(HttpHeaderNames.RETRY_AFTER, retryAfterS);
+      response.headers().setInt(HttpHeaderNames.RETRY_AFTER, retryAfterS);
     }
-    if (!keep) {
-      defaultFullHttpResponse.headers().set(HttpHeaderNames.CONNECTION, "close");
+    if (!keepAlive) {
+      response.headers().set(HttpHeaderNames.CONNECTION, "close");
     }
-    return defaultFullHttpResponse;
+    return response;
   }
 }
--- a/src/main/java/dapplestair/netty/HttpPool.java
+++ b/src/main/java/dapplestair/netty/HttpPool.java
@@ -30,38 +30,42 @@
 
 /** Outgoing requests over kept connections, one request at a time on each. */
 public final class HttpPool implements HttpCaller {
-  private static final int LARGEST_REPLY = 8 << 20;
-  private static final int MOST_WAITING = 512;
-  private static final long KEEP_IDLE_MS = 20_000;
+  private static final int MAX_REPLY_BYTES = 8 << 20;
+  private static final int MAX_WAITING_CALLS = 512;
+  private static final long IDLE_TIMEOUT_MS = 20_000;
 
   /** While more connections are open than is comfortable. */
-  private static final long KEEP_IDLE_CROWDED_MS = 2_500;
+  private static final long CROWDED_IDLE_TIMEOUT_MS = 2_500;
 
-  private static final long SWEEP_MS = 5_000;
+  private static final long SWEEP_INTERVAL_MS = 5_000;
 
   private final ControllerEventLoop loop;
-  private final int mostPerEndpoint;
-  private final long connectMs;
-  private final int comfortable;
-  private int connections;
+  private final int maxConnectionsPerEndpoint;
+  private final long connectTimeoutMs;
+  private final int maxUncrowdedConnections;
+  private int totalConnections;
   private final Map<String, Endpoint> endpoints = new HashMap<>();
 
-  /** At most {@code mostPerEndpoint} connections to one place. */
-  public HttpPool(ControllerEventLoop loop, int mostPerEndpoint, long connectMs) {
-    this(loop, mostPerEndpoint, connectMs, Integer.MAX_VALUE);
+  /** At most {@code maxConnectionsPerEndpoint} connections to one place. */
+  public HttpPool(ControllerEventLoop loop, int maxConnectionsPerEndpoint, long connectTimeoutMs) {
+    this(loop, maxConnectionsPerEndpoint, connectTimeoutMs, Integer.MAX_VALUE);
   }
 
   /**
    * The same for a process whose sockets are limited.
    *
-   * @param comfortable with more connections than these, idle ones are closed sooner
+   * @param maxUncrowdedConnections with more connections than these, idle ones are closed sooner
    */
-  public HttpPool(ControllerEventLoop loop, int mostPerEndpoint, long connectMs, int comfortable) {
+  public HttpPool(
+      ControllerEventLoop loop,
+      int maxConnectionsPerEndpoint,
+      long connectTimeoutMs,
+      int maxUncrowdedConnections) {
     this.loop = loop;
-    this.comfortable = comfortable;
-    this.mostPerEndpoint = mostPerEndpoint;
-    this.connectMs = connectMs;
-    sweep();
+    this.maxUncrowdedConnections = maxUncrowdedConnections;
+    this.maxConnectionsPerEndpoint = maxConnectionsPerEndpoint;
+    this.connectTimeoutMs = connectTimeoutMs;
+    closeIdleConnections();
   }
 
   @Override
@@ -72,55 +76,57 @@
       byte[] body,
       long timeoutMs,
       Consumer<HttpReply> done) {
-    Endpoint e = endpoints.computeIfAbsent(endpoint, Endpoint::new);
-    e.submit(new Call(e, method, path, body, timeoutMs, done));
+    Endpoint target = endpoints.computeIfAbsent(endpoint, Endpoint::new);
+    target.submit(new Call(target, method, path, body, timeoutMs, done));
   }
 
   /** Closes connections that nobody used for a while and forgets endpoints without any. */
-  private void sweep() {
-    boolean crowded = connections > comfortable;
-    long before = loop.now() - (crowded ? KEEP_IDLE_CROWDED_MS : KEEP_IDLE_MS);
-    Iterator<Endpoint> it = endpoints.values().iterator();
-    while (it.hasNext()) {
-      Endpoint endpoint = it.next();
-      while (!endpoint.idle.isEmpty() && endpoint.idle.peekFirst().usedAt < before) {
-        endpoint.idle.pollFirst().channel.close();
+  private void closeIdleConnections() {
+    boolean isCrowded = totalConnections > maxUncrowdedConnections;
+    long minLastUsedMs = loop.now() - (isCrowded ? CROWDED_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS);
+    Iterator<Endpoint> iterator = endpoints.values().iterator();
+    while (iterator.hasNext()) {
+      Endpoint endpoint = iterator.next();
+      while (!endpoint.idleConnections.isEmpty()
+          && endpoint.idleConnections.peekFirst().lastUsedMs < minLastUsedMs) {
+        endpoint.idleConnections.pollFirst().channel.close();
       }
-      if (endpoint.open == 0 && endpoint.waiting.isEmpty()) {
-        it.remove();
+      if (endpoint.openConnections == 0 && endpoint.waitingCalls.isEmpty()) {
+        iterator.remove();
       }
     }
-    loop.after(crowded ? KEEP_IDLE_CROWDED_MS / 2 : SWEEP_MS, this::sweep);
+    loop.after(
+        isCrowded ? CROWDED_IDLE_TIMEOUT_MS / 2 : SWEEP_INTERVAL_MS, this::closeIdleConnections);
   }
 
   private final class Endpoint {
     final String name;
-    final ArrayDeque<Connection> idle = new ArrayDeque<>();
-    final ArrayDeque<Call> waiting = new ArrayDeque<>();
-    int open;
+    final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
+    final ArrayDeque<Call> waitingCalls = new ArrayDeque<>();
+    int openConnections;
 
     Endpoint(String name) {
       this.name = name;
     }
 
     void submit(Call call) {
-      if (waiting.size() >= MOST_WAITING) {
-        loop.after(0, () -> call.end(HttpReply.of(HttpReply.NOT_SENT)));
+      if (waitingCalls.size() >= MAX_WAITING_CALLS) {
+        loop.after(0, () -> call.complete(HttpReply.of(HttpReply.NOT_SENT)));
         return;
       }
       call.timer = loop.after(call.timeoutMs, call::expire);
-      waiting.add(call);
-      pump();
+      waitingCalls.add(call);
+      sendWaiting();
     }
 
-    void pump() {
-      while (!waiting.isEmpty()) {
-        Connection connection = idle.pollLast();
+    void sendWaiting() {
+      while (!waitingCalls.isEmpty()) {
+        Connection connection = idleConnections.pollLast();
         if (connection != null) {
           if (connection.channel.isActive()) {
-            connection.send(waiting.poll());
+            connection.send(waitingCalls.poll());
           }
-        } else if (open < mostPerEndpoint) {
+        } else if (openConnections < maxConnectionsPerEndpoint) {
           connect();
           return;
         } else {
@@ -130,8 +136,8 @@
     }
 
     void connect() {
-      open++;
-      connections++;
+      openConnections++;
+      totalConnections++;
       Connection connection = new Connection(this);
       int colon = name.lastIndexOf(':');
       ChannelFuture channelFuture =
@@ -139,7 +145,7 @@
               .group(loop.group())
               .channel(NioSocketChannel.class)
               .option(ChannelOption.TCP_NODELAY, true)
-              .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectMs)
+              .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectTimeoutMs)
               .handler(connection.initializer())
               .connect(name.substring(0, colon), Integer.parseInt(name.substring(colon + 1)));
       connection.channel = channelFuture.channel();
@@ -155,7 +161,7 @@
     final long timeoutMs;
     Consumer<HttpReply> done;
     Cancellable timer;
-    Connection carrier;
+    Connection connection;
 
     Call(
         Endpoint endpoint,
@@ -174,33 +180,33 @@
 
     /** Sockets hang silently: this is the only end such a call has. */
     void expire() {
-      if (carrier != null) {
-        carrier.channel.close();
-        end(HttpReply.of(HttpReply.UNKNOWN));
+      if (connection != null) {
+        connection.channel.close();
+        complete(HttpReply.of(HttpReply.UNKNOWN));
       } else {
-        endpoint.waiting.remove(this);
-        end(HttpReply.of(HttpReply.NOT_SENT));
+        endpoint.waitingCalls.remove(this);
+        complete(HttpReply.of(HttpReply.NOT_SENT));
       }
     }
 
-    void end(HttpReply reply) {
-      Consumer<HttpReply> d = done;
-      if (d == null) {
+    void complete(HttpReply reply) {
+      Consumer<HttpReply> callback = done;
+      if (callback == null) {
         return;
       }
       done = null;
       if (timer != null) {
         timer.cancel();
       }
-      ControllerEventLoop.guarded(() -> d.accept(reply)).run();
+      ControllerEventLoop.guarded(() -> callback.accept(reply)).run();
     }
   }
 
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
     final Endpoint endpoint;
     Channel channel;
-    Call current;
-    long usedAt;
+    Call currentCall;
+    long lastUsedMs;
 
     Connection(Endpoint endpoint) {
       this.endpoint = endpoint;
@@ -213,7 +219,7 @@
         protected void initChannel(SocketChannel ch) {
           ch.pipeline()
               .addLast(new HttpClientCodec())
-              .addLast(new HttpObjectAggregator(LARGEST_REPLY))
+              .addLast(new HttpObjectAggregator(MAX_REPLY_BYTES))
               .addLast(self);
         }
       };
@@ -222,61 +228,61 @@
     void connected(boolean success) {
       if (success) {
         channel.closeFuture().addListener(f -> closed());
-        ready();
+        becomeIdle();
         return;
       }
-      endpoint.open--;
-      connections--;
-      Call next = endpoint.waiting.poll();
+      endpoint.openConnections--;
+      totalConnections--;
+      Call next = endpoint.waitingCalls.poll();
       if (next != null) {
-        next.end(HttpReply.of(HttpReply.NOT_SENT));
+        next.complete(HttpReply.of(HttpReply.NOT_SENT));
       }
-      endpoint.pump();
+      endpoint.sendWaiting();
     }
 
-    void ready() {
-      usedAt = loop.now();
-      endpoint.idle.addLast(this);
-      endpoint.pump();
+    void becomeIdle() {
+      lastUsedMs = loop.now();
+      endpoint.idleConnections.addLast(this);
+      endpoint.sendWaiting();
     }
 
     void send(Call call) {
-      current = call;
-      call.carrier = this;
+      currentCall = call;
+      call.connection = this;
       byte[] body = call.body == null ? new byte[0] : call.body;
-      DefaultFullHttpRequest defaultFullHttpRequest =
+      DefaultFullHttpRequest request =
           new DefaultFullHttpRequest(
               HttpVersion.HTTP_1_1,
               HttpMethod.valueOf(call.method),
               call.path,
               Unpooled.wrappedBuffer(body));
-      defaultFullHttpRequest.headers().set(HttpHeaderNames.HOST, endpoint.name);
+      request.headers().set(HttpHeaderNames.HOST, endpoint.name);
       if (body.length > 0 || !call.method.equals("GET")) {
-        defaultFullHttpRequest.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
-        defaultFullHttpRequest.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
+        request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
+        request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
       }
-      channel.writeAndFlush(defaultFullHttpRequest);
+      channel.writeAndFlush(request);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-      Call call = current;
-      current = null;
+      Call call = currentCall;
+      currentCall = null;
       if (call == null) {
         ctx.close();
         return;
       }
-      boolean broken = response.decoderResult().isFailure();
+      boolean isMalformed = response.decoderResult().isFailure();
       HttpReply reply =
-          broken
+          isMalformed
               ? HttpReply.of(HttpReply.UNKNOWN)
               : new HttpReply(response.status().code(), ByteBufUtil.getBytes(response.content()));
-      if (broken || !HttpUtil.isKeepAlive(response)) {
+      if (isMalformed || !HttpUtil.isKeepAlive(response)) {
         ctx.close();
       } else {
-        ready();
+        becomeIdle();
       }
-      call.end(reply);
+      call.complete(reply);
     }
 
     @Override
@@ -285,15 +291,15 @@
     }
 
     void closed() {
-      endpoint.open--;
-      connections--;
-      endpoint.idle.remove(this);
-      Call call = current;
-      current = null;
+      endpoint.openConnections--;
+      totalConnections--;
+      endpoint.idleConnections.remove(this);
+      Call call = currentCall;
+      currentCall = null;
       if (call != null) {
-        call.end(HttpReply.of(HttpReply.UNKNOWN));
+        call.complete(HttpReply.of(HttpReply.UNKNOWN));
       }
-      endpoint.pump();
+      endpoint.sendWaiting();
     }
   }
 }
--- a/src/main/java/dapplestair/netty/HttpServer.java
+++ b/src/main/java/dapplestair/netty/HttpServer.java
@@ -30,29 +30,30 @@
 /** Accepts users, workers, operators and health checks; one handler a connection. */
 public final class HttpServer implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
-  private static final int LARGEST_BODY = 64 * 1024;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
 
   /**
    * How a server treats its connections.
    *
-   * @param mostConnections connections at once
-   * @param shed true to answer those beyond with 503, false to close them unanswered
-   * @param idleS seconds after which a silent connection is closed
+   * @param maxConnections connections at once
+   * @param answersExcess true to answer those beyond with 503, false to close them unanswered
+   * @param idleTimeoutS seconds after which a silent connection is closed
    * @param tls the context of each new connection, or null for plain HTTP
    */
-  public record Options(int mostConnections, boolean shed, int idleS, Supplier<SslContext> tls) {
+  public record Options(
+      int maxConnections, boolean answersExcess, int idleTimeoutS, Supplier<SslContext> tls) {
     /** For users and workers: those beyond are closed, so that a load balancer goes elsewhere. */
-    public static Options users(int mostConnections) {
-      return new Options(mostConnections, false, 75, null);
+    public static Options users(int maxConnections) {
+      return new Options(maxConnections, false, 75, null);
     }
   }
 
   private final ControllerEventLoop loop;
   private final Consumer<Exchange> handler;
   private final Options options;
-  private int connections;
-  private int unanswered;
-  private Runnable whenAnswered;
+  private int openConnections;
+  private int pendingExchanges;
+  private Runnable drainCallback;
   private Channel channel;
 
   /** Serves on this loop. */
@@ -68,14 +69,14 @@
     return port();
   }
 
-  /** Binds from the loop; {@code bound} is told the port, or -1 when that failed. */
-  public void open(Address address, Consumer<Integer> bound) {
+  /** Binds from the loop; {@code onBound} is told the port, or -1 when that failed. */
+  public void startAsync(Address address, Consumer<Integer> onBound) {
     bind(address)
         .addListener(
             (ChannelFutureListener)
                 f -> {
                   channel = f.channel();
-                  bound.accept(f.isSuccess() ? port() : -1);
+                  onBound.accept(f.isSuccess() ? port() : -1);
                 });
   }
 
@@ -90,28 +91,28 @@
         .option(ChannelOption.SO_BACKLOG, 1024)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
-        .childHandler(new Connections())
+        .childHandler(new ConnectionInitializer())
         .bind(address.host(), address.port());
   }
 
   /** Takes no more requests, and says when the open ones are answered. On the loop. */
-  public void drain(Runnable answered) {
-    whenAnswered = answered;
+  public void drain(Runnable onDrained) {
+    drainCallback = onDrained;
     close();
-    answered(0);
+    exchangesEnded(0);
   }
 
-  private void answered(int count) {
-    unanswered -= count;
-    if (unanswered == 0 && whenAnswered != null) {
-      Runnable then = whenAnswered;
-      whenAnswered = () -> {};
-      then.run();
+  private void exchangesEnded(int count) {
+    pendingExchanges -= count;
+    if (pendingExchanges == 0 && drainCallback != null) {
+      Runnable callback = drainCallback;
+      drainCallback = () -> {};
+      callback.run();
     }
   }
 
-  private boolean draining() {
-    return whenAnswered != null;
+  private boolean isDraining() {
+    return drainCallback != null;
   }
 
   @Override
@@ -121,32 +122,33 @@
     }
   }
 
-  private final class Connections extends ChannelInitializer<SocketChannel> {
+  private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
     @Override
     protected void initChannel(SocketChannel ch) {
-      boolean tooMany = connections >= options.mostConnections();
+      boolean isExcess = openConnections >= options.maxConnections();
       // To say no in HTTP takes a connection, too: for that there are half as many again.
-      if (tooMany && (!options.shed() || connections >= options.mostConnections() * 3 / 2)) {
+      if (isExcess
+          && (!options.answersExcess() || openConnections >= options.maxConnections() * 3 / 2)) {
         ch.close();
         return;
       }
-      connections++;
-      ch.closeFuture().addListener(f -> connections--);
-      ch.pipeline().addLast(new ReadTimeoutHandler(options.idleS(), TimeUnit.SECONDS));
+      openConnections++;
+      ch.closeFuture().addListener(f -> openConnections--);
+      ch.pipeline().addLast(new ReadTimeoutHandler(options.idleTimeoutS(), TimeUnit.SECONDS));
       if (options.tls() != null) {
         ch.pipeline().addLast(new TlsHandshakeHandler(options.tls().get(), ch));
       }
       ch.pipeline()
           .addLast(new HttpServerCodec())
           .addLast(new Aggregator())
-          .addLast(new Requests(tooMany));
+          .addLast(new RequestHandler(isExcess));
     }
   }
 
   /** Says 400 to an oversized body, as the protocol wants, and drops that connection. */
   private static final class Aggregator extends HttpObjectAggregator {
     Aggregator() {
-      super(LARGEST_BODY);
+      super(MAX_BODY_BYTES);
     }
 
     @Override
@@ -156,57 +158,59 @@
 
     @Override
     protected Object newContinueResponse(
-        HttpMessage start, int max, io.netty.channel.ChannelPipeline channelPipeline) {
-      Object r = super.newContinueResponse(start, max, channelPipeline);
+        HttpMessage start, int max, io.netty.channel.ChannelPipeline pipeline) {
+      Object response = super.newContinueResponse(start, max, pipeline);
       // An announced oversized body gets the same 400 as a sent one.
       boolean tooLarge =
-          r instanceof io.netty.handler.codec.http.HttpResponse httpResponse
+          response instanceof io.netty.handler.codec.http.HttpResponse httpResponse
               && httpResponse.status().equals(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-      return tooLarge ? null : r;
+      return tooLarge ? null : response;
     }
   }
 
-  private static void refuse(ChannelHandlerContext ctx, int status, String why, int retryAfterS) {
-    ctx.writeAndFlush(HttpExchange.refusal(status, why, retryAfterS))
+  private static void refuse(
+      ChannelHandlerContext ctx, int status, String reason, int retryAfterS) {
+    ctx.writeAndFlush(HttpExchange.refusal(status, reason, retryAfterS))
         .addListener(ChannelFutureListener.CLOSE);
   }
 
-  private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private final boolean tooMany;
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final boolean isExcess;
     // One request at a time on a connection, so this is all that can be open on it.
-    private HttpExchange open;
+    private HttpExchange pendingExchange;
 
-    Requests(boolean tooMany) {
-      this.tooMany = tooMany;
+    RequestHandler(boolean isExcess) {
+      this.isExcess = isExcess;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
       if (request.decoderResult().isFailure()) {
         refuse(ctx, 400, "malformed HTTP", 0);
-      } else if (tooMany) {
+      } else if (isExcess) {
         refuse(ctx, 503, "too many connections", 1);
-      } else if (draining()) {
+      } else if (isDraining()) {
         refuse(ctx, 503, "this process is ending", 1);
       } else {
-        unanswered++;
-        open = new HttpExchange(ctx, request, HttpUtil.isKeepAlive(request), this::answered);
-        handler.accept(open);
+        pendingExchanges++;
+        pendingExchange =
+            new HttpExchange(ctx, request, HttpUtil.isKeepAlive(request), this::exchangeEnded);
+        handler.accept(pendingExchange);
       }
     }
 
-    private boolean answered(HttpExchange of) {
-      HttpServer.this.answered(1);
-      if (open == of) {
-        open = null;
+    private boolean exchangeEnded(HttpExchange exchange) {
+      HttpServer.this.exchangesEnded(1);
+      if (pendingExchange == exchange) {
+        pendingExchange = null;
       }
-      return draining();
+      return isDraining();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      if (open != null) {
-        open.abandon();
+      if (pendingExchange != null) {
+        pendingExchange.abandon();
       }
       ctx.fireChannelInactive();
     }
--- a/src/main/java/dapplestair/netty/PeerLinks.java
+++ b/src/main/java/dapplestair/netty/PeerLinks.java
@@ -32,14 +32,14 @@
  */
 public final class PeerLinks implements PeerNetwork {
   private static final Logger LOG = LoggerFactory.getLogger(PeerLinks.class);
-  private static final int CONNECT_MS = 1000;
-  private static final long RECONNECT_MS = 150;
-  private static final int MOST_UNSENT = 1 << 20;
+  private static final int CONNECT_TIMEOUT_MS = 1000;
+  private static final long RECONNECT_DELAY_MS = 150;
+  private static final int MAX_UNSENT_BYTES = 1 << 20;
 
   private final ControllerEventLoop loop;
   private final Settings settings;
   private final PeerCodec codec = new PeerCodec();
-  private final Map<String, Channel> outgoing = new HashMap<>();
+  private final Map<String, Channel> outgoingChannels = new HashMap<>();
   private final Map<String, Settings.Peer> peers = new HashMap<>();
   private Listener listener;
 
@@ -47,12 +47,12 @@
   public PeerLinks(ControllerEventLoop loop, Settings settings) {
     this.loop = loop;
     this.settings = settings;
-    settings.peers().forEach(p -> peers.put(p.member(), p));
+    settings.peers().forEach(peer -> peers.put(peer.member(), peer));
   }
 
   @Override
-  public void listen(Listener l) {
-    listener = l;
+  public void listen(Listener messageListener) {
+    listener = messageListener;
   }
 
   @Override
@@ -62,7 +62,7 @@
         .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
-        .childHandler(framed(Incoming::new))
+        .childHandler(framedInitializer(Incoming::new))
         .bind(settings.peerBind().host(), settings.peerBind().port())
         .addListener(
             f -> {
@@ -73,7 +73,7 @@
     peers.values().forEach(this::connect);
   }
 
-  private ChannelInitializer<SocketChannel> framed(
+  private ChannelInitializer<SocketChannel> framedInitializer(
       java.util.function.Supplier<SimpleChannelInboundHandler<ByteBuf>> handler) {
     return new ChannelInitializer<>() {
       @Override
@@ -91,19 +91,19 @@
         .group(loop.group())
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-        .handler(framed(Outgoing::new))
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+        .handler(framedInitializer(Outgoing::new))
         .connect(peer.endpoint().host(), peer.endpoint().port())
         .addListener(
             (io.netty.channel.ChannelFutureListener)
                 f -> {
                   if (f.isSuccess()) {
-                    linked(peer, f.channel());
+                    linkEstablished(peer, f.channel());
                   } else {
                     if (f.cause() instanceof ConnectException && isRefusal(f.cause())) {
                       listener.connectionRefused(peer.member());
                     }
-                    reconnect(peer);
+                    reconnectLater(peer);
                   }
                 });
   }
@@ -113,33 +113,33 @@
     return message.contains("refused");
   }
 
-  private void linked(Settings.Peer peer, Channel channel) {
-    outgoing.put(peer.member(), channel);
+  private void linkEstablished(Settings.Peer peer, Channel channel) {
+    outgoingChannels.put(peer.member(), channel);
     channel.writeAndFlush(Unpooled.wrappedBuffer(codec.encode(new PeerHello(settings.member()))));
     listener.linkUp(peer.member());
     channel
         .closeFuture()
         .addListener(
             c -> {
-              outgoing.remove(peer.member(), channel);
+              outgoingChannels.remove(peer.member(), channel);
               listener.linkDown(peer.member());
               connect(peer);
             });
   }
 
-  private void reconnect(Settings.Peer peer) {
-    long jitter = ThreadLocalRandom.current().nextLong(RECONNECT_MS);
-    loop.after(RECONNECT_MS + jitter, () -> connect(peer));
+  private void reconnectLater(Settings.Peer peer) {
+    long jitter = ThreadLocalRandom.current().nextLong(RECONNECT_DELAY_MS);
+    loop.after(RECONNECT_DELAY_MS + jitter, () -> connect(peer));
   }
 
   @Override
   public void send(String member, Object message) {
-    Channel channel = outgoing.get(member);
+    Channel channel = outgoingChannels.get(member);
     if (channel == null) {
       return;
     }
     if (channel.unsafe().outboundBuffer() != null
-        && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MOST_UNSENT) {
+        && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_UNSENT_BYTES) {
       // A silent peer must not cost memory: it is linked anew.
       channel.close();
       return;
--- a/src/main/java/dapplestair/netty/TlsFiles.java
+++ b/src/main/java/dapplestair/netty/TlsFiles.java
@@ -26,9 +26,9 @@
  */
 public final class TlsFiles implements Supplier<SslContext> {
   private static final Logger LOG = LoggerFactory.getLogger(TlsFiles.class);
-  private static final long LOOK_EVERY_MS = 1000;
+  private static final long CHECK_INTERVAL_MS = 1000;
 
-  private record Loaded(List<FileTime> at, SslContext context) {}
+  private record Loaded(List<FileTime> modificationTimes, SslContext context) {}
 
   private final OperatorSettings.Tls files;
   private volatile Loaded loaded;
@@ -42,7 +42,7 @@
       OperatorSettings.Tls files, Timers timers, BackgroundExecutor background) throws IOException {
     TlsFiles tlsFiles = new TlsFiles(files);
     tlsFiles.loaded = tlsFiles.load();
-    tlsFiles.look(timers, background);
+    tlsFiles.scheduleCheck(timers, background);
     return tlsFiles;
   }
 
@@ -51,41 +51,41 @@
     return loaded.context();
   }
 
-  private void look(Timers timers, BackgroundExecutor background) {
+  private void scheduleCheck(Timers timers, BackgroundExecutor background) {
     timers.after(
-        LOOK_EVERY_MS,
+        CHECK_INTERVAL_MS,
         () ->
             background.compute(
-                this::changed,
-                fresh -> {
-                  if (fresh != null) {
-                    loaded = fresh;
+                this::loadIfChanged,
+                reloaded -> {
+                  if (reloaded != null) {
+                    loaded = reloaded;
                     LOG.info("{}: read again", files.certificate());
                   }
-                  look(timers, background);
+                  scheduleCheck(timers, background);
                 }));
   }
 
   /** What the files hold now, or null when they have not changed or cannot be used. */
-  private Loaded changed() {
+  private Loaded loadIfChanged() {
     try {
-      return times().equals(loaded.at()) ? null : load();
+      return modificationTimes().equals(loaded.modificationTimes()) ? null : load();
     } catch (IOException e) {
       LOG.debug("{}", e.getMessage());
       return null;
     }
   }
 
-  private List<FileTime> times() throws IOException {
-    List<FileTime> out = new ArrayList<>();
+  private List<FileTime> modificationTimes() throws IOException {
+    List<FileTime> times = new ArrayList<>();
     for (Path path : List.of(files.certificate(), files.key(), files.authority())) {
-      out.add(Files.getLastModifiedTime(path));
+      times.add(Files.getLastModifiedTime(path));
     }
-    return out;
+    return times;
   }
 
   private Loaded load() throws IOException {
-    List<FileTime> at = times();
+    List<FileTime> times = modificationTimes();
     try {
       warnIfExpired();
       SslContext context =
@@ -95,7 +95,7 @@
               .sslProvider(SslProvider.JDK)
               .protocols("TLSv1.3", "TLSv1.2")
               .build();
-      return new Loaded(at, context);
+      return new Loaded(times, context);
     } catch (IllegalArgumentException | CertificateException e) {
       throw new IOException(files.certificate() + " or " + files.key() + " cannot be used", e);
     }
@@ -103,13 +103,11 @@
 
   private void warnIfExpired() throws IOException, CertificateException {
     try (InputStream in = Files.newInputStream(files.certificate())) {
-      X509Certificate x509Certificate =
+      X509Certificate certificate =
           (X509Certificate) CertificateFactory.getInstance("X.509").generateCertificate(in);
-      if (x509Certificate.getNotAfter().getTime() < System.currentTimeMillis()) {
+      if (certificate.getNotAfter().getTime() < System.currentTimeMillis()) {
         LOG.warn(
-            "{} expired on {}: clients refuse it",
-            files.certificate(),
-            x509Certificate.getNotAfter());
+            "{} expired on {}: clients refuse it", files.certificate(), certificate.getNotAfter());
       }
     }
   }
--- a/src/main/java/dapplestair/netty/TlsHandshakeHandler.java
+++ b/src/main/java/dapplestair/netty/TlsHandshakeHandler.java
@@ -17,8 +17,8 @@
 /** Begins TLS on a connection, and says in one line why it failed, at a bounded rate. */
 final class TlsHandshakeHandler extends ChannelInboundHandlerAdapter {
   private static final Logger LOG = LoggerFactory.getLogger(TlsHandshakeHandler.class);
-  private static final RateLimiter LINES = RateLimiter.create(1);
-  private static final long HANDSHAKE_MS = 5000;
+  private static final RateLimiter WARNING_LIMITER = RateLimiter.create(1);
+  private static final long HANDSHAKE_TIMEOUT_MS = 5000;
 
   private final SslContext context;
 
@@ -29,15 +29,16 @@
   @Override
   public void handlerAdded(ChannelHandlerContext ctx) {
     SslHandler tls = context.newHandler(ctx.alloc());
-    tls.setHandshakeTimeoutMillis(HANDSHAKE_MS);
+    tls.setHandshakeTimeoutMillis(HANDSHAKE_TIMEOUT_MS);
     ctx.pipeline().addBefore(ctx.name(), "tls", tls);
   }
 
   @Override
   public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
-    if (event instanceof SslHandshakeCompletionEvent done && !done.isSuccess()) {
-      if (LINES.tryAcquire()) {
-        LOG.warn("TLS with {} failed: {}", ctx.channel().remoteAddress(), reason(done.cause()));
+    if (event instanceof SslHandshakeCompletionEvent completion && !completion.isSuccess()) {
+      if (WARNING_LIMITER.tryAcquire()) {
+        LOG.warn(
+            "TLS with {} failed: {}", ctx.channel().remoteAddress(), reason(completion.cause()));
       }
       ctx.close();
       return;
@@ -46,20 +47,20 @@
   }
 
   private static String reason(Throwable cause) {
-    Throwable last = cause;
-    while (last.getCause() != null && last.getCause() != last) {
-      last = last.getCause();
+    Throwable rootCause = cause;
+    while (rootCause.getCause() != null && rootCause.getCause() != rootCause) {
+      rootCause = rootCause.getCause();
     }
-    if (last instanceof NotSslRecordException) {
+    if (rootCause instanceof NotSslRecordException) {
       // Its message holds all that was sent.
       return "what it sent is not TLS";
     }
-    if (last instanceof ClosedChannelException) {
+    if (rootCause instanceof ClosedChannelException) {
       return "it closed the connection: it may not trust this certificate";
     }
-    String message = last.getMessage();
+    String message = rootCause.getMessage();
     return message == null
-        ? last.getClass().getSimpleName()
+        ? rootCause.getClass().getSimpleName()
         : message.lines().findFirst().orElse("");
   }
 
@@ -69,8 +70,9 @@
       return null;
     }
     try {
-      return tls.engine().getSession().getPeerCertificates()[0] instanceof X509Certificate c
-          ? c.getSubjectX500Principal().getName()
+      return tls.engine().getSession().getPeerCertificates()[0]
+              instanceof X509Certificate certificate
+          ? certificate.getSubjectX500Principal().getName()
           : null;
     } catch (SSLPeerUnverifiedException e) {
       return null;
--- a/src/test/java/dapplestair/netty/HttpLoopbackTest.java
+++ b/src/test/java/dapplestair/netty/HttpLoopbackTest.java
@@ -52,83 +52,89 @@
     return reply.get(20, TimeUnit.SECONDS);
   }
 
-  private String raw(String request) throws Exception {
-    try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      s.setSoTimeout(20_000);
-      s.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
-      s.getOutputStream().flush();
-      InputStream in = s.getInputStream();
+  private String sendRaw(String request) throws Exception {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+      socket.setSoTimeout(20_000);
+      socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
+      socket.getOutputStream().flush();
+      InputStream in = socket.getInputStream();
       byte[] buffer = new byte[4096];
-      int n = in.read(buffer);
-      return n < 0 ? "" : new String(buffer, 0, n, StandardCharsets.ISO_8859_1);
+      int length = in.read(buffer);
+      return length < 0 ? "" : new String(buffer, 0, length, StandardCharsets.ISO_8859_1);
     }
   }
 
   @Test
-  void carriesRequestsAndAnswers() throws Exception {
+  void carriesRequestsAndResponses() throws Exception {
     for (int i = 0; i < 20; i++) {
-      HttpReply r = call("127.0.0.1:" + port, "POST", "/a/" + i + "?q=1", new byte[i], 10_000);
-      assertEquals(200, r.status());
-      assertEquals("POST/a/" + i + i, new String(r.body(), StandardCharsets.UTF_8));
+      HttpReply reply = call("127.0.0.1:" + port, "POST", "/a/" + i + "?q=1", new byte[i], 10_000);
+      assertEquals(200, reply.status());
+      assertEquals("POST/a/" + i + i, new String(reply.body(), StandardCharsets.UTF_8));
     }
     assertTrue(
-        raw("GET /busy HTTP/1.1\r\nHost: x\r\n\r\n").toLowerCase().contains("retry-after: 7"));
+        sendRaw("GET /busy HTTP/1.1\r\nHost: x\r\n\r\n").toLowerCase().contains("retry-after: 7"));
   }
 
   @Test
-  void refusesOversizedAndMalformedRequestsOnTheirConnectionAlone() throws Exception {
-    String large = raw("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\nabc");
+  void refusesOversizedAndMalformedRequestsWithoutAffectingOtherConnections() throws Exception {
+    String large = sendRaw("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\nabc");
     assertTrue(large.startsWith("HTTP/1.1 400"), large);
-    String garbage = raw("NONSENSE\r\n\r\n");
+    String garbage = sendRaw("NONSENSE\r\n\r\n");
     assertTrue(garbage.startsWith("HTTP/1.1 400"), garbage);
     assertEquals(200, call("127.0.0.1:" + port, "GET", "/a", null, 10_000).status());
   }
 
   @Test
-  void tellsWhatWasSurelyNotSentFromWhatIsUnknown() throws Exception {
-    int unused;
-    try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      unused = s.getLocalPort();
+  void distinguishesUnsentRequestsFromUnknownOutcomes() throws Exception {
+    int unusedPort;
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      unusedPort = socket.getLocalPort();
     }
     assertEquals(
-        HttpReply.NOT_SENT, call("127.0.0.1:" + unused, "GET", "/a", null, 10_000).status());
-    try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-      HttpReply r = call("127.0.0.1:" + silent.getLocalPort(), "POST", "/a", new byte[3], 200);
-      assertEquals(HttpReply.UNKNOWN, r.status());
+        HttpReply.NOT_SENT, call("127.0.0.1:" + unusedPort, "GET", "/a", null, 10_000).status());
+    try (ServerSocket silentServer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+      HttpReply reply =
+          call("127.0.0.1:" + silentServer.getLocalPort(), "POST", "/a", new byte[3], 200);
+      assertEquals(HttpReply.UNKNOWN, reply.status());
     }
   }
 
   /** An orderly end: what is open is answered, what comes is told to go elsewhere. */
   @Test
-  void anOrderlyEndAnswersWhatIsOpen() throws Exception {
-    java.util.concurrent.CompletableFuture<dapplestair.ports.Exchange> asked =
+  void drainingServerCompletesPendingAndRefusesNewRequests() throws Exception {
+    java.util.concurrent.CompletableFuture<dapplestair.ports.Exchange> received =
         new java.util.concurrent.CompletableFuture<>();
-    HttpServer ending = new HttpServer(loop, HttpServer.Options.users(5), asked::complete);
-    int at = ending.start(new Address("127.0.0.1", 0));
-    try (Socket s = new Socket(InetAddress.getLoopbackAddress(), at);
-        Socket kept = new Socket(InetAddress.getLoopbackAddress(), at)) {
-      s.setSoTimeout(20_000);
-      kept.setSoTimeout(20_000);
+    HttpServer drainingServer =
+        new HttpServer(loop, HttpServer.Options.users(5), received::complete);
+    int drainingPort = drainingServer.start(new Address("127.0.0.1", 0));
+    try (Socket pendingSocket = new Socket(InetAddress.getLoopbackAddress(), drainingPort);
+        Socket keptAliveSocket = new Socket(InetAddress.getLoopbackAddress(), drainingPort)) {
+      pendingSocket.setSoTimeout(20_000);
+      keptAliveSocket.setSoTimeout(20_000);
       byte[] request = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
-      s.getOutputStream().write(request);
-      dapplestair.ports.Exchange open = asked.get();
-      java.util.concurrent.CountDownLatch answered = new java.util.concurrent.CountDownLatch(1);
-      java.util.concurrent.CountDownLatch drained = new java.util.concurrent.CountDownLatch(1);
+      pendingSocket.getOutputStream().write(request);
+      dapplestair.ports.Exchange pendingExchange = received.get();
+      java.util.concurrent.CountDownLatch allCompleted = new java.util.concurrent.CountDownLatch(1);
+      java.util.concurrent.CountDownLatch drainStarted = new java.util.concurrent.CountDownLatch(1);
       loop.executor()
           .execute(
               () -> {
-                ending.drain(answered::countDown);
-                drained.countDown();
+                drainingServer.drain(allCompleted::countDown);
+                drainStarted.countDown();
               });
-      drained.await();
-      kept.getOutputStream().write(request);
-      String late = new String(kept.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1);
-      assertEquals("HTTP/1.1 503", late);
-      assertEquals(1, answered.getCount());
-      loop.executor().execute(() -> open.reply(200, new byte[0], 0));
-      String first = new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
-      assertTrue(first.startsWith("HTTP/1.1 200") && first.contains("connection: close"), first);
-      answered.await();
+      drainStarted.await();
+      keptAliveSocket.getOutputStream().write(request);
+      String lateResponse =
+          new String(keptAliveSocket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1);
+      assertEquals("HTTP/1.1 503", lateResponse);
+      assertEquals(1, allCompleted.getCount());
+      loop.executor().execute(() -> pendingExchange.reply(200, new byte[0], 0));
+      String firstResponse =
+          new String(pendingSocket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+      assertTrue(
+          firstResponse.startsWith("HTTP/1.1 200") && firstResponse.contains("connection: close"),
+          firstResponse);
+      allCompleted.await();
     }
   }
 }
--- a/src/test/java/dapplestair/peers/PeerCodecTest.java
+++ b/src/test/java/dapplestair/peers/PeerCodecTest.java
@@ -11,7 +11,7 @@
   private final PeerCodec codec = new PeerCodec();
 
   @Test
-  void messagesComeBackAsTheyWere() {
+  void decodesEncodedMessages() {
     PeerStatus status = new PeerStatus(7, "node-1", true, false, 12, 3.5f);
     assertEquals(status, codec.decode(codec.encode(status)));
     assertEquals(new PeerHello("node-2"), codec.decode(codec.encode(new PeerHello("node-2"))));
@@ -26,7 +26,7 @@
 
   /** Whatever comes, nothing is thrown, and another version is not guessed at. */
   @Test
-  void garbledFramesAreNothing() {
+  void corruptedFramesDoNotThrowAndOtherVersionsAreRefused() {
     SplittableRandom random = new SplittableRandom(1);
     byte[] good = codec.encode(new PeerAsk(1, "admin", new byte[200]));
     for (int i = 0; i < 5000; i++) {
--- a/src/test/java/dapplestair/relay/RelayAssignmentTest.java
+++ b/src/test/java/dapplestair/relay/RelayAssignmentTest.java
@@ -31,38 +31,41 @@
     return String.format("n-%06d", i);
   }
 
-  private static String of(int i, List<Candidate> candidates) {
+  private static String assignedController(int i, List<Candidate> candidates) {
     return RelayAssignment.controllerFor(machine(i), ZONES.get(i % 3), candidates);
   }
 
   @ParameterizedTest(name = "{0} controllers")
   @ValueSource(ints = {1, 2, 3, 5, 7})
-  void theLoadIsEven(int count) {
+  void machinesAreSpreadEvenly(int count) {
     List<Candidate> candidates = controllers(count);
     Multiset<String> load = HashMultiset.create();
     for (int i = 0; i < MACHINES; i++) {
-      load.add(of(i, candidates));
+      load.add(assignedController(i, candidates));
     }
     double mean = (double) MACHINES / count;
     candidates.forEach(
-        c -> assertTrue(load.count(c.member()) < 1.3 * mean, c + ": " + load.count(c.member())));
+        candidate ->
+            assertTrue(
+                load.count(candidate.member()) < 1.3 * mean,
+                candidate + ": " + load.count(candidate.member())));
   }
 
   @Test
   void onlyMachinesOfAnEndedControllerMove() {
     List<Candidate> all = controllers(5);
-    List<Candidate> without = new ArrayList<>(all);
-    Candidate ended = without.remove(2);
+    List<Candidate> remaining = new ArrayList<>(all);
+    Candidate ended = remaining.remove(2);
     for (int i = 0; i < MACHINES; i++) {
-      String before = of(i, all);
+      String before = assignedController(i, all);
       if (!before.equals(ended.member())) {
-        assertEquals(before, of(i, without));
+        assertEquals(before, assignedController(i, remaining));
       }
     }
   }
 
   @Test
-  void theMachinesOwnZoneGoesFirst() {
+  void controllersInTheMachinesZoneHaveDoubleWeight() {
     List<Candidate> candidates = controllers(2);
     long inZone = 0;
     for (int i = 0; i < MACHINES; i++) {
@@ -72,7 +75,7 @@
   }
 
   @Test
-  void nobodyIsThere() {
+  void noCandidateGivesNull() {
     assertNull(RelayAssignment.controllerFor("n-000001", "a", List.of()));
   }
 }
--- a/src/test/java/dapplestair/relay/RelayFrameCodecTest.java
+++ b/src/test/java/dapplestair/relay/RelayFrameCodecTest.java
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void whatIsWrittenIsRead() {
+  void decodesEncodedFrame() {
     Frame read = RelayFrameCodec.decode(RelayFrameCodec.encode(frame()));
     assertNotNull(read);
     assertEquals(7, read.sender());
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void anythingElseIsRefused() {
+  void refusesMalformedFrames() {
     byte[] good = RelayFrameCodec.encode(frame());
     assertNull(RelayFrameCodec.decode(new byte[0]));
     for (int length = 1; length < good.length; length++) {
@@ -65,7 +65,7 @@
 
   /** Random bytes end no process, whatever they happen to say. */
   @Test
-  void randomBytesThrowNothing() {
+  void corruptedFramesDoNotThrow() {
     SplittableRandom random = new SplittableRandom(11);
     byte[] good = RelayFrameCodec.encode(frame());
     for (int i = 0; i < 20_000; i++) {
