--- a/src/main/java/dapplestair/cloud/CloudClient.java
+++ b/src/main/java/dapplestair/cloud/CloudClient.java
@@ -18,8 +18,8 @@
 import java.util.function.Consumer;
 
 /**
- * Requests to the cloud within its call rate. What ends cancelled tasks goes first, then a leader's
- * returns, its rentals and its questions, and last the look-ups of addresses.
+ * Sends requests to the cloud within its call rate. Returns that end cancelled tasks go first, then
+ * the leader's returns, its rentals and its queries, and last the look-ups of addresses.
  */
 public final class CloudClient {
   private static final int MAX_QUEUED_REQUESTS = 64;
@@ -28,7 +28,7 @@
   private static final int TOO_MANY_REQUESTS = 429;
   private static final int UNAVAILABLE = 503;
 
-  /** In the order in which their requests are sent. */
+  /** The kinds of requests, in the order in which they are sent. */
   private enum RequestPriority {
     ENFORCEMENT,
     RETURNS,
@@ -36,7 +36,7 @@
     QUERIES,
     ADDRESS_LOOKUPS;
 
-    /** True when its requests make sense only while this controller leads. */
+    /** Returns whether these requests make sense only while this controller leads. */
     boolean isLeaderOnly() {
       return this != ENFORCEMENT && this != ADDRESS_LOOKUPS;
     }
@@ -64,7 +64,7 @@
       new EnumMap<>(RequestPriority.class);
   private boolean sendScheduled;
 
-  /** A client of the cloud that the settings name. */
+  /** Creates a client of the cloud that the settings name. */
   public CloudClient(Clock clock, Timers timers, HttpCaller http, Settings settings) {
     this.timers = timers;
     this.http = http;
@@ -76,17 +76,17 @@
     }
   }
 
-  /** Asks which machine types there are. */
+  /** Requests the list of machine types. */
   public void listMachineTypes(Consumer<HttpReply> done) {
     enqueue(RequestPriority.QUERIES, getRequest("/machine_types", done));
   }
 
-  /** Asks for the next page of machines, after this name or from the beginning. */
+  /** Requests the page of machines after this name, or the first page if it is null. */
   public void listMachines(String afterName, Consumer<HttpReply> done) {
     enqueue(RequestPriority.QUERIES, getRequest(listingPath(afterName, MAX_LISTED_MACHINES), done));
   }
 
-  /** Asks for a few machines that come after this name, whoever leads. */
+  /** Requests up to {@code maxMachines} machines after this name, also if another leads. */
   public void findMachines(String afterName, int maxMachines, Consumer<HttpReply> done) {
     enqueue(RequestPriority.ADDRESS_LOOKUPS, getRequest(listingPath(afterName, maxMachines), done));
   }
@@ -100,8 +100,8 @@
   }
 
   /**
-   * Rents, if that is still {@code isWanted} when its turn comes; otherwise the cloud is not asked,
-   * and the reply is null.
+   * Rents machines if {@code isWanted} still holds when the request is about to be sent; otherwise
+   * the cloud is not called, and the reply is null.
    */
   public void rent(
       String name,
@@ -123,12 +123,12 @@
     enqueue(RequestPriority.RENTALS, request);
   }
 
-  /** Returns machines, for a leader. */
+  /** Gives machines back to the cloud; only for a leader. */
   public void release(Collection<String> hosts, Consumer<HttpReply> done) {
     enqueue(RequestPriority.RETURNS, releaseRequest(hosts, done));
   }
 
-  /** Returns machines that hold cancelled tasks, whoever leads. */
+  /** Gives machines with cancelled tasks back to the cloud, whichever controller leads. */
   public void enforceRelease(Collection<String> hosts, Consumer<HttpReply> done) {
     enqueue(RequestPriority.ENFORCEMENT, releaseRequest(hosts, done));
   }
@@ -140,7 +140,7 @@
     return new QueuedRequest("POST", "/rentals/release", Json.bytes(body), timeoutMs, done);
   }
 
-  /** True when the cloud says that it has none left, as against being in trouble. */
+  /** Returns whether the cloud reports a lack of capacity, as opposed to a failure of its own. */
   public static boolean isOutOfCapacity(HttpReply reply) {
     JsonNode body = Json.parse(reply.body());
     String error = Json.text(body, "error");
@@ -199,7 +199,7 @@
         });
   }
 
-  /** This controller leads no more: drops what only a leader wants, without a reply. */
+  /** Drops the queued requests of a leader without a reply when this controller stops leading. */
   public void dropLeaderRequests() {
     queues.forEach(
         (priority, requests) -> {
--- a/src/main/java/dapplestair/cloud/package-info.java
+++ b/src/main/java/dapplestair/cloud/package-info.java
@@ -1,2 +1,2 @@
-/** The one client of the cloud, within its call rate. */
+/** The client of the cloud, which keeps within the call rate of the cloud. */
 package dapplestair.cloud;
--- a/src/main/java/dapplestair/netty/ControllerEventLoop.java
+++ b/src/main/java/dapplestair/netty/ControllerEventLoop.java
@@ -17,7 +17,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one thread that owns all state, with its clock, its timers and a helper for long work. */
+/**
+ * The event loop: the single thread that owns all state, with its clock, its timers and a
+ * background thread for long computations.
+ */
 public final class ControllerEventLoop implements Clock, Timers, BackgroundExecutor, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerEventLoop.class);
 
@@ -37,7 +40,7 @@
     return group;
   }
 
-  /** Where everything runs. */
+  /** Returns the executor that runs tasks on the event loop. */
   public Executor executor() {
     return eventLoop();
   }
@@ -73,13 +76,17 @@
             }));
   }
 
-  /** Keeps one failing task from ending the loop or its own repetition unseen. */
+  /**
+   * Wraps a task so that an exception is logged and neither ends the event loop nor silently stops
+   * the repetition of the task.
+   */
   static Runnable guarded(Runnable task) {
     return () -> {
       try {
         task.run();
       } catch (RuntimeException e) {
-        LOG.error("a task failed", e);
+        LOG.error(
+            "uncaught exception in a task of the event loop or background thread; continuing", e);
       }
     };
   }
--- a/src/main/java/dapplestair/netty/HttpExchange.java
+++ b/src/main/java/dapplestair/netty/HttpExchange.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A request that waits for its answer. */
+/** A received HTTP request that awaits its response. */
 final class HttpExchange implements Exchange {
   private static final Logger LOG = LoggerFactory.getLogger(HttpExchange.class);
   private static final String JSON = "application/json";
@@ -32,7 +32,12 @@
   private boolean answered;
   private boolean abandoned;
 
-  /** {@code onEnd} is told once, and says whether the connection is to be closed. */
+  /**
+   * Creates an exchange.
+   *
+   * @param onEnd called once when the exchange is answered or abandoned; returns whether the
+   *     connection is to be closed
+   */
   HttpExchange(
       ChannelHandlerContext ctx,
       FullHttpRequest request,
@@ -90,7 +95,7 @@
     reply(200, contentType, answer, 0);
   }
 
-  /** Whoever asked is gone: nobody waits for the answer any more. */
+  /** Ends the exchange because the client has closed its connection. */
   void abandon() {
     if (!answered && !abandoned) {
       abandoned = true;
@@ -100,7 +105,7 @@
 
   private void reply(int status, String type, byte[] answer, int retryAfterS) {
     if (answered) {
-      LOG.error("second answer to {} {}", method, path);
+      LOG.error("{} {} was answered twice; dropping the second response", method, path);
       return;
     }
     answered = true;
@@ -111,7 +116,7 @@
     }
   }
 
-  /** An answer after which the connection is closed. */
+  /** Returns an error response after which the connection is closed. */
   static DefaultFullHttpResponse refusal(int status, String reason, int retryAfterS) {
     return response(
         status, JSON, Json.bytes(Json.object().put("error", reason)), retryAfterS, false);
--- a/src/main/java/dapplestair/netty/HttpPool.java
+++ b/src/main/java/dapplestair/netty/HttpPool.java
@@ -28,13 +28,13 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Outgoing requests over kept connections, one request at a time on each. */
+/** Sends requests over pooled keep-alive connections, one request at a time on each. */
 public final class HttpPool implements HttpCaller {
   private static final int MAX_REPLY_BYTES = 8 << 20;
   private static final int MAX_WAITING_CALLS = 512;
   private static final long IDLE_TIMEOUT_MS = 20_000;
 
-  /** While more connections are open than is comfortable. */
+  /** Idle timeout while more than {@code maxUncrowdedConnections} connections are open. */
   private static final long CROWDED_IDLE_TIMEOUT_MS = 2_500;
 
   private static final long SWEEP_INTERVAL_MS = 5_000;
@@ -46,15 +46,16 @@
   private int totalConnections;
   private final Map<String, Endpoint> endpoints = new HashMap<>();
 
-  /** At most {@code maxConnectionsPerEndpoint} connections to one place. */
+  /** Creates a pool with at most {@code maxConnectionsPerEndpoint} connections to one endpoint. */
   public HttpPool(ControllerEventLoop loop, int maxConnectionsPerEndpoint, long connectTimeoutMs) {
     this(loop, maxConnectionsPerEndpoint, connectTimeoutMs, Integer.MAX_VALUE);
   }
 
   /**
-   * The same for a process whose sockets are limited.
+   * Creates a pool for a process whose sockets are limited.
    *
-   * @param maxUncrowdedConnections with more connections than these, idle ones are closed sooner
+   * @param maxUncrowdedConnections idle connections are closed sooner while more than these are
+   *     open
    */
   public HttpPool(
       ControllerEventLoop loop,
@@ -80,7 +81,7 @@
     target.submit(new Call(target, method, path, body, timeoutMs, done));
   }
 
-  /** Closes connections that nobody used for a while and forgets endpoints without any. */
+  /** Closes connections that were idle for too long and drops endpoints without connections. */
   private void closeIdleConnections() {
     boolean isCrowded = totalConnections > maxUncrowdedConnections;
     long minLastUsedMs = loop.now() - (isCrowded ? CROWDED_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS);
@@ -178,7 +179,7 @@
       this.done = done;
     }
 
-    /** Sockets hang silently: this is the only end such a call has. */
+    /** Ends a call at its timeout; a call on a socket that hangs silently ends in no other way. */
     void expire() {
       if (connection != null) {
         connection.channel.close();
--- a/src/main/java/dapplestair/netty/HttpServer.java
+++ b/src/main/java/dapplestair/netty/HttpServer.java
@@ -27,22 +27,26 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Accepts users, workers, operators and health checks; one handler a connection. */
+/** Serves HTTP to users, workers, operators and health checks; one handler per connection. */
 public final class HttpServer implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
   /**
-   * How a server treats its connections.
+   * Limits and TLS of the connections of a server.
    *
-   * @param maxConnections connections at once
-   * @param answersExcess true to answer those beyond with 503, false to close them unanswered
-   * @param idleTimeoutS seconds after which a silent connection is closed
-   * @param tls the context of each new connection, or null for plain HTTP
+   * @param maxConnections maximum number of open connections
+   * @param answersExcess true to answer further connections with 503, false to close them
+   *     unanswered
+   * @param idleTimeoutS seconds without received data after which a connection is closed
+   * @param tls supplies the TLS context of each new connection; null for plain HTTP
    */
   public record Options(
       int maxConnections, boolean answersExcess, int idleTimeoutS, Supplier<SslContext> tls) {
-    /** For users and workers: those beyond are closed, so that a load balancer goes elsewhere. */
+    /**
+     * Returns the options for users and workers: connections above the limit are closed, so that a
+     * load balancer chooses another controller.
+     */
     public static Options users(int maxConnections) {
       return new Options(maxConnections, false, 75, null);
     }
@@ -56,20 +60,20 @@
   private Runnable drainCallback;
   private Channel channel;
 
-  /** Serves on this loop. */
+  /** Creates a server that runs on this event loop. */
   public HttpServer(ControllerEventLoop loop, Options options, Consumer<Exchange> handler) {
     this.loop = loop;
     this.options = options;
     this.handler = handler;
   }
 
-  /** Binds; returns the port in use. Not to be called on the loop. */
+  /** Binds to the address and returns the port. Must not be called on the event loop. */
   public int start(Address address) throws InterruptedException {
     channel = bind(address).sync().channel();
     return port();
   }
 
-  /** Binds from the loop; {@code onBound} is told the port, or -1 when that failed. */
+  /** Binds on the event loop; {@code onBound} gets the port, or -1 if binding failed. */
   public void startAsync(Address address, Consumer<Integer> onBound) {
     bind(address)
         .addListener(
@@ -95,7 +99,10 @@
         .bind(address.host(), address.port());
   }
 
-  /** Takes no more requests, and says when the open ones are answered. On the loop. */
+  /**
+   * Stops accepting requests, and runs {@code onDrained} once the pending ones are answered. Must
+   * be called on the event loop.
+   */
   public void drain(Runnable onDrained) {
     drainCallback = onDrained;
     close();
@@ -126,7 +133,7 @@
     @Override
     protected void initChannel(SocketChannel ch) {
       boolean isExcess = openConnections >= options.maxConnections();
-      // To say no in HTTP takes a connection, too: for that there are half as many again.
+      // A 503 response needs a connection, too: half of the limit is allowed on top for these.
       if (isExcess
           && (!options.answersExcess() || openConnections >= options.maxConnections() * 3 / 2)) {
         ch.close();
@@ -145,7 +152,7 @@
     }
   }
 
-  /** Says 400 to an oversized body, as the protocol wants, and drops that connection. */
+  /** Answers an oversized body with 400, as the protocol demands, and closes the connection. */
   private static final class Aggregator extends HttpObjectAggregator {
     Aggregator() {
       super(MAX_BODY_BYTES);
@@ -160,7 +167,7 @@
     protected Object newContinueResponse(
         HttpMessage start, int max, io.netty.channel.ChannelPipeline pipeline) {
       Object response = super.newContinueResponse(start, max, pipeline);
-      // An announced oversized body gets the same 400 as a sent one.
+      // An oversized body that is only announced gets the same 400 as one that is sent.
       boolean tooLarge =
           response instanceof io.netty.handler.codec.http.HttpResponse httpResponse
               && httpResponse.status().equals(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
@@ -176,7 +183,7 @@
 
   private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final boolean isExcess;
-    // One request at a time on a connection, so this is all that can be open on it.
+    // A connection carries one request at a time, so at most one exchange is pending.
     private HttpExchange pendingExchange;
 
     RequestHandler(boolean isExcess) {
@@ -217,7 +224,10 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.debug("connection from {} ended: {}", ctx.channel().remoteAddress(), cause.toString());
+      LOG.debug(
+          "closing the connection from {} after an error: {}",
+          ctx.channel().remoteAddress(),
+          cause.toString());
       ctx.close();
     }
   }
--- a/src/main/java/dapplestair/netty/PeerLinks.java
+++ b/src/main/java/dapplestair/netty/PeerLinks.java
@@ -27,8 +27,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Links between controllers. Each controller opens one connection to every other and speaks on it;
- * it listens on those that others opened.
+ * The TCP links between controllers. Each controller opens one connection to every other, on which
+ * it only sends; it receives on the connections that the others opened.
  */
 public final class PeerLinks implements PeerNetwork {
   private static final Logger LOG = LoggerFactory.getLogger(PeerLinks.class);
@@ -43,7 +43,7 @@
   private final Map<String, Settings.Peer> peers = new HashMap<>();
   private Listener listener;
 
-  /** Links to the peers of the settings. */
+  /** Creates the links to the peers that the settings name. */
   public PeerLinks(ControllerEventLoop loop, Settings settings) {
     this.loop = loop;
     this.settings = settings;
@@ -140,14 +140,16 @@
     }
     if (channel.unsafe().outboundBuffer() != null
         && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_UNSENT_BYTES) {
-      // A silent peer must not cost memory: it is linked anew.
+      // Unsent data for an unresponsive peer must not fill the memory: reconnect instead.
       channel.close();
       return;
     }
     channel.writeAndFlush(Unpooled.wrappedBuffer(codec.encode(message)));
   }
 
-  /** The far side never speaks on a connection that we opened. */
+  /**
+   * Closes the connection if the peer sends on it, since peers never send on links that we opened.
+   */
   private static final class Outgoing extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
@@ -173,7 +175,9 @@
       } else if (member != null && message != null) {
         listener.messageReceived(member, message);
       } else {
-        LOG.debug("garbled frame from {}", ctx.channel().remoteAddress());
+        LOG.debug(
+            "malformed or unexpected frame from {}; closing the connection",
+            ctx.channel().remoteAddress());
         listener.malformedMessageReceived();
         ctx.close();
       }
--- a/src/main/java/dapplestair/netty/TlsFiles.java
+++ b/src/main/java/dapplestair/netty/TlsFiles.java
@@ -22,7 +22,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * TLS by PEM files, which are read again when they change; connections keep what they began with.
+ * Supplies the TLS context from PEM files, which are reloaded when they change; existing
+ * connections keep the context that they began with.
  */
 public final class TlsFiles implements Supplier<SslContext> {
   private static final Logger LOG = LoggerFactory.getLogger(TlsFiles.class);
@@ -37,7 +38,7 @@
     this.files = files;
   }
 
-  /** Reads the files now, and again whenever one has changed. */
+  /** Loads the files now, and again whenever one of them has changed. */
   public static TlsFiles watch(
       OperatorSettings.Tls files, Timers timers, BackgroundExecutor background) throws IOException {
     TlsFiles tlsFiles = new TlsFiles(files);
@@ -60,18 +61,20 @@
                 reloaded -> {
                   if (reloaded != null) {
                     loaded = reloaded;
-                    LOG.info("{}: read again", files.certificate());
+                    LOG.info(
+                        "reloaded TLS certificate {} and its key for new connections",
+                        files.certificate());
                   }
                   scheduleCheck(timers, background);
                 }));
   }
 
-  /** What the files hold now, or null when they have not changed or cannot be used. */
+  /** Loads the files; returns null if they have not changed or cannot be used. */
   private Loaded loadIfChanged() {
     try {
       return modificationTimes().equals(loaded.modificationTimes()) ? null : load();
     } catch (IOException e) {
-      LOG.debug("{}", e.getMessage());
+      LOG.debug("TLS files not reloaded, keeping the former ones: {}", e.getMessage());
       return null;
     }
   }
@@ -97,7 +100,9 @@
               .build();
       return new Loaded(times, context);
     } catch (IllegalArgumentException | CertificateException e) {
-      throw new IOException(files.certificate() + " or " + files.key() + " cannot be used", e);
+      throw new IOException(
+          "TLS certificate " + files.certificate() + " or key " + files.key() + " cannot be used",
+          e);
     }
   }
 
@@ -107,7 +112,9 @@
           (X509Certificate) CertificateFactory.getInstance("X.509").generateCertificate(in);
       if (certificate.getNotAfter().getTime() < System.currentTimeMillis()) {
         LOG.warn(
-            "{} expired on {}: clients refuse it", files.certificate(), certificate.getNotAfter());
+            "TLS certificate {} expired on {}: clients will refuse it",
+            files.certificate(),
+            certificate.getNotAfter());
       }
     }
   }
--- a/src/main/java/dapplestair/netty/TlsHandshakeHandler.java
+++ b/src/main/java/dapplestair/netty/TlsHandshakeHandler.java
@@ -14,7 +14,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Begins TLS on a connection, and says in one line why it failed, at a bounded rate. */
+/** Starts TLS on a connection and logs failed handshakes in one line each, at a limited rate. */
 final class TlsHandshakeHandler extends ChannelInboundHandlerAdapter {
   private static final Logger LOG = LoggerFactory.getLogger(TlsHandshakeHandler.class);
   private static final RateLimiter WARNING_LIMITER = RateLimiter.create(1);
@@ -38,7 +38,9 @@
     if (event instanceof SslHandshakeCompletionEvent completion && !completion.isSuccess()) {
       if (WARNING_LIMITER.tryAcquire()) {
         LOG.warn(
-            "TLS with {} failed: {}", ctx.channel().remoteAddress(), reason(completion.cause()));
+            "TLS handshake with {} failed, closing the connection: {}",
+            ctx.channel().remoteAddress(),
+            reason(completion.cause()));
       }
       ctx.close();
       return;
@@ -52,7 +54,7 @@
       rootCause = rootCause.getCause();
     }
     if (rootCause instanceof NotSslRecordException) {
-      // Its message holds all that was sent.
+      // The message of this exception contains all data that was sent.
       return "what it sent is not TLS";
     }
     if (rootCause instanceof ClosedChannelException) {
@@ -64,7 +66,7 @@
         : message.lines().findFirst().orElse("");
   }
 
-  /** Subject of the verified certificate that the other side showed, or null. */
+  /** Returns the subject of the client's verified certificate, or null if there is none. */
   static String subject(Channel channel) {
     if (!(channel.pipeline().get("tls") instanceof SslHandler tls)) {
       return null;
--- a/src/main/java/dapplestair/netty/package-info.java
+++ b/src/main/java/dapplestair/netty/package-info.java
@@ -1,2 +1,2 @@
-/** The ports on Netty: one event loop, HTTP in and out, links between controllers. */
+/** Implements the ports with Netty: one event loop, HTTP server and client, peer links. */
 package dapplestair.netty;
--- a/src/main/java/dapplestair/peers/PeerAnswer.java
+++ b/src/main/java/dapplestair/peers/PeerAnswer.java
@@ -1,4 +1,4 @@
 package dapplestair.peers;
 
-/** The answer to {@link PeerAsk}. */
+/** The answer to a {@link PeerAsk} with the same number. */
 public record PeerAnswer(long number, byte[] body) {}
--- a/src/main/java/dapplestair/peers/PeerAsk.java
+++ b/src/main/java/dapplestair/peers/PeerAsk.java
@@ -1,4 +1,10 @@
 package dapplestair.peers;
 
-/** A question to one peer; {@code number} is repeated in its answer. */
+/**
+ * A request to one peer.
+ *
+ * @param number identifies the request and is repeated in its answer; 0 if no answer is expected
+ * @param topic selects the handler at the peer
+ * @param body content of the request, encoded by the topic's own codec
+ */
 public record PeerAsk(long number, String topic, byte[] body) {}
--- a/src/main/java/dapplestair/peers/PeerCodec.java
+++ b/src/main/java/dapplestair/peers/PeerCodec.java
@@ -5,18 +5,21 @@
 import com.esotericsoftware.kryo.io.Input;
 import com.esotericsoftware.kryo.io.Output;
 
-/** Kryo with registered classes only; the version is the first byte of every frame. */
+/**
+ * Encodes messages between controllers with Kryo, which accepts registered classes only. The first
+ * byte of every frame is the version.
+ */
 public final class PeerCodec {
-  /** Raised whenever a message changes; other versions are not understood. */
+  /** Incremented whenever a message changes; frames of other versions are not decoded. */
   public static final int VERSION = 3;
 
-  /** Frames above this are refused. */
+  /** Maximum size of a frame in bytes; larger frames are refused. */
   public static final int MAX_FRAME_BYTES = 512 * 1024;
 
   private final Kryo kryo = new Kryo();
   private final Output output = new Output(1024, MAX_FRAME_BYTES);
 
-  /** A codec for one thread. */
+  /** Creates a codec, which must be used by one thread only. */
   public PeerCodec() {
     kryo.setRegistrationRequired(true);
     kryo.setReferences(false);
@@ -35,7 +38,7 @@
     return output.toBytes();
   }
 
-  /** Decodes a message, or gives null when it is garbled or of another version. */
+  /** Decodes a message; returns null if it is malformed or of another version. */
   public Object decode(byte[] frame) {
     if (frame.length < 2 || frame[0] != VERSION) {
       return null;
--- a/src/main/java/dapplestair/peers/PeerHello.java
+++ b/src/main/java/dapplestair/peers/PeerHello.java
@@ -1,4 +1,4 @@
 package dapplestair.peers;
 
-/** First message on a link: who speaks. */
+/** The first message on a link; names the sending controller. */
 public record PeerHello(String member) {}
--- a/src/main/java/dapplestair/peers/PeerRequests.java
+++ b/src/main/java/dapplestair/peers/PeerRequests.java
@@ -9,9 +9,9 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Questions between controllers, each answered or timed out. */
+/** Requests between controllers, each of which is answered or times out. */
 public final class PeerRequests {
-  // Room for what a frame holds besides the body.
+  // Leaves 1 KiB of the frame for everything besides the body.
   private static final int MAX_BODY_BYTES = PeerCodec.MAX_FRAME_BYTES - 1024;
   private static final int MAX_PENDING_REQUESTS = 128;
 
@@ -31,27 +31,30 @@
     this.network = network;
   }
 
-  /** Answers questions on a topic; an answer may come later. */
+  /** Sets the handler of requests on a topic; the handler may answer later. */
   public void handle(String topic, BiConsumer<byte[], Consumer<byte[]>> handler) {
     handlers.put(topic, handler);
   }
 
-  /** Hears what peers tell on a topic, with the peer's name; nothing is answered. */
+  /** Sets the listener for messages on a topic that need no answer; it gets the peer's name. */
   void listen(String topic, BiConsumer<String, byte[]> listener) {
     listeners.put(topic, listener);
   }
 
-  /** A message was garbled, too large or of an unknown form: it is dropped. */
+  /** Counts a message that was dropped: malformed, too large or of an unknown format. */
   public void countRefusedMessage() {
     refusedMessages++;
   }
 
-  /** Messages of peers that were dropped. */
+  /** Returns the number of messages of peers that were dropped. */
   public long refusedMessages() {
     return refusedMessages;
   }
 
-  /** Asks a peer; {@code done} gets its answer, or null when none came in time. */
+  /**
+   * Sends a request to a peer; {@code done} gets the answer, or null if none arrives in time or the
+   * request cannot be sent.
+   */
   public void ask(String member, String topic, byte[] body, long timeoutMs, Consumer<byte[]> done) {
     if (pendingRequests.size() >= MAX_PENDING_REQUESTS || body.length > MAX_BODY_BYTES) {
       timers.after(0, () -> done.accept(null));
@@ -63,7 +66,7 @@
     network.send(member, new PeerAsk(number, topic, body));
   }
 
-  /** Tells a peer something; a number that no question has says that no answer is awaited. */
+  /** Sends a message without an answer; its number 0 is never the number of a request. */
   void sendWithoutAnswer(String member, String topic, byte[] body) {
     if (body.length <= MAX_BODY_BYTES) {
       network.send(member, new PeerAsk(0, topic, body));
@@ -90,7 +93,7 @@
       return;
     }
     if (handler == null) {
-      // A topic of another version.
+      // A peer of another version knows topics that this controller does not.
       return;
     }
     handler.accept(
@@ -104,7 +107,7 @@
 
   void answerReceived(String member, PeerAnswer answer) {
     PendingRequest pending = pendingRequests.get(answer.number());
-    // Late answers, and those of another than was asked, are nobody's.
+    // Ignores answers that arrive after the timeout or from a peer that was not asked.
     if (pending != null && pending.member().equals(member)) {
       complete(answer.number(), answer.body());
     }
--- a/src/main/java/dapplestair/peers/Peers.java
+++ b/src/main/java/dapplestair/peers/Peers.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Which peers live and what they last said. */
+/** Tracks which peers are alive and the last status of each. */
 public final class Peers implements PeerNetwork.Listener, AutoCloseable {
   private static final class PeerState {
     boolean linked;
@@ -31,7 +31,12 @@
   private final PeerRequests requests;
   private Cancellable timer = () -> {};
 
-  /** {@code ownStatus} is what to say; {@code statusListener} is told of what others say. */
+  /**
+   * Creates the tracker of the peers that the settings name.
+   *
+   * @param ownStatus supplies the status to send to the peers
+   * @param statusListener receives each status that a peer sends
+   */
   public Peers(
       Clock clock,
       Timers timers,
@@ -49,12 +54,12 @@
     settings.peers().forEach(peer -> peers.put(peer.member(), new PeerState()));
   }
 
-  /** Questions to and from peers. */
+  /** Returns the requests to and from peers. */
   public PeerRequests requests() {
     return requests;
   }
 
-  /** Begins to connect and to speak. */
+  /** Connects to the peers and begins to send them the status. */
   public void start() {
     network.listen(this);
     network.start();
@@ -66,25 +71,25 @@
     timer = timers.after(statusIntervalMs, this::tick);
   }
 
-  /** Says at once what is new. */
+  /** Sends the current status to all peers at once. */
   public void broadcastStatus() {
     PeerStatus status = ownStatus.get();
     peers.keySet().forEach(m -> network.send(m, status));
   }
 
   /**
-   * Tells every peer something that needs no answer; those that do not know the topic ignore it.
+   * Sends a message without an answer to every peer; peers that do not know the topic ignore it.
    */
   public void broadcast(String topic, byte[] body) {
     peers.keySet().forEach(m -> requests.sendWithoutAnswer(m, topic, body));
   }
 
-  /** Tells one peer something that needs no answer. */
+  /** Sends a message without an answer to one peer. */
   public void send(String member, String topic, byte[] body) {
     requests.sendWithoutAnswer(member, topic, body);
   }
 
-  /** Hears what peers tell on a topic. */
+  /** Sets the listener for messages without an answer on a topic. */
   public void listen(String topic, BiConsumer<String, byte[]> listener) {
     requests.listen(topic, listener);
   }
@@ -94,7 +99,7 @@
     PeerState peer = peers.get(member);
     if (peer != null && message instanceof PeerStatus status) {
       peer.lastHeardMs = clock.now();
-      // Whoever speaks has not ended, though its port may refuse us.
+      // A peer that sends messages is still running, even if its port refuses our connections.
       peer.refusesConnections = false;
       peer.lastStatus = status;
       statusListener.accept(status);
@@ -130,14 +135,15 @@
   @Override
   public void connectionRefused(String member) {
     PeerState peer = peers.get(member);
-    // A link that broke and a port that refuses: the process has ended. Were it only filtered away,
-    // taking over from it would still be harmless, so there is no need to wait for its silence.
+    // A broken link and a port that refuses connections mean that the process has ended. If a
+    // filter merely blocks it, taking over from it is still harmless, so there is no need to wait
+    // until the peer has been silent for long.
     if (peer != null && !peer.linked) {
       peer.refusesConnections = true;
     }
   }
 
-  /** True when this peer spoke within the last few turns. */
+  /** Returns whether this peer sent a status within the last four status intervals. */
   public boolean isAlive(String member) {
     PeerState peer = peers.get(member);
     return peer != null
@@ -145,18 +151,21 @@
         && clock.now() - peer.lastHeardMs < 4 * statusIntervalMs;
   }
 
-  /** True when this peer's process has very probably ended: its link broke, its port refuses. */
+  /**
+   * Returns whether this peer's process has very probably ended: its link is broken and its port
+   * refuses connections.
+   */
   public boolean seemsEnded(String member) {
     PeerState peer = peers.get(member);
     return peer != null && peer.refusesConnections && !peer.linked;
   }
 
-  /** True when a living peer is served by the state service. */
+  /** Returns whether any live peer reaches the state service and accepts requests. */
   public boolean hasReadyPeer() {
     return !readyPeers().isEmpty();
   }
 
-  /** Living peers that are served by the state service and take requests, by name. */
+  /** Returns the live peers that reach the state service and accept requests, by name. */
   public List<String> readyPeers() {
     return peers.entrySet().stream()
         .filter(
@@ -170,7 +179,10 @@
         .toList();
   }
 
-  /** True when a living peer that could lead hears workers. */
+  /**
+   * Returns whether a live peer that reaches the state service, and so could lead, receives reports
+   * of workers.
+   */
   public boolean hasPeerHearingWorkers() {
     return peers.entrySet().stream()
         .anyMatch(
@@ -181,7 +193,7 @@
                     && e.getValue().lastStatus.beats() > 0);
   }
 
-  /** Puts a second that living peers make or want to. */
+  /** Returns the writes per second that all live peers together make or would make. */
   public double putsPerSecond() {
     return peers.entrySet().stream()
         .filter(e -> isAlive(e.getKey()) && e.getValue().lastStatus != null)
@@ -189,10 +201,10 @@
         .sum();
   }
 
-  /** A peer as this controller sees it; {@code lastStatus} is what it last said, or null. */
+  /** A peer as this controller sees it; {@code status} is the last one received, or null. */
   public record PeerView(String member, boolean alive, boolean linked, PeerStatus status) {}
 
-  /** All peers, by name. */
+  /** Returns all peers, by name. */
   public List<PeerView> views() {
     return peers.entrySet().stream()
         .sorted(Map.Entry.comparingByKey())
@@ -203,12 +215,12 @@
         .toList();
   }
 
-  /** True when there are peers, and none is known to live. */
+  /** Returns whether there are peers, none of which is known to be alive. */
   public boolean isCutOff() {
     return !peers.isEmpty() && hasNoLivePeer();
   }
 
-  /** True when no peer is known to live. */
+  /** Returns whether no peer is known to be alive, also when there are no peers at all. */
   public boolean hasNoLivePeer() {
     return peers.keySet().stream().noneMatch(this::isAlive);
   }
--- a/src/main/java/dapplestair/peers/package-info.java
+++ b/src/main/java/dapplestair/peers/package-info.java
@@ -1,2 +1,2 @@
-/** What controllers tell each other: who lives, who leads, and the view that placing needs. */
+/** Messages between controllers: liveness, leadership, and the state that placement needs. */
 package dapplestair.peers;
--- a/src/main/java/dapplestair/relay/HeldReports.java
+++ b/src/main/java/dapplestair/relay/HeldReports.java
@@ -7,16 +7,16 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** Reports that wait for a leader, each for no longer than its worker waits for an answer. */
+/** Holds reports until there is a leader, each no longer than its worker waits for a response. */
 final class HeldReports {
-  /** More than the machines of one controller; beyond, reports are not held. */
+  /** Exceeds the number of machines of one controller; further reports are not held. */
   private static final int MAX_HELD_REPORTS = 4096;
 
   /**
-   * One report.
+   * A report that waits for a leader.
    *
-   * @param deadlineMs until when it may be relayed, steady time
-   * @param fallback answers it without a leader
+   * @param deadlineMs monotonic time in milliseconds until which the report may be relayed
+   * @param fallback answers the report without a leader
    */
   record HeldReport(Exchange exchange, long deadlineMs, Runnable fallback) {}
 
@@ -27,7 +27,7 @@
     this.clock = clock;
   }
 
-  /** Holds a report; false when there is no room or no time left. */
+  /** Holds a report; returns false if too many are held or its deadline has passed. */
   boolean hold(HeldReport report) {
     if (reports.size() >= MAX_HELD_REPORTS || clock.now() >= report.deadlineMs()) {
       return false;
@@ -36,14 +36,14 @@
     return true;
   }
 
-  /** Takes all out, to be relayed now. */
+  /** Removes and returns all reports, to be relayed now. */
   List<HeldReport> takeAll() {
     List<HeldReport> all = new ArrayList<>(reports);
     reports.clear();
     return all;
   }
 
-  /** Takes out those whose time is over. */
+  /** Removes and returns the reports whose deadline has passed. */
   List<HeldReport> takeExpired() {
     List<HeldReport> expired = new ArrayList<>();
     Iterator<HeldReport> iterator = reports.iterator();
--- a/src/main/java/dapplestair/relay/Relay.java
+++ b/src/main/java/dapplestair/relay/Relay.java
@@ -25,22 +25,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Spreads the connections of workers over all controllers once one alone has too few sockets. A
- * controller that does not lead passes reports on to the leader and its answers back, and delivers
- * the leader's commands. It decides nothing and keeps nothing: to the rules it is a network path,
- * which may lose, delay and reorder (docs/sharing.md).
+ * Spreads the connections of workers over all controllers once a single controller has too few
+ * sockets. A controller that does not lead forwards reports to the leader, returns the leader's
+ * responses, and delivers the leader's commands. It decides nothing and stores nothing: for the
+ * protocol it is a network path, which may lose, delay and reorder messages (docs/sharing.md).
  */
 public final class Relay implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
 
-  /** A machine takes two sockets of the leader: its reports, and the commands sent to it. */
+  /** A machine takes two sockets of the leader: one for its reports and one for its commands. */
   private static final int SOCKETS_PER_MACHINE = 2;
 
-  /** Part of the 4 s for which a worker waits for an answer (PROTOCOL). */
+  /** Five eighths of the 4 s for which a worker waits for a response (PROTOCOL). */
   private static final long RELAY_DEADLINE_MS = 4000 * 5 / 8;
 
-  /** A leader that ends takes the reports on their way with it: these are sent again. */
-  private static final int MAX_ATTEMPTS = 3;
+  /**
+   * Number of attempts for which the deadline leaves time: reports in flight when the leader ends
+   * are lost and sent again.
+   */
+  private static final int ATTEMPTS_PER_DEADLINE = 3;
 
   private static final int MAX_REMEMBERED_REDIRECTS = 8192;
 
@@ -64,10 +67,10 @@
   private Cancellable timer = () -> {};
 
   /**
-   * Relays nothing before {@link #start}.
+   * Creates a relay, which is inactive until {@link #start}.
    *
    * @param socketShare share of the allowed connections that direct connections of machines may
-   *     take; relaying begins beyond it
+   *     take; relaying begins above it
    */
   public Relay(
       Clock clock,
@@ -95,10 +98,10 @@
   }
 
   /**
-   * Begins.
+   * Starts relaying.
    *
-   * @param onReport serves a report while this controller leads
-   * @param countMachines how many machines the leader knows
+   * @param onReport handles a report while this controller leads
+   * @param countMachines returns how many machines the leader knows
    */
   public void start(Consumer<Exchange> onReport, IntSupplier countMachines) {
     reportHandler = onReport;
@@ -107,12 +110,12 @@
     tick();
   }
 
-  /** True while connections are spread. */
+  /** Returns whether connections are spread over the controllers. */
   public boolean isActive() {
     return mode.isActive();
   }
 
-  /** Reports passed on to a leader so far. */
+  /** Returns the number of reports sent to a leader so far, repetitions included. */
   public long relayedReports() {
     return relayedReports;
   }
@@ -128,7 +131,7 @@
     if (leadership.isLeading()) {
       if (mode.decide(leadership.term(), machineCount.getAsInt())) {
         LOG.info(
-            "connections of {} machines are {}",
+            "{} machines known: worker connections are now {}",
             machineCount.getAsInt(),
             mode.isActive() ? "spread" : "direct");
       }
@@ -140,11 +143,12 @@
     timer = timers.after(tickMs, this::tick);
   }
 
-  // ---- where a machine's connections belong ----
+  // ---- assignment of a machine's connections ----
 
   /**
-   * Candidates are this controller and those that have been alive for a while: one that comes and
-   * goes must not take connections each time.
+   * Returns the controller that a machine is assigned to. Candidates are this controller and those
+   * that have been alive for a quarter of a lease, so that a controller that repeatedly stops and
+   * returns does not take connections each time.
    */
   private String assignedController(Report report) {
     List<RelayAssignment.Candidate> candidates = new ArrayList<>();
@@ -159,8 +163,9 @@
   }
 
   /**
-   * The controller that a worker is to report to, or null when it may stay. Controllers may see
-   * each other differently for a while, so a worker is sent on once a lease at the most.
+   * Returns the controller that a worker is to report to, or null if it is to stay here.
+   * Controllers may disagree for a while on who is alive, so a worker is redirected at most once
+   * per lease.
    */
   private String redirectTarget(Report report) {
     String target = assignedController(report);
@@ -175,20 +180,24 @@
     return target;
   }
 
-  /** The leader's question: where a worker that came directly is to report to, or null. */
+  /**
+   * Returns the controller that a worker is to report to if its report came directly to the leader;
+   * null if the worker is to stay or the report was relayed.
+   */
   public String redirectTargetOfDirect(Exchange exchange, Report report) {
     boolean isDirect = RelayedReport.relayOf(exchange) == null;
     return isDirect && mode.isActive() ? redirectTarget(report) : null;
   }
 
-  // ---- reports, at a controller that does not lead ----
+  // ---- reports at a controller that does not lead ----
 
   /**
-   * Takes a report if it is to be relayed. {@code fallback} answers it if no leader can be asked in
-   * time. False when nothing was done.
+   * Redirects or relays a report while connections are spread; returns false if it did neither.
+   * {@code fallback} answers the report if no leader can be asked in time.
    */
   public boolean tryRelay(Exchange exchange, Report report, Runnable fallback) {
-    // One that was relayed already came here by mistake: its sender knows an older leader.
+    // A report that was relayed already came here by mistake, since its sender knows an older
+    // leader: it is not relayed again.
     if (!mode.isActive() || RelayedReport.relayOf(exchange) != null) {
       return false;
     }
@@ -201,7 +210,10 @@
     return true;
   }
 
-  /** Passes it on, or holds it until there is a leader: one that ends sends no worker away. */
+  /**
+   * Forwards a report to the leader, or holds it until there is one, so that the end of a leader
+   * does not send workers to other controllers.
+   */
   private void forward(HeldReport report) {
     String leader = leadership.currentLeader();
     long remainingMs = report.deadlineMs() - clock.now();
@@ -215,7 +227,7 @@
           RequestKind.REPORT,
           "",
           report.exchange().body(),
-          Math.min(remainingMs, RELAY_DEADLINE_MS / MAX_ATTEMPTS),
+          Math.min(remainingMs, RELAY_DEADLINE_MS / ATTEMPTS_PER_DEADLINE),
           reply -> replyReceived(report, reply));
     } else if (!heldReports.hold(report)) {
       report.fallback().run();
@@ -233,26 +245,26 @@
   private void retryHeldReports() {
     heldReports.takeExpired().forEach(report -> report.fallback().run());
     if (leadership.isLeading()) {
-      // Elected meanwhile: these are its own now.
+      // Elected in the meantime: this controller handles the held reports itself.
       heldReports.takeAll().forEach(report -> reportHandler.accept(report.exchange()));
     } else {
       heldReports.takeAll().forEach(this::forward);
     }
   }
 
-  // ---- commands, at the leader ----
+  // ---- commands at the leader ----
 
   /**
-   * Sends commands to a worker by way of the controller that holds its connection.
+   * Sends commands to a worker through the controller that holds its connection.
    *
-   * @param relay that controller, or null for a direct call
+   * @param relay the controller that holds the connection, or null for a direct call
    */
   public void sendCommands(
       String relay, String endpoint, byte[] body, long timeoutMs, Consumer<HttpReply> done) {
     if (relay == null || !mode.isActive() || !peers.isAlive(relay)) {
       deliver(endpoint, body, timeoutMs, done);
     } else {
-      // The relay's own call ends first, so that its word on the outcome still counts.
+      // The relay's own call must time out first, so that its outcome still arrives in time.
       links.call(relay, RequestKind.COMMAND, endpoint, body, timeoutMs + tickMs, done);
     }
   }
@@ -261,7 +273,7 @@
     http.call(endpoint, "POST", "/orders", body, timeoutMs, done);
   }
 
-  // ---- what other controllers ask ----
+  // ---- requests of other controllers ----
 
   private void handle(String member, Request request, Consumer<HttpReply> done) {
     switch (request.kind()) {
--- a/src/main/java/dapplestair/relay/RelayAssignment.java
+++ b/src/main/java/dapplestair/relay/RelayAssignment.java
@@ -6,17 +6,18 @@
 import java.util.Collection;
 
 /**
- * Which controller holds the connections of a machine: weighted rendezvous hashing (Thaler and
- * Ravishankar, 1998), so that a controller that ends or returns moves only its own machines.
+ * Assigns the connections of each machine to a controller by weighted rendezvous hashing (Thaler
+ * and Ravishankar, 1998), so that a controller that ends or returns moves only its own machines.
  */
 public final class RelayAssignment {
   /**
-   * How much more a controller in the machine's own zone counts: a cut between zones then leaves
-   * most machines on the side of their controller, and zones without one still spread evenly.
+   * Weight of a controller in the machine's own zone, relative to other zones. During a partition
+   * between zones most machines then stay on the side of their controller, while machines of zones
+   * without a controller are still spread evenly.
    */
   private static final double SAME_ZONE_WEIGHT = 2;
 
-  // A seed of its own, so that the order of machine names shows in no assignment.
+  // A dedicated seed, so that the order of machine names does not affect the assignment.
   private static final HashFunction HASH = Hashing.murmur3_128(0x5eed);
 
   private RelayAssignment() {}
@@ -24,7 +25,7 @@
   /** A controller that can hold connections. */
   public record Candidate(String member, String zone) {}
 
-  /** The controller for this machine, or null when there is no candidate. */
+  /** Returns the controller for a machine, or null if there is no candidate. */
   public static String controllerFor(
       String machine, String zone, Collection<Candidate> candidates) {
     String best = null;
@@ -40,7 +41,7 @@
     return best;
   }
 
-  /** A well-mixed number between 0 and 1, both excluded. */
+  /** Returns a uniformly distributed hash of the pair, between 0 and 1 exclusively. */
   private static double fraction(String machine, String member) {
     long bits =
         HASH.newHasher()
--- a/src/main/java/dapplestair/relay/RelayFrameCodec.java
+++ b/src/main/java/dapplestair/relay/RelayFrameCodec.java
@@ -7,35 +7,35 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Frames of relayed requests and replies between controllers: bounded, and of one form. */
+/** Encodes relayed requests and replies between controllers in frames of bounded size. */
 final class RelayFrameCodec {
-  /** Raised whenever the form changes; frames of other forms are refused. */
+  /** Incremented whenever the format changes; frames of other versions are refused. */
   static final byte FORMAT_VERSION = 1;
 
-  /** Most requests and replies of one frame. */
+  /** Maximum number of requests, and of replies, in one frame. */
   static final int MAX_ITEMS = 256;
 
-  /** Largest frame, bytes; a single report may have 64 KiB. */
+  /** Maximum size of a frame in bytes; a single report may have 64 KiB. */
   static final int MAX_FRAME_BYTES = 448 * 1024;
 
   private RelayFrameCodec() {}
 
-  /** What is relayed. */
+  /** The kind of a relayed request. */
   enum RequestKind {
-    /** A worker's report, to the leader. */
+    /** A worker's report, sent to the leader. */
     REPORT,
-    /** Commands to a worker, from the leader. */
+    /** Commands to a worker, sent by the leader. */
     COMMAND,
-    /** Whether the leader wants its reports relayed; has no reply. */
+    /** The leader's announcement whether reports are to be relayed; has no reply. */
     MODE
   }
 
   /**
-   * One request.
+   * A relayed request.
    *
    * @param id chosen by the sender, repeated in the reply
-   * @param endpoint the worker's address, empty unless it is a command
-   * @param timeoutMs how long the reply is waited for
+   * @param endpoint the worker's address, empty unless the request is a command
+   * @param timeoutMs how long the sender waits for the reply
    */
   record Request(long id, RequestKind kind, String endpoint, long timeoutMs, byte[] body) {}
 
@@ -43,14 +43,14 @@
   record Reply(long id, int status, byte[] body) {}
 
   /**
-   * What one controller sends another at a time.
+   * The requests and replies that one controller sends to another at a time.
    *
-   * @param sender the sending process, told apart from its earlier lives
-   * @param receiver the process that the replies are for, 0 when there are none
+   * @param sender id of the sending process, which differs after each restart
+   * @param receiver id of the process that the replies are for, 0 if none is known yet
    */
   record Frame(long sender, long receiver, List<Request> requests, List<Reply> replies) {}
 
-  /** Encodes a frame, or gives null when it is too large. */
+  /** Encodes a frame; returns null if it is too large. */
   static byte[] encode(Frame frame) {
     try {
       return write(frame);
@@ -86,7 +86,7 @@
     out.writeBytes(body);
   }
 
-  /** Decodes a frame, or gives null when it is garbled, too large or of another form. */
+  /** Decodes a frame; returns null if it is malformed, too large or of another version. */
   static Frame decode(byte[] bytes) {
     if (bytes.length == 0 || bytes.length > MAX_FRAME_BYTES || bytes[0] != FORMAT_VERSION) {
       return null;
@@ -115,7 +115,7 @@
     String endpoint = in.readString();
     long timeoutMs = in.readVarLong(true);
     if (endpoint == null || timeoutMs < 0) {
-      throw new IllegalArgumentException("not a request");
+      throw new IllegalArgumentException("relayed request has no endpoint or a negative timeout");
     }
     return new Request(id, kind, endpoint, timeoutMs, readBytes(in));
   }
@@ -123,7 +123,7 @@
   private static int readCount(Input in) {
     int count = in.readVarInt(true);
     if (count < 0 || count > MAX_ITEMS) {
-      throw new IllegalArgumentException("too many items: " + count);
+      throw new IllegalArgumentException("invalid number of items in relay frame: " + count);
     }
     return count;
   }
@@ -131,7 +131,7 @@
   private static byte[] readBytes(Input in) {
     int length = in.readVarInt(true);
     if (length < 0 || length > MAX_FRAME_BYTES) {
-      throw new IllegalArgumentException("too long: " + length);
+      throw new IllegalArgumentException("invalid body length in relay frame: " + length);
     }
     return in.readBytes(length);
   }
--- a/src/main/java/dapplestair/relay/RelayLinks.java
+++ b/src/main/java/dapplestair/relay/RelayLinks.java
@@ -16,29 +16,30 @@
 import java.util.function.Consumer;
 
 /**
- * Requests between controllers, gathered into frames for a moment. A request is sent once and never
- * repeated; without a reply in time its outcome is unknown.
+ * Exchanges relayed requests between controllers, batching them into frames for a short time. A
+ * request is sent once and never repeated; if no reply arrives in time, its outcome is unknown.
  */
 final class RelayLinks implements AutoCloseable {
-  /** Topic between controllers; older ones do not know it and do not answer. */
+  /** Topic of relay frames; controllers of older versions do not know it and do not answer. */
   private static final String TOPIC = "relay";
 
-  /** Requests without a reply that one controller may have with another. */
+  /** Maximum number of requests to one controller that await a reply. */
   private static final int MAX_PENDING_REQUESTS = 4096;
 
   private static final int MAX_BATCH_BYTES = RelayFrameCodec.MAX_FRAME_BYTES / 2;
 
-  /** Serves the requests of other controllers. */
+  /** Handles the requests of other controllers. */
   interface Handler {
     /**
-     * Serves one request; {@code done} may be called later, and never for {@link RequestKind#MODE}.
+     * Handles one request; {@code done} may be called later, and never for {@link
+     * RequestKind#MODE}.
      */
     void handle(String member, Request request, Consumer<HttpReply> done);
   }
 
   private record PendingRelay(String member, Consumer<HttpReply> done, Cancellable timer) {}
 
-  /** What waits to be sent to one controller. */
+  /** The requests and replies that wait to be sent to one controller. */
   private static final class Outbox {
     final ArrayDeque<Request> requests = new ArrayDeque<>();
     final ArrayDeque<Reply> replies = new ArrayDeque<>();
@@ -57,10 +58,10 @@
   private long lastId;
 
   /**
-   * Links to all controllers.
+   * Creates the links to all controllers.
    *
-   * @param process tells this process from its earlier lives
-   * @param gatherMs how long requests are gathered for one frame
+   * @param process id of this process, which differs after each restart
+   * @param gatherMs how long requests are collected for one frame, in milliseconds
    */
   RelayLinks(Timers timers, Peers peers, long process, long gatherMs, Handler handler) {
     this.timers = timers;
@@ -74,7 +75,7 @@
     peers.listen(TOPIC, this::frameReceived);
   }
 
-  /** Sends a request; exactly one reply. */
+  /** Sends a request; {@code done} is called exactly once, also if no reply arrives. */
   void call(
       String member,
       RequestKind kind,
@@ -96,7 +97,7 @@
     flushSoon(member, outbox);
   }
 
-  /** Tells another controller something that has no reply. */
+  /** Sends a request that has no reply. */
   void send(String member, RequestKind kind, byte[] body) {
     Outbox outbox = outbox(member);
     if (outbox.requests.size() < MAX_PENDING_REQUESTS) {
@@ -123,7 +124,7 @@
       List<Request> requests = new ArrayList<>();
       while (!outbox.requests.isEmpty() && hasRoom(requests.size(), bytes)) {
         Request request = outbox.requests.poll();
-        // One that has timed out while it waited here need not be sent any more.
+        // A request that timed out in the outbox need not be sent.
         if (request.id() == 0 || pendingRelays.containsKey(request.id())) {
           requests.add(request);
           bytes += request.body().length;
@@ -154,7 +155,7 @@
     }
     Outbox outbox = outbox(member);
     if (outbox.receiverProcess != frame.sender()) {
-      // Its former life waits for nothing any more.
+      // The peer has restarted: its former process no longer awaits replies.
       outbox.replies.clear();
       outbox.receiverProcess = frame.sender();
     }
--- a/src/main/java/dapplestair/relay/RelayMode.java
+++ b/src/main/java/dapplestair/relay/RelayMode.java
@@ -6,11 +6,12 @@
 import dapplestair.ports.Clock;
 
 /**
- * Whether reports are relayed. The leader decides, by the sockets that its machines would take, and
- * says so again and again; the others go by the word of the highest term, while it is recent.
+ * Decides whether reports are relayed. The leader decides by the sockets that its machines would
+ * take, and repeats its decision to the other controllers; these follow the announcement of the
+ * highest term while it is recent.
  */
 final class RelayMode {
-  /** Relaying ends below this ratio to the number of machines at which it begins. */
+  /** Relaying ends when the machines fall below this share of the number at which it begins. */
   private static final double OFF_RATIO = 0.8;
 
   private final Clock clock;
@@ -23,10 +24,11 @@
   private long lastActiveMs = Long.MIN_VALUE / 2;
 
   /**
-   * Off at first.
+   * Creates an inactive mode.
    *
    * @param maxDirectMachines relaying begins with more machines than these
-   * @param holdMs how long a leader's word holds, and how long few machines must last
+   * @param holdMs how long a leader's announcement is valid, and how long there must be few
+   *     machines before relaying ends
    */
   RelayMode(Clock clock, double maxDirectMachines, long holdMs) {
     this.clock = clock;
@@ -34,22 +36,25 @@
     this.holdMs = holdMs;
   }
 
-  /** True while reports are to be relayed. */
+  /** Returns whether reports are to be relayed. */
   boolean isActive() {
     return isActive && clock.now() - announcedAtMs <= holdMs;
   }
 
-  /** True while it is on, and for a while after: a deployment that never needs it hears nothing. */
+  /**
+   * Returns whether the leader is to announce the mode: while relaying is active and for {@code
+   * holdMs} after, so that deployments that never relay are not sent announcements.
+   */
   boolean shouldAnnounce() {
     return isActive || clock.now() - lastActiveMs <= holdMs;
   }
 
-  /** The leader of a term decides; true when that changes the mode. */
+  /** Decides the mode as the leader of a term; returns whether that changes it. */
   boolean decide(long leaderTerm, int machines) {
     long now = clock.now();
     boolean wasActive = isActive();
     if (leaderTerm != term || machines >= OFF_RATIO * maxDirectMachines) {
-      // A leader that has just begun may not know all machines yet.
+      // A new leader may not know all machines yet, so the mode stays active for a while.
       lastManyMachinesMs = now;
     }
     isActive = machines > maxDirectMachines || wasActive && now - lastManyMachinesMs <= holdMs;
@@ -59,7 +64,7 @@
     return wasActive != isActive;
   }
 
-  /** The word of the leader for the other controllers. */
+  /** Encodes the leader's announcement to the other controllers. */
   byte[] encode() {
     Output out = new Output(16);
     out.writeVarLong(term, true);
@@ -67,7 +72,7 @@
     return out.toBytes();
   }
 
-  /** Hears a leader's word; false when it is garbled. */
+  /** Receives a leader's announcement; returns false if it is malformed. */
   boolean receive(byte[] announcement) {
     try {
       Input in = new Input(announcement);
--- a/src/main/java/dapplestair/relay/RelayedReport.java
+++ b/src/main/java/dapplestair/relay/RelayedReport.java
@@ -4,7 +4,7 @@
 import dapplestair.ports.HttpReply;
 import java.util.function.Consumer;
 
-/** A worker's report that another controller accepted and passed on. */
+/** A worker's report that another controller accepted and relayed to the leader. */
 public final class RelayedReport implements Exchange {
   private final String relay;
   private final byte[] body;
@@ -16,7 +16,7 @@
     this.done = done;
   }
 
-  /** The controller that holds the worker's connection, or null when it came directly. */
+  /** Returns the controller that relayed this report, or null if it came directly. */
   public static String relayOf(Exchange exchange) {
     return exchange instanceof RelayedReport report ? report.relay : null;
   }
--- a/src/test/java/dapplestair/netty/HttpLoopbackTest.java
+++ b/src/test/java/dapplestair/netty/HttpLoopbackTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The real codec, both ways, over loopback. */
+/** Tests the HTTP server and client against each other over real loopback sockets. */
 class HttpLoopbackTest {
   private final ControllerEventLoop loop = new ControllerEventLoop();
   private HttpServer server;
@@ -99,7 +99,9 @@
     }
   }
 
-  /** An orderly end: what is open is answered, what comes is told to go elsewhere. */
+  /**
+   * During an orderly shutdown pending requests are answered, and new ones are refused with 503.
+   */
   @Test
   void drainingServerCompletesPendingAndRefusesNewRequests() throws Exception {
     java.util.concurrent.CompletableFuture<dapplestair.ports.Exchange> received =
--- a/src/test/java/dapplestair/peers/PeerCodecTest.java
+++ b/src/test/java/dapplestair/peers/PeerCodecTest.java
@@ -24,7 +24,7 @@
     assertArrayEquals(body, answer.body());
   }
 
-  /** Whatever comes, nothing is thrown, and another version is not guessed at. */
+  /** Decoding corrupted frames must not throw, and frames of another version must be refused. */
   @Test
   void corruptedFramesDoNotThrowAndOtherVersionsAreRefused() {
     SplittableRandom random = new SplittableRandom(1);
--- a/src/test/java/dapplestair/relay/RelayAssignmentTest.java
+++ b/src/test/java/dapplestair/relay/RelayAssignmentTest.java
@@ -13,12 +13,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which controller holds the connections of which machine. */
+/**
+ * Tests that machines are assigned evenly, that the end of a controller moves only its own
+ * machines, and that controllers in the zone of a machine are preferred.
+ */
 class RelayAssignmentTest {
   private static final int MACHINES = 3600;
   private static final List<String> ZONES = List.of("a", "b", "c");
 
-  /** Controllers are in the first two of three zones. */
+  /** Returns controllers in the first two of three zones. */
   private static List<Candidate> controllers(int count) {
     List<Candidate> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
--- a/src/test/java/dapplestair/relay/RelayFrameCodecTest.java
+++ b/src/test/java/dapplestair/relay/RelayFrameCodecTest.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Frames between controllers: what is garbled, too large or of another form is refused. */
+/** Tests that relay frames that are malformed, too large or of another version are refused. */
 class RelayFrameCodecTest {
   private static final byte[] BODY = {1, 2, 3};
 
@@ -63,7 +63,7 @@
         RelayFrameCodec.encode(new Frame(1, 1, List.of(), List.of(new Reply(1, 200, large)))));
   }
 
-  /** Random bytes end no process, whatever they happen to say. */
+  /** Decoding corrupted frames must not throw, as that could end the process. */
   @Test
   void corruptedFramesDoNotThrow() {
     SplittableRandom random = new SplittableRandom(11);
