--- a/src/main/java/dapplestair/cloud/CloudClient.java
+++ b/src/main/java/dapplestair/cloud/CloudClient.java
@@ -18,8 +18,9 @@
 import java.util.function.Consumer;
 
 /**
- * Sends requests to the cloud within its call rate. Returns that end cancelled tasks go first, then
- * the leader's returns, its rentals and its queries, and last the look-ups of addresses.
+ * Sends requests to the cloud within its call rate. Requests that end cancelled tasks go first,
+ * then the leader's returns of machines, its rentals and its queries, and last the look-ups of
+ * addresses.
  */
 public final class CloudClient {
   private static final int MAX_QUEUED_REQUESTS = 64;
@@ -86,7 +87,7 @@
     enqueue(RequestPriority.QUERIES, getRequest(listingPath(afterName, MAX_LISTED_MACHINES), done));
   }
 
-  /** Requests up to {@code maxMachines} machines after this name, also if another leads. */
+  /** Requests up to {@code maxMachines} machines after this name, whichever controller leads. */
   public void findMachines(String afterName, int maxMachines, Consumer<HttpReply> done) {
     enqueue(RequestPriority.ADDRESS_LOOKUPS, getRequest(listingPath(afterName, maxMachines), done));
   }
--- a/src/main/java/dapplestair/netty/TlsFiles.java
+++ b/src/main/java/dapplestair/netty/TlsFiles.java
@@ -101,7 +101,7 @@
       return new Loaded(times, context);
     } catch (IllegalArgumentException | CertificateException e) {
       throw new IOException(
-          "TLS certificate " + files.certificate() + " or key " + files.key() + " cannot be used",
+          files.certificate() + " or " + files.key() + " cannot be used as TLS certificate and key",
           e);
     }
   }
--- a/src/main/java/dapplestair/peers/PeerRequests.java
+++ b/src/main/java/dapplestair/peers/PeerRequests.java
@@ -66,7 +66,7 @@
     network.send(member, new PeerAsk(number, topic, body));
   }
 
-  /** Sends a message without an answer; its number 0 is never the number of a request. */
+  /** Sends a message that needs no answer; its number is 0, which no request has. */
   void sendWithoutAnswer(String member, String topic, byte[] body) {
     if (body.length <= MAX_BODY_BYTES) {
       network.send(member, new PeerAsk(0, topic, body));
--- a/src/main/java/dapplestair/peers/Peers.java
+++ b/src/main/java/dapplestair/peers/Peers.java
@@ -78,18 +78,18 @@
   }
 
   /**
-   * Sends a message without an answer to every peer; peers that do not know the topic ignore it.
+   * Sends a message that needs no answer to every peer; peers that do not know the topic ignore it.
    */
   public void broadcast(String topic, byte[] body) {
     peers.keySet().forEach(m -> requests.sendWithoutAnswer(m, topic, body));
   }
 
-  /** Sends a message without an answer to one peer. */
+  /** Sends a message that needs no answer to one peer. */
   public void send(String member, String topic, byte[] body) {
     requests.sendWithoutAnswer(member, topic, body);
   }
 
-  /** Sets the listener for messages without an answer on a topic. */
+  /** Sets the listener for messages on a topic that need no answer. */
   public void listen(String topic, BiConsumer<String, byte[]> listener) {
     requests.listen(topic, listener);
   }
@@ -143,7 +143,10 @@
     }
   }
 
-  /** Returns whether this peer sent a status within the last four status intervals. */
+  /**
+   * Returns whether this peer sent a status within the last four status intervals and has not
+   * refused connections since.
+   */
   public boolean isAlive(String member) {
     PeerState peer = peers.get(member);
     return peer != null
--- a/src/main/java/dapplestair/relay/Relay.java
+++ b/src/main/java/dapplestair/relay/Relay.java
@@ -154,8 +154,8 @@
     List<RelayAssignment.Candidate> candidates = new ArrayList<>();
     candidates.add(new RelayAssignment.Candidate(settings.member(), settings.zone()));
     aliveSinceMs.forEach(
-        (member, since) -> {
-          if (clock.now() - since >= leaseMs / 4) {
+        (member, sinceMs) -> {
+          if (clock.now() - sinceMs >= leaseMs / 4) {
             candidates.add(new RelayAssignment.Candidate(member, zonesByMember.get(member)));
           }
         });
@@ -184,7 +184,7 @@
    * Returns the controller that a worker is to report to if its report came directly to the leader;
    * null if the worker is to stay or the report was relayed.
    */
-  public String redirectTargetOfDirect(Exchange exchange, Report report) {
+  public String redirectTargetOfDirectReport(Exchange exchange, Report report) {
     boolean isDirect = RelayedReport.relayOf(exchange) == null;
     return isDirect && mode.isActive() ? redirectTarget(report) : null;
   }
--- a/src/main/java/dapplestair/workers/ReportHandler.java
+++ b/src/main/java/dapplestair/workers/ReportHandler.java
@@ -98,7 +98,7 @@
       }
       return;
     }
-    String elsewhere = relay.redirectTargetOfDirect(exchange, report);
+    String elsewhere = relay.redirectTargetOfDirectReport(exchange, report);
     if (elsewhere != null) {
       sendTo(exchange, elsewhere);
       return;
--- a/src/test/java/dapplestair/relay/RelayFrameCodecTest.java
+++ b/src/test/java/dapplestair/relay/RelayFrameCodecTest.java
@@ -51,9 +51,9 @@
     }
     byte[] longer = Arrays.copyOf(good, good.length + 1);
     assertNull(RelayFrameCodec.decode(longer));
-    byte[] otherForm = good.clone();
-    otherForm[0]++;
-    assertNull(RelayFrameCodec.decode(otherForm));
+    byte[] otherVersion = good.clone();
+    otherVersion[0]++;
+    assertNull(RelayFrameCodec.decode(otherVersion));
     assertNull(RelayFrameCodec.decode(new byte[RelayFrameCodec.MAX_FRAME_BYTES + 1]));
     Reply reply = new Reply(1, 200, BODY);
     List<Reply> tooMany = Collections.nCopies(RelayFrameCodec.MAX_ITEMS + 1, reply);
