--- a/src/main/java/dapplestair/relay/RelayMode.java
+++ b/src/main/java/dapplestair/relay/RelayMode.java
@@ -17,7 +17,7 @@
   private final Clock clock;
   private final double maxDirectMachines;
   private final long holdMs;
-  private boolean isActive;
+  private boolean active;
   private long term;
   private long announcedAtMs = Long.MIN_VALUE / 2;
   private long lastManyMachinesMs;
@@ -38,7 +38,7 @@
 
   /** Returns whether reports are to be relayed. */
   boolean isActive() {
-    return isActive && clock.now() - announcedAtMs <= holdMs;
+    return active && clock.now() - announcedAtMs <= holdMs;
   }
 
   /**
@@ -46,7 +46,7 @@
    * holdMs} after, so that deployments that never relay are not sent announcements.
    */
   boolean shouldAnnounce() {
-    return isActive || clock.now() - lastActiveMs <= holdMs;
+    return active || clock.now() - lastActiveMs <= holdMs;
   }
 
   /** Decides the mode as the leader of a term; returns whether that changes it. */
@@ -57,18 +57,18 @@
       // A new leader may not know all machines yet, so the mode stays active for a while.
       lastManyMachinesMs = now;
     }
-    isActive = machines > maxDirectMachines || wasActive && now - lastManyMachinesMs <= holdMs;
-    lastActiveMs = wasActive || isActive ? now : lastActiveMs;
+    active = machines > maxDirectMachines || wasActive && now - lastManyMachinesMs <= holdMs;
+    lastActiveMs = wasActive || active ? now : lastActiveMs;
     term = leaderTerm;
     announcedAtMs = now;
-    return wasActive != isActive;
+    return wasActive != active;
   }
 
   /** Encodes the leader's announcement to the other controllers. */
   byte[] encode() {
     Output out = new Output(16);
     out.writeVarLong(term, true);
-    out.writeBoolean(isActive);
+    out.writeBoolean(active);
     return out.toBytes();
   }
 
@@ -80,7 +80,7 @@
       boolean announcedActive = in.readBoolean();
       if (announcedTerm >= term) {
         term = announcedTerm;
-        isActive = announcedActive;
+        active = announcedActive;
         announcedAtMs = clock.now();
       }
       return true;
