--- a/src/main/java/dapplestair/accepted/AcceptedJobs.java
+++ b/src/main/java/dapplestair/accepted/AcceptedJobs.java
@@ -64,13 +64,13 @@
   /** Starts to receive the leader's announcements. */
   public void start() {
     peers
-        .questions()
-        .answer(
+        .requests()
+        .handle(
             TOPIC,
             (body, reply) -> {
               Map<String, Long> revisions = AcceptedJobsCodec.decode(body);
               if (revisions == null) {
-                peers.questions().refused();
+                peers.requests().countRefusedMessage();
               } else {
                 handleLeaderMessage(revisions);
                 reply.accept(ACKNOWLEDGEMENT);
@@ -140,7 +140,7 @@
   private void sendToFollower(String member, Map<String, Long> unacknowledged) {
     if (unacknowledged.isEmpty()
         || followersWithOpenRequest.contains(member)
-        || !peers.alive(member)) {
+        || !peers.isAlive(member)) {
       return;
     }
     Map<String, Long> sentRevisions = new LinkedHashMap<>(unacknowledged);
@@ -151,7 +151,7 @@
     }
     followersWithOpenRequest.add(member);
     peers
-        .questions()
+        .requests()
         .ask(
             member,
             TOPIC,
--- a/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
+++ b/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
@@ -222,7 +222,7 @@
     }
     lookupBlocked = true;
     String precedingName = host.substring(0, host.length() - 1);
-    cloud.lookUp(
+    cloud.findMachines(
         precedingName,
         MAX_LISTED_MACHINES,
         reply -> {
--- a/src/main/java/dapplestair/cancellations/CancellationLogSync.java
+++ b/src/main/java/dapplestair/cancellations/CancellationLogSync.java
@@ -61,7 +61,7 @@
   }
 
   void start() {
-    peers.questions().answer(REQUEST_TOPIC, this::handleRequest);
+    peers.requests().handle(REQUEST_TOPIC, this::handleRequest);
     requestAllLogs();
   }
 
@@ -82,7 +82,7 @@
             new CancellationCodec.LogRequest(
                 processId, requestNumber, peerLog.logId, peerLog.lastEntryNumber));
     peers
-        .questions()
+        .requests()
         .ask(
             member,
             REQUEST_TOPIC,
@@ -96,7 +96,7 @@
     CancellationCodec.LogResponse response =
         reply == null ? null : CancellationCodec.decodeResponse(reply);
     if (reply != null && response == null) {
-      peers.questions().refused();
+      peers.requests().countRefusedMessage();
     }
     // Ignores responses to requests of an earlier process of this controller.
     if (response == null
@@ -120,7 +120,7 @@
   private void handleRequest(byte[] body, Consumer<byte[]> reply) {
     CancellationCodec.LogRequest request = CancellationCodec.decodeRequest(body);
     if (request == null) {
-      peers.questions().refused();
+      peers.requests().countRefusedMessage();
       return;
     }
     long afterNumber = request.logId() == processId ? request.lastEntryNumber() : 0;
--- a/src/main/java/dapplestair/cancellations/Cancellations.java
+++ b/src/main/java/dapplestair/cancellations/Cancellations.java
@@ -150,7 +150,7 @@
           workers.leaseMs() / 1000.0,
           (renewalWindowMs + workers.leaseMs() + workers.leaseMs() / 16) / 1000.0);
     }
-    peers.questions().answer(CONFIRM_TOPIC, this::handleConfirmations);
+    peers.requests().handle(CONFIRM_TOPIC, this::handleConfirmations);
     logSync.start();
     forgottenMachines.start();
     followUp();
@@ -257,7 +257,7 @@
           }
         };
     for (Settings.Peer peer : settings.peers()) {
-      if (peers.alive(peer.member())) {
+      if (peers.isAlive(peer.member())) {
         outstanding[0]++;
         informPeer(peer.member(), refs, countDown);
       }
@@ -287,7 +287,7 @@
       return;
     }
     peers
-        .questions()
+        .requests()
         .ask(
             member,
             CONFIRM_TOPIC,
@@ -322,7 +322,7 @@
   private void handleConfirmations(byte[] body, Consumer<byte[]> reply) {
     CancellationCodec.LogResponse message = CancellationCodec.decodeResponse(body);
     if (message == null) {
-      peers.questions().refused();
+      peers.requests().countRefusedMessage();
       return;
     }
     leadership.observeTerm(message.term());
@@ -367,11 +367,11 @@
             !knownCancellations.contains(ref)
                 || recordsAreRecent && listener.taskLocations(ref).isEmpty()
                 || listener.isProvedAbsent(ref));
-    openCancellations.adoptOrphaned(owner -> watermark.isAlive(owner, peers::alive));
+    openCancellations.adoptOrphaned(owner -> watermark.isAlive(owner, peers::isAlive));
     List<String> refs = openCancellations.ownRefs();
     if (!refs.isEmpty()) {
       for (Settings.Peer peer : settings.peers()) {
-        if (peers.alive(peer.member())) {
+        if (peers.isAlive(peer.member())) {
           informPeer(peer.member(), refs, () -> {});
         }
       }
--- a/src/main/java/dapplestair/cancellations/ForgottenMachines.java
+++ b/src/main/java/dapplestair/cancellations/ForgottenMachines.java
@@ -101,8 +101,8 @@
   void start() {
     startedAtMs = clock.now();
     peers
-        .questions()
-        .answer(
+        .requests()
+        .handle(
             NO_RECORDS_TOPIC,
             (body, reply) -> reply.accept(new byte[] {hasNoRecords.getAsBoolean() ? YES : NO}));
   }
@@ -142,7 +142,7 @@
     }
     Settings.Peer peer = settings.peers().get(peerIndex);
     peers
-        .questions()
+        .requests()
         .ask(
             peer.member(),
             NO_RECORDS_TOPIC,
@@ -153,7 +153,7 @@
 
   private void handlePeerReply(Settings.Peer peer, int peerIndex, Survey survey, byte[] reply) {
     boolean hasAnswered = reply != null && reply.length == 1;
-    if (hasAnswered ? reply[0] != YES : peers.alive(peer.member())) {
+    if (hasAnswered ? reply[0] != YES : peers.isAlive(peer.member())) {
       endTurn();
       return;
     }
@@ -169,7 +169,7 @@
   }
 
   private void listMachines(String afterHost, Survey survey) {
-    cloud.lookUp(
+    cloud.findMachines(
         afterHost,
         MAX_MACHINES_PER_PAGE,
         reply -> {
--- a/src/main/java/dapplestair/netty/ControllerEventLoop.java
+++ b/src/main/java/dapplestair/netty/ControllerEventLoop.java
@@ -17,13 +17,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one thread that owns all state, with its clock, its timers and a helper for long work. */
+/**
+ * The event loop: the single thread that owns all state, with its clock, its timers and a
+ * background thread for long computations.
+ */
 public final class ControllerEventLoop implements Clock, Timers, BackgroundExecutor, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerEventLoop.class);
 
   private final NioEventLoopGroup group =
       new NioEventLoopGroup(1, new DefaultThreadFactory("loop", true));
-  private final ThreadPoolExecutor helper =
+  private final ThreadPoolExecutor backgroundThread =
       new ThreadPoolExecutor(
           0,
           1,
@@ -31,13 +34,13 @@
           TimeUnit.SECONDS,
           new ArrayBlockingQueue<>(4),
           new DefaultThreadFactory("planning", true));
-  private final long zero = System.nanoTime();
+  private final long startNanos = System.nanoTime();
 
   NioEventLoopGroup group() {
     return group;
   }
 
-  /** Where everything runs. */
+  /** Returns the executor that runs tasks on the event loop. */
   public Executor executor() {
     return eventLoop();
   }
@@ -48,7 +51,7 @@
 
   @Override
   public long now() {
-    return (System.nanoTime() - zero) / 1_000_000;
+    return (System.nanoTime() - startNanos) / 1_000_000;
   }
 
   @Override
@@ -65,7 +68,7 @@
 
   @Override
   public <R> void compute(Supplier<R> work, Consumer<R> done) {
-    helper.execute(
+    backgroundThread.execute(
         guarded(
             () -> {
               R result = work.get();
@@ -73,20 +76,24 @@
             }));
   }
 
-  /** Keeps one failing task from ending the loop or its own repetition unseen. */
+  /**
+   * Wraps a task so that an exception is logged and neither ends the event loop nor silently stops
+   * the repetition of the task.
+   */
   static Runnable guarded(Runnable task) {
     return () -> {
       try {
         task.run();
       } catch (RuntimeException e) {
-        LOG.error("a task failed", e);
+        LOG.error(
+            "uncaught exception in a task of the event loop or background thread; continuing", e);
       }
     };
   }
 
   @Override
   public void close() {
-    helper.shutdownNow();
+    backgroundThread.shutdownNow();
     group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
   }
 }
--- a/src/main/java/dapplestair/netty/HttpExchange.java
+++ b/src/main/java/dapplestair/netty/HttpExchange.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A request that waits for its answer. */
+/** A received HTTP request that awaits its response. */
 final class HttpExchange implements Exchange {
   private static final Logger LOG = LoggerFactory.getLogger(HttpExchange.class);
   private static final String JSON = "application/json";
@@ -27,27 +27,32 @@
   private final String query;
   private final HttpHeaders headers;
   private final byte[] body;
-  private final boolean keep;
-  private final Predicate<HttpExchange> ended;
+  private final boolean keepAlive;
+  private final Predicate<HttpExchange> onEnd;
   private boolean answered;
   private boolean abandoned;
 
-  /** {@code ended} is told once, and says whether the connection is to be closed. */
+  /**
+   * Creates an exchange.
+   *
+   * @param onEnd called once when the exchange is answered or abandoned; returns whether the
+   *     connection is to be closed
+   */
   HttpExchange(
       ChannelHandlerContext ctx,
       FullHttpRequest request,
-      boolean keep,
-      Predicate<HttpExchange> ended) {
+      boolean keepAlive,
+      Predicate<HttpExchange> onEnd) {
     this.ctx = ctx;
     this.method = request.method().name();
     String uri = request.uri();
-    int mark = uri.indexOf('?');
-    this.path = mark < 0 ? uri : uri.substring(0, mark);
-    this.query = mark < 0 ? "" : uri.substring(mark + 1);
+    int queryStart = uri.indexOf('?');
+    this.path = queryStart < 0 ? uri : uri.substring(0, queryStart);
+    this.query = queryStart < 0 ? "" : uri.substring(queryStart + 1);
     this.headers = request.headers();
     this.body = ByteBufUtil.getBytes(request.content());
-    this.keep = keep;
-    this.ended = ended;
+    this.keepAlive = keepAlive;
+    this.onEnd = onEnd;
   }
 
   @Override
@@ -90,45 +95,46 @@
     reply(200, contentType, answer, 0);
   }
 
-  /** Whoever asked is gone: nobody waits for the answer any more. */
+  /** Ends the exchange because the client has closed its connection. */
   void abandon() {
     if (!answered && !abandoned) {
       abandoned = true;
-      ended.test(this);
+      onEnd.test(this);
     }
   }
 
   private void reply(int status, String type, byte[] answer, int retryAfterS) {
     if (answered) {
-      LOG.error("second answer to {} {}", method, path);
+      LOG.error("{} {} was answered twice; dropping the second response", method, path);
       return;
     }
     answered = true;
-    boolean close = !keep | (!abandoned && ended.test(this));
-    var f = ctx.writeAndFlush(response(status, type, answer, retryAfterS, !close));
+    boolean close = !keepAlive | (!abandoned && onEnd.test(this));
+    var write = ctx.writeAndFlush(response(status, type, answer, retryAfterS, !close));
     if (close) {
-      f.addListener(ChannelFutureListener.CLOSE);
+      write.addListener(ChannelFutureListener.CLOSE);
     }
   }
 
-  /** An answer after which the connection is closed. */
-  static DefaultFullHttpResponse refusal(int status, String why, int retryAfterS) {
-    return response(status, JSON, Json.bytes(Json.object().put("error", why)), retryAfterS, false);
+  /** Returns an error response after which the connection is closed. */
+  static DefaultFullHttpResponse refusal(int status, String reason, int retryAfterS) {
+    return response(
+        status, JSON, Json.bytes(Json.object().put("error", reason)), retryAfterS, false);
   }
 
   private static DefaultFullHttpResponse response(
-      int status, String type, byte[] body, int retryAfterS, boolean keep) {
-    DefaultFullHttpResponse defaultFullHttpResponse =
+      int status, String type, byte[] body, int retryAfterS, boolean keepAlive) {
+    DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
-    defaultFullHttpResponse.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
-    defaultFullHttpResponse.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
+    response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
+    response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
     if (retryAfterS > 0) {
-      defaultFullHttpResponse.headers().setInt(HttpHeaderNames.RETRY_AFTER, retryAfterS);
+      response.headers().setInt(HttpHeaderNames.RETRY_AFTER, retryAfterS);
     }
-    if (!keep) {
-      defaultFullHttpResponse.headers().set(HttpHeaderNames.CONNECTION, "close");
+    if (!keepAlive) {
+      response.headers().set(HttpHeaderNames.CONNECTION, "close");
     }
-    return defaultFullHttpResponse;
+    return response;
   }
 }
--- a/src/main/java/dapplestair/node/CoreComponents.java
+++ b/src/main/java/dapplestair/node/CoreComponents.java
@@ -170,7 +170,7 @@
    * reporting here.
    */
   private boolean wasUnfinishedAtLastRead(String job) {
-    return !peers.anyServed() && (acceptedJobs.isUnread(job) || replica.heldBeforeRestart(job));
+    return !peers.hasReadyPeer() && (acceptedJobs.isUnread(job) || replica.heldBeforeRestart(job));
   }
 
   @Override
--- a/src/main/java/dapplestair/node/HttpRouter.java
+++ b/src/main/java/dapplestair/node/HttpRouter.java
@@ -96,8 +96,8 @@
    * until then.
    */
   private void handleHealthCheck(Exchange exchange) {
-    boolean cutOff = peers.cutOff() && stateUnreachableMs.getAsLong() > outageThresholdMs;
-    boolean healthy = canTakeRequests.getAsBoolean() || !peers.anyServed() && !cutOff;
+    boolean cutOff = peers.isCutOff() && stateUnreachableMs.getAsLong() > outageThresholdMs;
+    boolean healthy = canTakeRequests.getAsBoolean() || !peers.hasReadyPeer() && !cutOff;
     exchange.reply(healthy ? 200 : 503, Json.bytes(Json.object().put("up", healthy)), 0);
   }
 
--- a/src/main/java/dapplestair/node/RoleChangeNotifier.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -47,7 +47,7 @@
       core.eventLog.beginTerm(term);
       core.eventLog.publish(Events.Kind.LEADING, o -> o.put("term", term).put("by", member));
     }
-    core.peers.tell();
+    core.peers.broadcastStatus();
   }
 
   @Override
@@ -70,6 +70,6 @@
     core.workerManager.stopLeading();
     // The memory may hold changes that were never recorded: reload all records.
     core.replica.restart();
-    core.peers.tell();
+    core.peers.broadcastStatus();
   }
 }
--- a/src/main/java/dapplestair/node/StatusReporter.java
+++ b/src/main/java/dapplestair/node/StatusReporter.java
@@ -78,8 +78,8 @@
                 formatCancellationsAge(),
                 cancellations.openCount(),
                 cancellations.oldestOpenMs() / 1000.0);
-    if (relay.on()) {
-      summary += "; connections spread, %d reports relayed".formatted(relay.relayed());
+    if (relay.isActive()) {
+      summary += "; connections spread, %d reports relayed".formatted(relay.relayedReports());
     }
     return leadership.isLeading()
         ? "%s; starts refused: %s, tasks unaccounted for: %d; served least: %s; largest: %s"
--- a/src/main/java/dapplestair/peers/PeerRequests.java
+++ b/src/main/java/dapplestair/peers/PeerRequests.java
@@ -9,79 +9,82 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Questions between controllers, each answered or timed out. */
+/** Requests between controllers, each of which is answered or times out. */
 public final class PeerRequests {
-  // Room for what a frame holds besides the body.
-  private static final int LARGEST_BODY = PeerCodec.LARGEST_FRAME - 1024;
-  private static final int MOST_OPEN = 128;
+  // Leaves 1 KiB of the frame for everything besides the body.
+  private static final int MAX_BODY_BYTES = PeerCodec.MAX_FRAME_BYTES - 1024;
+  private static final int MAX_PENDING_REQUESTS = 128;
 
   private record PendingRequest(String member, Consumer<byte[]> done, Cancellable timer) {}
 
   private final Timers timers;
   private final PeerNetwork network;
-  private final Map<Long, PendingRequest> open = new HashMap<>();
-  private final Map<String, BiConsumer<byte[], Consumer<byte[]>>> topics =
+  private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+  private final Map<String, BiConsumer<byte[], Consumer<byte[]>>> handlers =
       new Object2ObjectOpenHashMap<>();
   private final Map<String, BiConsumer<String, byte[]>> listeners = new HashMap<>();
-  private long lastNumber;
-  private long refused;
+  private long lastRequestNumber;
+  private long refusedMessages;
 
   PeerRequests(Timers timers, PeerNetwork network) {
     this.timers = timers;
     this.network = network;
   }
 
-  /** Answers questions on a topic; an answer may come later. */
-  public void answer(String topic, BiConsumer<byte[], Consumer<byte[]>> by) {
-    topics.put(topic, by);
+  /** Sets the handler of requests on a topic; the handler may answer later. */
+  public void handle(String topic, BiConsumer<byte[], Consumer<byte[]>> handler) {
+    handlers.put(topic, handler);
   }
 
-  /** Hears what peers tell on a topic, with the peer's name; nothing is answered. */
+  /** Sets the listener for messages on a topic that need no answer; it gets the peer's name. */
   void listen(String topic, BiConsumer<String, byte[]> listener) {
     listeners.put(topic, listener);
   }
 
-  /** A message was garbled, too large or of an unknown form: it is dropped. */
-  public void refused() {
-    refused++;
+  /** Counts a message that was dropped: malformed, too large or of an unknown format. */
+  public void countRefusedMessage() {
+    refusedMessages++;
   }
 
-  /** Messages of peers that were dropped. */
-  public long refusedSoFar() {
-    return refused;
+  /** Returns the number of messages of peers that were dropped. */
+  public long refusedMessages() {
+    return refusedMessages;
   }
 
-  /** Asks a peer; {@code done} gets its answer, or null when none came in time. */
+  /**
+   * Sends a request to a peer; {@code done} gets the answer, or null if none arrives in time or the
+   * request cannot be sent.
+   */
   public void ask(String member, String topic, byte[] body, long timeoutMs, Consumer<byte[]> done) {
-    if (open.size() >= MOST_OPEN || body.length > LARGEST_BODY) {
+    if (pendingRequests.size() >= MAX_PENDING_REQUESTS || body.length > MAX_BODY_BYTES) {
       timers.after(0, () -> done.accept(null));
       return;
     }
-    long number = ++lastNumber;
-    Cancellable timer = timers.after(timeoutMs, () -> end(number, null));
-    open.put(number, new PendingRequest(member, done, timer));
+    long number = ++lastRequestNumber;
+    Cancellable timer = timers.after(timeoutMs, () -> complete(number, null));
+    pendingRequests.put(number, new PendingRequest(member, done, timer));
     network.send(member, new PeerAsk(number, topic, body));
   }
 
-  /** Tells a peer something; a number that no question has says that no answer is awaited. */
-  void tell(String member, String topic, byte[] body) {
-    if (body.length <= LARGEST_BODY) {
+  /** Sends a message that needs no answer; its number is 0, which no request has. */
+  void sendWithoutAnswer(String member, String topic, byte[] body) {
+    if (body.length <= MAX_BODY_BYTES) {
       network.send(member, new PeerAsk(0, topic, body));
     }
   }
 
-  private void end(long number, byte[] answer) {
-    PendingRequest o = open.remove(number);
-    if (o != null) {
-      o.timer().cancel();
-      o.done().accept(answer);
+  private void complete(long number, byte[] answer) {
+    PendingRequest pending = pendingRequests.remove(number);
+    if (pending != null) {
+      pending.timer().cancel();
+      pending.done().accept(answer);
     }
   }
 
-  void asked(String member, PeerAsk ask) {
-    BiConsumer<byte[], Consumer<byte[]>> by = topics.get(ask.topic());
-    if (ask.body() == null || ask.body().length > LARGEST_BODY) {
-      refused();
+  void requestReceived(String member, PeerAsk ask) {
+    BiConsumer<byte[], Consumer<byte[]>> handler = handlers.get(ask.topic());
+    if (ask.body() == null || ask.body().length > MAX_BODY_BYTES) {
+      countRefusedMessage();
       return;
     }
     BiConsumer<String, byte[]> listener = listeners.get(ask.topic());
@@ -89,24 +92,24 @@
       listener.accept(member, ask.body());
       return;
     }
-    if (by == null) {
-      // A topic of another version.
+    if (handler == null) {
+      // A peer of another version knows topics that this controller does not.
       return;
     }
-    by.accept(
+    handler.accept(
         ask.body(),
         answer -> {
-          if (answer.length <= LARGEST_BODY) {
+          if (answer.length <= MAX_BODY_BYTES) {
             network.send(member, new PeerAnswer(ask.number(), answer));
           }
         });
   }
 
-  void answered(String member, PeerAnswer answer) {
-    PendingRequest o = open.get(answer.number());
-    // Late answers, and those of another than was asked, are nobody's.
-    if (o != null && o.member().equals(member)) {
-      end(answer.number(), answer.body());
+  void answerReceived(String member, PeerAnswer answer) {
+    PendingRequest pending = pendingRequests.get(answer.number());
+    // Ignores answers that arrive after the timeout or from a peer that was not asked.
+    if (pending != null && pending.member().equals(member)) {
+      complete(answer.number(), answer.body());
     }
   }
 }
--- a/src/main/java/dapplestair/relay/HeldReports.java
+++ b/src/main/java/dapplestair/relay/HeldReports.java
@@ -7,50 +7,50 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** Reports that wait for a leader, each for no longer than its worker waits for an answer. */
+/** Holds reports until there is a leader, each no longer than its worker waits for a response. */
 final class HeldReports {
-  /** More than the machines of one controller; beyond, reports are not held. */
-  private static final int MOST_HELD = 4096;
+  /** Exceeds the number of machines of one controller; further reports are not held. */
+  private static final int MAX_HELD_REPORTS = 4096;
 
   /**
-   * One report.
+   * A report that waits for a leader.
    *
-   * @param deadline until when it may be relayed, steady time
-   * @param otherwise answers it without a leader
+   * @param deadlineMs monotonic time in milliseconds until which the report may be relayed
+   * @param fallback answers the report without a leader
    */
-  record HeldReport(Exchange exchange, long deadline, Runnable otherwise) {}
+  record HeldReport(Exchange exchange, long deadlineMs, Runnable fallback) {}
 
   private final Clock clock;
-  private final ArrayDeque<HeldReport> held = new ArrayDeque<>();
+  private final ArrayDeque<HeldReport> reports = new ArrayDeque<>();
 
   HeldReports(Clock clock) {
     this.clock = clock;
   }
 
-  /** Holds a report; false when there is no room or no time left. */
+  /** Holds a report; returns false if too many are held or its deadline has passed. */
   boolean hold(HeldReport report) {
-    if (held.size() >= MOST_HELD || clock.now() >= report.deadline()) {
+    if (reports.size() >= MAX_HELD_REPORTS || clock.now() >= report.deadlineMs()) {
       return false;
     }
-    held.add(report);
+    reports.add(report);
     return true;
   }
 
-  /** Takes all out, to be relayed now. */
+  /** Removes and returns all reports, to be relayed now. */
   List<HeldReport> takeAll() {
-    List<HeldReport> all = new ArrayList<>(held);
-    held.clear();
+    List<HeldReport> all = new ArrayList<>(reports);
+    reports.clear();
     return all;
   }
 
-  /** Takes out those whose time is over. */
+  /** Removes and returns the reports whose deadline has passed. */
   List<HeldReport> takeExpired() {
     List<HeldReport> expired = new ArrayList<>();
-    Iterator<HeldReport> each = held.iterator();
-    while (each.hasNext()) {
-      HeldReport report = each.next();
-      if (clock.now() >= report.deadline()) {
-        each.remove();
+    Iterator<HeldReport> iterator = reports.iterator();
+    while (iterator.hasNext()) {
+      HeldReport report = iterator.next();
+      if (clock.now() >= report.deadlineMs()) {
+        iterator.remove();
         expired.add(report);
       }
     }
--- a/src/main/java/dapplestair/relay/Relay.java
+++ b/src/main/java/dapplestair/relay/Relay.java
@@ -25,24 +25,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Spreads the connections of workers over all controllers once one alone has too few sockets. A
- * controller that does not lead passes reports on to the leader and its answers back, and delivers
- * the leader's commands. It decides nothing and keeps nothing: to the rules it is a network path,
- * which may lose, delay and reorder (docs/sharing.md).
+ * Spreads the connections of workers over all controllers once a single controller has too few
+ * sockets. A controller that does not lead forwards reports to the leader, returns the leader's
+ * responses, and delivers the leader's commands. It decides nothing and stores nothing: for the
+ * protocol it is a network path, which may lose, delay and reorder messages (docs/sharing.md).
  */
 public final class Relay implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
 
-  /** A machine takes two sockets of the leader: its reports, and the commands sent to it. */
-  private static final int SOCKETS_OF_MACHINE = 2;
+  /** A machine takes two sockets of the leader: one for its reports and one for its commands. */
+  private static final int SOCKETS_PER_MACHINE = 2;
 
-  /** Part of the 4 s for which a worker waits for an answer (PROTOCOL). */
-  private static final long ANSWER_WITHIN_MS = 4000 * 5 / 8;
+  /** Five eighths of the 4 s for which a worker waits for a response (PROTOCOL). */
+  private static final long RELAY_DEADLINE_MS = 4000 * 5 / 8;
 
-  /** A leader that ends takes the reports on their way with it: these are sent again. */
-  private static final int ATTEMPTS = 3;
+  /**
+   * Number of attempts for which the deadline leaves time: reports in flight when the leader ends
+   * are lost and sent again.
+   */
+  private static final int ATTEMPTS_PER_DEADLINE = 3;
 
-  private static final int MOST_MOVES_KEPT = 8192;
+  private static final int MAX_REMEMBERED_REDIRECTS = 8192;
 
   private final Clock clock;
   private final Timers timers;
@@ -52,22 +55,22 @@
   private final Peers peers;
   private final RelayLinks links;
   private final RelayMode mode;
-  private final HeldReports held;
+  private final HeldReports heldReports;
   private final long tickMs;
   private final long leaseMs;
-  private final Map<String, String> zones = new HashMap<>();
-  private final Map<String, Long> aliveSince = new HashMap<>();
-  private final Map<String, Long> movedAt = new BoundedMap<>(MOST_MOVES_KEPT);
-  private Consumer<Exchange> reports = x -> {};
-  private IntSupplier machines = () -> 0;
-  private long relayed;
+  private final Map<String, String> zonesByMember = new HashMap<>();
+  private final Map<String, Long> aliveSinceMs = new HashMap<>();
+  private final Map<String, Long> redirectedAtMs = new BoundedMap<>(MAX_REMEMBERED_REDIRECTS);
+  private Consumer<Exchange> reportHandler = x -> {};
+  private IntSupplier machineCount = () -> 0;
+  private long relayedReports;
   private Cancellable timer = () -> {};
 
   /**
-   * Relays nothing before {@link #start}.
+   * Creates a relay, which is inactive until {@link #start}.
    *
    * @param socketShare share of the allowed connections that direct connections of machines may
-   *     take; relaying begins beyond it
+   *     take; relaying begins above it
    */
   public Relay(
       Clock clock,
@@ -87,167 +90,181 @@
     this.tickMs = settings.workers().reportMs() / 32;
     long gatherMs = settings.workers().reportMs() / 1000;
     this.links = new RelayLinks(timers, peers, leadership.processId(), gatherMs, this::handle);
-    double most = socketShare * settings.resources().maxConnections() / SOCKETS_OF_MACHINE;
-    this.mode = new RelayMode(clock, most, leaseMs);
-    this.held = new HeldReports(clock);
-    settings.peers().forEach(p -> zones.put(p.member(), p.zone()));
+    double maxDirectMachines =
+        socketShare * settings.resources().maxConnections() / SOCKETS_PER_MACHINE;
+    this.mode = new RelayMode(clock, maxDirectMachines, leaseMs);
+    this.heldReports = new HeldReports(clock);
+    settings.peers().forEach(peer -> zonesByMember.put(peer.member(), peer.zone()));
   }
 
   /**
-   * Begins.
+   * Starts relaying.
    *
-   * @param takeReport serves a report while this controller leads
-   * @param countMachines how many machines the leader knows
+   * @param onReport handles a report while this controller leads
+   * @param countMachines returns how many machines the leader knows
    */
-  public void start(Consumer<Exchange> takeReport, IntSupplier countMachines) {
-    reports = takeReport;
-    machines = countMachines;
+  public void start(Consumer<Exchange> onReport, IntSupplier countMachines) {
+    reportHandler = onReport;
+    machineCount = countMachines;
     links.start();
     tick();
   }
 
-  /** True while connections are spread. */
-  public boolean on() {
-    return mode.on();
+  /** Returns whether connections are spread over the controllers. */
+  public boolean isActive() {
+    return mode.isActive();
   }
 
-  /** Reports passed on to a leader so far. */
-  public long relayed() {
-    return relayed;
+  /** Returns the number of reports sent to a leader so far, repetitions included. */
+  public long relayedReports() {
+    return relayedReports;
   }
 
   private void tick() {
-    for (String member : zones.keySet()) {
-      if (peers.alive(member)) {
-        aliveSince.putIfAbsent(member, clock.now());
+    for (String member : zonesByMember.keySet()) {
+      if (peers.isAlive(member)) {
+        aliveSinceMs.putIfAbsent(member, clock.now());
       } else {
-        aliveSince.remove(member);
+        aliveSinceMs.remove(member);
       }
     }
     if (leadership.isLeading()) {
-      if (mode.decide(leadership.term(), machines.getAsInt())) {
+      if (mode.decide(leadership.term(), machineCount.getAsInt())) {
         LOG.info(
-            "connections of {} machines are {}",
-            machines.getAsInt(),
-            mode.on() ? "spread" : "direct");
+            "{} machines known: worker connections are now {}",
+            machineCount.getAsInt(),
+            mode.isActive() ? "spread" : "direct");
       }
-      if (mode.worthTelling()) {
-        aliveSince.keySet().forEach(m -> links.tell(m, RequestKind.MODE, mode.encode()));
+      if (mode.shouldAnnounce()) {
+        aliveSinceMs.keySet().forEach(m -> links.send(m, RequestKind.MODE, mode.encode()));
       }
     }
-    retryHeld();
+    retryHeldReports();
     timer = timers.after(tickMs, this::tick);
   }
 
-  // ---- where a machine's connections belong ----
+  // ---- assignment of a machine's connections ----
 
   /**
-   * Candidates are this controller and those that have been alive for a while: one that comes and
-   * goes must not take connections each time.
+   * Returns the controller that a machine is assigned to. Candidates are this controller and those
+   * that have been alive for a quarter of a lease, so that a controller that repeatedly stops and
+   * returns does not take connections each time.
    */
-  private String assigned(Report report) {
+  private String assignedController(Report report) {
     List<RelayAssignment.Candidate> candidates = new ArrayList<>();
     candidates.add(new RelayAssignment.Candidate(settings.member(), settings.zone()));
-    aliveSince.forEach(
-        (member, since) -> {
-          if (clock.now() - since >= leaseMs / 4) {
-            candidates.add(new RelayAssignment.Candidate(member, zones.get(member)));
+    aliveSinceMs.forEach(
+        (member, sinceMs) -> {
+          if (clock.now() - sinceMs >= leaseMs / 4) {
+            candidates.add(new RelayAssignment.Candidate(member, zonesByMember.get(member)));
           }
         });
-    return RelayAssignment.of(report.host(), report.zone(), candidates);
+    return RelayAssignment.controllerFor(report.host(), report.zone(), candidates);
   }
 
   /**
-   * The controller that a worker is to report to, or null when it may stay. Controllers may see
-   * each other differently for a while, so a worker is sent on once a lease at the most.
+   * Returns the controller that a worker is to report to, or null if it is to stay here.
+   * Controllers may disagree for a while on who is alive, so a worker is redirected at most once
+   * per lease.
    */
-  private String sendOnTo(Report report) {
-    String to = assigned(report);
+  private String redirectTarget(Report report) {
+    String target = assignedController(report);
     long now = clock.now();
-    Long last = movedAt.get(report.host());
-    if (to.equals(settings.member()) || last != null && now - last <= leaseMs) {
+    Long lastRedirectMs = redirectedAtMs.get(report.host());
+    if (target.equals(settings.member())
+        || lastRedirectMs != null && now - lastRedirectMs <= leaseMs) {
       return null;
     }
-    movedAt.remove(report.host());
-    movedAt.put(report.host(), now);
-    return to;
+    redirectedAtMs.remove(report.host());
+    redirectedAtMs.put(report.host(), now);
+    return target;
   }
 
-  /** The leader's question: where a worker that came directly is to report to, or null. */
-  public String elsewhere(Exchange exchange, Report report) {
-    boolean direct = RelayedReport.relayOf(exchange) == null;
-    return direct && mode.on() ? sendOnTo(report) : null;
+  /**
+   * Returns the controller that a worker is to report to if its report came directly to the leader;
+   * null if the worker is to stay or the report was relayed.
+   */
+  public String redirectTargetOfDirectReport(Exchange exchange, Report report) {
+    boolean isDirect = RelayedReport.relayOf(exchange) == null;
+    return isDirect && mode.isActive() ? redirectTarget(report) : null;
   }
 
-  // ---- reports, at a controller that does not lead ----
+  // ---- reports at a controller that does not lead ----
 
   /**
-   * Takes a report if it is to be relayed. {@code otherwise} answers it if no leader can be asked
-   * in time. False when nothing was done.
+   * Redirects or relays a report while connections are spread; returns false if it did neither.
+   * {@code fallback} answers the report if no leader can be asked in time.
    */
-  public boolean take(Exchange exchange, Report report, Runnable otherwise) {
-    // One that was relayed already came here by mistake: its sender knows an older leader.
-    if (!mode.on() || RelayedReport.relayOf(exchange) != null) {
+  public boolean tryRelay(Exchange exchange, Report report, Runnable fallback) {
+    // A report that was relayed already came here by mistake, since its sender knows an older
+    // leader: it is not relayed again.
+    if (!mode.isActive() || RelayedReport.relayOf(exchange) != null) {
       return false;
     }
-    String to = sendOnTo(report);
-    if (to != null) {
-      exchange.reply(421, Json.bytes(Json.object().put("steward", to)), 0);
+    String target = redirectTarget(report);
+    if (target != null) {
+      exchange.reply(421, Json.bytes(Json.object().put("steward", target)), 0);
       return true;
     }
-    pass(new HeldReport(exchange, clock.now() + ANSWER_WITHIN_MS, otherwise));
+    forward(new HeldReport(exchange, clock.now() + RELAY_DEADLINE_MS, fallback));
     return true;
   }
 
-  /** Passes it on, or holds it until there is a leader: one that ends sends no worker away. */
-  private void pass(HeldReport report) {
+  /**
+   * Forwards a report to the leader, or holds it until there is one, so that the end of a leader
+   * does not send workers to other controllers.
+   */
+  private void forward(HeldReport report) {
     String leader = leadership.currentLeader();
-    long left = report.deadline() - clock.now();
-    if (leader != null && !leader.equals(settings.member()) && peers.alive(leader) && left > 0) {
-      relayed++;
+    long remainingMs = report.deadlineMs() - clock.now();
+    if (leader != null
+        && !leader.equals(settings.member())
+        && peers.isAlive(leader)
+        && remainingMs > 0) {
+      relayedReports++;
       links.call(
           leader,
           RequestKind.REPORT,
           "",
           report.exchange().body(),
-          Math.min(left, ANSWER_WITHIN_MS / ATTEMPTS),
-          reply -> answered(report, reply));
-    } else if (!held.hold(report)) {
-      report.otherwise().run();
+          Math.min(remainingMs, RELAY_DEADLINE_MS / ATTEMPTS_PER_DEADLINE),
+          reply -> replyReceived(report, reply));
+    } else if (!heldReports.hold(report)) {
+      report.fallback().run();
     }
   }
 
-  private void answered(HeldReport report, HttpReply reply) {
+  private void replyReceived(HeldReport report, HttpReply reply) {
     if (reply.status() > 0) {
       report.exchange().reply(reply.status(), reply.body(), 0);
-    } else if (!held.hold(report)) {
-      report.otherwise().run();
+    } else if (!heldReports.hold(report)) {
+      report.fallback().run();
     }
   }
 
-  private void retryHeld() {
-    held.takeExpired().forEach(report -> report.otherwise().run());
+  private void retryHeldReports() {
+    heldReports.takeExpired().forEach(report -> report.fallback().run());
     if (leadership.isLeading()) {
-      // Elected meanwhile: these are its own now.
-      held.takeAll().forEach(report -> reports.accept(report.exchange()));
+      // Elected in the meantime: this controller handles the held reports itself.
+      heldReports.takeAll().forEach(report -> reportHandler.accept(report.exchange()));
     } else {
-      held.takeAll().forEach(this::pass);
+      heldReports.takeAll().forEach(this::forward);
     }
   }
 
-  // ---- commands, at the leader ----
+  // ---- commands at the leader ----
 
   /**
-   * Sends commands to a worker by way of the controller that holds its connection.
+   * Sends commands to a worker through the controller that holds its connection.
    *
-   * @param relay that controller, or null for a direct call
+   * @param relay the controller that holds the connection, or null for a direct call
    */
-  public void command(
+  public void sendCommands(
       String relay, String endpoint, byte[] body, long timeoutMs, Consumer<HttpReply> done) {
-    if (relay == null || !mode.on() || !peers.alive(relay)) {
+    if (relay == null || !mode.isActive() || !peers.isAlive(relay)) {
       deliver(endpoint, body, timeoutMs, done);
     } else {
-      // The relay's own call ends first, so that its word on the outcome still counts.
+      // The relay's own call must time out first, so that its outcome still arrives in time.
       links.call(relay, RequestKind.COMMAND, endpoint, body, timeoutMs + tickMs, done);
     }
   }
@@ -256,21 +273,21 @@
     http.call(endpoint, "POST", "/orders", body, timeoutMs, done);
   }
 
-  // ---- what other controllers ask ----
+  // ---- requests of other controllers ----
 
   private void handle(String member, Request request, Consumer<HttpReply> done) {
     switch (request.kind()) {
       case REPORT -> {
         if (leadership.isLeading()) {
-          reports.accept(new RelayedReport(member, request.body(), done));
+          reportHandler.accept(new RelayedReport(member, request.body(), done));
         } else {
           done.accept(HttpReply.of(HttpReply.NOT_SENT));
         }
       }
       case COMMAND -> deliver(request.endpoint(), request.body(), request.timeoutMs(), done);
       case MODE -> {
-        if (!leadership.isLeading() && !mode.heard(request.body())) {
-          peers.questions().refused();
+        if (!leadership.isLeading() && !mode.receive(request.body())) {
+          peers.requests().countRefusedMessage();
         }
       }
       default -> {}
--- a/src/main/java/dapplestair/relay/RelayMode.java
+++ b/src/main/java/dapplestair/relay/RelayMode.java
@@ -6,77 +6,82 @@
 import dapplestair.ports.Clock;
 
 /**
- * Whether reports are relayed. The leader decides, by the sockets that its machines would take, and
- * says so again and again; the others go by the word of the highest term, while it is recent.
+ * Decides whether reports are relayed. The leader decides by the sockets that its machines would
+ * take, and repeats its decision to the other controllers; these follow the announcement of the
+ * highest term while it is recent.
  */
 final class RelayMode {
-  /** Relaying ends below this ratio to the number of machines at which it begins. */
+  /** Relaying ends when the machines fall below this share of the number at which it begins. */
   private static final double OFF_RATIO = 0.8;
 
   private final Clock clock;
-  private final double onAboveMachines;
-  private final long keptMs;
-  private boolean on;
+  private final double maxDirectMachines;
+  private final long holdMs;
+  private boolean active;
   private long term;
-  private long saidAt = Long.MIN_VALUE / 2;
-  private long enoughAt;
-  private long lastOnAt = Long.MIN_VALUE / 2;
+  private long announcedAtMs = Long.MIN_VALUE / 2;
+  private long lastManyMachinesMs;
+  private long lastActiveMs = Long.MIN_VALUE / 2;
 
   /**
-   * Off at first.
+   * Creates an inactive mode.
    *
-   * @param onAboveMachines relaying begins with more machines than these
-   * @param keptMs how long a leader's word holds, and how long few machines must last
+   * @param maxDirectMachines relaying begins with more machines than these
+   * @param holdMs how long a leader's announcement is valid, and how long there must be few
+   *     machines before relaying ends
    */
-  RelayMode(Clock clock, double onAboveMachines, long keptMs) {
+  RelayMode(Clock clock, double maxDirectMachines, long holdMs) {
     this.clock = clock;
-    this.onAboveMachines = onAboveMachines;
-    this.keptMs = keptMs;
+    this.maxDirectMachines = maxDirectMachines;
+    this.holdMs = holdMs;
   }
 
-  /** True while reports are to be relayed. */
-  boolean on() {
-    return on && clock.now() - saidAt <= keptMs;
+  /** Returns whether reports are to be relayed. */
+  boolean isActive() {
+    return active && clock.now() - announcedAtMs <= holdMs;
   }
 
-  /** True while it is on, and for a while after: a deployment that never needs it hears nothing. */
-  boolean worthTelling() {
-    return on || clock.now() - lastOnAt <= keptMs;
+  /**
+   * Returns whether the leader is to announce the mode: while relaying is active and for {@code
+   * holdMs} after, so that deployments that never relay are not sent announcements.
+   */
+  boolean shouldAnnounce() {
+    return active || clock.now() - lastActiveMs <= holdMs;
   }
 
-  /** The leader of a term decides; true when that changes the mode. */
+  /** Decides the mode as the leader of a term; returns whether that changes it. */
   boolean decide(long leaderTerm, int machines) {
     long now = clock.now();
-    boolean before = on();
-    if (leaderTerm != term || machines >= OFF_RATIO * onAboveMachines) {
-      // A leader that has just begun may not know all machines yet.
-      enoughAt = now;
+    boolean wasActive = isActive();
+    if (leaderTerm != term || machines >= OFF_RATIO * maxDirectMachines) {
+      // A new leader may not know all machines yet, so the mode stays active for a while.
+      lastManyMachinesMs = now;
     }
-    on = machines > onAboveMachines || before && now - enoughAt <= keptMs;
-    lastOnAt = before || on ? now : lastOnAt;
+    active = machines > maxDirectMachines || wasActive && now - lastManyMachinesMs <= holdMs;
+    lastActiveMs = wasActive || active ? now : lastActiveMs;
     term = leaderTerm;
-    saidAt = now;
-    return before != on;
+    announcedAtMs = now;
+    return wasActive != active;
   }
 
-  /** The word of the leader for the other controllers. */
+  /** Encodes the leader's announcement to the other controllers. */
   byte[] encode() {
     Output out = new Output(16);
     out.writeVarLong(term, true);
-    out.writeBoolean(on);
+    out.writeBoolean(active);
     return out.toBytes();
   }
 
-  /** Hears a leader's word; false when it is garbled. */
-  boolean heard(byte[] word) {
+  /** Receives a leader's announcement; returns false if it is malformed. */
+  boolean receive(byte[] announcement) {
     try {
-      Input in = new Input(word);
-      long saidTerm = in.readVarLong(true);
-      boolean saidOn = in.readBoolean();
-      if (saidTerm >= term) {
-        term = saidTerm;
-        on = saidOn;
-        saidAt = clock.now();
+      Input in = new Input(announcement);
+      long announcedTerm = in.readVarLong(true);
+      boolean announcedActive = in.readBoolean();
+      if (announcedTerm >= term) {
+        term = announcedTerm;
+        active = announcedActive;
+        announcedAtMs = clock.now();
       }
       return true;
     } catch (KryoException | IndexOutOfBoundsException e) {
--- a/src/main/java/dapplestair/submissions/RequestRelay.java
+++ b/src/main/java/dapplestair/submissions/RequestRelay.java
@@ -31,7 +31,7 @@
 
   /** Starts to answer requests that peers relay, using {@code handler}. */
   public void start(Consumer<Exchange> handler) {
-    peers.questions().answer(TOPIC, (body, reply) -> handleRelayed(body, reply, handler));
+    peers.requests().handle(TOPIC, (body, reply) -> handleRelayed(body, reply, handler));
   }
 
   /**
@@ -40,7 +40,7 @@
    * relayed.
    */
   boolean relay(Exchange exchange, Consumer<UserRequestCodec.Response> onResponse) {
-    List<String> served = peers.served();
+    List<String> served = peers.readyPeers();
     if (served.isEmpty()
         || openRequests >= MAX_OPEN_REQUESTS
         || exchange instanceof RelayedExchange) {
@@ -55,7 +55,7 @@
     String peer = served.get(Math.floorMod(nextPeerIndex++, served.size()));
     openRequests++;
     peers
-        .questions()
+        .requests()
         .ask(
             peer,
             TOPIC,
@@ -71,7 +71,7 @@
   private UserRequestCodec.Response decodeResponse(byte[] reply) {
     UserRequestCodec.Response response = UserRequestCodec.decodeResponse(reply);
     if (response == null) {
-      peers.questions().refused();
+      peers.requests().countRefusedMessage();
     }
     return response;
   }
@@ -79,7 +79,7 @@
   private void handleRelayed(byte[] body, Consumer<byte[]> reply, Consumer<Exchange> handler) {
     UserRequestCodec.Request request = UserRequestCodec.decodeRequest(body);
     if (request == null) {
-      peers.questions().refused();
+      peers.requests().countRefusedMessage();
       return;
     }
     handler.accept(new RelayedExchange(request, reply));
--- a/src/main/java/dapplestair/workers/CommandSender.java
+++ b/src/main/java/dapplestair/workers/CommandSender.java
@@ -145,7 +145,7 @@
     }
     host.callInProgress = true;
     long term = leadership.term();
-    relay.command(
+    relay.sendCommands(
         // The relaying controller may be the reason for a failed call, so the next one is direct.
         host.failedCalls > 0 ? null : host.relayController,
         host.endpoint,
--- a/src/main/java/dapplestair/workers/ReportHandler.java
+++ b/src/main/java/dapplestair/workers/ReportHandler.java
@@ -96,12 +96,12 @@
     cancellations.recordAddress(report.host(), report.endpoint());
     currentCount++;
     if (!isLeading.getAsBoolean() || !leadership.isLeading()) {
-      if (!relay.take(exchange, report, () -> redirectOrRenew(exchange, report))) {
+      if (!relay.tryRelay(exchange, report, () -> redirectOrRenew(exchange, report))) {
         redirectOrRenew(exchange, report);
       }
       return;
     }
-    String otherMember = relay.elsewhere(exchange, report);
+    String otherMember = relay.redirectTargetOfDirectReport(exchange, report);
     if (otherMember != null) {
       redirectTo(exchange, otherMember);
       return;
@@ -146,10 +146,12 @@
     // A worker that returns here although the leader is alive was not accepted there. If no
     // controller reaches the state service, the reason may be that the leader may not renew leases
     // any more, since it doesn't hear all other controllers.
-    boolean notAccepted = sentBack && !peers.anyServed();
+    boolean notAccepted = sentBack && !peers.hasReadyPeer();
     boolean noLeaderReachable =
-        !state.isReachable() && (notAccepted || !(isLeaderKnown && peers.alive(leader)));
-    if (noLeaderReachable && !sentBack && (leadership.hasUnrecordedSuccessor() || relay.on())) {
+        !state.isReachable() && (notAccepted || !(isLeaderKnown && peers.isAlive(leader)));
+    if (noLeaderReachable
+        && !sentBack
+        && (leadership.hasUnrecordedSuccessor() || relay.isActive())) {
       // Another controller leads, which this one cannot ask, and it may reach this worker, so the
       // worker should report there. Where reports are relayed, a relay that is cut off cannot tell
       // whether a controller leads. If the worker returns here, it was not accepted there, and its
--- a/src/main/java/dapplestair/workers/WorkerManager.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -110,7 +110,7 @@
 
   /** Begins to count reports, and to share with the other controllers which machines are heard. */
   public void start() {
-    peers.questions().answer(LIVENESS_TOPIC, (body, reply) -> receiveLivenessReport(body));
+    peers.requests().handle(LIVENESS_TOPIC, (body, reply) -> receiveLivenessReport(body));
     reportHandler.start();
     shareLiveness();
   }
@@ -126,7 +126,7 @@
     LivenessReport livenessReport =
         liveness.createReport(leading && leadership.isLeading(), leadership.term());
     if (livenessReport.term() > 0 || !livenessReport.zoneAgesMs().isEmpty()) {
-      peers.state(LIVENESS_TOPIC, livenessReport.encode());
+      peers.broadcast(LIVENESS_TOPIC, livenessReport.encode());
     }
     sharingTimer = timers.after(reportMs / 8, this::shareLiveness);
   }
@@ -259,7 +259,7 @@
         commandSender.sendQueued(host);
       }
     }
-    if (liveness.noWorkerReports() && peers.othersHear()) {
+    if (liveness.noWorkerReports() && peers.hasPeerHearingWorkers()) {
       // Only this controller is cut off from the workers: their leases would expire while it leads.
       leadership.resign("the workers are heard by others only");
       return;
--- a/src/test/java/dapplestair/relay/RelayFrameCodecTest.java
+++ b/src/test/java/dapplestair/relay/RelayFrameCodecTest.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Frames between controllers: what is garbled, too large or of another form is refused. */
+/** Tests that relay frames that are malformed, too large or of another version are refused. */
 class RelayFrameCodecTest {
   private static final byte[] BODY = {1, 2, 3};
 
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void whatIsWrittenIsRead() {
+  void decodesEncodedFrame() {
     Frame read = RelayFrameCodec.decode(RelayFrameCodec.encode(frame()));
     assertNotNull(read);
     assertEquals(7, read.sender());
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void anythingElseIsRefused() {
+  void refusesMalformedFrames() {
     byte[] good = RelayFrameCodec.encode(frame());
     assertNull(RelayFrameCodec.decode(new byte[0]));
     for (int length = 1; length < good.length; length++) {
@@ -51,21 +51,21 @@
     }
     byte[] longer = Arrays.copyOf(good, good.length + 1);
     assertNull(RelayFrameCodec.decode(longer));
-    byte[] otherForm = good.clone();
-    otherForm[0]++;
-    assertNull(RelayFrameCodec.decode(otherForm));
-    assertNull(RelayFrameCodec.decode(new byte[RelayFrameCodec.LARGEST + 1]));
+    byte[] otherVersion = good.clone();
+    otherVersion[0]++;
+    assertNull(RelayFrameCodec.decode(otherVersion));
+    assertNull(RelayFrameCodec.decode(new byte[RelayFrameCodec.MAX_FRAME_BYTES + 1]));
     Reply reply = new Reply(1, 200, BODY);
-    List<Reply> tooMany = Collections.nCopies(RelayFrameCodec.MOST_ITEMS + 1, reply);
+    List<Reply> tooMany = Collections.nCopies(RelayFrameCodec.MAX_ITEMS + 1, reply);
     assertNull(RelayFrameCodec.decode(RelayFrameCodec.encode(new Frame(1, 1, List.of(), tooMany))));
-    byte[] large = new byte[RelayFrameCodec.LARGEST];
+    byte[] large = new byte[RelayFrameCodec.MAX_FRAME_BYTES];
     assertNull(
         RelayFrameCodec.encode(new Frame(1, 1, List.of(), List.of(new Reply(1, 200, large)))));
   }
 
-  /** Random bytes end no process, whatever they happen to say. */
+  /** Decoding corrupted frames must not throw, as that could end the process. */
   @Test
-  void randomBytesThrowNothing() {
+  void corruptedFramesDoNotThrow() {
     SplittableRandom random = new SplittableRandom(11);
     byte[] good = RelayFrameCodec.encode(frame());
     for (int i = 0; i < 20_000; i++) {
