--- a/src/main/java/dapplestair/daemon/Emulation.java
+++ b/src/main/java/dapplestair/daemon/Emulation.java
@@ -121,8 +121,8 @@
               .put("id", emulatedWorker.id())
               .put("type", emulatedWorker.type())
               .put("zone", emulatedWorker.zone())
-              .put("spot", emulatedWorker.spot())
-              .put("up", emulatedWorker.booted() && !emulatedWorker.gone())
+              .put("spot", emulatedWorker.isSpot())
+              .put("up", emulatedWorker.hasBooted() && !emulatedWorker.isGone())
               .putArray("tasks");
       for (EmulatedTask emulatedTask : emulatedWorker.tasks()) {
         tasks
--- a/src/main/java/dapplestair/daemon/LoopbackEnvironment.java
+++ b/src/main/java/dapplestair/daemon/LoopbackEnvironment.java
@@ -88,7 +88,7 @@
   }
 
   @Override
-  public void silence(String name) {
+  public void removeMachine(String name) {
     loop.after(SILENT_MS, () -> close(name));
   }
 
--- a/src/main/java/dapplestair/emulator/ControllerSelector.java
+++ b/src/main/java/dapplestair/emulator/ControllerSelector.java
@@ -5,7 +5,7 @@
 /** The controller that a worker reports to. */
 final class ControllerSelector {
   private final EmulatedCloud cloud;
-  private int node;
+  private int currentIndex;
 
   ControllerSelector(EmulatedCloud cloud) {
     this.cloud = cloud;
@@ -16,9 +16,9 @@
   }
 
   /** Any of them, to begin with. */
-  void any(EmulatorEnvironment environment) {
-    int controllers = members().size();
-    node = controllers == 0 ? 0 : (int) environment.between(0, controllers - 1);
+  void selectRandom(EmulatorEnvironment environment) {
+    int memberCount = members().size();
+    currentIndex = memberCount == 0 ? 0 : (int) environment.between(0, memberCount - 1);
   }
 
   /** Its address, or null while no controller is known. */
@@ -26,21 +26,21 @@
     List<String> members = members();
     return members.isEmpty()
         ? null
-        : cloud.directory().endpoint(members.get(node % members.size()));
+        : cloud.directory().endpoint(members.get(currentIndex % members.size()));
   }
 
   /** Goes to the one that was named; false when that is no other, or unknown. */
-  boolean named(String member) {
-    int named = member == null ? -1 : members().indexOf(member);
-    if (named < 0 || named == node) {
+  boolean switchTo(String member) {
+    int memberIndex = member == null ? -1 : members().indexOf(member);
+    if (memberIndex < 0 || memberIndex == currentIndex) {
       return false;
     }
-    node = named;
+    currentIndex = memberIndex;
     return true;
   }
 
   /** Goes to the next one. */
-  void next() {
-    node = (node + 1) % Math.max(1, members().size());
+  void selectNext() {
+    currentIndex = (currentIndex + 1) % Math.max(1, members().size());
   }
 }
--- a/src/main/java/dapplestair/emulator/EmulatedCloud.java
+++ b/src/main/java/dapplestair/emulator/EmulatedCloud.java
@@ -16,47 +16,47 @@
 
 /** The cloud by its protocol: idempotent rentals, a lagging list, machines that never boot. */
 public final class EmulatedCloud implements RequestHandler {
-  private record Snapshot(long at, TreeMap<String, ObjectNode> hosts) {}
+  private record Snapshot(long takenAtMs, TreeMap<String, ObjectNode> hosts) {}
 
-  private static final int MOST_LISTED = 500;
-  private static final long SNAPSHOT_MS = 500;
-  private static final long QUICK_BOOT_MS = 2000;
+  private static final int MAX_LISTED = 500;
+  private static final long SNAPSHOT_INTERVAL_MS = 500;
+  private static final long MAX_QUICK_BOOT_MS = 2000;
 
   private final EmulatorEnvironment environment;
   private final EmulatorSettings emulatorSettings;
-  private final SubmissionLookup lookup;
+  private final SubmissionLookup submissionLookup;
   private final ControllerDirectory directory;
   private final TaskObserver observer;
   private final TreeMap<String, EmulatedWorker> machines = new TreeMap<>();
-  private final Map<String, Long> rentedAt = new HashMap<>();
-  private final Map<String, List<String>> answered = new HashMap<>();
-  private final Map<String, String> asked = new HashMap<>();
-  private final Map<String, Double> kept = new HashMap<>();
+  private final Map<String, Long> rentedAtMs = new HashMap<>();
+  private final Map<String, List<String>> hostsByRental = new HashMap<>();
+  private final Map<String, String> requestsByRental = new HashMap<>();
+  private final Map<String, Double> savedRunSeconds = new HashMap<>();
   private final ArrayDeque<Snapshot> snapshots = new ArrayDeque<>();
   private boolean down;
-  private double capacity = 1;
-  private double neverBoots;
-  private double quickBoots;
-  private boolean sick;
+  private double capacityShare = 1;
+  private double neverBootingShare;
+  private double quickBootingShare;
+  private boolean newMachinesFailTasks;
   private String violation;
-  private int killedByRelease;
-  private int killedByLease;
-  private int made;
+  private int tasksKilledByRelease;
+  private int tasksKilledByLease;
+  private int machinesCreated;
 
   /** A cloud without rented machines. */
   public EmulatedCloud(
       EmulatorEnvironment environment,
       EmulatorSettings emulatorSettings,
-      SubmissionLookup lookup,
+      SubmissionLookup submissionLookup,
       ControllerDirectory directory,
       TaskObserver observer) {
     this.environment = environment;
     this.emulatorSettings = emulatorSettings;
-    this.lookup = lookup;
+    this.submissionLookup = submissionLookup;
     this.directory = directory;
     this.observer = observer;
-    this.neverBoots = emulatorSettings.neverBoots();
-    snapshot();
+    this.neverBootingShare = emulatorSettings.neverBootingShare();
+    takeSnapshot();
   }
 
   // ---- what may be seen and done from outside ----
@@ -72,23 +72,23 @@
   }
 
   /** Share of the machines rented from now on that never come up. */
-  public void setNeverBoots(double share) {
-    neverBoots = share;
+  public void setNeverBootingShare(double share) {
+    neverBootingShare = share;
   }
 
   /** Share of the machines rented from now on that are up within two seconds. */
-  public void setQuickBoots(double share) {
-    quickBoots = share;
+  public void setQuickBootingShare(double share) {
+    quickBootingShare = share;
   }
 
   /** Machines rented from now on fail every task. */
-  public void setSick(boolean value) {
-    sick = value;
+  public void setNewMachinesFailTasks(boolean value) {
+    newMachinesFailTasks = value;
   }
 
   /** Share of its machines that the cloud has to give. */
-  public void setCapacity(double share) {
-    capacity = share;
+  public void setCapacityShare(double share) {
+    capacityShare = share;
   }
 
   /** What somebody did that the protocol forbids, or null. */
@@ -97,19 +97,19 @@
   }
 
   /** Tasks that ran on machines when those were returned. */
-  public int killedByRelease() {
-    return killedByRelease;
+  public int tasksKilledByRelease() {
+    return tasksKilledByRelease;
   }
 
   /** Tasks that ran when their worker's lease ended. */
-  public int killedByLease() {
-    return killedByLease;
+  public int tasksKilledByLease() {
+    return tasksKilledByLease;
   }
 
   // ---- for its machines ----
 
-  SubmissionLookup book() {
-    return lookup;
+  SubmissionLookup submissionLookup() {
+    return submissionLookup;
   }
 
   ControllerDirectory directory() {
@@ -120,156 +120,163 @@
     return observer;
   }
 
-  void violated(String what) {
-    violation = what;
+  void recordViolation(String description) {
+    violation = description;
   }
 
-  void killedByLease(long tasks) {
-    killedByLease += (int) tasks;
+  void countTasksKilledByLease(long tasks) {
+    tasksKilledByLease += (int) tasks;
   }
 
   /** Checkpoints are stored outside machines: run time that a task has saved, seconds. */
-  double kept(String key) {
-    return kept.getOrDefault(key, 0.0);
+  double savedRunSeconds(String key) {
+    return savedRunSeconds.getOrDefault(key, 0.0);
   }
 
-  void keep(String key, double seconds) {
+  void addSavedRunSeconds(String key, double seconds) {
     if (seconds > 0) {
-      kept.merge(key, seconds, Double::sum);
+      savedRunSeconds.merge(key, seconds, Double::sum);
     }
   }
 
-  void forget(String key) {
-    kept.remove(key);
+  void removeSavedRunSeconds(String key) {
+    savedRunSeconds.remove(key);
   }
 
   // ---- the protocol ----
 
-  private void snapshot() {
+  private void takeSnapshot() {
     TreeMap<String, ObjectNode> hosts = new TreeMap<>();
     machines.forEach(
-        (id, w) -> {
-          if (!w.gone()) {
-            hosts.put(id, listed(id, w));
+        (id, worker) -> {
+          if (!worker.isGone()) {
+            hosts.put(id, toListEntry(id, worker));
           }
         });
     snapshots.add(new Snapshot(environment.now(), hosts));
     // Older than any list may be.
-    while (snapshots.size() > 2 + 2 * emulatorSettings.listLagMs() / SNAPSHOT_MS) {
+    while (snapshots.size() > 2 + 2 * emulatorSettings.listLagMs() / SNAPSHOT_INTERVAL_MS) {
       snapshots.poll();
     }
-    environment.after(SNAPSHOT_MS, this::snapshot);
+    environment.after(SNAPSHOT_INTERVAL_MS, this::takeSnapshot);
   }
 
-  private ObjectNode listed(String id, EmulatedWorker emulatedWorker) {
+  private ObjectNode toListEntry(String id, EmulatedWorker worker) {
     return Json.object()
         .put("ref", id)
-        .put("endpoint", emulatedWorker.endpoint())
-        .put("hull", emulatedWorker.type())
-        .put("basin", emulatedWorker.zone())
-        .put("loaners", emulatedWorker.spot())
-        .put("status", emulatedWorker.booted() ? "running" : "booting")
-        .put("ageS", (environment.now() - rentedAt.get(id)) / 1000.0);
+        .put("endpoint", worker.endpoint())
+        .put("hull", worker.type())
+        .put("basin", worker.zone())
+        .put("loaners", worker.isSpot())
+        .put("status", worker.hasBooted() ? "running" : "booting")
+        .put("ageS", (environment.now() - rentedAtMs.get(id)) / 1000.0);
   }
 
   @Override
   public void request(
       String from, String method, String path, byte[] body, Consumer<HttpReply> reply) {
     if (down) {
-      reply.accept(EmulatedState.json(503, Json.object().put("error", "trouble")));
+      reply.accept(EmulatedState.jsonReply(503, Json.object().put("error", "trouble")));
     } else if (path.equals("/machine_types")) {
-      reply.accept(EmulatedState.json(200, types()));
+      reply.accept(EmulatedState.jsonReply(200, machineTypes()));
     } else if (path.equals("/rentals")) {
       reply.accept(rent(Json.parse(body)));
     } else if (path.equals("/rentals/release")) {
-      Json.parse(body).path("hosts").forEach(h -> release(h.asText()));
-      reply.accept(EmulatedState.json(200, Json.object()));
+      Json.parse(body).path("hosts").forEach(h -> releaseMachine(h.asText()));
+      reply.accept(EmulatedState.jsonReply(200, Json.object()));
     } else {
-      reply.accept(list(EmulatedState.query(path, "from")));
+      reply.accept(listMachines(EmulatedState.queryParameter(path, "from")));
     }
   }
 
-  private void release(String id) {
-    EmulatedWorker emulatedWorker = machines.remove(id);
-    if (emulatedWorker != null) {
-      killedByRelease +=
-          (int) emulatedWorker.tasks().stream().filter(EmulatedTask::onMachine).count();
-      rentedAt.remove(id);
-      emulatedWorker.tasks().stream()
-          .filter(t -> !t.exited())
-          .forEach(t -> observer.returned(emulatedWorker, t));
-      emulatedWorker.end();
+  private void releaseMachine(String id) {
+    EmulatedWorker worker = machines.remove(id);
+    if (worker != null) {
+      tasksKilledByRelease +=
+          (int) worker.tasks().stream().filter(EmulatedTask::isOnMachine).count();
+      rentedAtMs.remove(id);
+      worker.tasks().stream()
+          .filter(t -> !t.hasExited())
+          .forEach(t -> observer.releasedWithTask(worker, t));
+      worker.powerOff();
     }
   }
 
-  private HttpReply list(String from) {
+  private HttpReply listMachines(String afterId) {
     // Lists lag by up to twice the stated time, and come out of order.
-    long at =
+    long asOfMs =
         environment.now()
             - environment.between(
                 emulatorSettings.listLagMs() / 2, 2 * emulatorSettings.listLagMs());
-    Snapshot best = snapshots.peek();
+    Snapshot listedSnapshot = snapshots.peek();
     for (Snapshot snapshot : snapshots) {
-      if (snapshot.at <= at) {
-        best = snapshot;
+      if (snapshot.takenAtMs <= asOfMs) {
+        listedSnapshot = snapshot;
       }
     }
-    ObjectNode object = Json.object();
-    ArrayNode hosts = object.putArray("hosts");
-    Map<String, ObjectNode> rest = from == null ? best.hosts : best.hosts.tailMap(from, false);
-    for (ObjectNode h : rest.values()) {
-      if (hosts.size() == MOST_LISTED) {
+    ObjectNode response = Json.object();
+    ArrayNode hosts = response.putArray("hosts");
+    Map<String, ObjectNode> remaining =
+        afterId == null ? listedSnapshot.hosts : listedSnapshot.hosts.tailMap(afterId, false);
+    for (ObjectNode host : remaining.values()) {
+      if (hosts.size() == MAX_LISTED) {
         break;
       }
-      hosts.add(h);
+      hosts.add(host);
     }
-    return EmulatedState.json(200, object.put("more", rest.size() > MOST_LISTED));
+    return EmulatedState.jsonReply(200, response.put("more", remaining.size() > MAX_LISTED));
   }
 
-  private HttpReply rent(JsonNode in) {
-    String name = in.path("rental").asText();
-    EmulatorSettings.MachineSpec type = emulatorSettings.type(in.path("hull").asText());
-    int count = in.path("howMany").asInt();
-    if (name.isEmpty() || type == null || count < 1 || count > 50) {
-      return EmulatedState.json(400, Json.object().put("error", "malformed"));
+  private HttpReply rent(JsonNode rentalRequest) {
+    String rentalName = rentalRequest.path("rental").asText();
+    EmulatorSettings.MachineSpec type = emulatorSettings.type(rentalRequest.path("hull").asText());
+    int count = rentalRequest.path("howMany").asInt();
+    if (rentalName.isEmpty() || type == null || count < 1 || count > 50) {
+      return EmulatedState.jsonReply(400, Json.object().put("error", "malformed"));
     }
-    String what = type.name() + in.path("basin") + in.path("loaners") + count;
-    if (!what.equals(asked.getOrDefault(name, what))) {
-      violation = "rental name reused: " + name;
+    String requestKey =
+        type.name() + rentalRequest.path("basin") + rentalRequest.path("loaners") + count;
+    if (!requestKey.equals(requestsByRental.getOrDefault(rentalName, requestKey))) {
+      violation = "rental name reused: " + rentalName;
     }
-    asked.put(name, what);
-    List<String> hosts = answered.get(name);
+    requestsByRental.put(rentalName, requestKey);
+    List<String> hosts = hostsByRental.get(rentalName);
     if (hosts == null) {
-      hosts = make(type, in.path("basin").asText(), in.path("loaners").asBoolean(), count);
+      hosts =
+          createMachines(
+              type,
+              rentalRequest.path("basin").asText(),
+              rentalRequest.path("loaners").asBoolean(),
+              count);
       if (hosts.isEmpty()) {
-        return EmulatedState.json(503, Json.object().put("error", "no capacity"));
+        return EmulatedState.jsonReply(503, Json.object().put("error", "no capacity"));
       }
-      answered.put(name, hosts);
+      hostsByRental.put(rentalName, hosts);
     }
-    ObjectNode object = Json.object();
-    hosts.forEach(object.putArray("hosts")::add);
-    return EmulatedState.json(200, object);
+    ObjectNode response = Json.object();
+    hosts.forEach(response.putArray("hosts")::add);
+    return EmulatedState.jsonReply(200, response);
   }
 
-  private List<String> make(
+  private List<String> createMachines(
       EmulatorSettings.MachineSpec type, String zone, boolean spot, int count) {
     List<String> hosts = new ArrayList<>();
-    for (int i = 0; i < count && room(type, zone, spot); i++) {
-      String id = String.format("n-%06d", made++);
-      EmulatedWorker emulatedWorker =
+    for (int i = 0; i < count && hasCapacity(type, zone, spot); i++) {
+      String id = String.format("n-%06d", machinesCreated++);
+      EmulatedWorker worker =
           new EmulatedWorker(environment, this, emulatorSettings, type, id, zone, spot);
-      machines.put(id, emulatedWorker);
-      rentedAt.put(id, environment.now());
+      machines.put(id, worker);
+      rentedAtMs.put(id, environment.now());
       hosts.add(id);
-      if (sick) {
-        emulatedWorker.sicken();
+      if (newMachinesFailTasks) {
+        worker.failAllTasks();
       }
-      if (!environment.chance(neverBoots)) {
+      if (!environment.chance(neverBootingShare)) {
         environment.after(
             bootMs(type),
             () -> {
-              if (!emulatedWorker.gone()) {
-                emulatedWorker.boot();
+              if (!worker.isGone()) {
+                worker.boot();
               }
             });
       }
@@ -278,29 +285,29 @@
   }
 
   private long bootMs(EmulatorSettings.MachineSpec type) {
-    if (quickBoots > 0 && environment.chance(quickBoots)) {
-      return environment.between(QUICK_BOOT_MS / 8, QUICK_BOOT_MS);
+    if (quickBootingShare > 0 && environment.chance(quickBootingShare)) {
+      return environment.between(MAX_QUICK_BOOT_MS / 8, MAX_QUICK_BOOT_MS);
     }
     long usualMs = Math.round(1000 * type.bootS());
     return environment.between(usualMs / 8, usualMs * 3 / 2);
   }
 
-  private boolean room(EmulatorSettings.MachineSpec type, String zone, boolean spot) {
-    long n =
+  private boolean hasCapacity(EmulatorSettings.MachineSpec type, String zone, boolean spot) {
+    long rentedCount =
         machines.values().stream()
-            .filter(w -> !w.gone() && w.zone().equals(zone) && w.spot() == spot)
+            .filter(w -> !w.isGone() && w.zone().equals(zone) && w.isSpot() == spot)
             .filter(w -> w.type().equals(type.name()))
             .count();
     return emulatorSettings.zones().contains(zone)
-        && n < Math.floor(capacity * emulatorSettings.perPlace());
+        && rentedCount < Math.floor(capacityShare * emulatorSettings.machinesPerZone());
   }
 
-  private ObjectNode types() {
-    ObjectNode object = Json.object();
-    ArrayNode hulls = object.putArray("hulls");
+  private ObjectNode machineTypes() {
+    ObjectNode response = Json.object();
+    ArrayNode typeArray = response.putArray("hulls");
     for (EmulatorSettings.MachineSpec machine : emulatorSettings.types()) {
-      ObjectNode t =
-          hulls
+      ObjectNode typeJson =
+          typeArray
               .addObject()
               .put("label", machine.name())
               .put("vcpus", machine.cpus())
@@ -311,8 +318,8 @@
               .put("hourly", machine.price())
               .put("marketPrice", machine.spotPrice())
               .put("readyS", machine.bootS());
-      emulatorSettings.zones().forEach(t.putArray("basins")::add);
+      emulatorSettings.zones().forEach(typeJson.putArray("basins")::add);
     }
-    return object;
+    return response;
   }
 }
--- a/src/main/java/dapplestair/emulator/EmulatedImages.java
+++ b/src/main/java/dapplestair/emulator/EmulatedImages.java
@@ -7,7 +7,7 @@
 final class EmulatedImages {
   private final EmulatorEnvironment environment;
   private final EmulatorSettings.MachineSpec type;
-  private final Map<String, Long> readyAt = new HashMap<>();
+  private final Map<String, Long> readyAtMs = new HashMap<>();
 
   EmulatedImages(EmulatorEnvironment environment, EmulatorSettings.MachineSpec type) {
     this.environment = environment;
@@ -15,13 +15,13 @@
   }
 
   /** How long a task waits for its image; the rate varies by a third. */
-  long fetchMs(EmulatedTask emulatedTask) {
+  long fetchMs(EmulatedTask task) {
     long now = environment.now();
-    String image = String.valueOf(emulatedTask.image());
-    long usual = Math.round(1000 * emulatedTask.amount("imageGb") / type.fetchGbPerS());
-    long ready =
-        readyAt.computeIfAbsent(
-            image, i -> now + environment.between(usual * 2 / 3, usual * 4 / 3));
-    return Math.max(0, ready - now) + environment.between(20, 60);
+    String image = String.valueOf(task.image());
+    long usualMs = Math.round(1000 * task.amount("imageGb") / type.fetchGbPerS());
+    long readyMs =
+        readyAtMs.computeIfAbsent(
+            image, i -> now + environment.between(usualMs * 2 / 3, usualMs * 4 / 3));
+    return Math.max(0, readyMs - now) + environment.between(20, 60);
   }
 }
--- a/src/main/java/dapplestair/emulator/EmulatedState.java
+++ b/src/main/java/dapplestair/emulator/EmulatedState.java
@@ -22,34 +22,34 @@
 
   private record Change(String key, JsonNode value, long stamp) {}
 
-  private record Watch(String prefix, long from, long until, Consumer<HttpReply> reply) {}
+  private record Watch(String prefix, long fromEpoch, long untilMs, Consumer<HttpReply> reply) {}
 
-  private static final long TICK_MS = 50;
+  private static final long EXPIRY_CHECK_INTERVAL_MS = 50;
 
   private final EmulatorEnvironment environment;
   private final EmulatorSettings emulatorSettings;
   private final TreeMap<String, StoredValue> rows = new TreeMap<>();
   private final List<Change> changes = new ArrayList<>();
-  private final Map<Long, Long> holdEnds = new HashMap<>();
-  private final Map<Long, Long> holdTtl = new HashMap<>();
+  private final Map<Long, Long> holdExpiryMs = new HashMap<>();
+  private final Map<Long, Long> holdTtlMs = new HashMap<>();
   private final List<Watch> watches = new ArrayList<>();
-  private final Set<String> refused = new HashSet<>();
+  private final Set<String> refusedCallers = new HashSet<>();
   private final WriteLimit writeLimit;
-  private int tooMany;
+  private int rateLimitedTransactions;
   private boolean down;
   private long epoch;
-  private long lastHold;
-  private long forgotten;
-  private int puts;
-  private final Multiset<String> putKeys = HashMultiset.create();
+  private long lastHoldId;
+  private long lastDroppedEpoch;
+  private int writeCount;
+  private final Multiset<String> writtenKeys = HashMultiset.create();
   private String violation;
 
   /** An empty store. */
   public EmulatedState(EmulatorEnvironment environment, EmulatorSettings emulatorSettings) {
     this.environment = environment;
     this.emulatorSettings = emulatorSettings;
-    this.writeLimit = new WriteLimit(emulatorSettings.writeRps(), environment.now());
-    tick();
+    this.writeLimit = new WriteLimit(emulatorSettings.maxWritesPerSecond(), environment.now());
+    checkExpiry();
   }
 
   // ---- what may be seen and done from outside ----
@@ -71,21 +71,21 @@
   }
 
   /** Puts and deletes made so far. */
-  public int puts() {
-    return puts;
+  public int writeCount() {
+    return writeCount;
   }
 
   /** Puts and deletes of keys with this prefix so far. */
-  public int putsTo(String prefix) {
-    return putKeys.entrySet().stream()
+  public int writeCountUnder(String prefix) {
+    return writtenKeys.entrySet().stream()
         .filter(e -> e.getElement().startsWith(prefix))
         .mapToInt(Multiset.Entry::getCount)
         .sum();
   }
 
   /** Transactions that were answered 429 so far. */
-  public int tooMany() {
-    return tooMany;
+  public int rateLimitedTransactions() {
+    return rateLimitedTransactions;
   }
 
   /** What somebody did that the protocol forbids, or null. */
@@ -94,58 +94,58 @@
   }
 
   /** An outage begins. */
-  public void fail() {
+  public void beginOutage() {
     down = true;
   }
 
   /** An outage ends: every hold has its full time again. */
-  public void recover() {
+  public void endOutage() {
     down = false;
-    holdEnds.replaceAll((h, end) -> environment.now() + holdTtl.get(h));
+    holdExpiryMs.replaceAll((h, end) -> environment.now() + holdTtlMs.get(h));
   }
 
   /** One caller alone gets 503, or not any more. */
-  public void refuse(String caller, boolean value) {
-    if (value) {
-      refused.add(caller);
+  public void setRefused(String caller, boolean refuse) {
+    if (refuse) {
+      refusedCallers.add(caller);
     } else {
-      refused.remove(caller);
+      refusedCallers.remove(caller);
     }
   }
 
   // ---- holds and watches ----
 
-  private void tick() {
+  private void checkExpiry() {
     if (!down) {
-      for (long h : List.copyOf(holdEnds.keySet())) {
-        if (holdEnds.get(h) < environment.now()) {
-          endHold(h);
+      for (long holdId : List.copyOf(holdExpiryMs.keySet())) {
+        if (holdExpiryMs.get(holdId) < environment.now()) {
+          endHold(holdId);
         }
       }
       for (Watch watch : List.copyOf(watches)) {
-        if (watch.until <= environment.now()) {
+        if (watch.untilMs <= environment.now()) {
           watches.remove(watch);
-          watch.reply.accept(news(watch.prefix, watch.from));
+          watch.reply.accept(changesReply(watch.prefix, watch.fromEpoch));
         }
       }
     }
-    environment.after(TICK_MS, this::tick);
+    environment.after(EXPIRY_CHECK_INTERVAL_MS, this::checkExpiry);
   }
 
-  private void endHold(long h) {
-    holdEnds.remove(h);
-    holdTtl.remove(h);
+  private void endHold(long holdId) {
+    holdExpiryMs.remove(holdId);
+    holdTtlMs.remove(holdId);
     List<String> attached = new ArrayList<>();
     rows.forEach(
         (k, r) -> {
-          if (r.hold == h) {
+          if (r.hold == holdId) {
             attached.add(k);
           }
         });
     if (!attached.isEmpty()) {
       epoch++;
       attached.forEach(this::remove);
-      wake();
+      notifyWatches();
     }
   }
 
@@ -155,16 +155,16 @@
     }
   }
 
-  private void wake() {
+  private void notifyWatches() {
     if (changes.size() > 2 * emulatorSettings.changesKept()) {
       List<Change> old = changes.subList(0, changes.size() - emulatorSettings.changesKept());
-      forgotten = old.get(old.size() - 1).stamp;
+      lastDroppedEpoch = old.get(old.size() - 1).stamp;
       old.clear();
     }
     for (Watch watch : List.copyOf(watches)) {
-      if (!down && anyNews(watch.prefix, watch.from)) {
+      if (!down && hasChanges(watch.prefix, watch.fromEpoch)) {
         watches.remove(watch);
-        watch.reply.accept(news(watch.prefix, watch.from));
+        watch.reply.accept(changesReply(watch.prefix, watch.fromEpoch));
       }
     }
   }
@@ -174,149 +174,156 @@
   @Override
   public void request(
       String from, String method, String path, byte[] body, Consumer<HttpReply> reply) {
-    if (down || refused.contains(from)) {
-      reply.accept(json(503, Json.object()));
+    if (down || refusedCallers.contains(from)) {
+      reply.accept(jsonReply(503, Json.object()));
       return;
     }
-    JsonNode in = body == null || body.length == 0 ? Json.object() : Json.parse(body);
+    JsonNode requestBody = body == null || body.length == 0 ? Json.object() : Json.parse(body);
     if (path.equals("/commit")) {
-      reply.accept(commit(in));
+      reply.accept(commit(requestBody));
     } else if (path.startsWith("/kv/")) {
       String key = path.substring(4);
       StoredValue row = rows.get(key);
       reply.accept(
-          row == null ? json(404, Json.object().put("epoch", epoch)) : json(200, row(key, row)));
+          row == null
+              ? jsonReply(404, Json.object().put("epoch", epoch))
+              : jsonReply(200, toRowJson(key, row)));
     } else if (path.startsWith("/kv?")) {
-      reply.accept(list(query(path, "prefix"), query(path, "from"), query(path, "limit")));
+      reply.accept(
+          list(
+              queryParameter(path, "prefix"),
+              queryParameter(path, "from"),
+              queryParameter(path, "limit")));
     } else if (path.startsWith("/changes")) {
       watch(path, reply);
     } else if (path.equals("/holds")) {
-      long ttl = in.path("ttlMs").asLong();
-      holdEnds.put(++lastHold, environment.now() + ttl);
-      holdTtl.put(lastHold, ttl);
-      reply.accept(json(200, Json.object().put("hold", lastHold)));
+      long ttl = requestBody.path("ttlMs").asLong();
+      holdExpiryMs.put(++lastHoldId, environment.now() + ttl);
+      holdTtlMs.put(lastHoldId, ttl);
+      reply.accept(jsonReply(200, Json.object().put("hold", lastHoldId)));
     } else if (path.startsWith("/holds/")) {
-      reply.accept(hold(method, Long.parseLong(path.split("/")[2])));
+      reply.accept(renewOrEndHold(method, Long.parseLong(path.split("/")[2])));
     } else {
-      reply.accept(json(400, Json.object().put("error", "no such path")));
+      reply.accept(jsonReply(400, Json.object().put("error", "no such path")));
     }
   }
 
-  private HttpReply hold(String method, long h) {
-    if (!holdEnds.containsKey(h)) {
-      return json(404, Json.object());
+  private HttpReply renewOrEndHold(String method, long holdId) {
+    if (!holdExpiryMs.containsKey(holdId)) {
+      return jsonReply(404, Json.object());
     }
     if (method.equals("DELETE")) {
-      endHold(h);
+      endHold(holdId);
     } else {
-      holdEnds.put(h, environment.now() + holdTtl.get(h));
+      holdExpiryMs.put(holdId, environment.now() + holdTtlMs.get(holdId));
     }
-    return json(200, Json.object());
+    return jsonReply(200, Json.object());
   }
 
   private void watch(String path, Consumer<HttpReply> reply) {
-    long since = Long.parseLong(query(path, "from"));
-    String prefix = query(path, "prefix");
-    String blockMs = query(path, "blockMs");
-    long block = blockMs == null ? 0 : Long.parseLong(blockMs);
-    if (block == 0 || tooOld(since) || anyNews(prefix, since)) {
-      reply.accept(news(prefix, since));
+    long sinceEpoch = Long.parseLong(queryParameter(path, "from"));
+    String prefix = queryParameter(path, "prefix");
+    String blockMs = queryParameter(path, "blockMs");
+    long waitMs = blockMs == null ? 0 : Long.parseLong(blockMs);
+    if (waitMs == 0 || isTooOld(sinceEpoch) || hasChanges(prefix, sinceEpoch)) {
+      reply.accept(changesReply(prefix, sinceEpoch));
     } else {
-      watches.add(new Watch(prefix, since, environment.now() + block, reply));
+      watches.add(new Watch(prefix, sinceEpoch, environment.now() + waitMs, reply));
     }
   }
 
-  private HttpReply commit(JsonNode in) {
-    if (in.path("writes").size() > emulatorSettings.txnOps()
-        || in.path("when").size() > 4 * emulatorSettings.txnOps()) {
-      violation = "transaction too large: " + in;
-      return json(400, Json.object().put("error", "too large"));
+  private HttpReply commit(JsonNode transaction) {
+    if (transaction.path("writes").size() > emulatorSettings.maxTransactionWrites()
+        || transaction.path("when").size() > 4 * emulatorSettings.maxTransactionWrites()) {
+      violation = "transaction too large: " + transaction;
+      return jsonReply(400, Json.object().put("error", "too large"));
     }
     // Transactions whose conditions fail are counted as well.
-    if (!writeLimit.allows(in.path("writes").size(), environment.now())) {
-      tooMany++;
-      return json(429, Json.object());
+    if (!writeLimit.tryAcquire(transaction.path("writes").size(), environment.now())) {
+      rateLimitedTransactions++;
+      return jsonReply(429, Json.object());
     }
     ArrayNode failed = Json.array();
-    for (JsonNode node : in.path("when")) {
-      StoredValue row = rows.get(node.path("k").asText());
-      if ((row == null ? 0 : row.stamp) != node.path("stamp").asLong()) {
-        failed.add(node.path("k").asText());
+    for (JsonNode condition : transaction.path("when")) {
+      StoredValue row = rows.get(condition.path("k").asText());
+      if ((row == null ? 0 : row.stamp) != condition.path("stamp").asLong()) {
+        failed.add(condition.path("k").asText());
       }
     }
-    for (JsonNode w : in.path("writes")) {
-      if (w.has("hold") && !holdEnds.containsKey(w.path("hold").asLong())) {
-        return json(400, Json.object().put("error", "no such lease"));
+    for (JsonNode write : transaction.path("writes")) {
+      if (write.has("hold") && !holdExpiryMs.containsKey(write.path("hold").asLong())) {
+        return jsonReply(400, Json.object().put("error", "no such lease"));
       }
-      if (w.has("put") && Json.bytes(w.get("value")).length > emulatorSettings.valueBytes()) {
-        violation = "value too large under " + w.path("put").asText();
-        return json(400, Json.object().put("error", "value too large"));
+      if (write.has("put")
+          && Json.bytes(write.get("value")).length > emulatorSettings.maxValueBytes()) {
+        violation = "value too large under " + write.path("put").asText();
+        return jsonReply(400, Json.object().put("error", "value too large"));
       }
     }
     if (!failed.isEmpty()) {
-      ObjectNode object = Json.object().put("epoch", epoch);
-      object.set("failed", failed);
-      return json(409, object);
+      ObjectNode response = Json.object().put("epoch", epoch);
+      response.set("failed", failed);
+      return jsonReply(409, response);
     }
-    if (!in.path("writes").isEmpty()) {
-      write(in.path("writes"));
+    if (!transaction.path("writes").isEmpty()) {
+      write(transaction.path("writes"));
     }
-    HttpReply reply = json(200, Json.object().put("epoch", epoch));
-    wake();
+    HttpReply reply = jsonReply(200, Json.object().put("epoch", epoch));
+    notifyWatches();
     return reply;
   }
 
   private void write(JsonNode writes) {
     epoch++;
-    puts += writes.size();
-    writes.forEach(w -> putKeys.add(w.path(w.has("put") ? "put" : "remove").asText()));
-    for (JsonNode w : writes) {
-      if (w.has("put")) {
-        String k = w.path("put").asText();
-        rows.put(k, new StoredValue(w.get("value"), epoch, w.path("hold").asLong(0)));
-        changes.add(new Change(k, w.get("value"), epoch));
+    writeCount += writes.size();
+    writes.forEach(w -> writtenKeys.add(w.path(w.has("put") ? "put" : "remove").asText()));
+    for (JsonNode write : writes) {
+      if (write.has("put")) {
+        String key = write.path("put").asText();
+        rows.put(key, new StoredValue(write.get("value"), epoch, write.path("hold").asLong(0)));
+        changes.add(new Change(key, write.get("value"), epoch));
       } else {
-        remove(w.path("remove").asText());
+        remove(write.path("remove").asText());
       }
     }
   }
 
   private HttpReply list(String prefix, String from, String limit) {
-    int most =
+    int maxRows =
         Math.min(
-            emulatorSettings.pageRows(),
-            limit == null ? emulatorSettings.pageRows() : Integer.parseInt(limit));
-    ObjectNode object = Json.object();
-    ArrayNode out = object.putArray("rows");
+            emulatorSettings.maxPageRows(),
+            limit == null ? emulatorSettings.maxPageRows() : Integer.parseInt(limit));
+    ObjectNode response = Json.object();
+    ArrayNode rowArray = response.putArray("rows");
     boolean more = false;
     for (Map.Entry<String, StoredValue> entry :
         rows.tailMap(from == null ? prefix : from, from == null).entrySet()) {
       if (!entry.getKey().startsWith(prefix)) {
         break;
       }
-      if (out.size() >= most) {
+      if (rowArray.size() >= maxRows) {
         more = true;
         break;
       }
-      out.add(row(entry.getKey(), entry.getValue()));
+      rowArray.add(toRowJson(entry.getKey(), entry.getValue()));
     }
-    return json(200, object.put("more", more).put("epoch", epoch));
+    return jsonReply(200, response.put("more", more).put("epoch", epoch));
   }
 
-  private boolean tooOld(long since) {
+  private boolean isTooOld(long sinceEpoch) {
     int count = changes.size();
-    return since < forgotten
+    return sinceEpoch < lastDroppedEpoch
         || count > emulatorSettings.changesKept()
-            && changes.get(count - emulatorSettings.changesKept()).stamp > since;
+            && changes.get(count - emulatorSettings.changesKept()).stamp > sinceEpoch;
   }
 
   /** Index of the first change after a moment. */
-  private int firstAfter(long since) {
+  private int firstChangeAfter(long sinceEpoch) {
     int low = 0;
     int high = changes.size();
     while (low < high) {
       int mid = (low + high) >>> 1;
-      if (changes.get(mid).stamp > since) {
+      if (changes.get(mid).stamp > sinceEpoch) {
         high = mid;
       } else {
         low = mid + 1;
@@ -325,37 +332,37 @@
     return low;
   }
 
-  private boolean anyNews(String prefix, long since) {
-    return changes.subList(firstAfter(since), changes.size()).stream()
+  private boolean hasChanges(String prefix, long sinceEpoch) {
+    return changes.subList(firstChangeAfter(sinceEpoch), changes.size()).stream()
         .anyMatch(c -> c.key.startsWith(prefix));
   }
 
-  private HttpReply news(String prefix, long since) {
-    if (tooOld(since)) {
-      return json(410, Json.object());
+  private HttpReply changesReply(String prefix, long sinceEpoch) {
+    if (isTooOld(sinceEpoch)) {
+      return jsonReply(410, Json.object());
     }
-    ObjectNode object = Json.object().put("epoch", epoch);
-    ArrayNode out = object.putArray("news");
-    for (Change change : changes.subList(firstAfter(since), changes.size())) {
+    ObjectNode response = Json.object().put("epoch", epoch);
+    ArrayNode changeArray = response.putArray("news");
+    for (Change change : changes.subList(firstChangeAfter(sinceEpoch), changes.size())) {
       if (change.key.startsWith(prefix)) {
-        ObjectNode n = out.addObject().put("stamp", change.stamp);
+        ObjectNode changeJson = changeArray.addObject().put("stamp", change.stamp);
         if (change.value == null) {
-          n.put("remove", change.key);
+          changeJson.put("remove", change.key);
         } else {
-          n.put("put", change.key).set("value", change.value);
+          changeJson.put("put", change.key).set("value", change.value);
         }
       }
     }
-    return json(200, object);
+    return jsonReply(200, response);
   }
 
-  private static ObjectNode row(String key, StoredValue row) {
-    ObjectNode object = Json.object().put("k", key).put("stamp", row.stamp);
-    object.set("value", row.value);
-    return object;
+  private static ObjectNode toRowJson(String key, StoredValue row) {
+    ObjectNode response = Json.object().put("k", key).put("stamp", row.stamp);
+    response.set("value", row.value);
+    return response;
   }
 
-  static String query(String path, String name) {
+  static String queryParameter(String path, String name) {
     for (String part : path.substring(path.indexOf('?') + 1).split("&")) {
       if (part.startsWith(name + "=")) {
         return part.substring(name.length() + 1);
@@ -364,7 +371,7 @@
     return null;
   }
 
-  static HttpReply json(int status, JsonNode body) {
+  static HttpReply jsonReply(int status, JsonNode body) {
     return new HttpReply(status, Json.bytes(body));
   }
 }
--- a/src/main/java/dapplestair/emulator/EmulatedTask.java
+++ b/src/main/java/dapplestair/emulator/EmulatedTask.java
@@ -11,8 +11,8 @@
   private final JsonNode job;
   String status = "fetching";
   String cause;
-  boolean stored;
-  long runsSince;
+  boolean checkpointStored;
+  long startedAtMs;
 
   EmulatedTask(String key, long attempt, JsonNode job) {
     this.key = key;
@@ -20,7 +20,7 @@
     this.job = job;
   }
 
-  private int step() {
+  private int taskIndex() {
     return Integer.parseInt(key.substring(key.indexOf('/') + 1));
   }
 
@@ -28,8 +28,8 @@
    * Seconds that it lasts by its user's estimate. A description may give a factor for each task in
    * {@code runFactors}, so that tasks of one job last differently long by design.
    */
-  double guessS() {
-    JsonNode factor = job == null ? null : job.path("runFactors").get(step());
+  double estimatedRunS() {
+    JsonNode factor = job == null ? null : job.path("runFactors").get(taskIndex());
     return amount("guessS") * (factor == null ? 1 : factor.asDouble());
   }
 
@@ -44,7 +44,7 @@
   }
 
   /** True from the moment at which it has its image until it exits. */
-  public boolean onMachine() {
+  public boolean isOnMachine() {
     return status.equals("running") || status.equals("flushing");
   }
 
@@ -54,24 +54,24 @@
   }
 
   /** Seconds since it began to run; 0 if it never did. */
-  public double ranS(long now) {
-    return runsSince == 0 ? 0 : (now - runsSince) / 1000.0;
+  public double runTimeS(long nowMs) {
+    return startedAtMs == 0 ? 0 : (nowMs - startedAtMs) / 1000.0;
   }
 
-  boolean exited() {
+  boolean hasExited() {
     return status.equals("exited");
   }
 
-  void exit(String why) {
+  void exit(String exitCause) {
     status = "exited";
-    cause = why;
+    cause = exitCause;
   }
 
-  String ref() {
-    return ref(key);
+  String jobRef() {
+    return jobRef(key);
   }
 
-  static String ref(String key) {
+  static String jobRef(String key) {
     int slash = key.indexOf('/');
     return slash < 0 ? key : key.substring(0, slash);
   }
@@ -81,13 +81,13 @@
   }
 
   /** True when it runs until it is stopped. */
-  public boolean service() {
+  public boolean isService() {
     return "daemon".equals(Json.text(job, "shape"));
   }
 
   /** True when its user's description has a mistake that makes this task fail on every machine. */
-  boolean mistaken() {
-    return step() < amount("mistakenSteps");
+  boolean failsOnEveryMachine() {
+    return taskIndex() < amount("mistakenSteps");
   }
 
   String image() {
@@ -99,7 +99,7 @@
     if (cause != null) {
       object.put("cause", cause);
     }
-    if (stored) {
+    if (checkpointStored) {
       object.put("stored", true);
     }
     return object;
--- a/src/main/java/dapplestair/emulator/EmulatedWorker.java
+++ b/src/main/java/dapplestair/emulator/EmulatedWorker.java
@@ -13,22 +13,22 @@
  * the controllers' direct requests.
  */
 public final class EmulatedWorker implements RequestHandler {
-  private static final long LEASE_CHECK_MS = 200;
+  private static final long LEASE_CHECK_INTERVAL_MS = 200;
 
   private final EmulatorEnvironment environment;
   private final EmulatedCloud cloud;
   private final EmulatorSettings.MachineSpec type;
   private final String id;
   private final String zone;
-  private final boolean spot;
+  private final boolean isSpot;
   private final MachineCondition condition;
   private final WorkerSession session;
   private final ControllerSelector selector;
-  private final ReportSender reports;
-  private final TaskRunner tasks;
+  private final ReportSender reportSender;
+  private final TaskRunner taskRunner;
   private String endpoint;
   private boolean booted;
-  private long recallAt = -1;
+  private long reclaimAtMs = -1;
 
   EmulatedWorker(
       EmulatorEnvironment environment,
@@ -43,15 +43,15 @@
     this.type = type;
     this.id = id;
     this.zone = zone;
-    this.spot = spot;
+    this.isSpot = spot;
     this.condition = new MachineCondition(environment);
     this.session = new WorkerSession(environment, emulatorSettings.leaseMs());
     this.selector = new ControllerSelector(cloud);
-    this.reports =
+    this.reportSender =
         new ReportSender(
             environment, this, condition, session, selector, emulatorSettings.reportMs());
-    this.tasks =
-        new TaskRunner(environment, cloud, this, type, condition, session, reports::report);
+    this.taskRunner =
+        new TaskRunner(environment, cloud, this, type, condition, session, reportSender::report);
     this.endpoint = environment.address(id);
   }
 
@@ -78,17 +78,17 @@
   }
 
   /** True when it may be taken back. */
-  public boolean spot() {
-    return spot;
+  public boolean isSpot() {
+    return isSpot;
   }
 
   /** True when it has no power any more. */
-  public boolean gone() {
-    return condition.gone();
+  public boolean isGone() {
+    return condition.isGone();
   }
 
   /** True once it has come up. */
-  public boolean booted() {
+  public boolean hasBooted() {
     return booted;
   }
 
@@ -96,18 +96,18 @@
    * True when tasks that start here can be expected to complete: it is up, executes and hears what
    * it is told, does not fail its tasks and has no notice.
    */
-  public boolean fit() {
-    return booted && condition.sound() && recallAt < 0;
+  public boolean canCompleteTasks() {
+    return booted && condition.isHealthy() && reclaimAtMs < 0;
   }
 
   /** Its machine's room that no task holds, of the amount in this field of a submission. */
-  public double free(String field) {
-    return type.free(tasks.tasks(), field);
+  public double freeAmount(String field) {
+    return type.freeAmount(taskRunner.tasks(), field);
   }
 
   /** All attempts that its worker knows. */
   public Collection<EmulatedTask> tasks() {
-    return tasks.tasks();
+    return taskRunner.tasks();
   }
 
   // ---- what may happen to it ----
@@ -115,28 +115,28 @@
   void boot() {
     booted = true;
     session.startLease();
-    selector.any(environment);
+    selector.selectRandom(environment);
     environment.open(
         id,
         this,
         address -> {
           endpoint = address;
-          reports.heartbeat();
+          reportSender.heartbeat();
           watchLease();
         });
   }
 
   /** The cloud will take it, with or without a notice. */
-  public void recall(long inMs) {
-    recallAt = environment.now() + inMs;
-    environment.after(inMs, this::end);
+  public void reclaim(long delayMs) {
+    reclaimAtMs = environment.now() + delayMs;
+    environment.after(delayMs, this::powerOff);
   }
 
   /** Power off: nothing is left, and nobody is told. */
-  public void end() {
+  public void powerOff() {
     condition.powerOff();
-    tasks.clear();
-    environment.silence(id);
+    taskRunner.clear();
+    environment.removeMachine(id);
   }
 
   /** It stops executing for a while; its lease goes on. */
@@ -151,44 +151,44 @@
   }
 
   /** It reports as before, but for a while neither commands nor answers reach it. */
-  public void deafen(long ms) {
-    condition.deafen(ms);
+  public void cutInbound(long ms) {
+    condition.cutInbound(ms);
   }
 
   /** For a while it opens no connection to any controller; commands and questions reach it. */
-  public void mute(long ms) {
-    condition.mute(ms);
+  public void cutOutbound(long ms) {
+    condition.cutOutbound(ms);
   }
 
   /** From now on every task fails that starts here. */
-  public void sicken() {
-    condition.fail();
+  public void failAllTasks() {
+    condition.failAllTasks();
   }
 
   /** For a while something that is no task takes all of its room: starts are refused as full. */
-  public void crowd(long ms) {
-    condition.crowd(ms);
+  public void occupy(long ms) {
+    condition.occupy(ms);
   }
 
   /** Milliseconds since it sent the last report that was answered. */
-  public long unansweredMs() {
+  public long sinceAnsweredReportMs() {
     return session.leaseAgeMs();
   }
 
   // ---- its lease ----
 
   private void watchLease() {
-    if (!gone()) {
+    if (!isGone()) {
       checkLease();
-      environment.after(LEASE_CHECK_MS, this::watchLease);
+      environment.after(LEASE_CHECK_INTERVAL_MS, this::watchLease);
     }
   }
 
   private void checkLease() {
     // A hanging machine may resume only within its lease: past it, its tasks are gone as well.
-    if (!gone() && !condition.stalled() && session.leaseExpired()) {
-      cloud.killedByLease(tasks().stream().filter(EmulatedTask::onMachine).count());
-      tasks.clear();
+    if (!isGone() && !condition.isStalled() && session.leaseExpired()) {
+      cloud.countTasksKilledByLease(tasks().stream().filter(EmulatedTask::isOnMachine).count());
+      taskRunner.clear();
       session.restart();
     }
   }
@@ -198,60 +198,60 @@
   @Override
   public void request(
       String from, String method, String path, byte[] body, Consumer<HttpReply> reply) {
-    if (gone() || condition.deaf()) {
+    if (isGone() || condition.isInboundCut()) {
       return;
     }
-    if (condition.hanging()) {
+    if (condition.isHanging()) {
       condition.defer(() -> request(from, method, path, body, reply));
       return;
     }
     if (path.equals("/status")) {
-      session.nextTick();
-      reply.accept(EmulatedState.json(200, state()));
+      session.advanceTick();
+      reply.accept(EmulatedState.jsonReply(200, toReportJson()));
       return;
     }
-    reply.accept(ordered(Json.parse(body == null ? new byte[0] : body)));
+    reply.accept(handleCommand(Json.parse(body == null ? new byte[0] : body)));
   }
 
-  private HttpReply ordered(JsonNode body) {
+  private HttpReply handleCommand(JsonNode body) {
     JsonNode token = body.path("baton");
-    JsonNode number = body.path("tenure");
-    if (!token.isIntegralNumber() || !number.isIntegralNumber()) {
-      return EmulatedState.json(400, Json.object().put("error", "baton or tenure missing"));
+    JsonNode sessionNumber = body.path("tenure");
+    if (!token.isIntegralNumber() || !sessionNumber.isIntegralNumber()) {
+      return EmulatedState.jsonReply(400, Json.object().put("error", "baton or tenure missing"));
     }
-    boolean stale = token.asLong() < session.token() || number.asLong() != session.number();
+    boolean stale = token.asLong() < session.token() || sessionNumber.asLong() != session.number();
     if (!stale) {
-      command(token.asLong(), body);
+      executeOrders(token.asLong(), body);
     }
-    session.nextTick();
-    return EmulatedState.json(stale ? 409 : 200, state());
+    session.advanceTick();
+    return EmulatedState.jsonReply(stale ? 409 : 200, toReportJson());
   }
 
   /** Executes the orders of a command, or of a report's answer, with a token that is not stale. */
-  void command(long token, JsonNode body) {
-    boolean higher = session.accept(token);
-    body.path("orders").forEach(tasks::execute);
+  void executeOrders(long token, JsonNode body) {
+    boolean higher = session.acceptToken(token);
+    body.path("orders").forEach(taskRunner::execute);
     if (higher) {
-      reports.reportSoon();
+      reportSender.reportSoon();
     }
   }
 
   /** Its report, as on the wire. */
-  ObjectNode state() {
+  ObjectNode toReportJson() {
     ObjectNode report =
         Json.object()
             .put("host", id)
             .put("endpoint", endpoint)
             .put("hull", type.name())
             .put("basin", zone)
-            .put("loaners", spot)
+            .put("loaners", isSpot)
             .put("tenure", session.number())
             .put("tick", session.tick())
             .put("baton", session.token());
-    if (recallAt >= 0) {
-      report.put("recallS", Math.max(0, recallAt - environment.now()) / 1000.0);
+    if (reclaimAtMs >= 0) {
+      report.put("recallS", Math.max(0, reclaimAtMs - environment.now()) / 1000.0);
     }
-    tasks.addTo(report.putArray("steps"));
+    taskRunner.addTasksTo(report.putArray("steps"));
     return report;
   }
 }
--- a/src/main/java/dapplestair/emulator/EmulatorEnvironment.java
+++ b/src/main/java/dapplestair/emulator/EmulatorEnvironment.java
@@ -21,19 +21,19 @@
   /** The address that {@link #open} will give to this name, or null when it is not known before. */
   String address(String name);
 
-  /** Puts a place under an address; {@code opened} is told which, soon. */
-  void open(String name, RequestHandler place, Consumer<String> opened);
+  /** Puts a place under an address; {@code onOpened} is told which, soon. */
+  void open(String name, RequestHandler handler, Consumer<String> onOpened);
 
   /** The machine of this name is gone for good: it is silent, and its address is not used again. */
-  void silence(String name);
+  void removeMachine(String name);
 
   /** Sends a request; exactly one reply. */
   void call(
       String from,
-      String to,
+      String address,
       String method,
       String path,
       byte[] body,
       long timeoutMs,
-      Consumer<HttpReply> done);
+      Consumer<HttpReply> onReply);
 }
--- a/src/main/java/dapplestair/emulator/EmulatorSettings.java
+++ b/src/main/java/dapplestair/emulator/EmulatorSettings.java
@@ -6,27 +6,28 @@
 /**
  * How large the emulated world is and how it behaves. Durations ending in Ms are milliseconds.
  *
- * @param perPlace machines of each type that a zone has of each kind, spot and ordinary
- * @param neverBoots share of machines that never come up
- * @param txnOps most writes of a transaction
- * @param valueBytes largest value
- * @param pageRows most rows of a listing
+ * @param machinesPerZone machines of each type that a zone has of each kind, spot and ordinary
+ * @param neverBootingShare share of machines that never come up
+ * @param maxTransactionWrites most writes of a transaction
+ * @param maxValueBytes largest value
+ * @param maxPageRows most rows of a listing
  * @param changesKept changes that may be asked for; older ones are 410
- * @param writeRps puts and deletes a second above which the state service answers 429, or infinity
+ * @param maxWritesPerSecond puts and deletes a second above which the state service answers 429, or
+ *     infinity
  */
 public record EmulatorSettings(
     List<MachineSpec> types,
     List<String> zones,
-    int perPlace,
-    double neverBoots,
+    int machinesPerZone,
+    double neverBootingShare,
     long reportMs,
     long leaseMs,
     long listLagMs,
-    int txnOps,
-    int valueBytes,
-    int pageRows,
+    int maxTransactionWrites,
+    int maxValueBytes,
+    int maxPageRows,
     int changesKept,
-    double writeRps) {
+    double maxWritesPerSecond) {
 
   /** A world whose state service takes any number of writes. */
   public EmulatorSettings(
@@ -71,13 +72,14 @@
     public static final List<String> FIELDS = List.of("vcpus", "memoryGb", "accelerators");
 
     /** True when one more task has room beside these; what has exited holds none. */
-    boolean fits(EmulatedTask emulatedTask, Collection<EmulatedTask> others) {
-      return FIELDS.stream().allMatch(f -> emulatedTask.amount(f) <= free(others, f) + 1e-9);
+    boolean fits(EmulatedTask task, Collection<EmulatedTask> others) {
+      return FIELDS.stream().allMatch(f -> task.amount(f) <= freeAmount(others, f) + 1e-9);
     }
 
     /** What tasks leave of the amount in this field of a submission; what has exited holds none. */
-    double free(Collection<EmulatedTask> tasks, String field) {
-      double used = tasks.stream().filter(o -> !o.exited()).mapToDouble(o -> o.amount(field)).sum();
+    double freeAmount(Collection<EmulatedTask> tasks, String field) {
+      double used =
+          tasks.stream().filter(o -> !o.hasExited()).mapToDouble(o -> o.amount(field)).sum();
       return switch (field) {
         case "vcpus" -> cpus - used;
         case "memoryGb" -> memoryGb - used;
--- a/src/main/java/dapplestair/emulator/MachineCondition.java
+++ b/src/main/java/dapplestair/emulator/MachineCondition.java
@@ -11,41 +11,41 @@
   private boolean hanging;
   private boolean failing;
   private boolean stalled;
-  private boolean crowded;
-  private long deafUntil;
-  private long muteUntil;
+  private boolean occupied;
+  private long inboundCutUntilMs;
+  private long outboundCutUntilMs;
 
   MachineCondition(EmulatorEnvironment environment) {
     this.environment = environment;
   }
 
   /** True while it has power, executes, hears what it is told and fails no tasks. */
-  boolean sound() {
-    return !gone && !hanging && !deaf() && !failing;
+  boolean isHealthy() {
+    return !gone && !hanging && !isInboundCut() && !failing;
   }
 
   /** True when it has no power any more. */
-  boolean gone() {
+  boolean isGone() {
     return gone;
   }
 
   /** True while it executes nothing. */
-  boolean hanging() {
+  boolean isHanging() {
     return hanging;
   }
 
   /** True while neither commands nor answers reach it. */
-  boolean deaf() {
-    return environment.now() < deafUntil;
+  boolean isInboundCut() {
+    return environment.now() < inboundCutUntilMs;
   }
 
   /** True while it opens no connection to any controller. */
-  boolean mute() {
-    return environment.now() < muteUntil;
+  boolean isOutboundCut() {
+    return environment.now() < outboundCutUntilMs;
   }
 
   /** True when every task fails that starts here. */
-  boolean failing() {
+  boolean failsTasks() {
     return failing;
   }
 
@@ -53,26 +53,26 @@
     gone = true;
   }
 
-  void fail() {
+  void failAllTasks() {
     failing = true;
   }
 
   /** True while something that is no task takes all of its room. */
-  boolean crowded() {
-    return crowded;
+  boolean isOccupied() {
+    return occupied;
   }
 
-  void crowd(long ms) {
-    crowded = true;
-    environment.after(ms, () -> crowded = false);
+  void occupy(long ms) {
+    occupied = true;
+    environment.after(ms, () -> occupied = false);
   }
 
-  void deafen(long ms) {
-    deafUntil = Math.max(deafUntil, environment.now() + ms);
+  void cutInbound(long ms) {
+    inboundCutUntilMs = Math.max(inboundCutUntilMs, environment.now() + ms);
   }
 
-  void mute(long ms) {
-    muteUntil = Math.max(muteUntil, environment.now() + ms);
+  void cutOutbound(long ms) {
+    outboundCutUntilMs = Math.max(outboundCutUntilMs, environment.now() + ms);
   }
 
   /** Its tasks stay on it past its lease, for a while in which it hangs. */
@@ -82,25 +82,25 @@
   }
 
   /** True while its tasks stay on it past its lease. */
-  boolean stalled() {
+  boolean isStalled() {
     return stalled;
   }
 
   /**
-   * Hangs for a while; then {@code resumed} runs, after it all that was deferred, and after that
-   * {@code caughtUp}.
+   * Hangs for a while; then {@code onResumed} runs, after it all that was deferred, and after that
+   * {@code onCaughtUp}.
    */
-  void hang(long ms, Runnable resumed, Runnable caughtUp) {
+  void hang(long ms, Runnable onResumed, Runnable onCaughtUp) {
     hanging = true;
     environment.after(
         ms,
         () -> {
           hanging = false;
-          resumed.run();
-          List<Runnable> late = List.copyOf(deferred);
+          onResumed.run();
+          List<Runnable> dueActions = List.copyOf(deferred);
           deferred.clear();
-          late.forEach(Runnable::run);
-          caughtUp.run();
+          dueActions.forEach(Runnable::run);
+          onCaughtUp.run();
         });
   }
 
--- a/src/main/java/dapplestair/emulator/ReportSender.java
+++ b/src/main/java/dapplestair/emulator/ReportSender.java
@@ -6,17 +6,17 @@
 
 /** Sends a worker's reports to the controller that keeps its lease, and follows redirects. */
 final class ReportSender {
-  private static final long ANSWER_TIMEOUT_MS = 4000;
-  private static final long NEXT_CONTROLLER_MS = 1000;
-  private static final long LEAST_PAUSE_MS = 500;
+  private static final long REPLY_TIMEOUT_MS = 4000;
+  private static final long NEXT_CONTROLLER_DELAY_MS = 1000;
+  private static final long REPORT_DELAY_MS = 500;
 
   private final EmulatorEnvironment environment;
   private final EmulatedWorker worker;
   private final MachineCondition condition;
   private final WorkerSession session;
   private final ControllerSelector selector;
-  private final long reportMs;
-  private boolean reporting;
+  private final long reportIntervalMs;
+  private boolean reportInFlight;
 
   ReportSender(
       EmulatorEnvironment environment,
@@ -30,36 +30,37 @@
     this.condition = condition;
     this.session = session;
     this.selector = selector;
-    this.reportMs = reportMs;
+    this.reportIntervalMs = reportMs;
   }
 
   /** Reports now, and from now on about once an interval. */
   void heartbeat() {
-    if (condition.gone()) {
+    if (condition.isGone()) {
       return;
     }
     report();
-    environment.after(reportMs * 3 / 4 + environment.between(0, reportMs / 2), this::heartbeat);
+    environment.after(
+        reportIntervalMs * 3 / 4 + environment.between(0, reportIntervalMs / 2), this::heartbeat);
   }
 
   /** Reports at once, unless a report is under way. */
   void report() {
-    if (condition.gone() || condition.hanging() || reporting) {
+    if (condition.isGone() || condition.isHanging() || reportInFlight) {
       return;
     }
     String controller = selector.endpoint();
     if (controller == null) {
       return;
     }
-    reporting = true;
-    long sentAt = environment.now();
-    long sentIn = session.number();
-    session.nextTick();
-    if (condition.mute()) {
+    reportInFlight = true;
+    long sentAtMs = environment.now();
+    long sentInSession = session.number();
+    session.advanceTick();
+    if (condition.isOutboundCut()) {
       // Refused at once, or given up like a report that gets no answer.
-      long failsAfterMs = environment.chance(0.5) ? 0 : ANSWER_TIMEOUT_MS;
+      long failsAfterMs = environment.chance(0.5) ? 0 : REPLY_TIMEOUT_MS;
       HttpReply notSent = HttpReply.of(HttpReply.NOT_SENT);
-      environment.after(failsAfterMs, () -> ended(notSent, sentAt, sentIn));
+      environment.after(failsAfterMs, () -> completeReport(notSent, sentAtMs, sentInSession));
       return;
     }
     environment.call(
@@ -67,54 +68,57 @@
         controller,
         "POST",
         "/agent/beat",
-        Json.bytes(worker.state()),
-        ANSWER_TIMEOUT_MS,
-        reply -> arrived(reply, sentAt, sentIn));
+        Json.bytes(worker.toReportJson()),
+        REPLY_TIMEOUT_MS,
+        reply -> receiveReply(reply, sentAtMs, sentInSession));
   }
 
   /** Reports a little later, as a worker does that was shown a higher token. */
   void reportSoon() {
-    environment.after(LEAST_PAUSE_MS, this::report);
+    environment.after(REPORT_DELAY_MS, this::report);
   }
 
-  private void arrived(HttpReply reply, long sentAt, long sentIn) {
-    if (condition.deaf()) {
+  private void receiveReply(HttpReply reply, long sentAtMs, long sentInSession) {
+    if (condition.isInboundCut()) {
       // It waits for as long as for any answer that does not come.
-      long left = Math.max(0, sentAt + ANSWER_TIMEOUT_MS - environment.now());
-      environment.after(left, () -> ended(HttpReply.of(HttpReply.UNKNOWN), sentAt, sentIn));
+      long remainingMs = Math.max(0, sentAtMs + REPLY_TIMEOUT_MS - environment.now());
+      environment.after(
+          remainingMs,
+          () -> completeReport(HttpReply.of(HttpReply.UNKNOWN), sentAtMs, sentInSession));
     } else {
-      ended(reply, sentAt, sentIn);
+      completeReport(reply, sentAtMs, sentInSession);
     }
   }
 
-  private void ended(HttpReply reply, long sentAt, long sentIn) {
-    reporting = false;
-    if (condition.gone() || condition.hanging()) {
+  private void completeReport(HttpReply reply, long sentAtMs, long sentInSession) {
+    reportInFlight = false;
+    if (condition.isGone() || condition.isHanging()) {
       return;
     }
     if (reply.status() == 200) {
-      accepted(Json.parse(reply.body()), sentAt, sentIn);
+      handleAccepted(Json.parse(reply.body()), sentAtMs, sentInSession);
     } else {
-      redirected(reply);
+      retryAfterFailure(reply);
     }
   }
 
-  private void accepted(JsonNode body, long sentAt, long sentIn) {
+  private void handleAccepted(JsonNode body, long sentAtMs, long sentInSession) {
     long token = body.path("baton").asLong(-1);
-    if (token < session.token() || sentIn != session.number()) {
+    if (token < session.token() || sentInSession != session.number()) {
       return;
     }
-    session.renewLease(sentAt);
-    worker.command(token, body);
+    session.renewLease(sentAtMs);
+    worker.executeOrders(token, body);
   }
 
-  private void redirected(HttpReply reply) {
-    String named = reply.status() == 421 ? Json.text(Json.parse(reply.body()), "steward") : null;
-    if (selector.named(named)) {
-      environment.after(environment.between(0, LEAST_PAUSE_MS), this::report);
+  private void retryAfterFailure(HttpReply reply) {
+    String leaderName =
+        reply.status() == 421 ? Json.text(Json.parse(reply.body()), "steward") : null;
+    if (selector.switchTo(leaderName)) {
+      environment.after(environment.between(0, REPORT_DELAY_MS), this::report);
     } else {
-      selector.next();
-      environment.after(NEXT_CONTROLLER_MS, this::report);
+      selector.selectNext();
+      environment.after(NEXT_CONTROLLER_DELAY_MS, this::report);
     }
   }
 }
--- a/src/main/java/dapplestair/emulator/TaskObserver.java
+++ b/src/main/java/dapplestair/emulator/TaskObserver.java
@@ -12,7 +12,7 @@
   default void refusedAsFull(EmulatedWorker worker, EmulatedTask task) {}
 
   /** A machine was returned with a task that had not exited. */
-  default void returned(EmulatedWorker worker, EmulatedTask task) {}
+  default void releasedWithTask(EmulatedWorker worker, EmulatedTask task) {}
 
   /** A task that had not exited was stopped by an order. */
   default void stopped(EmulatedWorker worker, EmulatedTask task) {}
--- a/src/main/java/dapplestair/emulator/TaskRunner.java
+++ b/src/main/java/dapplestair/emulator/TaskRunner.java
@@ -9,9 +9,9 @@
 /** Executes a worker's orders: launches, halts with checkpoints, clearings. */
 final class TaskRunner {
   private static final long REPORT_DELAY_MS = 500;
-  private static final long LEAST_RUN_MS = 200;
-  private static final long LEAST_RUN_BEFORE_ERROR_MS = 1000;
-  private static final double LEAST_RUN_RATIO = 0.9;
+  private static final long MIN_RUN_MS = 200;
+  private static final long MIN_RUN_BEFORE_ERROR_MS = 1000;
+  private static final double MIN_RUN_RATIO = 0.9;
   private static final double RUN_RATIO_RANGE = 0.2;
 
   private final EmulatorEnvironment environment;
@@ -20,11 +20,11 @@
   private final EmulatorSettings.MachineSpec type;
   private final MachineCondition condition;
   private final WorkerSession session;
-  private final Runnable report;
+  private final Runnable sendReport;
   private final EmulatedImages images;
   private final Map<String, EmulatedTask> tasks = new LinkedHashMap<>();
 
-  /** Without tasks; {@code report} is run when something is worth a report of its own. */
+  /** Without tasks; {@code sendReport} is run when something is worth a report of its own. */
   TaskRunner(
       EmulatorEnvironment environment,
       EmulatedCloud cloud,
@@ -32,14 +32,14 @@
       EmulatorSettings.MachineSpec type,
       MachineCondition condition,
       WorkerSession session,
-      Runnable report) {
+      Runnable sendReport) {
     this.environment = environment;
     this.cloud = cloud;
     this.worker = worker;
     this.type = type;
     this.condition = condition;
     this.session = session;
-    this.report = report;
+    this.sendReport = sendReport;
     this.images = new EmulatedImages(environment, type);
   }
 
@@ -49,7 +49,7 @@
   }
 
   /** All attempts as on the wire. */
-  void addTo(ArrayNode steps) {
+  void addTasksTo(ArrayNode steps) {
     tasks.values().forEach(task -> steps.add(task.toJson()));
   }
 
@@ -62,127 +62,129 @@
   void execute(JsonNode order) {
     String key = order.path("step").asText();
     long attempt = order.path("try").asLong();
-    String name = key + "#" + attempt;
-    EmulatedTask task = tasks.get(name);
+    String attemptName = key + "#" + attempt;
+    EmulatedTask task = tasks.get(attemptName);
     switch (order.path("verb").asText()) {
-      case "launch" -> launch(name, key, attempt);
+      case "launch" -> launch(attemptName, key, attempt);
       case "halt" -> {
-        if (task != null && !task.exited()) {
+        if (task != null && !task.hasExited()) {
           halt(task, order.path("windDownS").asDouble());
         }
       }
       case "clear" -> {
-        if (task != null && task.exited()) {
-          tasks.remove(name);
+        if (task != null && task.hasExited()) {
+          tasks.remove(attemptName);
         }
       }
-      default -> cloud.violated("unknown order " + order);
+      default -> cloud.recordViolation("unknown order " + order);
     }
   }
 
-  private void halt(EmulatedTask task, double windDownS) {
+  private void halt(EmulatedTask task, double gracePeriodS) {
     double saveS = task.amount("snapshotS");
-    boolean saves = task.amount("snapshotEveryS") > 0 && task.status.equals("running");
-    if (!saves || windDownS < saveS) {
-      keepCheckpoints(task);
+    boolean savesCheckpoint = task.amount("snapshotEveryS") > 0 && task.status.equals("running");
+    if (!savesCheckpoint || gracePeriodS < saveS) {
+      recordPeriodicCheckpoints(task);
       task.exit("stopped");
       cloud.observer().stopped(worker, task);
       return;
     }
     task.status = "flushing";
     cloud.observer().stopped(worker, task);
-    double ranS = task.ranS(environment.now());
-    long startedIn = session.number();
-    environment.after(Math.round(1000 * saveS), () -> saved(task, ranS, startedIn));
+    double ranS = task.runTimeS(environment.now());
+    long startedInSession = session.number();
+    environment.after(
+        Math.round(1000 * saveS), () -> finishCheckpoint(task, ranS, startedInSession));
   }
 
-  private void saved(EmulatedTask task, double ranS, long startedIn) {
-    if (ended(startedIn) || !task.status.equals("flushing")) {
+  private void finishCheckpoint(EmulatedTask task, double ranS, long startedInSession) {
+    if (hasEnded(startedInSession) || !task.status.equals("flushing")) {
       return;
     }
-    cloud.keep(task.key(), ranS);
-    task.stored = true;
+    cloud.addSavedRunSeconds(task.key(), ranS);
+    task.checkpointStored = true;
     task.exit("stopped");
-    environment.after(REPORT_DELAY_MS, report);
+    environment.after(REPORT_DELAY_MS, sendReport);
   }
 
   /** Checkpoints that the task has made by itself while it ran. */
-  private void keepCheckpoints(EmulatedTask task) {
-    double every = task.amount("snapshotEveryS");
-    if (every > 0 && task.onMachine()) {
-      cloud.keep(task.key(), Math.floor(task.ranS(environment.now()) / every) * every);
+  private void recordPeriodicCheckpoints(EmulatedTask task) {
+    double intervalS = task.amount("snapshotEveryS");
+    if (intervalS > 0 && task.isOnMachine()) {
+      cloud.addSavedRunSeconds(
+          task.key(), Math.floor(task.runTimeS(environment.now()) / intervalS) * intervalS);
     }
   }
 
-  private void launch(String name, String key, long attempt) {
-    if (tasks.containsKey(name)) {
+  private void launch(String attemptName, String key, long attempt) {
+    if (tasks.containsKey(attemptName)) {
       return;
     }
-    JsonNode job = cloud.book().find(EmulatedTask.ref(key));
+    JsonNode job = cloud.submissionLookup().find(EmulatedTask.jobRef(key));
     EmulatedTask task = new EmulatedTask(key, attempt, job);
-    boolean here =
-        tasks.values().stream().anyMatch(other -> other.key().equals(key) && !other.exited());
-    boolean room = !condition.crowded() && type.fits(task, tasks.values());
-    tasks.put(name, task);
+    boolean alreadyPresent =
+        tasks.values().stream().anyMatch(other -> other.key().equals(key) && !other.hasExited());
+    boolean hasRoom = !condition.isOccupied() && type.fits(task, tasks.values());
+    tasks.put(attemptName, task);
     if (job == null) {
       task.exit("unknown");
-    } else if (here) {
+    } else if (alreadyPresent) {
       task.exit("busy");
-    } else if (!room) {
+    } else if (!hasRoom) {
       task.exit("full");
       cloud.observer().refusedAsFull(worker, task);
     } else {
-      long startedIn = session.number();
-      environment.after(images.fetchMs(task), () -> start(task, startedIn));
+      long startedInSession = session.number();
+      environment.after(images.fetchMs(task), () -> start(task, startedInSession));
     }
   }
 
-  private void start(EmulatedTask task, long startedIn) {
-    if (ended(startedIn) || !task.status.equals("fetching")) {
+  private void start(EmulatedTask task, long startedInSession) {
+    if (hasEnded(startedInSession) || !task.status.equals("fetching")) {
       return;
     }
-    if (condition.hanging()) {
-      condition.defer(() -> start(task, startedIn));
+    if (condition.isHanging()) {
+      condition.defer(() -> start(task, startedInSession));
       return;
     }
     task.status = "running";
-    task.runsSince = environment.now();
+    task.startedAtMs = environment.now();
     cloud.observer().started(worker, task);
-    if (condition.failing()) {
-      environment.after(LEAST_RUN_MS, () -> finish(task, "error", startedIn));
-    } else if (task.mistaken()) {
-      long runMs = Math.max(LEAST_RUN_BEFORE_ERROR_MS, Math.round(1000 * task.amount("guessS")));
-      environment.after(runMs, () -> finish(task, "error", startedIn));
-    } else if (!task.service()) {
-      environment.after(runMs(task), () -> finish(task, "done", startedIn));
+    if (condition.failsTasks()) {
+      environment.after(MIN_RUN_MS, () -> finish(task, "error", startedInSession));
+    } else if (task.failsOnEveryMachine()) {
+      long runMs = Math.max(MIN_RUN_BEFORE_ERROR_MS, Math.round(1000 * task.amount("guessS")));
+      environment.after(runMs, () -> finish(task, "error", startedInSession));
+    } else if (!task.isService()) {
+      environment.after(runMs(task), () -> finish(task, "done", startedInSession));
     }
-    report.run();
+    sendReport.run();
   }
 
   private long runMs(EmulatedTask task) {
-    double ratio = LEAST_RUN_RATIO + RUN_RATIO_RANGE * environment.fraction();
-    double runS = task.guessS() * ratio - cloud.kept(task.key());
-    return Math.max(LEAST_RUN_MS, Math.round(1000 * runS));
+    double ratio = MIN_RUN_RATIO + RUN_RATIO_RANGE * environment.fraction();
+    double runS = task.estimatedRunS() * ratio - cloud.savedRunSeconds(task.key());
+    return Math.max(MIN_RUN_MS, Math.round(1000 * runS));
   }
 
-  private void finish(EmulatedTask task, String cause, long startedIn) {
-    if (ended(startedIn) || !task.onMachine()) {
+  private void finish(EmulatedTask task, String cause, long startedInSession) {
+    if (hasEnded(startedInSession) || !task.isOnMachine()) {
       return;
     }
-    if (condition.hanging()) {
-      condition.defer(() -> finish(task, cause, startedIn));
+    if (condition.isHanging()) {
+      condition.defer(() -> finish(task, cause, startedInSession));
       return;
     }
     if (cause.equals("done")) {
       cloud.observer().completed(task.key());
-      cloud.forget(task.key());
+      cloud.removeSavedRunSeconds(task.key());
     }
     task.exit(cause);
-    environment.after(REPORT_DELAY_MS, report);
+    environment.after(REPORT_DELAY_MS, sendReport);
   }
 
   /** True when what began in that session cannot go on any more. */
-  private boolean ended(long startedIn) {
-    return condition.gone() || startedIn != session.number();
+  private boolean hasEnded(long startedInSession) {
+    return condition.isGone() || startedInSession != session.number();
   }
 }
--- a/src/main/java/dapplestair/emulator/WorkerSession.java
+++ b/src/main/java/dapplestair/emulator/WorkerSession.java
@@ -7,7 +7,7 @@
   private long number = 1;
   private long tick;
   private long token;
-  private long leaseFrom;
+  private long leaseStartMs;
 
   WorkerSession(EmulatorEnvironment environment, long leaseMs) {
     this.environment = environment;
@@ -30,30 +30,30 @@
   }
 
   /** Another report is made. */
-  void nextTick() {
+  void advanceTick() {
     tick++;
   }
 
   /** Takes a token that is not lower than its own; true when it is higher. */
-  boolean accept(long shown) {
-    boolean higher = shown > token;
-    token = shown;
+  boolean acceptToken(long shownToken) {
+    boolean higher = shownToken > token;
+    token = shownToken;
     return higher;
   }
 
   /** The lease begins now. */
   void startLease() {
-    leaseFrom = environment.now();
+    leaseStartMs = environment.now();
   }
 
   /** A report sent at this moment was answered. */
-  void renewLease(long sentAt) {
-    leaseFrom = Math.max(leaseFrom, sentAt);
+  void renewLease(long sentAtMs) {
+    leaseStartMs = Math.max(leaseStartMs, sentAtMs);
   }
 
   /** Milliseconds since it sent the last report that was answered. */
   long leaseAgeMs() {
-    return environment.now() - leaseFrom;
+    return environment.now() - leaseStartMs;
   }
 
   boolean leaseExpired() {
--- a/src/test/java/dapplestair/world/AcceptanceTest.java
+++ b/src/test/java/dapplestair/world/AcceptanceTest.java
@@ -57,14 +57,14 @@
     SimulatedCluster.ControllerNode refused = leads ? leader : w.nodes.get((leader.index + 1) % 3);
     SimulatedUsers.KnownJob cancelled = w.users.array("two", "high", 10, 60);
     w.run(8000);
-    w.state.refuse("node-" + refused.index, true);
+    w.state.setRefused("node-" + refused.index, true);
     // The time in which nobody leads is not what is looked at here.
     w.run(2 * SimulatedCluster.REPORT_MS);
     w.users.cancelAt(cancelled, refused);
     double soon = soonAccepted(w);
     assertTrue(soon >= 0.95, "accepted within a second: " + soon);
     assertTrue(cancelled.aborted, "the cancellation was not confirmed");
-    w.state.refuse("node-" + refused.index, false);
+    w.state.setRefused("node-" + refused.index, false);
     SeededDaysTest.settle(w);
   }
 }
--- a/src/test/java/dapplestair/world/AllControllersUnavailableTest.java
+++ b/src/test/java/dapplestair/world/AllControllersUnavailableTest.java
@@ -97,14 +97,14 @@
       cancelled.forEach(w.users::cancel);
       w.run(cancelledMs);
     }
-    int byLease = w.cloud.killedByLease();
+    int byLease = w.cloud.tasksKilledByLease();
     away(w, how, spreadMs);
     if (cancelledMs < 0) {
       w.run(-cancelledMs);
       cancelled.forEach(w.users::cancel);
     }
     w.run(AWAY_MS + spreadMs);
-    assertTrue(w.cloud.killedByLease() > byLease, "no lease ran out");
+    assertTrue(w.cloud.tasksKilledByLease() > byLease, "no lease ran out");
     w.run(SimulatedCluster.LEASE_MS);
     SeededDaysTest.settle(w);
     assertEquals(3, running(w, jobs.get(jobs.size() - 1)), "replicas of a service not cancelled");
@@ -112,9 +112,9 @@
 
   private static long running(SimulatedCluster w, SimulatedUsers.KnownJob job) {
     return w.cloud.machines().stream()
-        .filter(m -> !m.gone())
+        .filter(m -> !m.isGone())
         .flatMap(m -> m.tasks().stream())
-        .filter(t -> t.onMachine() && t.key().startsWith(job.ref + "/"))
+        .filter(t -> t.isOnMachine() && t.key().startsWith(job.ref + "/"))
         .count();
   }
 }
--- a/src/test/java/dapplestair/world/BurstTest.java
+++ b/src/test/java/dapplestair/world/BurstTest.java
@@ -23,7 +23,7 @@
   }
 
   private static long rented(SimulatedCluster w) {
-    return w.cloud.machines().stream().filter(m -> !m.gone()).count();
+    return w.cloud.machines().stream().filter(m -> !m.isGone()).count();
   }
 
   /** What the cloud has refused is looked for elsewhere at once. */
--- a/src/test/java/dapplestair/world/CalendarTest.java
+++ b/src/test/java/dapplestair/world/CalendarTest.java
@@ -108,12 +108,12 @@
     SimulatedUsers.KnownJob model = model(w);
     deliver(w, COMPLETE - 1);
     assertFalse(model.started, "it did not wait");
-    long before = w.state.putsTo("live/calendar/");
+    long before = w.state.writeCountUnder("live/calendar/");
     deliver(w, 1);
     untilBegun(w, model, STEPS_MS);
     assertEquals("complete", record(w).path("by").asText());
     assertEquals(COMPLETE, record(w).path("delivered").asInt());
-    assertEquals(2, w.state.putsTo("live/calendar/") - before, "a mark and a release");
+    assertEquals(2, w.state.writeCountUnder("live/calendar/") - before, "a mark and a release");
   }
 
   @ParameterizedTest(name = "seed {0}, {1} deliveries: {2}")
@@ -212,8 +212,8 @@
     if (down) {
       w.nodes.forEach(n -> n.crash(CUT_OFF_MS + 2000));
     } else {
-      w.state.fail();
-      w.sim.after(CUT_OFF_MS + 2000, w.state::recover);
+      w.state.beginOutage();
+      w.sim.after(CUT_OFF_MS + 2000, w.state::endOutage);
     }
     w.run(CUT_OFF_MS);
     assertFalse(model.started, "nobody could have started it");
--- a/src/test/java/dapplestair/world/CancellationLatency.java
+++ b/src/test/java/dapplestair/world/CancellationLatency.java
@@ -22,7 +22,7 @@
         "the leader is refused, then all",
         seeds,
         CancellationOutageTest::refuse,
-        d -> d.w.state.fail());
+        d -> d.w.state.beginOutage());
     measure(
         "the same, links between controllers refused",
         seeds,
@@ -30,7 +30,7 @@
           CancellationOutageTest.refuse(d);
           d.links("refused", true);
         },
-        d -> d.w.state.fail());
+        d -> d.w.state.beginOutage());
     measure(
         "the same, who confirmed ends at once",
         seeds,
@@ -39,7 +39,7 @@
           d.links("refused", true);
         },
         d -> {
-          d.w.state.fail();
+          d.w.state.beginOutage();
           d.second.crash(800);
         });
     measure(
@@ -48,7 +48,7 @@
         d ->
             d.w.cloud.machines().stream()
                 .filter(m -> d.w.sim.chance(0.1))
-                .forEach(m -> m.deafen(SimulatedCluster.LEASE_MS)),
+                .forEach(m -> m.cutInbound(SimulatedCluster.LEASE_MS)),
         d -> {});
   }
 
--- a/src/test/java/dapplestair/world/CancellationOutageTest.java
+++ b/src/test/java/dapplestair/world/CancellationOutageTest.java
@@ -65,9 +65,9 @@
 
     long running(SimulatedUsers.KnownJob job) {
       return w.cloud.machines().stream()
-          .filter(m -> !m.gone())
+          .filter(m -> !m.isGone())
           .flatMap(m -> m.tasks().stream())
-          .filter(t -> t.onMachine() && t.key().startsWith(job.ref + "/"))
+          .filter(t -> t.isOnMachine() && t.key().startsWith(job.ref + "/"))
           .count();
     }
 
@@ -79,7 +79,7 @@
     void troubleEverySecond(MachineFault fault, long ms) {
       List<EmulatedWorker> machines =
           w.cloud.machines().stream()
-              .filter(m -> !m.gone() && m.tasks().stream().anyMatch(this::toBeCancelled))
+              .filter(m -> !m.isGone() && m.tasks().stream().anyMatch(this::toBeCancelled))
               .toList();
       assertTrue(machines.size() > 1, "hardly a machine runs what is to be cancelled");
       for (int i = 0; i < machines.size(); i += 2) {
@@ -88,14 +88,14 @@
     }
 
     private boolean toBeCancelled(EmulatedTask t) {
-      return t.onMachine() && cancelled.stream().anyMatch(j -> t.key().startsWith(j.ref + "/"));
+      return t.isOnMachine() && cancelled.stream().anyMatch(j -> t.key().startsWith(j.ref + "/"));
     }
 
     /** A part of all machines hang past their lease, with what runs on them. */
     void stallEveryThird() {
       int i = 0;
       for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
-        if (!m.gone() && i++ % 3 == 0) {
+        if (!m.isGone() && i++ % 3 == 0) {
           m.stall(SimulatedCluster.CANCEL_MS * 3 / 2);
         }
       }
@@ -143,13 +143,13 @@
 
     /** The outage, for twice as long as cancelled work may live; then all calms down. */
     void outage(Consumer<Day> meanwhile) {
-      w.state.fail();
+      w.state.beginOutage();
       meanwhile.accept(this);
       w.run(SimulatedCluster.CANCEL_MS);
       assertEquals(0, running(cancelled), "cancelled tasks");
       w.run(SimulatedCluster.CANCEL_MS);
-      w.state.refuse("node-" + old.index, false);
-      w.state.recover();
+      w.state.setRefused("node-" + old.index, false);
+      w.state.endOutage();
       healLinks();
       // What was lost with a lease begins again, a gang as a whole.
       w.run(160_000);
@@ -159,7 +159,7 @@
   }
 
   static void refuse(Day d) {
-    d.w.state.refuse("node-" + d.old.index, true);
+    d.w.state.setRefused("node-" + d.old.index, true);
     d.w.run(200);
   }
 
@@ -251,7 +251,7 @@
     Day d = new Day(seed);
     refuse(d);
     d.cancel(d.second);
-    d.w.state.fail();
+    d.w.state.beginOutage();
     d.w.run(SimulatedCluster.REPORT_MS);
     assertEquals(0, d.running(d.cancelled), "cancelled tasks");
   }
@@ -264,7 +264,7 @@
     refuse(d);
     d.links(links, true);
     d.cancel(d.second);
-    d.w.state.fail();
+    d.w.state.beginOutage();
     d.w.run(SimulatedCluster.CANCEL_MS / 2);
     assertEquals(0, d.running(d.cancelled), "cancelled tasks");
   }
@@ -285,7 +285,7 @@
   void launchesInFlight(long seed, long arriveMs, String links) {
     Day d = new Day(seed);
     List<String> machines =
-        d.w.cloud.machines().stream().filter(m -> !m.gone()).map(m -> m.endpoint()).toList();
+        d.w.cloud.machines().stream().filter(m -> !m.isGone()).map(m -> m.endpoint()).toList();
     machines.forEach(m -> d.w.net.cut("node-" + d.old.index, m, true));
     // As many as a follower's puts take in the time; the others are cancelled in the end.
     List<SimulatedUsers.KnownJob> later = List.copyOf(d.cancelled);
@@ -313,11 +313,11 @@
     d.cancel(d.second);
     int i = 0;
     for (EmulatedWorker m : d.w.cloud.machines()) {
-      if (!m.gone() && m.tasks().stream().anyMatch(EmulatedTask::onMachine) && i++ % 2 == 0) {
+      if (!m.isGone() && m.tasks().stream().anyMatch(EmulatedTask::isOnMachine) && i++ % 2 == 0) {
         if (how.equals("hang") || how.equals("both") && i % 4 == 1) {
           m.hang(SimulatedCluster.LEASE_MS * 9 / 10);
         } else {
-          m.deafen(SimulatedCluster.LEASE_MS * 9 / 10);
+          m.cutInbound(SimulatedCluster.LEASE_MS * 9 / 10);
         }
       }
     }
@@ -353,21 +353,21 @@
   @CsvSource({"8071,false", "8072,true", "8073,true"})
   void aCommonOutageCostsNothing(long seed, boolean refused) {
     Day d = new Day(seed);
-    int byLease = d.w.cloud.killedByLease();
-    int byRelease = d.w.cloud.killedByRelease();
+    int byLease = d.w.cloud.tasksKilledByLease();
+    int byRelease = d.w.cloud.tasksKilledByRelease();
     if (refused) {
       refuse(d);
       d.cancel(d.second);
     }
     List<SimulatedUsers.KnownJob> others = refused ? d.kept : d.cancelled;
     long before = d.running(others);
-    d.w.state.fail();
+    d.w.state.beginOutage();
     d.w.run(2 * SimulatedCluster.CANCEL_MS);
     assertEquals(before, d.running(others), "tasks of other jobs");
-    assertEquals(byLease, d.w.cloud.killedByLease(), "tasks killed by the end of a lease");
-    assertEquals(byRelease, d.w.cloud.killedByRelease(), "tasks killed by returns");
-    d.w.state.refuse("node-" + d.old.index, false);
-    d.w.state.recover();
+    assertEquals(byLease, d.w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
+    assertEquals(byRelease, d.w.cloud.tasksKilledByRelease(), "tasks killed by returns");
+    d.w.state.setRefused("node-" + d.old.index, false);
+    d.w.state.endOutage();
     SeededDaysTest.settle(d.w);
   }
 
@@ -376,12 +376,12 @@
   @ValueSource(longs = {8081, 8082})
   void whoHearsNobodyLetsGo(long seed) {
     Day d = new Day(seed);
-    d.w.state.fail();
+    d.w.state.beginOutage();
     new RandomFaults(d.w).alone(d.old, false, 2 * SimulatedCluster.CANCEL_MS);
     new RandomFaults(d.w).alone(d.second, false, 2 * SimulatedCluster.CANCEL_MS);
     d.w.run(SimulatedCluster.CANCEL_MS * 11 / 10);
     assertEquals(0, d.running(d.cancelled) + d.running(d.kept), "tasks on kept leases");
-    d.w.state.recover();
+    d.w.state.endOutage();
     d.w.run(SimulatedCluster.CANCEL_MS);
     SeededDaysTest.settle(d.w);
   }
--- a/src/test/java/dapplestair/world/DisruptionTest.java
+++ b/src/test/java/dapplestair/world/DisruptionTest.java
@@ -61,16 +61,18 @@
     int n = 0;
     for (EmulatedWorker m : w.cloud.machines()) {
       n +=
-          m.gone() ? 0 : (int) m.tasks().stream().filter(t -> t.onMachine() && t.service()).count();
+          m.isGone()
+              ? 0
+              : (int) m.tasks().stream().filter(t -> t.isOnMachine() && t.isService()).count();
     }
     return n;
   }
 
   static long tasksIn(SimulatedCluster w, String zone) {
     return w.cloud.machines().stream()
-        .filter(m -> !m.gone() && m.zone().equals(zone))
+        .filter(m -> !m.isGone() && m.zone().equals(zone))
         .flatMap(m -> m.tasks().stream())
-        .filter(EmulatedTask::onMachine)
+        .filter(EmulatedTask::isOnMachine)
         .count();
   }
 
@@ -120,7 +122,7 @@
       }
       List<EmulatedWorker> some =
           w.cloud.machines().stream()
-              .filter(m -> !m.gone() && m.tasks().stream().anyMatch(EmulatedTask::service))
+              .filter(m -> !m.isGone() && m.tasks().stream().anyMatch(EmulatedTask::isService))
               .filter(m -> w.sim.chance(0.5))
               .limit(seed % 2 == 0 ? 1 : 100)
               .toList();
@@ -180,9 +182,9 @@
     assertTrue(w.checker.mostStopped.getOrDefault("one", 0) == 0, "a replica of one was stopped");
     long left =
         w.cloud.machines().stream()
-            .filter(m -> !m.gone() && m.zone().equals("c"))
+            .filter(m -> !m.isGone() && m.zone().equals("c"))
             .flatMap(m -> m.tasks().stream())
-            .filter(t -> t.onMachine() && t.service())
+            .filter(t -> t.isOnMachine() && t.isService())
             .count();
     assertTrue(left > 0, "no replica of one was in the zone");
     boolean said = false;
@@ -214,17 +216,17 @@
                     .put("basin", "a")
                     .put("loaners", false));
     w.run(20_000);
-    w.cloud.setCapacity(0);
+    w.cloud.setCapacityShare(0);
     List.copyOf(w.cloud.machines()).stream()
         .filter(m -> m.tasks().stream().anyMatch(t -> t.key().startsWith(lost.ref + "/")))
-        .forEach(EmulatedWorker::end);
+        .forEach(EmulatedWorker::powerOff);
     w.run(4 * SimulatedCluster.REPORT_MS);
     w.checker.mostStopped.clear();
     OperatorsTest.order(w, "/v1/zones/c/drain", Json.object());
     w.run(40_000);
     assertEquals(0, w.checker.mostStopped.getOrDefault("one", 0), "drained on top of a loss");
     assertTrue(w.checker.mostStopped.getOrDefault("two", 0) > 0, "the other team does not move");
-    w.cloud.setCapacity(1);
+    w.cloud.setCapacityShare(1);
     w.run(90_000);
     assertEquals(2 * REPLICAS + 3, replicas(w), "replicas in the end");
     assertEquals(0, tasksIn(w, "c"), "tasks left in the zone");
--- a/src/test/java/dapplestair/world/DrainTest.java
+++ b/src/test/java/dapplestair/world/DrainTest.java
@@ -16,9 +16,9 @@
 class DrainTest {
   static long running(SimulatedCluster w, SimulatedUsers.KnownJob job) {
     return w.cloud.machines().stream()
-        .filter(m -> !m.gone())
+        .filter(m -> !m.isGone())
         .flatMap(m -> m.tasks().stream())
-        .filter(t -> t.onMachine() && t.key().startsWith(job.ref + "/"))
+        .filter(t -> t.isOnMachine() && t.key().startsWith(job.ref + "/"))
         .count();
   }
 
@@ -78,9 +78,9 @@
     assertEquals("cooling", drains.path("rows").path(0).path("why").asText());
     long arrays =
         w.cloud.machines().stream()
-            .filter(m -> !m.gone() && m.zone().equals("b"))
+            .filter(m -> !m.isGone() && m.zone().equals("b"))
             .flatMap(m -> m.tasks().stream())
-            .filter(t -> t.onMachine() && !w.users.told.get(ref(t)).service)
+            .filter(t -> t.isOnMachine() && !w.users.told.get(ref(t)).service)
             .count();
     assertEquals(0, arrays, "arrays are left in the zone");
     OperatorsTest.order(w, "/v1/zones/b/undrain", null);
@@ -98,20 +98,23 @@
     w.users.array("one", "standard", 24, 4);
     w.run(25_000);
     EmulatedWorker m =
-        w.cloud.machines().stream().filter(x -> x.booted() && !x.gone()).findFirst().orElseThrow();
+        w.cloud.machines().stream()
+            .filter(x -> x.hasBooted() && !x.isGone())
+            .findFirst()
+            .orElseThrow();
     OperatorsTest.order(w, "/v1/machines/" + m.id() + "/drain", Json.object());
     w.run(10_000);
     long[] started = {0};
-    w.also = () -> started[0] += m.tasks().stream().filter(EmulatedTask::onMachine).count();
+    w.also = () -> started[0] += m.tasks().stream().filter(EmulatedTask::isOnMachine).count();
     for (int i = 0; i < 6; i++) {
       w.users.array("one", "standard", 24, 4);
       w.run(20_000);
     }
     assertEquals(0, started[0], "something ran on a drained machine");
-    assertTrue(!m.gone(), "a drained machine was returned");
+    assertTrue(!m.isGone(), "a drained machine was returned");
     OperatorsTest.order(w, "/v1/machines/" + m.id() + "/drain", Json.object().put("return", true));
     w.run(90_000);
-    assertTrue(m.gone(), "a machine drained with return is still rented");
+    assertTrue(m.isGone(), "a machine drained with return is still rented");
     assertTrue(w.state.keys("live/drain/").isEmpty(), "the record of a machine that is gone stays");
   }
 
--- a/src/test/java/dapplestair/world/FailingJobsTest.java
+++ b/src/test/java/dapplestair/world/FailingJobsTest.java
@@ -146,12 +146,16 @@
     SimulatedCluster w = begun(seed);
     List<EmulatedWorker> up =
         w.cloud.machines().stream()
-            .filter(m -> m.booted() && !m.gone() && m.tasks().stream().noneMatch(t -> t.service()))
+            .filter(
+                m ->
+                    m.hasBooted()
+                        && !m.isGone()
+                        && m.tasks().stream().noneMatch(t -> t.isService()))
             .toList();
     Set<String> sick = new HashSet<>();
     for (int i = 0; i < 3; i++) {
       EmulatedWorker m = up.get((int) w.sim.between(0, up.size() - 1));
-      m.sicken();
+      m.failAllTasks();
       sick.add(m.id());
     }
     Map<String, Integer> before = Map.copyOf(w.checker.startsOn);
@@ -175,7 +179,8 @@
     emptied.removeAll(sick);
     assertEquals(Set.of(), emptied, "healthy machines emptied");
     good.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
-    long left = w.cloud.machines().stream().filter(m -> sick.contains(m.id()) && !m.gone()).count();
+    long left =
+        w.cloud.machines().stream().filter(m -> sick.contains(m.id()) && !m.isGone()).count();
     assertTrue(left <= 1, left + " faulty machines are still there");
   }
 
@@ -184,19 +189,19 @@
   @ValueSource(longs = {2082, 2083, 2084, 2086})
   void aMachineThatFailsReplicas(long seed) {
     SimulatedCluster w = begun(seed);
-    w.cloud.setSick(true);
+    w.cloud.setNewMachinesFailTasks(true);
     w.cloud.machines().stream()
-        .filter(m -> m.tasks().stream().anyMatch(t -> t.service()))
+        .filter(m -> m.tasks().stream().anyMatch(t -> t.isService()))
         .limit(2)
-        .forEach(EmulatedWorker::end);
+        .forEach(EmulatedWorker::powerOff);
     w.run(20_000);
-    w.cloud.setSick(false);
+    w.cloud.setNewMachinesFailTasks(false);
     w.run(60_000);
     long up =
         w.cloud.machines().stream()
-            .filter(m -> !m.gone())
+            .filter(m -> !m.isGone())
             .flatMap(m -> m.tasks().stream())
-            .filter(t -> t.service() && t.onMachine())
+            .filter(t -> t.isService() && t.isOnMachine())
             .count();
     assertEquals(18, up, "replicas");
   }
@@ -287,10 +292,10 @@
     SimulatedCluster w = begun(seed);
     EmulatedWorker sick =
         w.cloud.machines().stream()
-            .filter(m -> m.booted() && !m.gone() && m.tasks().isEmpty())
+            .filter(m -> m.hasBooted() && !m.isGone() && m.tasks().isEmpty())
             .findFirst()
             .orElseThrow();
-    sick.sicken();
+    sick.failAllTasks();
     String id = sick.id();
     int before = w.checker.startsOn.getOrDefault(id, 0);
     w.cloud.setDown(true);
--- a/src/test/java/dapplestair/world/FailureDetectionTimes.java
+++ b/src/test/java/dapplestair/world/FailureDetectionTimes.java
@@ -122,7 +122,7 @@
     world.users.quiet = true;
     world.users.service("one", 3);
     world.run(20_000);
-    int before = world.state.puts();
+    int before = world.state.writeCount();
     for (int i = 0; i < singles; i++) {
       world.sim.after(i * 130L, () -> guest(world, 1, 20));
     }
@@ -146,7 +146,7 @@
         world.users.told.values().stream().filter(j -> j.team.equals("guest") && j.done).count();
     print(
         "guests: %s; %d puts beside %d arrays, %d guests done; arrays' first task"
-            .formatted(what, world.state.puts() - before, others, done),
+            .formatted(what, world.state.writeCount() - before, others, done),
         waits);
   }
 
@@ -170,13 +170,13 @@
     SimulatedCluster world = begun(17, new SimulatedCluster.Size(260, 12_000, 3_600_000, 1), 7200);
     world.run(60_000);
     List<EmulatedWorker> up = new ArrayList<>();
-    world.cloud.machines().stream().filter(m -> m.booted() && !m.gone()).forEach(up::add);
+    world.cloud.machines().stream().filter(m -> m.hasBooted() && !m.isGone()).forEach(up::add);
     int before = replicas(world);
     Set<Integer> chosen = new HashSet<>();
     while (chosen.size() < Math.min(lost, up.size())) {
       chosen.add((int) world.sim.between(0, up.size() - 1));
     }
-    chosen.forEach(i -> world.sim.after(world.sim.between(0, 1000), () -> up.get(i).end()));
+    chosen.forEach(i -> world.sim.after(world.sim.between(0, 1000), () -> up.get(i).powerOff()));
     long at = world.sim.now();
     world.run(1000);
     int missing = before - replicas(world);
@@ -198,7 +198,7 @@
   private static int replicas(SimulatedCluster world) {
     int n = 0;
     for (EmulatedWorker m : world.cloud.machines()) {
-      if (!m.gone()) {
+      if (!m.isGone()) {
         n += (int) m.tasks().stream().filter(FailureDetectionTimes::up).count();
       }
     }
@@ -206,6 +206,6 @@
   }
 
   private static boolean up(EmulatedTask t) {
-    return t.service() && t.status().equals("running");
+    return t.isService() && t.status().equals("running");
   }
 }
--- a/src/test/java/dapplestair/world/FaultCombinationTest.java
+++ b/src/test/java/dapplestair/world/FaultCombinationTest.java
@@ -57,7 +57,7 @@
         w.run(w.sim.between(8000, 40_000));
       }
       w.run(RandomFaults.LONGEST_MS);
-      w.state.recover();
+      w.state.endOutage();
       SeededDaysTest.settle(w);
     } catch (AssertionError e) {
       throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
@@ -83,18 +83,18 @@
       case 3 -> faults.alone(leader, w.sim.chance(0.5), ms);
       case 4 -> {
         // It alone is refused, and then all of them are, for longer than cancelled work may live.
-        w.state.refuse(name, true);
-        w.sim.after(w.sim.between(200, 4000), w.state::fail);
+        w.state.setRefused(name, true);
+        w.sim.after(w.sim.between(200, 4000), w.state::beginOutage);
         long out = w.sim.chance(0.3) ? SimulatedCluster.CANCEL_MS * 5 / 4 : ms;
-        w.sim.after(4000 + out, w.state::recover);
-        w.sim.after(w.sim.between(2000, 4000 + out), () -> w.state.refuse(name, false));
+        w.sim.after(4000 + out, w.state::endOutage);
+        w.sim.after(w.sim.between(2000, 4000 + out), () -> w.state.setRefused(name, false));
       }
       case 5 -> leader.freeze(ms);
       case 6 -> {
         // It ends while machines with tasks can't be reached by anybody, or don't hear.
         for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
           if (w.sim.chance(0.3)) {
-            m.deafen(ms);
+            m.cutInbound(ms);
           } else if (w.sim.chance(0.2)) {
             m.hang(Math.min(ms, SimulatedCluster.LEASE_MS * 9 / 10));
           }
--- a/src/test/java/dapplestair/world/ForgottenMachinesTest.java
+++ b/src/test/java/dapplestair/world/ForgottenMachinesTest.java
@@ -18,7 +18,7 @@
 
   private static SimulatedCluster allEndInAnOutage(long seed) {
     SimulatedCluster w = new CancellationOutageTest.Day(seed).w;
-    w.state.fail();
+    w.state.beginOutage();
     w.nodes.forEach(n -> n.crash(1000));
     return w;
   }
@@ -30,7 +30,7 @@
   }
 
   private static void calmDown(SimulatedCluster w) {
-    w.state.recover();
+    w.state.endOutage();
     w.run(90_000);
     SeededDaysTest.settle(w);
   }
@@ -66,7 +66,7 @@
     SimulatedCluster w = d.w;
     int i = 0;
     for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
-      if (!m.gone() && i++ % 4 != 0) {
+      if (!m.isGone() && i++ % 4 != 0) {
         m.stall(LONG_MS);
       }
     }
@@ -89,12 +89,12 @@
     assertTrue(d.running(job) > 0, "it does not run");
     w.users.cancelAt(job, d.old);
     for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
-      if (!m.gone() && m.tasks().stream().anyMatch(t -> t.key().startsWith(job.ref + "/"))) {
+      if (!m.isGone() && m.tasks().stream().anyMatch(t -> t.key().startsWith(job.ref + "/"))) {
         m.stall(LONG_MS);
       }
     }
     w.run(500);
-    w.state.fail();
+    w.state.beginOutage();
     w.run(endMs);
     w.nodes.forEach(n -> n.crash(1000));
     outlast(w);
@@ -120,8 +120,8 @@
     long before = held(w);
     int i = 0;
     for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
-      if (!m.gone() && i++ % 4 != 0) {
-        m.mute(SimulatedCluster.LEASE_MS / 4);
+      if (!m.isGone() && i++ % 4 != 0) {
+        m.cutOutbound(SimulatedCluster.LEASE_MS / 4);
       }
     }
     w.run(SimulatedCluster.LEASE_MS);
@@ -138,7 +138,7 @@
     SimulatedCluster w = d.w;
     SimulatedCluster.ControllerNode inside = w.nodes.get(1);
     String zone = inside.settings.zone();
-    w.state.fail();
+    w.state.beginOutage();
     w.cutZone(zone, false, LONG_MS);
     w.nodes.stream().filter(n -> n != inside).forEach(n -> n.crash(1000));
     long before = held(w, zone);
@@ -149,10 +149,10 @@
   }
 
   private static long held(SimulatedCluster w) {
-    return w.cloud.machines().stream().filter(m -> !m.gone()).count();
+    return w.cloud.machines().stream().filter(m -> !m.isGone()).count();
   }
 
   private static long held(SimulatedCluster w, String zone) {
-    return w.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals(zone)).count();
+    return w.cloud.machines().stream().filter(m -> !m.isGone() && m.zone().equals(zone)).count();
   }
 }
--- a/src/test/java/dapplestair/world/FullMachineTest.java
+++ b/src/test/java/dapplestair/world/FullMachineTest.java
@@ -27,7 +27,7 @@
   @ValueSource(longs = {16101, 16102, 16103})
   void aStartRefusedAsFullIsNotRepeatedWithoutPause(long seed) {
     SimulatedCluster w = begun(seed);
-    w.cloud.machines().forEach(m -> m.crowd(CROWDED_MS));
+    w.cloud.machines().forEach(m -> m.occupy(CROWDED_MS));
     SimulatedUsers.KnownJob service = w.users.service("two", 3);
     SimulatedUsers.KnownJob array = w.users.array("two", "high", 12, 5);
     w.run(CROWDED_MS);
@@ -42,7 +42,7 @@
   void workGoesElsewhereAndTheMachineComesBackIntoUse(long seed) {
     SimulatedCluster w = begun(seed);
     EmulatedWorker crowded = w.cloud.machines().iterator().next();
-    crowded.crowd(CROWDED_MS);
+    crowded.occupy(CROWDED_MS);
     SimulatedUsers.KnownJob first = w.users.array("two", "high", 24, 5);
     w.run(CROWDED_MS);
     assertTrue(first.done, "the work of the crowded machine is not done elsewhere");
@@ -52,7 +52,7 @@
         w.users.array("two", "high", (int) (w.size.teamLimit() / 2), 20);
     w.run(BEGIN_MS);
     int after = w.checker.startsOn.getOrDefault(crowded.id(), 0);
-    assertTrue(crowded.gone() || after > before, "it got no work again");
+    assertTrue(crowded.isGone() || after > before, "it got no work again");
     SeededDaysTest.settle(w);
     assertTrue(second.done, "the second array is not done");
   }
--- a/src/test/java/dapplestair/world/GangTest.java
+++ b/src/test/java/dapplestair/world/GangTest.java
@@ -21,12 +21,12 @@
 
   private static List<EmulatedWorker> machinesOf(SimulatedCluster w, SimulatedUsers.KnownJob gang) {
     return w.cloud.machines().stream()
-        .filter(m -> !m.gone() && m.tasks().stream().anyMatch(t -> member(gang, t)))
+        .filter(m -> !m.isGone() && m.tasks().stream().anyMatch(t -> member(gang, t)))
         .toList();
   }
 
   private static boolean member(SimulatedUsers.KnownJob gang, EmulatedTask task) {
-    return task.onMachine() && task.key().startsWith(gang.ref + "/");
+    return task.isOnMachine() && task.key().startsWith(gang.ref + "/");
   }
 
   private static long running(SimulatedCluster w, SimulatedUsers.KnownJob gang) {
@@ -63,7 +63,7 @@
     SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
-    w.cloud.setCapacity(0.25);
+    w.cloud.setCapacityShare(0.25);
     w.run(5000);
     w.users.array("two", "low", 60, 3);
     SimulatedUsers.KnownJob gang =
@@ -81,7 +81,7 @@
     w.run(30_000);
     assertEquals(MEMBERS, running(w, gang), "the gang does not run");
     if (how.equals("lost")) {
-      machinesOf(w, gang).get(0).end();
+      machinesOf(w, gang).get(0).powerOff();
     } else {
       // Replicas that take all steady room, and what the gang has of it.
       w.users.changed(
--- a/src/test/java/dapplestair/world/GuaranteeTest.java
+++ b/src/test/java/dapplestair/world/GuaranteeTest.java
@@ -12,9 +12,9 @@
 
   private static long running(SimulatedCluster world, SimulatedUsers.KnownJob job) {
     return world.cloud.machines().stream()
-        .filter(m -> !m.gone())
+        .filter(m -> !m.isGone())
         .flatMap(m -> m.tasks().stream())
-        .filter(t -> t.onMachine() && t.key().startsWith(job.ref + "/"))
+        .filter(t -> t.isOnMachine() && t.key().startsWith(job.ref + "/"))
         .count();
   }
 
--- a/src/test/java/dapplestair/world/HandoverTest.java
+++ b/src/test/java/dapplestair/world/HandoverTest.java
@@ -92,9 +92,9 @@
       w.run(1);
     }
     w.run(ms);
-    w.state.fail();
+    w.state.beginOutage();
     w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
-    w.state.recover();
+    w.state.endOutage();
     w.run(90_000);
     SeededDaysTest.settle(w);
   }
--- a/src/test/java/dapplestair/world/IdleCapacity.java
+++ b/src/test/java/dapplestair/world/IdleCapacity.java
@@ -31,7 +31,8 @@
   /** Free CPUs, memory and accelerators of one machine. */
   private record Room(List<Double> free) {
     static Room of(EmulatedWorker machine) {
-      return new Room(EmulatorSettings.MachineSpec.FIELDS.stream().map(machine::free).toList());
+      return new Room(
+          EmulatorSettings.MachineSpec.FIELDS.stream().map(machine::freeAmount).toList());
     }
 
     Room least(Room other) {
@@ -98,10 +99,11 @@
   /** The room of each machine that was free in all of the last samples. */
   private Map<EmulatedWorker, Room> idle() {
     Map<EmulatedWorker, Room> out = new HashMap<>();
-    samples.keySet().removeIf(EmulatedWorker::gone);
+    samples.keySet().removeIf(EmulatedWorker::isGone);
     for (EmulatedWorker machine : world.cloud.machines()) {
       Deque<Room> of = samples.computeIfAbsent(machine, m -> new ArrayDeque<>());
-      if (!machine.fit() || machine.unansweredMs() > 2 * SimulatedCluster.REPORT_MS) {
+      if (!machine.canCompleteTasks()
+          || machine.sinceAnsweredReportMs() > 2 * SimulatedCluster.REPORT_MS) {
         of.clear();
         continue;
       }
@@ -119,7 +121,7 @@
     for (EmulatedWorker machine : world.cloud.machines()) {
       for (EmulatedTask task : machine.tasks()) {
         SimulatedUsers.KnownJob job = world.users.told.get(InvariantChecker.ref(task.key()));
-        if (machine.gone() || task.status().equals("exited")) {
+        if (machine.isGone() || task.status().equals("exited")) {
           continue;
         }
         out.tasks.add(task.key());
@@ -190,7 +192,7 @@
     boolean others = there.keySet().stream().anyMatch(z -> !z.equals(machine.zone()));
     return job.body.path("basin").asText(machine.zone()).equals(machine.zone())
         && job.allowsType(machine.type())
-        && (job.body.path("loaners").asBoolean() || !machine.spot())
+        && (job.body.path("loaners").asBoolean() || !machine.isSpot())
         && !(job.body.path("together").asBoolean() && others);
   }
 }
--- a/src/test/java/dapplestair/world/ImageLocationsTest.java
+++ b/src/test/java/dapplestair/world/ImageLocationsTest.java
@@ -69,8 +69,8 @@
   void wrongHintsCostAFetch(long seed) {
     SimulatedCluster w = begun(seed);
     List.copyOf(w.cloud.machines()).stream()
-        .filter(m -> !m.gone() && !m.spot() && w.sim.chance(0.5))
-        .forEach(EmulatedWorker::end);
+        .filter(m -> !m.isGone() && !m.isSpot() && w.sim.chance(0.5))
+        .forEach(EmulatedWorker::powerOff);
     w.nodes.forEach(n -> n.crash(1500));
     w.run(6000);
     assertTrue(firstStartMs(w) < 20_000, "it does not start");
@@ -82,9 +82,9 @@
   void putsAreFew(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
-    long before = w.state.putsTo("live/weights/");
+    long before = w.state.writeCountUnder("live/weights/");
     w.run(180_000);
-    long puts = w.state.putsTo("live/weights/") - before;
+    long puts = w.state.writeCountUnder("live/weights/") - before;
     assertTrue(puts > 0 && puts <= 180_000 / (2 * SimulatedCluster.REPORT_MS), puts + " puts");
     SeededDaysTest.settle(w);
   }
--- a/src/test/java/dapplestair/world/InboundCutTest.java
+++ b/src/test/java/dapplestair/world/InboundCutTest.java
@@ -36,15 +36,16 @@
   }
 
   private static long live(EmulatedWorker m) {
-    return m.tasks().stream().filter(EmulatedTask::onMachine).count();
+    return m.tasks().stream().filter(EmulatedTask::isOnMachine).count();
   }
 
   /** The machine with most replicas. */
   private static EmulatedWorker withReplicas(SimulatedCluster w) {
     return w.cloud.machines().stream()
-        .filter(m -> !m.gone())
+        .filter(m -> !m.isGone())
         .max(
-            Comparator.comparingLong(m -> m.tasks().stream().filter(EmulatedTask::service).count()))
+            Comparator.comparingLong(
+                m -> m.tasks().stream().filter(EmulatedTask::isService).count()))
         .orElseThrow();
   }
 
@@ -61,7 +62,7 @@
     SimulatedCluster w = begun(seed);
     EmulatedWorker deaf = withReplicas(w);
     assertTrue(live(deaf) > 0, "nothing runs there");
-    deaf.deafen(3 * SimulatedCluster.LEASE_MS);
+    deaf.cutInbound(3 * SimulatedCluster.LEASE_MS);
     w.users.array("two", "standard", 60, 15);
     w.run(2 * SimulatedCluster.REPORT_MS);
     int before = w.checker.startsOn.getOrDefault(deaf.id(), 0);
@@ -72,7 +73,7 @@
         before, w.checker.startsOn.getOrDefault(deaf.id(), 0), "starts where nothing arrives");
     w.run(SimulatedCluster.REPORT_MS);
     assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas a lease later");
-    assertTrue(deaf.gone(), "it is still paid for, though it stays deaf");
+    assertTrue(deaf.isGone(), "it is still paid for, though it stays deaf");
   }
 
   /** Deaf for a moment: nothing is lost, and it is used again. */
@@ -81,11 +82,12 @@
   void aMomentCostsNothing(long seed) {
     SimulatedCluster w = begun(seed);
     EmulatedWorker deaf = withReplicas(w);
-    deaf.deafen(SimulatedCluster.REPORT_MS);
+    deaf.cutInbound(SimulatedCluster.REPORT_MS);
     w.run(SimulatedCluster.LEASE_MS);
     assertTrue(
-        !deaf.gone() && deaf.unansweredMs() < 2 * SimulatedCluster.REPORT_MS, "it was given up");
-    assertEquals(0, w.cloud.killedByLease(), "tasks killed by the end of a lease");
+        !deaf.isGone() && deaf.sinceAnsweredReportMs() < 2 * SimulatedCluster.REPORT_MS,
+        "it was given up");
+    assertEquals(0, w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
   }
 
   /** A whole zone: decided once, as one that is silent, and not machine by machine. */
@@ -94,12 +96,12 @@
   void aDeafZoneIsASilentOne(long seed, String who, int second) {
     SimulatedCluster w = begun(seed);
     List<EmulatedWorker> zone =
-        w.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals("c")).toList();
-    zone.forEach(m -> m.deafen(SimulatedCluster.LEASE_MS * 2 / 3));
+        w.cloud.machines().stream().filter(m -> !m.isGone() && m.zone().equals("c")).toList();
+    zone.forEach(m -> m.cutInbound(SimulatedCluster.LEASE_MS * 2 / 3));
     w.run(1000L * second);
     end(w, who);
     w.run(SimulatedCluster.LEASE_MS * 2 / 3 - 1000L * second);
-    assertEquals(0, zone.stream().filter(EmulatedWorker::gone).count(), "returned one by one");
+    assertEquals(0, zone.stream().filter(EmulatedWorker::isGone).count(), "returned one by one");
     w.run(SimulatedCluster.LEASE_MS);
     assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas once it hears again");
     SeededDaysTest.settle(w);
@@ -114,10 +116,10 @@
   void aDeafZoneIsDecidedOnce(long seed) {
     SimulatedCluster w = begun(seed);
     List<EmulatedWorker> zone =
-        w.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals("c")).toList();
-    zone.forEach(m -> m.deafen(4 * SimulatedCluster.LEASE_MS));
+        w.cloud.machines().stream().filter(m -> !m.isGone() && m.zone().equals("c")).toList();
+    zone.forEach(m -> m.cutInbound(4 * SimulatedCluster.LEASE_MS));
     w.run(SimulatedCluster.LEASE_MS * 9 / 10);
-    assertEquals(0, zone.stream().filter(EmulatedWorker::gone).count(), "returned one by one");
+    assertEquals(0, zone.stream().filter(EmulatedWorker::isGone).count(), "returned one by one");
     assertEquals("CUT", w.state.value("live/zone/c").path("state").asText());
     w.run(SimulatedCluster.LEASE_MS * 3 / 2);
     assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas without the zone");
@@ -136,8 +138,8 @@
       if (w.leader() != null && i % 2 == 0) {
         w.leader().crash(w.sim.between(100, 5000));
       } else if (!w.cloud.machines().isEmpty()) {
-        List<EmulatedWorker> up = w.cloud.machines().stream().filter(m -> !m.gone()).toList();
-        up.get((int) w.sim.between(0, up.size() - 1)).end();
+        List<EmulatedWorker> up = w.cloud.machines().stream().filter(m -> !m.isGone()).toList();
+        up.get((int) w.sim.between(0, up.size() - 1)).powerOff();
       }
     }
     SeededDaysTest.settle(w);
@@ -152,7 +154,7 @@
     w.net.copyLateMs = 2 * SimulatedCluster.LEASE_MS;
     w.run(SimulatedCluster.LEASE_MS);
     w.net.copied = 0;
-    w.cloud.machines().stream().filter(m -> m.zone().equals("c")).forEach(EmulatedWorker::end);
+    w.cloud.machines().stream().filter(m -> m.zone().equals("c")).forEach(EmulatedWorker::powerOff);
     w.run(3000);
     w.leader().crash(2000);
     // As without copies: silence is judged after two reports, and the cloud needs its time.
--- a/src/test/java/dapplestair/world/InvariantChecker.java
+++ b/src/test/java/dapplestair/world/InvariantChecker.java
@@ -104,7 +104,7 @@
     int copies = 0;
     for (EmulatedWorker m : world.cloud.machines()) {
       for (EmulatedTask t : m.tasks()) {
-        if (m.gone() || !t.onMachine()) {
+        if (m.isGone() || !t.isOnMachine()) {
           continue;
         }
         SimulatedUsers.KnownJob other = world.users.told.get(ref(t.key()));
@@ -132,7 +132,7 @@
     if (!job.allowsType(w.type())) {
       broken("wrong_place: " + task.key() + " on a machine of type " + w.type());
     }
-    if (w.spot() && !job.body.path("loaners").asBoolean()) {
+    if (w.isSpot() && !job.body.path("loaners").asBoolean()) {
       broken("wrong_place: " + task.key() + " on a spot machine");
     }
     if (job.body.path("apart").asBoolean() && perZone.get(w.zone()) > (job.steps + 1) / 2) {
@@ -153,7 +153,7 @@
   public void resumed(EmulatedWorker w) {
     for (EmulatedTask t : w.tasks()) {
       SimulatedUsers.KnownJob job = world.users.told.get(ref(t.key()));
-      if (!w.gone() && t.onMachine() && job.aborted) {
+      if (!w.isGone() && t.isOnMachine() && job.aborted) {
         resumedAfterCancellation++;
         lateAfterCancellation(job, t, "goes on after " + w.id() + " hung");
       }
@@ -177,7 +177,7 @@
   private void gone(SimulatedUsers.KnownJob job) {
     for (EmulatedWorker m : world.cloud.machines()) {
       for (EmulatedTask t : m.tasks()) {
-        if (!m.gone() && t.onMachine() && ref(t.key()).equals(job.ref)) {
+        if (!m.isGone() && t.isOnMachine() && ref(t.key()).equals(job.ref)) {
           broken("ran_cancelled: " + t.key() + " on " + m.id());
         }
       }
@@ -194,7 +194,7 @@
     job.taskStopped(task.key(), world.sim.now());
     stopsOf.merge(job.jobClass, 1, Integer::sum);
     if (!job.service) {
-      double ranS = task.ranS(world.sim.now());
+      double ranS = task.runTimeS(world.sim.now());
       double every = job.body.path("snapshotEveryS").asDouble();
       thrownAwayCpuS.merge(job.team, job.cpus * (every > 0 ? ranS % every : ranS), Double::sum);
       return;
@@ -229,8 +229,8 @@
 
   /** A machine that nobody has heard for a while is given up, not chosen. */
   @Override
-  public void returned(EmulatedWorker w, EmulatedTask task) {
-    if (w.unansweredMs() < 3 * SimulatedCluster.REPORT_MS / 2) {
+  public void releasedWithTask(EmulatedWorker w, EmulatedTask task) {
+    if (w.sinceAnsweredReportMs() < 3 * SimulatedCluster.REPORT_MS / 2) {
       stopped(w, task);
     }
   }
--- a/src/test/java/dapplestair/world/IsolatedControllerTest.java
+++ b/src/test/java/dapplestair/world/IsolatedControllerTest.java
@@ -42,7 +42,7 @@
     SimulatedCluster w = begun(seed);
     SimulatedCluster.ControllerNode leader = w.leader();
     SimulatedCluster.ControllerNode lone = led > 0 ? leader : w.nodes.get((leader.index + 1) % 3);
-    int killed = w.cloud.killedByLease();
+    int killed = w.cloud.tasksKilledByLease();
     new RandomFaults(w).alone(lone, hold, LONG_MS);
     SimulatedUsers.KnownJob job = w.users.array("one", "high", 20, 5);
     w.run(SimulatedCluster.LEASE_MS / 2);
@@ -52,7 +52,7 @@
     w.run(SimulatedCluster.LEASE_MS);
     assertTrue(lone.beats - beats <= 5, lone.beats - beats + " reports went on coming to it");
     w.run(LONG_MS - SimulatedCluster.LEASE_MS);
-    assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
+    assertEquals(killed, w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
     assertTrue(job.done, "the array is not done");
     SimulatedCluster.ControllerNode leads = w.leader();
     w.run(SimulatedCluster.LEASE_MS);
@@ -70,10 +70,10 @@
     RandomFaults faults = new RandomFaults(w);
     faults.alone(leader, false, LONG_MS);
     faults.alone(w.nodes.get((leader.index + 1) % 3), true, LONG_MS);
-    int killed = w.cloud.killedByLease();
+    int killed = w.cloud.tasksKilledByLease();
     w.run(LONG_MS);
     assertEquals(w.nodes.get((leader.index + 2) % 3), w.leader());
-    assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
+    assertEquals(killed, w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
     SeededDaysTest.settle(w);
   }
 
@@ -82,10 +82,10 @@
   @ValueSource(longs = {6221, 6222})
   void anOutageOfAllIsNone(long seed) {
     SimulatedCluster w = begun(seed);
-    w.state.fail();
+    w.state.beginOutage();
     w.run(SimulatedCluster.LEASE_MS / 2);
     w.nodes.forEach(n -> assertEquals(200, up(w, n), "nobody is left to tell users"));
-    w.state.recover();
+    w.state.endOutage();
     SeededDaysTest.settle(w);
   }
 
@@ -96,7 +96,7 @@
   })
   void backAtOnce(long seed, int atOnce) {
     SimulatedCluster w = begun(seed);
-    int killed = w.cloud.killedByLease();
+    int killed = w.cloud.tasksKilledByLease();
     for (int round = 0; round < 4; round++) {
       for (int twice = 0; twice < 2; twice++) {
         int first = w.leader() == null ? 0 : w.leader().index;
@@ -116,7 +116,7 @@
       }
       w.run(4000);
     }
-    assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
+    assertEquals(killed, w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
     SeededDaysTest.settle(w);
   }
 }
--- a/src/test/java/dapplestair/world/LaneTest.java
+++ b/src/test/java/dapplestair/world/LaneTest.java
@@ -43,7 +43,7 @@
     w.operatorSettings =
         OperatorSettings.defaults().withLanes(lane == null ? List.of() : List.of(lane));
     w.nodes.forEach(n -> n.crash(500));
-    w.cloud.setCapacity(0.25);
+    w.cloud.setCapacityShare(0.25);
     w.run(10_000);
     // Batches fill all there is, three times over, and each runs for long.
     for (int i = 0; i < 12; i++) {
@@ -65,10 +65,10 @@
     double free = 0;
     for (EmulatedWorker m : w.cloud.machines()) {
       free +=
-          m.gone() || !m.booted()
+          m.isGone() || !m.hasBooted()
               ? 0
               : SimulatedCluster.CPUS
-                  - 2 * m.tasks().stream().filter(EmulatedTask::onMachine).count();
+                  - 2 * m.tasks().stream().filter(EmulatedTask::isOnMachine).count();
     }
     return free;
   }
@@ -105,7 +105,7 @@
   void ridersDoNotWait(long seed, double saveS) {
     SimulatedCluster w = begun(seed, GATE, saveS);
     int before = stopped(w);
-    long laneBefore = w.state.putsTo("live/lane/");
+    long laneBefore = w.state.writeCountUnder("live/lane/");
     List<SimulatedUsers.KnownJob> riders = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       riders.add(rider(w, 6));
@@ -113,8 +113,8 @@
     untilBegun(w, riders, LANE_MS + STEPS_MS);
     assertTrue(stopped(w) - before <= 24, stopped(w) - before + " stops for 24 riders of one size");
     assertTrue(
-        w.state.putsTo("live/lane/") - laneBefore <= 6,
-        w.state.putsTo("live/lane/") - laneBefore + " puts for the claims of four riders");
+        w.state.writeCountUnder("live/lane/") - laneBefore <= 6,
+        w.state.writeCountUnder("live/lane/") - laneBefore + " puts for the claims of four riders");
     w.run(20_000);
     riders.forEach(r -> assertTrue(r.done, r.ref + " is not done"));
     assertEquals(null, claims(w), "a claim outlives its rider");
@@ -133,7 +133,7 @@
           3,
           b -> b.put("jobclass", "settle").put("snapshotEveryS", 1.0).put("snapshotS", 0.9));
     }
-    w.cloud.machines().stream().limit(8).forEach(m -> w.sim.after(0, m::end));
+    w.cloud.machines().stream().limit(8).forEach(m -> w.sim.after(0, m::powerOff));
     w.run(25_000);
     SimulatedUsers.KnownJob rider =
         w.users.changed(
@@ -206,9 +206,9 @@
         for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
           if (m.id().equals(c.path("host").asText())) {
             switch (n++ % 3) {
-              case 0 -> m.end();
+              case 0 -> m.powerOff();
               case 1 -> m.hang(SimulatedCluster.LEASE_MS / 2);
-              default -> m.deafen(SimulatedCluster.LEASE_MS);
+              default -> m.cutInbound(SimulatedCluster.LEASE_MS);
             }
           }
         }
@@ -236,7 +236,7 @@
     w.users.quiet = true;
     w.operatorSettings = OperatorSettings.defaults().withLanes(List.of(lane));
     w.nodes.forEach(n -> n.crash(500));
-    w.cloud.setCapacity(0.25);
+    w.cloud.setCapacityShare(0.25);
     w.run(10_000);
     for (int i = 0; i < 12; i++) {
       w.users.changed(
--- a/src/test/java/dapplestair/world/LargeClusterDaysTest.java
+++ b/src/test/java/dapplestair/world/LargeClusterDaysTest.java
@@ -26,8 +26,8 @@
       world.cutOff(follower, m -> m.zone().equals(zone), false, 20_000);
       world.run(5000);
       for (EmulatedWorker m : world.cloud.machines()) {
-        if (m.spot() && world.sim.chance(0.3)) {
-          m.recall(0);
+        if (m.isSpot() && world.sim.chance(0.3)) {
+          m.reclaim(0);
         }
       }
       world.run(5000);
@@ -56,7 +56,7 @@
     SimulatedCluster world = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN);
     world.net.loss = 0;
     world.run(60_000);
-    double perStart = world.state.puts() / (double) world.checker.started;
+    double perStart = world.state.writeCount() / (double) world.checker.started;
     assertTrue(world.checker.started > 3000, "only " + world.checker.started + " tasks started");
     assertTrue(perStart < MOST_PUTS_PER_START, perStart + " puts per start");
   }
--- a/src/test/java/dapplestair/world/LargestJobsTest.java
+++ b/src/test/java/dapplestair/world/LargestJobsTest.java
@@ -25,7 +25,7 @@
     SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     w.net.loss = 0;
     w.users.quiet = true;
-    w.cloud.setCapacity(0.25);
+    w.cloud.setCapacityShare(0.25);
     for (int i = 0; i < 4; i++) {
       w.users.service("two", 3);
     }
@@ -122,10 +122,10 @@
     overload(w, 3, 2, 300_000);
     w.run(20_000);
     long outageMs = 55_000;
-    w.state.fail();
+    w.state.beginOutage();
     SimulatedUsers.KnownJob large = large(w).get(0);
     w.run(outageMs);
-    w.state.recover();
+    w.state.endOutage();
     w.run(InvariantChecker.BEGIN_MS - outageMs);
     begunInTime(w, List.of(large));
     // Three fifths of the bound and what it takes to begin, but no outage on top.
@@ -161,7 +161,7 @@
     w.nodes.forEach(n -> n.crash(500));
     w.net.loss = 0;
     w.users.quiet = true;
-    w.cloud.setCapacity(0.25);
+    w.cloud.setCapacityShare(0.25);
     w.run(20_000);
     overload(w, 3, 2, 280_000);
     w.run(20_000);
--- a/src/test/java/dapplestair/world/LatencyReport.java
+++ b/src/test/java/dapplestair/world/LatencyReport.java
@@ -50,7 +50,7 @@
     w.users.quiet = true;
     w.operatorSettings = operatorSettings;
     w.nodes.forEach(n -> n.crash(500));
-    w.cloud.setCapacity(0.25);
+    w.cloud.setCapacityShare(0.25);
     w.run(20_000);
     return w;
   }
--- a/src/test/java/dapplestair/world/LeaderChange.java
+++ b/src/test/java/dapplestair/world/LeaderChange.java
@@ -59,8 +59,8 @@
     @Override
     void happen(SimulatedCluster w, SimulatedCluster.ControllerNode leader) {
       String name = "node-" + leader.index;
-      w.state.refuse(name, true);
-      w.sim.after(8000, () -> w.state.refuse(name, false));
+      w.state.setRefused(name, true);
+      w.sim.after(8000, () -> w.state.setRefused(name, false));
     }
   };
 
--- a/src/test/java/dapplestair/world/LeadsAgainTest.java
+++ b/src/test/java/dapplestair/world/LeadsAgainTest.java
@@ -18,8 +18,8 @@
       SimulatedCluster w, SimulatedCluster.ControllerNode leader, boolean othersRefused) {
     for (SimulatedCluster.ControllerNode node : w.nodes) {
       if (node != leader && othersRefused) {
-        w.state.refuse("node-" + node.index, true);
-        w.sim.after(REFUSED_MS, () -> w.state.refuse("node-" + node.index, false));
+        w.state.setRefused("node-" + node.index, true);
+        w.sim.after(REFUSED_MS, () -> w.state.setRefused("node-" + node.index, false));
       }
     }
     LeaderChange.loseKey(w);
@@ -36,9 +36,9 @@
       SimulatedCluster.ControllerNode before = w.leader();
       if (before != null) {
         if (outageMs > 0) {
-          w.state.fail();
+          w.state.beginOutage();
           w.run(outageMs);
-          w.state.recover();
+          w.state.endOutage();
           w.run(w.sim.between(0, 40));
         }
         loseLead(w, before, w.sim.chance(0.8));
--- a/src/test/java/dapplestair/world/LeaseResponsesTest.java
+++ b/src/test/java/dapplestair/world/LeaseResponsesTest.java
@@ -102,7 +102,7 @@
   /** A machine that runs tasks to be cancelled as well as others. */
   private static Reporter mixed(CancellationOutageTest.Day d) {
     return d.w.cloud.machines().stream()
-        .filter(m -> !m.gone() && m.booted())
+        .filter(m -> !m.isGone() && m.hasBooted())
         .map(Reporter::new)
         .filter(r -> !of(d.cancelled, r.tasks()).isEmpty() && !of(d.kept, r.tasks()).isEmpty())
         .findFirst()
@@ -114,7 +114,7 @@
     Reporter r = mixed(d);
     CancellationOutageTest.refuse(d);
     d.cancel(d.second);
-    d.w.state.fail();
+    d.w.state.beginOutage();
     // Its own reports must not meet those of the test, and who asks here is told here once more.
     d.w.net.cut(SimulatedCluster.client(d.third.index), r.machine.endpoint(), false);
     d.w.net.cut(SimulatedCluster.client(d.third.index), "users", false);
@@ -212,7 +212,7 @@
       }
     }
     String text = records;
-    return d.w.cloud.machines().stream().filter(m -> !m.gone() && text.contains(m.id())).toList();
+    return d.w.cloud.machines().stream().filter(m -> !m.isGone() && text.contains(m.id())).toList();
   }
 
   /**
@@ -235,7 +235,7 @@
     d.w.users.cancelAt(job, d.second);
     waitUntil(d, () -> job.aborted);
     d.second.crash(3 * SimulatedCluster.CANCEL_MS);
-    d.w.state.fail();
+    d.w.state.beginOutage();
     d.w.run(LAUNCH_MS);
     assertEquals(0, job.starts, "the launches wait");
     refusing[0] = false;
--- a/src/test/java/dapplestair/world/LostResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostResponsesTest.java
@@ -157,7 +157,7 @@
     }
     if (put == Put.RENTAL_ENDED) {
       // Their records go with the last of their machines.
-      w.sim.after(FOR_MS / 4, () -> w.cloud.machines().forEach(EmulatedWorker::end));
+      w.sim.after(FOR_MS / 4, () -> w.cloud.machines().forEach(EmulatedWorker::powerOff));
     }
     w.run(FOR_MS);
     w.net.commits.lostAnswers = 0;
--- a/src/test/java/dapplestair/world/MachineFault.java
+++ b/src/test/java/dapplestair/world/MachineFault.java
@@ -36,7 +36,7 @@
   DEAF {
     @Override
     void happen(SimulatedCluster w, EmulatedWorker m, long ms) {
-      m.deafen(ms);
+      m.cutInbound(ms);
     }
   },
   /** It hangs and goes on within its lease. */
--- a/src/test/java/dapplestair/world/ManyLeadersTest.java
+++ b/src/test/java/dapplestair/world/ManyLeadersTest.java
@@ -48,8 +48,8 @@
     f.cancel();
     for (int i = 0; i < CHANGES; i++) {
       if (i == outRound) {
-        w.state.fail();
-        w.sim.after(outMs, w.state::recover);
+        w.state.beginOutage();
+        w.sim.after(outMs, w.state::endOutage);
       }
       w.run(w.sim.between(0, 400));
       LeaderChange way = ways[(int) (seed + i) % ways.length];
@@ -95,7 +95,7 @@
       assertTrue(d.running(d.cancelled) > 12, "hardly a job of one task runs");
     }
     for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
-      if (!m.gone() && m.zone().equals(zone)) {
+      if (!m.isGone() && m.zone().equals(zone)) {
         m.stall(SimulatedCluster.CANCEL_MS * 3 / 2);
       }
     }
@@ -117,7 +117,7 @@
     d.w.run(500);
     d.cancel(d.old);
     assertTrue(d.running(d.cancelled) > 0, "everything stops at once");
-    d.w.state.fail();
+    d.w.state.beginOutage();
     return d;
   }
 
@@ -129,7 +129,7 @@
     SimulatedCluster w = d.w;
     w.sim.after(endsMs, () -> d.old.crash(4000));
     w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
-    w.state.recover();
+    w.state.endOutage();
     w.run(90_000);
     SeededDaysTest.settle(w);
   }
@@ -142,7 +142,7 @@
     SimulatedCluster w = d.w;
     w.nodes.forEach(n -> w.sim.after(endMs, () -> n.crash(1000)));
     w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
-    w.state.recover();
+    w.state.endOutage();
     w.run(90_000);
     SeededDaysTest.settle(w);
   }
@@ -170,8 +170,8 @@
     SimulatedCluster w = d.w;
     d.cancelled.forEach(w.users::cancel);
     w.run(w.sim.between(50, 400));
-    w.state.fail();
-    w.sim.after(outMs, w.state::recover);
+    w.state.beginOutage();
+    w.sim.after(outMs, w.state::endOutage);
     for (int i = 0; i < CHANGES; i++) {
       SimulatedCluster.ControllerNode node = w.nodes.get((d.old.index + i) % 3);
       w.sim.after(i * outMs / CHANGES, () -> node.crash(backMs));
--- a/src/test/java/dapplestair/world/NoGuaranteeTest.java
+++ b/src/test/java/dapplestair/world/NoGuaranteeTest.java
@@ -44,11 +44,11 @@
   @ValueSource(longs = {4001, 4003, 4004})
   void aSwarmSharesPuts(long seed) {
     SimulatedCluster w = begun(seed);
-    long before = w.state.puts();
+    long before = w.state.writeCount();
     List<SimulatedUsers.KnownJob> swarm = swarm(w, 300, 130, 20);
     w.run(300 * 130 + 40_000);
     swarm.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
-    double each = (w.state.puts() - before) / 300.0;
+    double each = (w.state.writeCount() - before) / 300.0;
     assertTrue(each <= MOST_PUTS_PER_SINGLE, each + " puts for each job");
     assertEquals(List.of(), w.state.keys("live/sheet/"), "launch batches once all is over");
     w.checker.checkServed();
@@ -101,12 +101,14 @@
     SimulatedCluster w = begun(seed);
     List<SimulatedUsers.KnownJob> swarm = swarm(w, 150, 130, 25);
     w.run(20_000);
-    w.cloud.machines().stream().filter(m -> m.booted() && w.sim.chance(0.4)).forEach(m -> m.end());
+    w.cloud.machines().stream()
+        .filter(m -> m.hasBooted() && w.sim.chance(0.4))
+        .forEach(m -> m.powerOff());
     w.run(2000);
     w.leader().crash(2500);
     w.run(4000);
     w.cloud.machines().stream()
-        .filter(m -> m.booted() && w.sim.chance(0.4))
+        .filter(m -> m.hasBooted() && w.sim.chance(0.4))
         .forEach(m -> m.hang(SimulatedCluster.LEASE_MS + 2000));
     w.run(120_000);
     swarm.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
--- a/src/test/java/dapplestair/world/OperatorsTest.java
+++ b/src/test/java/dapplestair/world/OperatorsTest.java
@@ -226,7 +226,7 @@
     w.users.array("one", "standard", 4, 5);
     w.run(30_000);
     w.checker.checkServed();
-    w.cloud.setCapacity(0);
+    w.cloud.setCapacityShare(0);
     w.users.array("two", "standard", 8, 500);
     w.run(30_000);
     AssertionError failed = assertThrows(AssertionError.class, w.checker::checkServed);
--- a/src/test/java/dapplestair/world/OutboundCutTest.java
+++ b/src/test/java/dapplestair/world/OutboundCutTest.java
@@ -28,14 +28,15 @@
 
   private static EmulatedWorker busiest(SimulatedCluster w) {
     return w.cloud.machines().stream()
-        .filter(m -> !m.gone())
+        .filter(m -> !m.isGone())
         .max(
-            Comparator.comparingLong(m -> m.tasks().stream().filter(EmulatedTask::service).count()))
+            Comparator.comparingLong(
+                m -> m.tasks().stream().filter(EmulatedTask::isService).count()))
         .orElseThrow();
   }
 
   private static List<EmulatedWorker> inZone(SimulatedCluster w, String zone) {
-    return w.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals(zone)).toList();
+    return w.cloud.machines().stream().filter(m -> !m.isGone() && m.zone().equals(zone)).toList();
   }
 
   private static int starts(SimulatedCluster w, EmulatedWorker m) {
@@ -51,7 +52,7 @@
   void oneMachine(long seed, int second) {
     SimulatedCluster w = begun(seed);
     EmulatedWorker mute = busiest(w);
-    mute.mute(4 * SimulatedCluster.LEASE_MS);
+    mute.cutOutbound(4 * SimulatedCluster.LEASE_MS);
     // A cancelled job's tasks end there like anywhere: commands reach it.
     w.users.told.values().stream()
         .filter(t -> mute.tasks().stream().anyMatch(k -> k.key().startsWith(t.ref + "/")))
@@ -65,7 +66,7 @@
     int before = starts(w, mute);
     w.run(SimulatedCluster.LEASE_MS);
     assertEquals(before, starts(w, mute), "starts on a machine that does not report");
-    assertTrue(mute.gone(), "it is still paid for, though nothing can last there");
+    assertTrue(mute.isGone(), "it is still paid for, though nothing can last there");
     w.run(SimulatedCluster.REPORT_MS);
     assertEquals(REPLICAS - 3, DisruptionTest.replicas(w), "replicas but the cancelled ones");
   }
@@ -78,7 +79,7 @@
     int i = 0;
     for (EmulatedWorker m : w.cloud.machines()) {
       if (i++ % 2 == 0) {
-        m.mute(4 * SimulatedCluster.LEASE_MS);
+        m.cutOutbound(4 * SimulatedCluster.LEASE_MS);
       }
     }
     w.run(SimulatedCluster.LEASE_MS + 2 * SimulatedCluster.REPORT_MS);
@@ -92,11 +93,11 @@
   void aMomentCostsNothing(long seed) {
     SimulatedCluster w = begun(seed);
     EmulatedWorker mute = busiest(w);
-    int killed = w.cloud.killedByLease();
-    mute.mute(SimulatedCluster.LEASE_MS / 3);
+    int killed = w.cloud.tasksKilledByLease();
+    mute.cutOutbound(SimulatedCluster.LEASE_MS / 3);
     w.run(2 * SimulatedCluster.LEASE_MS);
-    assertTrue(!mute.gone(), "it was given up");
-    assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
+    assertTrue(!mute.isGone(), "it was given up");
+    assertEquals(killed, w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
   }
 
   /** A zone: decided once, as one that is silent; nothing is rented there again and again. */
@@ -104,17 +105,17 @@
   @CsvSource({"5221,-1", "5222,3", "5223,12"})
   void aZone(long seed, int second) {
     SimulatedCluster w = begun(seed);
-    int killed = w.cloud.killedByRelease();
+    int killed = w.cloud.tasksKilledByRelease();
     for (long at = 0; at < 4 * SimulatedCluster.LEASE_MS; at += 200) {
       // Machines that come up there meanwhile are mute as well, before they can report: none boots
       // within this time.
-      w.sim.after(at, () -> inZone(w, "c").forEach(m -> m.mute(3000)));
+      w.sim.after(at, () -> inZone(w, "c").forEach(m -> m.cutOutbound(3000)));
     }
     if (second >= 0) {
       w.sim.after(1000L * second, () -> w.leader().crash(2000));
     }
     w.run(SimulatedCluster.LEASE_MS * 9 / 10);
-    assertEquals(killed, w.cloud.killedByRelease(), "tasks lost with machines one by one");
+    assertEquals(killed, w.cloud.tasksKilledByRelease(), "tasks lost with machines one by one");
     if (second < 0) {
       assertEquals("CUT", w.state.value("live/zone/c").path("state").asText());
     }
@@ -135,14 +136,14 @@
     SimulatedCluster w = begun(seed);
     SimulatedCluster.ControllerNode leader = w.leader();
     String client = SimulatedCluster.client(leader.index);
-    int killed = w.cloud.killedByLease();
+    int killed = w.cloud.tasksKilledByLease();
     for (int i = 0; i < 200; i++) {
       w.cloud.machines().forEach(m -> w.net.cutOneWay(m.endpoint(), client));
       w.run(100);
     }
     w.cloud.machines().forEach(m -> w.net.healOneWay(m.endpoint(), client));
     assertNotEquals(leader, w.leader(), "it still leads");
-    assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
+    assertEquals(killed, w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
     SeededDaysTest.settle(w);
   }
 
@@ -160,7 +161,8 @@
       w.net.lateCommands = late;
       for (EmulatedWorker m : w.cloud.machines()) {
         if (w.sim.chance(share)) {
-          m.mute(w.sim.between(SimulatedCluster.LEASE_MS / 2, 3 * SimulatedCluster.LEASE_MS));
+          m.cutOutbound(
+              w.sim.between(SimulatedCluster.LEASE_MS / 2, 3 * SimulatedCluster.LEASE_MS));
         }
       }
       w.run(w.sim.between(2000, 2 * SimulatedCluster.LEASE_MS));
--- a/src/test/java/dapplestair/world/OverloadTest.java
+++ b/src/test/java/dapplestair/world/OverloadTest.java
@@ -52,7 +52,7 @@
     SimulatedCluster w = new SimulatedCluster(seed, LIMITED);
     w.net.loss = 0;
     w.users.quiet = true;
-    w.cloud.setCapacity(0.25);
+    w.cloud.setCapacityShare(0.25);
     w.users.service("one", 3);
     w.users.service("two", 3);
     w.run(20_000);
--- a/src/test/java/dapplestair/world/QuickBootTest.java
+++ b/src/test/java/dapplestair/world/QuickBootTest.java
@@ -37,7 +37,7 @@
   private static SimulatedCluster begun(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(12, 60, 2150, 6));
     w.net.loss = 0;
-    w.cloud.setQuickBoots(1);
+    w.cloud.setQuickBootingShare(1);
     w.run(20_000);
     return w;
   }
@@ -126,10 +126,10 @@
   void aRentalOnRecordTooLateIsNoMachine(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed);
     w.net.loss = 0;
-    w.cloud.setQuickBoots(1);
+    w.cloud.setQuickBootingShare(1);
     w.net.lateWrite = r -> r.puts("live/rental/") && w.sim.now() < 20_000;
     w.run(20_000);
-    assertTrue(w.state.putsTo("live/rental/") > 0, "no record came late");
+    assertTrue(w.state.writeCountUnder("live/rental/") > 0, "no record came late");
     w.run(40_000);
     List<String> open =
         w.state.keys("live/rental/").stream().filter(k -> !w.state.value(k).has("hosts")).toList();
--- a/src/test/java/dapplestair/world/RandomFaults.java
+++ b/src/test/java/dapplestair/world/RandomFaults.java
@@ -29,7 +29,7 @@
   }
 
   private EmulatedWorker someMachine() {
-    List<EmulatedWorker> all = w.cloud.machines().stream().filter(m -> !m.gone()).toList();
+    List<EmulatedWorker> all = w.cloud.machines().stream().filter(m -> !m.isGone()).toList();
     return all.isEmpty() ? null : all.get((int) w.sim.between(0, all.size() - 1));
   }
 
@@ -49,7 +49,7 @@
         double share = w.sim.chance(0.2) ? 1 : 0.3;
         for (EmulatedWorker each : w.cloud.machines()) {
           if (w.sim.chance(share)) {
-            each.mute(ms);
+            each.cutOutbound(ms);
           }
         }
       }
@@ -58,9 +58,9 @@
         w.sim.after(ms, () -> w.net.lateCommands = 0);
       }
       case 2 -> {
-        w.cloud.setQuickBoots(1);
+        w.cloud.setQuickBootingShare(1);
         w.net.lateWrites = 0.25;
-        w.sim.after(ms, () -> w.cloud.setQuickBoots(0));
+        w.sim.after(ms, () -> w.cloud.setQuickBootingShare(0));
         w.sim.after(ms, () -> w.net.lateWrites = 0);
       }
       default -> {
@@ -83,12 +83,12 @@
       case 0, 1 -> node.crash(w.sim.between(800, 6000));
       case 2 -> w.nodes.forEach(n -> n.crash(w.sim.between(800, 6000)));
       case 3 -> {
-        w.state.fail();
-        w.sim.after(ms, w.state::recover);
+        w.state.beginOutage();
+        w.sim.after(ms, w.state::endOutage);
       }
       case 4 -> {
-        w.state.refuse(name, true);
-        w.sim.after(ms, () -> w.state.refuse(name, false));
+        w.state.setRefused(name, true);
+        w.sim.after(ms, () -> w.state.setRefused(name, false));
       }
       case 5, 6 -> cut(name, "state:1", hold, ms);
       case 7 -> {
@@ -108,7 +108,7 @@
       }
       case 9 -> {
         if (m != null) {
-          m.end();
+          m.powerOff();
         }
       }
       case 10 -> {
@@ -118,20 +118,20 @@
       }
       case 11 -> {
         for (EmulatedWorker each : w.cloud.machines()) {
-          if (each.spot() && w.sim.chance(0.4)) {
-            each.recall(w.sim.chance(0.5) ? 0 : w.sim.between(2000, 15_000));
+          if (each.isSpot() && w.sim.chance(0.4)) {
+            each.reclaim(w.sim.chance(0.5) ? 0 : w.sim.between(2000, 15_000));
           }
         }
       }
       case 12 -> {
         boolean down = w.sim.chance(0.5);
         w.cloud.setDown(down);
-        w.cloud.setCapacity(down ? 1 : 0.25);
+        w.cloud.setCapacityShare(down ? 1 : 0.25);
         w.sim.after(
             ms,
             () -> {
               w.cloud.setDown(false);
-              w.cloud.setCapacity(1);
+              w.cloud.setCapacityShare(1);
             });
       }
       case 14, 15 -> {
@@ -149,7 +149,7 @@
         // Reports arrive; answers and commands don't.
         for (EmulatedWorker each : List.copyOf(w.cloud.machines())) {
           if (each == m || w.sim.chance(0.1)) {
-            each.deafen(ms);
+            each.cutInbound(ms);
           }
         }
       }
@@ -171,7 +171,7 @@
       }
       default -> {
         if (m != null) {
-          m.sicken();
+          m.failAllTasks();
         }
         cut(name, "cloud:1", hold, ms);
       }
--- a/src/test/java/dapplestair/world/RefusedThenOutageTest.java
+++ b/src/test/java/dapplestair/world/RefusedThenOutageTest.java
@@ -63,17 +63,17 @@
     CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     SimulatedCluster w = d.w;
     long at = w.sim.now() + 100;
-    w.sim.after(100, () -> w.state.refuse("node-" + d.old.index, true));
+    w.sim.after(100, () -> w.state.setRefused("node-" + d.old.index, true));
     w.sim.after(100 + Math.max(0, askedMs), () -> d.links(links, true));
     w.sim.after(100 + askedMs, () -> cancel(d, asked));
     w.run(at + outMs - w.sim.now());
     if (asked != Asked.LEADER && askedMs <= 700) {
       assertTrue(d.cancelled.stream().anyMatch(t -> t.aborted), "nothing is confirmed in time");
     }
-    w.state.fail();
+    w.state.beginOutage();
     w.run(2 * SimulatedCluster.CANCEL_MS);
-    w.state.refuse("node-" + d.old.index, false);
-    w.state.recover();
+    w.state.setRefused("node-" + d.old.index, false);
+    w.state.endOutage();
     d.healLinks();
     d.cancelled.forEach(w.users::cancel);
     w.run(160_000);
--- a/src/test/java/dapplestair/world/RelayTest.java
+++ b/src/test/java/dapplestair/world/RelayTest.java
@@ -47,7 +47,7 @@
     Map<String, String> living() {
       Map<String, String> out = new HashMap<>();
       for (EmulatedWorker m : w.cloud.machines()) {
-        if (!m.gone() && reportsTo.containsKey(m.endpoint())) {
+        if (!m.isGone() && reportsTo.containsKey(m.endpoint())) {
           out.put(m.endpoint(), reportsTo.get(m.endpoint()));
         }
       }
@@ -89,7 +89,7 @@
     SimulatedUsers.KnownJob array = d.w.users.array("one", "high", 30, 5);
     d.w.run(30_000);
     assertTrue(array.done, "an array is not done");
-    assertEquals(0, d.w.cloud.killedByLease(), "tasks killed by the end of a lease");
+    assertEquals(0, d.w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
     SeededDaysTest.settle(d.w);
   }
 
@@ -100,7 +100,7 @@
     Day d = new Day(seed);
     SimulatedCluster.ControllerNode leader = d.w.leader();
     Map<String, String> before = d.living();
-    int lost = d.w.cloud.killedByLease() + d.w.cloud.killedByRelease();
+    int lost = d.w.cloud.tasksKilledByLease() + d.w.cloud.tasksKilledByRelease();
     leader.crash(backAfterMs);
     d.w.run(2 * SimulatedCluster.REPORT_MS);
     Map<String, String> after = d.living();
@@ -111,7 +111,8 @@
           }
         });
     d.w.run(SimulatedCluster.LEASE_MS);
-    assertEquals(lost, d.w.cloud.killedByLease() + d.w.cloud.killedByRelease(), "tasks killed");
+    assertEquals(
+        lost, d.w.cloud.tasksKilledByLease() + d.w.cloud.tasksKilledByRelease(), "tasks killed");
     SeededDaysTest.settle(d.w);
   }
 
@@ -129,7 +130,7 @@
   void aRelayInTroubleCostsNoTask(long seed, String trouble) {
     Day d = new Day(seed);
     SimulatedCluster.ControllerNode relay = d.follower();
-    int lost = d.w.cloud.killedByLease() + d.w.cloud.killedByRelease();
+    int lost = d.w.cloud.tasksKilledByLease() + d.w.cloud.tasksKilledByRelease();
     long ms = 2 * SimulatedCluster.LEASE_MS;
     switch (trouble) {
       case "ends" -> relay.crash(ms);
@@ -158,7 +159,8 @@
     }
     SimulatedUsers.KnownJob array = d.w.users.array("one", "high", 20, 5);
     d.w.run(ms);
-    assertEquals(lost, d.w.cloud.killedByLease() + d.w.cloud.killedByRelease(), "tasks killed");
+    assertEquals(
+        lost, d.w.cloud.tasksKilledByLease() + d.w.cloud.tasksKilledByRelease(), "tasks killed");
     assertTrue(array.done, "an array is not done meanwhile");
     d.w.run(SETTLED_MS);
     assertTrue(trouble.contains("leader") || d.at(relay) > 0, "nobody reports to it again");
--- a/src/test/java/dapplestair/world/ReplacementCosts.java
+++ b/src/test/java/dapplestair/world/ReplacementCosts.java
@@ -62,7 +62,8 @@
   /** Processor time of one scrape of the metrics, which looks at all attempts several times. */
   private static void look(int perPlace, int services) {
     SimulatedCluster w = begun(new Way(0.05, 0.1, true), perPlace, services);
-    int attempts = w.cloud.machines().stream().mapToInt(m -> m.gone() ? 0 : m.tasks().size()).sum();
+    int attempts =
+        w.cloud.machines().stream().mapToInt(m -> m.isGone() ? 0 : m.tasks().size()).sum();
     Histogram micros = new Histogram(60_000_000, 3);
     for (int i = 0; i < 400; i++) {
       w.run(50);
@@ -121,7 +122,7 @@
   private static String play(Way way, int perPlace, int services) {
     SimulatedCluster w = begun(way, perPlace, services);
     Set<String> old = ReplacementTest.machines(w);
-    long puts = w.state.puts();
+    long puts = w.state.writeCount();
     double thrown = thrown(w);
     if (way.step == 0) {
       for (String zone : SimulatedCluster.ZONES) {
@@ -169,9 +170,9 @@
       worst = Math.max(worst, inWindow / (30.0 * wanted));
       left = 0;
       for (EmulatedWorker m : w.cloud.machines()) {
-        if (!m.gone()) {
+        if (!m.isGone()) {
           left += old.contains(m.id()) ? 1 : 0;
-          money += (m.spot() ? SPOT : STEADY) * SAMPLE_MS / 3_600_000.0;
+          money += (m.isSpot() ? SPOT : STEADY) * SAMPLE_MS / 3_600_000.0;
         }
       }
     }
@@ -187,7 +188,7 @@
         1 - worst,
         thrown(w) - thrown,
         money,
-        w.state.puts() - puts);
+        w.state.writeCount() - puts);
   }
 
   private static double thrown(SimulatedCluster w) {
@@ -197,9 +198,9 @@
   private static int running(SimulatedCluster w) {
     int n = 0;
     for (EmulatedWorker m : w.cloud.machines()) {
-      if (!m.gone()) {
+      if (!m.isGone()) {
         for (EmulatedTask t : m.tasks()) {
-          n += t.onMachine() && t.service() ? 1 : 0;
+          n += t.isOnMachine() && t.isService() ? 1 : 0;
         }
       }
     }
--- a/src/test/java/dapplestair/world/ReplacementFault.java
+++ b/src/test/java/dapplestair/world/ReplacementFault.java
@@ -26,7 +26,7 @@
   OLD_DIES {
     @Override
     void strike(SimulatedCluster w) {
-      batch(w).stream().limit(1).forEach(EmulatedWorker::end);
+      batch(w).stream().limit(1).forEach(EmulatedWorker::powerOff);
     }
   },
   OLD_HANGS {
@@ -52,18 +52,18 @@
   OLD_IS_TAKEN {
     @Override
     void strike(SimulatedCluster w) {
-      batch(w).stream().limit(1).forEach(m -> m.recall(w.sim.between(1000, 9000)));
+      batch(w).stream().limit(1).forEach(m -> m.reclaim(w.sim.between(1000, 9000)));
     }
   },
   TAKER_DIES_WHILE_IT_FETCHES {
     @Override
     void strike(SimulatedCluster w) {
       w.cloud.machines().stream()
-          .filter(m -> !m.gone())
+          .filter(m -> !m.isGone())
           .filter(m -> m.tasks().stream().anyMatch(t -> t.status().equals("fetching")))
           .limit(1)
           .toList()
-          .forEach(EmulatedWorker::end);
+          .forEach(EmulatedWorker::powerOff);
     }
   },
   ANSWERS_ARE_LOST {
@@ -80,7 +80,7 @@
   NEW_ONES_SELDOM_BOOT {
     @Override
     void strike(SimulatedCluster w) {
-      w.cloud.setNeverBoots(w.sim.chance(0.5) ? 0.5 : 0);
+      w.cloud.setNeverBootingShare(w.sim.chance(0.5) ? 0.5 : 0);
     }
   },
   CLOUD_IS_OUT {
@@ -88,20 +88,20 @@
     void strike(SimulatedCluster w) {
       boolean down = w.sim.chance(0.5);
       w.cloud.setDown(down);
-      w.cloud.setCapacity(down ? 1 : 0.4);
+      w.cloud.setCapacityShare(down ? 1 : 0.4);
       w.sim.after(
           12_000,
           () -> {
             w.cloud.setDown(false);
-            w.cloud.setCapacity(1);
+            w.cloud.setCapacityShare(1);
           });
     }
   },
   STATE_IS_OUT {
     @Override
     void strike(SimulatedCluster w) {
-      w.state.fail();
-      w.sim.after(w.sim.between(2000, 15_000), w.state::recover);
+      w.state.beginOutage();
+      w.sim.after(w.sim.between(2000, 15_000), w.state::endOutage);
     }
   },
   CLOUD_ACTS_LATE {
@@ -140,8 +140,8 @@
     @Override
     void strike(SimulatedCluster w) {
       for (EmulatedWorker m : w.cloud.machines()) {
-        if (m.spot() && w.sim.chance(0.5)) {
-          m.recall(w.sim.chance(0.5) ? 0 : 6000);
+        if (m.isSpot() && w.sim.chance(0.5)) {
+          m.reclaim(w.sim.chance(0.5) ? 0 : 6000);
         }
       }
     }
@@ -167,6 +167,6 @@
             : StreamSupport.stream(order.path("progress").path("batch").spliterator(), false)
                 .map(JsonNode::asText)
                 .collect(Collectors.toSet());
-    return w.cloud.machines().stream().filter(m -> !m.gone() && names.contains(m.id())).toList();
+    return w.cloud.machines().stream().filter(m -> !m.isGone() && names.contains(m.id())).toList();
   }
 }
--- a/src/test/java/dapplestair/world/ReplacementTest.java
+++ b/src/test/java/dapplestair/world/ReplacementTest.java
@@ -22,7 +22,7 @@
 
   static Set<String> machines(SimulatedCluster w) {
     return w.cloud.machines().stream()
-        .filter(m -> !m.gone())
+        .filter(m -> !m.isGone())
         .map(EmulatedWorker::id)
         .collect(Collectors.toSet());
   }
@@ -75,10 +75,10 @@
     Set<String> before = machines(w);
     int replicas = DisruptionTest.replicas(w);
     OperatorsTest.order(w, NIGHT + "/start", all(3, 3));
-    int killed = w.cloud.killedByRelease();
+    int killed = w.cloud.tasksKilledByRelease();
     JsonNode end = untilDone(w, 900_000);
     assertReplaced(w, before, replicas);
-    assertEquals(killed, w.cloud.killedByRelease(), "tasks killed by returning machines");
+    assertEquals(killed, w.cloud.tasksKilledByRelease(), "tasks killed by returning machines");
     assertTrue(end.path("steps").asInt() >= before.size() / 3, end.toString());
   }
 
@@ -96,7 +96,7 @@
           fault.strike(w);
         }
         w.run(10_000);
-        w.cloud.setNeverBoots(0);
+        w.cloud.setNeverBootingShare(0);
         untilDone(w, 900_000);
         int wanted =
             w.users.told.values().stream()
@@ -160,7 +160,7 @@
     SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
     Set<String> before = machines(w);
     int replicas = DisruptionTest.replicas(w);
-    w.cloud.setSick(true);
+    w.cloud.setNewMachinesFailTasks(true);
     OperatorsTest.order(w, NIGHT + "/start", all(4, 4));
     w.users.array("one", "high", 60, 5);
     JsonNode seen = null;
@@ -175,7 +175,7 @@
     w.run(60_000);
     seen = OperatorsTest.answer(w, NIGHT);
     assertEquals("paused", seen.path("state").asText(), "another leader has not forgotten it");
-    w.cloud.setSick(false);
+    w.cloud.setNewMachinesFailTasks(false);
     w.run(30_000);
     OperatorsTest.order(w, NIGHT + "/resume", Json.object());
     untilDone(w, 900_000);
@@ -256,7 +256,7 @@
   }
 
   private static long steady(SimulatedCluster w) {
-    return w.cloud.machines().stream().filter(m -> !m.gone() && !m.spot()).count();
+    return w.cloud.machines().stream().filter(m -> !m.isGone() && !m.isSpot()).count();
   }
 
   /** Aborted half way: what is still old is in use again, and stays. */
--- a/src/test/java/dapplestair/world/SeededDaysTest.java
+++ b/src/test/java/dapplestair/world/SeededDaysTest.java
@@ -40,7 +40,7 @@
       world.nodes.forEach(n -> n.crash(world.sim.between(1000, 6000)));
       world.run(40_000);
     }
-    assertEquals(0, world.cloud.killedByRelease(), "tasks killed by returning their machines");
+    assertEquals(0, world.cloud.tasksKilledByRelease(), "tasks killed by returning their machines");
     assertTrue(world.checker.started > 100, "only " + world.checker.started + " tasks started");
   }
 
@@ -61,7 +61,7 @@
     long tasks =
         world.cloud.machines().stream()
             .filter(m -> m.zone().equals(zone))
-            .mapToLong(m -> m.tasks().stream().filter(EmulatedTask::onMachine).count())
+            .mapToLong(m -> m.tasks().stream().filter(EmulatedTask::isOnMachine).count())
             .sum();
     assertTrue(tasks > 0, "nothing runs in the zone");
     cutOffForLongerThanALease(world);
@@ -82,7 +82,7 @@
     String zone = follower.settings.zone();
     world.cutOff(follower, m -> m.zone().equals(zone), false, SimulatedCluster.LEASE_MS * 4 / 3);
     world.run(2 * SimulatedCluster.LEASE_MS);
-    assertEquals(0, world.cloud.killedByLease(), "tasks killed by the end of a lease");
+    assertEquals(0, world.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
     settle(world);
   }
 
@@ -97,10 +97,11 @@
     world.run(60_000);
     SimulatedCluster.ControllerNode follower = world.nodes.get((world.leader().index + 1) % 3);
     String zone = follower.settings.zone();
-    int before = world.cloud.killedByRelease();
+    int before = world.cloud.tasksKilledByRelease();
     world.cutOff(follower, m -> m.zone().equals(zone), false, SimulatedCluster.LEASE_MS * 2 / 3);
     world.run(SimulatedCluster.LEASE_MS);
-    assertEquals(before, world.cloud.killedByRelease(), "tasks killed by returning their machines");
+    assertEquals(
+        before, world.cloud.tasksKilledByRelease(), "tasks killed by returning their machines");
   }
 
   /**
@@ -115,10 +116,11 @@
     world.run(60_000);
     SimulatedCluster.ControllerNode leader = world.leader();
     String zone = leader.settings.zone();
-    int before = world.cloud.killedByRelease();
+    int before = world.cloud.tasksKilledByRelease();
     world.cutOff(leader, m -> m.zone().equals(zone), true, SimulatedCluster.CANCEL_MS * 15 / 32);
     world.run(SimulatedCluster.CANCEL_MS * 5 / 8);
-    assertEquals(before, world.cloud.killedByRelease(), "tasks killed by returning their machines");
+    assertEquals(
+        before, world.cloud.tasksKilledByRelease(), "tasks killed by returning their machines");
     settle(world);
   }
 
@@ -157,7 +159,7 @@
       world.net.heal("node-" + leader.index, m.endpoint());
       world.net.heal(SimulatedCluster.client(leader.index), m.endpoint());
     }
-    assertEquals(0, world.cloud.killedByLease(), "tasks killed by the end of a lease");
+    assertEquals(0, world.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
     assertNotEquals(leader, world.leader());
     settle(world);
   }
--- a/src/test/java/dapplestair/world/SilenceTest.java
+++ b/src/test/java/dapplestair/world/SilenceTest.java
@@ -43,7 +43,7 @@
   private static int replicas(SimulatedCluster world, Predicate<EmulatedWorker> where) {
     int n = 0;
     for (EmulatedWorker m : world.cloud.machines()) {
-      if (!m.gone() && where.test(m)) {
+      if (!m.isGone() && where.test(m)) {
         n += (int) m.tasks().stream().filter(SilenceTest::replica).count();
       }
     }
@@ -51,7 +51,7 @@
   }
 
   private static boolean replica(EmulatedTask t) {
-    return t.onMachine() && t.status().equals("running") && t.service();
+    return t.isOnMachine() && t.status().equals("running") && t.isService();
   }
 
   /** Seconds times replicas that were missing while this time passed. */
@@ -169,9 +169,9 @@
     SimulatedCluster world = begun(seed);
     world.cutZone(ZONE, true, SimulatedCluster.LEASE_MS * 2 / 3);
     world.run(SimulatedCluster.LEASE_MS / 2);
-    world.state.fail();
+    world.state.beginOutage();
     world.run(SimulatedCluster.LEASE_MS / 2);
-    world.state.recover();
+    world.state.endOutage();
     world.run(1000);
     world.cutZone(ZONE, seed % 2 == 0, SimulatedCluster.LEASE_MS * 4 / 3);
     world.run(SimulatedCluster.LEASE_MS / 2);
@@ -209,8 +209,8 @@
     int stood = 0;
     for (int round = 0; round < 3; round++) {
       for (EmulatedWorker m : List.copyOf(world.cloud.machines())) {
-        if (m.booted() && !m.gone() && world.sim.chance(0.3)) {
-          m.end();
+        if (m.hasBooted() && !m.isGone() && world.sim.chance(0.3)) {
+          m.powerOff();
         }
       }
       for (int i = 0; i < 3000 && world.state.keys("live/sheet/").isEmpty(); i++) {
@@ -252,10 +252,11 @@
   @Test
   void aZoneThatComesBackInTimeKeepsItsMachines() {
     SimulatedCluster world = begun(899);
-    int released = world.cloud.killedByRelease();
+    int released = world.cloud.tasksKilledByRelease();
     world.cutZone(ZONE, false, SimulatedCluster.LEASE_MS / 2);
     world.run(SimulatedCluster.LEASE_MS);
-    assertEquals(0, world.cloud.killedByLease(), "tasks killed by the end of a lease");
-    assertEquals(released, world.cloud.killedByRelease(), "tasks killed by returning machines");
+    assertEquals(0, world.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
+    assertEquals(
+        released, world.cloud.tasksKilledByRelease(), "tasks killed by returning machines");
   }
 }
--- a/src/test/java/dapplestair/world/SilentControllersTest.java
+++ b/src/test/java/dapplestair/world/SilentControllersTest.java
@@ -38,11 +38,11 @@
   private static int replicas(SimulatedCluster w) {
     int n = 0;
     for (EmulatedWorker m : w.cloud.machines()) {
-      if (!m.gone()) {
+      if (!m.isGone()) {
         n +=
             (int)
                 m.tasks().stream()
-                    .filter(t -> t.onMachine() && t.service() && t.status().equals("running"))
+                    .filter(t -> t.isOnMachine() && t.isService() && t.status().equals("running"))
                     .count();
       }
     }
@@ -87,9 +87,9 @@
     still.freeze(LONG_MS);
     w.run(SimulatedCluster.LEASE_MS * 2 / 3);
     assertTrue(w.leader() != null && w.leader() != still, "nobody else leads");
-    int killed = w.cloud.killedByLease();
+    int killed = w.cloud.tasksKilledByLease();
     w.run(LONG_MS);
-    assertEquals(killed, w.cloud.killedByLease(), "tasks killed though another one leads");
+    assertEquals(killed, w.cloud.tasksKilledByLease(), "tasks killed though another one leads");
     untilReplicas(w, 2000, "it woke up");
     settled(w, swarm);
   }
@@ -103,10 +103,10 @@
     w.run(3000);
     Set<String> before = withReplicas(w);
     Set<String> all = up(w);
-    int killed = w.cloud.killedByLease();
+    int killed = w.cloud.tasksKilledByLease();
     w.nodes.forEach(n -> n.freeze(LONG_MS + w.sim.between(0, 2000)));
     w.run(LONG_MS + 2000);
-    assertTrue(w.cloud.killedByLease() >= killed + REPLICAS, "leases have not run out");
+    assertTrue(w.cloud.tasksKilledByLease() >= killed + REPLICAS, "leases have not run out");
     // With room left in one zone alone, which is none for half of a service, it took a lease and
     // more.
     untilReplicas(w, 5000, "the return of all");
@@ -122,14 +122,14 @@
   private static Set<String> withReplicas(SimulatedCluster w) {
     Set<String> out = new HashSet<>();
     w.cloud.machines().stream()
-        .filter(m -> !m.gone() && m.tasks().stream().anyMatch(t -> t.service()))
+        .filter(m -> !m.isGone() && m.tasks().stream().anyMatch(t -> t.isService()))
         .forEach(m -> out.add(m.id()));
     return out;
   }
 
   private static Set<String> up(SimulatedCluster w) {
     Set<String> out = new HashSet<>();
-    w.cloud.machines().stream().filter(m -> !m.gone()).forEach(m -> out.add(m.id()));
+    w.cloud.machines().stream().filter(m -> !m.isGone()).forEach(m -> out.add(m.id()));
     return out;
   }
 
@@ -167,8 +167,8 @@
       case 2 -> w.cutOff(node, m -> false, hold, ms);
       case 3 -> cut(w, name, "state:1", hold, ms);
       case 4 -> {
-        w.state.refuse(name, true);
-        w.sim.after(ms, () -> w.state.refuse(name, false));
+        w.state.setRefused(name, true);
+        w.sim.after(ms, () -> w.state.setRefused(name, false));
       }
       case 5 -> {
         for (EmulatedWorker m : w.cloud.machines()) {
--- a/src/test/java/dapplestair/world/SimulatedCluster.java
+++ b/src/test/java/dapplestair/world/SimulatedCluster.java
@@ -338,7 +338,7 @@
     }
 
     @Override
-    public void silence(String name) {
+    public void removeMachine(String name) {
       net.off(address(name));
     }
 
--- a/src/test/java/dapplestair/world/SingleTaskJobsTest.java
+++ b/src/test/java/dapplestair/world/SingleTaskJobsTest.java
@@ -101,7 +101,9 @@
     assertEquals(List.of(), w.state.keys("live/sheet/"), "launch batches once all is over");
     assertEquals(List.of(), w.state.keys("live/run/"), "attempts once all is over");
     if (others > 0) {
-      assertTrue(w.state.tooMany() > 20, w.state.tooMany() + " transactions got 429");
+      assertTrue(
+          w.state.rateLimitedTransactions() > 20,
+          w.state.rateLimitedTransactions() + " transactions got 429");
     }
     long late =
         s.jobs.stream().filter(j -> !j.accepted || j.acceptedAt - j.submittedAt > LATE_MS).count();
--- a/src/test/java/dapplestair/world/StaleReportsTest.java
+++ b/src/test/java/dapplestair/world/StaleReportsTest.java
@@ -67,7 +67,7 @@
     reports.arrive(arrival, true, SimulatedCluster.REPORT_MS);
     w.nodes.forEach(n -> n.crash(SimulatedCluster.LEASE_MS * 5 / 4));
     w.run(SimulatedCluster.LEASE_MS * 5 / 4 + 4000);
-    assertTrue(w.cloud.killedByLease() > 0, "no session has ended");
+    assertTrue(w.cloud.tasksKilledByLease() > 0, "no session has ended");
     w.net.when(
         r -> r.orders("launch"),
         afterMs,
--- a/src/test/java/dapplestair/world/UnreadJobsTest.java
+++ b/src/test/java/dapplestair/world/UnreadJobsTest.java
@@ -28,9 +28,9 @@
   /** How many tasks of these jobs are on machines of a zone. */
   private static long running(SimulatedCluster w, String zone, List<SimulatedUsers.KnownJob> jobs) {
     return w.cloud.machines().stream()
-        .filter(m -> !m.gone() && m.zone().equals(zone))
+        .filter(m -> !m.isGone() && m.zone().equals(zone))
         .flatMap(m -> m.tasks().stream())
-        .filter(EmulatedTask::onMachine)
+        .filter(EmulatedTask::isOnMachine)
         .filter(t -> jobs.stream().anyMatch(j -> t.key().startsWith(j.ref + "/")))
         .count();
   }
@@ -59,7 +59,7 @@
     long unread = running(w, zone, jobs);
     w.run(2 * SimulatedCluster.LEASE_MS);
     w.net.heal("node-" + follower.index, "state:1");
-    assertEquals(0, w.cloud.killedByLease(), "tasks killed by the end of a lease");
+    assertEquals(0, w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
     SeededDaysTest.settle(w);
     assertTrue(unreadMs < 1000 || unread > 0, "none of the jobs runs in the zone");
   }
@@ -104,7 +104,7 @@
     w.cutOff(former, m -> m.zone().equals(zone), false, SimulatedCluster.LEASE_MS * 4 / 3);
     w.run(2 * SimulatedCluster.LEASE_MS);
     w.net.heal("node-" + former.index, "state:1");
-    assertEquals(0, w.cloud.killedByLease(), "tasks killed by the end of a lease");
+    assertEquals(0, w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
     SeededDaysTest.settle(w);
   }
 }
--- a/src/test/java/dapplestair/world/WaitingReasonsTest.java
+++ b/src/test/java/dapplestair/world/WaitingReasonsTest.java
@@ -76,7 +76,7 @@
   @Test
   void aJobThatFailsEverywhereIsBackedOff() {
     SimulatedCluster w = quiet(5, OperatorsTest.ROOMY);
-    w.also = () -> w.cloud.machines().forEach(EmulatedWorker::sicken);
+    w.also = () -> w.cloud.machines().forEach(EmulatedWorker::failAllTasks);
     SimulatedUsers.KnownJob job = w.users.array("one", "standard", 6, 5);
     w.run(25_000);
     boolean named = false;
@@ -97,7 +97,7 @@
     w.users.array("one", "standard", 60, runS);
     w.users.changed("one", 60, 15, b -> b.put("loaners", false));
     w.run(60_000);
-    w.cloud.setCapacity(0);
+    w.cloud.setCapacityShare(0);
     return w;
   }
 
@@ -129,7 +129,7 @@
                   .put("loaners", false));
     }
     w.run(30_000);
-    w.cloud.setCapacity(0);
+    w.cloud.setCapacityShare(0);
     SimulatedUsers.KnownJob job = w.users.array("one", "standard", 40, 300);
     boolean named = false;
     for (int i = 0; i < 20 && !named; i++) {
@@ -161,7 +161,7 @@
     }
     String zone = holder.zone();
     // All of its zone is full of what may be stopped; others keep some room.
-    w.cloud.setCapacity(0);
+    w.cloud.setCapacityShare(0);
     w.users.changed(
         "one", 40, 300, b -> b.put("loaners", false).put("rank", "low").put("basin", zone));
     w.run(15_000);
@@ -213,7 +213,7 @@
     SimulatedCluster w = quiet(8, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
     w.users.array("one", "standard", 12, 8);
     w.run(24_000);
-    w.cloud.setCapacity(0);
+    w.cloud.setCapacityShare(0);
     SimulatedUsers.KnownJob job = w.users.changed("one", 14, 300, b -> b.put("together", true));
     w.run(3000);
     Set<String> all = reasons(w, job);
@@ -262,10 +262,10 @@
   void machinesThatFailEverythingAreNamed() {
     SimulatedCluster w = full(14, 1);
     // What was empty has gone back meanwhile; some are up again for this.
-    w.cloud.setCapacity(1);
+    w.cloud.setCapacityShare(1);
     w.users.array("one", "standard", 20, 10);
     w.run(12_000);
-    w.cloud.machines().forEach(EmulatedWorker::sicken);
+    w.cloud.machines().forEach(EmulatedWorker::failAllTasks);
     w.users.array("one", "standard", 6, 10);
     w.users.array("two", "standard", 6, 10);
     w.run(10_000);
--- a/src/test/java/dapplestair/world/ZoneBoundTest.java
+++ b/src/test/java/dapplestair/world/ZoneBoundTest.java
@@ -54,7 +54,7 @@
 
   private static void eachMachine(SimulatedCluster w, String zone, Consumer<EmulatedWorker> act) {
     for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
-      if (m.zone().equals(zone) && m.booted() && !m.gone()) {
+      if (m.zone().equals(zone) && m.hasBooted() && !m.isGone()) {
         act.accept(m);
       }
     }
@@ -122,9 +122,9 @@
 
   private static void lose(SimulatedCluster w, EmulatedWorker m, String how) {
     switch (how) {
-      case "end" -> m.end();
+      case "end" -> m.powerOff();
       case "hang" -> m.hang(SimulatedCluster.LEASE_MS * w.sim.between(8, 12) / 10);
-      default -> m.recall(w.sim.between(0, 15_000));
+      default -> m.reclaim(w.sim.between(0, 15_000));
     }
   }
 
--- a/src/test/java/dapplestair/world/ZonesTest.java
+++ b/src/test/java/dapplestair/world/ZonesTest.java
@@ -170,7 +170,7 @@
     List<String> seen = watch(w, "c");
     for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
       if (m.zone().equals("c")) {
-        m.end();
+        m.powerOff();
       }
     }
     w.run(12 * SimulatedCluster.LEASE_MS);
