--- a/src/main/java/dapplestair/emulator/ControllerDirectory.java
+++ b/src/main/java/dapplestair/emulator/ControllerDirectory.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** The controllers as the workers know them. */
+/** The controllers that emulated workers know, with their addresses. */
 public interface ControllerDirectory {
-  /** Names of all, in a fixed order. */
+  /** Returns the names of all controllers, in a fixed order. */
   List<String> members();
 
-  /** Where a controller serves workers, or null when that is not known now. */
+  /** Returns the address at which a controller serves workers, or null while it is unknown. */
   String endpoint(String member);
 }
--- a/src/main/java/dapplestair/emulator/ControllerSelector.java
+++ b/src/main/java/dapplestair/emulator/ControllerSelector.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The controller that a worker reports to. */
+/** Selects the controller that a worker reports to. */
 final class ControllerSelector {
   private final EmulatedCloud cloud;
   private int currentIndex;
@@ -15,13 +15,13 @@
     return cloud.directory().members();
   }
 
-  /** Any of them, to begin with. */
+  /** Selects a random controller, as a worker does when it has booted. */
   void selectRandom(EmulatorEnvironment environment) {
     int memberCount = members().size();
     currentIndex = memberCount == 0 ? 0 : (int) environment.between(0, memberCount - 1);
   }
 
-  /** Its address, or null while no controller is known. */
+  /** Returns the address of the selected controller, or null while no controller is known. */
   String endpoint() {
     List<String> members = members();
     return members.isEmpty()
@@ -29,7 +29,7 @@
         : cloud.directory().endpoint(members.get(currentIndex % members.size()));
   }
 
-  /** Goes to the one that was named; false when that is no other, or unknown. */
+  /** Selects the named controller. Returns false if it is null, unknown or already selected. */
   boolean switchTo(String member) {
     int memberIndex = member == null ? -1 : members().indexOf(member);
     if (memberIndex < 0 || memberIndex == currentIndex) {
@@ -39,7 +39,7 @@
     return true;
   }
 
-  /** Goes to the next one. */
+  /** Selects the next controller in the directory's order. */
   void selectNext() {
     currentIndex = (currentIndex + 1) % Math.max(1, members().size());
   }
--- a/src/main/java/dapplestair/emulator/EmulatedCloud.java
+++ b/src/main/java/dapplestair/emulator/EmulatedCloud.java
@@ -14,7 +14,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The cloud by its protocol: idempotent rentals, a lagging list, machines that never boot. */
+/**
+ * Emulates the cloud's protocol: idempotent rentals, a machine list that lags, and machines that
+ * never boot.
+ */
 public final class EmulatedCloud implements RequestHandler {
   private record Snapshot(long takenAtMs, TreeMap<String, ObjectNode> hosts) {}
 
@@ -43,7 +46,7 @@
   private int tasksKilledByLease;
   private int machinesCreated;
 
-  /** A cloud without rented machines. */
+  /** Creates a cloud without rented machines. */
   public EmulatedCloud(
       EmulatorEnvironment environment,
       EmulatorSettings emulatorSettings,
@@ -59,54 +62,54 @@
     takeSnapshot();
   }
 
-  // ---- what may be seen and done from outside ----
+  // ---- inspection and fault injection ----
 
-  /** All machines that were not returned, also those that are gone by themselves. */
+  /** Returns all machines that were not released, including those that have lost power. */
   public Collection<EmulatedWorker> machines() {
     return machines.values();
   }
 
-  /** Whether requests get 503. */
+  /** Sets whether all requests are answered with 503. */
   public void setDown(boolean value) {
     down = value;
   }
 
-  /** Share of the machines rented from now on that never come up. */
+  /** Sets the share of the machines rented from now on that never boot. */
   public void setNeverBootingShare(double share) {
     neverBootingShare = share;
   }
 
-  /** Share of the machines rented from now on that are up within two seconds. */
+  /** Sets the share of the machines rented from now on that boot within two seconds. */
   public void setQuickBootingShare(double share) {
     quickBootingShare = share;
   }
 
-  /** Machines rented from now on fail every task. */
+  /** Sets whether machines rented from now on fail every task. */
   public void setNewMachinesFailTasks(boolean value) {
     newMachinesFailTasks = value;
   }
 
-  /** Share of its machines that the cloud has to give. */
+  /** Sets the share of its machines that the cloud can rent out. */
   public void setCapacityShare(double share) {
     capacityShare = share;
   }
 
-  /** What somebody did that the protocol forbids, or null. */
+  /** Returns the last protocol violation by a client or worker, or null. */
   public String violation() {
     return violation;
   }
 
-  /** Tasks that ran on machines when those were returned. */
+  /** Returns how many tasks were running on machines at the time of their release. */
   public int tasksKilledByRelease() {
     return tasksKilledByRelease;
   }
 
-  /** Tasks that ran when their worker's lease ended. */
+  /** Returns how many tasks were running when their worker's lease expired. */
   public int tasksKilledByLease() {
     return tasksKilledByLease;
   }
 
-  // ---- for its machines ----
+  // ---- access for the machines ----
 
   SubmissionLookup submissionLookup() {
     return submissionLookup;
@@ -128,7 +131,10 @@
     tasksKilledByLease += (int) tasks;
   }
 
-  /** Checkpoints are stored outside machines: run time that a task has saved, seconds. */
+  /**
+   * Returns the run time, in seconds, that a task has saved in checkpoints. Checkpoints are stored
+   * outside of the machines and so survive them.
+   */
   double savedRunSeconds(String key) {
     return savedRunSeconds.getOrDefault(key, 0.0);
   }
@@ -143,7 +149,7 @@
     savedRunSeconds.remove(key);
   }
 
-  // ---- the protocol ----
+  // ---- protocol ----
 
   private void takeSnapshot() {
     TreeMap<String, ObjectNode> hosts = new TreeMap<>();
@@ -154,7 +160,7 @@
           }
         });
     snapshots.add(new Snapshot(environment.now(), hosts));
-    // Older than any list may be.
+    // Drops snapshots that are older than any list answer may be.
     while (snapshots.size() > 2 + 2 * emulatorSettings.listLagMs() / SNAPSHOT_INTERVAL_MS) {
       snapshots.poll();
     }
@@ -203,7 +209,7 @@
   }
 
   private HttpReply listMachines(String afterId) {
-    // Lists lag by up to twice the stated time, and come out of order.
+    // Lists lag by up to twice the stated time, and successive lists may go back in time.
     long asOfMs =
         environment.now()
             - environment.between(
--- a/src/main/java/dapplestair/emulator/EmulatedImages.java
+++ b/src/main/java/dapplestair/emulator/EmulatedImages.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The images on one machine: one fetch serves all tasks that need it. */
+/** The images on one machine. One fetch of an image serves all tasks that need it. */
 final class EmulatedImages {
   private final EmulatorEnvironment environment;
   private final EmulatorSettings.MachineSpec type;
@@ -14,7 +14,7 @@
     this.type = type;
   }
 
-  /** How long a task waits for its image; the rate varies by a third. */
+  /** Returns how long a task waits for its image. The fetch time varies by a third. */
   long fetchMs(EmulatedTask task) {
     long now = environment.now();
     String image = String.valueOf(task.image());
--- a/src/main/java/dapplestair/emulator/EmulatedState.java
+++ b/src/main/java/dapplestair/emulator/EmulatedState.java
@@ -16,7 +16,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The state service by its protocol: transactions, holds, changes, outages, limits. */
+/**
+ * Emulates the state service's protocol: transactions, holds (leases to which keys are attached),
+ * change watches, outages and limits.
+ */
 public final class EmulatedState implements RequestHandler {
   private record StoredValue(JsonNode value, long stamp, long hold) {}
 
@@ -44,7 +47,7 @@
   private final Multiset<String> writtenKeys = HashMultiset.create();
   private String violation;
 
-  /** An empty store. */
+  /** Creates an empty store. */
   public EmulatedState(EmulatorEnvironment environment, EmulatorSettings emulatorSettings) {
     this.environment = environment;
     this.emulatorSettings = emulatorSettings;
@@ -52,30 +55,30 @@
     checkExpiry();
   }
 
-  // ---- what may be seen and done from outside ----
+  // ---- inspection and fault injection ----
 
-  /** The value under a key now, or null. */
+  /** Returns the current value of a key, or null. */
   public JsonNode value(String key) {
     StoredValue row = rows.get(key);
     return row == null ? null : row.value;
   }
 
-  /** All keys with this prefix now, in order. */
+  /** Returns all current keys with this prefix, in order. */
   public List<String> keys(String prefix) {
     return List.copyOf(rows.subMap(prefix, prefix + Character.MAX_VALUE).keySet());
   }
 
-  /** Its revision now. */
+  /** Returns the current revision of the store. */
   public long epoch() {
     return epoch;
   }
 
-  /** Puts and deletes made so far. */
+  /** Returns the number of puts and deletes so far. */
   public int writeCount() {
     return writeCount;
   }
 
-  /** Puts and deletes of keys with this prefix so far. */
+  /** Returns the number of puts and deletes of keys with this prefix so far. */
   public int writeCountUnder(String prefix) {
     return writtenKeys.entrySet().stream()
         .filter(e -> e.getElement().startsWith(prefix))
@@ -83,28 +86,28 @@
         .sum();
   }
 
-  /** Transactions that were answered 429 so far. */
+  /** Returns the number of transactions that were answered with 429 so far. */
   public int rateLimitedTransactions() {
     return rateLimitedTransactions;
   }
 
-  /** What somebody did that the protocol forbids, or null. */
+  /** Returns the last protocol violation by a client, or null. */
   public String violation() {
     return violation;
   }
 
-  /** An outage begins. */
+  /** Begins an outage, in which all requests are answered with 503. */
   public void beginOutage() {
     down = true;
   }
 
-  /** An outage ends: every hold has its full time again. */
+  /** Ends an outage. Every hold gets its full time to live again. */
   public void endOutage() {
     down = false;
     holdExpiryMs.replaceAll((h, end) -> environment.now() + holdTtlMs.get(h));
   }
 
-  /** One caller alone gets 503, or not any more. */
+  /** Sets whether requests of this caller are answered with 503. */
   public void setRefused(String caller, boolean refuse) {
     if (refuse) {
       refusedCallers.add(caller);
@@ -113,7 +116,7 @@
     }
   }
 
-  // ---- holds and watches ----
+  // ---- expiry of holds, notification of watches ----
 
   private void checkExpiry() {
     if (!down) {
@@ -169,7 +172,7 @@
     }
   }
 
-  // ---- the protocol ----
+  // ---- protocol ----
 
   @Override
   public void request(
@@ -238,7 +241,7 @@
       violation = "transaction too large: " + transaction;
       return jsonReply(400, Json.object().put("error", "too large"));
     }
-    // Transactions whose conditions fail are counted as well.
+    // Transactions whose conditions fail count towards the write limit as well.
     if (!writeLimit.tryAcquire(transaction.path("writes").size(), environment.now())) {
       rateLimitedTransactions++;
       return jsonReply(429, Json.object());
@@ -317,7 +320,7 @@
             && changes.get(count - emulatorSettings.changesKept()).stamp > sinceEpoch;
   }
 
-  /** Index of the first change after a moment. */
+  /** Returns the index of the first change after a revision. */
   private int firstChangeAfter(long sinceEpoch) {
     int low = 0;
     int high = changes.size();
--- a/src/main/java/dapplestair/emulator/EmulatedTask.java
+++ b/src/main/java/dapplestair/emulator/EmulatedTask.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplestair.json.Json;
 
-/** One attempt at a task on one machine. A task runs for a time, no program. */
+/** One attempt at a task on one machine. An emulated task runs for a time and has no program. */
 public final class EmulatedTask {
   private final String key;
   private final long attempt;
@@ -25,35 +25,35 @@
   }
 
   /**
-   * Seconds that it lasts by its user's estimate. A description may give a factor for each task in
-   * {@code runFactors}, so that tasks of one job last differently long by design.
+   * Returns the run time that the user estimated, in seconds. A submission may give a factor for
+   * each task in {@code runFactors}, so that tasks of one job have different run times by design.
    */
   double estimatedRunS() {
     JsonNode factor = job == null ? null : job.path("runFactors").get(taskIndex());
     return amount("guessS") * (factor == null ? 1 : factor.asDouble());
   }
 
-  /** Job and index, as on the wire. */
+  /** Returns the job and the task's index, as in the protocol. */
   public String key() {
     return key;
   }
 
-  /** Number of the try. */
+  /** Returns the number of the attempt. */
   public long attempt() {
     return attempt;
   }
 
-  /** True from the moment at which it has its image until it exits. */
+  /** Returns true from the time at which the task has its image until it exits. */
   public boolean isOnMachine() {
     return status.equals("running") || status.equals("flushing");
   }
 
-  /** State as on the wire. */
+  /** Returns the task's state, as in the protocol. */
   public String status() {
     return status;
   }
 
-  /** Seconds since it began to run; 0 if it never did. */
+  /** Returns the seconds since the task began to run, or 0 if it never did. */
   public double runTimeS(long nowMs) {
     return startedAtMs == 0 ? 0 : (nowMs - startedAtMs) / 1000.0;
   }
@@ -80,12 +80,12 @@
     return job == null ? 0 : Json.decimal(job, field, 0);
   }
 
-  /** True when it runs until it is stopped. */
+  /** Returns true for a task of a service, which runs until it is stopped. */
   public boolean isService() {
     return "daemon".equals(Json.text(job, "shape"));
   }
 
-  /** True when its user's description has a mistake that makes this task fail on every machine. */
+  /** Returns true if the submission has a mistake that makes this task fail on every machine. */
   boolean failsOnEveryMachine() {
     return taskIndex() < amount("mistakenSteps");
   }
--- a/src/main/java/dapplestair/emulator/EmulatedWorker.java
+++ b/src/main/java/dapplestair/emulator/EmulatedWorker.java
@@ -8,9 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * A machine with its worker, by the protocol. Its reports are sent by {@link ReportSender}, its
- * orders executed by {@link TaskRunner}; this class boots and ends it, checks its lease and answers
- * the controllers' direct requests.
+ * Emulates a machine with its worker. {@link ReportSender} sends the worker's reports, {@link
+ * TaskRunner} executes its orders; this class boots the machine and powers it off, checks the lease
+ * and answers the controllers' direct requests.
  */
 public final class EmulatedWorker implements RequestHandler {
   private static final long LEASE_CHECK_INTERVAL_MS = 200;
@@ -55,62 +55,65 @@
     this.endpoint = environment.address(id);
   }
 
-  // ---- what may be seen of it ----
+  // ---- inspection ----
 
-  /** The cloud's name of it. */
+  /** Returns the cloud's identifier of the machine. */
   public String id() {
     return id;
   }
 
-  /** Its address, or null before it is up. */
+  /**
+   * Returns the worker's address, or null if the address is known only once the machine is up, and
+   * it is not.
+   */
   public String endpoint() {
     return endpoint;
   }
 
-  /** Its type's name. */
+  /** Returns the name of the machine's type. */
   public String type() {
     return type.name();
   }
 
-  /** Its zone. */
+  /** Returns the machine's zone. */
   public String zone() {
     return zone;
   }
 
-  /** True when it may be taken back. */
+  /** Returns true for a spot machine, which the cloud may reclaim. */
   public boolean isSpot() {
     return isSpot;
   }
 
-  /** True when it has no power any more. */
+  /** Returns true once the machine has lost power. */
   public boolean isGone() {
     return condition.isGone();
   }
 
-  /** True once it has come up. */
+  /** Returns true once the machine has booted. */
   public boolean hasBooted() {
     return booted;
   }
 
   /**
-   * True when tasks that start here can be expected to complete: it is up, executes and hears what
-   * it is told, does not fail its tasks and has no notice.
+   * Returns true if tasks that start here can be expected to complete: the machine is up, is not
+   * hanging, receives requests and replies, does not fail its tasks and is not being reclaimed.
    */
   public boolean canCompleteTasks() {
     return booted && condition.isHealthy() && reclaimAtMs < 0;
   }
 
-  /** Its machine's room that no task holds, of the amount in this field of a submission. */
+  /** Returns how much of a resource, named by a submission's field, no task on the machine uses. */
   public double freeAmount(String field) {
     return type.freeAmount(taskRunner.tasks(), field);
   }
 
-  /** All attempts that its worker knows. */
+  /** Returns all attempts that the worker knows. */
   public Collection<EmulatedTask> tasks() {
     return taskRunner.tasks();
   }
 
-  // ---- what may happen to it ----
+  // ---- boot and faults ----
 
   void boot() {
     booted = true;
@@ -126,56 +129,65 @@
         });
   }
 
-  /** The cloud will take it, with or without a notice. */
+  /** Makes the cloud reclaim the machine after a delay; with a delay of 0 there is no notice. */
   public void reclaim(long delayMs) {
     reclaimAtMs = environment.now() + delayMs;
     environment.after(delayMs, this::powerOff);
   }
 
-  /** Power off: nothing is left, and nobody is told. */
+  /** Powers the machine off: all its tasks are lost, and nobody is notified. */
   public void powerOff() {
     condition.powerOff();
     taskRunner.clear();
     environment.removeMachine(id);
   }
 
-  /** It stops executing for a while; its lease goes on. */
+  /** Makes the machine execute nothing for a while, during which its lease runs on. */
   public void hang(long ms) {
     condition.hang(ms, this::checkLease, () -> cloud.observer().resumed(this));
   }
 
-  /** As {@link #hang}, and its tasks stay on it past its lease: it kills them when it goes on. */
+  /**
+   * Makes the machine hang as in {@link #hang}, with its tasks surviving their lease: the worker
+   * kills them only when it resumes.
+   */
   public void stall(long ms) {
     condition.stall(ms);
     hang(ms);
   }
 
-  /** It reports as before, but for a while neither commands nor answers reach it. */
+  /** Cuts inbound traffic for a while: reports are sent, but no command or reply is received. */
   public void cutInbound(long ms) {
     condition.cutInbound(ms);
   }
 
-  /** For a while it opens no connection to any controller; commands and questions reach it. */
+  /**
+   * Cuts outbound traffic for a while: no connection to a controller opens, but commands and
+   * queries are received and answered.
+   */
   public void cutOutbound(long ms) {
     condition.cutOutbound(ms);
   }
 
-  /** From now on every task fails that starts here. */
+  /** Makes every task that starts here from now on fail. */
   public void failAllTasks() {
     condition.failAllTasks();
   }
 
-  /** For a while something that is no task takes all of its room: starts are refused as full. */
+  /**
+   * Makes something other than tasks occupy the whole machine for a while: launches are refused as
+   * full.
+   */
   public void occupy(long ms) {
     condition.occupy(ms);
   }
 
-  /** Milliseconds since it sent the last report that was answered. */
+  /** Returns the milliseconds since the worker sent the last report that was answered. */
   public long sinceAnsweredReportMs() {
     return session.leaseAgeMs();
   }
 
-  // ---- its lease ----
+  // ---- lease ----
 
   private void watchLease() {
     if (!isGone()) {
@@ -185,7 +197,8 @@
   }
 
   private void checkLease() {
-    // A hanging machine may resume only within its lease: past it, its tasks are gone as well.
+    // A hanging machine can go on with its tasks only within its lease; its tasks end with the
+    // lease, unless the machine is stalled.
     if (!isGone() && !condition.isStalled() && session.leaseExpired()) {
       cloud.countTasksKilledByLease(tasks().stream().filter(EmulatedTask::isOnMachine).count());
       taskRunner.clear();
@@ -193,7 +206,7 @@
     }
   }
 
-  // ---- commands and reports ----
+  // ---- commands and queries ----
 
   @Override
   public void request(
@@ -227,7 +240,7 @@
     return EmulatedState.jsonReply(stale ? 409 : 200, toReportJson());
   }
 
-  /** Executes the orders of a command, or of a report's answer, with a token that is not stale. */
+  /** Executes the orders of a command, or of a reply to a report, whose token is not stale. */
   void executeOrders(long token, JsonNode body) {
     boolean higher = session.acceptToken(token);
     body.path("orders").forEach(taskRunner::execute);
@@ -236,7 +249,7 @@
     }
   }
 
-  /** Its report, as on the wire. */
+  /** Returns the worker's current report, in the form of the protocol. */
   ObjectNode toReportJson() {
     ObjectNode report =
         Json.object()
--- a/src/main/java/dapplestair/emulator/EmulatorEnvironment.java
+++ b/src/main/java/dapplestair/emulator/EmulatorEnvironment.java
@@ -4,30 +4,30 @@
 import dapplestair.ports.Timers;
 import java.util.function.Consumer;
 
-/** Time, chance and the wire as the emulated parts meet them: the seeded world's or real ones. */
+/** Time, randomness and network of the emulated services: simulated from a seed, or real ones. */
 public interface EmulatorEnvironment extends Timers {
-  /** Milliseconds since some moment. */
+  /** Returns the milliseconds since a fixed, unspecified time. */
   long now();
 
-  /** True with this probability. */
+  /** Returns true with this probability. */
   boolean chance(double probability);
 
-  /** A whole number from {@code low} to {@code high}, both included. */
+  /** Returns a random whole number from {@code low} to {@code high}, both included. */
   long between(long low, long high);
 
-  /** A number from 0 to 1. */
+  /** Returns a random number from 0 to 1. */
   double fraction();
 
-  /** The address that {@link #open} will give to this name, or null when it is not known before. */
+  /** Returns the address that {@link #open} will give to this name, or null if not yet known. */
   String address(String name);
 
-  /** Puts a place under an address; {@code onOpened} is told which, soon. */
+  /** Makes a handler reachable; its address is passed to {@code onOpened} soon. */
   void open(String name, RequestHandler handler, Consumer<String> onOpened);
 
-  /** The machine of this name is gone for good: it is silent, and its address is not used again. */
+  /** Removes a machine for good: it answers no more, and its address is not used again. */
   void removeMachine(String name);
 
-  /** Sends a request; exactly one reply. */
+  /** Sends a request; {@code onReply} is called exactly once. */
   void call(
       String from,
       String address,
--- a/src/main/java/dapplestair/emulator/EmulatorSettings.java
+++ b/src/main/java/dapplestair/emulator/EmulatorSettings.java
@@ -4,16 +4,19 @@
 import java.util.List;
 
 /**
- * How large the emulated world is and how it behaves. Durations ending in Ms are milliseconds.
+ * Size and behaviour of the emulated cloud, state service and workers. Names of durations in
+ * milliseconds end in Ms.
  *
- * @param machinesPerZone machines of each type that a zone has of each kind, spot and ordinary
- * @param neverBootingShare share of machines that never come up
- * @param maxTransactionWrites most writes of a transaction
- * @param maxValueBytes largest value
- * @param maxPageRows most rows of a listing
- * @param changesKept changes that may be asked for; older ones are 410
- * @param maxWritesPerSecond puts and deletes a second above which the state service answers 429, or
- *     infinity
+ * @param machinesPerZone how many machines of each type each zone has; the number holds for spot
+ *     and for steady machines separately
+ * @param neverBootingShare share of machines that never boot
+ * @param maxTransactionWrites maximum number of writes in a transaction
+ * @param maxValueBytes maximum size of a value
+ * @param maxPageRows maximum number of rows in a page of a listing
+ * @param changesKept number of latest changes that can be queried; a query from before them is
+ *     answered with 410
+ * @param maxWritesPerSecond puts and deletes per second above which the state service answers 429,
+ *     or infinity
  */
 public record EmulatorSettings(
     List<MachineSpec> types,
@@ -29,7 +32,7 @@
     int changesKept,
     double maxWritesPerSecond) {
 
-  /** A world whose state service takes any number of writes. */
+  /** Creates settings with no limit on the state service's writes per second. */
   public EmulatorSettings(
       List<MachineSpec> types,
       List<String> zones,
@@ -57,7 +60,7 @@
         Double.POSITIVE_INFINITY);
   }
 
-  /** A machine type; prices are per hour. */
+  /** A machine type. Prices are per hour. */
   public record MachineSpec(
       String name,
       double cpus,
@@ -68,15 +71,15 @@
       double price,
       double spotPrice,
       double bootS) {
-    /** The amounts that a task takes of its machine, as a submission names them. */
+    /** The submission's fields that hold the resources a task uses on its machine. */
     public static final List<String> FIELDS = List.of("vcpus", "memoryGb", "accelerators");
 
-    /** True when one more task has room beside these; what has exited holds none. */
+    /** Returns true if a task fits beside these others; exited tasks use no resources. */
     boolean fits(EmulatedTask task, Collection<EmulatedTask> others) {
       return FIELDS.stream().allMatch(f -> task.amount(f) <= freeAmount(others, f) + 1e-9);
     }
 
-    /** What tasks leave of the amount in this field of a submission; what has exited holds none. */
+    /** Returns how much these tasks leave of a field's resource; exited tasks use none. */
     double freeAmount(Collection<EmulatedTask> tasks, String field) {
       double used =
           tasks.stream().filter(o -> !o.hasExited()).mapToDouble(o -> o.amount(field)).sum();
@@ -84,7 +87,8 @@
         case "vcpus" -> cpus - used;
         case "memoryGb" -> memoryGb - used;
         case "accelerators" -> gpus - used;
-        default -> throw new IllegalArgumentException("no amount: " + field);
+        default ->
+            throw new IllegalArgumentException("not a resource field of a submission: " + field);
       };
     }
   }
--- a/src/main/java/dapplestair/emulator/MachineCondition.java
+++ b/src/main/java/dapplestair/emulator/MachineCondition.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What ails a machine: no power, a stall, an inbound link that drops everything, failing tasks. */
+/** The injected faults of a machine: power loss, hangs, network cuts, failing tasks, occupation. */
 final class MachineCondition {
   private final EmulatorEnvironment environment;
   private final List<Runnable> deferred = new ArrayList<>();
@@ -19,32 +19,32 @@
     this.environment = environment;
   }
 
-  /** True while it has power, executes, hears what it is told and fails no tasks. */
+  /** Returns true if the machine has power, executes, receives traffic and fails no tasks. */
   boolean isHealthy() {
     return !gone && !hanging && !isInboundCut() && !failing;
   }
 
-  /** True when it has no power any more. */
+  /** Returns true once the machine has lost power. */
   boolean isGone() {
     return gone;
   }
 
-  /** True while it executes nothing. */
+  /** Returns true while the machine executes nothing. */
   boolean isHanging() {
     return hanging;
   }
 
-  /** True while neither commands nor answers reach it. */
+  /** Returns true while neither commands nor replies reach the machine. */
   boolean isInboundCut() {
     return environment.now() < inboundCutUntilMs;
   }
 
-  /** True while it opens no connection to any controller. */
+  /** Returns true while the machine can't open a connection to any controller. */
   boolean isOutboundCut() {
     return environment.now() < outboundCutUntilMs;
   }
 
-  /** True when every task fails that starts here. */
+  /** Returns true if every task that starts here fails. */
   boolean failsTasks() {
     return failing;
   }
@@ -57,7 +57,7 @@
     failing = true;
   }
 
-  /** True while something that is no task takes all of its room. */
+  /** Returns true while something other than tasks occupies the whole machine. */
   boolean isOccupied() {
     return occupied;
   }
@@ -75,20 +75,20 @@
     outboundCutUntilMs = Math.max(outboundCutUntilMs, environment.now() + ms);
   }
 
-  /** Its tasks stay on it past its lease, for a while in which it hangs. */
+  /** Makes the tasks survive an expired lease for a while; the caller makes the machine hang. */
   void stall(long ms) {
     stalled = true;
     environment.after(ms, () -> stalled = false);
   }
 
-  /** True while its tasks stay on it past its lease. */
+  /** Returns true while the tasks survive an expired lease. */
   boolean isStalled() {
     return stalled;
   }
 
   /**
-   * Hangs for a while; then {@code onResumed} runs, after it all that was deferred, and after that
-   * {@code onCaughtUp}.
+   * Makes the machine execute nothing for a while. Afterwards {@code onResumed} runs, then all
+   * deferred actions, then {@code onCaughtUp}.
    */
   void hang(long ms, Runnable onResumed, Runnable onCaughtUp) {
     hanging = true;
@@ -104,7 +104,7 @@
         });
   }
 
-  /** Keeps an action until the present stall is over. */
+  /** Defers an action until the machine no longer hangs. */
   void defer(Runnable action) {
     deferred.add(action);
   }
--- a/src/main/java/dapplestair/emulator/ReportSender.java
+++ b/src/main/java/dapplestair/emulator/ReportSender.java
@@ -4,7 +4,7 @@
 import dapplestair.json.Json;
 import dapplestair.ports.HttpReply;
 
-/** Sends a worker's reports to the controller that keeps its lease, and follows redirects. */
+/** Sends a worker's reports to the controller that renews its lease, and follows redirects. */
 final class ReportSender {
   private static final long REPLY_TIMEOUT_MS = 4000;
   private static final long NEXT_CONTROLLER_DELAY_MS = 1000;
@@ -33,7 +33,7 @@
     this.reportIntervalMs = reportMs;
   }
 
-  /** Reports now, and from now on about once an interval. */
+  /** Reports now, and from then on about once per interval. */
   void heartbeat() {
     if (condition.isGone()) {
       return;
@@ -43,7 +43,7 @@
         reportIntervalMs * 3 / 4 + environment.between(0, reportIntervalMs / 2), this::heartbeat);
   }
 
-  /** Reports at once, unless a report is under way. */
+  /** Sends a report at once, unless one is in flight. */
   void report() {
     if (condition.isGone() || condition.isHanging() || reportInFlight) {
       return;
@@ -57,7 +57,7 @@
     long sentInSession = session.number();
     session.advanceTick();
     if (condition.isOutboundCut()) {
-      // Refused at once, or given up like a report that gets no answer.
+      // The connection is refused at once, or times out like a report without a reply.
       long failsAfterMs = environment.chance(0.5) ? 0 : REPLY_TIMEOUT_MS;
       HttpReply notSent = HttpReply.of(HttpReply.NOT_SENT);
       environment.after(failsAfterMs, () -> completeReport(notSent, sentAtMs, sentInSession));
@@ -73,14 +73,14 @@
         reply -> receiveReply(reply, sentAtMs, sentInSession));
   }
 
-  /** Reports a little later, as a worker does that was shown a higher token. */
+  /** Reports after a short delay, as a worker does when it has seen a higher token. */
   void reportSoon() {
     environment.after(REPORT_DELAY_MS, this::report);
   }
 
   private void receiveReply(HttpReply reply, long sentAtMs, long sentInSession) {
     if (condition.isInboundCut()) {
-      // It waits for as long as for any answer that does not come.
+      // The reply is dropped: the worker waits until its timeout, as for any missing reply.
       long remainingMs = Math.max(0, sentAtMs + REPLY_TIMEOUT_MS - environment.now());
       environment.after(
           remainingMs,
--- a/src/main/java/dapplestair/emulator/SubmissionLookup.java
+++ b/src/main/java/dapplestair/emulator/SubmissionLookup.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Where workers find what their users uploaded. */
+/** Finds the submission of a task's job, as workers do with what users uploaded. */
 @FunctionalInterface
 public interface SubmissionLookup {
-  /** The submission of this id, in the form of the protocol, or null. */
+  /** Returns the submission of this job, in the form of the protocol, or null. */
   JsonNode find(String ref);
 }
--- a/src/main/java/dapplestair/emulator/TaskObserver.java
+++ b/src/main/java/dapplestair/emulator/TaskObserver.java
@@ -1,26 +1,26 @@
 package dapplestair.emulator;
 
-/** Sees what truly happens on machines. */
+/** Observes what really happens to tasks on machines, whatever the workers report. */
 public interface TaskObserver {
-  /** A task runs from now on. */
+  /** Called when a task begins to run. */
   void started(EmulatedWorker worker, EmulatedTask task);
 
-  /** A task has completed. */
+  /** Called when a task has completed. */
   void completed(String key);
 
-  /** A machine has refused to start a task, since it had no room for it. */
+  /** Called when a machine has refused to launch a task because it does not fit. */
   default void refusedAsFull(EmulatedWorker worker, EmulatedTask task) {}
 
-  /** A machine was returned with a task that had not exited. */
+  /** Called when a machine was released with a task that had not exited. */
   default void releasedWithTask(EmulatedWorker worker, EmulatedTask task) {}
 
-  /** A task that had not exited was stopped by an order. */
+  /** Called when an order has stopped a task that had not exited. */
   default void stopped(EmulatedWorker worker, EmulatedTask task) {}
 
-  /** A machine that hung goes on, and has done what it was told meanwhile. */
+  /** Called when a machine has resumed after a hang and has executed the deferred requests. */
   default void resumed(EmulatedWorker worker) {}
 
-  /** A witness that looks away. */
+  /** Returns an observer that ignores everything. */
   static TaskObserver none() {
     return new TaskObserver() {
       @Override
--- a/src/main/java/dapplestair/emulator/TaskRunner.java
+++ b/src/main/java/dapplestair/emulator/TaskRunner.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Executes a worker's orders: launches, halts with checkpoints, clearings. */
+/** Executes a worker's orders: launch, halt (with a final checkpoint) and clear. */
 final class TaskRunner {
   private static final long REPORT_DELAY_MS = 500;
   private static final long MIN_RUN_MS = 200;
@@ -24,7 +24,10 @@
   private final EmulatedImages images;
   private final Map<String, EmulatedTask> tasks = new LinkedHashMap<>();
 
-  /** Without tasks; {@code sendReport} is run when something is worth a report of its own. */
+  /**
+   * Creates a runner without tasks; {@code sendReport} is run on changes that are reported ahead of
+   * the next heartbeat.
+   */
   TaskRunner(
       EmulatorEnvironment environment,
       EmulatedCloud cloud,
@@ -43,22 +46,22 @@
     this.images = new EmulatedImages(environment, type);
   }
 
-  /** All attempts that the worker knows. */
+  /** Returns all attempts that the worker knows. */
   Collection<EmulatedTask> tasks() {
     return tasks.values();
   }
 
-  /** All attempts as on the wire. */
+  /** Adds all attempts, in the form of the protocol, to an array. */
   void addTasksTo(ArrayNode steps) {
     tasks.values().forEach(task -> steps.add(task.toJson()));
   }
 
-  /** Forgets all attempts; what ran is gone. */
+  /** Kills all running tasks and forgets all attempts. */
   void clear() {
     tasks.clear();
   }
 
-  /** Executes one order of a command or of a report's answer. */
+  /** Executes one order of a command or of a reply to a report. */
   void execute(JsonNode order) {
     String key = order.path("step").asText();
     long attempt = order.path("try").asLong();
@@ -107,7 +110,7 @@
     environment.after(REPORT_DELAY_MS, sendReport);
   }
 
-  /** Checkpoints that the task has made by itself while it ran. */
+  /** Records the run time saved by the checkpoints that the task made periodically. */
   private void recordPeriodicCheckpoints(EmulatedTask task) {
     double intervalS = task.amount("snapshotEveryS");
     if (intervalS > 0 && task.isOnMachine()) {
@@ -183,7 +186,7 @@
     environment.after(REPORT_DELAY_MS, sendReport);
   }
 
-  /** True when what began in that session cannot go on any more. */
+  /** Returns true if the machine is off, or the session in which a step began has ended. */
   private boolean hasEnded(long startedInSession) {
     return condition.isGone() || startedInSession != session.number();
   }
--- a/src/main/java/dapplestair/emulator/WorkerSession.java
+++ b/src/main/java/dapplestair/emulator/WorkerSession.java
@@ -14,44 +14,44 @@
     this.leaseMs = leaseMs;
   }
 
-  /** Its number; each expired lease begins the next session. */
+  /** Returns the session's number; each expired lease begins the next session. */
   long number() {
     return number;
   }
 
-  /** The tick of the last report. */
+  /** Returns the tick of the last report. */
   long tick() {
     return tick;
   }
 
-  /** The highest fencing token that was shown to it. */
+  /** Returns the highest fencing token that the worker has seen. */
   long token() {
     return token;
   }
 
-  /** Another report is made. */
+  /** Advances the tick for another report. */
   void advanceTick() {
     tick++;
   }
 
-  /** Takes a token that is not lower than its own; true when it is higher. */
+  /** Accepts a token that is not lower than the present one; returns true if it is higher. */
   boolean acceptToken(long shownToken) {
     boolean higher = shownToken > token;
     token = shownToken;
     return higher;
   }
 
-  /** The lease begins now. */
+  /** Starts the lease now. */
   void startLease() {
     leaseStartMs = environment.now();
   }
 
-  /** A report sent at this moment was answered. */
+  /** Renews the lease from the time at which an answered report was sent. */
   void renewLease(long sentAtMs) {
     leaseStartMs = Math.max(leaseStartMs, sentAtMs);
   }
 
-  /** Milliseconds since it sent the last report that was answered. */
+  /** Returns the milliseconds since the worker sent the last report that was answered. */
   long leaseAgeMs() {
     return environment.now() - leaseStartMs;
   }
@@ -60,7 +60,7 @@
     return leaseAgeMs() > leaseMs;
   }
 
-  /** The next session, with a lease of its own. */
+  /** Begins the next session, with a new lease. */
   void restart() {
     number++;
     startLease();
--- a/src/main/java/dapplestair/emulator/WriteLimit.java
+++ b/src/main/java/dapplestair/emulator/WriteLimit.java
@@ -1,19 +1,19 @@
 package dapplestair.emulator;
 
-/** A limit on writes per second, with bursts of one second's worth. */
+/** A token bucket that limits writes per second, with bursts of one second's worth. */
 final class WriteLimit {
   private final double writesPerSecond;
   private double tokens;
   private long refilledAtMs;
 
-  /** Starts with a full burst. */
+  /** Creates a full bucket. */
   WriteLimit(double perSecond, long now) {
     this.writesPerSecond = perSecond;
     this.tokens = perSecond;
     this.refilledAtMs = now;
   }
 
-  /** Counts so many writes, unless they exceed the limit. */
+  /** Counts this many writes and returns true, or returns false if they exceed the limit. */
   boolean tryAcquire(int writes, long now) {
     if (Double.isInfinite(writesPerSecond)) {
       return true;
--- a/src/main/java/dapplestair/emulator/package-info.java
+++ b/src/main/java/dapplestair/emulator/package-info.java
@@ -1,2 +1,2 @@
-/** State service, cloud and workers by their protocol, on virtual or on real time. */
+/** Emulates the state service, the cloud and the workers, on virtual or on real time. */
 package dapplestair.emulator;
