--- a/src/main/java/dapplestair/daemon/Emulation.java
+++ b/src/main/java/dapplestair/daemon/Emulation.java
@@ -41,7 +41,8 @@
 
   /** Everything as the settings say; nothing is served before {@link #start}. */
   public Emulation(DaemonSettings settings) {
-    HttpPool http = new HttpPool(loop, CALLS_A_PLACE, settings.emulatorSettings().reportMs() / 4);
+    HttpPool http =
+        new HttpPool(loop, CALLS_A_PLACE, settings.emulatorSettings().reportIntervalMs() / 4);
     LoopbackEnvironment environment =
         new LoopbackEnvironment(
             loop,
--- a/src/main/java/dapplestair/emulator/EmulatedCloud.java
+++ b/src/main/java/dapplestair/emulator/EmulatedCloud.java
@@ -321,8 +321,8 @@
               .put("memoryGb", machine.memoryGb())
               .put("cacheGb", machine.cacheGb())
               .put("pullGbPerS", machine.fetchGbPerS())
-              .put("hourly", machine.price())
-              .put("marketPrice", machine.spotPrice())
+              .put("hourly", machine.pricePerHour())
+              .put("marketPrice", machine.spotPricePerHour())
               .put("readyS", machine.bootS());
       emulatorSettings.zones().forEach(typeJson.putArray("basins")::add);
     }
--- a/src/main/java/dapplestair/emulator/EmulatedWorker.java
+++ b/src/main/java/dapplestair/emulator/EmulatedWorker.java
@@ -49,7 +49,7 @@
     this.selector = new ControllerSelector(cloud);
     this.reportSender =
         new ReportSender(
-            environment, this, condition, session, selector, emulatorSettings.reportMs());
+            environment, this, condition, session, selector, emulatorSettings.reportIntervalMs());
     this.taskRunner =
         new TaskRunner(environment, cloud, this, type, condition, session, reportSender::report);
     this.endpoint = environment.address(id);
--- a/src/main/java/dapplestair/emulator/EmulatorSettings.java
+++ b/src/main/java/dapplestair/emulator/EmulatorSettings.java
@@ -23,7 +23,7 @@
     List<String> zones,
     int machinesPerZone,
     double neverBootingShare,
-    long reportMs,
+    long reportIntervalMs,
     long leaseMs,
     long listLagMs,
     int maxTransactionWrites,
@@ -68,8 +68,8 @@
       double memoryGb,
       double cacheGb,
       double fetchGbPerS,
-      double price,
-      double spotPrice,
+      double pricePerHour,
+      double spotPricePerHour,
       double bootS) {
     /** The submission's fields that hold the resources a task uses on its machine. */
     public static final List<String> FIELDS = List.of("vcpus", "memoryGb", "accelerators");
--- a/src/main/java/dapplestair/emulator/TaskRunner.java
+++ b/src/main/java/dapplestair/emulator/TaskRunner.java
@@ -101,7 +101,7 @@
   }
 
   private void finishCheckpoint(EmulatedTask task, double ranS, long startedInSession) {
-    if (hasEnded(startedInSession) || !task.status.equals("flushing")) {
+    if (isSessionOver(startedInSession) || !task.status.equals("flushing")) {
       return;
     }
     cloud.addSavedRunSeconds(task.key(), ranS);
@@ -143,7 +143,7 @@
   }
 
   private void start(EmulatedTask task, long startedInSession) {
-    if (hasEnded(startedInSession) || !task.status.equals("fetching")) {
+    if (isSessionOver(startedInSession) || !task.status.equals("fetching")) {
       return;
     }
     if (condition.isHanging()) {
@@ -171,7 +171,7 @@
   }
 
   private void finish(EmulatedTask task, String cause, long startedInSession) {
-    if (hasEnded(startedInSession) || !task.isOnMachine()) {
+    if (isSessionOver(startedInSession) || !task.isOnMachine()) {
       return;
     }
     if (condition.isHanging()) {
@@ -187,7 +187,7 @@
   }
 
   /** Returns true if the machine is off, or the session in which a step began has ended. */
-  private boolean hasEnded(long startedInSession) {
+  private boolean isSessionOver(long startedInSession) {
     return condition.isGone() || startedInSession != session.number();
   }
 }
--- a/src/test/java/dapplestair/model/Cluster.java
+++ b/src/test/java/dapplestair/model/Cluster.java
@@ -18,17 +18,17 @@
   final List<Set<Message>> messages = new ArrayList<>();
   final List<Set<Report>> reports = new ArrayList<>();
 
-  private final boolean successor;
+  private final boolean hasSuccessor;
 
   // The state service.
-  int leaderKey;
+  int leaderKeyHolder;
   boolean cancelled;
   Recorded recorded = Recorded.NOTHING;
 
-  boolean raisedByOther;
+  boolean raisedByNonLeader;
 
   // What was concluded so far, by anybody: it has to hold for ever.
-  final boolean[] proved;
+  final boolean[] provedGone;
   boolean cancellationProved;
 
   Cluster(Bounds bounds) {
@@ -40,50 +40,50 @@
     }
     leaders = new Leader[] {new Leader(1, workers.length), new Leader(2, workers.length)};
     leaders[0].leading = true;
-    successor = bounds.successor();
-    proved = new boolean[bounds.attempts()];
+    hasSuccessor = bounds.hasSuccessor();
+    provedGone = new boolean[bounds.attempts()];
   }
 
   /** A copy whose parts are shared until they are replaced. */
   Cluster(Cluster other) {
     workers = other.workers.clone();
     leaders = other.leaders.clone();
-    successor = other.successor;
+    hasSuccessor = other.hasSuccessor;
     messages.addAll(other.messages);
     reports.addAll(other.reports);
-    leaderKey = other.leaderKey;
+    leaderKeyHolder = other.leaderKeyHolder;
     cancelled = other.cancelled;
     recorded = other.recorded;
-    raisedByOther = other.raisedByOther;
-    proved = other.proved.clone();
+    raisedByNonLeader = other.raisedByNonLeader;
+    provedGone = other.provedGone.clone();
     cancellationProved = other.cancellationProved;
   }
 
   /** A worker to be changed. */
-  Worker worker(int machine) {
+  Worker mutableWorker(int machine) {
     workers[machine] = new Worker(workers[machine]);
     return workers[machine];
   }
 
   /** A leader to be changed. */
-  Leader leader(int index) {
+  Leader mutableLeader(int index) {
     leaders[index] = new Leader(leaders[index]);
     return leaders[index];
   }
 
-  void proved(List<Long> numbers) {
-    numbers.forEach(n -> proved[(int) (n - 1)] = true);
+  void addProofs(List<Long> numbers) {
+    numbers.forEach(n -> provedGone[(int) (n - 1)] = true);
   }
 
   /** True while the second leader has not begun. */
-  boolean successorMayCome() {
-    return successor && leaderKey == 0;
+  boolean canSuccessorBegin() {
+    return hasSuccessor && leaderKeyHolder == 0;
   }
 
   /** True when some leader waits for the worker's answer to this message. */
-  boolean awaited(int machine, Message message) {
-    for (Leader l : leaders) {
-      Leader.Call call = l.machines[machine].call;
+  boolean isResponseAwaited(int machine, Message message) {
+    for (Leader leader : leaders) {
+      Leader.Call call = leader.machines[machine].call;
       if (call != null && call.response() == null && call.message().equals(message)) {
         return true;
       }
@@ -92,12 +92,13 @@
   }
 
   /** True when this report may still tell some leader something. */
-  boolean matters(int machine, Report r) {
-    if (successorMayCome()) {
+  boolean mayInformLeader(int machine, Report report) {
+    if (canSuccessorBegin()) {
       return true;
     }
-    for (Leader l : leaders) {
-      if (l.leading && r.after(l.machines[machine].session, l.machines[machine].tick)) {
+    for (Leader leader : leaders) {
+      if (leader.leading
+          && report.after(leader.machines[machine].session, leader.machines[machine].tick)) {
         return true;
       }
     }
@@ -105,19 +106,27 @@
   }
 
   /** The first rule that is broken, or null. */
-  String broken() {
+  String brokenRule() {
     int running = 0;
-    for (Worker w : workers) {
-      for (int n = 1; n <= proved.length; n++) {
-        if (!w.running(n)) {
+    for (Worker worker : workers) {
+      for (int attempt = 1; attempt <= provedGone.length; attempt++) {
+        if (!worker.isRunning(attempt)) {
           continue;
         }
         running++;
-        if (proved[n - 1]) {
-          return "attempt " + n + " runs on " + w.host + " after a proof that it is gone";
+        if (provedGone[attempt - 1]) {
+          return "attempt "
+              + attempt
+              + " runs on "
+              + worker.host
+              + " after a proof that it is gone";
         }
         if (cancellationProved) {
-          return "attempt " + n + " runs on " + w.host + " though the job was proved cancelled";
+          return "attempt "
+              + attempt
+              + " runs on "
+              + worker.host
+              + " though the job was proved cancelled";
         }
       }
     }
--- a/src/test/java/dapplestair/model/Encoder.java
+++ b/src/test/java/dapplestair/model/Encoder.java
@@ -16,49 +16,49 @@
  * ranks; the network's sets are written in sorted order.
  */
 final class Encoder {
-  private static final int LARGEST = 4096;
+  private static final int MAX_STATE_BYTES = 4096;
 
-  private final ByteBuffer out = ByteBuffer.allocate(LARGEST);
-  private long[] ticks;
+  private final ByteBuffer out = ByteBuffer.allocate(MAX_STATE_BYTES);
+  private long[] inFlightTicks;
 
   private Encoder() {}
 
-  static byte[] encode(Cluster c) {
-    Encoder e = new Encoder();
-    for (int m = 0; m < c.workers.length; m++) {
-      e.machine(c, m);
+  static byte[] encode(Cluster cluster) {
+    Encoder encoder = new Encoder();
+    for (int machine = 0; machine < cluster.workers.length; machine++) {
+      encoder.putMachine(cluster, machine);
     }
-    for (Leader l : c.leaders) {
-      e.leader(l);
+    for (Leader leader : cluster.leaders) {
+      encoder.putLeader(leader);
     }
-    e.number(c.leaderKey);
-    e.flag(c.cancelled);
-    e.number(c.recorded.lastNumber());
-    e.number(c.recorded.number());
-    e.number(c.recorded.machine());
-    e.number(c.recorded.session());
-    e.flag(c.raisedByOther);
-    for (boolean proved : c.proved) {
-      e.flag(proved);
+    encoder.putNumber(cluster.leaderKeyHolder);
+    encoder.putFlag(cluster.cancelled);
+    encoder.putNumber(cluster.recorded.lastNumber());
+    encoder.putNumber(cluster.recorded.number());
+    encoder.putNumber(cluster.recorded.machine());
+    encoder.putNumber(cluster.recorded.session());
+    encoder.putFlag(cluster.raisedByNonLeader);
+    for (boolean proved : cluster.provedGone) {
+      encoder.putFlag(proved);
     }
-    e.flag(c.cancellationProved);
-    return e.taken(0);
+    encoder.putFlag(cluster.cancellationProved);
+    return encoder.takeBytesFrom(0);
   }
 
   /** Of all reports of a machine that are on their way, in order. */
-  private static long[] ticks(Cluster c, int machine) {
-    TreeSet<Long> all = new TreeSet<>();
-    c.reports.get(machine).forEach(r -> all.add(r.tick()));
-    for (Leader l : c.leaders) {
-      Leader.Call call = l.machines[machine].call;
+  private static long[] inFlightTicks(Cluster cluster, int machine) {
+    TreeSet<Long> ticks = new TreeSet<>();
+    cluster.reports.get(machine).forEach(r -> ticks.add(r.tick()));
+    for (Leader leader : cluster.leaders) {
+      Leader.Call call = leader.machines[machine].call;
       if (call != null && call.response() != null) {
-        all.add(call.response().tick());
+        ticks.add(call.response().tick());
       }
     }
-    return all.stream().mapToLong(Long::longValue).toArray();
+    return ticks.stream().mapToLong(Long::longValue).toArray();
   }
 
-  private void number(long value) {
+  private void putNumber(long value) {
     if (value >= 0 && value < 100) {
       out.put((byte) value);
       return;
@@ -69,110 +69,111 @@
     }
   }
 
-  private void flag(boolean value) {
+  private void putFlag(boolean value) {
     out.put((byte) (value ? 1 : 0));
   }
 
-  private void tick(long tick) {
-    number(Arrays.stream(ticks).filter(t -> t <= tick).count());
+  private void putTickRank(long tick) {
+    putNumber(Arrays.stream(inFlightTicks).filter(t -> t <= tick).count());
   }
 
-  private void machine(Cluster c, int m) {
-    ticks = ticks(c, m);
-    Worker w = c.workers[m];
-    number(w.session);
-    number(w.token);
-    for (Worker.Task t : w.tasks) {
-      number(t.ordinal());
+  private void putMachine(Cluster cluster, int machine) {
+    inFlightTicks = inFlightTicks(cluster, machine);
+    Worker worker = cluster.workers[machine];
+    putNumber(worker.session);
+    putNumber(worker.token);
+    for (Worker.Task task : worker.tasks) {
+      putNumber(task.ordinal());
     }
-    sorted(c.messages.get(m).stream().map(this::bytes).toList());
-    sorted(c.reports.get(m).stream().map(this::bytes).toList());
-    for (Leader l : c.leaders) {
-      machine(l.machines[m]);
+    putSorted(cluster.messages.get(machine).stream().map(this::bytes).toList());
+    putSorted(cluster.reports.get(machine).stream().map(this::bytes).toList());
+    for (Leader leader : cluster.leaders) {
+      putMachine(leader.machines[machine]);
     }
   }
 
-  private void machine(Leader.Machine m) {
-    number(m.fence);
-    number(m.session);
-    tick(m.tick);
-    flag(m.acknowledged);
-    flag(m.strays);
-    number(m.outbox.size());
-    m.outbox.values().forEach(this::order);
-    flag(m.call != null);
-    if (m.call != null) {
-      message(m.call.message());
-      flag(m.call.executed());
-      flag(m.call.response() != null);
-      if (m.call.response() != null) {
-        report(m.call.response());
+  private void putMachine(Leader.Machine machineState) {
+    putNumber(machineState.fence);
+    putNumber(machineState.session);
+    putTickRank(machineState.tick);
+    putFlag(machineState.acknowledged);
+    putFlag(machineState.hasStrayTasks);
+    putNumber(machineState.outbox.size());
+    machineState.outbox.values().forEach(this::putOrder);
+    putFlag(machineState.call != null);
+    if (machineState.call != null) {
+      putMessage(machineState.call.message());
+      putFlag(machineState.call.executed());
+      putFlag(machineState.call.response() != null);
+      if (machineState.call.response() != null) {
+        putReport(machineState.call.response());
       }
     }
   }
 
-  private void leader(Leader l) {
-    flag(l.leading);
-    flag(l.knowsCancelled);
-    flag(l.recording);
-    number(l.lastNumber);
-    Attempt a = l.attempt;
-    flag(a != null);
-    if (a != null) {
-      number(a.number());
-      number(Integer.parseInt(a.host().substring(2)));
-      number(a.session());
-      flag(AttemptRules.planned(a));
-      flag(a.isSent());
-      number(a.isSent() ? AttemptRules.neededToken(a) : 0);
+  private void putLeader(Leader leader) {
+    putFlag(leader.leading);
+    putFlag(leader.knowsCancelled);
+    putFlag(leader.recordInFlight);
+    putNumber(leader.lastNumber);
+    Attempt attempt = leader.attempt;
+    putFlag(attempt != null);
+    if (attempt != null) {
+      putNumber(attempt.number());
+      putNumber(Integer.parseInt(attempt.host().substring(2)));
+      putNumber(attempt.session());
+      putFlag(AttemptRules.planned(attempt));
+      putFlag(attempt.isSent());
+      putNumber(attempt.isSent() ? AttemptRules.neededToken(attempt) : 0);
     }
   }
 
-  private void order(WorkerCommand o) {
-    number(o instanceof WorkerCommand.Launch ? 0 : o instanceof WorkerCommand.Halt ? 1 : 2);
-    number(o.attempt());
+  private void putOrder(WorkerCommand order) {
+    putNumber(
+        order instanceof WorkerCommand.Launch ? 0 : order instanceof WorkerCommand.Halt ? 1 : 2);
+    putNumber(order.attempt());
   }
 
-  private void message(Message m) {
-    number(m.token());
-    number(m.session());
-    number(m.orders().size());
-    m.orders().forEach(this::order);
+  private void putMessage(Message message) {
+    putNumber(message.token());
+    putNumber(message.session());
+    putNumber(message.orders().size());
+    message.orders().forEach(this::putOrder);
   }
 
-  private void report(Report r) {
-    number(r.session());
-    tick(r.tick());
-    number(r.token());
-    number(r.tasks().size());
-    for (Report.Task t : r.tasks()) {
-      number(t.attempt());
-      number(t.status().ordinal());
+  private void putReport(Report report) {
+    putNumber(report.session());
+    putTickRank(report.tick());
+    putNumber(report.token());
+    putNumber(report.tasks().size());
+    for (Report.Task task : report.tasks()) {
+      putNumber(task.attempt());
+      putNumber(task.status().ordinal());
     }
   }
 
-  private byte[] bytes(Message m) {
+  private byte[] bytes(Message message) {
     int from = out.position();
-    message(m);
-    return taken(from);
+    putMessage(message);
+    return takeBytesFrom(from);
   }
 
-  private byte[] bytes(Report r) {
+  private byte[] bytes(Report report) {
     int from = out.position();
-    report(r);
-    return taken(from);
+    putReport(report);
+    return takeBytesFrom(from);
   }
 
-  private byte[] taken(int from) {
+  private byte[] takeBytesFrom(int from) {
     byte[] bytes = Arrays.copyOfRange(out.array(), from, out.position());
     out.position(from);
     return bytes;
   }
 
-  private void sorted(List<byte[]> parts) {
-    List<byte[]> inOrder = new ArrayList<>(parts);
-    inOrder.sort(Arrays::compare);
-    number(inOrder.size());
-    inOrder.forEach(out::put);
+  private void putSorted(List<byte[]> parts) {
+    List<byte[]> sortedParts = new ArrayList<>(parts);
+    sortedParts.sort(Arrays::compare);
+    putNumber(sortedParts.size());
+    sortedParts.forEach(out::put);
   }
 }
--- a/src/test/java/dapplestair/model/ExploreTaskProtocol.java
+++ b/src/test/java/dapplestair/model/ExploreTaskProtocol.java
@@ -11,16 +11,26 @@
   private ExploreTaskProtocol() {}
 
   public static void main(String[] args) {
-    int[] n = Arrays.stream(args).mapToInt(Integer::parseInt).toArray();
+    int[] parameters = Arrays.stream(args).mapToInt(Integer::parseInt).toArray();
     Bounds bounds =
-        new Bounds(n[1] > 0, n[2], n[3], n[4], n[5], n[6], n[7], n[8] > 0, n[9] > 0, n[10] > 0);
-    long begun = System.nanoTime();
-    Explorer.Result r = new Explorer(new TaskProtocol(bounds), n[0]).explore();
-    long ms = (System.nanoTime() - begun) / 1_000_000;
-    String rule = r.broken() == null ? "no rule broken" : r.broken();
+        new Bounds(
+            parameters[1] > 0,
+            parameters[2],
+            parameters[3],
+            parameters[4],
+            parameters[5],
+            parameters[6],
+            parameters[7],
+            parameters[8] > 0,
+            parameters[9] > 0,
+            parameters[10] > 0);
+    long startedNs = System.nanoTime();
+    Explorer.Result result = new Explorer(new TaskProtocol(bounds), parameters[0]).explore();
+    long elapsedMs = (System.nanoTime() - startedNs) / 1_000_000;
+    String rule = result.brokenRule() == null ? "no rule broken" : result.brokenRule();
     System.out.printf(
         "%s: %d states, %d transitions, %d ms, %s%n",
-        bounds, r.states(), r.transitions(), ms, rule);
-    r.trace().forEach(System.out::println);
+        bounds, result.states(), result.transitions(), elapsedMs, rule);
+    result.trace().forEach(System.out::println);
   }
 }
--- a/src/test/java/dapplestair/model/Explorer.java
+++ b/src/test/java/dapplestair/model/Explorer.java
@@ -16,10 +16,10 @@
    *
    * @param states distinct states
    * @param transitions steps taken from them, those to known states as well
-   * @param broken the rule that is broken first, or null
+   * @param brokenRule the rule that is broken first, or null
    * @param trace the shortest way to it
    */
-  record Result(int states, long transitions, String broken, List<String> trace) {}
+  record Result(int states, long transitions, String brokenRule, List<String> trace) {}
 
   private static final Hash.Strategy<byte[]> BY_CONTENT =
       new Hash.Strategy<>() {
@@ -35,71 +35,75 @@
       };
 
   private final TaskProtocol protocol;
-  private final int mostStates;
-  private final ObjectOpenCustomHashSet<byte[]> known = new ObjectOpenCustomHashSet<>(BY_CONTENT);
-  private final ArrayDeque<Cluster> open = new ArrayDeque<>();
+  private final int maxStates;
+  private final ObjectOpenCustomHashSet<byte[]> knownStates =
+      new ObjectOpenCustomHashSet<>(BY_CONTENT);
+  private final ArrayDeque<Cluster> frontier = new ArrayDeque<>();
 
   // All states in the order in which they were found, and from which each was found first.
   private final List<byte[]> states = new ArrayList<>();
   private final IntArrayList parents = new IntArrayList();
 
   private long transitions;
-  private String broken;
+  private String brokenRule;
 
-  /** Fails beyond {@code mostStates}. */
-  Explorer(TaskProtocol protocol, int mostStates) {
+  /** Fails beyond {@code maxStates}. */
+  Explorer(TaskProtocol protocol, int maxStates) {
     this.protocol = protocol;
-    this.mostStates = mostStates;
+    this.maxStates = maxStates;
   }
 
   Result explore() {
-    reached(protocol.initial(), -1);
-    for (int number = 0; !open.isEmpty() && broken == null; number++) {
-      int parent = number;
-      protocol.steps(
-          open.poll(),
+    visit(protocol.initialState(), -1);
+    for (int stateIndex = 0; !frontier.isEmpty() && brokenRule == null; stateIndex++) {
+      int parent = stateIndex;
+      protocol.forEachStep(
+          frontier.poll(),
           (name, next) -> {
             transitions++;
-            if (broken == null) {
-              reached(next, parent);
+            if (brokenRule == null) {
+              visit(next, parent);
             }
           });
     }
-    return new Result(states.size(), transitions, broken, broken == null ? List.of() : trace());
+    return new Result(
+        states.size(), transitions, brokenRule, brokenRule == null ? List.of() : trace());
   }
 
-  private void reached(Cluster state, int parent) {
+  private void visit(Cluster state, int parent) {
     byte[] key = Encoder.encode(state);
-    if (!known.add(key)) {
+    if (!knownStates.add(key)) {
       return;
     }
-    if (known.size() > mostStates) {
-      throw new IllegalStateException("more than " + mostStates + " states");
+    if (knownStates.size() > maxStates) {
+      throw new IllegalStateException("more than " + maxStates + " states");
     }
     states.add(key);
     parents.add(parent);
-    broken = state.broken();
-    open.add(state);
+    brokenRule = state.brokenRule();
+    frontier.add(state);
   }
 
   /** The names of the steps to the last state found, by taking them once more. */
   private List<String> trace() {
-    List<byte[]> way = new ArrayList<>();
-    for (int at = states.size() - 1; at > 0; at = parents.getInt(at)) {
-      way.add(states.get(at));
+    List<byte[]> path = new ArrayList<>();
+    for (int stateIndex = states.size() - 1;
+        stateIndex > 0;
+        stateIndex = parents.getInt(stateIndex)) {
+      path.add(states.get(stateIndex));
     }
-    Collections.reverse(way);
+    Collections.reverse(path);
     List<String> names = new ArrayList<>();
-    Cluster[] at = {protocol.initial()};
-    for (byte[] wanted : way) {
-      Cluster from = at[0];
-      int before = names.size();
-      protocol.steps(
-          from,
+    Cluster[] current = {protocol.initialState()};
+    for (byte[] target : path) {
+      Cluster start = current[0];
+      int countBefore = names.size();
+      protocol.forEachStep(
+          start,
           (name, next) -> {
-            if (names.size() == before && Arrays.equals(wanted, Encoder.encode(next))) {
+            if (names.size() == countBefore && Arrays.equals(target, Encoder.encode(next))) {
               names.add(name.get());
-              at[0] = next;
+              current[0] = next;
             }
           });
     }
--- a/src/test/java/dapplestair/model/Leader.java
+++ b/src/test/java/dapplestair/model/Leader.java
@@ -22,7 +22,7 @@
     long session;
     long tick = -1;
     boolean acknowledged;
-    boolean strays;
+    boolean hasStrayTasks;
     Call call;
     final Map<String, WorkerCommand> outbox = new LinkedHashMap<>();
 
@@ -33,12 +33,12 @@
       session = other.session;
       tick = other.tick;
       acknowledged = other.acknowledged;
-      strays = other.strays;
+      hasStrayTasks = other.hasStrayTasks;
       call = other.call;
       outbox.putAll(other.outbox);
     }
 
-    private void queue(WorkerCommand command) {
+    private void enqueue(WorkerCommand command) {
       outbox.put(command.id(), command);
     }
   }
@@ -48,7 +48,7 @@
   boolean knowsCancelled;
 
   /** A transaction that records its attempt is on its way. */
-  boolean recording;
+  boolean recordInFlight;
 
   long lastNumber;
 
@@ -57,10 +57,10 @@
 
   final Machine[] machines;
 
-  Leader(long term, int count) {
+  Leader(long term, int machineCount) {
     this.term = term;
-    machines = new Machine[count];
-    for (int i = 0; i < count; i++) {
+    machines = new Machine[machineCount];
+    for (int i = 0; i < machineCount; i++) {
       machines[i] = new Machine();
     }
   }
@@ -69,7 +69,7 @@
     term = other.term;
     leading = other.leading;
     knowsCancelled = other.knowsCancelled;
-    recording = other.recording;
+    recordInFlight = other.recordInFlight;
     lastNumber = other.lastNumber;
     attempt = other.attempt == null ? null : AttemptRules.copy(other.attempt);
     machines = new Machine[other.machines.length];
@@ -91,10 +91,10 @@
   }
 
   /** Ends its lead; what it has sent stays in the network. */
-  void stop() {
+  void stepDown() {
     leading = false;
     attempt = null;
-    recording = false;
+    recordInFlight = false;
     knowsCancelled = false;
     lastNumber = 0;
     for (int i = 0; i < machines.length; i++) {
@@ -104,25 +104,25 @@
 
   // ---- planning ----
 
-  boolean mayPlan(int machine) {
-    Machine m = machines[machine];
+  boolean canPlan(int machine) {
+    Machine machineState = machines[machine];
     return leading
         && !knowsCancelled
         && attempt == null
-        && !recording
-        && m.acknowledged
-        && !m.strays;
+        && !recordInFlight
+        && machineState.acknowledged
+        && !machineState.hasStrayTasks;
   }
 
   void plan(int machine) {
     lastNumber++;
     attempt = AttemptRules.planned(lastNumber, host(machine), machines[machine].session);
-    recording = true;
+    recordInFlight = true;
   }
 
   /** The answer to the transaction came: the attempt, if it still counts, may be launched. */
-  void recorded(boolean applied) {
-    recording = false;
+  void completeRecord(boolean applied) {
+    recordInFlight = false;
     if (attempt == null || !AttemptRules.planned(attempt)) {
       return;
     }
@@ -132,11 +132,11 @@
     }
     AttemptRules.markCommitted(attempt);
     int machine = machineOf(attempt);
-    machines[machine].queue(new WorkerCommand.Launch(attempt.key(), attempt.number()));
+    machines[machine].enqueue(new WorkerCommand.Launch(attempt.key(), attempt.number()));
   }
 
-  private static int machineOf(Attempt a) {
-    return Integer.parseInt(a.host().substring(2));
+  private static int machineOf(Attempt attempt) {
+    return Integer.parseInt(attempt.host().substring(2));
   }
 
   /** Stops its attempt, for a cancellation or by choice; one that was not sent is dropped. */
@@ -144,91 +144,96 @@
     if (!attempt.isSent()) {
       attempt = null;
     } else {
-      machines[machineOf(attempt)].queue(
+      machines[machineOf(attempt)].enqueue(
           new WorkerCommand.Halt(attempt.key(), attempt.number(), 0));
     }
   }
 
   /** True while a halt of its attempt waits or is under way: one more would change nothing. */
-  boolean halting() {
-    Machine m = machines[machineOf(attempt)];
-    return m.outbox.values().stream().anyMatch(o -> o instanceof WorkerCommand.Halt)
-        || m.call != null && m.call.message().has(WorkerCommand.Halt.class);
+  boolean isHalting() {
+    Machine machineState = machines[machineOf(attempt)];
+    return machineState.outbox.values().stream().anyMatch(o -> o instanceof WorkerCommand.Halt)
+        || machineState.call != null
+            && machineState.call.message().hasOrder(WorkerCommand.Halt.class);
   }
 
   // ---- calls ----
 
-  boolean maySend(int machine) {
+  boolean canSend(int machine) {
     return leading && machines[machine].call == null && !machines[machine].outbox.isEmpty();
   }
 
   /** True while it has raised the token less often, whoever else raised it by whole steps. */
-  boolean mayRaise(int machine, int most) {
-    return (machines[machine].fence & (FencingToken.MAX_FENCE_LEAD - 1)) < most;
+  boolean canRaiseToken(int machine, int maxRaises) {
+    return (machines[machine].fence & (FencingToken.MAX_FENCE_LEAD - 1)) < maxRaises;
   }
 
   /** Sends what waits for a machine; null when nothing of it is due any more. */
   Message send(int machine) {
-    Machine m = machines[machine];
+    Machine machineState = machines[machine];
     List<WorkerCommand> orders = new ArrayList<>();
     List<Attempt> launches = new ArrayList<>();
-    for (WorkerCommand command : m.outbox.values()) {
+    for (WorkerCommand command : machineState.outbox.values()) {
       if (command instanceof WorkerCommand.Launch) {
-        if (!FencingRules.due(m.session, isOn(machine) ? attempt : null, command)) {
+        if (!FencingRules.due(machineState.session, isOn(machine) ? attempt : null, command)) {
           continue;
         }
         launches.add(attempt);
       }
       orders.add(command);
     }
-    m.outbox.clear();
+    machineState.outbox.clear();
     if (orders.isEmpty()) {
       return null;
     }
-    m.fence = FencingRules.sending(m.fence, orders, launches);
-    Message message = new Message(token(machine), m.session, orders);
-    m.call = new Call(message, false, null);
+    machineState.fence = FencingRules.sending(machineState.fence, orders, launches);
+    Message message = new Message(token(machine), machineState.session, orders);
+    machineState.call = new Call(message, false, null);
     return message;
   }
 
   /** The launches of a call whose attempt still counts; nothing is concluded about others. */
-  private List<Attempt> launched(Message message) {
-    boolean launched =
+  private List<Attempt> launchedAttempts(Message message) {
+    boolean launchesCurrentAttempt =
         attempt != null
             && message.orders().stream()
                 .anyMatch(
                     o -> o instanceof WorkerCommand.Launch && o.attempt() == attempt.number());
-    return launched ? List.of(attempt) : List.of();
+    return launchesCurrentAttempt ? List.of(attempt) : List.of();
   }
 
   /** The worker's answer to the call arrives. */
-  List<Long> answered(int machine) {
-    Machine m = machines[machine];
-    Call call = m.call;
-    m.call = null;
-    FencingRules.answered(launched(call.message()));
-    List<Long> ended = apply(machine, call.response());
+  List<Long> receiveResponse(int machine) {
+    Machine machineState = machines[machine];
+    Call call = machineState.call;
+    machineState.call = null;
+    FencingRules.answered(launchedAttempts(call.message()));
+    List<Long> goneAttempts = applyReport(machine, call.response());
     if (leading && !call.executed()) {
-      requeueHalts(m, call.message());
+      requeueHalts(machineState, call.message());
     }
-    return ended;
+    return goneAttempts;
   }
 
   /** No answer to the call comes any more, or it is known not to have left. */
-  void unanswered(int machine, boolean sent) {
-    Machine m = machines[machine];
-    Call call = m.call;
-    m.call = null;
-    m.fence = FencingRules.unanswered(m.fence, term, launched(call.message()), sent);
-    if (sent) {
-      requeueHalts(m, call.message());
+  void failCall(int machine, boolean wasSent) {
+    Machine machineState = machines[machine];
+    Call call = machineState.call;
+    machineState.call = null;
+    machineState.fence =
+        FencingRules.unanswered(
+            machineState.fence, term, launchedAttempts(call.message()), wasSent);
+    if (wasSent) {
+      requeueHalts(machineState, call.message());
     } else {
-      call.message().orders().forEach(o -> m.outbox.putIfAbsent(o.id(), o));
+      call.message().orders().forEach(o -> machineState.outbox.putIfAbsent(o.id(), o));
     }
   }
 
-  private static void requeueHalts(Machine m, Message message) {
-    message.orders().stream().filter(o -> o instanceof WorkerCommand.Halt).forEach(m::queue);
+  private static void requeueHalts(Machine machineState, Message message) {
+    message.orders().stream()
+        .filter(o -> o instanceof WorkerCommand.Halt)
+        .forEach(machineState::enqueue);
   }
 
   // ---- reports ----
@@ -238,63 +243,66 @@
    * that have exited, and one that is absent. The number of one that is not on record is given out
    * again by the next leader.
    */
-  List<Long> apply(int machine, Report r) {
-    if (FencingToken.term(r.token()) > term) {
-      stop();
+  List<Long> applyReport(int machine, Report report) {
+    if (FencingToken.term(report.token()) > term) {
+      stepDown();
       return List.of();
     }
-    Machine m = machines[machine];
-    m.fence = FencingRules.shown(m.fence, term, r.token());
-    if (!r.after(m.session, m.tick)) {
+    Machine machineState = machines[machine];
+    machineState.fence = FencingRules.shown(machineState.fence, term, report.token());
+    if (!report.after(machineState.session, machineState.tick)) {
       return List.of();
     }
-    m.session = r.session();
-    m.tick = r.tick();
-    m.acknowledged |= r.token() >= FencingToken.of(term, 0);
-    m.strays = false;
-    List<Long> ended = new ArrayList<>();
-    boolean seen = false;
-    for (Report.Task t : r.tasks()) {
-      boolean own =
-          isOn(machine) && attempt.number() == t.attempt() && attempt.session() == r.session();
-      if (own) {
-        seen = true;
+    machineState.session = report.session();
+    machineState.tick = report.tick();
+    machineState.acknowledged |= report.token() >= FencingToken.of(term, 0);
+    machineState.hasStrayTasks = false;
+    List<Long> goneAttempts = new ArrayList<>();
+    boolean attemptListed = false;
+    for (Report.Task task : report.tasks()) {
+      boolean isOwn =
+          isOn(machine)
+              && attempt.number() == task.attempt()
+              && attempt.session() == report.session();
+      if (isOwn) {
+        attemptListed = true;
         AttemptRules.markSeenOnMachine(attempt);
       }
-      if (t.status() == Report.Status.EXITED) {
-        exited(m, t, own, ended);
-      } else if (!own && m.acknowledged) {
-        m.strays = true;
-        m.queue(new WorkerCommand.Halt(t.key(), t.attempt(), 0));
+      if (task.status() == Report.Status.EXITED) {
+        handleExited(machineState, task, isOwn, goneAttempts);
+      } else if (!isOwn && machineState.acknowledged) {
+        machineState.hasStrayTasks = true;
+        machineState.enqueue(new WorkerCommand.Halt(task.key(), task.attempt(), 0));
       }
     }
-    if (!seen && isOn(machine) && AttemptRules.provesAbsence(attempt, r)) {
+    if (!attemptListed && isOn(machine) && AttemptRules.provesAbsence(attempt, report)) {
       if (!AttemptRules.planned(attempt)) {
-        ended.add(attempt.number());
+        goneAttempts.add(attempt.number());
       }
       attempt = null;
     }
-    return ended;
+    return goneAttempts;
   }
 
-  private void exited(Machine m, Report.Task t, boolean own, List<Long> ended) {
-    if (own) {
-      ended.add(attempt.number());
+  private void handleExited(
+      Machine machineState, Report.Task task, boolean isOwn, List<Long> goneAttempts) {
+    if (isOwn) {
+      goneAttempts.add(attempt.number());
       attempt = null;
     }
-    if (own || m.acknowledged) {
-      m.queue(new WorkerCommand.Clear(t.key(), t.attempt()));
+    if (isOwn || machineState.acknowledged) {
+      machineState.enqueue(new WorkerCommand.Clear(task.key(), task.attempt()));
     }
   }
 
   /** The answer to a report: the token, and a halt when the job is known to be cancelled. */
-  Message answer(int machine, Report r) {
+  Message replyTo(int machine, Report report) {
     List<WorkerCommand> halts = new ArrayList<>();
-    for (Report.Task t : r.tasks()) {
-      if (knowsCancelled && t.status() != Report.Status.EXITED) {
-        halts.add(new WorkerCommand.Halt(t.key(), t.attempt(), 0));
+    for (Report.Task task : report.tasks()) {
+      if (knowsCancelled && task.status() != Report.Status.EXITED) {
+        halts.add(new WorkerCommand.Halt(task.key(), task.attempt(), 0));
       }
     }
-    return new Message(token(machine), r.session(), halts);
+    return new Message(token(machine), report.session(), halts);
   }
 }
--- a/src/test/java/dapplestair/model/TaskProtocol.java
+++ b/src/test/java/dapplestair/model/TaskProtocol.java
@@ -26,266 +26,290 @@
     this.bounds = bounds;
   }
 
-  Cluster initial() {
+  Cluster initialState() {
     return new Cluster(bounds);
   }
 
-  /** Calls {@code next} with the name of each possible step and the state after it. */
-  void steps(Cluster c, StepListener next) {
-    for (int m = 0; m < bounds.machines(); m++) {
-      workerSteps(c, m, next);
-      messageSteps(c, m, next);
-      reportSteps(c, m, next);
+  /** Calls {@code listener} with the name of each possible step and the state after it. */
+  void forEachStep(Cluster cluster, StepListener listener) {
+    for (int machine = 0; machine < bounds.machines(); machine++) {
+      workerSteps(cluster, machine, listener);
+      messageSteps(cluster, machine, listener);
+      reportSteps(cluster, machine, listener);
     }
-    for (int l = 0; l < c.leaders.length; l++) {
-      if (c.leaders[l].leading) {
-        leaderSteps(c, l, next);
+    for (int leaderIndex = 0; leaderIndex < cluster.leaders.length; leaderIndex++) {
+      if (cluster.leaders[leaderIndex].leading) {
+        leaderSteps(cluster, leaderIndex, listener);
       }
     }
-    stateSteps(c, next);
+    stateServiceSteps(cluster, listener);
   }
 
   // ---- workers ----
 
-  private void workerSteps(Cluster c, int machine, StepListener next) {
-    Worker w = c.workers[machine];
-    Cluster reported = new Cluster(c);
-    Report report = reported.worker(machine).report();
-    addReport(reported, machine, report, () -> w.host + " reports", next);
-    for (int n = 1; n <= bounds.attempts(); n++) {
-      if (w.running(n)) {
-        Cluster exited = new Cluster(c);
-        exited.worker(machine).exit(n);
-        int number = n;
-        next.accept(() -> "attempt " + number + " exits on " + w.host, exited);
+  private void workerSteps(Cluster cluster, int machine, StepListener listener) {
+    Worker worker = cluster.workers[machine];
+    Cluster afterReport = new Cluster(cluster);
+    Report report = afterReport.mutableWorker(machine).report();
+    addReport(afterReport, machine, report, () -> worker.host + " reports", listener);
+    for (int attempt = 1; attempt <= bounds.attempts(); attempt++) {
+      if (worker.isRunning(attempt)) {
+        Cluster afterExit = new Cluster(cluster);
+        afterExit.mutableWorker(machine).exit(attempt);
+        int number = attempt;
+        listener.accept(() -> "attempt " + number + " exits on " + worker.host, afterExit);
       }
     }
-    if (w.session < bounds.sessions()) {
-      Cluster expired = new Cluster(c);
-      expired.worker(machine).leaseExpires();
-      next.accept(() -> "the lease of " + w.host + " expires", pruned(expired, machine));
+    if (worker.session < bounds.sessions()) {
+      Cluster afterExpiry = new Cluster(cluster);
+      afterExpiry.mutableWorker(machine).expireLease();
+      listener.accept(
+          () -> "the lease of " + worker.host + " expires", prune(afterExpiry, machine));
     }
   }
 
   /** The network holds so many; when it is full, any one of them is lost. */
-  private static <T> List<Set<T>> with(Set<T> before, T added, int most) {
+  private static <T> List<Set<T>> addBounded(Set<T> before, T added, int maxSize) {
     Set<T> all = new LinkedHashSet<>(before);
     all.add(added);
-    if (all.size() <= most) {
+    if (all.size() <= maxSize) {
       return List.of(all);
     }
-    List<Set<T>> out = new ArrayList<>();
+    List<Set<T>> boundedSets = new ArrayList<>();
     for (T lost : all) {
-      Set<T> left = new LinkedHashSet<>(all);
-      left.remove(lost);
-      out.add(left);
+      Set<T> remaining = new LinkedHashSet<>(all);
+      remaining.remove(lost);
+      boundedSets.add(remaining);
     }
-    return out;
+    return boundedSets;
   }
 
   private void addReport(
-      Cluster c, int machine, Report r, Supplier<String> step, StepListener next) {
-    for (Set<Report> reports : with(c.reports.get(machine), r, bounds.reports())) {
-      Cluster after = new Cluster(c);
+      Cluster cluster,
+      int machine,
+      Report report,
+      Supplier<String> stepName,
+      StepListener listener) {
+    for (Set<Report> reports :
+        addBounded(cluster.reports.get(machine), report, bounds.maxReports())) {
+      Cluster after = new Cluster(cluster);
       after.reports.set(machine, reports);
-      next.accept(step, after);
+      listener.accept(stepName, after);
     }
   }
 
   private void addMessage(
-      Cluster c, int machine, Message m, Supplier<String> step, StepListener next) {
-    for (Set<Message> messages : with(c.messages.get(machine), m, bounds.messages())) {
-      Cluster after = new Cluster(c);
+      Cluster cluster,
+      int machine,
+      Message message,
+      Supplier<String> stepName,
+      StepListener listener) {
+    for (Set<Message> messages :
+        addBounded(cluster.messages.get(machine), message, bounds.maxMessages())) {
+      Cluster after = new Cluster(cluster);
       after.messages.set(machine, messages);
-      next.accept(step, pruned(after, machine));
+      listener.accept(stepName, prune(after, machine));
     }
   }
 
   /** Without what can have no effect any more, so that equal states are found to be equal. */
-  private static Cluster pruned(Cluster c, int machine) {
-    Worker w = c.workers[machine];
-    Set<Message> messages = new LinkedHashSet<>(c.messages.get(machine));
+  private static Cluster prune(Cluster cluster, int machine) {
+    Worker worker = cluster.workers[machine];
+    Set<Message> messages = new LinkedHashSet<>(cluster.messages.get(machine));
     messages.removeIf(
         m ->
-            !c.awaited(machine, m)
-                && (w.refuses(m) || m.orders().isEmpty() && m.token() <= w.token));
-    c.messages.set(machine, messages);
-    Set<Report> reports = new LinkedHashSet<>(c.reports.get(machine));
-    reports.removeIf(r -> !c.matters(machine, r));
-    c.reports.set(machine, reports);
-    return c;
+            !cluster.isResponseAwaited(machine, m)
+                && (worker.refuses(m) || m.orders().isEmpty() && m.token() <= worker.token));
+    cluster.messages.set(machine, messages);
+    Set<Report> reports = new LinkedHashSet<>(cluster.reports.get(machine));
+    reports.removeIf(r -> !cluster.mayInformLeader(machine, r));
+    cluster.reports.set(machine, reports);
+    return cluster;
   }
 
   // ---- messages to workers ----
 
-  private void messageSteps(Cluster c, int machine, StepListener next) {
-    for (Message m : c.messages.get(machine)) {
+  private void messageSteps(Cluster cluster, int machine, StepListener listener) {
+    for (Message message : cluster.messages.get(machine)) {
       // It stays in the network: a copy may come at any later time.
-      Cluster after = new Cluster(c);
-      Worker w = after.worker(machine);
-      boolean executed = w.execute(m);
-      for (int l = 0; l < c.leaders.length; l++) {
-        Leader.Call call = c.leaders[l].machines[machine].call;
-        if (call != null && call.response() == null && call.message().equals(m)) {
-          after.leader(l).machines[machine].call = new Leader.Call(m, executed, w.report());
-          if (!bounds.lateAnswers()) {
-            Cluster answered = new Cluster(after);
-            answered.proved(answered.leader(l).answered(machine));
-            next.accept(() -> w.host + " answers " + m, pruned(answered, machine));
-            after.leader(l).machines[machine].call = call;
+      Cluster after = new Cluster(cluster);
+      Worker worker = after.mutableWorker(machine);
+      boolean executed = worker.execute(message);
+      for (int leaderIndex = 0; leaderIndex < cluster.leaders.length; leaderIndex++) {
+        Leader.Call call = cluster.leaders[leaderIndex].machines[machine].call;
+        if (call != null && call.response() == null && call.message().equals(message)) {
+          after.mutableLeader(leaderIndex).machines[machine].call =
+              new Leader.Call(message, executed, worker.report());
+          if (!bounds.lateResponses()) {
+            Cluster afterResponse = new Cluster(after);
+            afterResponse.addProofs(
+                afterResponse.mutableLeader(leaderIndex).receiveResponse(machine));
+            listener.accept(
+                () -> worker.host + " answers " + message, prune(afterResponse, machine));
+            after.mutableLeader(leaderIndex).machines[machine].call = call;
           }
         }
       }
-      next.accept(() -> w.host + " gets " + m, pruned(after, machine));
+      listener.accept(() -> worker.host + " gets " + message, prune(after, machine));
     }
   }
 
   // ---- reports to controllers ----
 
-  private void reportSteps(Cluster c, int machine, StepListener next) {
-    for (Report r : c.reports.get(machine)) {
-      for (int l = 0; l < c.leaders.length; l++) {
-        if (c.leaders[l].leading) {
-          Cluster after = new Cluster(c);
-          Leader leader = after.leader(l);
-          after.proved(leader.apply(machine, r));
-          Supplier<String> step = () -> "leader " + leader.term + " hears " + r;
+  private void reportSteps(Cluster cluster, int machine, StepListener listener) {
+    for (Report report : cluster.reports.get(machine)) {
+      for (int leaderIndex = 0; leaderIndex < cluster.leaders.length; leaderIndex++) {
+        if (cluster.leaders[leaderIndex].leading) {
+          Cluster after = new Cluster(cluster);
+          Leader leader = after.mutableLeader(leaderIndex);
+          after.addProofs(leader.applyReport(machine, report));
+          Supplier<String> stepName = () -> "leader " + leader.term + " hears " + report;
           if (leader.leading) {
-            addMessage(pruned(after, machine), machine, leader.answer(machine, r), step, next);
+            addMessage(
+                prune(after, machine),
+                machine,
+                leader.replyTo(machine, report),
+                stepName,
+                listener);
           } else {
-            next.accept(step, pruned(after, machine));
+            listener.accept(stepName, prune(after, machine));
           }
         }
       }
-      if (bounds.raisedByOthers() && !c.raisedByOther) {
-        Cluster after = new Cluster(c);
-        after.raisedByOther = true;
+      if (bounds.nonLeaderRaises() && !cluster.raisedByNonLeader) {
+        Cluster after = new Cluster(cluster);
+        after.raisedByNonLeader = true;
         Message raised =
-            new Message(FencingToken.raisedByNonLeader(r.token()), r.session(), List.of());
-        addMessage(after, machine, raised, () -> "another controller raises the token", next);
+            new Message(
+                FencingToken.raisedByNonLeader(report.token()), report.session(), List.of());
+        addMessage(after, machine, raised, () -> "another controller raises the token", listener);
       }
     }
   }
 
   // ---- leaders ----
 
-  private void leaderSteps(Cluster c, int l, StepListener next) {
-    Leader leader = c.leaders[l];
+  private void leaderSteps(Cluster cluster, int leaderIndex, StepListener listener) {
+    Leader leader = cluster.leaders[leaderIndex];
     String name = "leader " + leader.term;
-    for (int m = 0; m < bounds.machines(); m++) {
-      callSteps(c, l, m, next);
+    for (int machine = 0; machine < bounds.machines(); machine++) {
+      callSteps(cluster, leaderIndex, machine, listener);
       // A record of a deposed leader, or of a cancelled job, would be refused.
-      boolean recordable = c.leaderKey == l && !c.cancelled;
-      if (recordable && leader.mayPlan(m) && leader.lastNumber < bounds.attempts()) {
-        Cluster after = new Cluster(c);
-        after.leader(l).plan(m);
-        String host = Leader.host(m);
-        next.accept(() -> name + " plans on " + host, after);
+      boolean canRecord = cluster.leaderKeyHolder == leaderIndex && !cluster.cancelled;
+      if (canRecord && leader.canPlan(machine) && leader.lastNumber < bounds.attempts()) {
+        Cluster after = new Cluster(cluster);
+        after.mutableLeader(leaderIndex).plan(machine);
+        String host = Leader.host(machine);
+        listener.accept(() -> name + " plans on " + host, after);
       }
     }
-    boolean mayHalt = leader.knowsCancelled || !bounds.cancellation();
-    if (leader.attempt != null && mayHalt && !leader.halting()) {
-      Cluster after = new Cluster(c);
-      after.leader(l).halt();
-      next.accept(() -> name + " halts", after);
+    boolean canHalt = leader.knowsCancelled || !bounds.userMayCancel();
+    if (leader.attempt != null && canHalt && !leader.isHalting()) {
+      Cluster after = new Cluster(cluster);
+      after.mutableLeader(leaderIndex).halt();
+      listener.accept(() -> name + " halts", after);
     }
-    if (c.cancelled && !leader.knowsCancelled) {
-      Cluster after = new Cluster(c);
-      Leader told = after.leader(l);
-      told.knowsCancelled = true;
-      if (told.attempt != null) {
-        told.halt();
+    if (cluster.cancelled && !leader.knowsCancelled) {
+      Cluster after = new Cluster(cluster);
+      Leader informedLeader = after.mutableLeader(leaderIndex);
+      informedLeader.knowsCancelled = true;
+      if (informedLeader.attempt != null) {
+        informedLeader.halt();
       }
-      next.accept(() -> name + " learns of the cancellation", after);
+      listener.accept(() -> name + " learns of the cancellation", after);
     }
-    boolean entitled = c.leaderKey == l;
-    if (entitled && leader.knowsCancelled && leader.attempt == null && !c.cancellationProved) {
-      Cluster after = new Cluster(c);
+    boolean holdsLeaderKey = cluster.leaderKeyHolder == leaderIndex;
+    if (holdsLeaderKey
+        && leader.knowsCancelled
+        && leader.attempt == null
+        && !cluster.cancellationProved) {
+      Cluster after = new Cluster(cluster);
       after.cancellationProved = true;
-      next.accept(() -> name + " says that nothing of the job is left", after);
+      listener.accept(() -> name + " says that nothing of the job is left", after);
     }
   }
 
-  private Cluster prunedAll(Cluster c) {
-    for (int m = 0; m < bounds.machines(); m++) {
-      pruned(c, m);
+  private Cluster pruneAll(Cluster cluster) {
+    for (int machine = 0; machine < bounds.machines(); machine++) {
+      prune(cluster, machine);
     }
-    return c;
+    return cluster;
   }
 
-  private void callSteps(Cluster c, int l, int machine, StepListener next) {
-    Leader leader = c.leaders[l];
-    Leader.Machine m = leader.machines[machine];
+  private void callSteps(Cluster cluster, int leaderIndex, int machine, StepListener listener) {
+    Leader leader = cluster.leaders[leaderIndex];
+    Leader.Machine machineState = leader.machines[machine];
     String name = "leader " + leader.term;
-    boolean mayRaise = leader.mayRaise(machine, bounds.raises());
-    boolean clears = m.outbox.values().stream().anyMatch(o -> o instanceof WorkerCommand.Clear);
-    if (leader.maySend(machine) && (mayRaise || !clears)) {
-      Cluster after = new Cluster(c);
-      Message sent = after.leader(l).send(machine);
-      if (sent == null) {
-        next.accept(() -> name + " has nothing to send", after);
+    boolean canRaiseToken = leader.canRaiseToken(machine, bounds.maxRaises());
+    boolean sendsClear =
+        machineState.outbox.values().stream().anyMatch(o -> o instanceof WorkerCommand.Clear);
+    if (leader.canSend(machine) && (canRaiseToken || !sendsClear)) {
+      Cluster after = new Cluster(cluster);
+      Message message = after.mutableLeader(leaderIndex).send(machine);
+      if (message == null) {
+        listener.accept(() -> name + " has nothing to send", after);
       } else {
-        addMessage(after, machine, sent, () -> name + " sends " + sent, next);
-        if (after.leaders[l].mayRaise(machine, bounds.raises())) {
-          Cluster refused = new Cluster(after);
-          refused.leader(l).unanswered(machine, false);
-          next.accept(() -> name + " is refused a connection", refused);
+        addMessage(after, machine, message, () -> name + " sends " + message, listener);
+        if (after.leaders[leaderIndex].canRaiseToken(machine, bounds.maxRaises())) {
+          Cluster afterRefusal = new Cluster(after);
+          afterRefusal.mutableLeader(leaderIndex).failCall(machine, false);
+          listener.accept(() -> name + " is refused a connection", afterRefusal);
         }
       }
     }
-    if (m.call == null) {
+    if (machineState.call == null) {
       return;
     }
-    if (m.call.response() != null) {
-      Cluster after = new Cluster(c);
-      after.proved(after.leader(l).answered(machine));
-      next.accept(
-          () -> name + " gets the answer of " + Leader.host(machine), pruned(after, machine));
+    if (machineState.call.response() != null) {
+      Cluster after = new Cluster(cluster);
+      after.addProofs(after.mutableLeader(leaderIndex).receiveResponse(machine));
+      listener.accept(
+          () -> name + " gets the answer of " + Leader.host(machine), prune(after, machine));
     }
-    if (mayRaise) {
-      Cluster after = new Cluster(c);
-      after.leader(l).unanswered(machine, true);
-      next.accept(
-          () -> name + " gets no answer of " + Leader.host(machine), pruned(after, machine));
+    if (canRaiseToken) {
+      Cluster after = new Cluster(cluster);
+      after.mutableLeader(leaderIndex).failCall(machine, true);
+      listener.accept(
+          () -> name + " gets no answer of " + Leader.host(machine), prune(after, machine));
     }
   }
 
   // ---- the state service ----
 
-  private void stateSteps(Cluster c, StepListener next) {
-    if (bounds.cancellation() && !c.cancelled) {
-      Cluster after = new Cluster(c);
+  private void stateServiceSteps(Cluster cluster, StepListener listener) {
+    if (bounds.userMayCancel() && !cluster.cancelled) {
+      Cluster after = new Cluster(cluster);
       after.cancelled = true;
-      refuseRecord(after);
-      next.accept(() -> "the user cancels", after);
+      refuseRecords(after);
+      listener.accept(() -> "the user cancels", after);
     }
-    for (int l = 0; l < c.leaders.length; l++) {
-      if (c.leaders[l].leading) {
-        recordSteps(c, l, next);
+    for (int leaderIndex = 0; leaderIndex < cluster.leaders.length; leaderIndex++) {
+      if (cluster.leaders[leaderIndex].leading) {
+        recordSteps(cluster, leaderIndex, listener);
       }
     }
-    if (c.successorMayCome()) {
+    if (cluster.canSuccessorBegin()) {
       // The former leader does not know yet that it leads no more. One that has ended is one that
       // takes no step any more.
-      Cluster after = new Cluster(c);
-      after.leaderKey = 1;
-      refuseRecord(after);
-      Leader successor = after.leader(1);
+      Cluster after = new Cluster(cluster);
+      after.leaderKeyHolder = 1;
+      refuseRecords(after);
+      Leader successor = after.mutableLeader(1);
       successor.leading = true;
-      successor.knowsCancelled = c.cancelled;
-      successor.lastNumber = c.recorded.lastNumber();
-      if (c.recorded.number() > 0) {
+      successor.knowsCancelled = cluster.cancelled;
+      successor.lastNumber = cluster.recorded.lastNumber();
+      if (cluster.recorded.number() > 0) {
         successor.attempt =
             AttemptRules.adopted(
-                c.recorded.number(),
-                Leader.host(c.recorded.machine()),
-                c.recorded.session(),
+                cluster.recorded.number(),
+                Leader.host(cluster.recorded.machine()),
+                cluster.recorded.session(),
                 successor.term);
-        if (c.cancelled) {
+        if (cluster.cancelled) {
           successor.halt();
         }
       }
-      next.accept(() -> "leader 2 begins", prunedAll(after));
+      listener.accept(() -> "leader 2 begins", pruneAll(after));
     }
   }
 
@@ -293,34 +317,34 @@
    * A late transaction is carried out only while the leader's key and the job are as they were:
    * once one of them has changed it is as good as refused.
    */
-  private static void refuseRecord(Cluster c) {
-    for (int l = 0; l < c.leaders.length; l++) {
-      if (c.leaders[l].recording) {
-        c.leader(l).recorded(false);
+  private static void refuseRecords(Cluster cluster) {
+    for (int leaderIndex = 0; leaderIndex < cluster.leaders.length; leaderIndex++) {
+      if (cluster.leaders[leaderIndex].recordInFlight) {
+        cluster.mutableLeader(leaderIndex).completeRecord(false);
       }
     }
   }
 
-  private static void recordSteps(Cluster c, int l, StepListener next) {
-    Leader leader = c.leaders[l];
-    boolean entitled = c.leaderKey == l;
-    if (leader.recording) {
-      Cluster after = new Cluster(c);
-      Leader writer = after.leader(l);
-      after.recorded = record(writer, c.recorded);
-      writer.recorded(true);
-      next.accept(() -> "the attempt of leader " + leader.term + " goes on record", after);
+  private static void recordSteps(Cluster cluster, int leaderIndex, StepListener listener) {
+    Leader leader = cluster.leaders[leaderIndex];
+    boolean holdsLeaderKey = cluster.leaderKeyHolder == leaderIndex;
+    if (leader.recordInFlight) {
+      Cluster after = new Cluster(cluster);
+      Leader writer = after.mutableLeader(leaderIndex);
+      after.recorded = recordAttempt(writer, cluster.recorded);
+      writer.completeRecord(true);
+      listener.accept(() -> "the attempt of leader " + leader.term + " goes on record", after);
     }
-    boolean gone = leader.attempt == null && !leader.recording;
-    if (entitled && gone && c.recorded.number() > 0) {
-      Cluster after = new Cluster(c);
+    boolean isAttemptGone = leader.attempt == null && !leader.recordInFlight;
+    if (holdsLeaderKey && isAttemptGone && cluster.recorded.number() > 0) {
+      Cluster after = new Cluster(cluster);
       after.recorded = new Cluster.Recorded(leader.lastNumber, 0, 0, 0);
-      next.accept(() -> "leader " + leader.term + " records that the attempt is gone", after);
+      listener.accept(() -> "leader " + leader.term + " records that the attempt is gone", after);
     }
   }
 
   /** What was dropped meanwhile is on record all the same, and is taken for possible. */
-  private static Cluster.Recorded record(Leader writer, Cluster.Recorded before) {
+  private static Cluster.Recorded recordAttempt(Leader writer, Cluster.Recorded before) {
     if (writer.attempt == null) {
       return new Cluster.Recorded(writer.lastNumber, 0, 0, before.session());
     }
--- a/src/test/java/dapplestair/model/TaskProtocolTest.java
+++ b/src/test/java/dapplestair/model/TaskProtocolTest.java
@@ -13,7 +13,7 @@
  * goes further than a build has time for.
  */
 class TaskProtocolTest {
-  private static final int MOST_STATES = 200_000;
+  private static final int MAX_STATES = 200_000;
 
   @ParameterizedTest(name = "{0}")
   @CsvSource({
@@ -52,8 +52,9 @@
             raisedByOthers,
             lateAnswers,
             cancellation);
-    Explorer.Result result = new Explorer(new TaskProtocol(bounds), MOST_STATES).explore();
-    assertNull(result.broken(), () -> result.broken() + ":\n" + String.join("\n", result.trace()));
+    Explorer.Result result = new Explorer(new TaskProtocol(bounds), MAX_STATES).explore();
+    assertNull(
+        result.brokenRule(), () -> result.brokenRule() + ":\n" + String.join("\n", result.trace()));
     assertEquals(states, result.states(), "states");
     assertEquals(transitions, result.transitions(), "transitions");
   }
--- a/src/test/java/dapplestair/model/Worker.java
+++ b/src/test/java/dapplestair/model/Worker.java
@@ -36,26 +36,26 @@
     tasks = other.tasks.clone();
   }
 
-  boolean running(int attempt) {
+  boolean isRunning(int attempt) {
     return tasks[attempt - 1] == Task.RUNNING;
   }
 
-  boolean busy() {
+  boolean isBusy() {
     return Arrays.asList(tasks).contains(Task.RUNNING);
   }
 
   /** A report as sent now. */
   Report report() {
     tick++;
-    List<Report.Task> listed = new ArrayList<>();
+    List<Report.Task> reportedTasks = new ArrayList<>();
     for (int i = 0; i < tasks.length; i++) {
       if (tasks[i] == Task.RUNNING) {
-        listed.add(task(i + 1, Report.Status.RUNNING, null));
+        reportedTasks.add(task(i + 1, Report.Status.RUNNING, null));
       } else if (tasks[i] == Task.EXITED) {
-        listed.add(task(i + 1, Report.Status.EXITED, "stopped"));
+        reportedTasks.add(task(i + 1, Report.Status.EXITED, "stopped"));
       }
     }
-    return new Report(host, host, "t", "a", false, session, tick, token, Double.NaN, listed);
+    return new Report(host, host, "t", "a", false, session, tick, token, Double.NaN, reportedTasks);
   }
 
   private static Report.Task task(long number, Report.Status status, String cause) {
@@ -63,29 +63,29 @@
   }
 
   /** True when a message would be refused now, and so at any later time. */
-  boolean refuses(Message m) {
-    return m.token() < token || m.session() != session;
+  boolean refuses(Message message) {
+    return message.token() < token || message.session() != session;
   }
 
   /** Executes a message unless it is refused; true when it was executed. */
-  boolean execute(Message m) {
-    if (refuses(m)) {
+  boolean execute(Message message) {
+    if (refuses(message)) {
       return false;
     }
-    token = m.token();
-    m.orders().forEach(this::execute);
+    token = message.token();
+    message.orders().forEach(this::execute);
     return true;
   }
 
   private void execute(WorkerCommand command) {
-    int i = (int) command.attempt() - 1;
-    if (command instanceof WorkerCommand.Launch && tasks[i] == Task.UNKNOWN) {
+    int index = (int) command.attempt() - 1;
+    if (command instanceof WorkerCommand.Launch && tasks[index] == Task.UNKNOWN) {
       // One that is refused as busy is known as exited.
-      tasks[i] = busy() ? Task.EXITED : Task.RUNNING;
-    } else if (command instanceof WorkerCommand.Halt && tasks[i] == Task.RUNNING) {
-      tasks[i] = Task.EXITED;
-    } else if (command instanceof WorkerCommand.Clear && tasks[i] == Task.EXITED) {
-      tasks[i] = Task.UNKNOWN;
+      tasks[index] = isBusy() ? Task.EXITED : Task.RUNNING;
+    } else if (command instanceof WorkerCommand.Halt && tasks[index] == Task.RUNNING) {
+      tasks[index] = Task.EXITED;
+    } else if (command instanceof WorkerCommand.Clear && tasks[index] == Task.EXITED) {
+      tasks[index] = Task.UNKNOWN;
     }
   }
 
@@ -93,7 +93,7 @@
     tasks[attempt - 1] = Task.EXITED;
   }
 
-  void leaseExpires() {
+  void expireLease() {
     session++;
     Arrays.fill(tasks, Task.UNKNOWN);
   }
