--- a/src/test/java/dapplestair/model/Cluster.java
+++ b/src/test/java/dapplestair/model/Cluster.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** One state of the whole model: workers, leaders, records, and what is in the network. */
+/** One state of the whole model: workers, leaders, records, and the messages in the network. */
 final class Cluster {
-  /** The record of the task's attempts; {@code number} 0 when none is on record. */
+  /** The recorded attempt of the task; {@code number} is 0 when none is recorded. */
   record Recorded(long lastNumber, long number, int machine, long session) {
     static final Recorded NOTHING = new Recorded(0, 0, 0, 0);
   }
@@ -20,14 +20,14 @@
 
   private final boolean hasSuccessor;
 
-  // The state service.
+  // Contents of the state service.
   int leaderKeyHolder;
   boolean cancelled;
   Recorded recorded = Recorded.NOTHING;
 
   boolean raisedByNonLeader;
 
-  // What was concluded so far, by anybody: it has to hold for ever.
+  // Conclusions that any leader has drawn so far; each has to hold for ever.
   final boolean[] provedGone;
   boolean cancellationProved;
 
@@ -44,7 +44,7 @@
     provedGone = new boolean[bounds.attempts()];
   }
 
-  /** A copy whose parts are shared until they are replaced. */
+  /** Creates a copy that shares its parts with the original until they are replaced. */
   Cluster(Cluster other) {
     workers = other.workers.clone();
     leaders = other.leaders.clone();
@@ -59,13 +59,13 @@
     cancellationProved = other.cancellationProved;
   }
 
-  /** A worker to be changed. */
+  /** Replaces a worker by a copy that may be changed, and returns the copy. */
   Worker mutableWorker(int machine) {
     workers[machine] = new Worker(workers[machine]);
     return workers[machine];
   }
 
-  /** A leader to be changed. */
+  /** Replaces a leader by a copy that may be changed, and returns the copy. */
   Leader mutableLeader(int index) {
     leaders[index] = new Leader(leaders[index]);
     return leaders[index];
@@ -75,12 +75,12 @@
     numbers.forEach(n -> provedGone[(int) (n - 1)] = true);
   }
 
-  /** True while the second leader has not begun. */
+  /** Returns true while there may be a second leader and it has not begun. */
   boolean canSuccessorBegin() {
     return hasSuccessor && leaderKeyHolder == 0;
   }
 
-  /** True when some leader waits for the worker's answer to this message. */
+  /** Returns true if some leader waits for the worker's response to this message. */
   boolean isResponseAwaited(int machine, Message message) {
     for (Leader leader : leaders) {
       Leader.Call call = leader.machines[machine].call;
@@ -91,7 +91,7 @@
     return false;
   }
 
-  /** True when this report may still tell some leader something. */
+  /** Returns true if this report may still change some leader's knowledge. */
   boolean mayInformLeader(int machine, Report report) {
     if (canSuccessorBegin()) {
       return true;
@@ -105,7 +105,7 @@
     return false;
   }
 
-  /** The first rule that is broken, or null. */
+  /** Returns a description of the first rule that this state breaks, or null. */
   String brokenRule() {
     int running = 0;
     for (Worker worker : workers) {
--- a/src/test/java/dapplestair/model/Encoder.java
+++ b/src/test/java/dapplestair/model/Encoder.java
@@ -11,9 +11,9 @@
 import java.util.TreeSet;
 
 /**
- * Writes a state so that two states are equal exactly when their bytes are. Ticks only count by the
- * order of the reports on their way and of those that a leader has seen, so they are written as
- * ranks; the network's sets are written in sorted order.
+ * Encodes a state so that two states are equal exactly when their bytes are. Of ticks, only the
+ * order among the reports in flight and those that a leader has seen matters, so ticks are written
+ * as ranks. The network's sets are written in sorted order.
  */
 final class Encoder {
   private static final int MAX_STATE_BYTES = 4096;
@@ -45,7 +45,7 @@
     return encoder.takeBytesFrom(0);
   }
 
-  /** Of all reports of a machine that are on their way, in order. */
+  /** Returns the ticks of all reports of a machine that are in flight, in ascending order. */
   private static long[] inFlightTicks(Cluster cluster, int machine) {
     TreeSet<Long> ticks = new TreeSet<>();
     cluster.reports.get(machine).forEach(r -> ticks.add(r.tick()));
--- a/src/test/java/dapplestair/model/ExploreTaskProtocol.java
+++ b/src/test/java/dapplestair/model/ExploreTaskProtocol.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * Explores other bounds than those that the build has time for: {@code ExploreTaskProtocol
- * MOST_STATES SUCCESSOR MACHINES ATTEMPTS SESSIONS RAISES MESSAGES REPORTS RAISED_BY_OTHERS
- * LATE_ANSWERS CANCELLATION}, with 0 and 1 for what may or may not be.
+ * Explores the model within bounds too large for the build: {@code ExploreTaskProtocol MAX_STATES
+ * HAS_SUCCESSOR MACHINES ATTEMPTS SESSIONS MAX_RAISES MAX_MESSAGES MAX_REPORTS NON_LEADER_RAISES
+ * LATE_RESPONSES USER_MAY_CANCEL}. Boolean arguments are 0 or 1.
  */
 final class ExploreTaskProtocol {
   private ExploreTaskProtocol() {}
--- a/src/test/java/dapplestair/model/Explorer.java
+++ b/src/test/java/dapplestair/model/Explorer.java
@@ -9,15 +9,18 @@
 import java.util.Collections;
 import java.util.List;
 
-/** Breadth-first over all states, each once, until a rule is broken or none is left. */
+/**
+ * Searches all reachable states breadth-first, each once, until a rule is broken or no state is
+ * left.
+ */
 final class Explorer {
   /**
-   * What was found.
+   * The result of an exploration.
    *
    * @param states distinct states
-   * @param transitions steps taken from them, those to known states as well
-   * @param brokenRule the rule that is broken first, or null
-   * @param trace the shortest way to it
+   * @param transitions steps taken from these states, including steps to known states
+   * @param brokenRule the first broken rule found, or null
+   * @param trace the steps of a shortest path to the state that breaks it
    */
   record Result(int states, long transitions, String brokenRule, List<String> trace) {}
 
@@ -40,14 +43,15 @@
       new ObjectOpenCustomHashSet<>(BY_CONTENT);
   private final ArrayDeque<Cluster> frontier = new ArrayDeque<>();
 
-  // All states in the order in which they were found, and from which each was found first.
+  // All states in the order in which they were found, and for each the index of the state from
+  // which it was found first.
   private final List<byte[]> states = new ArrayList<>();
   private final IntArrayList parents = new IntArrayList();
 
   private long transitions;
   private String brokenRule;
 
-  /** Fails beyond {@code maxStates}. */
+  /** Creates an explorer whose search throws an exception beyond {@code maxStates} states. */
   Explorer(TaskProtocol protocol, int maxStates) {
     this.protocol = protocol;
     this.maxStates = maxStates;
@@ -76,7 +80,8 @@
       return;
     }
     if (knownStates.size() > maxStates) {
-      throw new IllegalStateException("more than " + maxStates + " states");
+      throw new IllegalStateException(
+          "exploration found more than the maximum of " + maxStates + " states");
     }
     states.add(key);
     parents.add(parent);
@@ -84,7 +89,7 @@
     frontier.add(state);
   }
 
-  /** The names of the steps to the last state found, by taking them once more. */
+  /** Returns the names of the steps to the last state found, by taking these steps again. */
   private List<String> trace() {
     List<byte[]> path = new ArrayList<>();
     for (int stateIndex = states.size() - 1;
--- a/src/test/java/dapplestair/model/Leader.java
+++ b/src/test/java/dapplestair/model/Leader.java
@@ -11,9 +11,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** One leader's knowledge of the task and of the machines, kept by the product's rules. */
+/** One leader's knowledge of the task and of the machines, updated by the product's own rules. */
 final class Leader {
-  /** A call that is not ended here; {@code response} is null until the worker has answered. */
+  /**
+   * A call to a worker that the leader has not finished; {@code response} is null until the worker
+   * has answered.
+   */
   record Call(Message message, boolean executed, Report response) {}
 
   /** What the leader knows of one machine. */
@@ -47,7 +50,7 @@
   boolean leading;
   boolean knowsCancelled;
 
-  /** A transaction that records its attempt is on its way. */
+  /** True while a transaction that records the leader's attempt is in flight. */
   boolean recordInFlight;
 
   long lastNumber;
@@ -90,7 +93,7 @@
     return FencingToken.of(term, machines[machine].fence);
   }
 
-  /** Ends its lead; what it has sent stays in the network. */
+  /** Ends the leadership; messages that the leader has sent stay in the network. */
   void stepDown() {
     leading = false;
     attempt = null;
@@ -120,7 +123,10 @@
     recordInFlight = true;
   }
 
-  /** The answer to the transaction came: the attempt, if it still counts, may be launched. */
+  /**
+   * Handles the reply to the recording transaction. If it was applied and the attempt is still
+   * current, the attempt is queued for launch.
+   */
   void completeRecord(boolean applied) {
     recordInFlight = false;
     if (attempt == null || !AttemptRules.planned(attempt)) {
@@ -139,7 +145,10 @@
     return Integer.parseInt(attempt.host().substring(2));
   }
 
-  /** Stops its attempt, for a cancellation or by choice; one that was not sent is dropped. */
+  /**
+   * Stops the leader's attempt, for a cancellation or by choice. An attempt that was not sent is
+   * dropped.
+   */
   void halt() {
     if (!attempt.isSent()) {
       attempt = null;
@@ -149,7 +158,10 @@
     }
   }
 
-  /** True while a halt of its attempt waits or is under way: one more would change nothing. */
+  /**
+   * Returns true while a halt of the leader's attempt is queued or in flight; another halt would
+   * change nothing.
+   */
   boolean isHalting() {
     Machine machineState = machines[machineOf(attempt)];
     return machineState.outbox.values().stream().anyMatch(o -> o instanceof WorkerCommand.Halt)
@@ -163,12 +175,15 @@
     return leading && machines[machine].call == null && !machines[machine].outbox.isEmpty();
   }
 
-  /** True while it has raised the token less often, whoever else raised it by whole steps. */
+  /**
+   * Returns true while this leader has raised the machine's token less than {@code maxRaises}
+   * times. Raises by other controllers, which are multiples of the maximum fence lead, don't count.
+   */
   boolean canRaiseToken(int machine, int maxRaises) {
     return (machines[machine].fence & (FencingToken.MAX_FENCE_LEAD - 1)) < maxRaises;
   }
 
-  /** Sends what waits for a machine; null when nothing of it is due any more. */
+  /** Sends the orders queued for a machine. Returns null if none of them is due any more. */
   Message send(int machine) {
     Machine machineState = machines[machine];
     List<WorkerCommand> orders = new ArrayList<>();
@@ -192,7 +207,10 @@
     return message;
   }
 
-  /** The launches of a call whose attempt still counts; nothing is concluded about others. */
+  /**
+   * Returns the current attempt if the call launches it. Nothing is concluded about attempts that
+   * are no longer current.
+   */
   private List<Attempt> launchedAttempts(Message message) {
     boolean launchesCurrentAttempt =
         attempt != null
@@ -202,7 +220,7 @@
     return launchesCurrentAttempt ? List.of(attempt) : List.of();
   }
 
-  /** The worker's answer to the call arrives. */
+  /** Handles the worker's response to the call. Returns the attempts that it proves to be gone. */
   List<Long> receiveResponse(int machine) {
     Machine machineState = machines[machine];
     Call call = machineState.call;
@@ -215,7 +233,7 @@
     return goneAttempts;
   }
 
-  /** No answer to the call comes any more, or it is known not to have left. */
+  /** Ends a call that will get no response, or ({@code wasSent} false) was certainly not sent. */
   void failCall(int machine, boolean wasSent) {
     Machine machineState = machines[machine];
     Call call = machineState.call;
@@ -239,9 +257,10 @@
   // ---- reports ----
 
   /**
-   * Applies a report. Returns the numbers of the attempts that it proves to be gone for good: those
-   * that have exited, and one that is absent. The number of one that is not on record is given out
-   * again by the next leader.
+   * Applies a report. Returns the numbers of the attempts that the report proves to be gone for
+   * good: those that have exited, and the leader's attempt if it is absent. An attempt that is only
+   * planned is left out, since the next leader reuses the number of an attempt that is not
+   * recorded.
    */
   List<Long> applyReport(int machine, Report report) {
     if (FencingToken.term(report.token()) > term) {
@@ -295,7 +314,7 @@
     }
   }
 
-  /** The answer to a report: the token, and a halt when the job is known to be cancelled. */
+  /** Returns the reply to a report: the token, and halts if the job is known to be cancelled. */
   Message replyTo(int machine, Report report) {
     List<WorkerCommand> halts = new ArrayList<>();
     for (Report.Task task : report.tasks()) {
--- a/src/test/java/dapplestair/model/TaskProtocol.java
+++ b/src/test/java/dapplestair/model/TaskProtocol.java
@@ -11,11 +11,12 @@
 import java.util.function.Supplier;
 
 /**
- * All that can happen next in a state. The network loses, delays, reorders and repeats; leaders are
- * deposed without knowing it; leases expire at any moment. Time has no part in it.
+ * The transitions of the model: all steps that are possible in a state. The network loses, delays,
+ * reorders and repeats messages; leaders are deposed without knowing it; leases expire at any time.
+ * The model has no clock.
  */
 final class TaskProtocol {
-  /** Told of each step: what happens, and the state after it. */
+  /** Receives each step: the name of what happens, and the state after it. */
   interface StepListener {
     void accept(Supplier<String> name, Cluster after);
   }
@@ -30,7 +31,7 @@
     return new Cluster(bounds);
   }
 
-  /** Calls {@code listener} with the name of each possible step and the state after it. */
+  /** Calls {@code listener} with the name of each possible step and the state after the step. */
   void forEachStep(Cluster cluster, StepListener listener) {
     for (int machine = 0; machine < bounds.machines(); machine++) {
       workerSteps(cluster, machine, listener);
@@ -68,7 +69,10 @@
     }
   }
 
-  /** The network holds so many; when it is full, any one of them is lost. */
+  /**
+   * Returns the possible contents of the network after adding an element. The network holds at most
+   * {@code maxSize} elements; beyond that, any one of them may be the one that is lost.
+   */
   private static <T> List<Set<T>> addBounded(Set<T> before, T added, int maxSize) {
     Set<T> all = new LinkedHashSet<>(before);
     all.add(added);
@@ -112,7 +116,10 @@
     }
   }
 
-  /** Without what can have no effect any more, so that equal states are found to be equal. */
+  /**
+   * Removes messages and reports that can no longer have an effect, so that states which differ
+   * only in them are equal.
+   */
   private static Cluster prune(Cluster cluster, int machine) {
     Worker worker = cluster.workers[machine];
     Set<Message> messages = new LinkedHashSet<>(cluster.messages.get(machine));
@@ -131,7 +138,7 @@
 
   private void messageSteps(Cluster cluster, int machine, StepListener listener) {
     for (Message message : cluster.messages.get(machine)) {
-      // It stays in the network: a copy may come at any later time.
+      // The message stays in the network: a copy may be delivered at any later time.
       Cluster after = new Cluster(cluster);
       Worker worker = after.mutableWorker(machine);
       boolean executed = worker.execute(message);
@@ -194,7 +201,7 @@
     String name = "leader " + leader.term;
     for (int machine = 0; machine < bounds.machines(); machine++) {
       callSteps(cluster, leaderIndex, machine, listener);
-      // A record of a deposed leader, or of a cancelled job, would be refused.
+      // The state service would refuse a record of a deposed leader or of a cancelled job.
       boolean canRecord = cluster.leaderKeyHolder == leaderIndex && !cluster.cancelled;
       if (canRecord && leader.canPlan(machine) && leader.lastNumber < bounds.attempts()) {
         Cluster after = new Cluster(cluster);
@@ -289,8 +296,8 @@
       }
     }
     if (cluster.canSuccessorBegin()) {
-      // The former leader does not know yet that it leads no more. One that has ended is one that
-      // takes no step any more.
+      // The former leader does not know yet that it has been deposed. A former leader whose process
+      // has ended is covered as well: it is one that takes no more steps.
       Cluster after = new Cluster(cluster);
       after.leaderKeyHolder = 1;
       refuseRecords(after);
@@ -314,8 +321,9 @@
   }
 
   /**
-   * A late transaction is carried out only while the leader's key and the job are as they were:
-   * once one of them has changed it is as good as refused.
+   * Refuses the transactions in flight. A transaction is applied only while the leader's key and
+   * the job are unchanged, so once one of them has changed, a late transaction can be treated as
+   * refused.
    */
   private static void refuseRecords(Cluster cluster) {
     for (int leaderIndex = 0; leaderIndex < cluster.leaders.length; leaderIndex++) {
@@ -343,7 +351,10 @@
     }
   }
 
-  /** What was dropped meanwhile is on record all the same, and is taken for possible. */
+  /**
+   * Returns the record that a leader's transaction writes. An attempt that the leader has dropped
+   * since it sent the transaction may be recorded all the same, which this model allows.
+   */
   private static Cluster.Recorded recordAttempt(Leader writer, Cluster.Recorded before) {
     if (writer.attempt == null) {
       return new Cluster.Recorded(writer.lastNumber, 0, 0, before.session());
--- a/src/test/java/dapplestair/model/TaskProtocolTest.java
+++ b/src/test/java/dapplestair/model/TaskProtocolTest.java
@@ -7,18 +7,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Launch, halt and clear before and after one another, over leaders, sessions and tokens: all
- * states within each bound. The counts are asserted, so that a change of the model, or of the
- * product's rules in it, does not make the enumeration smaller unseen; {@link ExploreTaskProtocol}
- * goes further than a build has time for.
+ * Guards against interleavings of launch, halt and clear, over leaders, sessions and tokens, in
+ * which a task runs twice or runs after a proof that it is gone. All states within each bound are
+ * explored. The counts of states and transitions are asserted, so that a change of the model, or of
+ * the product's rules in it, can't make the exploration smaller unnoticed. {@link
+ * ExploreTaskProtocol} explores larger bounds than a build has time for.
  */
 class TaskProtocolTest {
   private static final int MAX_STATES = 200_000;
 
   @ParameterizedTest(name = "{0}")
   @CsvSource({
-    // successor, machines, attempts, sessions, raises, messages, reports, raised by others, late
-    // answers, cancellation; states, transitions
+    // has successor, machines, attempts, sessions, max raises, max messages, max reports,
+    // non-leader
+    // raises, late responses, user may cancel; expected states, expected transitions
     "one leader two sessions,false,1,2,2,2,2,1,false,false,false,59690,318293",
     "late answers,false,1,2,1,1,2,1,false,true,false,3943,19488",
     "a leader and its successor,true,1,1,1,1,1,1,false,false,false,108700,747445",
--- a/src/test/java/dapplestair/model/Worker.java
+++ b/src/test/java/dapplestair/model/Worker.java
@@ -7,9 +7,9 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A machine's worker by PROTOCOL, with the attempts of one task. */
+/** A machine's worker as the protocol defines it, with the attempts of one task. */
 final class Worker {
-  /** What the worker knows of an attempt. */
+  /** The state of an attempt as the worker knows it. */
   enum Task {
     UNKNOWN,
     RUNNING,
@@ -44,7 +44,7 @@
     return Arrays.asList(tasks).contains(Task.RUNNING);
   }
 
-  /** A report as sent now. */
+  /** Advances the tick and returns a report of the present state. */
   Report report() {
     tick++;
     List<Report.Task> reportedTasks = new ArrayList<>();
@@ -62,12 +62,12 @@
     return new Report.Task(AttemptRules.TASK, number, status, cause, false);
   }
 
-  /** True when a message would be refused now, and so at any later time. */
+  /** Returns true if the worker refuses a message now, and hence at any later time. */
   boolean refuses(Message message) {
     return message.token() < token || message.session() != session;
   }
 
-  /** Executes a message unless it is refused; true when it was executed. */
+  /** Executes a message unless the worker refuses it. Returns true if it was executed. */
   boolean execute(Message message) {
     if (refuses(message)) {
       return false;
@@ -80,7 +80,7 @@
   private void execute(WorkerCommand command) {
     int index = (int) command.attempt() - 1;
     if (command instanceof WorkerCommand.Launch && tasks[index] == Task.UNKNOWN) {
-      // One that is refused as busy is known as exited.
+      // A launch that is refused because the task already runs here is reported as exited.
       tasks[index] = isBusy() ? Task.EXITED : Task.RUNNING;
     } else if (command instanceof WorkerCommand.Halt && tasks[index] == Task.RUNNING) {
       tasks[index] = Task.EXITED;
