--- a/src/test/java/dapplestair/keys/TlsTrustTest.java
+++ b/src/test/java/dapplestair/keys/TlsTrustTest.java
@@ -84,7 +84,7 @@
     }
   }
 
-  private Processes.Ended ask(int port, String authority, String more) throws Exception {
+  private Processes.CommandResult ask(int port, String authority, String more) throws Exception {
     Path config = folder.resolve("dapplestair");
     Files.createDirectories(config);
     String toml =
@@ -98,7 +98,7 @@
     return processes.run(Map.of(), "status", "--context", "x", "-o", "json", "--timeout", "20s");
   }
 
-  private void refused(Processes.Ended e, String line) {
+  private void refused(Processes.CommandResult e, String line) {
     assertEquals(5, e.code(), e.err());
     assertEquals("", e.out());
     assertTrue(e.err().contains(line), e.err());
@@ -134,7 +134,7 @@
     // A client certificate of somebody else's authority ends the connection.
     CertificateAuthority other = CertificateAuthority.create("them", Instant.now(), DAY);
     write("eve", other.client("eve", "operate", Instant.now(), DAY));
-    Processes.Ended eve = ask(port, "ca", anna.replace("anna", "eve"));
+    Processes.CommandResult eve = ask(port, "ca", anna.replace("anna", "eve"));
     assertTrue(eve.code() != 0 && eve.out().isEmpty(), eve.toString());
   }
 
--- a/src/test/java/dapplestair/session/AdminOverloadTest.java
+++ b/src/test/java/dapplestair/session/AdminOverloadTest.java
@@ -29,39 +29,40 @@
 /** What the operators' interface does with those who ask too much, too long or half. */
 @Tag("session")
 class AdminOverloadTest {
-  private static final int MOST_CONNECTIONS = 32;
+  private static final int MAX_CONNECTIONS = 32;
 
   @TempDir private Path folder;
   private final HttpClient http = HttpClient.newHttpClient();
 
-  private HttpResponse<byte[]> send(HttpRequest.Builder b) throws Exception {
-    return http.send(b.build(), HttpResponse.BodyHandlers.ofByteArray());
+  private HttpResponse<byte[]> send(HttpRequest.Builder request) throws Exception {
+    return http.send(request.build(), HttpResponse.BodyHandlers.ofByteArray());
   }
 
-  private static String job(int i) {
+  private static String jobJson(int index) {
     return """
         {"ref":"pr-%05d","jobclass":"c","owner":"default","shape":"sweep","rank":"standard","steps":1,
          "vcpus":1.0,"accelerators":0,"memoryGb":1.0,"bundle":"i","imageGb":0.1,"together":false,
          "apart":false,"loaners":true,"guessS":600,"snapshotEveryS":0,"snapshotS":0}
         """
-        .formatted(i);
+        .formatted(index);
   }
 
   @Test
-  void bodiesConnectionsAndBursts() throws Exception {
-    try (Processes p = new Processes(folder)) {
-      Processes.Service d = p.start("daemon", "--listen", "127.0.0.1:0", "--admin", "127.0.0.1:0");
-      String admin = "http://" + d.address("admin");
-      bodies(admin);
-      halfRequestsHoldUpNobody(d.address("admin"), admin);
-      listingDuringABurst(admin, "http://" + d.address("users"));
-      assertEquals(0, d.terminate());
+  void enforcesLimitsAndListsDuringBurst() throws Exception {
+    try (Processes processes = new Processes(folder)) {
+      Processes.Service daemon =
+          processes.startService("daemon", "--listen", "127.0.0.1:0", "--admin", "127.0.0.1:0");
+      String admin = "http://" + daemon.address("admin");
+      assertRequestLimits(admin);
+      assertIncompleteRequestsDoNotBlock(daemon.address("admin"), admin);
+      assertListingsDuringBurst(admin, "http://" + daemon.address("users"));
+      assertEquals(0, daemon.terminate());
     }
   }
 
   /** Roles are kept, figures are served, and every logged line is JSON. */
   @Test
-  void tokensRolesFiguresAndLines() throws Exception {
+  void enforcesRolesServesMetricsAndLogsJson() throws Exception {
     Files.writeString(
         folder.resolve("tokens"),
         "vera view "
@@ -71,65 +72,70 @@
             + "\n");
     Path operator = folder.resolve("operator.textproto");
     Files.writeString(operator, "admin { listen: \"127.0.0.1:0\" tokens: \"tokens\" }\n");
-    try (Processes p = new Processes(folder)) {
-      Processes.Service d =
-          p.start(
+    try (Processes processes = new Processes(folder)) {
+      Processes.Service daemon =
+          processes.startService(
               Map.of("LOG_FORMAT", "json", "LOG_LEVEL", "debug"),
               "daemon",
               "--listen",
               "127.0.0.1:0",
               "--operator",
               operator.toString());
-      String admin = "http://" + d.address("admin");
-      assertEquals(401, ask(admin, "/v1/status", null, null));
-      assertEquals(401, ask(admin, "/metrics", "wrong", null));
-      assertEquals(200, ask(admin, "/v1/status", "v", null));
-      assertEquals(403, ask(admin, "/v1/zones/a/drain", "v", "{}"));
-      assertEquals(403, ask(admin, "/submissions", "v", job(1)));
-      assertEquals(200, ask(admin, "/v1/zones/a/drain", "o", "{}"));
-      assertEquals(201, ask(admin, "/submissions", "o", job(1)));
-      assertEquals(200, ask(admin, "/submissions/pr-00001", "v", null));
-      HttpResponse<byte[]> figures = send(request(admin, "/metrics", "v"));
-      String text = new String(figures.body(), StandardCharsets.UTF_8);
+      String admin = "http://" + daemon.address("admin");
+      assertEquals(401, statusOf(admin, "/v1/status", null, null));
+      assertEquals(401, statusOf(admin, "/metrics", "wrong", null));
+      assertEquals(200, statusOf(admin, "/v1/status", "v", null));
+      assertEquals(403, statusOf(admin, "/v1/zones/a/drain", "v", "{}"));
+      assertEquals(403, statusOf(admin, "/submissions", "v", jobJson(1)));
+      assertEquals(200, statusOf(admin, "/v1/zones/a/drain", "o", "{}"));
+      assertEquals(201, statusOf(admin, "/submissions", "o", jobJson(1)));
+      assertEquals(200, statusOf(admin, "/submissions/pr-00001", "v", null));
+      HttpResponse<byte[]> metrics = send(request(admin, "/metrics", "v"));
+      String text = new String(metrics.body(), StandardCharsets.UTF_8);
       assertTrue(text.contains("\ndapplestair_leading 1.0\n"), text);
       assertTrue(text.contains("dapplestair_submission_accept_seconds_bucket{le="), text);
-      assertEquals(0, d.terminate());
-      List<String> lines = Files.readAllLines(d.err());
+      assertEquals(0, daemon.terminate());
+      List<String> lines = Files.readAllLines(daemon.err());
       assertTrue(lines.size() > 5);
       for (String line : lines) {
-        JsonNode n = Json.parse(line.getBytes(StandardCharsets.UTF_8));
-        assertTrue(n.path("message").isTextual(), line);
+        JsonNode logRecord = Json.parse(line.getBytes(StandardCharsets.UTF_8));
+        assertTrue(logRecord.path("message").isTextual(), line);
       }
       assertTrue(lines.stream().anyMatch(l -> l.contains("{\"kind\":\"drain\"}")));
     }
   }
 
   private static HttpRequest.Builder request(String admin, String path, String token) {
-    HttpRequest.Builder b = HttpRequest.newBuilder(URI.create(admin + path));
-    return token == null ? b : b.header("Authorization", "Bearer " + token);
+    HttpRequest.Builder request = HttpRequest.newBuilder(URI.create(admin + path));
+    return token == null ? request : request.header("Authorization", "Bearer " + token);
   }
 
-  private int ask(String admin, String path, String token, String body) throws Exception {
-    HttpRequest.Builder b = request(admin, path, token);
-    return send(body == null ? b : b.POST(HttpRequest.BodyPublishers.ofString(body))).statusCode();
+  private int statusOf(String admin, String path, String token, String body) throws Exception {
+    HttpRequest.Builder request = request(admin, path, token);
+    return send(body == null ? request : request.POST(HttpRequest.BodyPublishers.ofString(body)))
+        .statusCode();
   }
 
-  private void bodies(String admin) throws Exception {
+  private void assertRequestLimits(String admin) throws Exception {
     URI drain = URI.create(admin + "/v1/machines/n-000000/drain");
-    String most = "{\"why\":\"" + "x".repeat(64 * 1024 - 10) + "\"}";
-    assertEquals(64 * 1024, most.length());
-    HttpResponse<byte[]> r =
-        send(HttpRequest.newBuilder(drain).POST(HttpRequest.BodyPublishers.ofString(most)));
+    String largestBody = "{\"why\":\"" + "x".repeat(64 * 1024 - 10) + "\"}";
+    assertEquals(64 * 1024, largestBody.length());
+    HttpResponse<byte[]> response =
+        send(HttpRequest.newBuilder(drain).POST(HttpRequest.BodyPublishers.ofString(largestBody)));
     // As large as allowed: read, and refused for what it says; the machine may not be there yet.
-    assertTrue(r.statusCode() == 400 || r.statusCode() == 404, "status " + r.statusCode());
-    HttpResponse<byte[]> over =
-        send(HttpRequest.newBuilder(drain).POST(HttpRequest.BodyPublishers.ofString(most + " ")));
-    assertEquals(400, over.statusCode());
-    assertTrue(new String(over.body(), StandardCharsets.UTF_8).contains("64 KiB"));
-    String where = "tasks%20%3D%201%20or%20".repeat(160) + "spot";
-    HttpResponse<byte[]> long_ =
-        send(HttpRequest.newBuilder(URI.create(admin + "/v1/jobs?where=" + where)));
-    assertEquals(400, long_.statusCode());
+    assertTrue(
+        response.statusCode() == 400 || response.statusCode() == 404,
+        "status " + response.statusCode());
+    HttpResponse<byte[]> tooLargeResponse =
+        send(
+            HttpRequest.newBuilder(drain)
+                .POST(HttpRequest.BodyPublishers.ofString(largestBody + " ")));
+    assertEquals(400, tooLargeResponse.statusCode());
+    assertTrue(new String(tooLargeResponse.body(), StandardCharsets.UTF_8).contains("64 KiB"));
+    String longFilter = "tasks%20%3D%201%20or%20".repeat(160) + "spot";
+    HttpResponse<byte[]> longFilterResponse =
+        send(HttpRequest.newBuilder(URI.create(admin + "/v1/jobs?where=" + longFilter)));
+    assertEquals(400, longFilterResponse.statusCode());
     assertEquals(
         400,
         send(HttpRequest.newBuilder(drain).POST(HttpRequest.BodyPublishers.ofString("{\"why\":")))
@@ -139,77 +145,78 @@
         send(HttpRequest.newBuilder(URI.create(admin + "/v1/machines/n-1/drain"))).statusCode());
   }
 
-  private void halfRequestsHoldUpNobody(String address, String admin) throws Exception {
-    String[] at = address.split(":");
-    List<Socket> half = new ArrayList<>();
-    for (int i = 0; i < MOST_CONNECTIONS - 2; i++) {
-      Socket s = new Socket(at[0], Integer.parseInt(at[1]));
+  private void assertIncompleteRequestsDoNotBlock(String address, String admin) throws Exception {
+    String[] hostAndPort = address.split(":");
+    List<Socket> incompleteRequests = new ArrayList<>();
+    for (int i = 0; i < MAX_CONNECTIONS - 2; i++) {
+      Socket s = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
       s.getOutputStream().write("GET /v1/status HT".getBytes(StandardCharsets.US_ASCII));
-      half.add(s);
+      incompleteRequests.add(s);
     }
-    HttpRequest.Builder ask = HttpRequest.newBuilder(URI.create(admin + "/v1/status"));
-    assertEquals(200, send(ask).statusCode());
+    HttpRequest.Builder statusRequest = HttpRequest.newBuilder(URI.create(admin + "/v1/status"));
+    assertEquals(200, send(statusRequest).statusCode());
     // Those beyond the bound are told so, and not left hanging.
-    int told = 0;
+    int rejectedCount = 0;
     for (int i = 0; i < 8; i++) {
-      try (Socket s = new Socket(at[0], Integer.parseInt(at[1]))) {
+      try (Socket s = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]))) {
         s.setSoTimeout(10_000);
         s.getOutputStream()
             .write(
                 "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        half.add(new Socket(at[0], Integer.parseInt(at[1])));
+        incompleteRequests.add(new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
         InputStream in = s.getInputStream();
-        String head = new String(in.readNBytes(12), StandardCharsets.US_ASCII);
-        told += head.equals("HTTP/1.1 503") ? 1 : 0;
+        String statusLineStart = new String(in.readNBytes(12), StandardCharsets.US_ASCII);
+        rejectedCount += statusLineStart.equals("HTTP/1.1 503") ? 1 : 0;
       }
     }
-    assertTrue(told > 0, "nobody was told 503");
-    for (Socket s : half) {
+    assertTrue(rejectedCount > 0, "nobody was told 503");
+    for (Socket s : incompleteRequests) {
       s.close();
     }
   }
 
   /** Every job accepted before a listing began is in it, once, while others arrive. */
-  private void listingDuringABurst(String admin, String users) throws Exception {
+  private void assertListingsDuringBurst(String admin, String users) throws Exception {
     Set<String> accepted = java.util.concurrent.ConcurrentHashMap.newKeySet();
-    List<CompletableFuture<?>> all = new ArrayList<>();
+    List<CompletableFuture<?>> submissions = new ArrayList<>();
     for (int i = 0; i < 600; i++) {
-      int n = i;
-      HttpRequest r =
+      int number = i;
+      HttpRequest submission =
           HttpRequest.newBuilder(URI.create(users + "/submissions"))
-              .POST(HttpRequest.BodyPublishers.ofString(job(i)))
+              .POST(HttpRequest.BodyPublishers.ofString(jobJson(i)))
               .build();
-      all.add(
-          http.sendAsync(r, HttpResponse.BodyHandlers.discarding())
+      submissions.add(
+          http.sendAsync(submission, HttpResponse.BodyHandlers.discarding())
               .thenAccept(
                   x -> {
                     if (x.statusCode() == 201) {
-                      accepted.add("pr-%05d".formatted(n));
+                      accepted.add("pr-%05d".formatted(number));
                     }
                   }));
       if (i % 100 == 50) {
-        Set<String> before = new HashSet<>(accepted);
-        List<String> listed = list(admin);
-        assertEquals(listed.size(), new TreeSet<>(listed).size(), "listed twice");
-        assertEquals(new ArrayList<>(new TreeSet<>(listed)), listed, "in order");
-        assertTrue(new HashSet<>(listed).containsAll(before), "accepted, but not listed");
+        Set<String> acceptedBefore = new HashSet<>(accepted);
+        List<String> listedJobs = listJobs(admin);
+        assertEquals(listedJobs.size(), new TreeSet<>(listedJobs).size(), "listed twice");
+        assertEquals(new ArrayList<>(new TreeSet<>(listedJobs)), listedJobs, "in order");
+        assertTrue(
+            new HashSet<>(listedJobs).containsAll(acceptedBefore), "accepted, but not listed");
       }
     }
-    CompletableFuture.allOf(all.toArray(CompletableFuture[]::new)).get();
+    CompletableFuture.allOf(submissions.toArray(CompletableFuture[]::new)).get();
     assertTrue(accepted.size() > 300, accepted.size() + " accepted");
   }
 
-  private List<String> list(String admin) throws Exception {
-    List<String> out = new ArrayList<>();
-    String after = "";
-    while (after != null) {
-      URI uri = URI.create(admin + "/v1/jobs?limit=60" + after);
-      HttpResponse<byte[]> r = send(HttpRequest.newBuilder(uri));
-      assertEquals(200, r.statusCode(), new String(r.body(), StandardCharsets.UTF_8));
-      JsonNode page = Json.parse(r.body());
-      page.path("rows").forEach(x -> out.add(x.path("ref").asText()));
-      after = page.path("next").isTextual() ? "&after=" + page.path("next").asText() : null;
+  private List<String> listJobs(String admin) throws Exception {
+    List<String> refs = new ArrayList<>();
+    String pageParameter = "";
+    while (pageParameter != null) {
+      URI uri = URI.create(admin + "/v1/jobs?limit=60" + pageParameter);
+      HttpResponse<byte[]> response = send(HttpRequest.newBuilder(uri));
+      assertEquals(200, response.statusCode(), new String(response.body(), StandardCharsets.UTF_8));
+      JsonNode page = Json.parse(response.body());
+      page.path("rows").forEach(x -> refs.add(x.path("ref").asText()));
+      pageParameter = page.path("next").isTextual() ? "&after=" + page.path("next").asText() : null;
     }
-    return out;
+    return refs;
   }
 }
--- a/src/test/java/dapplestair/session/LaneCalendarSessionTest.java
+++ b/src/test/java/dapplestair/session/LaneCalendarSessionTest.java
@@ -26,9 +26,9 @@
  */
 @Tag("session")
 class LaneCalendarSessionTest {
-  private static final Duration SOON = Duration.ofSeconds(40);
+  private static final Duration WAIT_LIMIT = Duration.ofSeconds(40);
 
-  private static final String TRADE =
+  private static final String OPERATOR_SETTINGS =
       """
       lane { name: "gateway" riders: "orders" over: "settlement" rank: "high" over_rank: "standard" }
       calendar {
@@ -41,28 +41,28 @@
 
   @TempDir private Path folder;
   private Processes processes;
-  private String outside;
-  private String users;
+  private String outsideAddress;
+  private String usersAddress;
 
-  private Service daemon() throws Exception {
-    Path operator = Files.writeString(folder.resolve("trade.textproto"), TRADE);
-    Service d =
-        processes.start(
+  private Service startDaemon() throws Exception {
+    Path operator = Files.writeString(folder.resolve("trade.textproto"), OPERATOR_SETTINGS);
+    Service daemon =
+        processes.startService(
             "daemon",
             "--operator",
             operator.toString(),
             "--outside",
-            outside,
+            outsideAddress,
             "--listen",
             "127.0.0.1:0",
             "--admin",
             "127.0.0.1:0");
-    users = d.address("users");
-    return d;
+    usersAddress = daemon.address("users");
+    return daemon;
   }
 
   /** Repeats a submission until it is accepted, as users do. */
-  private void submit(String ref, String jobClass, String rank, int steps, double runS)
+  private void submit(String ref, String jobClass, String rank, int taskCount, double runS)
       throws Exception {
     String body =
         """
@@ -70,8 +70,8 @@
          "vcpus":2.0,"accelerators":0,"memoryGb":1.0,"bundle":"weights","imageGb":0.5,
          "together":false,"apart":false,"loaners":true,"guessS":%s,"snapshotEveryS":0,"snapshotS":0}
         """
-            .formatted(ref, jobClass, rank, steps, runS);
-    until(
+            .formatted(ref, jobClass, rank, taskCount, runS);
+    awaitCondition(
         ref + " is accepted",
         () -> {
           int status = send("/submissions", body).statusCode();
@@ -80,26 +80,27 @@
   }
 
   private HttpResponse<byte[]> send(String path, String body) throws Exception {
-    HttpRequest.Builder b =
-        HttpRequest.newBuilder(URI.create("http://" + users + path)).timeout(Duration.ofSeconds(5));
+    HttpRequest.Builder request =
+        HttpRequest.newBuilder(URI.create("http://" + usersAddress + path))
+            .timeout(Duration.ofSeconds(5));
     if (body != null) {
-      b.POST(HttpRequest.BodyPublishers.ofString(body));
+      request.POST(HttpRequest.BodyPublishers.ofString(body));
     }
-    return http.send(b.build(), HttpResponse.BodyHandlers.ofByteArray());
+    return http.send(request.build(), HttpResponse.BodyHandlers.ofByteArray());
   }
 
-  private JsonNode job(String ref) throws Exception {
-    HttpResponse<byte[]> r = send("/submissions/" + ref, null);
-    return r.statusCode() == 200 ? Json.parse(r.body()) : Json.object();
+  private JsonNode readJob(String ref) throws Exception {
+    HttpResponse<byte[]> response = send("/submissions/" + ref, null);
+    return response.statusCode() == 200 ? Json.parse(response.body()) : Json.object();
   }
 
   private interface Condition {
     boolean holds() throws Exception;
   }
 
-  private void until(String what, Condition condition) throws Exception {
-    long end = System.nanoTime() + SOON.toNanos();
-    while (System.nanoTime() < end) {
+  private void awaitCondition(String description, Condition condition) throws Exception {
+    long deadlineNs = System.nanoTime() + WAIT_LIMIT.toNanos();
+    while (System.nanoTime() < deadlineNs) {
       try {
         if (condition.holds()) {
           return;
@@ -109,55 +110,57 @@
       }
       Thread.sleep(50);
     }
-    throw new AssertionError("not within " + SOON + ": " + what);
+    throw new AssertionError("not within " + WAIT_LIMIT + ": " + description);
   }
 
-  private void untilDone(String ref) throws Exception {
-    until(ref + " is done", () -> job(ref).path("status").asText().equals("done"));
+  private void awaitDone(String ref) throws Exception {
+    awaitCondition(ref + " is done", () -> readJob(ref).path("status").asText().equals("done"));
   }
 
-  private static void signal(Service s, String name) throws Exception {
-    Process p = new ProcessBuilder("kill", "-" + name, "" + s.process().pid()).start();
-    assertTrue(p.waitFor(5, TimeUnit.SECONDS));
+  private static void sendSignal(Service service, String name) throws Exception {
+    Process process = new ProcessBuilder("kill", "-" + name, "" + service.process().pid()).start();
+    assertTrue(process.waitFor(5, TimeUnit.SECONDS));
   }
 
-  private int recorded(String prefix) throws Exception {
-    URI uri = URI.create("http://" + outside + "/kv?prefix=" + prefix + "&limit=1000");
-    HttpResponse<byte[]> r =
+  private int storedRowCount(String prefix) throws Exception {
+    URI uri = URI.create("http://" + outsideAddress + "/kv?prefix=" + prefix + "&limit=1000");
+    HttpResponse<byte[]> response =
         http.send(HttpRequest.newBuilder(uri).build(), HttpResponse.BodyHandlers.ofByteArray());
-    return Json.parse(r.body()).path("rows").size();
+    return Json.parse(response.body()).path("rows").size();
   }
 
   @Test
-  void lanesCyclesAndImagesOutliveTheController() throws Exception {
-    try (Processes p = new Processes(folder)) {
-      processes = p;
-      outside = p.start("emulate", "--listen", "127.0.0.1:0").address("outside");
-      Service first = daemon();
+  void lanesCyclesAndImagesSurviveControllerKills() throws Exception {
+    try (Processes testProcesses = new Processes(folder)) {
+      processes = testProcesses;
+      outsideAddress =
+          testProcesses.startService("emulate", "--listen", "127.0.0.1:0").address("outside");
+      Service first = startDaemon();
       submit("s-1", "settlement", "standard", 600, 120);
-      until("batches fill the machines", () -> job("s-1").path("running").asInt() >= 100);
+      awaitCondition(
+          "batches fill the machines", () -> readJob("s-1").path("running").asInt() >= 100);
       submit("m-1", "model", "high", 2, 1);
       submit("o-1", "orders", "high", 8, 1);
       first.kill();
 
-      Service second = daemon();
-      untilDone("o-1");
-      assertEquals("queued", job("m-1").path("status").asText(), "nothing was delivered yet");
+      Service second = startDaemon();
+      awaitDone("o-1");
+      assertEquals("queued", readJob("m-1").path("status").asText(), "nothing was delivered yet");
       submit("g-1", "gauge", "high", 1, 0.5);
-      untilDone("g-1");
-      assertEquals("queued", job("m-1").path("status").asText(), "one delivery of two");
-      signal(second, "STOP");
+      awaitDone("g-1");
+      assertEquals("queued", readJob("m-1").path("status").asText(), "one delivery of two");
+      sendSignal(second, "STOP");
       Thread.sleep(2500);
-      signal(second, "CONT");
+      sendSignal(second, "CONT");
       submit("o-2", "orders", "high", 8, 1);
-      untilDone("o-2");
+      awaitDone("o-2");
       second.kill();
 
-      daemon();
+      startDaemon();
       submit("g-2", "gauge", "high", 1, 0.5);
-      untilDone("m-1");
-      until("no claim outlives its rider", () -> recorded("live/lane/") == 0);
-      assertTrue(recorded("live/calendar/basin") >= 1, "the release is not on record");
+      awaitDone("m-1");
+      awaitCondition("no claim outlives its rider", () -> storedRowCount("live/lane/") == 0);
+      assertTrue(storedRowCount("live/calendar/basin") >= 1, "the release is not on record");
     }
   }
 }
--- a/src/test/java/dapplestair/session/ListingLoad.java
+++ b/src/test/java/dapplestair/session/ListingLoad.java
@@ -50,11 +50,12 @@
     Path folder = Files.createTempDirectory("listing");
     Path settings = folder.resolve("daemon.toml");
     Files.writeString(settings, SETTINGS);
-    try (Processes p = new Processes(folder)) {
+    try (Processes processes = new Processes(folder)) {
       Processes.Service emulator =
-          p.start("emulate", "--config", settings.toString(), "--listen", "127.0.0.1:0");
+          processes.startService(
+              "emulate", "--config", settings.toString(), "--listen", "127.0.0.1:0");
       Processes.Service daemon =
-          p.start(
+          processes.startService(
               "daemon",
               "--config",
               settings.toString(),
@@ -67,73 +68,75 @@
       String admin = "http://" + daemon.address("admin");
       submitAll("http://" + daemon.address("users"));
       awaitMachines(admin);
-      double[] without = new double[TURNS];
-      double[] with = new double[TURNS];
+      double[] cpuSWithoutListing = new double[TURNS];
+      double[] cpuSWithListing = new double[TURNS];
       long rows = 0;
-      int lists = 0;
+      int listingCount = 0;
       for (int i = 0; i < TURNS; i++) {
-        without[i] = cpuS(daemon, () -> Thread.sleep(TURN_MS));
-        List<Long> seen = new ArrayList<>();
-        with[i] = cpuS(daemon, () -> listFor(admin, seen));
-        rows += seen.stream().mapToLong(Long::longValue).sum();
-        lists += seen.size();
+        cpuSWithoutListing[i] = measureCpuS(daemon, () -> Thread.sleep(TURN_MS));
+        List<Long> rowsPerListing = new ArrayList<>();
+        cpuSWithListing[i] = measureCpuS(daemon, () -> listRepeatedly(admin, rowsPerListing));
+        rows += rowsPerListing.stream().mapToLong(Long::longValue).sum();
+        listingCount += rowsPerListing.size();
       }
-      System.out.printf("machines %s%n", json(admin + "/v1/status").path("machines"));
-      System.out.printf("lists %d, rows a list %d%n", lists, rows / Math.max(1, lists));
+      System.out.printf("machines %s%n", getJson(admin + "/v1/status").path("machines"));
+      System.out.printf(
+          "lists %d, rows a list %d%n", listingCount, rows / Math.max(1, listingCount));
       for (int i = 0; i < TURNS; i++) {
         System.out.printf(
             "turn %d: %.3f of a core without, %.3f with%n",
-            i + 1, without[i] * 1000 / TURN_MS, with[i] * 1000 / TURN_MS);
+            i + 1, cpuSWithoutListing[i] * 1000 / TURN_MS, cpuSWithListing[i] * 1000 / TURN_MS);
       }
     }
     System.exit(0);
   }
 
   @FunctionalInterface
-  private interface Work {
+  private interface Workload {
     void run() throws Exception;
   }
 
-  private static double cpuS(Processes.Service of, Work work) throws Exception {
-    Duration before = of.process().info().totalCpuDuration().orElseThrow();
+  private static double measureCpuS(Processes.Service service, Workload work) throws Exception {
+    Duration cpuTimeBefore = service.process().info().totalCpuDuration().orElseThrow();
     work.run();
-    return of.process().info().totalCpuDuration().orElseThrow().minus(before).toMillis() / 1000.0;
+    return service.process().info().totalCpuDuration().orElseThrow().minus(cpuTimeBefore).toMillis()
+        / 1000.0;
   }
 
-  private static void listFor(String admin, List<Long> rows) throws Exception {
-    long end = System.currentTimeMillis() + TURN_MS;
-    while (System.currentTimeMillis() < end) {
-      long next = System.currentTimeMillis() + 1000;
-      rows.add(all(admin + "/v1/jobs") + all(admin + "/v1/machines"));
-      Thread.sleep(Math.max(0, Math.min(next, end) - System.currentTimeMillis()));
+  private static void listRepeatedly(String admin, List<Long> rowsPerListing) throws Exception {
+    long endMs = System.currentTimeMillis() + TURN_MS;
+    while (System.currentTimeMillis() < endMs) {
+      long nextListingMs = System.currentTimeMillis() + 1000;
+      rowsPerListing.add(countRows(admin + "/v1/jobs") + countRows(admin + "/v1/machines"));
+      Thread.sleep(Math.max(0, Math.min(nextListingMs, endMs) - System.currentTimeMillis()));
     }
   }
 
-  private static long all(String path) throws Exception {
-    long n = 0;
-    String after = "";
-    while (after != null) {
-      JsonNode page = json(path + "?limit=500" + after);
-      n += page.path("rows").size();
-      after = page.path("next").isTextual() ? "&after=" + page.path("next").asText() : null;
+  private static long countRows(String path) throws Exception {
+    long rowCount = 0;
+    String pageParameter = "";
+    while (pageParameter != null) {
+      JsonNode page = getJson(path + "?limit=500" + pageParameter);
+      rowCount += page.path("rows").size();
+      pageParameter = page.path("next").isTextual() ? "&after=" + page.path("next").asText() : null;
     }
-    return n;
+    return rowCount;
   }
 
-  private static JsonNode json(String uri) throws Exception {
-    HttpResponse<byte[]> r =
+  private static JsonNode getJson(String uri) throws Exception {
+    HttpResponse<byte[]> response =
         HTTP.send(
             HttpRequest.newBuilder(URI.create(uri)).build(),
             HttpResponse.BodyHandlers.ofByteArray());
-    if (r.statusCode() != 200) {
-      throw new IllegalStateException(uri + ": " + r.statusCode());
+    if (response.statusCode() != 200) {
+      throw new IllegalStateException(uri + ": " + response.statusCode());
     }
-    return Json.parse(r.body());
+    return Json.parse(response.body());
   }
 
   private static void awaitMachines(String admin) throws Exception {
     for (int i = 0; i < 240; i++) {
-      JsonNode status = json(admin + "/v1/status");
+      JsonNode status = getJson(admin + "/v1/status");
       if (status.path("machines").path("up").asInt() >= 1480) {
         Thread.sleep(5000);
         return;
@@ -143,7 +146,7 @@
   }
 
   private static void submitAll(String users) throws Exception {
-    Semaphore free = new Semaphore(64);
+    Semaphore permits = new Semaphore(64);
     for (int i = 0; i < JOBS; i++) {
       String body =
           """
@@ -153,28 +156,28 @@
            "snapshotS":0}
           """
               .formatted(i);
-      submit(users, body, free);
+      submit(users, body, permits);
     }
-    free.acquire(64);
+    permits.acquire(64);
   }
 
-  private static void submit(String users, String body, Semaphore free) throws Exception {
-    free.acquire();
-    HttpRequest r =
+  private static void submit(String users, String body, Semaphore permits) throws Exception {
+    permits.acquire();
+    HttpRequest request =
         HttpRequest.newBuilder(URI.create(users + "/submissions"))
             .POST(HttpRequest.BodyPublishers.ofString(body))
             .build();
-    CompletableFuture<HttpResponse<Void>> answer =
-        HTTP.sendAsync(r, HttpResponse.BodyHandlers.discarding());
-    answer.whenComplete(
-        (x, e) -> {
-          free.release();
-          if (e != null || x.statusCode() >= 500) {
+    CompletableFuture<HttpResponse<Void>> responseFuture =
+        HTTP.sendAsync(request, HttpResponse.BodyHandlers.discarding());
+    responseFuture.whenComplete(
+        (response, failure) -> {
+          permits.release();
+          if (failure != null || response.statusCode() >= 500) {
             try {
               Thread.sleep(50);
-              submit(users, body, free);
-            } catch (Exception again) {
-              throw new IllegalStateException(again);
+              submit(users, body, permits);
+            } catch (Exception retryFailure) {
+              throw new IllegalStateException(retryFailure);
             }
           }
         });
--- a/src/test/java/dapplestair/session/Processes.java
+++ b/src/test/java/dapplestair/session/Processes.java
@@ -12,7 +12,7 @@
 /** Real processes of the program as tests have it, ended with the test. */
 public final class Processes implements AutoCloseable {
   /** How a command ended. */
-  public record Ended(int code, String out, String err) {
+  public record CommandResult(int code, String out, String err) {
     /** The lines of its output. */
     public List<String> lines() {
       return out.lines().toList();
@@ -20,15 +20,15 @@
   }
 
   private final Path folder;
-  private final List<Process> running = new ArrayList<>();
-  private int made;
+  private final List<Process> processes = new ArrayList<>();
+  private int processCount;
 
   /** Without processes; their outputs go to files in this folder. */
   public Processes(Path folder) {
     this.folder = folder;
   }
 
-  private ProcessBuilder builder(Map<String, String> env, String... args) {
+  private ProcessBuilder processBuilder(Map<String, String> environment, String... args) {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(List.of("-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xshare:auto", "-cp"));
@@ -36,29 +36,30 @@
         System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")));
     command.add("dapplestair.cli.Main");
     command.addAll(List.of(args));
-    ProcessBuilder b = new ProcessBuilder(command);
-    b.environment().put("XDG_CONFIG_HOME", folder.toString());
-    b.environment().remove("DAPPLESTAIR_ENDPOINT");
-    b.environment().remove("DAPPLESTAIR_TOKEN");
-    b.environment().putAll(env);
-    return b;
+    ProcessBuilder builder = new ProcessBuilder(command);
+    builder.environment().put("XDG_CONFIG_HOME", folder.toString());
+    builder.environment().remove("DAPPLESTAIR_ENDPOINT");
+    builder.environment().remove("DAPPLESTAIR_TOKEN");
+    builder.environment().putAll(environment);
+    return builder;
   }
 
   /** Starts a process that stays, and waits for its line `ready …`. */
-  public Service start(String... args) throws Exception {
-    return start(Map.of(), args);
+  public Service startService(String... args) throws Exception {
+    return startService(Map.of(), args);
   }
 
   /** The same with these variables. */
-  public Service start(Map<String, String> env, String... args) throws Exception {
-    File out = folder.resolve("out" + made).toFile();
-    File err = folder.resolve("err" + made++).toFile();
-    Process p = builder(env, args).redirectOutput(out).redirectError(err).start();
-    running.add(p);
-    for (int i = 0; i < 6000 && p.isAlive(); i++) {
+  public Service startService(Map<String, String> environment, String... args) throws Exception {
+    File out = folder.resolve("out" + processCount).toFile();
+    File err = folder.resolve("err" + processCount++).toFile();
+    Process process =
+        processBuilder(environment, args).redirectOutput(out).redirectError(err).start();
+    processes.add(process);
+    for (int i = 0; i < 6000 && process.isAlive(); i++) {
       String text = Files.readString(out.toPath());
       if (text.startsWith("ready ") && text.endsWith("\n")) {
-        return new Service(p, text.strip(), err.toPath());
+        return new Service(process, text.strip(), err.toPath());
       }
       Thread.sleep(10);
     }
@@ -66,41 +67,43 @@
   }
 
   /** Runs a command to its end. */
-  public Ended run(Map<String, String> env, String... args) throws Exception {
-    return begin(env, args).end();
+  public CommandResult run(Map<String, String> environment, String... args) throws Exception {
+    return startCommand(environment, args).await();
   }
 
   /** Begins a command, without waiting for its end. */
-  public Begun begin(Map<String, String> env, String... args) throws IOException {
-    File out = folder.resolve("out" + made).toFile();
-    File err = folder.resolve("err" + made++).toFile();
-    Process p = builder(env, args).redirectOutput(out).redirectError(err).start();
-    running.add(p);
-    return new Begun(p, out.toPath(), err.toPath());
+  public RunningCommand startCommand(Map<String, String> environment, String... args)
+      throws IOException {
+    File out = folder.resolve("out" + processCount).toFile();
+    File err = folder.resolve("err" + processCount++).toFile();
+    Process process =
+        processBuilder(environment, args).redirectOutput(out).redirectError(err).start();
+    processes.add(process);
+    return new RunningCommand(process, out.toPath(), err.toPath());
   }
 
   /** A command under way. */
-  public record Begun(Process process, Path out, Path err) {
+  public record RunningCommand(Process process, Path out, Path err) {
     /** Waits for its end. */
-    public Ended end() throws Exception {
+    public CommandResult await() throws Exception {
       if (!process.waitFor(120, TimeUnit.SECONDS)) {
         process.destroyForcibly();
         throw new AssertionError("hangs: " + Files.readString(err));
       }
-      return new Ended(process.exitValue(), Files.readString(out), Files.readString(err));
+      return new CommandResult(process.exitValue(), Files.readString(out), Files.readString(err));
     }
   }
 
   /** A process that serves. */
-  public record Service(Process process, String ready, Path err) {
+  public record Service(Process process, String readyLine, Path err) {
     /** An address of its line. */
     public String address(String name) {
-      for (String word : ready.split(" ")) {
+      for (String word : readyLine.split(" ")) {
         if (word.startsWith(name + "=")) {
           return word.substring(name.length() + 1);
         }
       }
-      throw new AssertionError(name + " is not in: " + ready);
+      throw new AssertionError(name + " is not in: " + readyLine);
     }
 
     /** SIGKILL. */
@@ -121,6 +124,6 @@
 
   @Override
   public void close() {
-    running.forEach(Process::destroyForcibly);
+    processes.forEach(Process::destroyForcibly);
   }
 }
--- a/src/test/java/dapplestair/session/ReplaceSessionTest.java
+++ b/src/test/java/dapplestair/session/ReplaceSessionTest.java
@@ -5,8 +5,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dapplestair.json.Json;
-import dapplestair.session.Processes.Begun;
-import dapplestair.session.Processes.Ended;
+import dapplestair.session.Processes.CommandResult;
+import dapplestair.session.Processes.RunningCommand;
 import dapplestair.session.Processes.Service;
 import java.net.ServerSocket;
 import java.net.URI;
@@ -31,13 +31,13 @@
  */
 @Tag("session")
 class ReplaceSessionTest {
-  private static final boolean LONG = Boolean.getBoolean("dapplestair.long");
-  private static final int SERVICES = LONG ? 50 : 8;
-  private static final int KILLS = LONG ? 6 : 2;
+  private static final boolean LONG_RUN = Boolean.getBoolean("dapplestair.long");
+  private static final int SERVICES = LONG_RUN ? 50 : 8;
+  private static final int KILLS = LONG_RUN ? 6 : 2;
   private static final int REPLICAS = 6;
   private static final HttpClient HTTP = HttpClient.newHttpClient();
 
-  private static final String EMULATED =
+  private static final String EMULATOR_SETTINGS =
       """
       seed = 7
       [cluster]
@@ -53,7 +53,7 @@
       boot_s = 1.0
       """;
 
-  private static final String CONTROLLER =
+  private static final String CONTROLLER_SETTINGS =
       """
       member = "m-%d"
       zone = "%s"
@@ -88,44 +88,46 @@
 
   @TempDir private Path folder;
   private Processes processes;
-  private String outside;
-  private final int[] users = new int[3];
-  private final int[] peers = new int[3];
-  private final int[] admins = new int[3];
-  private final Begun[] controllers = new Begun[3];
-  private Map<String, String> env;
+  private String outsideAddress;
+  private final int[] userPorts = new int[3];
+  private final int[] peerPorts = new int[3];
+  private final int[] adminPorts = new int[3];
+  private final RunningCommand[] controllers = new RunningCommand[3];
+  private Map<String, String> environment;
 
   @Test
-  void allWorkersAreNewThoughLeadersAreKilled() throws Exception {
-    try (Processes p = new Processes(folder)) {
-      processes = p;
-      Path emulated = folder.resolve("emulated.toml");
-      Files.writeString(emulated, EMULATED);
+  void replacesAllWorkersDespiteLeaderKills() throws Exception {
+    try (Processes testProcesses = new Processes(folder)) {
+      processes = testProcesses;
+      Path emulatorFile = folder.resolve("emulated.toml");
+      Files.writeString(emulatorFile, EMULATOR_SETTINGS);
       Service emulator =
-          p.start("emulate", "--config", emulated.toString(), "--listen", "127.0.0.1:0");
-      outside = emulator.address("outside");
-      begin();
+          testProcesses.startService(
+              "emulate", "--config", emulatorFile.toString(), "--listen", "127.0.0.1:0");
+      outsideAddress = emulator.address("outside");
+      startControllers();
       for (int i = 0; i < SERVICES; i++) {
-        good("job", "submit", service(i).toString());
+        runSuccessfully("job", "submit", writeService(i).toString());
       }
-      until("replicas", () -> replicas() == SERVICES * REPLICAS);
-      TreeSet<String> old = machines();
-      assertTrue(old.size() >= (LONG ? 40 : 6), old.toString());
-      Ended bad = run("replace", "start", "night", "--zone", "nowhere");
-      assertEquals(2, bad.code(), bad.err());
-      assertTrue(bad.err().contains("zone = \"nowhere\": no such zone"), bad.err());
+      awaitCondition("replicas", () -> countRunningReplicas() == SERVICES * REPLICAS);
+      TreeSet<String> oldMachines = machineIds();
+      assertTrue(oldMachines.size() >= (LONG_RUN ? 40 : 6), oldMachines.toString());
+      CommandResult unknownZone = run("replace", "start", "night", "--zone", "nowhere");
+      assertEquals(2, unknownZone.code(), unknownZone.err());
+      assertTrue(unknownZone.err().contains("zone = \"nowhere\": no such zone"), unknownZone.err());
       assertEquals(2, run("replace", "start", "night", "--zone", "a", "--step", "0").code());
       assertEquals(4, run("replace", "show", "night").code());
-      good("replace", "start", "night", "--older", "0.5", "--step", "4", "--beyond", "4");
+      runSuccessfully(
+          "replace", "start", "night", "--older", "0.5", "--step", "4", "--beyond", "4");
       for (int i = 0; i < KILLS; i++) {
-        int before = left(old);
-        until("progress", () -> left(old) < before);
+        int remainingBefore = countRemaining(oldMachines);
+        awaitCondition("progress", () -> countRemaining(oldMachines) < remainingBefore);
         killLeader();
       }
-      until("done", () -> state().equals("done"));
-      assertEquals(0, left(old), "old machines are left");
-      until("replicas", () -> replicas() == SERVICES * REPLICAS);
-      assertEquals("null", outside("/emulator/machines").path("violation").asText("null"));
+      awaitCondition("done", () -> replacementState().equals("done"));
+      assertEquals(0, countRemaining(oldMachines), "old machines are left");
+      awaitCondition("replicas", () -> countRunningReplicas() == SERVICES * REPLICAS);
+      assertEquals("null", requestOutside("/emulator/machines").path("violation").asText("null"));
     }
   }
 
@@ -133,133 +135,145 @@
     boolean holds() throws Exception;
   }
 
-  private static void until(String what, Condition c) throws Exception {
+  private static void awaitCondition(String description, Condition condition) throws Exception {
     for (int i = 0; i < 600; i++) {
-      if (c.holds()) {
+      if (condition.holds()) {
         return;
       }
       Thread.sleep(200);
     }
-    throw new AssertionError("never: " + what);
+    throw new AssertionError("never: " + description);
   }
 
-  private static int free() throws Exception {
+  private static int findFreePort() throws Exception {
     try (ServerSocket s = new ServerSocket(0)) {
       return s.getLocalPort();
     }
   }
 
-  private void begin() throws Exception {
+  private void startControllers() throws Exception {
     List<String> endpoints = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      users[i] = free();
-      peers[i] = free();
-      admins[i] = free();
-      endpoints.add("http://127.0.0.1:" + admins[i]);
+      userPorts[i] = findFreePort();
+      peerPorts[i] = findFreePort();
+      adminPorts[i] = findFreePort();
+      endpoints.add("http://127.0.0.1:" + adminPorts[i]);
     }
-    env = Map.of("DAPPLESTAIR_ENDPOINT", String.join(",", endpoints));
+    environment = Map.of("DAPPLESTAIR_ENDPOINT", String.join(",", endpoints));
     for (int i = 0; i < 3; i++) {
-      start(i);
-      outside(
-          "PUT", "/emulator/controllers/m-" + i, "{\"endpoint\":\"127.0.0.1:" + users[i] + "\"}");
+      startController(i);
+      requestOutside(
+          "PUT",
+          "/emulator/controllers/m-" + i,
+          "{\"endpoint\":\"127.0.0.1:" + userPorts[i] + "\"}");
     }
-    until("a leader", () -> run("status").code() == 0);
+    awaitCondition("a leader", () -> run("status").code() == 0);
   }
 
-  private void start(int i) throws Exception {
-    StringBuilder others = new StringBuilder();
+  private void startController(int index) throws Exception {
+    StringBuilder otherPeers = new StringBuilder();
     for (int k = 0; k < 3; k++) {
-      if (k != i) {
-        others.append(
+      if (k != index) {
+        otherPeers.append(
             "[[peers]]\nmember = \"m-%d\"\nzone = \"%s\"\nendpoint = \"127.0.0.1:%d\"\n"
-                .formatted(k, "abc".substring(k, k + 1), peers[k]));
+                .formatted(k, "abc".substring(k, k + 1), peerPorts[k]));
       }
     }
-    Path file = folder.resolve("m-" + i + ".toml");
-    String zone = "abc".substring(i, i + 1);
+    Path file = folder.resolve("m-" + index + ".toml");
+    String zone = "abc".substring(index, index + 1);
     Files.writeString(
-        file, CONTROLLER.formatted(i, zone, users[i], peers[i], others, outside, outside));
-    Path operator = folder.resolve("m-" + i + ".textproto");
+        file,
+        CONTROLLER_SETTINGS.formatted(
+            index,
+            zone,
+            userPorts[index],
+            peerPorts[index],
+            otherPeers,
+            outsideAddress,
+            outsideAddress));
+    Path operator = folder.resolve("m-" + index + ".textproto");
     Files.writeString(
         operator,
         "plan_interval_s: 1 admin { listen: \"127.0.0.1:"
-            + admins[i]
+            + adminPorts[index]
             + "\" }"
             + " disruption { replicas_ratio: 0.1 }");
-    controllers[i] =
-        processes.begin(
+    controllers[index] =
+        processes.startCommand(
             Map.of(), "controller", "--config", file.toString(), "--operator", operator.toString());
   }
 
   private void killLeader() throws Exception {
-    String leader = json("status").path("leader").asText();
-    int i = leader.charAt(leader.length() - 1) - '0';
-    controllers[i].process().destroyForcibly().waitFor();
-    start(i);
-    until("another leader", () -> run("status").code() == 0);
+    String leader = runAsJson("status").path("leader").asText();
+    int index = leader.charAt(leader.length() - 1) - '0';
+    controllers[index].process().destroyForcibly().waitFor();
+    startController(index);
+    awaitCondition("another leader", () -> run("status").code() == 0);
   }
 
-  private Ended run(String... args) throws Exception {
-    return processes.run(env, args);
+  private CommandResult run(String... args) throws Exception {
+    return processes.run(environment, args);
   }
 
-  private Ended good(String... args) throws Exception {
-    Ended e = run(args);
-    assertEquals(0, e.code(), String.join(" ", args) + ": " + e.err());
-    return e;
+  private CommandResult runSuccessfully(String... args) throws Exception {
+    CommandResult result = run(args);
+    assertEquals(0, result.code(), String.join(" ", args) + ": " + result.err());
+    return result;
   }
 
-  private JsonNode json(String... args) throws Exception {
-    List<String> all = new ArrayList<>(List.of(args));
-    all.addAll(List.of("-o", "json"));
-    return Json.parse(good(all.toArray(String[]::new)).out().getBytes());
+  private JsonNode runAsJson(String... args) throws Exception {
+    List<String> allArgs = new ArrayList<>(List.of(args));
+    allArgs.addAll(List.of("-o", "json"));
+    return Json.parse(runSuccessfully(allArgs.toArray(String[]::new)).out().getBytes());
   }
 
-  private String state() throws Exception {
-    Ended e = run("replace", "show", "night", "-o", "json");
-    return e.code() == 0 ? Json.parse(e.out().getBytes()).path("state").asText() : "";
+  private String replacementState() throws Exception {
+    CommandResult result = run("replace", "show", "night", "-o", "json");
+    return result.code() == 0 ? Json.parse(result.out().getBytes()).path("state").asText() : "";
   }
 
-  private JsonNode outside(String path) throws Exception {
-    return outside("GET", path, "");
+  private JsonNode requestOutside(String path) throws Exception {
+    return requestOutside("GET", path, "");
   }
 
-  private JsonNode outside(String method, String path, String body) throws Exception {
-    HttpRequest r =
-        HttpRequest.newBuilder(URI.create("http://" + outside + path))
+  private JsonNode requestOutside(String method, String path, String body) throws Exception {
+    HttpRequest request =
+        HttpRequest.newBuilder(URI.create("http://" + outsideAddress + path))
             .method(method, HttpRequest.BodyPublishers.ofString(body))
             .build();
-    return Json.parse(HTTP.send(r, HttpResponse.BodyHandlers.ofByteArray()).body());
+    return Json.parse(HTTP.send(request, HttpResponse.BodyHandlers.ofByteArray()).body());
   }
 
-  private TreeSet<String> machines() throws Exception {
-    TreeSet<String> out = new TreeSet<>();
-    outside("/emulator/machines").path("machines").forEach(m -> out.add(m.path("id").asText()));
-    return out;
+  private TreeSet<String> machineIds() throws Exception {
+    TreeSet<String> ids = new TreeSet<>();
+    requestOutside("/emulator/machines")
+        .path("machines")
+        .forEach(m -> ids.add(m.path("id").asText()));
+    return ids;
   }
 
-  private int left(TreeSet<String> old) throws Exception {
-    TreeSet<String> now = machines();
-    now.retainAll(old);
-    return now.size();
+  private int countRemaining(TreeSet<String> oldMachines) throws Exception {
+    TreeSet<String> remaining = machineIds();
+    remaining.retainAll(oldMachines);
+    return remaining.size();
   }
 
   /** What truly runs, whoever leads; a task in two places would be seen here. */
-  private int replicas() throws Exception {
-    Map<String, Integer> tasks = new TreeMap<>();
-    for (JsonNode m : outside("/emulator/machines").path("machines")) {
-      for (JsonNode t : m.path("tasks")) {
-        if (t.path("status").asText().equals("running")) {
-          tasks.merge(t.path("task").asText(), 1, Integer::sum);
+  private int countRunningReplicas() throws Exception {
+    Map<String, Integer> runningCopies = new TreeMap<>();
+    for (JsonNode machine : requestOutside("/emulator/machines").path("machines")) {
+      for (JsonNode task : machine.path("tasks")) {
+        if (task.path("status").asText().equals("running")) {
+          runningCopies.merge(task.path("task").asText(), 1, Integer::sum);
         }
       }
     }
-    tasks.forEach((task, n) -> assertEquals(1, n, task + " runs in " + n + " places"));
-    return tasks.size();
+    runningCopies.forEach((task, n) -> assertEquals(1, n, task + " runs in " + n + " places"));
+    return runningCopies.size();
   }
 
-  private Path service(int i) throws Exception {
-    Path file = folder.resolve("s" + i + ".json");
+  private Path writeService(int index) throws Exception {
+    Path file = folder.resolve("s" + index + ".json");
     Files.writeString(
         file,
         """
@@ -267,7 +281,7 @@
          "steps":%d,"vcpus":1.0,"accelerators":0,"memoryGb":1.0,"bundle":"i","imageGb":0.1,
          "together":false,"apart":true,"loaners":false,"guessS":0,"snapshotEveryS":0,"snapshotS":0}
         """
-            .formatted(i, REPLICAS));
+            .formatted(index, REPLICAS));
     return file;
   }
 }
--- a/src/test/java/dapplestair/session/RestartTest.java
+++ b/src/test/java/dapplestair/session/RestartTest.java
@@ -27,38 +27,39 @@
 /** The client in each phase of a restart, against a service that is in just that phase. */
 @Tag("session")
 class RestartTest {
-  private static final byte[] GOOD = Json.bytes(Json.object().put("leader", "now").put("term", 2));
+  private static final byte[] STATUS_BODY =
+      Json.bytes(Json.object().put("leader", "now").put("term", 2));
 
   @TempDir private Path folder;
-  private final ControllerEventLoop loop = new ControllerEventLoop();
-  private final List<AutoCloseable> open = new ArrayList<>();
+  private final ControllerEventLoop eventLoop = new ControllerEventLoop();
+  private final List<AutoCloseable> openResources = new ArrayList<>();
   private Processes processes;
 
   @BeforeEach
-  void begin() {
+  void setUp() {
     processes = new Processes(folder);
   }
 
   @AfterEach
-  void end() throws Exception {
-    for (AutoCloseable c : open) {
-      c.close();
+  void tearDown() throws Exception {
+    for (AutoCloseable resource : openResources) {
+      resource.close();
     }
     processes.close();
-    loop.close();
+    eventLoop.close();
   }
 
-  private String serve(Consumer<Exchange> by) throws Exception {
-    HttpServer s = new HttpServer(loop, HttpServer.Options.users(50), by);
-    open.add(s);
-    return "http://127.0.0.1:" + s.start(new Address("127.0.0.1", 0));
+  private String serve(Consumer<Exchange> handler) throws Exception {
+    HttpServer server = new HttpServer(eventLoop, HttpServer.Options.users(50), handler);
+    openResources.add(server);
+    return "http://127.0.0.1:" + server.start(new Address("127.0.0.1", 0));
   }
 
-  private static Consumer<Exchange> says(int status, String why) {
+  private static Consumer<Exchange> replyWith(int status, String why) {
     return x -> x.reply(status, Json.bytes(Json.object().put("error", why)), 1);
   }
 
-  private Processes.Ended ask(String timeout, String... endpoints) throws Exception {
+  private Processes.CommandResult runStatus(String timeout, String... endpoints) throws Exception {
     return processes.run(
         Map.of("DAPPLESTAIR_ENDPOINT", String.join(",", endpoints)),
         "status",
@@ -68,91 +69,95 @@
         timeout);
   }
 
-  private static void unreachable(Processes.Ended e, String... lines) {
-    assertEquals(3, e.code(), e.err());
-    assertEquals("", e.out());
+  private static void assertUnreachable(Processes.CommandResult result, String... lines) {
+    assertEquals(3, result.code(), result.err());
+    assertEquals("", result.out());
     for (String line : lines) {
-      assertTrue(e.err().contains(line), line + " is not in: " + e.err());
+      assertTrue(result.err().contains(line), line + " is not in: " + result.err());
     }
   }
 
   @Test
-  void aPortThatIsClosed() throws Exception {
+  void reportsClosedPort() throws Exception {
     int port;
     try (ServerSocket s = new ServerSocket(0)) {
       port = s.getLocalPort();
     }
-    unreachable(ask("3s", "http://127.0.0.1:" + port), port + ": connection refused", "tried for");
+    assertUnreachable(
+        runStatus("3s", "http://127.0.0.1:" + port), port + ": connection refused", "tried for");
   }
 
   @Test
-  void acceptedButNeverAnswered() throws Exception {
-    unreachable(ask("600ms", serve(x -> {})), "no answer in time");
+  void reportsRequestThatIsNeverAnswered() throws Exception {
+    assertUnreachable(runStatus("600ms", serve(x -> {})), "no answer in time");
   }
 
   @Test
-  void notReadyAndNoLeaderAndStateServiceOut() throws Exception {
-    String reading = serve(says(503, "this controller is still reading the records"));
-    String alone = serve(says(503, "no leader can be asked: nobody leads"));
-    String out = serve(says(503, "the state service does not answer"));
-    unreachable(
-        ask("900ms", reading, alone, out),
-        reading + ": 503 this controller is still reading",
-        alone + ": 503 no leader can be asked",
-        out + ": 503 the state service");
+  void reportsWhyEachEndpointIsUnavailable() throws Exception {
+    String notReadyUrl = serve(replyWith(503, "this controller is still reading the records"));
+    String noLeaderUrl = serve(replyWith(503, "no leader can be asked: nobody leads"));
+    String noStateServiceUrl = serve(replyWith(503, "the state service does not answer"));
+    assertUnreachable(
+        runStatus("900ms", notReadyUrl, noLeaderUrl, noStateServiceUrl),
+        notReadyUrl + ": 503 this controller is still reading",
+        noLeaderUrl + ": 503 no leader can be asked",
+        noStateServiceUrl + ": 503 the state service");
   }
 
   @Test
-  void theNextEndpointAnswers() throws Exception {
-    String out = serve(says(503, "the leader has just changed"));
-    Processes.Ended e = ask("20s", out, serve(x -> x.reply(200, GOOD, 0)));
-    assertEquals(0, e.code(), e.err());
-    assertTrue(e.out().contains("\"term\":2"), e.out());
+  void usesNextEndpointThatAnswers() throws Exception {
+    String leaderChangedUrl = serve(replyWith(503, "the leader has just changed"));
+    Processes.CommandResult result =
+        runStatus("20s", leaderChangedUrl, serve(x -> x.reply(200, STATUS_BODY, 0)));
+    assertEquals(0, result.code(), result.err());
+    assertTrue(result.out().contains("\"term\":2"), result.out());
   }
 
   @Test
-  void ready503ThenWell() throws Exception {
-    int[] asked = {0};
-    String later =
+  void retriesAfter503() throws Exception {
+    int[] requestCount = {0};
+    String laterReadyUrl =
         serve(
             x -> {
-              if (asked[0]++ < 2) {
-                says(503, "not yet").accept(x);
+              if (requestCount[0]++ < 2) {
+                replyWith(503, "not yet").accept(x);
               } else {
-                x.reply(200, GOOD, 0);
+                x.reply(200, STATUS_BODY, 0);
               }
             });
-    assertEquals(0, ask("30s", later).code());
+    assertEquals(0, runStatus("30s", laterReadyUrl).code());
   }
 
   /** It comes, but after the time is up: it must not be printed. */
   @Test
-  void anAnswerThatComesTooLate() throws Exception {
-    String late = serve(x -> loop.after(1500, () -> x.reply(200, GOOD, 0)));
-    unreachable(ask("500ms", late), "no answer in time");
+  void ignoresResponseAfterTimeout() throws Exception {
+    String lateUrl = serve(x -> eventLoop.after(1500, () -> x.reply(200, STATUS_BODY, 0)));
+    assertUnreachable(runStatus("500ms", lateUrl), "no answer in time");
   }
 
   /** Headers in time, and then half a body. */
   @Test
-  void anAnswerThatStopsHalfway() throws Exception {
+  void ignoresIncompleteResponse() throws Exception {
     ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    open.add(server);
-    Thread t = new Thread(() -> halves(server));
-    t.setDaemon(true);
-    t.start();
-    unreachable(ask("700ms", "http://127.0.0.1:" + server.getLocalPort()), "no answer in time");
+    openResources.add(server);
+    Thread serverThread = new Thread(() -> sendIncompleteResponses(server));
+    serverThread.setDaemon(true);
+    serverThread.start();
+    assertUnreachable(
+        runStatus("700ms", "http://127.0.0.1:" + server.getLocalPort()), "no answer in time");
   }
 
-  private void halves(ServerSocket server) {
+  private void sendIncompleteResponses(ServerSocket server) {
     try {
       while (true) {
-        Socket s = server.accept();
-        open.add(s);
-        s.getOutputStream()
+        Socket connection = server.accept();
+        openResources.add(connection);
+        connection
+            .getOutputStream()
             .write(
                 "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"leader\":"
                     .getBytes(StandardCharsets.US_ASCII));
-        s.getOutputStream().flush();
+        connection.getOutputStream().flush();
       }
     } catch (IOException e) {
       // The test is over.
@@ -160,17 +165,17 @@
   }
 
   @Test
-  void refusalsAreFinal() throws Exception {
-    int[] asked = {0};
-    String no =
+  void doesNotRetryForbiddenRequest() throws Exception {
+    int[] requestCount = {0};
+    String forbiddingUrl =
         serve(
             x -> {
-              asked[0]++;
-              says(403, "this needs the role operate").accept(x);
+              requestCount[0]++;
+              replyWith(403, "this needs the role operate").accept(x);
             });
-    Processes.Ended e = ask("20s", no);
-    assertEquals(5, e.code());
-    assertTrue(e.err().contains("this needs the role operate"), e.err());
-    assertEquals(1, asked[0]);
+    Processes.CommandResult result = runStatus("20s", forbiddingUrl);
+    assertEquals(5, result.code());
+    assertTrue(result.err().contains("this needs the role operate"), result.err());
+    assertEquals(1, requestCount[0]);
   }
 }
--- a/src/test/java/dapplestair/session/SessionTest.java
+++ b/src/test/java/dapplestair/session/SessionTest.java
@@ -6,8 +6,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dapplestair.json.Json;
-import dapplestair.session.Processes.Begun;
-import dapplestair.session.Processes.Ended;
+import dapplestair.session.Processes.CommandResult;
+import dapplestair.session.Processes.RunningCommand;
 import dapplestair.session.Processes.Service;
 import java.net.ServerSocket;
 import java.net.URI;
@@ -36,38 +36,39 @@
 
   @TempDir private Path folder;
   private Processes processes;
-  private String outside;
-  private Map<String, String> env = Map.of();
+  private String outsideAddress;
+  private Map<String, String> environment = Map.of();
 
-  private Ended run(String... args) throws Exception {
-    return processes.run(env, args);
+  private CommandResult run(String... args) throws Exception {
+    return processes.run(environment, args);
   }
 
-  private Ended good(String... args) throws Exception {
-    Ended e = run(args);
-    assertEquals(0, e.code(), String.join(" ", args) + ": " + e.err());
-    return e;
+  private CommandResult runSuccessfully(String... args) throws Exception {
+    CommandResult result = run(args);
+    assertEquals(0, result.code(), String.join(" ", args) + ": " + result.err());
+    return result;
   }
 
-  private JsonNode json(String... args) throws Exception {
-    List<String> all = new ArrayList<>(List.of(args));
-    all.addAll(List.of("-o", "json"));
-    return Json.parse(good(all.toArray(String[]::new)).out().getBytes());
+  private JsonNode runAsJson(String... args) throws Exception {
+    List<String> allArgs = new ArrayList<>(List.of(args));
+    allArgs.addAll(List.of("-o", "json"));
+    return Json.parse(runSuccessfully(allArgs.toArray(String[]::new)).out().getBytes());
   }
 
   /** What the state service itself holds under a prefix. */
-  private Map<String, JsonNode> recorded(String prefix) throws Exception {
-    URI uri = URI.create("http://" + outside + "/kv?prefix=" + prefix + "&limit=1000");
-    HttpResponse<byte[]> r =
+  private Map<String, JsonNode> storedValues(String prefix) throws Exception {
+    URI uri = URI.create("http://" + outsideAddress + "/kv?prefix=" + prefix + "&limit=1000");
+    HttpResponse<byte[]> response =
         HTTP.send(HttpRequest.newBuilder(uri).build(), HttpResponse.BodyHandlers.ofByteArray());
-    Map<String, JsonNode> out = new TreeMap<>();
-    Json.parse(r.body())
+    Map<String, JsonNode> values = new TreeMap<>();
+    Json.parse(response.body())
         .path("rows")
-        .forEach(n -> out.put(n.path("k").asText().substring(prefix.length()), n.path("value")));
-    return out;
+        .forEach(n -> values.put(n.path("k").asText().substring(prefix.length()), n.path("value")));
+    return values;
   }
 
-  private Path job(String name, String shape, int steps, double guessS) throws Exception {
+  private Path writeJob(String name, String shape, int taskCount, double estimatedRunS)
+      throws Exception {
     Path file = folder.resolve(name + ".json");
     Files.writeString(
         file,
@@ -80,149 +81,174 @@
                 name,
                 shape,
                 shape.equals("daemon") ? "critical" : "standard",
-                steps,
+                taskCount,
                 shape.equals("daemon"),
-                guessS));
+                estimatedRunS));
     return file;
   }
 
-  private Service daemon() throws Exception {
-    Service d =
-        processes.start(
-            "daemon", "--outside", outside, "--listen", "127.0.0.1:0", "--admin", "127.0.0.1:0");
-    env = Map.of("DAPPLESTAIR_ENDPOINT", "http://" + d.address("admin"));
-    return d;
+  private Service startDaemon() throws Exception {
+    Service daemon =
+        processes.startService(
+            "daemon",
+            "--outside",
+            outsideAddress,
+            "--listen",
+            "127.0.0.1:0",
+            "--admin",
+            "127.0.0.1:0");
+    environment = Map.of("DAPPLESTAIR_ENDPOINT", "http://" + daemon.address("admin"));
+    return daemon;
   }
 
   @Test
-  void aNightOnDuty() throws Exception {
-    try (Processes p = new Processes(folder)) {
-      processes = p;
-      Service emulator = p.start("emulate", "--listen", "127.0.0.1:0");
-      outside = emulator.address("outside");
-      Service first = daemon();
-      submitAndWatch();
-      lookAround();
-      drain();
-      Service second = killed(first);
-      afterwards(second);
+  void commandsAgreeWithRecordsAcrossDaemonKill() throws Exception {
+    try (Processes testProcesses = new Processes(folder)) {
+      processes = testProcesses;
+      Service emulator = testProcesses.startService("emulate", "--listen", "127.0.0.1:0");
+      outsideAddress = emulator.address("outside");
+      Service first = startDaemon();
+      assertSubmitAndWatch();
+      assertListingsMatchRecords();
+      assertDrainMovesReplicas();
+      Service second = killAndRestart(first);
+      assertStateAfterRestart(second);
     }
   }
 
-  private void submitAndWatch() throws Exception {
-    assertEquals("s-1", good("job", "submit", job("s-1", "daemon", 3, 0).toString()).out().strip());
-    assertEquals("a-1", good("job", "submit", job("a-1", "sweep", 6, 1).toString()).out().strip());
+  private void assertSubmitAndWatch() throws Exception {
+    assertEquals(
+        "s-1",
+        runSuccessfully("job", "submit", writeJob("s-1", "daemon", 3, 0).toString()).out().strip());
+    assertEquals(
+        "a-1",
+        runSuccessfully("job", "submit", writeJob("a-1", "sweep", 6, 1).toString()).out().strip());
     // The same again is the same job.
-    assertEquals("a-1", good("job", "submit", job("a-1", "sweep", 6, 1).toString()).out().strip());
-    List<String> watched = good("job", "watch", "a-1").lines();
+    assertEquals(
+        "a-1",
+        runSuccessfully("job", "submit", writeJob("a-1", "sweep", 6, 1).toString()).out().strip());
+    List<String> watched = runSuccessfully("job", "watch", "a-1").lines();
     assertEquals("a-1 done", watched.get(watched.size() - 1));
-    assertEquals("done", recorded("over/").get("a-1").path("status").asText());
-    Path made = folder.resolve("made.json");
+    assertEquals("done", storedValues("over/").get("a-1").path("status").asText());
+    Path fileWithoutRef = folder.resolve("made.json");
     Files.writeString(
-        made, Files.readString(job("x-1", "sweep", 1, 300)).replace("\"ref\":\"x-1\",", ""));
-    String ref = good("job", "submit", made.toString()).out().strip();
-    assertTrue(recorded("live/job/").containsKey(ref), "a made ref: " + ref);
-    assertTrue(good("job", "withdraw", ref).out().contains(ref + " aborted"));
-    assertEquals("aborted", recorded("over/").get(ref).path("status").asText());
+        fileWithoutRef,
+        Files.readString(writeJob("x-1", "sweep", 1, 300)).replace("\"ref\":\"x-1\",", ""));
+    String ref = runSuccessfully("job", "submit", fileWithoutRef.toString()).out().strip();
+    assertTrue(storedValues("live/job/").containsKey(ref), "a made ref: " + ref);
+    assertTrue(runSuccessfully("job", "withdraw", ref).out().contains(ref + " aborted"));
+    assertEquals("aborted", storedValues("over/").get(ref).path("status").asText());
   }
 
-  private void lookAround() throws Exception {
-    good("job", "submit", job("a-2", "sweep", 900, 300).toString());
-    JsonNode list = json("job", "list", "--limit", "0");
-    TreeSet<String> listed = new TreeSet<>();
-    list.path("rows").forEach(r -> listed.add(r.path("ref").asText()));
-    assertEquals(new TreeSet<>(recorded("live/job/").keySet()), listed);
-    TreeSet<String> over = new TreeSet<>();
-    json("job", "list", "--over").path("rows").forEach(r -> over.add(r.path("ref").asText()));
-    assertEquals(new TreeSet<>(recorded("over/").keySet()), over);
-    JsonNode why = json("job", "why", "a-2");
+  private void assertListingsMatchRecords() throws Exception {
+    runSuccessfully("job", "submit", writeJob("a-2", "sweep", 900, 300).toString());
+    JsonNode list = runAsJson("job", "list", "--limit", "0");
+    TreeSet<String> listedJobs = new TreeSet<>();
+    list.path("rows").forEach(r -> listedJobs.add(r.path("ref").asText()));
+    assertEquals(new TreeSet<>(storedValues("live/job/").keySet()), listedJobs);
+    TreeSet<String> finishedJobs = new TreeSet<>();
+    runAsJson("job", "list", "--over")
+        .path("rows")
+        .forEach(r -> finishedJobs.add(r.path("ref").asText()));
+    assertEquals(new TreeSet<>(storedValues("over/").keySet()), finishedJobs);
+    JsonNode explanation = runAsJson("job", "why", "a-2");
     assertTrue(
-        why.path("waiting_tasks").asInt() > 0 && !why.path("reasons").isEmpty(), why.toString());
-    long waiting = json("job", "list", "--where", "waiting_tasks > 0").path("rows").size();
-    assertEquals(1, waiting);
-    JsonNode shown = json("job", "show", "s-1");
-    assertEquals(recorded("live/job/").get("s-1").path("job"), shown.path("job"));
-    assertEquals(3, shown.path("attempts").size());
+        explanation.path("waiting_tasks").asInt() > 0 && !explanation.path("reasons").isEmpty(),
+        explanation.toString());
+    long waitingJobs = runAsJson("job", "list", "--where", "waiting_tasks > 0").path("rows").size();
+    assertEquals(1, waitingJobs);
+    JsonNode shownJob = runAsJson("job", "show", "s-1");
+    assertEquals(storedValues("live/job/").get("s-1").path("job"), shownJob.path("job"));
+    assertEquals(3, shownJob.path("attempts").size());
     // Machines: those of the recorded rentals.
-    TreeSet<String> rented = new TreeSet<>();
-    recorded("live/rental/")
+    TreeSet<String> rentedMachines = new TreeSet<>();
+    storedValues("live/rental/")
         .values()
-        .forEach(r -> r.path("hosts").forEach(h -> rented.add(h.asText())));
-    JsonNode machines = json("machine", "list");
+        .forEach(r -> r.path("hosts").forEach(h -> rentedMachines.add(h.asText())));
+    JsonNode machines = runAsJson("machine", "list");
     machines
         .path("rows")
-        .forEach(m -> assertTrue(rented.contains(m.path("id").asText()), m.toString()));
+        .forEach(m -> assertTrue(rentedMachines.contains(m.path("id").asText()), m.toString()));
     assertFalse(machines.path("rows").isEmpty());
-    assertEquals("default", json("team", "list").path("rows").path(0).path("team").asText());
+    assertEquals("default", runAsJson("team", "list").path("rows").path(0).path("team").asText());
     assertEquals(
-        recorded("live/").get("term").path("term"), json("status").path("asOf").path("term"));
-    assertEquals("daemon", json("status").path("leader").asText());
+        storedValues("live/").get("term").path("term"),
+        runAsJson("status").path("asOf").path("term"));
+    assertEquals("daemon", runAsJson("status").path("leader").asText());
     assertEquals(
-        recorded("live/").get("plan").path("machines").size(),
-        json("plan", "show").path("rows").size());
-    JsonNode events = json("event", "list", "--where", "kind = over");
+        storedValues("live/").get("plan").path("machines").size(),
+        runAsJson("plan", "show").path("rows").size());
+    JsonNode events = runAsJson("event", "list", "--where", "kind = over");
     assertEquals(2, events.path("rows").size(), events.toString());
-    assertTrue(good("machine", "list").out().contains("as of term "));
-    assertTrue(good("job", "list", "-o", "csv").out().startsWith("ref,status,"));
-    assertMistakes();
+    assertTrue(runSuccessfully("machine", "list").out().contains("as of term "));
+    assertTrue(runSuccessfully("job", "list", "-o", "csv").out().startsWith("ref,status,"));
+    assertInvalidCommandsFail();
   }
 
-  private void assertMistakes() throws Exception {
-    Ended caret = run("job", "list", "--where", "teem = a");
-    assertEquals(2, caret.code());
-    assertTrue(caret.err().contains("^ no field teem"), caret.err());
+  private void assertInvalidCommandsFail() throws Exception {
+    CommandResult unknownField = run("job", "list", "--where", "teem = a");
+    assertEquals(2, unknownField.code());
+    assertTrue(unknownField.err().contains("^ no field teem"), unknownField.err());
     assertEquals(
         2, run("job", "list", "--where", "tasks = 1 or ".repeat(800) + "tasks = 1").code());
     assertEquals(2, run("job", "lst").code());
     assertEquals(4, run("job", "show", "zz-1").code());
     assertEquals(4, run("machine", "drain", "n-999999").code());
-    Path bad = folder.resolve("bad.json");
+    Path invalidJob = folder.resolve("bad.json");
     Files.writeString(
-        bad, Files.readString(job("b-1", "sweep", 1, 1)).replace("\"vcpus\":1.0", "\"vcpus\":0"));
-    Ended field = run("job", "submit", bad.toString());
-    assertEquals(2, field.code());
-    assertTrue(field.err().contains("vcpus: must be above 0"), field.err());
-    Path stranger = folder.resolve("stranger.json");
+        invalidJob,
+        Files.readString(writeJob("b-1", "sweep", 1, 1)).replace("\"vcpus\":1.0", "\"vcpus\":0"));
+    CommandResult invalidField = run("job", "submit", invalidJob.toString());
+    assertEquals(2, invalidField.code());
+    assertTrue(invalidField.err().contains("vcpus: must be above 0"), invalidField.err());
+    Path unknownTeamJob = folder.resolve("stranger.json");
     Files.writeString(
-        stranger, Files.readString(job("b-2", "sweep", 1, 1)).replace("default", "nobody"));
-    assertEquals(5, run("job", "submit", stranger.toString()).code());
+        unknownTeamJob,
+        Files.readString(writeJob("b-2", "sweep", 1, 1)).replace("default", "nobody"));
+    assertEquals(5, run("job", "submit", unknownTeamJob.toString()).code());
   }
 
   private String machineOf(String job) throws Exception {
-    return json("job", "show", job).path("attempts").path(0).path("machine").asText();
+    return runAsJson("job", "show", job).path("attempts").path(0).path("machine").asText();
   }
 
-  private void drain() throws Exception {
-    good("job", "withdraw", "a-2");
+  private void assertDrainMovesReplicas() throws Exception {
+    runSuccessfully("job", "withdraw", "a-2");
     String machine = machineOf("s-1");
     assertTrue(
-        good("machine", "drain", machine, "--why", "fan").out().contains(machine + " is drained"));
-    assertEquals("fan", recorded("live/drain/").get(machine).path("why").asText());
-    boolean empty = false;
-    for (int i = 0; i < 60 && !empty; i++) {
-      empty = json("machine", "show", machine).path("drain").path("tasks_left").asInt(9) == 0;
+        runSuccessfully("machine", "drain", machine, "--why", "fan")
+            .out()
+            .contains(machine + " is drained"));
+    assertEquals("fan", storedValues("live/drain/").get(machine).path("why").asText());
+    boolean isEmpty = false;
+    for (int i = 0; i < 60 && !isEmpty; i++) {
+      isEmpty =
+          runAsJson("machine", "show", machine).path("drain").path("tasks_left").asInt(9) == 0;
     }
-    assertTrue(empty, "its replicas have moved");
-    JsonNode s1 = json("job", "show", "s-1");
-    s1.path("attempts").forEach(a -> assertFalse(a.path("machine").asText().equals(machine)));
-    assertEquals(machine, json("machine", "drains").path("rows").path(0).path("machine").asText());
+    assertTrue(isEmpty, "its replicas have moved");
+    JsonNode service = runAsJson("job", "show", "s-1");
+    service.path("attempts").forEach(a -> assertFalse(a.path("machine").asText().equals(machine)));
+    assertEquals(
+        machine, runAsJson("machine", "drains").path("rows").path(0).path("machine").asText());
   }
 
   /** The daemon is killed: a client says so, and one that waits goes on with the next. */
-  private Service killed(Service first) throws Exception {
-    String machine = recorded("live/drain/").keySet().iterator().next();
-    String admin = first.address("admin");
-    good("job", "submit", job("a-3", "sweep", 10, 20).toString());
+  private Service killAndRestart(Service first) throws Exception {
+    String machine = storedValues("live/drain/").keySet().iterator().next();
+    String adminAddress = first.address("admin");
+    runSuccessfully("job", "submit", writeJob("a-3", "sweep", 10, 20).toString());
     first.kill();
-    Ended gone = run("job", "list", "--timeout", "700ms");
-    assertEquals(3, gone.code());
-    assertEquals("", gone.out());
-    assertTrue(gone.err().contains(admin + ": connection refused"), gone.err());
+    CommandResult unreachableResult = run("job", "list", "--timeout", "700ms");
+    assertEquals(3, unreachableResult.code());
+    assertEquals("", unreachableResult.out());
+    assertTrue(
+        unreachableResult.err().contains(adminAddress + ": connection refused"),
+        unreachableResult.err());
     // Two endpoints: the one that is gone, and one that will be there.
     int port = freePort();
-    Begun waits =
-        processes.begin(
-            Map.of("DAPPLESTAIR_ENDPOINT", "http://" + admin + ",http://127.0.0.1:" + port),
+    RunningCommand waitingCommand =
+        processes.startCommand(
+            Map.of("DAPPLESTAIR_ENDPOINT", "http://" + adminAddress + ",http://127.0.0.1:" + port),
             "job",
             "list",
             "--timeout",
@@ -230,22 +256,25 @@
             "-o",
             "json");
     Service second =
-        processes.start(
+        processes.startService(
             "daemon",
             "--outside",
-            outside,
+            outsideAddress,
             "--listen",
             "127.0.0.1:0",
             "--admin",
             "127.0.0.1:" + port);
-    env = Map.of("DAPPLESTAIR_ENDPOINT", "http://127.0.0.1:" + port);
-    Ended came = waits.end();
-    assertEquals(0, came.code(), came.err());
+    environment = Map.of("DAPPLESTAIR_ENDPOINT", "http://127.0.0.1:" + port);
+    CommandResult waitingResult = waitingCommand.await();
+    assertEquals(0, waitingResult.code(), waitingResult.err());
     // What it prints was asked anew: it holds what was accepted, and nothing that is over.
-    TreeSet<String> listed = new TreeSet<>();
-    Json.parse(came.out().getBytes()).path("rows").forEach(r -> listed.add(r.path("ref").asText()));
-    assertEquals(new TreeSet<>(List.of("a-3", "s-1")), listed);
-    assertTrue(json("machine", "show", machine).path("drain").path("why").asText().equals("fan"));
+    TreeSet<String> listedJobs = new TreeSet<>();
+    Json.parse(waitingResult.out().getBytes())
+        .path("rows")
+        .forEach(r -> listedJobs.add(r.path("ref").asText()));
+    assertEquals(new TreeSet<>(List.of("a-3", "s-1")), listedJobs);
+    assertTrue(
+        runAsJson("machine", "show", machine).path("drain").path("why").asText().equals("fan"));
     return second;
   }
 
@@ -255,14 +284,14 @@
     }
   }
 
-  private void afterwards(Service second) throws Exception {
-    List<String> watched = good("job", "watch", "a-3", "--timeout", "30s").lines();
+  private void assertStateAfterRestart(Service second) throws Exception {
+    List<String> watched = runSuccessfully("job", "watch", "a-3", "--timeout", "30s").lines();
     assertEquals("a-3 done", watched.get(watched.size() - 1));
-    String machine = recorded("live/drain/").keySet().iterator().next();
-    assertTrue(good("machine", "undrain", machine).out().contains("is not drained"));
-    assertTrue(recorded("live/drain/").isEmpty());
-    assertEquals(3, json("job", "show", "s-1").path("running").asInt());
-    assertNothingTwice();
+    String machine = storedValues("live/drain/").keySet().iterator().next();
+    assertTrue(runSuccessfully("machine", "undrain", machine).out().contains("is not drained"));
+    assertTrue(storedValues("live/drain/").isEmpty());
+    assertEquals(3, runAsJson("job", "show", "s-1").path("running").asInt());
+    assertNoTaskRunsTwice();
     assertEquals(0, second.terminate());
     assertEquals(3, run("status", "--timeout", "500ms").code());
     String log = Files.readString(second.err());
@@ -271,15 +300,16 @@
   }
 
   /** What truly runs, by the machines themselves. */
-  private void assertNothingTwice() throws Exception {
-    HttpResponse<byte[]> r =
+  private void assertNoTaskRunsTwice() throws Exception {
+    HttpResponse<byte[]> response =
         HTTP.send(
-            HttpRequest.newBuilder(URI.create("http://" + outside + "/emulator/machines")).build(),
+            HttpRequest.newBuilder(URI.create("http://" + outsideAddress + "/emulator/machines"))
+                .build(),
             HttpResponse.BodyHandlers.ofByteArray());
-    JsonNode truth = Json.parse(r.body());
-    assertTrue(truth.path("violation").isNull(), truth.path("violation").toString());
-    Map<String, Integer> copies = new HashMap<>();
-    truth
+    JsonNode emulatorView = Json.parse(response.body());
+    assertTrue(emulatorView.path("violation").isNull(), emulatorView.path("violation").toString());
+    Map<String, Integer> runningCopies = new HashMap<>();
+    emulatorView
         .path("machines")
         .forEach(
             m ->
@@ -287,10 +317,10 @@
                     .forEach(
                         t -> {
                           if (t.path("status").asText().equals("running")) {
-                            copies.merge(t.path("task").asText(), 1, Integer::sum);
+                            runningCopies.merge(t.path("task").asText(), 1, Integer::sum);
                           }
                         }));
-    assertEquals(3, copies.keySet().stream().filter(k -> k.startsWith("s-1/")).count());
-    assertTrue(copies.values().stream().allMatch(n -> n == 1), copies.toString());
+    assertEquals(3, runningCopies.keySet().stream().filter(k -> k.startsWith("s-1/")).count());
+    assertTrue(runningCopies.values().stream().allMatch(n -> n == 1), runningCopies.toString());
   }
 }
