--- a/src/test/java/dapplestair/model/Leader.java
+++ b/src/test/java/dapplestair/model/Leader.java
@@ -177,7 +177,7 @@
 
   /**
    * Returns true while this leader has raised the machine's token less than {@code maxRaises}
-   * times. Raises by other controllers, which are multiples of the maximum fence lead, don't count.
+   * times. Raises by other controllers, which set the fence to a multiple of its step, don't count.
    */
   boolean canRaiseToken(int machine, int maxRaises) {
     return (machines[machine].fence & (FencingToken.MAX_FENCE_LEAD - 1)) < maxRaises;
--- a/src/test/java/dapplestair/session/AdminOverloadTest.java
+++ b/src/test/java/dapplestair/session/AdminOverloadTest.java
@@ -26,7 +26,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the operators' interface does with those who ask too much, too long or half. */
+/**
+ * Guards against clients of the admin interface that block it for others: too large or incomplete
+ * requests, too many connections, and listings while many jobs arrive.
+ */
 @Tag("session")
 class AdminOverloadTest {
   private static final int MAX_CONNECTIONS = 32;
@@ -60,7 +63,7 @@
     }
   }
 
-  /** Roles are kept, figures are served, and every logged line is JSON. */
+  /** Roles are enforced, metrics are served, and every logged line is JSON. */
   @Test
   void enforcesRolesServesMetricsAndLogsJson() throws Exception {
     Files.writeString(
@@ -122,7 +125,8 @@
     assertEquals(64 * 1024, largestBody.length());
     HttpResponse<byte[]> response =
         send(HttpRequest.newBuilder(drain).POST(HttpRequest.BodyPublishers.ofString(largestBody)));
-    // As large as allowed: read, and refused for what it says; the machine may not be there yet.
+    // A body of the maximum size is read, and refused for its content or because the machine does
+    // not exist yet.
     assertTrue(
         response.statusCode() == 400 || response.statusCode() == 404,
         "status " + response.statusCode());
@@ -155,7 +159,7 @@
     }
     HttpRequest.Builder statusRequest = HttpRequest.newBuilder(URI.create(admin + "/v1/status"));
     assertEquals(200, send(statusRequest).statusCode());
-    // Those beyond the bound are told so, and not left hanging.
+    // Connections beyond the maximum are answered with 503 and not left open without an answer.
     int rejectedCount = 0;
     for (int i = 0; i < 8; i++) {
       try (Socket s = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]))) {
@@ -169,13 +173,16 @@
         rejectedCount += statusLineStart.equals("HTTP/1.1 503") ? 1 : 0;
       }
     }
-    assertTrue(rejectedCount > 0, "nobody was told 503");
+    assertTrue(rejectedCount > 0, "no connection beyond the maximum was answered with 503");
     for (Socket s : incompleteRequests) {
       s.close();
     }
   }
 
-  /** Every job accepted before a listing began is in it, once, while others arrive. */
+  /**
+   * Asserts that a listing made while jobs arrive has every job that was accepted before the
+   * listing began, once.
+   */
   private void assertListingsDuringBurst(String admin, String users) throws Exception {
     Set<String> accepted = java.util.concurrent.ConcurrentHashMap.newKeySet();
     List<CompletableFuture<?>> submissions = new ArrayList<>();
@@ -196,14 +203,17 @@
       if (i % 100 == 50) {
         Set<String> acceptedBefore = new HashSet<>(accepted);
         List<String> listedJobs = listJobs(admin);
-        assertEquals(listedJobs.size(), new TreeSet<>(listedJobs).size(), "listed twice");
-        assertEquals(new ArrayList<>(new TreeSet<>(listedJobs)), listedJobs, "in order");
+        assertEquals(listedJobs.size(), new TreeSet<>(listedJobs).size(), "a job is listed twice");
+        assertEquals(
+            new ArrayList<>(new TreeSet<>(listedJobs)), listedJobs, "jobs are not listed in order");
         assertTrue(
-            new HashSet<>(listedJobs).containsAll(acceptedBefore), "accepted, but not listed");
+            new HashSet<>(listedJobs).containsAll(acceptedBefore),
+            "a job accepted before the listing began is missing from it");
       }
     }
     CompletableFuture.allOf(submissions.toArray(CompletableFuture[]::new)).get();
-    assertTrue(accepted.size() > 300, accepted.size() + " accepted");
+    assertTrue(
+        accepted.size() > 300, accepted.size() + " submissions accepted, expected more than 300");
   }
 
   private List<String> listJobs(String admin) throws Exception {
--- a/src/test/java/dapplestair/session/LaneCalendarSessionTest.java
+++ b/src/test/java/dapplestair/session/LaneCalendarSessionTest.java
@@ -20,9 +20,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Real processes with a lane, a calendar and a model's image at once: the controller is killed
- * between a rider's acceptance and its start, stopped and continued, and killed again while a cycle
- * gathers its deliveries.
+ * Guards against lanes, calendar cycles and image locations that are lost with the controller. Real
+ * processes run a lane, a calendar and jobs with a model's image at once; the controller is killed
+ * between the acceptance of a job with right of way and its start, suspended and resumed, and
+ * killed again while a cycle collects its deliveries.
  */
 @Tag("session")
 class LaneCalendarSessionTest {
@@ -61,7 +62,7 @@
     return daemon;
   }
 
-  /** Repeats a submission until it is accepted, as users do. */
+  /** Submits a job, and repeats the submission until it is accepted, as users do. */
   private void submit(String ref, String jobClass, String rank, int taskCount, double runS)
       throws Exception {
     String body =
@@ -106,11 +107,11 @@
           return;
         }
       } catch (IOException e) {
-        // Nobody answers just now.
+        // No controller answers at present.
       }
       Thread.sleep(50);
     }
-    throw new AssertionError("not within " + WAIT_LIMIT + ": " + description);
+    throw new AssertionError("condition not met within " + WAIT_LIMIT + ": " + description);
   }
 
   private void awaitDone(String ref) throws Exception {
@@ -145,10 +146,11 @@
 
       Service second = startDaemon();
       awaitDone("o-1");
-      assertEquals("queued", readJob("m-1").path("status").asText(), "nothing was delivered yet");
+      assertEquals("queued", readJob("m-1").path("status").asText(), "started before any delivery");
       submit("g-1", "gauge", "high", 1, 0.5);
       awaitDone("g-1");
-      assertEquals("queued", readJob("m-1").path("status").asText(), "one delivery of two");
+      assertEquals(
+          "queued", readJob("m-1").path("status").asText(), "started after one of two deliveries");
       sendSignal(second, "STOP");
       Thread.sleep(2500);
       sendSignal(second, "CONT");
--- a/src/test/java/dapplestair/session/ListingLoad.java
+++ b/src/test/java/dapplestair/session/ListingLoad.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Measures, and is no test: processor time of a leader with 1,500 machines and 20,000 jobs, with
- * and without a client that lists everything every second, in turns within one run. Started by
- * hand, see docs/results.md.
+ * Measures the CPU time of a leader with 1,500 machines and 20,000 jobs, with and without a client
+ * that lists everything every second, in turns within one run. This is a benchmark and not a test;
+ * it is started by hand, see docs/results.md.
  */
 final class ListingLoad {
   private static final int JOBS = 20_000;
@@ -146,7 +146,7 @@
   }
 
   private static void submitAll(String users) throws Exception {
-    Semaphore permits = new Semaphore(64);
+    Semaphore freeSlots = new Semaphore(64);
     for (int i = 0; i < JOBS; i++) {
       String body =
           """
@@ -156,13 +156,13 @@
            "snapshotS":0}
           """
               .formatted(i);
-      submit(users, body, permits);
+      submit(users, body, freeSlots);
     }
-    permits.acquire(64);
+    freeSlots.acquire(64);
   }
 
-  private static void submit(String users, String body, Semaphore permits) throws Exception {
-    permits.acquire();
+  private static void submit(String users, String body, Semaphore freeSlots) throws Exception {
+    freeSlots.acquire();
     HttpRequest request =
         HttpRequest.newBuilder(URI.create(users + "/submissions"))
             .POST(HttpRequest.BodyPublishers.ofString(body))
@@ -171,11 +171,11 @@
         HTTP.sendAsync(request, HttpResponse.BodyHandlers.discarding());
     responseFuture.whenComplete(
         (response, failure) -> {
-          permits.release();
+          freeSlots.release();
           if (failure != null || response.statusCode() >= 500) {
             try {
               Thread.sleep(50);
-              submit(users, body, permits);
+              submit(users, body, freeSlots);
             } catch (Exception retryFailure) {
               throw new IllegalStateException(retryFailure);
             }
--- a/src/test/java/dapplestair/session/Processes.java
+++ b/src/test/java/dapplestair/session/Processes.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Real processes of the program as tests have it, ended with the test. */
+/** Starts real processes of the program from the test's class path, and ends them with the test. */
 public final class Processes implements AutoCloseable {
-  /** How a command ended. */
+  /** The exit code and the output of a command. */
   public record CommandResult(int code, String out, String err) {
-    /** The lines of its output. */
+    /** Returns the lines of the command's standard output. */
     public List<String> lines() {
       return out.lines().toList();
     }
@@ -23,7 +23,7 @@
   private final List<Process> processes = new ArrayList<>();
   private int processCount;
 
-  /** Without processes; their outputs go to files in this folder. */
+  /** Creates an instance without processes; the processes' output goes to files in this folder. */
   public Processes(Path folder) {
     this.folder = folder;
   }
@@ -44,12 +44,12 @@
     return builder;
   }
 
-  /** Starts a process that stays, and waits for its line `ready …`. */
+  /** Starts a service and waits for its line `ready …`. */
   public Service startService(String... args) throws Exception {
     return startService(Map.of(), args);
   }
 
-  /** The same with these variables. */
+  /** Starts a service with these environment variables and waits for its line `ready …`. */
   public Service startService(Map<String, String> environment, String... args) throws Exception {
     File out = folder.resolve("out" + processCount).toFile();
     File err = folder.resolve("err" + processCount++).toFile();
@@ -63,15 +63,16 @@
       }
       Thread.sleep(10);
     }
-    throw new AssertionError("not ready: " + Files.readString(err.toPath()));
+    throw new AssertionError(
+        "service printed no ready line; its standard error: " + Files.readString(err.toPath()));
   }
 
-  /** Runs a command to its end. */
+  /** Runs a command and waits for its end. */
   public CommandResult run(Map<String, String> environment, String... args) throws Exception {
     return startCommand(environment, args).await();
   }
 
-  /** Begins a command, without waiting for its end. */
+  /** Starts a command without waiting for its end. */
   public RunningCommand startCommand(Map<String, String> environment, String... args)
       throws IOException {
     File out = folder.resolve("out" + processCount).toFile();
@@ -82,41 +83,42 @@
     return new RunningCommand(process, out.toPath(), err.toPath());
   }
 
-  /** A command under way. */
+  /** A running command. */
   public record RunningCommand(Process process, Path out, Path err) {
-    /** Waits for its end. */
+    /** Waits for the command's end. */
     public CommandResult await() throws Exception {
       if (!process.waitFor(120, TimeUnit.SECONDS)) {
         process.destroyForcibly();
-        throw new AssertionError("hangs: " + Files.readString(err));
+        throw new AssertionError(
+            "command did not end within 120 s; its standard error: " + Files.readString(err));
       }
       return new CommandResult(process.exitValue(), Files.readString(out), Files.readString(err));
     }
   }
 
-  /** A process that serves. */
+  /** A running service. */
   public record Service(Process process, String readyLine, Path err) {
-    /** An address of its line. */
+    /** Returns an address from the ready line, by its name there. */
     public String address(String name) {
       for (String word : readyLine.split(" ")) {
         if (word.startsWith(name + "=")) {
           return word.substring(name.length() + 1);
         }
       }
-      throw new AssertionError(name + " is not in: " + readyLine);
+      throw new AssertionError(name + " is not an address in the ready line: " + readyLine);
     }
 
-    /** SIGKILL. */
+    /** Kills the service with SIGKILL. */
     public void kill() throws InterruptedException {
       process.destroyForcibly();
       process.waitFor(20, TimeUnit.SECONDS);
     }
 
-    /** SIGTERM; the exit code. */
+    /** Ends the service with SIGTERM and returns its exit code. */
     public int terminate() throws InterruptedException {
       process.destroy();
       if (!process.waitFor(30, TimeUnit.SECONDS)) {
-        throw new AssertionError("does not end");
+        throw new AssertionError("service did not end within 30 s of SIGTERM");
       }
       return process.exitValue();
     }
--- a/src/test/java/dapplestair/session/ReplaceSessionTest.java
+++ b/src/test/java/dapplestair/session/ReplaceSessionTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A night on which all workers are replaced, with real processes: three controllers, and whichever
- * leads is killed again and again. Short here; {@code -Ddapplestair.long=true} replaces 40
- * machines.
+ * Guards against a rolling replacement of all workers that stops, or runs a task twice, when
+ * leaders fail. Real processes: three controllers, of which the leader is killed again and again.
+ * The run is short by default; with {@code -Ddapplestair.long=true} it replaces 40 machines.
  */
 @Tag("session")
 class ReplaceSessionTest {
@@ -125,7 +125,7 @@
         killLeader();
       }
       awaitCondition("done", () -> replacementState().equals("done"));
-      assertEquals(0, countRemaining(oldMachines), "old machines are left");
+      assertEquals(0, countRemaining(oldMachines), "machines that were to be replaced are left");
       awaitCondition("replicas", () -> countRunningReplicas() == SERVICES * REPLICAS);
       assertEquals("null", requestOutside("/emulator/machines").path("violation").asText("null"));
     }
@@ -142,7 +142,7 @@
       }
       Thread.sleep(200);
     }
-    throw new AssertionError("never: " + description);
+    throw new AssertionError("condition not met after 600 checks: " + description);
   }
 
   private static int findFreePort() throws Exception {
@@ -258,7 +258,10 @@
     return remaining.size();
   }
 
-  /** What truly runs, whoever leads; a task in two places would be seen here. */
+  /**
+   * Returns how many tasks run on the emulated machines themselves, whichever controller leads.
+   * Fails if a task runs in two places.
+   */
   private int countRunningReplicas() throws Exception {
     Map<String, Integer> runningCopies = new TreeMap<>();
     for (JsonNode machine : requestOutside("/emulator/machines").path("machines")) {
--- a/src/test/java/dapplestair/session/RestartTest.java
+++ b/src/test/java/dapplestair/session/RestartTest.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The client in each phase of a restart, against a service that is in just that phase. */
+/**
+ * Guards against a command line that fails, hangs or prints stale output while controllers restart.
+ * The client runs against a server that imitates one phase of a restart.
+ */
 @Tag("session")
 class RestartTest {
   private static final byte[] STATUS_BODY =
@@ -73,7 +76,9 @@
     assertEquals(3, result.code(), result.err());
     assertEquals("", result.out());
     for (String line : lines) {
-      assertTrue(result.err().contains(line), line + " is not in: " + result.err());
+      assertTrue(
+          result.err().contains(line),
+          line + " is not in the command's standard error: " + result.err());
     }
   }
 
@@ -128,14 +133,14 @@
     assertEquals(0, runStatus("30s", laterReadyUrl).code());
   }
 
-  /** It comes, but after the time is up: it must not be printed. */
+  /** A response that comes after the timeout must not be printed. */
   @Test
   void ignoresResponseAfterTimeout() throws Exception {
     String lateUrl = serve(x -> eventLoop.after(1500, () -> x.reply(200, STATUS_BODY, 0)));
     assertUnreachable(runStatus("500ms", lateUrl), "no answer in time");
   }
 
-  /** Headers in time, and then half a body. */
+  /** The server sends the headers in time, and then half a body. */
   @Test
   void ignoresIncompleteResponse() throws Exception {
     ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -160,7 +165,7 @@
         connection.getOutputStream().flush();
       }
     } catch (IOException e) {
-      // The test is over.
+      // The test has ended and closed the server socket.
     }
   }
 
--- a/src/test/java/dapplestair/session/SessionTest.java
+++ b/src/test/java/dapplestair/session/SessionTest.java
@@ -27,8 +27,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A session as somebody on duty has it: real processes on loopback, every command, its output held
- * against what the state service holds, and the daemon killed in the middle.
+ * Guards against commands whose output disagrees with the state service's records, also after the
+ * daemon was killed. Real processes run on loopback; every command is run as an operator would run
+ * it, and the daemon is killed in the middle.
  */
 @Tag("session")
 class SessionTest {
@@ -55,7 +56,7 @@
     return Json.parse(runSuccessfully(allArgs.toArray(String[]::new)).out().getBytes());
   }
 
-  /** What the state service itself holds under a prefix. */
+  /** Returns what the state service itself stores under a prefix, by the rest of the key. */
   private Map<String, JsonNode> storedValues(String prefix) throws Exception {
     URI uri = URI.create("http://" + outsideAddress + "/kv?prefix=" + prefix + "&limit=1000");
     HttpResponse<byte[]> response =
@@ -123,7 +124,7 @@
     assertEquals(
         "a-1",
         runSuccessfully("job", "submit", writeJob("a-1", "sweep", 6, 1).toString()).out().strip());
-    // The same again is the same job.
+    // Submitting the same job again is idempotent.
     assertEquals(
         "a-1",
         runSuccessfully("job", "submit", writeJob("a-1", "sweep", 6, 1).toString()).out().strip());
@@ -135,7 +136,9 @@
         fileWithoutRef,
         Files.readString(writeJob("x-1", "sweep", 1, 300)).replace("\"ref\":\"x-1\",", ""));
     String ref = runSuccessfully("job", "submit", fileWithoutRef.toString()).out().strip();
-    assertTrue(storedValues("live/job/").containsKey(ref), "a made ref: " + ref);
+    assertTrue(
+        storedValues("live/job/").containsKey(ref),
+        "no record of the job with a generated ref: " + ref);
     assertTrue(runSuccessfully("job", "withdraw", ref).out().contains(ref + " aborted"));
     assertEquals("aborted", storedValues("over/").get(ref).path("status").asText());
   }
@@ -160,7 +163,7 @@
     JsonNode shownJob = runAsJson("job", "show", "s-1");
     assertEquals(storedValues("live/job/").get("s-1").path("job"), shownJob.path("job"));
     assertEquals(3, shownJob.path("attempts").size());
-    // Machines: those of the recorded rentals.
+    // The listed machines are those of the recorded rentals.
     TreeSet<String> rentedMachines = new TreeSet<>();
     storedValues("live/rental/")
         .values()
@@ -225,14 +228,17 @@
       isEmpty =
           runAsJson("machine", "show", machine).path("drain").path("tasks_left").asInt(9) == 0;
     }
-    assertTrue(isEmpty, "its replicas have moved");
+    assertTrue(isEmpty, "tasks are left on the drained machine");
     JsonNode service = runAsJson("job", "show", "s-1");
     service.path("attempts").forEach(a -> assertFalse(a.path("machine").asText().equals(machine)));
     assertEquals(
         machine, runAsJson("machine", "drains").path("rows").path(0).path("machine").asText());
   }
 
-  /** The daemon is killed: a client says so, and one that waits goes on with the next. */
+  /**
+   * Kills the daemon and starts another. A command reports that the first daemon is unreachable,
+   * and a command that waits meanwhile gets its answer from the second.
+   */
   private Service killAndRestart(Service first) throws Exception {
     String machine = storedValues("live/drain/").keySet().iterator().next();
     String adminAddress = first.address("admin");
@@ -244,7 +250,7 @@
     assertTrue(
         unreachableResult.err().contains(adminAddress + ": connection refused"),
         unreachableResult.err());
-    // Two endpoints: the one that is gone, and one that will be there.
+    // The command gets two endpoints: the killed daemon's, and that of the daemon to be started.
     int port = freePort();
     RunningCommand waitingCommand =
         processes.startCommand(
@@ -267,7 +273,7 @@
     environment = Map.of("DAPPLESTAIR_ENDPOINT", "http://127.0.0.1:" + port);
     CommandResult waitingResult = waitingCommand.await();
     assertEquals(0, waitingResult.code(), waitingResult.err());
-    // What it prints was asked anew: it holds what was accepted, and nothing that is over.
+    // The output comes from the second daemon: it has all accepted jobs and no finished ones.
     TreeSet<String> listedJobs = new TreeSet<>();
     Json.parse(waitingResult.out().getBytes())
         .path("rows")
@@ -299,7 +305,7 @@
     assertFalse(log.contains("ERROR"), log);
   }
 
-  /** What truly runs, by the machines themselves. */
+  /** Asserts, by what the emulated machines themselves run, that no task runs twice. */
   private void assertNoTaskRunsTwice() throws Exception {
     HttpResponse<byte[]> response =
         HTTP.send(
