--- a/src/test/java/dapplestair/session/AdminOverloadTest.java
+++ b/src/test/java/dapplestair/session/AdminOverloadTest.java
@@ -153,29 +153,30 @@
     String[] hostAndPort = address.split(":");
     List<Socket> incompleteRequests = new ArrayList<>();
     for (int i = 0; i < MAX_CONNECTIONS - 2; i++) {
-      Socket s = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
-      s.getOutputStream().write("GET /v1/status HT".getBytes(StandardCharsets.US_ASCII));
-      incompleteRequests.add(s);
+      Socket socket = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
+      socket.getOutputStream().write("GET /v1/status HT".getBytes(StandardCharsets.US_ASCII));
+      incompleteRequests.add(socket);
     }
     HttpRequest.Builder statusRequest = HttpRequest.newBuilder(URI.create(admin + "/v1/status"));
     assertEquals(200, send(statusRequest).statusCode());
     // Connections beyond the maximum are answered with 503 and not left open without an answer.
     int rejectedCount = 0;
     for (int i = 0; i < 8; i++) {
-      try (Socket s = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]))) {
-        s.setSoTimeout(10_000);
-        s.getOutputStream()
+      try (Socket socket = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]))) {
+        socket.setSoTimeout(10_000);
+        socket
+            .getOutputStream()
             .write(
                 "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         incompleteRequests.add(new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
-        InputStream in = s.getInputStream();
+        InputStream in = socket.getInputStream();
         String statusLineStart = new String(in.readNBytes(12), StandardCharsets.US_ASCII);
         rejectedCount += statusLineStart.equals("HTTP/1.1 503") ? 1 : 0;
       }
     }
     assertTrue(rejectedCount > 0, "no connection beyond the maximum was answered with 503");
-    for (Socket s : incompleteRequests) {
-      s.close();
+    for (Socket socket : incompleteRequests) {
+      socket.close();
     }
   }
 
