--- a/src/main/java/dapplestair/daemon/Emulation.java
+++ b/src/main/java/dapplestair/daemon/Emulation.java
@@ -41,7 +41,8 @@
 
   /** Everything as the settings say; nothing is served before {@link #start}. */
   public Emulation(DaemonSettings settings) {
-    HttpPool http = new HttpPool(loop, CALLS_A_PLACE, settings.emulatorSettings().reportMs() / 4);
+    HttpPool http =
+        new HttpPool(loop, CALLS_A_PLACE, settings.emulatorSettings().reportIntervalMs() / 4);
     LoopbackEnvironment environment =
         new LoopbackEnvironment(
             loop,
@@ -121,8 +122,8 @@
               .put("id", emulatedWorker.id())
               .put("type", emulatedWorker.type())
               .put("zone", emulatedWorker.zone())
-              .put("spot", emulatedWorker.spot())
-              .put("up", emulatedWorker.booted() && !emulatedWorker.gone())
+              .put("spot", emulatedWorker.isSpot())
+              .put("up", emulatedWorker.hasBooted() && !emulatedWorker.isGone())
               .putArray("tasks");
       for (EmulatedTask emulatedTask : emulatedWorker.tasks()) {
         tasks
--- a/src/main/java/dapplestair/emulator/ControllerSelector.java
+++ b/src/main/java/dapplestair/emulator/ControllerSelector.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 
-/** The controller that a worker reports to. */
+/** Selects the controller that a worker reports to. */
 final class ControllerSelector {
   private final EmulatedCloud cloud;
-  private int node;
+  private int currentIndex;
 
   ControllerSelector(EmulatedCloud cloud) {
     this.cloud = cloud;
@@ -15,32 +15,32 @@
     return cloud.directory().members();
   }
 
-  /** Any of them, to begin with. */
-  void any(EmulatorEnvironment environment) {
-    int controllers = members().size();
-    node = controllers == 0 ? 0 : (int) environment.between(0, controllers - 1);
+  /** Selects a random controller, as a worker does when it has booted. */
+  void selectRandom(EmulatorEnvironment environment) {
+    int memberCount = members().size();
+    currentIndex = memberCount == 0 ? 0 : (int) environment.between(0, memberCount - 1);
   }
 
-  /** Its address, or null while no controller is known. */
+  /** Returns the address of the selected controller, or null while no controller is known. */
   String endpoint() {
     List<String> members = members();
     return members.isEmpty()
         ? null
-        : cloud.directory().endpoint(members.get(node % members.size()));
+        : cloud.directory().endpoint(members.get(currentIndex % members.size()));
   }
 
-  /** Goes to the one that was named; false when that is no other, or unknown. */
-  boolean named(String member) {
-    int named = member == null ? -1 : members().indexOf(member);
-    if (named < 0 || named == node) {
+  /** Selects the named controller. Returns false if it is null, unknown or already selected. */
+  boolean switchTo(String member) {
+    int memberIndex = member == null ? -1 : members().indexOf(member);
+    if (memberIndex < 0 || memberIndex == currentIndex) {
       return false;
     }
-    node = named;
+    currentIndex = memberIndex;
     return true;
   }
 
-  /** Goes to the next one. */
-  void next() {
-    node = (node + 1) % Math.max(1, members().size());
+  /** Selects the next controller in the directory's order. */
+  void selectNext() {
+    currentIndex = (currentIndex + 1) % Math.max(1, members().size());
   }
 }
--- a/src/main/java/dapplestair/emulator/EmulatedTask.java
+++ b/src/main/java/dapplestair/emulator/EmulatedTask.java
@@ -4,15 +4,15 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplestair.json.Json;
 
-/** One attempt at a task on one machine. A task runs for a time, no program. */
+/** One attempt at a task on one machine. An emulated task runs for a time and has no program. */
 public final class EmulatedTask {
   private final String key;
   private final long attempt;
   private final JsonNode job;
   String status = "fetching";
   String cause;
-  boolean stored;
-  long runsSince;
+  boolean checkpointStored;
+  long startedAtMs;
 
   EmulatedTask(String key, long attempt, JsonNode job) {
     this.key = key;
@@ -20,58 +20,58 @@
     this.job = job;
   }
 
-  private int step() {
+  private int taskIndex() {
     return Integer.parseInt(key.substring(key.indexOf('/') + 1));
   }
 
   /**
-   * Seconds that it lasts by its user's estimate. A description may give a factor for each task in
-   * {@code runFactors}, so that tasks of one job last differently long by design.
+   * Returns the run time that the user estimated, in seconds. A submission may give a factor for
+   * each task in {@code runFactors}, so that tasks of one job have different run times by design.
    */
-  double guessS() {
-    JsonNode factor = job == null ? null : job.path("runFactors").get(step());
+  double estimatedRunS() {
+    JsonNode factor = job == null ? null : job.path("runFactors").get(taskIndex());
     return amount("guessS") * (factor == null ? 1 : factor.asDouble());
   }
 
-  /** Job and index, as on the wire. */
+  /** Returns the job and the task's index, as in the protocol. */
   public String key() {
     return key;
   }
 
-  /** Number of the try. */
+  /** Returns the number of the attempt. */
   public long attempt() {
     return attempt;
   }
 
-  /** True from the moment at which it has its image until it exits. */
-  public boolean onMachine() {
+  /** Returns true from the time at which the task has its image until it exits. */
+  public boolean isOnMachine() {
     return status.equals("running") || status.equals("flushing");
   }
 
-  /** State as on the wire. */
+  /** Returns the task's state, as in the protocol. */
   public String status() {
     return status;
   }
 
-  /** Seconds since it began to run; 0 if it never did. */
-  public double ranS(long now) {
-    return runsSince == 0 ? 0 : (now - runsSince) / 1000.0;
+  /** Returns the seconds since the task began to run, or 0 if it never did. */
+  public double runTimeS(long nowMs) {
+    return startedAtMs == 0 ? 0 : (nowMs - startedAtMs) / 1000.0;
   }
 
-  boolean exited() {
+  boolean hasExited() {
     return status.equals("exited");
   }
 
-  void exit(String why) {
+  void exit(String exitCause) {
     status = "exited";
-    cause = why;
+    cause = exitCause;
   }
 
-  String ref() {
-    return ref(key);
+  String jobRef() {
+    return jobRef(key);
   }
 
-  static String ref(String key) {
+  static String jobRef(String key) {
     int slash = key.indexOf('/');
     return slash < 0 ? key : key.substring(0, slash);
   }
@@ -80,14 +80,14 @@
     return job == null ? 0 : Json.decimal(job, field, 0);
   }
 
-  /** True when it runs until it is stopped. */
-  public boolean service() {
+  /** Returns true for a task of a service, which runs until it is stopped. */
+  public boolean isService() {
     return "daemon".equals(Json.text(job, "shape"));
   }
 
-  /** True when its user's description has a mistake that makes this task fail on every machine. */
-  boolean mistaken() {
-    return step() < amount("mistakenSteps");
+  /** Returns true if the submission has a mistake that makes this task fail on every machine. */
+  boolean failsOnEveryMachine() {
+    return taskIndex() < amount("mistakenSteps");
   }
 
   String image() {
@@ -99,7 +99,7 @@
     if (cause != null) {
       object.put("cause", cause);
     }
-    if (stored) {
+    if (checkpointStored) {
       object.put("stored", true);
     }
     return object;
--- a/src/main/java/dapplestair/emulator/EmulatedWorker.java
+++ b/src/main/java/dapplestair/emulator/EmulatedWorker.java
@@ -8,27 +8,27 @@
 import java.util.function.Consumer;
 
 /**
- * A machine with its worker, by the protocol. Its reports are sent by {@link ReportSender}, its
- * orders executed by {@link TaskRunner}; this class boots and ends it, checks its lease and answers
- * the controllers' direct requests.
+ * Emulates a machine with its worker. {@link ReportSender} sends the worker's reports, {@link
+ * TaskRunner} executes its orders; this class boots the machine and powers it off, checks the lease
+ * and answers the controllers' direct requests.
  */
 public final class EmulatedWorker implements RequestHandler {
-  private static final long LEASE_CHECK_MS = 200;
+  private static final long LEASE_CHECK_INTERVAL_MS = 200;
 
   private final EmulatorEnvironment environment;
   private final EmulatedCloud cloud;
   private final EmulatorSettings.MachineSpec type;
   private final String id;
   private final String zone;
-  private final boolean spot;
+  private final boolean isSpot;
   private final MachineCondition condition;
   private final WorkerSession session;
   private final ControllerSelector selector;
-  private final ReportSender reports;
-  private final TaskRunner tasks;
+  private final ReportSender reportSender;
+  private final TaskRunner taskRunner;
   private String endpoint;
   private boolean booted;
-  private long recallAt = -1;
+  private long reclaimAtMs = -1;
 
   EmulatedWorker(
       EmulatorEnvironment environment,
@@ -43,215 +43,228 @@
     this.type = type;
     this.id = id;
     this.zone = zone;
-    this.spot = spot;
+    this.isSpot = spot;
     this.condition = new MachineCondition(environment);
     this.session = new WorkerSession(environment, emulatorSettings.leaseMs());
     this.selector = new ControllerSelector(cloud);
-    this.reports =
+    this.reportSender =
         new ReportSender(
-            environment, this, condition, session, selector, emulatorSettings.reportMs());
-    this.tasks =
-        new TaskRunner(environment, cloud, this, type, condition, session, reports::report);
+            environment, this, condition, session, selector, emulatorSettings.reportIntervalMs());
+    this.taskRunner =
+        new TaskRunner(environment, cloud, this, type, condition, session, reportSender::report);
     this.endpoint = environment.address(id);
   }
 
-  // ---- what may be seen of it ----
+  // ---- inspection ----
 
-  /** The cloud's name of it. */
+  /** Returns the cloud's identifier of the machine. */
   public String id() {
     return id;
   }
 
-  /** Its address, or null before it is up. */
+  /**
+   * Returns the worker's address, or null if the address is known only once the machine is up, and
+   * it is not.
+   */
   public String endpoint() {
     return endpoint;
   }
 
-  /** Its type's name. */
+  /** Returns the name of the machine's type. */
   public String type() {
     return type.name();
   }
 
-  /** Its zone. */
+  /** Returns the machine's zone. */
   public String zone() {
     return zone;
   }
 
-  /** True when it may be taken back. */
-  public boolean spot() {
-    return spot;
+  /** Returns true for a spot machine, which the cloud may reclaim. */
+  public boolean isSpot() {
+    return isSpot;
   }
 
-  /** True when it has no power any more. */
-  public boolean gone() {
-    return condition.gone();
+  /** Returns true once the machine has lost power. */
+  public boolean isGone() {
+    return condition.isGone();
   }
 
-  /** True once it has come up. */
-  public boolean booted() {
+  /** Returns true once the machine has booted. */
+  public boolean hasBooted() {
     return booted;
   }
 
   /**
-   * True when tasks that start here can be expected to complete: it is up, executes and hears what
-   * it is told, does not fail its tasks and has no notice.
+   * Returns true if tasks that start here can be expected to complete: the machine is up, is not
+   * hanging, receives requests and replies, does not fail its tasks and is not being reclaimed.
    */
-  public boolean fit() {
-    return booted && condition.sound() && recallAt < 0;
+  public boolean canCompleteTasks() {
+    return booted && condition.isHealthy() && reclaimAtMs < 0;
   }
 
-  /** Its machine's room that no task holds, of the amount in this field of a submission. */
-  public double free(String field) {
-    return type.free(tasks.tasks(), field);
+  /** Returns how much of a resource, named by a submission's field, no task on the machine uses. */
+  public double freeAmount(String field) {
+    return type.freeAmount(taskRunner.tasks(), field);
   }
 
-  /** All attempts that its worker knows. */
+  /** Returns all attempts that the worker knows. */
   public Collection<EmulatedTask> tasks() {
-    return tasks.tasks();
+    return taskRunner.tasks();
   }
 
-  // ---- what may happen to it ----
+  // ---- boot and faults ----
 
   void boot() {
     booted = true;
     session.startLease();
-    selector.any(environment);
+    selector.selectRandom(environment);
     environment.open(
         id,
         this,
         address -> {
           endpoint = address;
-          reports.heartbeat();
+          reportSender.heartbeat();
           watchLease();
         });
   }
 
-  /** The cloud will take it, with or without a notice. */
-  public void recall(long inMs) {
-    recallAt = environment.now() + inMs;
-    environment.after(inMs, this::end);
+  /** Makes the cloud reclaim the machine after a delay; with a delay of 0 there is no notice. */
+  public void reclaim(long delayMs) {
+    reclaimAtMs = environment.now() + delayMs;
+    environment.after(delayMs, this::powerOff);
   }
 
-  /** Power off: nothing is left, and nobody is told. */
-  public void end() {
+  /** Powers the machine off: all its tasks are lost, and nobody is notified. */
+  public void powerOff() {
     condition.powerOff();
-    tasks.clear();
-    environment.silence(id);
+    taskRunner.clear();
+    environment.removeMachine(id);
   }
 
-  /** It stops executing for a while; its lease goes on. */
+  /** Makes the machine execute nothing for a while, during which its lease runs on. */
   public void hang(long ms) {
     condition.hang(ms, this::checkLease, () -> cloud.observer().resumed(this));
   }
 
-  /** As {@link #hang}, and its tasks stay on it past its lease: it kills them when it goes on. */
+  /**
+   * Makes the machine hang as in {@link #hang}, with its tasks surviving their lease: the worker
+   * kills them only when it resumes.
+   */
   public void stall(long ms) {
     condition.stall(ms);
     hang(ms);
   }
 
-  /** It reports as before, but for a while neither commands nor answers reach it. */
-  public void deafen(long ms) {
-    condition.deafen(ms);
+  /** Cuts inbound traffic for a while: reports are sent, but no command or reply is received. */
+  public void cutInbound(long ms) {
+    condition.cutInbound(ms);
   }
 
-  /** For a while it opens no connection to any controller; commands and questions reach it. */
-  public void mute(long ms) {
-    condition.mute(ms);
+  /**
+   * Cuts outbound traffic for a while: no connection to a controller opens, but commands and
+   * queries are received and answered.
+   */
+  public void cutOutbound(long ms) {
+    condition.cutOutbound(ms);
   }
 
-  /** From now on every task fails that starts here. */
-  public void sicken() {
-    condition.fail();
+  /** Makes every task that starts here from now on fail. */
+  public void failAllTasks() {
+    condition.failAllTasks();
   }
 
-  /** For a while something that is no task takes all of its room: starts are refused as full. */
-  public void crowd(long ms) {
-    condition.crowd(ms);
+  /**
+   * Makes something other than tasks occupy the whole machine for a while: launches are refused as
+   * full.
+   */
+  public void occupy(long ms) {
+    condition.occupy(ms);
   }
 
-  /** Milliseconds since it sent the last report that was answered. */
-  public long unansweredMs() {
+  /** Returns the milliseconds since the worker sent the last report that was answered. */
+  public long sinceAnsweredReportMs() {
     return session.leaseAgeMs();
   }
 
-  // ---- its lease ----
+  // ---- lease ----
 
   private void watchLease() {
-    if (!gone()) {
+    if (!isGone()) {
       checkLease();
-      environment.after(LEASE_CHECK_MS, this::watchLease);
+      environment.after(LEASE_CHECK_INTERVAL_MS, this::watchLease);
     }
   }
 
   private void checkLease() {
-    // A hanging machine may resume only within its lease: past it, its tasks are gone as well.
-    if (!gone() && !condition.stalled() && session.leaseExpired()) {
-      cloud.killedByLease(tasks().stream().filter(EmulatedTask::onMachine).count());
-      tasks.clear();
+    // A hanging machine can go on with its tasks only within its lease; its tasks end with the
+    // lease, unless the machine is stalled.
+    if (!isGone() && !condition.isStalled() && session.leaseExpired()) {
+      cloud.countTasksKilledByLease(tasks().stream().filter(EmulatedTask::isOnMachine).count());
+      taskRunner.clear();
       session.restart();
     }
   }
 
-  // ---- commands and reports ----
+  // ---- commands and queries ----
 
   @Override
   public void request(
       String from, String method, String path, byte[] body, Consumer<HttpReply> reply) {
-    if (gone() || condition.deaf()) {
+    if (isGone() || condition.isInboundCut()) {
       return;
     }
-    if (condition.hanging()) {
+    if (condition.isHanging()) {
       condition.defer(() -> request(from, method, path, body, reply));
       return;
     }
     if (path.equals("/status")) {
-      session.nextTick();
-      reply.accept(EmulatedState.json(200, state()));
+      session.advanceTick();
+      reply.accept(EmulatedState.jsonReply(200, toReportJson()));
       return;
     }
-    reply.accept(ordered(Json.parse(body == null ? new byte[0] : body)));
+    reply.accept(handleCommand(Json.parse(body == null ? new byte[0] : body)));
   }
 
-  private HttpReply ordered(JsonNode body) {
+  private HttpReply handleCommand(JsonNode body) {
     JsonNode token = body.path("baton");
-    JsonNode number = body.path("tenure");
-    if (!token.isIntegralNumber() || !number.isIntegralNumber()) {
-      return EmulatedState.json(400, Json.object().put("error", "baton or tenure missing"));
+    JsonNode sessionNumber = body.path("tenure");
+    if (!token.isIntegralNumber() || !sessionNumber.isIntegralNumber()) {
+      return EmulatedState.jsonReply(400, Json.object().put("error", "baton or tenure missing"));
     }
-    boolean stale = token.asLong() < session.token() || number.asLong() != session.number();
+    boolean stale = token.asLong() < session.token() || sessionNumber.asLong() != session.number();
     if (!stale) {
-      command(token.asLong(), body);
+      executeOrders(token.asLong(), body);
     }
-    session.nextTick();
-    return EmulatedState.json(stale ? 409 : 200, state());
+    session.advanceTick();
+    return EmulatedState.jsonReply(stale ? 409 : 200, toReportJson());
   }
 
-  /** Executes the orders of a command, or of a report's answer, with a token that is not stale. */
-  void command(long token, JsonNode body) {
-    boolean higher = session.accept(token);
-    body.path("orders").forEach(tasks::execute);
+  /** Executes the orders of a command, or of a reply to a report, whose token is not stale. */
+  void executeOrders(long token, JsonNode body) {
+    boolean higher = session.acceptToken(token);
+    body.path("orders").forEach(taskRunner::execute);
     if (higher) {
-      reports.reportSoon();
+      reportSender.reportSoon();
     }
   }
 
-  /** Its report, as on the wire. */
-  ObjectNode state() {
+  /** Returns the worker's current report, in the form of the protocol. */
+  ObjectNode toReportJson() {
     ObjectNode report =
         Json.object()
             .put("host", id)
             .put("endpoint", endpoint)
             .put("hull", type.name())
             .put("basin", zone)
-            .put("loaners", spot)
+            .put("loaners", isSpot)
             .put("tenure", session.number())
             .put("tick", session.tick())
             .put("baton", session.token());
-    if (recallAt >= 0) {
-      report.put("recallS", Math.max(0, recallAt - environment.now()) / 1000.0);
+    if (reclaimAtMs >= 0) {
+      report.put("recallS", Math.max(0, reclaimAtMs - environment.now()) / 1000.0);
     }
-    tasks.addTo(report.putArray("steps"));
+    taskRunner.addTasksTo(report.putArray("steps"));
     return report;
   }
 }
--- a/src/main/java/dapplestair/emulator/MachineCondition.java
+++ b/src/main/java/dapplestair/emulator/MachineCondition.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What ails a machine: no power, a stall, an inbound link that drops everything, failing tasks. */
+/** The injected faults of a machine: power loss, hangs, network cuts, failing tasks, occupation. */
 final class MachineCondition {
   private final EmulatorEnvironment environment;
   private final List<Runnable> deferred = new ArrayList<>();
@@ -11,41 +11,41 @@
   private boolean hanging;
   private boolean failing;
   private boolean stalled;
-  private boolean crowded;
-  private long deafUntil;
-  private long muteUntil;
+  private boolean occupied;
+  private long inboundCutUntilMs;
+  private long outboundCutUntilMs;
 
   MachineCondition(EmulatorEnvironment environment) {
     this.environment = environment;
   }
 
-  /** True while it has power, executes, hears what it is told and fails no tasks. */
-  boolean sound() {
-    return !gone && !hanging && !deaf() && !failing;
+  /** Returns true if the machine has power, executes, receives traffic and fails no tasks. */
+  boolean isHealthy() {
+    return !gone && !hanging && !isInboundCut() && !failing;
   }
 
-  /** True when it has no power any more. */
-  boolean gone() {
+  /** Returns true once the machine has lost power. */
+  boolean isGone() {
     return gone;
   }
 
-  /** True while it executes nothing. */
-  boolean hanging() {
+  /** Returns true while the machine executes nothing. */
+  boolean isHanging() {
     return hanging;
   }
 
-  /** True while neither commands nor answers reach it. */
-  boolean deaf() {
-    return environment.now() < deafUntil;
+  /** Returns true while neither commands nor replies reach the machine. */
+  boolean isInboundCut() {
+    return environment.now() < inboundCutUntilMs;
   }
 
-  /** True while it opens no connection to any controller. */
-  boolean mute() {
-    return environment.now() < muteUntil;
+  /** Returns true while the machine can't open a connection to any controller. */
+  boolean isOutboundCut() {
+    return environment.now() < outboundCutUntilMs;
   }
 
-  /** True when every task fails that starts here. */
-  boolean failing() {
+  /** Returns true if every task that starts here fails. */
+  boolean failsTasks() {
     return failing;
   }
 
@@ -53,58 +53,58 @@
     gone = true;
   }
 
-  void fail() {
+  void failAllTasks() {
     failing = true;
   }
 
-  /** True while something that is no task takes all of its room. */
-  boolean crowded() {
-    return crowded;
+  /** Returns true while something other than tasks occupies the whole machine. */
+  boolean isOccupied() {
+    return occupied;
   }
 
-  void crowd(long ms) {
-    crowded = true;
-    environment.after(ms, () -> crowded = false);
+  void occupy(long ms) {
+    occupied = true;
+    environment.after(ms, () -> occupied = false);
   }
 
-  void deafen(long ms) {
-    deafUntil = Math.max(deafUntil, environment.now() + ms);
+  void cutInbound(long ms) {
+    inboundCutUntilMs = Math.max(inboundCutUntilMs, environment.now() + ms);
   }
 
-  void mute(long ms) {
-    muteUntil = Math.max(muteUntil, environment.now() + ms);
+  void cutOutbound(long ms) {
+    outboundCutUntilMs = Math.max(outboundCutUntilMs, environment.now() + ms);
   }
 
-  /** Its tasks stay on it past its lease, for a while in which it hangs. */
+  /** Makes the tasks survive an expired lease for a while; the caller makes the machine hang. */
   void stall(long ms) {
     stalled = true;
     environment.after(ms, () -> stalled = false);
   }
 
-  /** True while its tasks stay on it past its lease. */
-  boolean stalled() {
+  /** Returns true while the tasks survive an expired lease. */
+  boolean isStalled() {
     return stalled;
   }
 
   /**
-   * Hangs for a while; then {@code resumed} runs, after it all that was deferred, and after that
-   * {@code caughtUp}.
+   * Makes the machine execute nothing for a while. Afterwards {@code onResumed} runs, then all
+   * deferred actions, then {@code onCaughtUp}.
    */
-  void hang(long ms, Runnable resumed, Runnable caughtUp) {
+  void hang(long ms, Runnable onResumed, Runnable onCaughtUp) {
     hanging = true;
     environment.after(
         ms,
         () -> {
           hanging = false;
-          resumed.run();
-          List<Runnable> late = List.copyOf(deferred);
+          onResumed.run();
+          List<Runnable> dueActions = List.copyOf(deferred);
           deferred.clear();
-          late.forEach(Runnable::run);
-          caughtUp.run();
+          dueActions.forEach(Runnable::run);
+          onCaughtUp.run();
         });
   }
 
-  /** Keeps an action until the present stall is over. */
+  /** Defers an action until the machine no longer hangs. */
   void defer(Runnable action) {
     deferred.add(action);
   }
