--- a/src/main/java/dapplestair/cli/CheckConfigCommand.java
+++ b/src/main/java/dapplestair/cli/CheckConfigCommand.java
@@ -9,17 +9,17 @@
 /** Says whether settings can be used. */
 @Command(name = "check-config", description = "Check settings files and say what is wrong.")
 final class CheckConfigCommand implements Callable<Integer> {
-  @Mixin private SettingsOptions files;
+  @Mixin private SettingsOptions settingsOptions;
 
   @Override
   public Integer call() {
     try {
-      Settings settings = files.settings();
-      files.operator(settings);
+      Settings settings = settingsOptions.settings();
+      settingsOptions.operatorSettings(settings);
       System.out.println("settings of " + settings.member() + " are good");
       return 0;
     } catch (SettingsException e) {
-      return SettingsOptions.refuse(e);
+      return SettingsOptions.reportUnusable(e);
     }
   }
 }
--- a/src/main/java/dapplestair/cli/ControllerCommand.java
+++ b/src/main/java/dapplestair/cli/ControllerCommand.java
@@ -10,19 +10,19 @@
 @Command(name = "controller", description = "Run one controller until it is killed.")
 final class ControllerCommand implements Callable<Integer> {
   /** The command goes on after it has returned. */
-  static final int STAYS = -1;
+  static final int KEEP_RUNNING = -1;
 
-  @Mixin private SettingsOptions files;
+  @Mixin private SettingsOptions settingsOptions;
 
   @Override
   public Integer call() throws Exception {
     try {
-      Settings settings = files.settings();
-      ControllerServer.start(settings, files.operator(settings));
+      Settings settings = settingsOptions.settings();
+      ControllerServer.start(settings, settingsOptions.operatorSettings(settings));
     } catch (SettingsException e) {
-      return SettingsOptions.refuse(e);
+      return SettingsOptions.reportUnusable(e);
     }
     Thread.currentThread().join();
-    return STAYS;
+    return KEEP_RUNNING;
   }
 }
--- a/src/main/java/dapplestair/cli/ControllerServer.java
+++ b/src/main/java/dapplestair/cli/ControllerServer.java
@@ -20,31 +20,31 @@
 /** A controller on Netty, with its listeners. */
 final class ControllerServer {
   /** A property, so that the run line of a deployment says it and no file has to be read for it. */
-  private static final String LAUNCH_BATCHES = "dapplestair.launchSheets";
+  private static final String LAUNCH_BATCHES_PROPERTY = "dapplestair.launchSheets";
 
-  private static final int MOST_CALLS_PER_ENDPOINT = 16;
-  private static final int ADMIN_IDLE_S = 60;
-  private static final long ANSWERS_WITHIN_MS = 5000;
+  private static final int MAX_CALLS_PER_ENDPOINT = 16;
+  private static final int ADMIN_IDLE_TIMEOUT_S = 60;
+  private static final long DRAIN_TIMEOUT_MS = 5000;
 
   private final ControllerEventLoop loop;
   private final Controller controller;
-  private final HttpServer users;
-  private final HttpServer admin;
+  private final HttpServer userServer;
+  private final HttpServer adminServer;
   private final int userPort;
   private final int adminPort;
 
   private ControllerServer(
       ControllerEventLoop loop,
       Controller controller,
-      HttpServer users,
+      HttpServer userServer,
       int userPort,
-      HttpServer admin,
+      HttpServer adminServer,
       int adminPort) {
     this.loop = loop;
     this.controller = controller;
-    this.users = users;
+    this.userServer = userServer;
     this.userPort = userPort;
-    this.admin = admin;
+    this.adminServer = adminServer;
     this.adminPort = adminPort;
   }
 
@@ -55,7 +55,7 @@
     HttpPool http =
         new HttpPool(
             loop,
-            MOST_CALLS_PER_ENDPOINT,
+            MAX_CALLS_PER_ENDPOINT,
             settings.workers().reportMs() / 4,
             settings.resources().maxConnections() / 2);
     ControllerEnvironment environment =
@@ -66,40 +66,46 @@
             http,
             new PeerLinks(loop, settings),
             RandomSource.XO_RO_SHI_RO_128_PP.create(),
-            Boolean.getBoolean(LAUNCH_BATCHES));
-    OperatorSettings.Admin on = operatorSettings.admin();
+            Boolean.getBoolean(LAUNCH_BATCHES_PROPERTY));
+    OperatorSettings.Admin adminSettings = operatorSettings.admin();
     Controller controller =
         new Controller(
-            settings, operatorSettings, environment, on == null ? null : access(on, loop));
+            settings,
+            operatorSettings,
+            environment,
+            adminSettings == null ? null : createAuthenticator(adminSettings, loop));
     // Some sockets stay free for the calls that this controller itself makes.
-    int incoming = settings.resources().maxConnections() * 3 / 4;
-    HttpServer users = new HttpServer(loop, HttpServer.Options.users(incoming), controller::handle);
-    int userPort = users.start(settings.clientListen());
-    HttpServer admin = on == null ? null : admin(on, loop, controller);
-    int adminPort = admin == null ? -1 : admin.start(on.listen());
+    int maxUserConnections = settings.resources().maxConnections() * 3 / 4;
+    HttpServer userServer =
+        new HttpServer(loop, HttpServer.Options.users(maxUserConnections), controller::handle);
+    int userPort = userServer.start(settings.clientListen());
+    HttpServer adminServer =
+        adminSettings == null ? null : createAdminServer(adminSettings, loop, controller);
+    int adminPort = adminServer == null ? -1 : adminServer.start(adminSettings.listen());
     loop.executor().execute(controller::start);
-    return new ControllerServer(loop, controller, users, userPort, admin, adminPort);
+    return new ControllerServer(loop, controller, userServer, userPort, adminServer, adminPort);
   }
 
-  private static Authenticator access(OperatorSettings.Admin on, ControllerEventLoop loop)
-      throws SettingsException {
+  private static Authenticator createAuthenticator(
+      OperatorSettings.Admin adminSettings, ControllerEventLoop loop) throws SettingsException {
     try {
-      if (on.tokens() != null) {
-        return CredentialStore.watch(on.tokens(), loop, loop);
+      if (adminSettings.tokens() != null) {
+        return CredentialStore.watch(adminSettings.tokens(), loop, loop);
       }
-      return on.tls() == null ? Authenticator.open() : CredentialStore.none();
+      return adminSettings.tls() == null ? Authenticator.open() : CredentialStore.none();
     } catch (IOException e) {
-      throw new SettingsException(on.tokens() + ": cannot be read: " + e.getMessage());
+      throw new SettingsException(adminSettings.tokens() + ": cannot be read: " + e.getMessage());
     }
   }
 
-  private static HttpServer admin(
-      OperatorSettings.Admin on, ControllerEventLoop loop, Controller controller)
+  private static HttpServer createAdminServer(
+      OperatorSettings.Admin adminSettings, ControllerEventLoop loop, Controller controller)
       throws SettingsException {
     try {
-      TlsFiles tls = on.tls() == null ? null : TlsFiles.watch(on.tls(), loop, loop);
+      TlsFiles tls =
+          adminSettings.tls() == null ? null : TlsFiles.watch(adminSettings.tls(), loop, loop);
       HttpServer.Options options =
-          new HttpServer.Options(on.mostConnections(), true, ADMIN_IDLE_S, tls);
+          new HttpServer.Options(adminSettings.mostConnections(), true, ADMIN_IDLE_TIMEOUT_S, tls);
       return new HttpServer(loop, options, controller::operators);
     } catch (IOException e) {
       throw new SettingsException(e.getMessage());
@@ -120,41 +126,41 @@
   }
 
   /** Waits until the controller may launch tasks; false when that took too long. */
-  boolean await(long mostMs) throws InterruptedException {
-    CountDownLatch serving = new CountDownLatch(1);
-    loop.executor().execute(() -> look(serving));
-    return serving.await(mostMs, TimeUnit.MILLISECONDS);
+  boolean awaitServing(long timeoutMs) throws InterruptedException {
+    CountDownLatch servingLatch = new CountDownLatch(1);
+    loop.executor().execute(() -> checkServing(servingLatch));
+    return servingLatch.await(timeoutMs, TimeUnit.MILLISECONDS);
   }
 
-  private void look(CountDownLatch serving) {
+  private void checkServing(CountDownLatch servingLatch) {
     if (controller.serving()) {
-      serving.countDown();
+      servingLatch.countDown();
     } else {
-      loop.after(10, () -> look(serving));
+      loop.after(10, () -> checkServing(servingLatch));
     }
   }
 
   /** Takes no more requests, answers the open ones, gives the lead away. */
   void stop() throws InterruptedException {
-    CountDownLatch answered = new CountDownLatch(admin == null ? 1 : 2);
+    CountDownLatch drainedLatch = new CountDownLatch(adminServer == null ? 1 : 2);
     loop.executor()
         .execute(
             () -> {
-              users.drain(answered::countDown);
-              if (admin != null) {
-                admin.drain(answered::countDown);
+              userServer.drain(drainedLatch::countDown);
+              if (adminServer != null) {
+                adminServer.drain(drainedLatch::countDown);
               }
             });
-    answered.await(ANSWERS_WITHIN_MS, TimeUnit.MILLISECONDS);
-    CountDownLatch left = new CountDownLatch(1);
+    drainedLatch.await(DRAIN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    CountDownLatch departedLatch = new CountDownLatch(1);
     loop.executor()
         .execute(
             () -> {
               controller.leave();
               // What was just written leaves before the sockets close.
-              loop.after(50, left::countDown);
+              loop.after(50, departedLatch::countDown);
             });
-    left.await(1, TimeUnit.SECONDS);
+    departedLatch.await(1, TimeUnit.SECONDS);
     loop.close();
   }
 }
--- a/src/main/java/dapplestair/cli/DaemonCommand.java
+++ b/src/main/java/dapplestair/cli/DaemonCommand.java
@@ -30,9 +30,9 @@
       "  dapplestair daemon --outside 127.0.0.1:8082     # the cluster outlives this process"
     })
 final class DaemonCommand implements Callable<Integer> {
-  private static final long READY_WITHIN_MS = 60_000;
+  private static final long READY_WARNING_INTERVAL_MS = 60_000;
 
-  @Mixin private EmulatorOptions file;
+  @Mixin private EmulatorOptions emulatorOptions;
 
   @Option(
       names = "--operator",
@@ -41,53 +41,56 @@
   private Path operatorFile;
 
   @Option(names = "--listen", paramLabel = "HOST:PORT", description = "where users are served")
-  private String listen;
+  private String userListen;
 
   @Option(names = "--admin", paramLabel = "HOST:PORT", description = "where operators are served")
-  private String admin;
+  private String adminListen;
 
   @Option(
       names = "--outside",
       paramLabel = "HOST:PORT",
       description = "a running `dapplestair emulate` to use instead of stand-ins of its own")
-  private String outside;
+  private String outsideOption;
 
   @Override
   public Integer call() throws Exception {
     try {
-      DaemonSettings settings = file.settings();
-      Address users = EmulateCommand.address("--listen", listen, settings.listen());
-      Address at = EmulateCommand.address("--admin", admin, settings.admin());
+      DaemonSettings settings = emulatorOptions.settings();
+      Address userAddress = EmulateCommand.addressOption("--listen", userListen, settings.listen());
+      Address adminAddress = EmulateCommand.addressOption("--admin", adminListen, settings.admin());
       OperatorSettings operatorSettings =
-          SettingsOptions.operator(operatorFile, settings.controller(users, ""));
+          SettingsOptions.operatorSettings(
+              operatorFile, settings.controllerSettings(userAddress, ""));
       // Unless the operators' file says who may come, everybody on this machine may.
       if (operatorSettings.admin() == null) {
-        operatorSettings = operatorSettings.withAdmin(OperatorSettings.Admin.open(at));
+        operatorSettings = operatorSettings.withAdmin(OperatorSettings.Admin.open(adminAddress));
         OperatorSettingsLoader.check(operatorSettings.admin());
       }
-      return run(settings, operatorSettings, users);
+      return run(settings, operatorSettings, userAddress);
     } catch (SettingsException e) {
-      return SettingsOptions.refuse(e);
+      return SettingsOptions.reportUnusable(e);
     }
   }
 
-  private int run(DaemonSettings settings, OperatorSettings operatorSettings, Address users)
+  private int run(DaemonSettings settings, OperatorSettings operatorSettings, Address userAddress)
       throws Exception {
     Emulation emulation = null;
-    String endpoint = outside;
-    if (outside == null) {
+    String outsideEndpoint = outsideOption;
+    if (outsideOption == null) {
       emulation = new Emulation(settings);
-      endpoint = "127.0.0.1:" + emulation.start(new Address("127.0.0.1", 0));
-    } else if (Address.parse(outside) == null) {
-      throw new SettingsException("--outside = " + outside + ": must be host:port");
+      outsideEndpoint = "127.0.0.1:" + emulation.start(new Address("127.0.0.1", 0));
+    } else if (Address.parse(outsideOption) == null) {
+      throw new SettingsException("--outside = " + outsideOption + ": must be host:port");
     }
     ControllerServer server =
-        ControllerServer.start(settings.controller(users, endpoint), operatorSettings);
+        ControllerServer.start(
+            settings.controllerSettings(userAddress, outsideEndpoint), operatorSettings);
     ShutdownHook.onSignal(server::stop);
-    String userEndpoint = users.host() + ":" + server.userPort();
-    ControllerRegistration.repeat(server.loop(), endpoint, userEndpoint);
-    while (!server.await(READY_WITHIN_MS)) {
-      System.err.println("dapplestair: still waiting for state service and cloud at " + endpoint);
+    String userEndpoint = userAddress.host() + ":" + server.userPort();
+    ControllerRegistration.registerPeriodically(server.loop(), outsideEndpoint, userEndpoint);
+    while (!server.awaitServing(READY_WARNING_INTERVAL_MS)) {
+      System.err.println(
+          "dapplestair: still waiting for state service and cloud at " + outsideEndpoint);
     }
     System.out.println(
         "ready users="
@@ -97,6 +100,6 @@
             + ":"
             + server.adminPort());
     Thread.currentThread().join();
-    return ControllerCommand.STAYS;
+    return ControllerCommand.KEEP_RUNNING;
   }
 }
--- a/src/main/java/dapplestair/cli/EmulateCommand.java
+++ b/src/main/java/dapplestair/cli/EmulateCommand.java
@@ -22,7 +22,7 @@
       "  dapplestair daemon --outside 127.0.0.1:8082"
     })
 final class EmulateCommand implements Callable<Integer> {
-  @Mixin private EmulatorOptions file;
+  @Mixin private EmulatorOptions emulatorOptions;
 
   @Option(names = "--listen", paramLabel = "HOST:PORT", description = "where they are served")
   private String listen;
@@ -30,27 +30,28 @@
   @Override
   public Integer call() throws Exception {
     try {
-      DaemonSettings settings = file.settings();
-      Address at = address("--listen", listen, settings.outside());
+      DaemonSettings settings = emulatorOptions.settings();
+      Address listenAddress = addressOption("--listen", listen, settings.outside());
       Emulation emulation = new Emulation(settings);
-      int port = emulation.start(at);
+      int port = emulation.start(listenAddress);
       ShutdownHook.onSignal(emulation::close);
-      System.out.println("ready outside=" + at.host() + ":" + port);
+      System.out.println("ready outside=" + listenAddress.host() + ":" + port);
     } catch (SettingsException e) {
-      return SettingsOptions.refuse(e);
+      return SettingsOptions.reportUnusable(e);
     }
     Thread.currentThread().join();
-    return ControllerCommand.STAYS;
+    return ControllerCommand.KEEP_RUNNING;
   }
 
   /** An address given on the command line, or else the one of the settings. */
-  static Address address(String option, String given, Address otherwise) throws SettingsException {
-    if (given == null) {
-      return otherwise;
+  static Address addressOption(String option, String optionValue, Address defaultAddress)
+      throws SettingsException {
+    if (optionValue == null) {
+      return defaultAddress;
     }
-    Address address = Address.parse(given);
+    Address address = Address.parse(optionValue);
     if (address == null) {
-      throw new SettingsException(option + " = " + given + ": must be host:port");
+      throw new SettingsException(option + " = " + optionValue + ": must be host:port");
     }
     return address;
   }
--- a/src/main/java/dapplestair/cli/JsonLines.java
+++ b/src/main/java/dapplestair/cli/JsonLogging.java
@@ -9,10 +9,10 @@
 import org.slf4j.LoggerFactory;
 
 /** Lines as JSON: the sentence, its arguments and its fields apart. */
-final class JsonLines {
-  private JsonLines() {}
+final class JsonLogging {
+  private JsonLogging() {}
 
-  static void begin(String level) {
+  static void configure(String level) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     context.reset();
     JsonEncoder encoder = new JsonEncoder();
@@ -23,14 +23,14 @@
     encoder.setWithThreadName(false);
     encoder.setWithFormattedMessage(true);
     encoder.start();
-    ConsoleAppender<ILoggingEvent> out = new ConsoleAppender<>();
-    out.setContext(context);
-    out.setTarget("System.err");
-    out.setEncoder(encoder);
-    out.start();
+    ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
+    appender.setContext(context);
+    appender.setTarget("System.err");
+    appender.setEncoder(encoder);
+    appender.start();
     Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
     root.setLevel(Level.toLevel(level, Level.INFO));
-    root.addAppender(out);
+    root.addAppender(appender);
     context.getLogger("io.netty").setLevel(Level.WARN);
   }
 }
--- a/src/main/java/dapplestair/cli/Logging.java
+++ b/src/main/java/dapplestair/cli/Logging.java
@@ -14,14 +14,14 @@
   private Logging() {}
 
   /** To be called before the first logger is made. */
-  static void begin(Map<String, String> env) {
-    nameMachine();
+  static void configure(Map<String, String> env) {
+    setNettyMachineId();
     // Naming the backend is no news.
     System.setProperty("slf4j.internal.verbosity", "WARN");
     String level = env.getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
     if ("json".equals(env.get("LOG_FORMAT"))) {
       System.setProperty(PROVIDER, "ch.qos.logback.classic.spi.LogbackServiceProvider");
-      JsonLines.begin(level);
+      JsonLogging.configure(level);
       return;
     }
     System.setProperty(PROVIDER, "org.slf4j.simple.SimpleServiceProvider");
@@ -38,7 +38,7 @@
    * it then looked through all interfaces and warned at each start. Nobody compares these numbers
    * between machines, so any will do.
    */
-  private static void nameMachine() {
+  private static void setNettyMachineId() {
     if (System.getProperty("io.netty.machineId") == null) {
       StringBuilder id = new StringBuilder();
       SplittableRandom random = new SplittableRandom(System.nanoTime());
--- a/src/main/java/dapplestair/cli/Main.java
+++ b/src/main/java/dapplestair/cli/Main.java
@@ -32,24 +32,25 @@
 
   /** Runs a command; the exit code is 2 for wrong usage or settings. */
   public static void main(String[] args) {
-    Logging.begin(System.getenv());
-    int code = commands(args).setExecutionExceptionHandler(Main::failed).execute(args);
-    if (code != ControllerCommand.STAYS) {
-      System.exit(code);
+    Logging.configure(System.getenv());
+    int exitCode =
+        createCommandLine(args).setExecutionExceptionHandler(Main::handleFailure).execute(args);
+    if (exitCode != ControllerCommand.KEEP_RUNNING) {
+      System.exit(exitCode);
     }
   }
 
   /** An address in use is the caller's mistake: one line, not a trace. */
-  private static int failed(Exception e, CommandLine of, CommandLine.ParseResult parsed)
-      throws Exception {
+  private static int handleFailure(
+      Exception e, CommandLine commandLine, CommandLine.ParseResult parsed) throws Exception {
     if (e instanceof BindException) {
-      of.getErr().println("dapplestair: cannot listen: " + e.getMessage());
+      commandLine.getErr().println("dapplestair: cannot listen: " + e.getMessage());
       return 1;
     }
     throw e;
   }
 
-  private static final List<String> COMMANDS =
+  private static final List<String> COMMAND_NAMES =
       List.of(
           "daemon",
           "emulate",
@@ -67,7 +68,7 @@
           "keys",
           "rehearse");
 
-  private static Object command(String name) {
+  private static Object createCommand(String name) {
     return switch (name) {
       case "daemon" -> new DaemonCommand();
       case "emulate" -> new EmulateCommand();
@@ -92,13 +93,13 @@
    * The commands: the one that is asked for, or else all. To load and read the description of a
    * command takes time, of which a controller on a small machine has little.
    */
-  static CommandLine commands(String... args) {
+  static CommandLine createCommandLine(String... args) {
     CommandLine root = new CommandLine(new Main());
-    Object one = args.length > 0 ? command(args[0]) : null;
-    if (one != null) {
-      return root.addSubcommand(one);
+    Object requestedCommand = args.length > 0 ? createCommand(args[0]) : null;
+    if (requestedCommand != null) {
+      return root.addSubcommand(requestedCommand);
     }
-    COMMANDS.forEach(c -> root.addSubcommand(command(c)));
+    COMMAND_NAMES.forEach(name -> root.addSubcommand(createCommand(name)));
     return root.addSubcommand(new AutoComplete.GenerateCompletion())
         .addSubcommand(new CommandLine.HelpCommand());
   }
--- a/src/main/java/dapplestair/cli/RehearseCommand.java
+++ b/src/main/java/dapplestair/cli/RehearseCommand.java
@@ -75,12 +75,12 @@
        "loaners":%b,"guessS":%s,"snapshotEveryS":0.0,"snapshotS":0.0}
       """;
 
-  private static final int CALL_MS = 2000;
-  private static final int MOST_S = 40;
+  private static final int CALL_TIMEOUT_MS = 2000;
+  private static final int MAX_DURATION_S = 40;
 
   private final ControllerEventLoop loop = new ControllerEventLoop();
   private final HttpPool http = new HttpPool(loop, 4, 1000);
-  private final long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MOST_S);
+  private final long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_DURATION_S);
 
   /** What does not come to pass, or not in time, only makes the archive smaller. */
   @Override
@@ -95,68 +95,78 @@
 
   private void rehearse() throws Exception {
     int[] ports = freePorts(4);
-    Emulation outside = new Emulation(DaemonSettings.defaults());
-    int at = outside.start(new Address("127.0.0.1", 0));
-    ControllerServer[] both = new ControllerServer[2];
+    Emulation emulation = new Emulation(DaemonSettings.defaults());
+    int emulationPort = emulation.start(new Address("127.0.0.1", 0));
+    ControllerServer[] controllers = new ControllerServer[2];
     for (int i = 0; i < 2; i++) {
-      int other = 1 - i;
-      String text =
+      int peer = 1 - i;
+      String settingsText =
           SETTINGS.formatted(
-              i, ports[2 * i], ports[2 * i + 1], other, ports[2 * other + 1], at, at);
-      both[i] =
+              i,
+              ports[2 * i],
+              ports[2 * i + 1],
+              peer,
+              ports[2 * peer + 1],
+              emulationPort,
+              emulationPort);
+      controllers[i] =
           ControllerServer.start(
-              SettingsLoader.parse("rehearsal", text), OperatorSettings.defaults());
-      outside.register("rehearsal-" + i, "127.0.0.1:" + ports[2 * i]);
+              SettingsLoader.parse("rehearsal", settingsText), OperatorSettings.defaults());
+      emulation.register("rehearsal-" + i, "127.0.0.1:" + ports[2 * i]);
     }
-    String first = "127.0.0.1:" + ports[0];
-    String second = "127.0.0.1:" + ports[2];
-    until(first, "GET", "/up", null, r -> r.status() == 200);
-    submit(first, JOB.formatted("wk-000001", "sweep", "high", 6, false, true, "0.3"));
+    String firstEndpoint = "127.0.0.1:" + ports[0];
+    String secondEndpoint = "127.0.0.1:" + ports[2];
+    callUntil(firstEndpoint, "GET", "/up", null, r -> r.status() == 200);
+    submit(firstEndpoint, JOB.formatted("wk-000001", "sweep", "high", 6, false, true, "0.3"));
     for (int i = 2; i < 8; i++) {
       submit(
-          i % 2 == 0 ? first : second,
+          i % 2 == 0 ? firstEndpoint : secondEndpoint,
           JOB.formatted("wk-00000" + i, "daemon", "critical", 3, true, false, "0"));
     }
-    until(second, "GET", "/submissions/wk-000001", null, r -> said(r, "done"));
-    until(first, "GET", "/submissions/wk-000002", null, r -> said(r, "running"));
-    until(second, "POST", "/submissions/wk-000002/withdraw", "", r -> r.status() == 200);
-    both[0].stop();
-    submit(second, JOB.formatted("wk-000009", "sweep", "low", 3, false, true, "0.3"));
-    until(second, "GET", "/submissions/wk-000009", null, r -> said(r, "done"));
+    callUntil(secondEndpoint, "GET", "/submissions/wk-000001", null, r -> hasStatus(r, "done"));
+    callUntil(firstEndpoint, "GET", "/submissions/wk-000002", null, r -> hasStatus(r, "running"));
+    callUntil(
+        secondEndpoint, "POST", "/submissions/wk-000002/withdraw", "", r -> r.status() == 200);
+    controllers[0].stop();
+    submit(secondEndpoint, JOB.formatted("wk-000009", "sweep", "low", 3, false, true, "0.3"));
+    callUntil(secondEndpoint, "GET", "/submissions/wk-000009", null, r -> hasStatus(r, "done"));
   }
 
-  private void submit(String to, String job) throws Exception {
-    until(to, "POST", "/submissions", job, r -> r.status() == 201 || r.status() == 200);
+  private void submit(String endpoint, String job) throws Exception {
+    callUntil(endpoint, "POST", "/submissions", job, r -> r.status() == 201 || r.status() == 200);
   }
 
-  private static boolean said(HttpReply reply, String status) {
+  private static boolean hasStatus(HttpReply reply, String status) {
     return status.equals(Json.text(Json.parse(reply.body()), "status"));
   }
 
   /** Asks again until the answer is the one waited for, or for long enough. */
-  private void until(
-      String to, String method, String path, String body, Predicate<HttpReply> wanted)
+  private void callUntil(
+      String endpoint, String method, String path, String body, Predicate<HttpReply> isExpected)
       throws Exception {
-    while (System.nanoTime() < deadline) {
-      CompletableFuture<HttpReply> answer = new CompletableFuture<>();
+    while (System.nanoTime() < deadlineNanos) {
+      CompletableFuture<HttpReply> replyFuture = new CompletableFuture<>();
       byte[] bytes = body == null ? null : body.getBytes(StandardCharsets.UTF_8);
-      loop.executor().execute(() -> http.call(to, method, path, bytes, CALL_MS, answer::complete));
-      if (wanted.test(answer.get(2L * CALL_MS, TimeUnit.MILLISECONDS))) {
+      loop.executor()
+          .execute(
+              () ->
+                  http.call(endpoint, method, path, bytes, CALL_TIMEOUT_MS, replyFuture::complete));
+      if (isExpected.test(replyFuture.get(2L * CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS))) {
         return;
       }
       Thread.sleep(100);
     }
   }
 
-  private static int[] freePorts(int n) throws java.io.IOException {
-    ServerSocket[] sockets = new ServerSocket[n];
-    int[] ports = new int[n];
-    for (int i = 0; i < n; i++) {
+  private static int[] freePorts(int count) throws java.io.IOException {
+    ServerSocket[] sockets = new ServerSocket[count];
+    int[] ports = new int[count];
+    for (int i = 0; i < count; i++) {
       sockets[i] = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
       ports[i] = sockets[i].getLocalPort();
     }
-    for (ServerSocket s : sockets) {
-      s.close();
+    for (ServerSocket socket : sockets) {
+      socket.close();
     }
     return ports;
   }
--- a/src/main/java/dapplestair/cli/Service.java
+++ b/src/main/java/dapplestair/cli/Service.java
@@ -16,7 +16,7 @@
 
   /** Runs until it is killed; the exit code is 2 for settings that cannot be used. */
   public static void main(String[] args) throws InterruptedException {
-    Logging.begin(System.getenv());
+    Logging.configure(System.getenv());
     if (args.length != 1) {
       System.err.println("dapplestair: give the path of the settings, and nothing else");
       System.exit(2);
@@ -24,7 +24,7 @@
     try {
       ControllerServer.start(SettingsLoader.load(Path.of(args[0])), OperatorSettings.defaults());
     } catch (SettingsException e) {
-      System.exit(SettingsOptions.refuse(e));
+      System.exit(SettingsOptions.reportUnusable(e));
     } catch (Exception e) {
       if (!(e instanceof BindException)) {
         throw e;
--- a/src/main/java/dapplestair/cli/SettingsOptions.java
+++ b/src/main/java/dapplestair/cli/SettingsOptions.java
@@ -18,36 +18,37 @@
       required = true,
       paramLabel = "FILE",
       description = "the platform's settings, TOML")
-  private Path config;
+  private Path settingsFile;
 
   @Option(
       names = "--operator",
       paramLabel = "FILE",
       description = "operators' own settings, protobuf text format")
-  private Path operator;
+  private Path operatorFile;
 
   Settings settings() throws SettingsException {
-    return SettingsLoader.load(config);
+    return SettingsLoader.load(settingsFile);
   }
 
-  OperatorSettings operator(Settings settings) throws SettingsException {
-    return operator(operator, settings);
+  OperatorSettings operatorSettings(Settings settings) throws SettingsException {
+    return operatorSettings(operatorFile, settings);
   }
 
   /** The operators' file, if there is one, as far as it fits the platform's settings. */
-  static OperatorSettings operator(Path file, Settings settings) throws SettingsException {
-    if (file == null) {
+  static OperatorSettings operatorSettings(Path operatorFile, Settings settings)
+      throws SettingsException {
+    if (operatorFile == null) {
       return OperatorSettings.defaults();
     }
-    OperatorSettings read = OperatorSettingsLoader.load(file);
-    DisruptionBudgetsLoader.check(file, read.budgets(), settings);
-    LanesLoader.check(file, read.lanes(), settings);
-    CalendarsLoader.check(file, read.calendars(), settings);
-    return read;
+    OperatorSettings operatorSettings = OperatorSettingsLoader.load(operatorFile);
+    DisruptionBudgetsLoader.check(operatorFile, operatorSettings.budgets(), settings);
+    LanesLoader.check(operatorFile, operatorSettings.lanes(), settings);
+    CalendarsLoader.check(operatorFile, operatorSettings.calendars(), settings);
+    return operatorSettings;
   }
 
   /** One clear line, and the code for unusable settings. */
-  static int refuse(SettingsException e) {
+  static int reportUnusable(SettingsException e) {
     System.err.println("dapplestair: " + e.getMessage());
     return 2;
   }
--- a/src/main/java/dapplestair/cli/ShutdownHook.java
+++ b/src/main/java/dapplestair/cli/ShutdownHook.java
@@ -21,15 +21,15 @@
         .addShutdownHook(
             new Thread(
                 () -> {
-                  int code = 0;
+                  int exitCode = 0;
                   try {
                     steps.run();
                   } catch (InterruptedException | RuntimeException e) {
                     LOG.error("ending failed", e);
-                    code = 1;
+                    exitCode = 1;
                   }
                   // Without this the virtual machine would report the signal instead.
-                  Runtime.getRuntime().halt(code);
+                  Runtime.getRuntime().halt(exitCode);
                 },
                 "ending"));
   }
--- a/src/main/java/dapplestair/client/ApiClient.java
+++ b/src/main/java/dapplestair/client/ApiClient.java
@@ -30,8 +30,8 @@
  * that comes later is dropped, and none is kept from before.
  */
 final class ApiClient {
-  private static final long ROUND_MS = 250;
-  private static final long LONGEST_PAUSE_MS = 2000;
+  private static final long MIN_ROUND_PAUSE_MS = 250;
+  private static final long MAX_ROUND_PAUSE_MS = 2000;
 
   private final Contexts.Context context;
   private final long timeoutMs;
@@ -44,23 +44,23 @@
         HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofMillis(timeoutMs));
-    boolean secure = context.endpoints().stream().anyMatch(e -> e.startsWith("https:"));
-    builder.sslContext(secure ? tls(context) : noTls());
+    boolean usesHttps = context.endpoints().stream().anyMatch(e -> e.startsWith("https:"));
+    builder.sslContext(usesHttps ? clientSslContext(context) : emptySslContext());
     this.http = builder.build();
   }
 
   /** For plain HTTP alone: the JDK's client would else read all authorities of this machine. */
-  private static SSLContext noTls() throws CommandException {
+  private static SSLContext emptySslContext() throws CommandException {
     try {
-      SSLContext none = SSLContext.getInstance("TLS");
-      none.init(null, new TrustManager[0], null);
-      return none;
+      SSLContext emptyContext = SSLContext.getInstance("TLS");
+      emptyContext.init(null, new TrustManager[0], null);
+      return emptyContext;
     } catch (GeneralSecurityException e) {
       throw new CommandException(1, e.getMessage());
     }
   }
 
-  private static SSLContext tls(Contexts.Context context) throws CommandException {
+  private static SSLContext clientSslContext(Contexts.Context context) throws CommandException {
     try {
       SslContextBuilder sslContextBuilder =
           SslContextBuilder.forClient().sslProvider(SslProvider.JDK);
@@ -88,59 +88,61 @@
   }
 
   /** A question whose answer may keep silent for so long before it comes. */
-  JsonNode poll(String path, long waitMs) throws CommandException {
-    return call("GET", path, null, waitMs);
+  JsonNode poll(String path, long serverWaitMs) throws CommandException {
+    return call("GET", path, null, serverWaitMs);
   }
 
-  private JsonNode call(String method, String path, JsonNode body, long waitMs)
+  private JsonNode call(String method, String path, JsonNode body, long serverWaitMs)
       throws CommandException {
-    long began = System.nanoTime();
-    Map<String, String> said = new LinkedHashMap<>();
-    boolean refusedByTls = true;
+    long startNanos = System.nanoTime();
+    Map<String, String> failuresByEndpoint = new LinkedHashMap<>();
+    boolean onlyTlsFailures = true;
     while (true) {
-      long pause = ROUND_MS;
+      long pauseMs = MIN_ROUND_PAUSE_MS;
       for (String endpoint : context.endpoints()) {
-        long left = timeoutMs + waitMs - elapsedMs(began);
-        if (left <= 0) {
-          throw unreachable(said, began, refusedByTls && !said.isEmpty());
+        long remainingMs = timeoutMs + serverWaitMs - elapsedMs(startNanos);
+        if (remainingMs <= 0) {
+          throw unreachableException(
+              failuresByEndpoint, startNanos, onlyTlsFailures && !failuresByEndpoint.isEmpty());
         }
         try {
-          HttpResponse<byte[]> r = send(endpoint, method, path, body, left);
-          if (r.statusCode() / 100 == 2) {
-            return parsed(endpoint, r);
+          HttpResponse<byte[]> response = send(endpoint, method, path, body, remainingMs);
+          if (response.statusCode() / 100 == 2) {
+            return parseObject(endpoint, response);
           }
-          if (r.statusCode() < 500 && r.statusCode() != 429) {
-            throw refused(endpoint, r);
+          if (response.statusCode() < 500 && response.statusCode() != 429) {
+            throw refusedException(endpoint, response);
           }
-          refusedByTls = false;
-          said.put(endpoint, r.statusCode() + " " + error(r));
-          pause = Math.max(pause, retryAfterMs(r));
+          onlyTlsFailures = false;
+          failuresByEndpoint.put(endpoint, response.statusCode() + " " + errorText(response));
+          pauseMs = Math.max(pauseMs, retryAfterMs(response));
         } catch (SSLException e) {
-          said.put(endpoint, "TLS: " + reason(e));
+          failuresByEndpoint.put(endpoint, "TLS: " + describeTlsFailure(e));
         } catch (IOException e) {
-          refusedByTls = false;
-          said.put(endpoint, words(e));
+          onlyTlsFailures = false;
+          failuresByEndpoint.put(endpoint, describeFailure(e));
         }
       }
-      if (refusedByTls) {
+      if (onlyTlsFailures) {
         // A certificate does not become good by asking again.
-        throw unreachable(said, began, true);
+        throw unreachableException(failuresByEndpoint, startNanos, true);
       }
-      sleep(Math.min(pause, Math.max(0, timeoutMs + waitMs - elapsedMs(began))));
+      sleep(Math.min(pauseMs, Math.max(0, timeoutMs + serverWaitMs - elapsedMs(startNanos))));
     }
   }
 
-  private static long elapsedMs(long since) {
-    return (System.nanoTime() - since) / 1_000_000;
+  private static long elapsedMs(long startNanos) {
+    return (System.nanoTime() - startNanos) / 1_000_000;
   }
 
   private HttpResponse<byte[]> send(
-      String endpoint, String method, String path, JsonNode body, long leftMs)
+      String endpoint, String method, String path, JsonNode body, long remainingMs)
       throws IOException, CommandException {
     HttpRequest.Builder builder;
     try {
       builder =
-          HttpRequest.newBuilder(URI.create(endpoint + path)).timeout(Duration.ofMillis(leftMs));
+          HttpRequest.newBuilder(URI.create(endpoint + path))
+              .timeout(Duration.ofMillis(remainingMs));
     } catch (IllegalArgumentException e) {
       throw new CommandException(
           CommandException.WRONG_USAGE, endpoint + ": not a URL: " + e.getMessage());
@@ -148,18 +150,18 @@
     if (context.token() != null) {
       builder.header("Authorization", "Bearer " + context.token());
     }
-    HttpRequest.BodyPublisher out =
+    HttpRequest.BodyPublisher bodyPublisher =
         body == null
             ? HttpRequest.BodyPublishers.noBody()
             : HttpRequest.BodyPublishers.ofByteArray(Json.bytes(body));
-    CompletableFuture<HttpResponse<byte[]>> answer =
+    CompletableFuture<HttpResponse<byte[]>> responseFuture =
         http.sendAsync(
-            builder.method(method, out).build(), HttpResponse.BodyHandlers.ofByteArray());
+            builder.method(method, bodyPublisher).build(), HttpResponse.BodyHandlers.ofByteArray());
     try {
       // Headers may come in time and the body not: the time is for all of it.
-      return answer.get(leftMs, TimeUnit.MILLISECONDS);
+      return responseFuture.get(remainingMs, TimeUnit.MILLISECONDS);
     } catch (TimeoutException e) {
-      answer.cancel(true);
+      responseFuture.cancel(true);
       throw new HttpTimeoutException("no answer");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -172,89 +174,96 @@
     }
   }
 
-  private static JsonNode parsed(String endpoint, HttpResponse<byte[]> r) throws IOException {
-    JsonNode body = Json.parse(r.body());
+  private static JsonNode parseObject(String endpoint, HttpResponse<byte[]> response)
+      throws IOException {
+    JsonNode body = Json.parse(response.body());
     if (!body.isObject()) {
       throw new IOException("an answer that is no JSON object");
     }
     return body;
   }
 
-  private static CommandException refused(String endpoint, HttpResponse<byte[]> r) {
+  private static CommandException refusedException(String endpoint, HttpResponse<byte[]> response) {
     int code =
-        switch (r.statusCode()) {
+        switch (response.statusCode()) {
           case 400 -> CommandException.WRONG_USAGE;
           case 404 -> CommandException.NO_SUCH_THING;
           default -> CommandException.REFUSED;
         };
-    return new CommandException(code, error(r) + " (" + r.statusCode() + " from " + endpoint + ")");
+    return new CommandException(
+        code, errorText(response) + " (" + response.statusCode() + " from " + endpoint + ")");
   }
 
-  private static String error(HttpResponse<byte[]> r) {
-    String said = Json.text(Json.parse(r.body()), "error");
-    return said == null ? "without a reason" : said;
+  private static String errorText(HttpResponse<byte[]> response) {
+    String error = Json.text(Json.parse(response.body()), "error");
+    return error == null ? "without a reason" : error;
   }
 
-  private static long retryAfterMs(HttpResponse<byte[]> r) {
+  private static long retryAfterMs(HttpResponse<byte[]> response) {
     try {
-      long s = Long.parseLong(r.headers().firstValue("Retry-After").orElse("0"));
-      return Math.min(LONGEST_PAUSE_MS, Math.max(0, s) * 1000);
+      long seconds = Long.parseLong(response.headers().firstValue("Retry-After").orElse("0"));
+      return Math.min(MAX_ROUND_PAUSE_MS, Math.max(0, seconds) * 1000);
     } catch (NumberFormatException e) {
       return 0;
     }
   }
 
-  private static CommandException unreachable(Map<String, String> said, long began, boolean byTls) {
-    StringBuilder out = new StringBuilder();
-    double s = elapsedMs(began) / 1000.0;
-    out.append(
-        byTls
+  private static CommandException unreachableException(
+      Map<String, String> failuresByEndpoint, long startNanos, boolean onlyTlsFailures) {
+    StringBuilder message = new StringBuilder();
+    double elapsedS = elapsedMs(startNanos) / 1000.0;
+    message.append(
+        onlyTlsFailures
             ? "no endpoint was trusted"
             : String.format(
                 Locale.ROOT,
                 "the service cannot be reached or is restarting (tried for %.1f s)",
-                s));
-    said.forEach((endpoint, what) -> out.append("\n  ").append(endpoint).append(": ").append(what));
+                elapsedS));
+    failuresByEndpoint.forEach(
+        (endpoint, failure) ->
+            message.append("\n  ").append(endpoint).append(": ").append(failure));
     return new CommandException(
-        byTls ? CommandException.REFUSED : CommandException.UNREACHABLE, out.toString());
+        onlyTlsFailures ? CommandException.REFUSED : CommandException.UNREACHABLE,
+        message.toString());
   }
 
-  private static String words(IOException e) {
+  private static String describeFailure(IOException e) {
     if (e instanceof HttpTimeoutException) {
       return "no answer in time";
     }
     if (e instanceof ConnectException) {
       return "connection refused";
     }
-    String m = e.getMessage();
-    if (m != null && m.contains("header parser received no bytes")) {
+    String message = e.getMessage();
+    if (message != null && message.contains("header parser received no bytes")) {
       return "it closed the connection unanswered: does it want https?";
     }
-    return m == null ? "the connection broke" : m.lines().findFirst().orElse("");
+    return message == null ? "the connection broke" : message.lines().findFirst().orElse("");
   }
 
   /** One line for what is wrong with a certificate. */
-  private static String reason(SSLException e) {
+  private static String describeTlsFailure(SSLException e) {
     Throwable cause = e;
     while (cause.getCause() != null && cause.getCause() != cause) {
       cause = cause.getCause();
     }
-    String m = String.valueOf(cause.getMessage());
-    if (cause instanceof java.security.cert.CertificateExpiredException || m.contains("NotAfter")) {
+    String message = String.valueOf(cause.getMessage());
+    if (cause instanceof java.security.cert.CertificateExpiredException
+        || message.contains("NotAfter")) {
       return "its certificate has expired";
     }
-    if (m.contains("unable to find valid certification path")) {
+    if (message.contains("unable to find valid certification path")) {
       return "its certificate is from another authority";
     }
-    if (m.contains("No subject alternative") || m.contains("No name matching")) {
+    if (message.contains("No subject alternative") || message.contains("No name matching")) {
       return "its certificate is for another name";
     }
-    return m.lines().findFirst().orElse("");
+    return message.lines().findFirst().orElse("");
   }
 
-  private static void sleep(long ms) throws CommandException {
+  private static void sleep(long durationMs) throws CommandException {
     try {
-      Thread.sleep(Math.max(1, ms));
+      Thread.sleep(Math.max(1, durationMs));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new CommandException(1, "interrupted");
--- a/src/main/java/dapplestair/client/ClientCommand.java
+++ b/src/main/java/dapplestair/client/ClientCommand.java
@@ -13,43 +13,43 @@
 /** A command that asks the service; its failures become one message and an exit code. */
 @Command(mixinStandardHelpOptions = true)
 abstract class ClientCommand implements Callable<Integer> {
-  private static final int PAGE = 500;
+  private static final int PAGE_SIZE = 500;
 
   @Mixin CommonOptions common;
 
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
-  abstract int run(ApiClient api, Output out) throws CommandException;
+  abstract int run(ApiClient api, Output output) throws CommandException;
 
   @Override
   public final Integer call() {
     try {
-      return run(common.api(), common.output());
-    } catch (CommandException f) {
-      spec.commandLine().getErr().println("dapplestair: " + f.getMessage());
+      return run(common.createApiClient(), common.createOutput());
+    } catch (CommandException failure) {
+      spec.commandLine().getErr().println("dapplestair: " + failure.getMessage());
       spec.commandLine().getErr().flush();
-      return f.code();
+      return failure.code();
     }
   }
 
-  static String encoded(String text) {
+  static String urlEncode(String text) {
     return URLEncoder.encode(text, StandardCharsets.UTF_8).replace("+", "%20");
   }
 
   /** Reads page after page; {@code query} is added to each, {@code limit} 0 for all. */
-  static JsonNode pages(ApiClient api, String path, String query, int limit)
+  static JsonNode fetchPages(ApiClient api, String path, String query, int limit)
       throws CommandException {
     List<JsonNode> rows = new ArrayList<>();
-    String after = "";
+    String afterParameter = "";
     while (true) {
-      int want = limit == 0 ? PAGE : Math.min(PAGE, limit - rows.size());
-      JsonNode page = api.get(path + "?limit=" + want + query + after);
+      int pageLimit = limit == 0 ? PAGE_SIZE : Math.min(PAGE_SIZE, limit - rows.size());
+      JsonNode page = api.get(path + "?limit=" + pageLimit + query + afterParameter);
       page.path("rows").forEach(rows::add);
-      boolean more = page.path("next").isTextual() && (limit == 0 || rows.size() < limit);
-      if (!more) {
-        return Output.gathered(rows, page);
+      boolean hasMore = page.path("next").isTextual() && (limit == 0 || rows.size() < limit);
+      if (!hasMore) {
+        return Output.mergePages(rows, page);
       }
-      after = "&after=" + encoded(page.path("next").asText());
+      afterParameter = "&after=" + urlEncode(page.path("next").asText());
     }
   }
 }
--- a/src/main/java/dapplestair/client/ClusterCommands.java
+++ b/src/main/java/dapplestair/client/ClusterCommands.java
@@ -27,8 +27,8 @@
               + " replicas out, and how many may be.")
   static final class ListTeams extends ClientCommand {
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      out.rows(
+    int run(ApiClient api, Output output) throws CommandException {
+      output.printRows(
           api.get("/v1/teams"),
           "team",
           "guarantee",
@@ -56,8 +56,8 @@
       description = "List zones: steady, cut, lost or returning, and what is there.")
   static final class ListZones extends ClientCommand {
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      out.rows(
+    int run(ApiClient api, Output output) throws CommandException {
+      output.printRows(
           api.get("/v1/zones"),
           "zone",
           "state",
@@ -84,8 +84,8 @@
   @Command(name = "show", description = "Show the plan applied last, with its three costs.")
   static final class ShowPlan extends ClientCommand {
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      out.one(api.get("/v1/plan"));
+    int run(ApiClient api, Output output) throws CommandException {
+      output.printObject(api.get("/v1/plan"));
       return 0;
     }
   }
@@ -96,8 +96,8 @@
       description = "Say who leads, which controllers live, and what waits for the state service.")
   public static final class StatusCommand extends ClientCommand {
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      out.one(api.get("/v1/status"));
+    int run(ApiClient api, Output output) throws CommandException {
+      output.printObject(api.get("/v1/status"));
       return 0;
     }
   }
@@ -115,7 +115,7 @@
       description = "List the last events of the leader, or follow them.",
       footer = {"", "Example:  dapplestair event list --follow --where 'kind in (lost, stopping)'"})
   static final class ListEvents extends ClientCommand {
-    private static final long WAIT_MS = 10_000;
+    private static final long POLL_WAIT_MS = 10_000;
 
     @Mixin private FilterOption filterOption;
 
@@ -130,8 +130,8 @@
     private boolean follow;
 
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      String path = "/v1/events?limit=500" + filterOption.query(Schema.EVENTS);
+    int run(ApiClient api, Output output) throws CommandException {
+      String path = "/v1/events?limit=500" + filterOption.queryParameter(Schema.EVENTS);
       List<JsonNode> rows = new ArrayList<>();
       JsonNode page = api.get(path);
       String after = page.path("next").asText("0");
@@ -140,24 +140,24 @@
         page = api.get(path + "&after=" + after);
         after = page.path("next").asText(after);
       }
-      List<JsonNode> last =
+      List<JsonNode> lastRows =
           rows.subList(Math.max(0, rows.size() - Math.max(0, limit)), rows.size());
-      show(out, last, page);
+      printEvents(output, lastRows, page);
       while (follow) {
-        page = api.poll(path + "&waitMs=" + WAIT_MS + "&after=" + after, WAIT_MS);
+        page = api.poll(path + "&waitMs=" + POLL_WAIT_MS + "&after=" + after, POLL_WAIT_MS);
         after = page.path("next").asText(after);
-        List<JsonNode> fresh = new ArrayList<>();
-        page.path("rows").forEach(fresh::add);
-        if (!fresh.isEmpty()) {
-          show(out, fresh, page);
+        List<JsonNode> newRows = new ArrayList<>();
+        page.path("rows").forEach(newRows::add);
+        if (!newRows.isEmpty()) {
+          printEvents(output, newRows, page);
         }
       }
       return 0;
     }
 
-    private static void show(Output out, List<JsonNode> rows, JsonNode page) {
-      out.rows(
-          Output.gathered(rows, page),
+    private static void printEvents(Output output, List<JsonNode> rows, JsonNode page) {
+      output.printRows(
+          Output.mergePages(rows, page),
           "at",
           "kind",
           "job",
--- a/src/main/java/dapplestair/client/CommonOptions.java
+++ b/src/main/java/dapplestair/client/CommonOptions.java
@@ -10,7 +10,7 @@
 
 /** What all commands of the client understand. */
 final class CommonOptions {
-  private static final String USUAL = "http://127.0.0.1:8081";
+  private static final String DEFAULT_ENDPOINT = "http://127.0.0.1:8081";
   private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s|m)?");
 
   /** Forms of output. */
@@ -41,7 +41,7 @@
       paramLabel = "FORM",
       defaultValue = "table",
       description = "${COMPLETION-CANDIDATES} (default: ${DEFAULT-VALUE})")
-  private OutputFormat form;
+  private OutputFormat outputFormat;
 
   @Option(names = "--no-color", description = "plain tables")
   private boolean noColor;
@@ -49,22 +49,22 @@
   @CommandLine.Spec(CommandLine.Spec.Target.MIXEE)
   private CommandLine.Model.CommandSpec spec;
 
-  Output output() {
-    boolean terminal = System.console() != null;
-    boolean color = terminal && !noColor && System.getenv("NO_COLOR") == null;
-    return new Output(spec.commandLine().getOut(), form, color, width(terminal));
+  Output createOutput() {
+    boolean isTerminal = System.console() != null;
+    boolean useColor = isTerminal && !noColor && System.getenv("NO_COLOR") == null;
+    return new Output(spec.commandLine().getOut(), outputFormat, useColor, outputWidth(isTerminal));
   }
 
-  private static int width(boolean terminal) {
+  private static int outputWidth(boolean isTerminal) {
     try {
       return Math.max(40, Integer.parseInt(System.getenv().getOrDefault("COLUMNS", "")));
     } catch (NumberFormatException e) {
-      return terminal ? 120 : Integer.MAX_VALUE;
+      return isTerminal ? 120 : Integer.MAX_VALUE;
     }
   }
 
-  boolean terminal() {
-    return System.console() != null && form == OutputFormat.table;
+  boolean isTerminal() {
+    return System.console() != null && outputFormat == OutputFormat.table;
   }
 
   long timeoutMs() throws CommandException {
@@ -73,38 +73,39 @@
       throw new CommandException(
           CommandException.WRONG_USAGE, "--timeout: " + timeout + " is no time such as 5s");
     }
-    double n = Double.parseDouble(matcher.group(1));
+    double amount = Double.parseDouble(matcher.group(1));
     String unit = matcher.group(2) == null ? "s" : matcher.group(2);
-    return Math.max(1, Math.round(n * (unit.equals("ms") ? 1 : unit.equals("s") ? 1000 : 60_000)));
+    return Math.max(
+        1, Math.round(amount * (unit.equals("ms") ? 1 : unit.equals("s") ? 1000 : 60_000)));
   }
 
-  ApiClient api() throws CommandException {
-    return new ApiClient(resolved(System.getenv()), timeoutMs());
+  ApiClient createApiClient() throws CommandException {
+    return new ApiClient(resolveContext(System.getenv()), timeoutMs());
   }
 
   /** From --endpoint, then --context, the environment, the current context, this machine. */
-  private Contexts.Context resolved(Map<String, String> env) throws CommandException {
-    Contexts.Context named = context == null ? null : Contexts.load(env).context(context);
+  private Contexts.Context resolveContext(Map<String, String> env) throws CommandException {
+    Contexts.Context namedContext = context == null ? null : Contexts.load(env).context(context);
     String token = env.get("DAPPLESTAIR_TOKEN");
-    if (named == null && endpoints.isEmpty()) {
-      String given = env.get("DAPPLESTAIR_ENDPOINT");
-      if (given != null && !given.isBlank()) {
-        return new Contexts.Context(List.of(given.split(",")), token, null, null, null);
+    if (namedContext == null && endpoints.isEmpty()) {
+      String endpointsFromEnv = env.get("DAPPLESTAIR_ENDPOINT");
+      if (endpointsFromEnv != null && !endpointsFromEnv.isBlank()) {
+        return new Contexts.Context(List.of(endpointsFromEnv.split(",")), token, null, null, null);
       }
-      Contexts all = Contexts.load(env);
-      if (all.current() != null) {
-        named = all.context(all.current());
+      Contexts contexts = Contexts.load(env);
+      if (contexts.currentName() != null) {
+        namedContext = contexts.context(contexts.currentName());
       }
     }
-    if (named == null) {
-      List<String> to = endpoints.isEmpty() ? List.of(USUAL) : endpoints;
-      return new Contexts.Context(to, token, null, null, null);
+    if (namedContext == null) {
+      List<String> effectiveEndpoints = endpoints.isEmpty() ? List.of(DEFAULT_ENDPOINT) : endpoints;
+      return new Contexts.Context(effectiveEndpoints, token, null, null, null);
     }
     return new Contexts.Context(
-        endpoints.isEmpty() ? named.endpoints() : endpoints,
-        token == null ? named.token() : token,
-        named.authority(),
-        named.certificate(),
-        named.key());
+        endpoints.isEmpty() ? namedContext.endpoints() : endpoints,
+        token == null ? namedContext.token() : token,
+        namedContext.authority(),
+        namedContext.certificate(),
+        namedContext.key());
   }
 }
--- a/src/main/java/dapplestair/client/ContextCommand.java
+++ b/src/main/java/dapplestair/client/ContextCommand.java
@@ -39,10 +39,10 @@
   static final class ListContexts extends LocalCommand {
     @Override
     void run(Contexts contexts) throws CommandException {
-      for (Map.Entry<String, Contexts.Context> entry : contexts.all().entrySet()) {
-        String mark = entry.getKey().equals(contexts.current()) ? "* " : "  ";
+      for (Map.Entry<String, Contexts.Context> entry : contexts.byName().entrySet()) {
+        String currentMark = entry.getKey().equals(contexts.currentName()) ? "* " : "  ";
         String endpoints = String.join(" ", entry.getValue().endpoints());
-        spec.commandLine().getOut().println(mark + entry.getKey() + "  " + endpoints);
+        spec.commandLine().getOut().println(currentMark + entry.getKey() + "  " + endpoints);
       }
     }
   }
@@ -57,7 +57,7 @@
 
     @Override
     void run(Contexts contexts) throws CommandException {
-      contexts.use(name);
+      contexts.setCurrent(name);
     }
   }
 }
--- a/src/main/java/dapplestair/client/Contexts.java
+++ b/src/main/java/dapplestair/client/Contexts.java
@@ -46,17 +46,17 @@
     }
   }
 
-  String current() {
+  String currentName() {
     return Json.text(root, "current");
   }
 
-  Map<String, Context> all() throws CommandException {
-    Map<String, Context> out = new TreeMap<>();
+  Map<String, Context> byName() throws CommandException {
+    Map<String, Context> contextsByName = new TreeMap<>();
     for (var it = root.path("contexts").fieldNames(); it.hasNext(); ) {
       String name = it.next();
-      out.put(name, context(name));
+      contextsByName.put(name, context(name));
     }
-    return out;
+    return contextsByName;
   }
 
   /** A context by name, which must exist. */
@@ -76,24 +76,24 @@
     return new Context(
         endpoints,
         Json.text(node, "token"),
-        path(node, "authority"),
-        path(node, "certificate"),
-        path(node, "key"));
+        resolvePath(node, "authority"),
+        resolvePath(node, "certificate"),
+        resolvePath(node, "key"));
   }
 
-  private Path path(JsonNode node, String field) {
-    String v = Json.text(node, field);
-    return v == null ? null : file.resolveSibling(v);
+  private Path resolvePath(JsonNode node, String field) {
+    String value = Json.text(node, field);
+    return value == null ? null : file.resolveSibling(value);
   }
 
   /** Makes a context the one used when none is named. */
-  void use(String name) throws CommandException {
+  void setCurrent(String name) throws CommandException {
     context(name);
-    ObjectNode changed = ((ObjectNode) root.deepCopy()).put("current", name);
+    ObjectNode updatedRoot = ((ObjectNode) root.deepCopy()).put("current", name);
     try {
-      Path fresh = file.resolveSibling("client.toml.new");
-      Files.writeString(fresh, TOML.writeValueAsString(changed));
-      Files.move(fresh, file, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+      Path temporaryFile = file.resolveSibling("client.toml.new");
+      Files.writeString(temporaryFile, TOML.writeValueAsString(updatedRoot));
+      Files.move(temporaryFile, file, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
     } catch (IOException e) {
       throw new CommandException(1, file + ": cannot be written");
     }
--- a/src/main/java/dapplestair/client/FilterOption.java
+++ b/src/main/java/dapplestair/client/FilterOption.java
@@ -11,10 +11,10 @@
   private String where;
 
   /** Its part of a query, or nothing. A mistake is shown here, before anybody is asked. */
-  String query(Schema schema) throws CommandException {
+  String queryParameter(Schema schema) throws CommandException {
     try {
       Filter.read(where, schema);
-      return where == null || where.isBlank() ? "" : "&where=" + ClientCommand.encoded(where);
+      return where == null || where.isBlank() ? "" : "&where=" + ClientCommand.urlEncode(where);
     } catch (FilterException e) {
       throw new CommandException(CommandException.WRONG_USAGE, "--where:\n" + e.shown(where));
     }
--- a/src/main/java/dapplestair/client/JobCommand.java
+++ b/src/main/java/dapplestair/client/JobCommand.java
@@ -41,19 +41,19 @@
         "Example:  dapplestair job submit deploy/examples/array.json"
       })
   static final class Submit extends ClientCommand {
-    private static final long MOST_BYTES = 64 * 1024;
+    private static final long MAX_SUBMISSION_BYTES = 64 * 1024;
 
     @Parameters(paramLabel = "FILE", description = "a file, or - for standard input")
     private String file;
 
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      ObjectNode body = read();
+    int run(ApiClient api, Output output) throws CommandException {
+      ObjectNode body = readSubmission();
       String ref = body.path("ref").asText();
       try {
         JsonNode answer = api.post("/submissions", body);
         if (answer.has("ref")) {
-          out.say(ref);
+          output.printLine(ref);
         }
         return 0;
       } catch (CommandException failure) {
@@ -69,14 +69,14 @@
       }
     }
 
-    private ObjectNode read() throws CommandException {
+    private ObjectNode readSubmission() throws CommandException {
       byte[] bytes;
       try {
         bytes = file.equals("-") ? System.in.readAllBytes() : Files.readAllBytes(Path.of(file));
       } catch (IOException e) {
         throw new CommandException(CommandException.WRONG_USAGE, file + ": cannot be read");
       }
-      if (bytes.length > MOST_BYTES) {
+      if (bytes.length > MAX_SUBMISSION_BYTES) {
         throw new CommandException(
             CommandException.WRONG_USAGE, file + ": over 64 KiB, more than a submission may have");
       }
@@ -91,7 +91,7 @@
       }
       try {
         Submission submission = Submission.parse(body);
-        warnUnknown(body, submission);
+        warnAboutUnknownFields(body, submission);
       } catch (Submission.InvalidSubmissionException e) {
         throw new CommandException(CommandException.WRONG_USAGE, file + ": " + e.getMessage());
       }
@@ -99,18 +99,20 @@
     }
 
     /** The service ignores what it does not know; whoever wrote it meant something by it. */
-    private void warnUnknown(JsonNode body, Submission submission) {
-      Set<String> unknown = new TreeSet<>();
-      Set<String> known = new TreeSet<>(Set.of("hulls", "basin", "dueS"));
-      submission.toJson().fieldNames().forEachRemaining(known::add);
+    private void warnAboutUnknownFields(JsonNode body, Submission submission) {
+      Set<String> unknownFields = new TreeSet<>();
+      Set<String> knownFields = new TreeSet<>(Set.of("hulls", "basin", "dueS"));
+      submission.toJson().fieldNames().forEachRemaining(knownFields::add);
       for (Iterator<String> it = body.fieldNames(); it.hasNext(); ) {
         String name = it.next();
-        if (!known.contains(name)) {
-          unknown.add(name);
+        if (!knownFields.contains(name)) {
+          unknownFields.add(name);
         }
       }
-      if (!unknown.isEmpty()) {
-        spec.commandLine().getErr().println("dapplestair: ignored, since unknown: " + unknown);
+      if (!unknownFields.isEmpty()) {
+        spec.commandLine()
+            .getErr()
+            .println("dapplestair: ignored, since unknown: " + unknownFields);
       }
     }
   }
@@ -138,10 +140,10 @@
     private boolean over;
 
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      String query = (over ? "&scope=over" : "") + filterOption.query(Schema.JOBS);
-      JsonNode answer = pages(api, "/v1/jobs", query, Math.max(0, limit));
-      out.rows(
+    int run(ApiClient api, Output output) throws CommandException {
+      String query = (over ? "&scope=over" : "") + filterOption.queryParameter(Schema.JOBS);
+      JsonNode answer = fetchPages(api, "/v1/jobs", query, Math.max(0, limit));
+      output.printRows(
           answer,
           "ref",
           "status",
@@ -164,11 +166,11 @@
     private String ref;
 
     @Option(names = "--from", paramLabel = "STEP", description = "attempts from this step on")
-    private int from;
+    private int fromStep;
 
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      out.one(api.get("/v1/jobs/" + encoded(ref) + "?from=" + Math.max(0, from)));
+    int run(ApiClient api, Output output) throws CommandException {
+      output.printObject(api.get("/v1/jobs/" + urlEncode(ref) + "?from=" + Math.max(0, fromStep)));
       return 0;
     }
   }
@@ -179,8 +181,8 @@
     private String ref;
 
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      out.one(api.get("/v1/jobs/" + encoded(ref) + "/why"));
+    int run(ApiClient api, Output output) throws CommandException {
+      output.printObject(api.get("/v1/jobs/" + urlEncode(ref) + "/why"));
       return 0;
     }
   }
@@ -191,10 +193,10 @@
     private List<String> refs;
 
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
+    int run(ApiClient api, Output output) throws CommandException {
       for (String ref : refs) {
-        JsonNode answer = api.post("/submissions/" + encoded(ref) + "/withdraw", Json.object());
-        out.say(ref + " " + answer.path("status").asText());
+        JsonNode answer = api.post("/submissions/" + urlEncode(ref) + "/withdraw", Json.object());
+        output.printLine(ref + " " + answer.path("status").asText());
       }
       return 0;
     }
--- a/src/main/java/dapplestair/client/MachineCommand.java
+++ b/src/main/java/dapplestair/client/MachineCommand.java
@@ -38,9 +38,13 @@
     private int limit;
 
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      out.rows(
-          pages(api, "/v1/machines", filterOption.query(Schema.MACHINES), Math.max(0, limit)),
+    int run(ApiClient api, Output output) throws CommandException {
+      output.printRows(
+          fetchPages(
+              api,
+              "/v1/machines",
+              filterOption.queryParameter(Schema.MACHINES),
+              Math.max(0, limit)),
           "id",
           "type",
           "zone",
@@ -61,8 +65,8 @@
     private String id;
 
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      out.one(api.get("/v1/machines/" + encoded(id)));
+    int run(ApiClient api, Output output) throws CommandException {
+      output.printObject(api.get("/v1/machines/" + urlEncode(id)));
       return 0;
     }
   }
@@ -75,23 +79,25 @@
     @Option(names = "--zone", paramLabel = "ZONE", description = "a whole zone")
     private List<String> zones = List.of();
 
-    void all(ApiClient api, Output out, String verb, ObjectNode body) throws CommandException {
+    void applyToAll(ApiClient api, Output output, String verb, ObjectNode body)
+        throws CommandException {
       if (ids.isEmpty() && zones.isEmpty()) {
         throw new CommandException(
             CommandException.WRONG_USAGE, "name a machine, or a zone with --zone");
       }
       for (String id : ids) {
-        say(out, id, api.post("/v1/machines/" + encoded(id) + "/" + verb, body));
+        printResult(output, id, api.post("/v1/machines/" + urlEncode(id) + "/" + verb, body));
       }
       for (String zone : zones) {
-        say(out, "zone " + zone, api.post("/v1/zones/" + encoded(zone) + "/" + verb, body));
+        printResult(
+            output, "zone " + zone, api.post("/v1/zones/" + urlEncode(zone) + "/" + verb, body));
       }
     }
 
-    private static void say(Output out, String what, JsonNode answer) {
-      boolean on = answer.path("drained").asBoolean();
-      String already = answer.path("changed").asBoolean() ? "" : " already";
-      out.say(what + (on ? " is drained" : " is not drained") + already);
+    private static void printResult(Output output, String target, JsonNode answer) {
+      boolean drained = answer.path("drained").asBoolean();
+      String alreadySuffix = answer.path("changed").asBoolean() ? "" : " already";
+      output.printLine(target + (drained ? " is drained" : " is not drained") + alreadySuffix);
     }
   }
 
@@ -122,12 +128,12 @@
     private double deadlineS;
 
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
+    int run(ApiClient api, Output output) throws CommandException {
       ObjectNode body = Json.object().put("why", why).put("return", giveBack);
       if (deadlineS > 0) {
         body.put("deadline_s", deadlineS);
       }
-      all(api, out, "drain", body);
+      applyToAll(api, output, "drain", body);
       return 0;
     }
   }
@@ -135,8 +141,8 @@
   @Command(name = "undrain", description = "Take drained machines or zones back into use.")
   static final class UndrainMachines extends MachineSelectionCommand {
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      all(api, out, "undrain", Json.object());
+    int run(ApiClient api, Output output) throws CommandException {
+      applyToAll(api, output, "undrain", Json.object());
       return 0;
     }
   }
@@ -144,8 +150,8 @@
   @Command(name = "drains", description = "List what is drained, by whom, and what is left there.")
   static final class ListDrains extends ClientCommand {
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      out.rows(
+    int run(ApiClient api, Output output) throws CommandException {
+      output.printRows(
           api.get("/v1/drains"),
           "zone",
           "machine",
--- a/src/main/java/dapplestair/client/Output.java
+++ b/src/main/java/dapplestair/client/Output.java
@@ -18,193 +18,200 @@
 
 /** Prints answers as tables, JSON or CSV. */
 final class Output {
-  private static final Set<String> GOOD = Set.of("done", "up", "running", "completed", "true");
-  private static final Set<String> BAD =
+  private static final Set<String> GREEN_WORDS =
+      Set.of("done", "up", "running", "completed", "true");
+  private static final Set<String> RED_WORDS =
       Set.of("aborted", "silent", "faulty", "failed", "lost", "machine-lost", "refused");
-  private static final int GAP = 2;
-  private static final int NARROWEST = 6;
+  private static final int COLUMN_GAP = 2;
+  private static final int MIN_COLUMN_WIDTH = 6;
 
-  private final PrintWriter out;
-  private final CommonOptions.OutputFormat form;
-  private final boolean color;
-  private final int width;
+  private final PrintWriter writer;
+  private final CommonOptions.OutputFormat format;
+  private final boolean useColor;
+  private final int maxLineWidth;
 
-  Output(PrintWriter out, CommonOptions.OutputFormat form, boolean color, int width) {
-    this.out = out;
-    this.form = form;
-    this.color = color;
-    this.width = width;
+  Output(
+      PrintWriter writer, CommonOptions.OutputFormat format, boolean useColor, int maxLineWidth) {
+    this.writer = writer;
+    this.format = format;
+    this.useColor = useColor;
+    this.maxLineWidth = maxLineWidth;
   }
 
   /** Rows with the columns that a table shows; JSON and CSV have all there is. */
-  void rows(JsonNode answer, String... columns) {
+  void printRows(JsonNode answer, String... columns) {
     List<JsonNode> rows = new ArrayList<>();
     answer.path("rows").forEach(rows::add);
-    switch (form) {
-      case json -> line(answer);
-      case csv -> csv(rows, columns);
+    switch (format) {
+      case json -> printJson(answer);
+      case csv -> printCsv(rows, columns);
       default -> {
-        table(rows, columns);
-        asOf(answer);
+        printTable(rows, columns);
+        printAsOf(answer);
       }
     }
-    out.flush();
+    writer.flush();
   }
 
   /** One thing: its plain fields, then its lists as tables. */
-  void one(JsonNode answer) {
-    if (form == CommonOptions.OutputFormat.json) {
-      line(answer);
-    } else if (form == CommonOptions.OutputFormat.csv) {
-      csv(List.of(answer), names(answer).toArray(String[]::new));
+  void printObject(JsonNode answer) {
+    if (format == CommonOptions.OutputFormat.json) {
+      printJson(answer);
+    } else if (format == CommonOptions.OutputFormat.csv) {
+      printCsv(List.of(answer), valueFieldNames(answer).toArray(String[]::new));
     } else {
-      fields("", answer);
+      printFields("", answer);
       for (Iterator<Map.Entry<String, JsonNode>> it = answer.fields(); it.hasNext(); ) {
         Map.Entry<String, JsonNode> entry = it.next();
         if (entry.getValue().isArray() && !entry.getValue().isEmpty()) {
-          out.println();
+          writer.println();
           List<JsonNode> rows = new ArrayList<>();
           entry.getValue().forEach(rows::add);
-          table(rows, columnsOf(rows));
+          printTable(rows, valueColumns(rows));
         }
       }
-      asOf(answer);
+      printAsOf(answer);
     }
-    out.flush();
+    writer.flush();
   }
 
-  private void line(JsonNode answer) {
-    out.println(new String(Json.bytes(answer), StandardCharsets.UTF_8));
+  private void printJson(JsonNode answer) {
+    writer.println(new String(Json.bytes(answer), StandardCharsets.UTF_8));
   }
 
   /** A plain line, in every form. */
-  void say(String line) {
-    out.println(line);
-    out.flush();
+  void printLine(String line) {
+    writer.println(line);
+    writer.flush();
   }
 
-  private void asOf(JsonNode answer) {
-    JsonNode node = answer.path("asOf");
-    if (node.isObject()) {
-      out.println(
+  private void printAsOf(JsonNode answer) {
+    JsonNode asOf = answer.path("asOf");
+    if (asOf.isObject()) {
+      writer.println(
           "as of term %s, epoch %s, told by %s"
               .formatted(
-                  node.path("term").asText(),
-                  node.path("epoch").asText(),
-                  node.path("by").asText()));
+                  asOf.path("term").asText(),
+                  asOf.path("epoch").asText(),
+                  asOf.path("by").asText()));
     }
   }
 
-  private static List<String> names(JsonNode node) {
-    List<String> out = new ArrayList<>();
+  private static List<String> valueFieldNames(JsonNode node) {
+    List<String> fieldNames = new ArrayList<>();
     node.fieldNames()
         .forEachRemaining(
-            n -> {
-              if (node.get(n).isValueNode()) {
-                out.add(n);
+            fieldName -> {
+              if (node.get(fieldName).isValueNode()) {
+                fieldNames.add(fieldName);
               }
             });
-    return out;
+    return fieldNames;
   }
 
-  private static String[] columnsOf(List<JsonNode> rows) {
-    Set<String> out = new java.util.LinkedHashSet<>();
-    rows.forEach(r -> out.addAll(names(r)));
-    return out.toArray(String[]::new);
+  private static String[] valueColumns(List<JsonNode> rows) {
+    Set<String> columns = new java.util.LinkedHashSet<>();
+    rows.forEach(row -> columns.addAll(valueFieldNames(row)));
+    return columns.toArray(String[]::new);
   }
 
-  private void fields(String prefix, JsonNode node) {
+  private void printFields(String prefix, JsonNode node) {
     for (Iterator<Map.Entry<String, JsonNode>> it = node.fields(); it.hasNext(); ) {
       Map.Entry<String, JsonNode> entry = it.next();
       if (entry.getKey().equals("asOf") || entry.getValue().isArray()) {
         continue;
       }
       if (entry.getValue().isObject()) {
-        fields(prefix + entry.getKey() + ".", entry.getValue());
+        printFields(prefix + entry.getKey() + ".", entry.getValue());
       } else {
         String name = prefix + entry.getKey();
-        out.println(pad(name, 24) + " " + painted(text(entry.getKey(), entry.getValue())));
+        writer.println(
+            pad(name, 24) + " " + colorize(formatValue(entry.getKey(), entry.getValue())));
       }
     }
   }
 
   // ---- tables ----
 
-  private void table(List<JsonNode> rows, String... columns) {
+  private void printTable(List<JsonNode> rows, String... columns) {
     List<String[]> cells = new ArrayList<>();
     int[] widths = new int[columns.length];
     for (int c = 0; c < columns.length; c++) {
       widths[c] = columns[c].length();
     }
-    for (JsonNode node : rows) {
+    for (JsonNode row : rows) {
       String[] line = new String[columns.length];
       for (int c = 0; c < columns.length; c++) {
-        line[c] = text(columns[c], node.path(columns[c]));
+        line[c] = formatValue(columns[c], row.path(columns[c]));
         widths[c] = Math.max(widths[c], line[c].length());
       }
       cells.add(line);
     }
-    fit(widths);
+    shrinkToFit(widths);
     StringBuilder head = new StringBuilder();
     for (int c = 0; c < columns.length; c++) {
-      head.append(pad(cut(columns[c].toUpperCase(Locale.ROOT), widths[c]), widths[c] + GAP));
+      head.append(
+          pad(truncate(columns[c].toUpperCase(Locale.ROOT), widths[c]), widths[c] + COLUMN_GAP));
     }
-    out.println(head.toString().stripTrailing());
+    writer.println(head.toString().stripTrailing());
     for (String[] line : cells) {
       StringBuilder builder = new StringBuilder();
       for (int c = 0; c < columns.length; c++) {
-        String cell = cut(line[c], widths[c]);
+        String cell = truncate(line[c], widths[c]);
         boolean last = c == columns.length - 1;
         builder
-            .append(painted(cell))
-            .append(last ? "" : " ".repeat(widths[c] + GAP - cell.length()));
+            .append(colorize(cell))
+            .append(last ? "" : " ".repeat(widths[c] + COLUMN_GAP - cell.length()));
       }
-      out.println(builder.toString().stripTrailing());
+      writer.println(builder.toString().stripTrailing());
     }
   }
 
   /** Narrows the widest columns until a line fits the terminal. */
-  private void fit(int[] widths) {
+  private void shrinkToFit(int[] widths) {
     while (true) {
-      int sum = -GAP;
-      int widest = 0;
+      int lineWidth = -COLUMN_GAP;
+      int widestColumn = 0;
       for (int c = 0; c < widths.length; c++) {
-        sum += widths[c] + GAP;
-        widest = widths[c] > widths[widest] ? c : widest;
+        lineWidth += widths[c] + COLUMN_GAP;
+        widestColumn = widths[c] > widths[widestColumn] ? c : widestColumn;
       }
-      if (sum <= width || widths.length == 0 || widths[widest] <= NARROWEST) {
+      if (lineWidth <= maxLineWidth
+          || widths.length == 0
+          || widths[widestColumn] <= MIN_COLUMN_WIDTH) {
         return;
       }
-      widths[widest] = Math.max(NARROWEST, widths[widest] - (sum - width));
+      widths[widestColumn] =
+          Math.max(MIN_COLUMN_WIDTH, widths[widestColumn] - (lineWidth - maxLineWidth));
     }
   }
 
-  private static String pad(String s, int to) {
-    return s.length() >= to ? s : s + " ".repeat(to - s.length());
+  private static String pad(String text, int length) {
+    return text.length() >= length ? text : text + " ".repeat(length - text.length());
   }
 
-  private static String cut(String s, int to) {
-    return s.length() <= to ? s : s.substring(0, to - 1) + "~";
+  private static String truncate(String text, int maxLength) {
+    return text.length() <= maxLength ? text : text.substring(0, maxLength - 1) + "~";
   }
 
-  private String painted(String s) {
-    if (!color) {
-      return s;
+  private String colorize(String text) {
+    if (!useColor) {
+      return text;
     }
-    String word = s.strip();
-    String style = GOOD.contains(word) ? "green" : BAD.contains(word) ? "red" : null;
-    return style == null ? s : Ansi.ON.string("@|" + style + " " + s + "|@");
+    String word = text.strip();
+    String style = GREEN_WORDS.contains(word) ? "green" : RED_WORDS.contains(word) ? "red" : null;
+    return style == null ? text : Ansi.ON.string("@|" + style + " " + text + "|@");
   }
 
-  private static String text(String column, JsonNode node) {
+  private static String formatValue(String column, JsonNode node) {
     if (node.isMissingNode() || node.isNull()) {
       return "-";
     }
     if (node.isFloatingPointNumber()) {
-      double d = node.doubleValue();
-      return d == Math.rint(d) && Math.abs(d) < 1e9
-          ? Long.toString((long) d)
-          : String.format(Locale.ROOT, "%.1f", d);
+      double number = node.doubleValue();
+      return number == Math.rint(number) && Math.abs(number) < 1e9
+          ? Long.toString((long) number)
+          : String.format(Locale.ROOT, "%.1f", number);
     }
     if (column.equals("at") || column.equals("accepted")) {
       return java.time.Instant.ofEpochMilli(node.asLong()).toString();
@@ -214,34 +221,34 @@
 
   // ---- CSV ----
 
-  private void csv(List<JsonNode> rows, String... columns) {
-    try (CSVPrinter cSVPrinter = new CSVPrinter(new StringBuilder(), CSVFormat.RFC4180)) {
-      cSVPrinter.printRecord((Object[]) columns);
-      for (JsonNode node : rows) {
+  private void printCsv(List<JsonNode> rows, String... columns) {
+    try (CSVPrinter csvPrinter = new CSVPrinter(new StringBuilder(), CSVFormat.RFC4180)) {
+      csvPrinter.printRecord((Object[]) columns);
+      for (JsonNode row : rows) {
         List<String> line = new ArrayList<>();
-        for (String c : columns) {
-          JsonNode v = node.path(c);
+        for (String column : columns) {
+          JsonNode value = row.path(column);
           line.add(
-              v.isNull() || v.isMissingNode()
+              value.isNull() || value.isMissingNode()
                   ? ""
-                  : v.isContainerNode() ? v.toString() : v.asText());
+                  : value.isContainerNode() ? value.toString() : value.asText());
         }
-        cSVPrinter.printRecord(line);
+        csvPrinter.printRecord(line);
       }
-      out.print(cSVPrinter.getOut());
+      writer.print(csvPrinter.getOut());
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
   /** Puts rows of several pages into one answer, as of the last page. */
-  static ObjectNode gathered(List<JsonNode> rows, JsonNode last) {
-    ObjectNode object = Json.object();
-    if (last.has("asOf")) {
-      object.set("asOf", last.get("asOf"));
+  static ObjectNode mergePages(List<JsonNode> rows, JsonNode lastPage) {
+    ObjectNode merged = Json.object();
+    if (lastPage.has("asOf")) {
+      merged.set("asOf", lastPage.get("asOf"));
     }
-    var list = object.putArray("rows");
-    rows.forEach(list::add);
-    return object;
+    var mergedRows = merged.putArray("rows");
+    rows.forEach(mergedRows::add);
+    return merged;
   }
 }
--- a/src/main/java/dapplestair/client/ReplaceCommand.java
+++ b/src/main/java/dapplestair/client/ReplaceCommand.java
@@ -29,10 +29,12 @@
     @Parameters(paramLabel = "NAME")
     String name;
 
-    void tell(ApiClient api, Output out, String verb, ObjectNode body) throws CommandException {
-      JsonNode answer = api.post(PATH + "/" + encoded(name) + "/" + verb, body);
-      String already = answer.path("changed").asBoolean() ? "" : ", as before";
-      out.say("replacement " + name + ": " + answer.path("state").asText() + already);
+    void sendOrder(ApiClient api, Output output, String verb, ObjectNode body)
+        throws CommandException {
+      JsonNode answer = api.post(PATH + "/" + urlEncode(name) + "/" + verb, body);
+      String unchangedSuffix = answer.path("changed").asBoolean() ? "" : ", as before";
+      output.printLine(
+          "replacement " + name + ": " + answer.path("state").asText() + unchangedSuffix);
     }
   }
 
@@ -65,10 +67,10 @@
     private Double olderS;
 
     @Option(names = "--machine", paramLabel = "ID", description = "only these; repeat it")
-    private List<String> machines = List.of();
+    private List<String> machineIds = List.of();
 
     @Option(names = "--step", paramLabel = "N", description = "machines at a time (default: 1)")
-    private Integer step;
+    private Integer stepSize;
 
     @Option(names = "--step-ratio", paramLabel = "R", description = "the same, as a ratio to all")
     private Double stepRatio;
@@ -77,7 +79,7 @@
         names = "--beyond",
         paramLabel = "N",
         description = "new machines that may be up beyond the old (default: none)")
-    private Integer beyond;
+    private Integer maxSurge;
 
     @Option(names = "--watch", paramLabel = "SECONDS", description = "watch each step for so long")
     private Double watchS;
@@ -93,30 +95,30 @@
         names = "--slower",
         paramLabel = "R",
         description = "pause if the new are slower than the old by this ratio (default: 1.5)")
-    private Double slower;
+    private Double maxSlowdownRatio;
 
     @Option(names = "--why", paramLabel = "TEXT", description = "shown to whoever looks at it")
     private String why;
 
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
+    int run(ApiClient api, Output output) throws CommandException {
       if (spot && steady) {
         throw new CommandException(
             CommandException.WRONG_USAGE, "--spot and --steady leave no machine");
       }
       ObjectNode body = Json.object();
       body.put("zone", zone).put("type", type).put("why", why);
-      body.put("older_s", olderS).put("step", step).put("step_ratio", stepRatio);
-      body.put("beyond", beyond).put("watch_s", watchS).put("deadline_s", deadlineS);
-      body.put("slower", slower);
+      body.put("older_s", olderS).put("step", stepSize).put("step_ratio", stepRatio);
+      body.put("beyond", maxSurge).put("watch_s", watchS).put("deadline_s", deadlineS);
+      body.put("slower", maxSlowdownRatio);
       if (spot || steady) {
         body.put("spot", spot);
       }
-      if (!machines.isEmpty()) {
-        machines.forEach(body.putArray("machines")::add);
+      if (!machineIds.isEmpty()) {
+        machineIds.forEach(body.putArray("machines")::add);
       }
       body.properties().removeIf(e -> e.getValue().isNull());
-      tell(api, out, "start", body);
+      sendOrder(api, output, "start", body);
       return 0;
     }
   }
@@ -124,8 +126,8 @@
   @Command(name = "list", description = "List replacements, and how far they are.")
   static final class ListReplacements extends ClientCommand {
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      out.rows(
+    int run(ApiClient api, Output output) throws CommandException {
+      output.printRows(
           api.get(PATH),
           "name",
           "state",
@@ -143,8 +145,8 @@
   @Command(name = "show", description = "Show one replacement.")
   static final class ShowReplacement extends NamedOrderCommand {
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      out.one(api.get(PATH + "/" + encoded(name)));
+    int run(ApiClient api, Output output) throws CommandException {
+      output.printObject(api.get(PATH + "/" + urlEncode(name)));
       return 0;
     }
   }
@@ -155,8 +157,8 @@
     private String why = "";
 
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      tell(api, out, "pause", Json.object().put("why", why));
+    int run(ApiClient api, Output output) throws CommandException {
+      sendOrder(api, output, "pause", Json.object().put("why", why));
       return 0;
     }
   }
@@ -164,8 +166,8 @@
   @Command(name = "resume", description = "Go on with a replacement that pauses.")
   static final class Resume extends NamedOrderCommand {
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      tell(api, out, "resume", Json.object());
+    int run(ApiClient api, Output output) throws CommandException {
+      sendOrder(api, output, "resume", Json.object());
       return 0;
     }
   }
@@ -173,8 +175,8 @@
   @Command(name = "abort", description = "End a replacement; what is still old stays in use.")
   static final class Abort extends NamedOrderCommand {
     @Override
-    int run(ApiClient api, Output out) throws CommandException {
-      tell(api, out, "abort", Json.object());
+    int run(ApiClient api, Output output) throws CommandException {
+      sendOrder(api, output, "abort", Json.object());
       return 0;
     }
   }
--- a/src/main/java/dapplestair/client/WatchCommand.java
+++ b/src/main/java/dapplestair/client/WatchCommand.java
@@ -16,77 +16,78 @@
           + " for the timeout."
     })
 final class WatchCommand extends ClientCommand {
-  private static final long EVERY_MS = 500;
-  private static final int BAR = 30;
+  private static final long POLL_INTERVAL_MS = 500;
+  private static final int BAR_WIDTH = 30;
 
   @Parameters(paramLabel = "REF", arity = "1..*")
   private List<String> refs;
 
   @Override
-  int run(ApiClient api, Output out) throws CommandException {
-    Map<String, String> last = new LinkedHashMap<>();
-    Map<String, Long> tasks = new LinkedHashMap<>();
+  int run(ApiClient api, Output output) throws CommandException {
+    Map<String, String> lastLines = new LinkedHashMap<>();
+    Map<String, Long> taskCounts = new LinkedHashMap<>();
     boolean aborted = false;
     while (true) {
-      boolean allOver = true;
+      boolean allFinished = true;
       for (String ref : refs) {
-        String before = last.get(ref);
-        if (over(before)) {
+        String previousLine = lastLines.get(ref);
+        if (isFinished(previousLine)) {
           continue;
         }
-        JsonNode node = api.get("/submissions/" + encoded(ref));
-        String line = line(api, ref, node, tasks);
-        if (!line.equals(before)) {
-          last.put(ref, line);
-          show(out, line);
+        JsonNode job = api.get("/submissions/" + urlEncode(ref));
+        String line = statusLine(api, ref, job, taskCounts);
+        if (!line.equals(previousLine)) {
+          lastLines.put(ref, line);
+          printStatus(output, line);
         }
-        aborted |= node.path("status").asText().equals("aborted");
-        allOver &= over(line);
+        aborted |= job.path("status").asText().equals("aborted");
+        allFinished &= isFinished(line);
       }
-      if (allOver) {
+      if (allFinished) {
         return aborted ? CommandException.REFUSED : 0;
       }
-      pause();
+      sleepUntilNextPoll();
     }
   }
 
-  private static boolean over(String line) {
+  private static boolean isFinished(String line) {
     return line != null && (line.endsWith(" done") || line.endsWith(" aborted"));
   }
 
-  private String line(ApiClient api, String ref, JsonNode node, Map<String, Long> tasks)
+  private String statusLine(ApiClient api, String ref, JsonNode job, Map<String, Long> taskCounts)
       throws CommandException {
-    String status = node.path("status").asText();
-    if (!node.has("done")) {
+    String status = job.path("status").asText();
+    if (!job.has("done")) {
       return ref + " " + status;
     }
-    if (!tasks.containsKey(ref)) {
-      tasks.put(ref, api.get("/v1/jobs/" + encoded(ref)).path("tasks").asLong(0));
+    if (!taskCounts.containsKey(ref)) {
+      taskCounts.put(ref, api.get("/v1/jobs/" + urlEncode(ref)).path("tasks").asLong(0));
     }
-    long of = tasks.get(ref);
+    long taskCount = taskCounts.get(ref);
     String counts =
         "%s %s, %d of %d done, %d running"
-            .formatted(ref, status, node.path("done").asLong(), of, node.path("running").asLong());
-    if (!common.terminal() || of == 0) {
+            .formatted(
+                ref, status, job.path("done").asLong(), taskCount, job.path("running").asLong());
+    if (!common.isTerminal() || taskCount == 0) {
       return counts;
     }
-    int full = (int) (BAR * node.path("done").asLong() / of);
-    return "[" + "#".repeat(full) + ".".repeat(BAR - full) + "] " + counts;
+    int filledWidth = (int) (BAR_WIDTH * job.path("done").asLong() / taskCount);
+    return "[" + "#".repeat(filledWidth) + ".".repeat(BAR_WIDTH - filledWidth) + "] " + counts;
   }
 
   /** On a terminal one job has one line that moves; elsewhere each change is a line. */
-  private void show(Output out, String line) {
-    if (common.terminal() && refs.size() == 1 && !over(line)) {
+  private void printStatus(Output output, String line) {
+    if (common.isTerminal() && refs.size() == 1 && !isFinished(line)) {
       spec.commandLine().getOut().print("\r\u001b[K" + line);
       spec.commandLine().getOut().flush();
     } else {
-      out.say((common.terminal() && refs.size() == 1 ? "\r\u001b[K" : "") + line);
+      output.printLine((common.isTerminal() && refs.size() == 1 ? "\r\u001b[K" : "") + line);
     }
   }
 
-  private static void pause() throws CommandException {
+  private static void sleepUntilNextPoll() throws CommandException {
     try {
-      Thread.sleep(EVERY_MS);
+      Thread.sleep(POLL_INTERVAL_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new CommandException(1, "interrupted");
--- a/src/main/java/dapplestair/daemon/ControllerRegistration.java
+++ b/src/main/java/dapplestair/daemon/ControllerRegistration.java
@@ -6,25 +6,34 @@
 
 /** Tells the emulated workers where the controller is, again and again: they may start anew. */
 public final class ControllerRegistration {
-  private static final long EVERY_MS = 1000;
+  private static final long INTERVAL_MS = 1000;
 
   private ControllerRegistration() {}
 
   /** Begins; goes on while the loop does. */
-  public static void repeat(ControllerEventLoop loop, String outside, String endpoint) {
+  public static void registerPeriodically(
+      ControllerEventLoop loop, String emulatorEndpoint, String controllerEndpoint) {
     loop.executor()
-        .execute(() -> tell(loop, new HttpPool(loop, 1, EVERY_MS / 2), outside, endpoint));
+        .execute(
+            () ->
+                register(
+                    loop,
+                    new HttpPool(loop, 1, INTERVAL_MS / 2),
+                    emulatorEndpoint,
+                    controllerEndpoint));
   }
 
-  private static void tell(
-      ControllerEventLoop loop, HttpPool http, String outside, String endpoint) {
-    byte[] body = Json.bytes(Json.object().put("endpoint", endpoint));
+  private static void register(
+      ControllerEventLoop loop, HttpPool http, String emulatorEndpoint, String controllerEndpoint) {
+    byte[] body = Json.bytes(Json.object().put("endpoint", controllerEndpoint));
     http.call(
-        outside,
+        emulatorEndpoint,
         "PUT",
         "/emulator/controllers/" + DaemonSettings.MEMBER,
         body,
-        EVERY_MS,
-        reply -> loop.after(EVERY_MS, () -> tell(loop, http, outside, endpoint)));
+        INTERVAL_MS,
+        reply ->
+            loop.after(
+                INTERVAL_MS, () -> register(loop, http, emulatorEndpoint, controllerEndpoint)));
   }
 }
--- a/src/main/java/dapplestair/daemon/DaemonSettings.java
+++ b/src/main/java/dapplestair/daemon/DaemonSettings.java
@@ -41,12 +41,12 @@
   /** Name of the one controller. */
   static final String MEMBER = "daemon";
 
-  private static final double MOST = 1e6;
+  private static final double MAX_NUMBER = 1e6;
 
   /** What holds without a file. */
   public static DaemonSettings defaults() {
     try {
-      return read("defaults", Json.object());
+      return parse("defaults", Json.object());
     } catch (SettingsException e) {
       throw new IllegalStateException(e);
     }
@@ -55,7 +55,7 @@
   /** Loads and checks a file. */
   public static DaemonSettings load(Path path) throws SettingsException {
     try {
-      return read(path.toString(), new TomlMapper().readTree(Files.readString(path)));
+      return parse(path.toString(), new TomlMapper().readTree(Files.readString(path)));
     } catch (JsonProcessingException e) {
       throw new SettingsException(path + ": not TOML: " + e.getOriginalMessage());
     } catch (IOException e) {
@@ -64,11 +64,11 @@
   }
 
   /** The settings of the one controller, which meets everything outside at one address. */
-  public Settings controller(Address users, String outsideEndpoint) {
+  public Settings controllerSettings(Address userAddress, String outsideEndpoint) {
     return new Settings(
         MEMBER,
         emulatorSettings.zones().get(0),
-        users,
+        userAddress,
         new Address("127.0.0.1", 0),
         List.of(),
         outsideEndpoint,
@@ -82,9 +82,9 @@
         new Settings.Resources(1, 512, 4000));
   }
 
-  private static DaemonSettings read(String file, JsonNode root) throws SettingsException {
-    Fields top = new Fields(file, "", root);
-    top.only(
+  private static DaemonSettings parse(String file, JsonNode root) throws SettingsException {
+    TomlTable rootTable = new TomlTable(file, "", root);
+    rootTable.requireOnly(
         "listen",
         "admin",
         "outside",
@@ -94,8 +94,8 @@
         "machines",
         "teams",
         "objectives");
-    Fields limits = top.table("limits");
-    limits.only(
+    TomlTable limits = rootTable.subtable("limits");
+    limits.requireOnly(
         "report_s",
         "lease_s",
         "cancel_s",
@@ -112,33 +112,34 @@
             limits.millis("cancel_s", 30));
     Settings.State state =
         new Settings.State(
-            limits.number("state_rps", 2000, 1, MOST),
-            limits.number("state_write_rps", 500, 1, MOST),
+            limits.number("state_rps", 2000, 1, MAX_NUMBER),
+            limits.number("state_write_rps", 500, 1, MAX_NUMBER),
             (int) (1024 * limits.number("value_kb", 16, 1, 1024)),
             (int) limits.number("txn_ops", 24, 4, 1000));
     Settings.Cloud cloud =
-        new Settings.Cloud(limits.number("cloud_rps", 20, 1, MOST), limits.millis("list_lag_s", 1));
+        new Settings.Cloud(
+            limits.number("cloud_rps", 20, 1, MAX_NUMBER), limits.millis("list_lag_s", 1));
     return new DaemonSettings(
-        top.address("listen", "127.0.0.1:8080"),
-        top.address("admin", "127.0.0.1:8081"),
-        top.address("outside", "127.0.0.1:8082"),
-        (long) top.number("seed", 0, 0, Long.MAX_VALUE),
-        shape(top, workers, cloud, state),
-        teams(top),
-        objectives(top),
+        rootTable.address("listen", "127.0.0.1:8080"),
+        rootTable.address("admin", "127.0.0.1:8081"),
+        rootTable.address("outside", "127.0.0.1:8082"),
+        (long) rootTable.number("seed", 0, 0, Long.MAX_VALUE),
+        parseEmulatorSettings(rootTable, workers, cloud, state),
+        parseTeams(rootTable),
+        parseObjectives(rootTable),
         workers,
         state,
         cloud);
   }
 
-  private static EmulatorSettings shape(
-      Fields top, Settings.Workers workers, Settings.Cloud cloud, Settings.State state)
+  private static EmulatorSettings parseEmulatorSettings(
+      TomlTable rootTable, Settings.Workers workers, Settings.Cloud cloud, Settings.State state)
       throws SettingsException {
-    Fields cluster = top.table("cluster");
-    cluster.only("zones", "per_zone", "never_boots");
+    TomlTable cluster = rootTable.subtable("cluster");
+    cluster.requireOnly("zones", "per_zone", "never_boots");
     return new EmulatorSettings(
-        machines(top),
-        cluster.names("zones", List.of("a", "b", "c")),
+        parseMachines(rootTable),
+        cluster.nameList("zones", List.of("a", "b", "c")),
         (int) cluster.number("per_zone", 20, 1, 10_000),
         cluster.number("never_boots", 0, 0, 1),
         workers.reportMs(),
@@ -150,10 +151,11 @@
         10_000);
   }
 
-  private static List<EmulatorSettings.MachineSpec> machines(Fields top) throws SettingsException {
-    List<EmulatorSettings.MachineSpec> out = new ArrayList<>();
-    for (Fields fields : top.tables("machines")) {
-      fields.only(
+  private static List<EmulatorSettings.MachineSpec> parseMachines(TomlTable rootTable)
+      throws SettingsException {
+    List<EmulatorSettings.MachineSpec> machineSpecs = new ArrayList<>();
+    for (TomlTable fields : rootTable.subtables("machines")) {
+      fields.requireOnly(
           "name",
           "cpus",
           "gpus",
@@ -163,139 +165,147 @@
           "price",
           "spot_price",
           "boot_s");
-      double price = fields.number("price", 1, 0, MOST);
-      out.add(
+      double price = fields.number("price", 1, 0, MAX_NUMBER);
+      machineSpecs.add(
           new EmulatorSettings.MachineSpec(
-              fields.text("name"),
-              fields.number("cpus", 8, 0.1, MOST),
-              fields.number("gpus", 0, 0, MOST),
-              fields.number("memory_gb", 32, 0.1, MOST),
-              fields.number("cache_gb", 50, 0.1, MOST),
-              fields.number("fetch_gb_per_s", 1, 0.001, MOST),
+              fields.requiredText("name"),
+              fields.number("cpus", 8, 0.1, MAX_NUMBER),
+              fields.number("gpus", 0, 0, MAX_NUMBER),
+              fields.number("memory_gb", 32, 0.1, MAX_NUMBER),
+              fields.number("cache_gb", 50, 0.1, MAX_NUMBER),
+              fields.number("fetch_gb_per_s", 1, 0.001, MAX_NUMBER),
               price,
-              fields.number("spot_price", price * 0.4, 0, MOST),
-              fields.number("boot_s", 1, 0.1, MOST)));
+              fields.number("spot_price", price * 0.4, 0, MAX_NUMBER),
+              fields.number("boot_s", 1, 0.1, MAX_NUMBER)));
     }
-    return out.isEmpty()
+    return machineSpecs.isEmpty()
         ? List.of(new EmulatorSettings.MachineSpec("m8", 8, 0, 32, 50, 1, 1, 0.4, 1))
-        : List.copyOf(out);
+        : List.copyOf(machineSpecs);
   }
 
-  private static Map<String, Settings.Team> teams(Fields top) throws SettingsException {
-    Map<String, Settings.Team> out = new LinkedHashMap<>();
-    for (Fields fields : top.tables("teams")) {
-      fields.only("name", "cpus", "cpus_max", "gpus", "gpus_max");
-      String name = fields.text("name");
-      out.put(
+  private static Map<String, Settings.Team> parseTeams(TomlTable rootTable)
+      throws SettingsException {
+    Map<String, Settings.Team> teamsByName = new LinkedHashMap<>();
+    for (TomlTable fields : rootTable.subtables("teams")) {
+      fields.requireOnly("name", "cpus", "cpus_max", "gpus", "gpus_max");
+      String name = fields.requiredText("name");
+      teamsByName.put(
           name,
           new Settings.Team(
               name,
-              fields.number("cpus", 0, 0, MOST),
-              fields.number("cpus_max", 0, 0, MOST),
-              fields.number("gpus", 0, 0, MOST),
-              fields.number("gpus_max", 0, 0, MOST)));
+              fields.number("cpus", 0, 0, MAX_NUMBER),
+              fields.number("cpus_max", 0, 0, MAX_NUMBER),
+              fields.number("gpus", 0, 0, MAX_NUMBER),
+              fields.number("gpus_max", 0, 0, MAX_NUMBER)));
     }
-    return out.isEmpty()
+    return teamsByName.isEmpty()
         ? Map.of("default", new Settings.Team("default", 0, 0, 0, 0))
-        : Map.copyOf(out);
+        : Map.copyOf(teamsByName);
   }
 
-  private static List<Settings.Objective> objectives(Fields top) throws SettingsException {
-    List<Settings.Objective> out = new ArrayList<>();
-    for (Fields fields : top.tables("objectives")) {
-      fields.only("kind", "class", "within_s", "share");
-      out.add(
+  private static List<Settings.Objective> parseObjectives(TomlTable rootTable)
+      throws SettingsException {
+    List<Settings.Objective> parsedObjectives = new ArrayList<>();
+    for (TomlTable fields : rootTable.subtables("objectives")) {
+      fields.requireOnly("kind", "class", "within_s", "share");
+      parsedObjectives.add(
           new Settings.Objective(
-              fields.text("kind"),
-              fields.text("class"),
-              fields.number("within_s", 0, 0, MOST),
+              fields.requiredText("kind"),
+              fields.requiredText("class"),
+              fields.number("within_s", 0, 0, MAX_NUMBER),
               fields.number("share", 0, 0, 1)));
     }
-    return List.copyOf(out);
+    return List.copyOf(parsedObjectives);
   }
 
   /** A table of the file, read field by field with clear messages. */
-  private record Fields(String file, String at, JsonNode node) {
-    void only(String... names) throws SettingsException {
-      Set<String> known = Set.of(names);
+  private record TomlTable(String file, String prefix, JsonNode node) {
+    void requireOnly(String... names) throws SettingsException {
+      Set<String> knownNames = Set.of(names);
       for (var it = node.fieldNames(); it.hasNext(); ) {
         String name = it.next();
-        if (!known.contains(name)) {
-          throw new SettingsException(file + ": " + at + name + ": no such field");
+        if (!knownNames.contains(name)) {
+          throw new SettingsException(file + ": " + prefix + name + ": no such field");
         }
       }
     }
 
-    Fields table(String name) throws SettingsException {
-      JsonNode v = node.path(name);
-      if (!v.isMissingNode() && !v.isObject()) {
-        throw bad(name, v, "a table");
+    TomlTable subtable(String name) throws SettingsException {
+      JsonNode value = node.path(name);
+      if (!value.isMissingNode() && !value.isObject()) {
+        throw invalidField(name, value, "a table");
       }
-      return new Fields(file, at + name + ".", v);
+      return new TomlTable(file, prefix + name + ".", value);
     }
 
-    List<Fields> tables(String name) throws SettingsException {
-      List<Fields> out = new ArrayList<>();
-      for (JsonNode n : node.path(name)) {
-        if (!n.isObject()) {
-          throw bad(name, n, "tables");
+    List<TomlTable> subtables(String name) throws SettingsException {
+      List<TomlTable> subtables = new ArrayList<>();
+      for (JsonNode element : node.path(name)) {
+        if (!element.isObject()) {
+          throw invalidField(name, element, "tables");
         }
-        out.add(new Fields(file, at + name + "[" + out.size() + "].", n));
+        subtables.add(new TomlTable(file, prefix + name + "[" + subtables.size() + "].", element));
       }
-      return out;
+      return subtables;
     }
 
-    List<String> names(String name, List<String> otherwise) throws SettingsException {
-      JsonNode v = node.path(name);
-      if (v.isMissingNode()) {
-        return otherwise;
+    List<String> nameList(String name, List<String> defaultNames) throws SettingsException {
+      JsonNode value = node.path(name);
+      if (value.isMissingNode()) {
+        return defaultNames;
       }
-      List<String> out = new ArrayList<>();
-      for (JsonNode n : v) {
-        if (!n.isTextual() || n.textValue().isEmpty()) {
-          throw bad(name, v, "a list of names");
+      List<String> values = new ArrayList<>();
+      for (JsonNode element : value) {
+        if (!element.isTextual() || element.textValue().isEmpty()) {
+          throw invalidField(name, value, "a list of names");
         }
-        out.add(n.textValue());
+        values.add(element.textValue());
       }
-      if (out.isEmpty()) {
-        throw bad(name, v, "a list of names");
+      if (values.isEmpty()) {
+        throw invalidField(name, value, "a list of names");
       }
-      return List.copyOf(out);
+      return List.copyOf(values);
     }
 
-    String text(String name) throws SettingsException {
-      String v = Json.text(node, name);
-      if (v == null || v.isEmpty()) {
-        throw bad(name, node.path(name), "a text");
+    String requiredText(String name) throws SettingsException {
+      String value = Json.text(node, name);
+      if (value == null || value.isEmpty()) {
+        throw invalidField(name, node.path(name), "a text");
       }
-      return v;
+      return value;
     }
 
-    double number(String name, double otherwise, double low, double high) throws SettingsException {
-      JsonNode v = node.path(name);
-      double d = v.isMissingNode() ? otherwise : v.isNumber() ? v.doubleValue() : Double.NaN;
-      if (!(d >= low && d <= high)) {
-        throw bad(name, v, "a number from " + low + " to " + high);
+    double number(String name, double defaultValue, double min, double max)
+        throws SettingsException {
+      JsonNode value = node.path(name);
+      double number =
+          value.isMissingNode()
+              ? defaultValue
+              : value.isNumber() ? value.doubleValue() : Double.NaN;
+      if (!(number >= min && number <= max)) {
+        throw invalidField(name, value, "a number from " + min + " to " + max);
       }
-      return d;
+      return number;
     }
 
-    long millis(String name, double otherwise) throws SettingsException {
-      return Math.round(1000 * number(name, otherwise, 0.05, 86_400));
+    long millis(String name, double defaultSeconds) throws SettingsException {
+      return Math.round(1000 * number(name, defaultSeconds, 0.05, 86_400));
     }
 
-    Address address(String name, String otherwise) throws SettingsException {
-      JsonNode v = node.path(name);
-      Address address = v.isMissingNode() ? Address.parse(otherwise) : Address.parse(v.asText());
+    Address address(String name, String defaultAddress) throws SettingsException {
+      JsonNode value = node.path(name);
+      Address address =
+          value.isMissingNode() ? Address.parse(defaultAddress) : Address.parse(value.asText());
       if (address == null) {
-        throw bad(name, v, "host:port");
+        throw invalidField(name, value, "host:port");
       }
       return address;
     }
 
-    SettingsException bad(String name, JsonNode node, String wanted) {
-      String shown = node.isMissingNode() ? "missing" : node.toString();
-      return new SettingsException(file + ": " + at + name + " = " + shown + ": must be " + wanted);
+    SettingsException invalidField(String name, JsonNode value, String expected) {
+      String shownValue = value.isMissingNode() ? "missing" : value.toString();
+      return new SettingsException(
+          file + ": " + prefix + name + " = " + shownValue + ": must be " + expected);
     }
   }
 }
--- a/src/main/java/dapplestair/daemon/Emulation.java
+++ b/src/main/java/dapplestair/daemon/Emulation.java
@@ -28,20 +28,21 @@
  * on the machines can be read.
  */
 public final class Emulation implements AutoCloseable, ControllerDirectory {
-  private static final String OWN = "/emulator/";
-  private static final String CONTROLLERS = OWN + "controllers/";
-  private static final int MOST_CONNECTIONS = 4000;
-  private static final int CALLS_A_PLACE = 64;
+  private static final String EMULATOR_PATH = "/emulator/";
+  private static final String CONTROLLERS_PATH = EMULATOR_PATH + "controllers/";
+  private static final int MAX_CONNECTIONS = 4000;
+  private static final int MAX_CALLS_PER_ENDPOINT = 64;
 
   private final ControllerEventLoop loop = new ControllerEventLoop();
-  private final Map<String, String> controllers = new LinkedHashMap<>();
+  private final Map<String, String> endpointsByMember = new LinkedHashMap<>();
   private final HttpServer server;
   private final EmulatedState state;
   private final EmulatedCloud cloud;
 
   /** Everything as the settings say; nothing is served before {@link #start}. */
   public Emulation(DaemonSettings settings) {
-    HttpPool http = new HttpPool(loop, CALLS_A_PLACE, settings.emulatorSettings().reportMs() / 4);
+    HttpPool http =
+        new HttpPool(loop, MAX_CALLS_PER_ENDPOINT, settings.emulatorSettings().reportMs() / 4);
     LoopbackEnvironment environment =
         new LoopbackEnvironment(
             loop,
@@ -52,8 +53,8 @@
     state = new EmulatedState(environment, settings.emulatorSettings());
     cloud =
         new EmulatedCloud(
-            environment, settings.emulatorSettings(), this::job, this, TaskObserver.none());
-    server = new HttpServer(loop, HttpServer.Options.users(MOST_CONNECTIONS), this::handle);
+            environment, settings.emulatorSettings(), this::findJob, this, TaskObserver.none());
+    server = new HttpServer(loop, HttpServer.Options.users(MAX_CONNECTIONS), this::handle);
   }
 
   /** Serves; returns the port. */
@@ -63,21 +64,21 @@
 
   /** Makes a controller known to the workers. */
   public void register(String member, String endpoint) {
-    loop.executor().execute(() -> controllers.put(member, endpoint));
+    loop.executor().execute(() -> endpointsByMember.put(member, endpoint));
   }
 
   @Override
   public List<String> members() {
-    return List.copyOf(controllers.keySet());
+    return List.copyOf(endpointsByMember.keySet());
   }
 
   @Override
   public String endpoint(String member) {
-    return controllers.get(member);
+    return endpointsByMember.get(member);
   }
 
   /** What users uploaded is what they submitted: it is read where the controllers record it. */
-  private JsonNode job(String ref) {
+  private JsonNode findJob(String ref) {
     JsonNode record = state.value(StateKeys.job(ref));
     if (record == null) {
       record = state.value(StateKeys.finishedJob(ref));
@@ -86,38 +87,40 @@
   }
 
   private void handle(Exchange exchange) {
-    if (exchange.path().startsWith(OWN)) {
-      own(exchange);
+    if (exchange.path().startsWith(EMULATOR_PATH)) {
+      handleEmulatorRequest(exchange);
     } else {
-      boolean forCloud =
+      boolean isCloudRequest =
           exchange.path().equals("/machine_types") || exchange.path().startsWith("/rentals");
-      RequestHandler place = forCloud ? cloud : state;
-      EmulatorHttpAdapter.hand(exchange, place);
+      RequestHandler handler = isCloudRequest ? cloud : state;
+      EmulatorHttpAdapter.forward(exchange, handler);
     }
   }
 
-  private void own(Exchange exchange) {
-    if (exchange.path().startsWith(CONTROLLERS) && exchange.method().equals("PUT")) {
+  private void handleEmulatorRequest(Exchange exchange) {
+    if (exchange.path().startsWith(CONTROLLERS_PATH) && exchange.method().equals("PUT")) {
       String endpoint = Json.text(Json.parse(exchange.body()), "endpoint");
       if (endpoint == null) {
         exchange.reply(400, Json.bytes(Json.object().put("error", "endpoint: missing")), 0);
         return;
       }
-      controllers.put(exchange.path().substring(CONTROLLERS.length()), endpoint);
+      endpointsByMember.put(exchange.path().substring(CONTROLLERS_PATH.length()), endpoint);
       exchange.reply(200, Json.bytes(Json.object()), 0);
-    } else if (exchange.path().equals(OWN + "machines") && exchange.method().equals("GET")) {
-      exchange.reply(200, Json.bytes(machines()), 0);
+    } else if (exchange.path().equals(EMULATOR_PATH + "machines")
+        && exchange.method().equals("GET")) {
+      exchange.reply(200, Json.bytes(describeMachines()), 0);
     } else {
       exchange.reply(404, Json.bytes(Json.object().put("error", "no such path")), 0);
     }
   }
 
-  private ObjectNode machines() {
-    ObjectNode object = Json.object().put("violation", cloud.violation());
-    ArrayNode list = object.putArray("machines");
+  private ObjectNode describeMachines() {
+    ObjectNode response = Json.object().put("violation", cloud.violation());
+    ArrayNode machines = response.putArray("machines");
     for (EmulatedWorker emulatedWorker : cloud.machines()) {
       ArrayNode tasks =
-          list.addObject()
+          machines
+              .addObject()
               .put("id", emulatedWorker.id())
               .put("type", emulatedWorker.type())
               .put("zone", emulatedWorker.zone())
@@ -132,7 +135,7 @@
             .put("status", emulatedTask.status());
       }
     }
-    return object;
+    return response;
   }
 
   @Override
--- a/src/main/java/dapplestair/daemon/EmulatorHttpAdapter.java
+++ b/src/main/java/dapplestair/daemon/EmulatorHttpAdapter.java
@@ -7,10 +7,14 @@
 final class EmulatorHttpAdapter {
   private EmulatorHttpAdapter() {}
 
-  static void hand(Exchange exchange, RequestHandler place) {
+  static void forward(Exchange exchange, RequestHandler handler) {
     String path =
         exchange.query().isEmpty() ? exchange.path() : exchange.path() + "?" + exchange.query();
-    place.request(
-        "", exchange.method(), path, exchange.body(), r -> exchange.reply(r.status(), r.body(), 0));
+    handler.request(
+        "",
+        exchange.method(),
+        path,
+        exchange.body(),
+        reply -> exchange.reply(reply.status(), reply.body(), 0));
   }
 }
--- a/src/main/java/dapplestair/daemon/LoopbackEnvironment.java
+++ b/src/main/java/dapplestair/daemon/LoopbackEnvironment.java
@@ -19,14 +19,14 @@
 final class LoopbackEnvironment implements EmulatorEnvironment {
   private static final Logger LOG = LoggerFactory.getLogger(LoopbackEnvironment.class);
   private static final String HOST = "127.0.0.1";
-  private static final int CONNECTIONS_A_MACHINE = 16;
+  private static final int MAX_CONNECTIONS_PER_MACHINE = 16;
   // A machine without power is silent. Past any lease nobody calls it any more.
-  private static final long SILENT_MS = 60_000;
+  private static final long SILENCE_BEFORE_CLOSE_MS = 60_000;
 
   private final ControllerEventLoop loop;
   private final HttpPool http;
   private final UniformRandomProvider random;
-  private final Map<String, HttpServer> open = new HashMap<>();
+  private final Map<String, HttpServer> serversByName = new HashMap<>();
 
   LoopbackEnvironment(ControllerEventLoop loop, HttpPool http, UniformRandomProvider random) {
     this.loop = loop;
@@ -65,9 +65,10 @@
   }
 
   @Override
-  public void open(String name, RequestHandler place, Consumer<String> opened) {
-    HttpServer.Options options = HttpServer.Options.users(CONNECTIONS_A_MACHINE);
-    HttpServer server = new HttpServer(loop, options, x -> EmulatorHttpAdapter.hand(x, place));
+  public void open(String name, RequestHandler handler, Consumer<String> onOpened) {
+    HttpServer.Options options = HttpServer.Options.users(MAX_CONNECTIONS_PER_MACHINE);
+    HttpServer server =
+        new HttpServer(loop, options, exchange -> EmulatorHttpAdapter.forward(exchange, handler));
     server.open(
         new Address(HOST, 0),
         port -> {
@@ -75,13 +76,13 @@
             LOG.error("no port for {}", name);
             return;
           }
-          open.put(name, server);
-          opened.accept(HOST + ":" + port);
+          serversByName.put(name, server);
+          onOpened.accept(HOST + ":" + port);
         });
   }
 
   private void close(String name) {
-    HttpServer server = open.remove(name);
+    HttpServer server = serversByName.remove(name);
     if (server != null) {
       server.close();
     }
@@ -89,7 +90,7 @@
 
   @Override
   public void silence(String name) {
-    loop.after(SILENT_MS, () -> close(name));
+    loop.after(SILENCE_BEFORE_CLOSE_MS, () -> close(name));
   }
 
   @Override
--- a/src/main/java/dapplestair/keys/CertificateAuthority.java
+++ b/src/main/java/dapplestair/keys/CertificateAuthority.java
@@ -39,7 +39,7 @@
 /** A small certificate authority, for the listeners of controllers and for their operators. */
 final class CertificateAuthority {
   // Clocks of operators' machines need not agree with this one.
-  private static final Duration BEFORE = Duration.ofHours(1);
+  private static final Duration BACKDATING = Duration.ofHours(1);
 
   private final X509Certificate certificate;
   private final PrivateKey key;
@@ -50,18 +50,18 @@
   }
 
   /** A certificate with its key, as PEM. */
-  record Issued(String certificate, String key) {}
+  record IssuedCertificate(String certificatePem, String keyPem) {}
 
   /** A new authority with its own certificate. */
-  static CertificateAuthority create(String name, Instant now, Duration lasts)
+  static CertificateAuthority create(String name, Instant now, Duration validity)
       throws GeneralSecurityException, IOException {
-    KeyPair pair = pair();
-    X500Name self = new X500NameBuilder().addRDN(BCStyle.CN, name).build();
-    JcaX509v3CertificateBuilder builder = builder(self, self, pair, now, lasts);
+    KeyPair keyPair = generateKeyPair();
+    X500Name ownName = new X500NameBuilder().addRDN(BCStyle.CN, name).build();
+    JcaX509v3CertificateBuilder builder = createBuilder(ownName, ownName, keyPair, now, validity);
     builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(0));
     builder.addExtension(
         Extension.keyUsage, true, new KeyUsage(KeyUsage.keyCertSign | KeyUsage.cRLSign));
-    return new CertificateAuthority(signed(builder, pair.getPrivate()), pair.getPrivate());
+    return new CertificateAuthority(sign(builder, keyPair.getPrivate()), keyPair.getPrivate());
   }
 
   /** Reads one that was made earlier. */
@@ -73,25 +73,25 @@
                 .generateCertificate(
                     new java.io.ByteArrayInputStream(
                         certificatePem.getBytes(java.nio.charset.StandardCharsets.US_ASCII)));
-    try (PemReader in = new PemReader(new java.io.StringReader(keyPem))) {
-      byte[] bytes = in.readPemObject().getContent();
+    try (PemReader pemReader = new PemReader(new java.io.StringReader(keyPem))) {
+      byte[] encodedKey = pemReader.readPemObject().getContent();
       PrivateKey privateKey =
-          KeyFactory.getInstance("EC").generatePrivate(new PKCS8EncodedKeySpec(bytes));
+          KeyFactory.getInstance("EC").generatePrivate(new PKCS8EncodedKeySpec(encodedKey));
       return new CertificateAuthority(x509Certificate, privateKey);
     }
   }
 
-  Issued own() throws IOException {
-    return new Issued(pem(certificate), pem(key));
+  IssuedCertificate ownCertificate() throws IOException {
+    return new IssuedCertificate(toPem(certificate), toPem(key));
   }
 
   /** For a listener that is reached under these names and addresses. */
-  Issued server(List<String> names, Instant now, Duration lasts)
+  IssuedCertificate issueServerCertificate(List<String> names, Instant now, Duration validity)
       throws GeneralSecurityException, IOException {
-    KeyPair pair = pair();
+    KeyPair keyPair = generateKeyPair();
     X500Name subject = new X500NameBuilder().addRDN(BCStyle.CN, names.get(0)).build();
-    JcaX509v3CertificateBuilder builder = builder(issuer(), subject, pair, now, lasts);
-    GeneralName[] all =
+    JcaX509v3CertificateBuilder builder = createBuilder(issuer(), subject, keyPair, now, validity);
+    GeneralName[] subjectNames =
         names.stream()
             .map(
                 n ->
@@ -101,61 +101,62 @@
                             : GeneralName.dNSName,
                         n))
             .toArray(GeneralName[]::new);
-    builder.addExtension(Extension.subjectAlternativeName, false, new GeneralNames(all));
+    builder.addExtension(Extension.subjectAlternativeName, false, new GeneralNames(subjectNames));
     builder.addExtension(
         Extension.extendedKeyUsage, false, new ExtendedKeyUsage(KeyPurposeId.id_kp_serverAuth));
-    return new Issued(pem(signed(builder, key)), pem(pair.getPrivate()));
+    return new IssuedCertificate(toPem(sign(builder, key)), toPem(keyPair.getPrivate()));
   }
 
   /** For an operator; the organisational unit says what they may do. */
-  Issued client(String name, String role, Instant now, Duration lasts)
+  IssuedCertificate issueClientCertificate(String name, String role, Instant now, Duration validity)
       throws GeneralSecurityException, IOException {
-    KeyPair pair = pair();
+    KeyPair keyPair = generateKeyPair();
     X500Name subject =
         new X500NameBuilder().addRDN(BCStyle.OU, role).addRDN(BCStyle.CN, name).build();
-    JcaX509v3CertificateBuilder builder = builder(issuer(), subject, pair, now, lasts);
+    JcaX509v3CertificateBuilder builder = createBuilder(issuer(), subject, keyPair, now, validity);
     builder.addExtension(
         Extension.extendedKeyUsage, false, new ExtendedKeyUsage(KeyPurposeId.id_kp_clientAuth));
-    return new Issued(pem(signed(builder, key)), pem(pair.getPrivate()));
+    return new IssuedCertificate(toPem(sign(builder, key)), toPem(keyPair.getPrivate()));
   }
 
   private X500Name issuer() {
     return X500Name.getInstance(certificate.getSubjectX500Principal().getEncoded());
   }
 
-  private static KeyPair pair() throws GeneralSecurityException {
+  private static KeyPair generateKeyPair() throws GeneralSecurityException {
     KeyPairGenerator keyPairGenerator = KeyPairGenerator.getInstance("EC");
     keyPairGenerator.initialize(new ECGenParameterSpec("secp256r1"));
     return keyPairGenerator.generateKeyPair();
   }
 
-  private static JcaX509v3CertificateBuilder builder(
-      X500Name issuer, X500Name subject, KeyPair pair, Instant now, Duration lasts) {
+  private static JcaX509v3CertificateBuilder createBuilder(
+      X500Name issuer, X500Name subject, KeyPair keyPair, Instant now, Duration validity) {
     return new JcaX509v3CertificateBuilder(
         issuer,
         new BigInteger(127, new SecureRandom()),
-        Date.from(now.minus(BEFORE)),
-        Date.from(now.plus(lasts)),
+        Date.from(now.minus(BACKDATING)),
+        Date.from(now.plus(validity)),
         subject,
-        pair.getPublic());
+        keyPair.getPublic());
   }
 
-  private static X509Certificate signed(JcaX509v3CertificateBuilder builder, PrivateKey by)
+  private static X509Certificate sign(JcaX509v3CertificateBuilder builder, PrivateKey signingKey)
       throws GeneralSecurityException {
     try {
       return new JcaX509CertificateConverter()
-          .getCertificate(builder.build(new JcaContentSignerBuilder("SHA256withECDSA").build(by)));
+          .getCertificate(
+              builder.build(new JcaContentSignerBuilder("SHA256withECDSA").build(signingKey)));
     } catch (OperatorCreationException e) {
       throw new GeneralSecurityException(e);
     }
   }
 
-  private static String pem(Object what) throws IOException {
-    StringWriter out = new StringWriter();
-    try (JcaPEMWriter jcaPEMWriter = new JcaPEMWriter(out)) {
+  private static String toPem(Object object) throws IOException {
+    StringWriter writer = new StringWriter();
+    try (JcaPEMWriter jcaPEMWriter = new JcaPEMWriter(writer)) {
       jcaPEMWriter.writeObject(
-          what instanceof PrivateKey k ? new JcaPKCS8Generator(k, null) : what);
+          object instanceof PrivateKey k ? new JcaPKCS8Generator(k, null) : object);
     }
-    return out.toString();
+    return writer.toString();
   }
 }
--- a/src/main/java/dapplestair/keys/KeysCommand.java
+++ b/src/main/java/dapplestair/keys/KeysCommand.java
@@ -37,16 +37,16 @@
         description = "how long certificates last (default: ${DEFAULT-VALUE})")
     private int days;
 
-    abstract void make(Instant now) throws GeneralSecurityException, IOException;
+    abstract void generate(Instant now) throws GeneralSecurityException, IOException;
 
-    Duration lasts() {
+    Duration validity() {
       return Duration.ofDays(days);
     }
 
     @Override
     public Integer call() {
       try {
-        make(Instant.now());
+        generate(Instant.now());
         spec.commandLine().getOut().flush();
         return 0;
       } catch (IOException | GeneralSecurityException e) {
@@ -55,16 +55,16 @@
       }
     }
 
-    void say(String line) {
+    void printLine(String line) {
       spec.commandLine().getOut().println(line);
     }
 
     /** Never over something that is there: keys in use would be lost. */
-    static void write(Path file, String text, boolean secret) throws IOException {
+    static void write(Path file, String text, boolean isSecret) throws IOException {
       if (Files.exists(file)) {
         throw new IOException(file + " is there already");
       }
-      if (secret && file.getFileSystem().supportedFileAttributeViews().contains("posix")) {
+      if (isSecret && file.getFileSystem().supportedFileAttributeViews().contains("posix")) {
         Files.createFile(
             file,
             PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
@@ -72,10 +72,11 @@
       Files.writeString(file, text, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
-    static void write(Path folder, String name, CertificateAuthority.Issued issued)
+    static void writeKeyAndCertificate(
+        Path folder, String name, CertificateAuthority.IssuedCertificate issued)
         throws IOException {
-      write(folder.resolve(name + ".key"), issued.key(), true);
-      write(folder.resolve(name + ".pem"), issued.certificate(), false);
+      write(folder.resolve(name + ".key"), issued.keyPem(), true);
+      write(folder.resolve(name + ".pem"), issued.certificatePem(), false);
     }
   }
 
@@ -119,18 +120,19 @@
     private List<String> names = List.of("localhost", "127.0.0.1");
 
     @Override
-    void make(Instant now) throws GeneralSecurityException, IOException {
+    void generate(Instant now) throws GeneralSecurityException, IOException {
       Files.createDirectories(folder);
       CertificateAuthority ca =
-          CertificateAuthority.create("dapplestair operators", now, lasts().multipliedBy(10));
-      write(folder, "authority", ca.own());
-      write(folder, "server", ca.server(names, now, lasts()));
+          CertificateAuthority.create("dapplestair operators", now, validity().multipliedBy(10));
+      writeKeyAndCertificate(folder, "authority", ca.ownCertificate());
+      writeKeyAndCertificate(folder, "server", ca.issueServerCertificate(names, now, validity()));
       StringBuilder tokens = new StringBuilder();
       for (String role : List.of("view", "operate")) {
-        tokens.append(Token.line(role.equals("view") ? "viewer" : "operator", role, this));
+        tokens.append(
+            Token.createTokenLine(role.equals("view") ? "viewer" : "operator", role, this));
       }
       write(folder.resolve("tokens"), tokens.toString(), true);
-      say("made in " + folder + ": authority, server, tokens");
+      printLine("made in " + folder + ": authority, server, tokens");
     }
   }
 
@@ -146,13 +148,14 @@
     private String name;
 
     @Override
-    void make(Instant now) throws GeneralSecurityException, IOException {
+    void generate(Instant now) throws GeneralSecurityException, IOException {
       CertificateAuthority ca =
           CertificateAuthority.read(
               Files.readString(folder.resolve("authority.pem")),
               Files.readString(folder.resolve("authority.key")));
-      write(folder, "client-" + name, ca.client(name, role(), now, lasts()));
-      say("made " + folder.resolve("client-" + name + ".pem"));
+      writeKeyAndCertificate(
+          folder, "client-" + name, ca.issueClientCertificate(name, role(), now, validity()));
+      printLine("made " + folder.resolve("client-" + name + ".pem"));
     }
   }
 
@@ -161,7 +164,7 @@
       mixinStandardHelpOptions = true,
       description = "Add a token to a file of tokens; it is printed once.")
   static final class Token extends RoleCommand {
-    private static final int BYTES = 24;
+    private static final int TOKEN_BYTES = 24;
 
     @Parameters(index = "0", paramLabel = "FILE")
     private Path file;
@@ -170,20 +173,20 @@
     private String name;
 
     @Override
-    void make(Instant now) throws IOException {
+    void generate(Instant now) throws IOException {
       if (name.isBlank() || name.contains(" ") || name.startsWith("#")) {
         throw new IOException("a name has no blanks");
       }
-      String line = line(name, role(), this);
-      Files.writeString(file, line, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+      String tokenLine = createTokenLine(name, role(), this);
+      Files.writeString(file, tokenLine, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     }
 
     /** Prints a new token, and gives the line that a file holds of it. */
-    static String line(String name, String role, KeyGenerationCommand by) {
-      byte[] secret = new byte[BYTES];
-      new SecureRandom().nextBytes(secret);
-      String token = HexFormat.of().formatHex(secret);
-      by.say("token of " + name + " (" + role + "): " + token);
+    static String createTokenLine(String name, String role, KeyGenerationCommand command) {
+      byte[] tokenBytes = new byte[TOKEN_BYTES];
+      new SecureRandom().nextBytes(tokenBytes);
+      String token = HexFormat.of().formatHex(tokenBytes);
+      command.printLine("token of " + name + " (" + role + "): " + token);
       return name + " " + role + " " + CredentialStore.hash(token) + "\n";
     }
   }
--- a/src/test/java/dapplestair/keys/TlsTrustTest.java
+++ b/src/test/java/dapplestair/keys/TlsTrustTest.java
@@ -27,7 +27,7 @@
 /** Who trusts whom over TLS, with the client as a process of its own. */
 class TlsTrustTest {
   private static final Duration DAY = Duration.ofDays(1);
-  private static final List<String> HERE = List.of("localhost", "127.0.0.1");
+  private static final List<String> LOOPBACK_NAMES = List.of("localhost", "127.0.0.1");
 
   @TempDir private Path folder;
   private final ControllerEventLoop loop = new ControllerEventLoop();
@@ -36,10 +36,10 @@
   private Processes processes;
 
   @BeforeEach
-  void make() throws Exception {
+  void setUp() throws Exception {
     ca = CertificateAuthority.create("us", Instant.now(), DAY);
-    write("ca", ca.own());
-    write("anna", ca.client("anna", "operate", Instant.now(), DAY));
+    write("ca", ca.ownCertificate());
+    write("anna", ca.issueClientCertificate("anna", "operate", Instant.now(), DAY));
     Files.writeString(
         folder.resolve("tokens"), "# none\nvera view " + CredentialStore.hash("t0") + "\n");
     credentials = CredentialStore.watch(folder.resolve("tokens"), loop, loop);
@@ -47,18 +47,19 @@
   }
 
   @AfterEach
-  void end() {
+  void tearDown() {
     processes.close();
     loop.close();
   }
 
-  private void write(String name, CertificateAuthority.Issued issued) throws Exception {
-    Files.writeString(folder.resolve(name + ".pem"), issued.certificate());
-    Files.writeString(folder.resolve(name + ".key"), issued.key());
+  private void write(String name, CertificateAuthority.IssuedCertificate issued) throws Exception {
+    Files.writeString(folder.resolve(name + ".pem"), issued.certificatePem());
+    Files.writeString(folder.resolve(name + ".key"), issued.keyPem());
   }
 
   /** Serves with this certificate; answers who the caller is. */
-  private int serve(String name, CertificateAuthority.Issued issued) throws Exception {
+  private int startServer(String name, CertificateAuthority.IssuedCertificate issued)
+      throws Exception {
     write(name, issued);
     TlsFiles tls =
         TlsFiles.watch(
@@ -68,23 +69,25 @@
                 folder.resolve("ca.pem")),
             loop,
             loop);
-    return new HttpServer(loop, new HttpServer.Options(4, true, 20, tls), this::answer)
+    return new HttpServer(loop, new HttpServer.Options(4, true, 20, tls), this::replyWithIdentity)
         .start(new Address("127.0.0.1", 0));
   }
 
-  private void answer(Exchange x) {
-    var who = credentials.who(x);
-    if (who == null) {
-      x.reply(401, Json.bytes(Json.object().put("error", "who are you?")), 0);
+  private void replyWithIdentity(Exchange exchange) {
+    var identity = credentials.who(exchange);
+    if (identity == null) {
+      exchange.reply(401, Json.bytes(Json.object().put("error", "who are you?")), 0);
     } else {
-      x.reply(
+      exchange.reply(
           200,
-          Json.bytes(Json.object().put("name", who.name()).put("operates", who.operates())),
+          Json.bytes(
+              Json.object().put("name", identity.name()).put("operates", identity.operates())),
           0);
     }
   }
 
-  private Processes.Ended ask(int port, String authority, String more) throws Exception {
+  private Processes.Ended runStatusCommand(int port, String authority, String extraSettings)
+      throws Exception {
     Path config = folder.resolve("dapplestair");
     Files.createDirectories(config);
     String toml =
@@ -93,78 +96,85 @@
             + "\"]\nauthority = \""
             + folder.resolve(authority + ".pem")
             + "\"\n"
-            + more;
+            + extraSettings;
     Files.writeString(config.resolve("client.toml"), toml);
     return processes.run(Map.of(), "status", "--context", "x", "-o", "json", "--timeout", "20s");
   }
 
-  private void refused(Processes.Ended e, String line) {
-    assertEquals(5, e.code(), e.err());
-    assertEquals("", e.out());
-    assertTrue(e.err().contains(line), e.err());
+  private void assertRefused(Processes.Ended result, String expectedText) {
+    assertEquals(5, result.code(), result.err());
+    assertEquals("", result.out());
+    assertTrue(result.err().contains(expectedText), result.err());
   }
 
   @Test
   void certificatesThatCannotBeTrustedAreRefusedInOneLine() throws Exception {
-    Instant before = Instant.now().minus(Duration.ofDays(3));
-    refused(
-        ask(serve("old", ca.server(HERE, before, DAY)), "ca", "token = \"t0\"\n"), "has expired");
-    refused(
-        ask(
-            serve("far", ca.server(List.of("10.9.9.9"), Instant.now(), DAY)),
+    Instant threeDaysAgo = Instant.now().minus(Duration.ofDays(3));
+    assertRefused(
+        runStatusCommand(
+            startServer("old", ca.issueServerCertificate(LOOPBACK_NAMES, threeDaysAgo, DAY)),
+            "ca",
+            "token = \"t0\"\n"),
+        "has expired");
+    assertRefused(
+        runStatusCommand(
+            startServer("far", ca.issueServerCertificate(List.of("10.9.9.9"), Instant.now(), DAY)),
             "ca",
             "token = \"t0\"\n"),
         "is for another name");
-    CertificateAuthority other = CertificateAuthority.create("them", Instant.now(), DAY);
-    write("them", other.own());
-    int port = serve("good", ca.server(HERE, Instant.now(), DAY));
-    refused(ask(port, "them", "token = \"t0\"\n"), "is from another authority");
+    CertificateAuthority otherAuthority = CertificateAuthority.create("them", Instant.now(), DAY);
+    write("them", otherAuthority.ownCertificate());
+    int port = startServer("good", ca.issueServerCertificate(LOOPBACK_NAMES, Instant.now(), DAY));
+    assertRefused(runStatusCommand(port, "them", "token = \"t0\"\n"), "is from another authority");
   }
 
   @Test
-  void tokensAndCertificatesSayWhoSomebodyIs() throws Exception {
-    int port = serve("good", ca.server(HERE, Instant.now(), DAY));
-    assertTrue(ask(port, "ca", "token = \"t0\"\n").out().contains("\"vera\",\"operates\":false"));
-    refused(ask(port, "ca", "token = \"t1\"\n"), "who are you?");
-    refused(ask(port, "ca", ""), "who are you?");
+  void tokensAndCertificatesIdentifyTheCaller() throws Exception {
+    int port = startServer("good", ca.issueServerCertificate(LOOPBACK_NAMES, Instant.now(), DAY));
+    assertTrue(
+        runStatusCommand(port, "ca", "token = \"t0\"\n")
+            .out()
+            .contains("\"vera\",\"operates\":false"));
+    assertRefused(runStatusCommand(port, "ca", "token = \"t1\"\n"), "who are you?");
+    assertRefused(runStatusCommand(port, "ca", ""), "who are you?");
     String anna =
         "certificate = \"%s\"\nkey = \"%s\"\n"
             .formatted(folder.resolve("anna.pem"), folder.resolve("anna.key"));
-    assertTrue(ask(port, "ca", anna).out().contains("\"anna\",\"operates\":true"));
+    assertTrue(runStatusCommand(port, "ca", anna).out().contains("\"anna\",\"operates\":true"));
     // A client certificate of somebody else's authority ends the connection.
-    CertificateAuthority other = CertificateAuthority.create("them", Instant.now(), DAY);
-    write("eve", other.client("eve", "operate", Instant.now(), DAY));
-    Processes.Ended eve = ask(port, "ca", anna.replace("anna", "eve"));
-    assertTrue(eve.code() != 0 && eve.out().isEmpty(), eve.toString());
+    CertificateAuthority otherAuthority = CertificateAuthority.create("them", Instant.now(), DAY);
+    write("eve", otherAuthority.issueClientCertificate("eve", "operate", Instant.now(), DAY));
+    Processes.Ended eveResult = runStatusCommand(port, "ca", anna.replace("anna", "eve"));
+    assertTrue(eveResult.code() != 0 && eveResult.out().isEmpty(), eveResult.toString());
   }
 
   /** Files that change are read again: without a restart, and a bad one leaves all as it was. */
   @Test
-  void filesAreReadAgain() throws Exception {
-    Path file = folder.resolve("tokens");
-    Files.writeString(file, "otto operate " + CredentialStore.hash("t2") + "\nnonsense\n");
+  void changedTokenFileIsReloaded() throws Exception {
+    Path tokenFile = folder.resolve("tokens");
+    Files.writeString(tokenFile, "otto operate " + CredentialStore.hash("t2") + "\nnonsense\n");
     Files.setLastModifiedTime(
-        file, java.nio.file.attribute.FileTime.from(Instant.now().plusSeconds(60)));
-    for (int i = 0; i < 600 && who("t2") == null; i++) {
+        tokenFile, java.nio.file.attribute.FileTime.from(Instant.now().plusSeconds(60)));
+    for (int i = 0; i < 600 && callerName("t2") == null; i++) {
       Thread.sleep(20);
     }
-    assertEquals("otto", who("t2"));
-    assertEquals(null, who("t0"));
-    assertEquals(null, who(""));
+    assertEquals("otto", callerName("t2"));
+    assertEquals(null, callerName("t0"));
+    assertEquals(null, callerName(""));
   }
 
-  private String who(String token) throws Exception {
-    CompletableFuture<String> out = new CompletableFuture<>();
+  private String callerName(String token) throws Exception {
+    CompletableFuture<String> nameFuture = new CompletableFuture<>();
     loop.executor()
         .execute(
             () -> {
-              var k = credentials.who(new Shown("Bearer " + token));
-              out.complete(k == null ? null : k.name());
+              var identity = credentials.who(new AuthorizationExchange("Bearer " + token));
+              nameFuture.complete(identity == null ? null : identity.name());
             });
-    return out.get();
+    return nameFuture.get();
   }
 
-  private record Shown(String authorization) implements Exchange {
+  private record AuthorizationExchange(String authorization) implements Exchange {
     @Override
     public String method() {
       return "GET";
