--- a/src/main/java/dapplestair/cli/CheckConfigCommand.java
+++ b/src/main/java/dapplestair/cli/CheckConfigCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Says whether settings can be used. */
+/** Checks settings files and reports whether a controller could run with them. */
 @Command(name = "check-config", description = "Check settings files and say what is wrong.")
 final class CheckConfigCommand implements Callable<Integer> {
   @Mixin private SettingsOptions settingsOptions;
--- a/src/main/java/dapplestair/cli/ControllerCommand.java
+++ b/src/main/java/dapplestair/cli/ControllerCommand.java
@@ -6,10 +6,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Runs one controller until it is killed. */
+/** Runs one controller until the process is killed. */
 @Command(name = "controller", description = "Run one controller until it is killed.")
 final class ControllerCommand implements Callable<Integer> {
-  /** The command goes on after it has returned. */
+  /** Exit code of a command whose process must keep running after the command has returned. */
   static final int KEEP_RUNNING = -1;
 
   @Mixin private SettingsOptions settingsOptions;
--- a/src/main/java/dapplestair/cli/ControllerServer.java
+++ b/src/main/java/dapplestair/cli/ControllerServer.java
@@ -17,9 +17,12 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** A controller on Netty, with its listeners. */
+/** A controller on Netty, with its listeners for users and operators. */
 final class ControllerServer {
-  /** A property, so that the run line of a deployment says it and no file has to be read for it. */
+  /**
+   * System property that enables launch batches. It is a property so that a deployment can set it
+   * on the command line that runs the controller, and no file has to be read for it.
+   */
   private static final String LAUNCH_BATCHES_PROPERTY = "dapplestair.launchSheets";
 
   private static final int MAX_CALLS_PER_ENDPOINT = 16;
@@ -48,7 +51,7 @@
     this.adminPort = adminPort;
   }
 
-  /** Builds a controller, binds its listeners and starts it. */
+  /** Builds a controller, binds its listeners and starts the controller. */
   static ControllerServer start(Settings settings, OperatorSettings operatorSettings)
       throws InterruptedException, SettingsException {
     ControllerEventLoop loop = new ControllerEventLoop();
@@ -74,7 +77,7 @@
             operatorSettings,
             environment,
             adminSettings == null ? null : createAuthenticator(adminSettings, loop));
-    // Some sockets stay free for the calls that this controller itself makes.
+    // Users get three quarters of the sockets, so that some stay free for this controller's calls.
     int maxUserConnections = settings.resources().maxConnections() * 3 / 4;
     HttpServer userServer =
         new HttpServer(loop, HttpServer.Options.users(maxUserConnections), controller::handle);
@@ -120,12 +123,16 @@
     return userPort;
   }
 
-  /** Port of the operators' interface, -1 when it is off. */
+  /** Returns the port of the operators' interface, or -1 if that interface is off. */
   int adminPort() {
     return adminPort;
   }
 
-  /** Waits until the controller may launch tasks; false when that took too long. */
+  /**
+   * Waits until the controller may launch tasks.
+   *
+   * @return false if the controller was not ready within the timeout
+   */
   boolean awaitServing(long timeoutMs) throws InterruptedException {
     CountDownLatch servingLatch = new CountDownLatch(1);
     loop.executor().execute(() -> checkServing(servingLatch));
@@ -140,7 +147,7 @@
     }
   }
 
-  /** Takes no more requests, answers the open ones, gives the lead away. */
+  /** Stops accepting requests, answers the open ones, and gives up leadership. */
   void stop() throws InterruptedException {
     CountDownLatch drainedLatch = new CountDownLatch(adminServer == null ? 1 : 2);
     loop.executor()
@@ -157,7 +164,7 @@
         .execute(
             () -> {
               controller.leave();
-              // What was just written leaves before the sockets close.
+              // Data that was just written is sent before the sockets close.
               loop.after(50, departedLatch::countDown);
             });
     departedLatch.await(1, TimeUnit.SECONDS);
--- a/src/main/java/dapplestair/cli/DaemonCommand.java
+++ b/src/main/java/dapplestair/cli/DaemonCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** One controller with everything it needs, on this machine. */
+/** Runs one controller on this machine, together with emulated external services. */
 @Command(
     name = "daemon",
     mixinStandardHelpOptions = true,
@@ -61,7 +61,7 @@
       OperatorSettings operatorSettings =
           SettingsOptions.operatorSettings(
               operatorFile, settings.controllerSettings(userAddress, ""));
-      // Unless the operators' file says who may come, everybody on this machine may.
+      // Without an admin section in the operators' file, everybody on this machine has access.
       if (operatorSettings.admin() == null) {
         operatorSettings = operatorSettings.withAdmin(OperatorSettings.Admin.open(adminAddress));
         OperatorSettingsLoader.check(operatorSettings.admin());
--- a/src/main/java/dapplestair/cli/EmulateCommand.java
+++ b/src/main/java/dapplestair/cli/EmulateCommand.java
@@ -9,7 +9,9 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Only the stand-ins, so that the cluster outlives a daemon. */
+/**
+ * Runs only the emulated state service, cloud and workers, so that the cluster outlives a daemon.
+ */
 @Command(
     name = "emulate",
     mixinStandardHelpOptions = true,
@@ -43,7 +45,7 @@
     return ControllerCommand.KEEP_RUNNING;
   }
 
-  /** An address given on the command line, or else the one of the settings. */
+  /** Returns the address given on the command line, or the address of the settings if none is. */
   static Address addressOption(String option, String optionValue, Address defaultAddress)
       throws SettingsException {
     if (optionValue == null) {
--- a/src/main/java/dapplestair/cli/EmulatorOptions.java
+++ b/src/main/java/dapplestair/cli/EmulatorOptions.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** The file that `daemon` and `emulate` read. */
+/** The settings file option of {@code daemon} and {@code emulate}. */
 final class EmulatorOptions {
   @Option(
       names = "--config",
--- a/src/main/java/dapplestair/cli/JsonLogging.java
+++ b/src/main/java/dapplestair/cli/JsonLogging.java
@@ -8,7 +8,10 @@
 import ch.qos.logback.core.ConsoleAppender;
 import org.slf4j.LoggerFactory;
 
-/** Lines as JSON: the sentence, its arguments and its fields apart. */
+/**
+ * Writes log lines as JSON objects, with the message, its arguments and its key-value pairs in
+ * separate fields.
+ */
 final class JsonLogging {
   private JsonLogging() {}
 
--- a/src/main/java/dapplestair/cli/Logging.java
+++ b/src/main/java/dapplestair/cli/Logging.java
@@ -5,18 +5,19 @@
 import java.util.SplittableRandom;
 
 /**
- * Where the lines go that are logged: plain to standard error, or with {@code LOG_FORMAT=json} one
- * JSON object each. The backend is named, so that none is searched for at each start.
+ * Configures logging: plain lines to standard error, or one JSON object per line with {@code
+ * LOG_FORMAT=json}. The SLF4J backend is set by name, so that SLF4J need not search for one at each
+ * start.
  */
 final class Logging {
   private static final String PROVIDER = "slf4j.provider";
 
   private Logging() {}
 
-  /** To be called before the first logger is made. */
+  /** Sets the backend and its format; must be called before the first logger is created. */
   static void configure(Map<String, String> env) {
     setNettyMachineId();
-    // Naming the backend is no news.
+    // Without this, SLF4J reports at each start that the backend was set by name.
     System.setProperty("slf4j.internal.verbosity", "WARN");
     String level = env.getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
     if ("json".equals(env.get("LOG_FORMAT"))) {
@@ -34,9 +35,10 @@
   }
 
   /**
-   * Netty numbers its channels by a hardware address, which a controller's machine does not show:
-   * it then looked through all interfaces and warned at each start. Nobody compares these numbers
-   * between machines, so any will do.
+   * Sets a random machine ID for Netty's channel IDs. By default Netty uses a hardware address,
+   * which a controller's machine does not expose: Netty then searched all network interfaces and
+   * logged a warning at each start. Channel IDs are never compared between machines, so any value
+   * will do.
    */
   private static void setNettyMachineId() {
     if (System.getProperty("io.netty.machineId") == null) {
--- a/src/main/java/dapplestair/cli/Main.java
+++ b/src/main/java/dapplestair/cli/Main.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** Entry point. */
+/** Entry point of the {@code dapplestair} command line. */
 @Command(
     name = "dapplestair",
     mixinStandardHelpOptions = true,
@@ -30,7 +30,7 @@
 public final class Main implements Runnable {
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-  /** Runs a command; the exit code is 2 for wrong usage or settings. */
+  /** Runs a command; the exit code is 2 for wrong usage or unusable settings. */
   public static void main(String[] args) {
     Logging.configure(System.getenv());
     int exitCode =
@@ -40,7 +40,10 @@
     }
   }
 
-  /** An address in use is the caller's mistake: one line, not a trace. */
+  /**
+   * Reports a failure to bind in one line without a stack trace: an address in use is the caller's
+   * mistake. Rethrows any other exception.
+   */
   private static int handleFailure(
       Exception e, CommandLine commandLine, CommandLine.ParseResult parsed) throws Exception {
     if (e instanceof BindException) {
@@ -90,8 +93,9 @@
   }
 
   /**
-   * The commands: the one that is asked for, or else all. To load and read the description of a
-   * command takes time, of which a controller on a small machine has little.
+   * Returns the root command with only the requested subcommand, or with all of them if none
+   * matches. Loading a command's class and reading its annotations takes time, of which a
+   * controller on a small machine has little.
    */
   static CommandLine createCommandLine(String... args) {
     CommandLine root = new CommandLine(new Main());
--- a/src/main/java/dapplestair/cli/RehearseCommand.java
+++ b/src/main/java/dapplestair/cli/RehearseCommand.java
@@ -19,10 +19,11 @@
 import picocli.CommandLine.Command;
 
 /**
- * Runs two controllers for a moment against emulated stand-ins, so that the build can archive the
- * classes that a start needs: with a state service that answers, a leader that takes over, machines
- * that come up and tasks that run and end. What is missing from the archive costs a starting
- * controller its reading and checking, while nobody is served.
+ * Runs two controllers briefly against an emulated state service, cloud and workers, so that the
+ * build can archive the classes (class data sharing) that a controller needs at its start. The run
+ * covers a state service that answers, a change of the leader, machines that boot, and tasks that
+ * run and end. A starting controller must read and verify each class that is missing from the
+ * archive, and serves nobody meanwhile.
  */
 @Command(name = "rehearse", hidden = true, description = "Used by the build.")
 final class RehearseCommand implements Callable<Integer> {
@@ -82,7 +83,7 @@
   private final HttpPool http = new HttpPool(loop, 4, 1000);
   private final long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_DURATION_S);
 
-  /** What does not come to pass, or not in time, only makes the archive smaller. */
+  /** Always returns 0: a step that fails or times out only makes the archive smaller. */
   @Override
   public Integer call() {
     try {
@@ -140,7 +141,7 @@
     return status.equals(Json.text(Json.parse(reply.body()), "status"));
   }
 
-  /** Asks again until the answer is the one waited for, or for long enough. */
+  /** Repeats a request until the reply is the expected one or the deadline has passed. */
   private void callUntil(
       String endpoint, String method, String path, String body, Predicate<HttpReply> isExpected)
       throws Exception {
--- a/src/main/java/dapplestair/cli/Service.java
+++ b/src/main/java/dapplestair/cli/Service.java
@@ -7,14 +7,14 @@
 import java.nio.file.Path;
 
 /**
- * The controller as a platform starts it: with the path of its settings and nothing else. What
- * {@code dapplestair controller} does, less the command line's library, which would be a third of
- * the time in which nobody is served.
+ * Entry point for platforms that start a controller with the path of its settings as the only
+ * argument. Does the same as {@code dapplestair controller} without loading the command line
+ * library, which would take a third of the start-up time, during which nobody is served.
  */
 public final class Service {
   private Service() {}
 
-  /** Runs until it is killed; the exit code is 2 for settings that cannot be used. */
+  /** Runs a controller until the process is killed; the exit code is 2 for unusable settings. */
   public static void main(String[] args) throws InterruptedException {
     Logging.configure(System.getenv());
     if (args.length != 1) {
--- a/src/main/java/dapplestair/cli/SettingsOptions.java
+++ b/src/main/java/dapplestair/cli/SettingsOptions.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** The two files that commands read. */
+/** The options for the platform's settings file and the operators' settings file. */
 final class SettingsOptions {
   @Option(
       names = "--config",
@@ -34,7 +34,11 @@
     return operatorSettings(operatorFile, settings);
   }
 
-  /** The operators' file, if there is one, as far as it fits the platform's settings. */
+  /**
+   * Loads the operators' file and checks it against the platform's settings.
+   *
+   * @param operatorFile null for the default settings
+   */
   static OperatorSettings operatorSettings(Path operatorFile, Settings settings)
       throws SettingsException {
     if (operatorFile == null) {
@@ -47,7 +51,7 @@
     return operatorSettings;
   }
 
-  /** One clear line, and the code for unusable settings. */
+  /** Prints one line about the fault and returns the exit code for unusable settings. */
   static int reportUnusable(SettingsException e) {
     System.err.println("dapplestair: " + e.getMessage());
     return 2;
--- a/src/main/java/dapplestair/cli/ShutdownHook.java
+++ b/src/main/java/dapplestair/cli/ShutdownHook.java
@@ -3,19 +3,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** An orderly end on SIGTERM or SIGINT, with exit code 0. */
+/** Shuts the process down in order on SIGTERM or SIGINT, with exit code 0. */
 final class ShutdownHook {
   private static final Logger LOG = LoggerFactory.getLogger(ShutdownHook.class);
 
   private ShutdownHook() {}
 
-  /** What ends, in order. */
+  /** The shutdown steps, in order. */
   @FunctionalInterface
   interface ShutdownSteps {
     void run() throws InterruptedException;
   }
 
-  /** Runs the steps when the process is told to end, then ends it with 0. */
+  /** Registers steps to run on a signal; the exit code is 0, or 1 if a step fails. */
   static void onSignal(ShutdownSteps steps) {
     Runtime.getRuntime()
         .addShutdownHook(
@@ -25,10 +25,10 @@
                   try {
                     steps.run();
                   } catch (InterruptedException | RuntimeException e) {
-                    LOG.error("ending failed", e);
+                    LOG.error("shutdown steps failed; the process exits with code 1", e);
                     exitCode = 1;
                   }
-                  // Without this the virtual machine would report the signal instead.
+                  // Without halt, the exit code of the JVM would report the signal instead.
                   Runtime.getRuntime().halt(exitCode);
                 },
                 "ending"));
--- a/src/main/java/dapplestair/cli/package-info.java
+++ b/src/main/java/dapplestair/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line. */
+/** The command line: entry points, and the commands that run controllers and the emulator. */
 package dapplestair.cli;
--- a/src/main/java/dapplestair/client/ApiClient.java
+++ b/src/main/java/dapplestair/client/ApiClient.java
@@ -26,8 +26,9 @@
 import javax.net.ssl.TrustManager;
 
 /**
- * Asks the endpoints in turn until one answers for good, within one time for all of it. An answer
- * that comes later is dropped, and none is kept from before.
+ * Sends a request to the endpoints in turn until one of them gives a final answer, within one
+ * timeout for all attempts. An answer that arrives after the timeout is dropped, and answers are
+ * not cached.
  */
 final class ApiClient {
   private static final long MIN_ROUND_PAUSE_MS = 250;
@@ -49,7 +50,10 @@
     this.http = builder.build();
   }
 
-  /** For plain HTTP alone: the JDK's client would else read all authorities of this machine. */
+  /**
+   * Returns a TLS context without trusted authorities, for plain HTTP only. Without it, the JDK's
+   * client would load all certificate authorities of this machine.
+   */
   private static SSLContext emptySslContext() throws CommandException {
     try {
       SSLContext emptyContext = SSLContext.getInstance("TLS");
@@ -77,17 +81,17 @@
     }
   }
 
-  /** An answer for good: 2xx. Anything else is a failure. */
+  /** Returns the body of a 2xx response. Any other final response is thrown as a failure. */
   JsonNode get(String path) throws CommandException {
     return call("GET", path, null, 0);
   }
 
-  /** A request that may be repeated without harm. */
+  /** Sends a request that must be idempotent, since it may be repeated. */
   JsonNode post(String path, JsonNode body) throws CommandException {
     return call("POST", path, body, 0);
   }
 
-  /** A question whose answer may keep silent for so long before it comes. */
+  /** Sends a long poll, to which the server may delay its response by {@code serverWaitMs}. */
   JsonNode poll(String path, long serverWaitMs) throws CommandException {
     return call("GET", path, null, serverWaitMs);
   }
@@ -124,7 +128,7 @@
         }
       }
       if (onlyTlsFailures) {
-        // A certificate does not become good by asking again.
+        // Another attempt would not make an untrusted certificate valid.
         throw unreachableException(failuresByEndpoint, startNanos, true);
       }
       sleep(Math.min(pauseMs, Math.max(0, timeoutMs + serverWaitMs - elapsedMs(startNanos))));
@@ -158,7 +162,7 @@
         http.sendAsync(
             builder.method(method, bodyPublisher).build(), HttpResponse.BodyHandlers.ofByteArray());
     try {
-      // Headers may come in time and the body not: the time is for all of it.
+      // The headers may arrive in time and the body late: the timeout covers the whole response.
       return responseFuture.get(remainingMs, TimeUnit.MILLISECONDS);
     } catch (TimeoutException e) {
       responseFuture.cancel(true);
@@ -241,7 +245,7 @@
     return message == null ? "the connection broke" : message.lines().findFirst().orElse("");
   }
 
-  /** One line for what is wrong with a certificate. */
+  /** Returns one line that says why the TLS handshake failed, such as an expired certificate. */
   private static String describeTlsFailure(SSLException e) {
     Throwable cause = e;
     while (cause.getCause() != null && cause.getCause() != cause) {
--- a/src/main/java/dapplestair/client/ClientCommand.java
+++ b/src/main/java/dapplestair/client/ClientCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** A command that asks the service; its failures become one message and an exit code. */
+/** A command that calls the service; a failure becomes one error message and an exit code. */
 @Command(mixinStandardHelpOptions = true)
 abstract class ClientCommand implements Callable<Integer> {
   private static final int PAGE_SIZE = 500;
@@ -36,7 +36,12 @@
     return URLEncoder.encode(text, StandardCharsets.UTF_8).replace("+", "%20");
   }
 
-  /** Reads page after page; {@code query} is added to each, {@code limit} 0 for all. */
+  /**
+   * Fetches pages until there are no more rows or the limit is reached.
+   *
+   * @param query query parameters that are appended to each page's request
+   * @param limit maximum number of rows, 0 for all
+   */
   static JsonNode fetchPages(ApiClient api, String path, String query, int limit)
       throws CommandException {
     List<JsonNode> rows = new ArrayList<>();
--- a/src/main/java/dapplestair/client/ClusterCommands.java
+++ b/src/main/java/dapplestair/client/ClusterCommands.java
@@ -8,11 +8,11 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Teams, plan, events and the service itself. */
+/** Commands on teams, zones, the plan, events and the service itself. */
 public final class ClusterCommands {
   private ClusterCommands() {}
 
-  /** Teams. */
+  /** Groups the commands on teams. */
   @Command(
       name = "team",
       mixinStandardHelpOptions = true,
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Zones. */
+  /** Groups the commands on zones. */
   @Command(
       name = "zone",
       mixinStandardHelpOptions = true,
@@ -73,7 +73,7 @@
     }
   }
 
-  /** The plan. */
+  /** Groups the commands on the autoscaler's plan. */
   @Command(
       name = "plan",
       mixinStandardHelpOptions = true,
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Who leads and how things are. */
+  /** Prints which controller leads and the state of the service. */
   @Command(
       name = "status",
       description = "Say who leads, which controllers live, and what waits for the state service.")
@@ -102,7 +102,7 @@
     }
   }
 
-  /** Events. */
+  /** Groups the commands on events. */
   @Command(
       name = "event",
       mixinStandardHelpOptions = true,
--- a/src/main/java/dapplestair/client/CommandException.java
+++ b/src/main/java/dapplestair/client/CommandException.java
@@ -1,6 +1,6 @@
 package dapplestair.client;
 
-/** Why a command ends without having done what it was asked, with its exit code. */
+/** Thrown when a command fails; holds the message for the user and the exit code. */
 final class CommandException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/dapplestair/client/CommonOptions.java
+++ b/src/main/java/dapplestair/client/CommonOptions.java
@@ -8,12 +8,12 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Option;
 
-/** What all commands of the client understand. */
+/** Options that all client commands accept. */
 final class CommonOptions {
   private static final String DEFAULT_ENDPOINT = "http://127.0.0.1:8081";
   private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s|m)?");
 
-  /** Forms of output. */
+  /** Output formats. */
   enum OutputFormat {
     table,
     json,
@@ -83,7 +83,11 @@
     return new ApiClient(resolveContext(System.getenv()), timeoutMs());
   }
 
-  /** From --endpoint, then --context, the environment, the current context, this machine. */
+  /**
+   * Returns the endpoints and credentials to use. Endpoints come from the first of these that gives
+   * them: {@code --endpoint}, {@code --context}, the environment, the current context, this
+   * machine.
+   */
   private Contexts.Context resolveContext(Map<String, String> env) throws CommandException {
     Contexts.Context namedContext = context == null ? null : Contexts.load(env).context(context);
     String token = env.get("DAPPLESTAIR_TOKEN");
--- a/src/main/java/dapplestair/client/ContextCommand.java
+++ b/src/main/java/dapplestair/client/ContextCommand.java
@@ -6,14 +6,14 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Contexts of the client. */
+/** Groups the commands on the client's contexts. */
 @Command(
     name = "context",
     mixinStandardHelpOptions = true,
     description = "Look at the contexts of client.toml, and choose the one in use.",
     subcommands = {ContextCommand.ListContexts.class, ContextCommand.UseContext.class})
 public final class ContextCommand {
-  /** A command that only reads or writes the file. */
+  /** A command that only reads or writes {@code client.toml} and does not call the service. */
   abstract static class LocalCommand implements Callable<Integer> {
     @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
--- a/src/main/java/dapplestair/client/Contexts.java
+++ b/src/main/java/dapplestair/client/Contexts.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Named sets of endpoints and keys, in the file {@code client.toml} of the user. */
+/** Named sets of endpoints and credentials, read from the user's {@code client.toml}. */
 final class Contexts {
   private static final TomlMapper TOML = new TomlMapper();
 
-  /** Endpoints to try in turn, and what to show them; what is not given is null. */
+  /** Endpoints to try in turn, and the credentials for them; credentials not given are null. */
   record Context(
       List<String> endpoints, String token, Path authority, Path certificate, Path key) {}
 
@@ -59,7 +59,7 @@
     return contextsByName;
   }
 
-  /** A context by name, which must exist. */
+  /** Returns the context of this name, which must exist. */
   Context context(String name) throws CommandException {
     JsonNode node = root.path("contexts").path(name);
     if (!node.isObject()) {
@@ -86,7 +86,7 @@
     return value == null ? null : file.resolveSibling(value);
   }
 
-  /** Makes a context the one used when none is named. */
+  /** Makes a context the current one, which is used when no context is named. */
   void setCurrent(String name) throws CommandException {
     context(name);
     ObjectNode updatedRoot = ((ObjectNode) root.deepCopy()).put("current", name);
--- a/src/main/java/dapplestair/client/FilterOption.java
+++ b/src/main/java/dapplestair/client/FilterOption.java
@@ -5,12 +5,15 @@
 import dapplestair.filter.Schema;
 import picocli.CommandLine.Option;
 
-/** The filter of a listing. */
+/** The filter option of commands that list rows. */
 final class FilterOption {
   @Option(names = "--where", paramLabel = "EXPR", description = "only those that it holds for")
   private String where;
 
-  /** Its part of a query, or nothing. A mistake is shown here, before anybody is asked. */
+  /**
+   * Returns the filter as a query parameter, or the empty string without a filter. A mistake in the
+   * expression is reported here, before any request is sent.
+   */
   String queryParameter(Schema schema) throws CommandException {
     try {
       Filter.read(where, schema);
--- a/src/main/java/dapplestair/client/JobCommand.java
+++ b/src/main/java/dapplestair/client/JobCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Jobs. */
+/** Groups the commands on jobs. */
 @Command(
     name = "job",
     mixinStandardHelpOptions = true,
@@ -84,7 +84,7 @@
         throw new CommandException(CommandException.WRONG_USAGE, file + ": not a JSON object");
       }
       if (!body.hasNonNull("ref")) {
-        // Fifteen digits, so that two that are made at the same moment differ.
+        // Fifteen random digits, so that refs created at the same moment differ.
         body.put(
             "ref",
             "cli-%015d".formatted(ThreadLocalRandom.current().nextLong(1_000_000_000_000_000L)));
@@ -98,7 +98,7 @@
       return body;
     }
 
-    /** The service ignores what it does not know; whoever wrote it meant something by it. */
+    /** Warns of unknown fields: the service ignores them, but their author expected an effect. */
     private void warnAboutUnknownFields(JsonNode body, Submission submission) {
       Set<String> unknownFields = new TreeSet<>();
       Set<String> knownFields = new TreeSet<>(Set.of("hulls", "basin", "dueS"));
--- a/src/main/java/dapplestair/client/MachineCommand.java
+++ b/src/main/java/dapplestair/client/MachineCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Machines. */
+/** Groups the commands on machines. */
 @Command(
     name = "machine",
     mixinStandardHelpOptions = true,
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Machines by name, or whole zones. */
+  /** A command on machines selected by ID or by zone. */
   abstract static class MachineSelectionCommand extends ClientCommand {
     @Parameters(paramLabel = "ID", arity = "0..*")
     private List<String> ids = List.of();
--- a/src/main/java/dapplestair/client/Output.java
+++ b/src/main/java/dapplestair/client/Output.java
@@ -16,7 +16,7 @@
 import org.apache.commons.csv.CSVPrinter;
 import picocli.CommandLine.Help.Ansi;
 
-/** Prints answers as tables, JSON or CSV. */
+/** Prints the service's answers as tables, JSON or CSV. */
 final class Output {
   private static final Set<String> GREEN_WORDS =
       Set.of("done", "up", "running", "completed", "true");
@@ -38,7 +38,7 @@
     this.maxLineWidth = maxLineWidth;
   }
 
-  /** Rows with the columns that a table shows; JSON and CSV have all there is. */
+  /** Prints rows: tables and CSV have the given columns, JSON has the whole answer. */
   void printRows(JsonNode answer, String... columns) {
     List<JsonNode> rows = new ArrayList<>();
     answer.path("rows").forEach(rows::add);
@@ -53,7 +53,7 @@
     writer.flush();
   }
 
-  /** One thing: its plain fields, then its lists as tables. */
+  /** Prints one object: first its fields with plain values, then its lists as tables. */
   void printObject(JsonNode answer) {
     if (format == CommonOptions.OutputFormat.json) {
       printJson(answer);
@@ -79,7 +79,7 @@
     writer.println(new String(Json.bytes(answer), StandardCharsets.UTF_8));
   }
 
-  /** A plain line, in every form. */
+  /** Prints a plain line, whatever the output format. */
   void printLine(String line) {
     writer.println(line);
     writer.flush();
@@ -167,7 +167,7 @@
     }
   }
 
-  /** Narrows the widest columns until a line fits the terminal. */
+  /** Narrows the widest columns until a line fits the terminal or all have the minimum width. */
   private void shrinkToFit(int[] widths) {
     while (true) {
       int lineWidth = -COLUMN_GAP;
@@ -241,7 +241,7 @@
     }
   }
 
-  /** Puts rows of several pages into one answer, as of the last page. */
+  /** Merges the rows of several pages into one answer with the {@code asOf} of the last page. */
   static ObjectNode mergePages(List<JsonNode> rows, JsonNode lastPage) {
     ObjectNode merged = Json.object();
     if (lastPage.has("asOf")) {
--- a/src/main/java/dapplestair/client/ReplaceCommand.java
+++ b/src/main/java/dapplestair/client/ReplaceCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Machines replaced in steps. */
+/** Groups the commands that replace machines in steps. */
 @Command(
     name = "replace",
     mixinStandardHelpOptions = true,
@@ -24,7 +24,7 @@
 public final class ReplaceCommand {
   private static final String PATH = "/v1/replacements";
 
-  /** An order by name. */
+  /** A command on a replacement order, which is identified by its name. */
   abstract static class NamedOrderCommand extends ClientCommand {
     @Parameters(paramLabel = "NAME")
     String name;
--- a/src/main/java/dapplestair/client/WatchCommand.java
+++ b/src/main/java/dapplestair/client/WatchCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Follows jobs until all are over. */
+/** Follows jobs until all of them are done or aborted. */
 @Command(
     name = "watch",
     description = {
@@ -75,7 +75,10 @@
     return "[" + "#".repeat(filledWidth) + ".".repeat(BAR_WIDTH - filledWidth) + "] " + counts;
   }
 
-  /** On a terminal one job has one line that moves; elsewhere each change is a line. */
+  /**
+   * Prints a job's status. On a terminal, the status of a single job overwrites its line; otherwise
+   * each change is printed on a new line.
+   */
   private void printStatus(Output output, String line) {
     if (common.isTerminal() && refs.size() == 1 && !isFinished(line)) {
       spec.commandLine().getOut().print("\r\u001b[K" + line);
--- a/src/main/java/dapplestair/client/package-info.java
+++ b/src/main/java/dapplestair/client/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line for whoever is on duty: it asks, waits no longer than told, and says what it
- * got.
+ * The command line client for operators. A command calls the service, waits no longer than its
+ * timeout, and prints the answer.
  */
 package dapplestair.client;
--- a/src/main/java/dapplestair/daemon/ControllerRegistration.java
+++ b/src/main/java/dapplestair/daemon/ControllerRegistration.java
@@ -4,13 +4,16 @@
 import dapplestair.netty.ControllerEventLoop;
 import dapplestair.netty.HttpPool;
 
-/** Tells the emulated workers where the controller is, again and again: they may start anew. */
+/**
+ * Registers the controller with the emulated workers periodically, since the emulator may restart
+ * and lose the registration.
+ */
 public final class ControllerRegistration {
   private static final long INTERVAL_MS = 1000;
 
   private ControllerRegistration() {}
 
-  /** Begins; goes on while the loop does. */
+  /** Starts the periodic registration, which lasts as long as the event loop runs. */
   public static void registerPeriodically(
       ControllerEventLoop loop, String emulatorEndpoint, String controllerEndpoint) {
     loop.executor()
--- a/src/main/java/dapplestair/daemon/DaemonSettings.java
+++ b/src/main/java/dapplestair/daemon/DaemonSettings.java
@@ -18,13 +18,13 @@
 import java.util.Set;
 
 /**
- * What {@code daemon} and {@code emulate} run on. Every field has a default; unlike in the
- * platform's file, a field that is not known is refused, since its writer meant something by it.
+ * Settings of {@code daemon} and {@code emulate}. Every field has a default. Unlike in the
+ * platform's file, an unknown field is rejected, since whoever wrote it expected an effect.
  *
- * @param listen where users and workers are served
- * @param admin where operators are served
- * @param outside where {@code emulate} serves state service and cloud
- * @param seed of the emulated chance, 0 for a new one each time
+ * @param listen address on which users and workers are served
+ * @param admin address on which operators are served
+ * @param outside address on which {@code emulate} serves the state service and the cloud
+ * @param seed seed of the emulator's random numbers, 0 for a new seed at each start
  */
 public record DaemonSettings(
     Address listen,
@@ -38,12 +38,12 @@
     Settings.State state,
     Settings.Cloud cloud) {
 
-  /** Name of the one controller. */
+  /** Member name of the only controller. */
   static final String MEMBER = "daemon";
 
   private static final double MAX_NUMBER = 1e6;
 
-  /** What holds without a file. */
+  /** Returns the settings that apply without a file. */
   public static DaemonSettings defaults() {
     try {
       return parse("defaults", Json.object());
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Loads and checks a file. */
+  /** Loads a TOML file and checks it. */
   public static DaemonSettings load(Path path) throws SettingsException {
     try {
       return parse(path.toString(), new TomlMapper().readTree(Files.readString(path)));
@@ -63,7 +63,7 @@
     }
   }
 
-  /** The settings of the one controller, which meets everything outside at one address. */
+  /** Returns the controller's settings; all external services share one endpoint. */
   public Settings controllerSettings(Address userAddress, String outsideEndpoint) {
     return new Settings(
         MEMBER,
@@ -218,7 +218,11 @@
     return List.copyOf(parsedObjectives);
   }
 
-  /** A table of the file, read field by field with clear messages. */
+  /**
+   * A table of the TOML file, whose fields are read and checked one by one.
+   *
+   * @param prefix path of the table in the file, put before field names in messages
+   */
   private record TomlTable(String file, String prefix, JsonNode node) {
     void requireOnly(String... names) throws SettingsException {
       Set<String> knownNames = Set.of(names);
--- a/src/main/java/dapplestair/daemon/Emulation.java
+++ b/src/main/java/dapplestair/daemon/Emulation.java
@@ -23,9 +23,10 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * State service, cloud and workers behind one address, told apart by their paths. Paths under
- * {@code /emulator/} are for whoever runs it: controllers are made known there, and what truly runs
- * on the machines can be read.
+ * Emulates the state service, the cloud and the workers. State service and cloud share one address
+ * and are distinguished by their paths. Paths under {@code /emulator/} are for whoever runs the
+ * emulator: controllers are registered there, and the tasks that actually run on the machines can
+ * be read.
  */
 public final class Emulation implements AutoCloseable, ControllerDirectory {
   private static final String EMULATOR_PATH = "/emulator/";
@@ -39,7 +40,7 @@
   private final EmulatedState state;
   private final EmulatedCloud cloud;
 
-  /** Everything as the settings say; nothing is served before {@link #start}. */
+  /** Creates the emulated services from the settings; {@link #start} begins to serve them. */
   public Emulation(DaemonSettings settings) {
     HttpPool http =
         new HttpPool(loop, MAX_CALLS_PER_ENDPOINT, settings.emulatorSettings().reportMs() / 4);
@@ -57,12 +58,12 @@
     server = new HttpServer(loop, HttpServer.Options.users(MAX_CONNECTIONS), this::handle);
   }
 
-  /** Serves; returns the port. */
+  /** Starts serving and returns the port. */
   public int start(Address address) throws InterruptedException {
     return server.start(address);
   }
 
-  /** Makes a controller known to the workers. */
+  /** Registers a controller, so that the workers report to it. */
   public void register(String member, String endpoint) {
     loop.executor().execute(() -> endpointsByMember.put(member, endpoint));
   }
@@ -77,7 +78,10 @@
     return endpointsByMember.get(member);
   }
 
-  /** What users uploaded is what they submitted: it is read where the controllers record it. */
+  /**
+   * Returns a job as its user submitted it, or null if it is unknown. The job is read from the
+   * state service, where the controllers record it.
+   */
   private JsonNode findJob(String ref) {
     JsonNode record = state.value(StateKeys.job(ref));
     if (record == null) {
--- a/src/main/java/dapplestair/daemon/EmulatorHttpAdapter.java
+++ b/src/main/java/dapplestair/daemon/EmulatorHttpAdapter.java
@@ -3,7 +3,7 @@
 import dapplestair.emulator.RequestHandler;
 import dapplestair.ports.Exchange;
 
-/** Hands a request of a socket to an emulated place. */
+/** Forwards an HTTP request from a socket to the handler of an emulated component. */
 final class EmulatorHttpAdapter {
   private EmulatorHttpAdapter() {}
 
--- a/src/main/java/dapplestair/daemon/LoopbackEnvironment.java
+++ b/src/main/java/dapplestair/daemon/LoopbackEnvironment.java
@@ -15,12 +15,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Real time and real sockets on this machine for the emulated parts. */
+/** Provides the emulated components with real time and with loopback sockets. */
 final class LoopbackEnvironment implements EmulatorEnvironment {
   private static final Logger LOG = LoggerFactory.getLogger(LoopbackEnvironment.class);
   private static final String HOST = "127.0.0.1";
   private static final int MAX_CONNECTIONS_PER_MACHINE = 16;
-  // A machine without power is silent. Past any lease nobody calls it any more.
+  // A machine without power does not answer, so its port stays open without answering for this
+  // long. The time exceeds any lease, after which no controller calls the machine any more.
   private static final long SILENCE_BEFORE_CLOSE_MS = 60_000;
 
   private final ControllerEventLoop loop;
@@ -73,7 +74,7 @@
         new Address(HOST, 0),
         port -> {
           if (port < 0) {
-            LOG.error("no port for {}", name);
+            LOG.error("no loopback port could be opened for {}; it cannot be reached", name);
             return;
           }
           serversByName.put(name, server);
--- a/src/main/java/dapplestair/daemon/package-info.java
+++ b/src/main/java/dapplestair/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** One machine that runs a controller and everything it needs from outside. */
+/** Runs a controller on one machine, with an emulated state service, cloud and workers. */
 package dapplestair.daemon;
--- a/src/main/java/dapplestair/keys/CertificateAuthority.java
+++ b/src/main/java/dapplestair/keys/CertificateAuthority.java
@@ -36,9 +36,10 @@
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 import org.bouncycastle.util.io.pem.PemReader;
 
-/** A small certificate authority, for the listeners of controllers and for their operators. */
+/** A small certificate authority that issues certificates to listeners and to operators. */
 final class CertificateAuthority {
-  // Clocks of operators' machines need not agree with this one.
+  // Certificates become valid this long before they are issued, since the clocks of operators'
+  // machines may be behind this machine's clock.
   private static final Duration BACKDATING = Duration.ofHours(1);
 
   private final X509Certificate certificate;
@@ -49,10 +50,10 @@
     this.key = key;
   }
 
-  /** A certificate with its key, as PEM. */
+  /** A certificate with its private key, both as PEM. */
   record IssuedCertificate(String certificatePem, String keyPem) {}
 
-  /** A new authority with its own certificate. */
+  /** Creates an authority with a new key and a self-signed certificate. */
   static CertificateAuthority create(String name, Instant now, Duration validity)
       throws GeneralSecurityException, IOException {
     KeyPair keyPair = generateKeyPair();
@@ -64,7 +65,7 @@
     return new CertificateAuthority(sign(builder, keyPair.getPrivate()), keyPair.getPrivate());
   }
 
-  /** Reads one that was made earlier. */
+  /** Reads an authority that was created earlier. */
   static CertificateAuthority read(String certificatePem, String keyPem)
       throws GeneralSecurityException, IOException {
     X509Certificate x509Certificate =
@@ -85,7 +86,7 @@
     return new IssuedCertificate(toPem(certificate), toPem(key));
   }
 
-  /** For a listener that is reached under these names and addresses. */
+  /** Issues a certificate for a listener that is reached under these names and addresses. */
   IssuedCertificate issueServerCertificate(List<String> names, Instant now, Duration validity)
       throws GeneralSecurityException, IOException {
     KeyPair keyPair = generateKeyPair();
@@ -107,7 +108,7 @@
     return new IssuedCertificate(toPem(sign(builder, key)), toPem(keyPair.getPrivate()));
   }
 
-  /** For an operator; the organisational unit says what they may do. */
+  /** Issues a certificate for an operator, whose role is the subject's organisational unit. */
   IssuedCertificate issueClientCertificate(String name, String role, Instant now, Duration validity)
       throws GeneralSecurityException, IOException {
     KeyPair keyPair = generateKeyPair();
--- a/src/main/java/dapplestair/keys/KeysCommand.java
+++ b/src/main/java/dapplestair/keys/KeysCommand.java
@@ -19,14 +19,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Keys and tokens of the operators' interface. */
+/** Groups the commands that generate keys and tokens for the operators' interface. */
 @Command(
     name = "keys",
     mixinStandardHelpOptions = true,
     description = "Make keys and tokens for the operators' interface.",
     subcommands = {KeysCommand.Init.class, KeysCommand.Client.class, KeysCommand.Token.class})
 public final class KeysCommand {
-  /** What all of them share: a folder, and failures in one line. */
+  /** Base of these commands: holds the validity of certificates, reports failures in one line. */
   abstract static class KeyGenerationCommand implements Callable<Integer> {
     @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
@@ -59,7 +59,7 @@
       spec.commandLine().getOut().println(line);
     }
 
-    /** Never over something that is there: keys in use would be lost. */
+    /** Writes a new file. Never overwrites an existing one, since keys in use would be lost. */
     static void write(Path file, String text, boolean isSecret) throws IOException {
       if (Files.exists(file)) {
         throw new IOException(file + " is there already");
@@ -80,7 +80,7 @@
     }
   }
 
-  /** What is made for somebody with a role. */
+  /** A command that issues credentials to somebody with a role. */
   abstract static class RoleCommand extends KeyGenerationCommand {
     @Option(
         names = "--role",
@@ -181,7 +181,7 @@
       Files.writeString(file, tokenLine, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     }
 
-    /** Prints a new token, and gives the line that a file holds of it. */
+    /** Prints a new token and returns the line for the token file, which holds only its hash. */
     static String createTokenLine(String name, String role, KeyGenerationCommand command) {
       byte[] tokenBytes = new byte[TOKEN_BYTES];
       new SecureRandom().nextBytes(tokenBytes);
--- a/src/main/java/dapplestair/keys/package-info.java
+++ b/src/main/java/dapplestair/keys/package-info.java
@@ -1,2 +1,2 @@
-/** Makes the keys and tokens of the operators' interface. */
+/** Generates keys, certificates and tokens for the operators' interface. */
 package dapplestair.keys;
--- a/src/test/java/dapplestair/keys/TlsTrustTest.java
+++ b/src/test/java/dapplestair/keys/TlsTrustTest.java
@@ -24,7 +24,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Who trusts whom over TLS, with the client as a process of its own. */
+/**
+ * Tests authentication over TLS in both directions, with the client as a separate process: the
+ * client must reject a server certificate that it cannot trust, and the server must reject an
+ * unknown token or client certificate.
+ */
 class TlsTrustTest {
   private static final Duration DAY = Duration.ofDays(1);
   private static final List<String> LOOPBACK_NAMES = List.of("localhost", "127.0.0.1");
@@ -57,7 +61,7 @@
     Files.writeString(folder.resolve(name + ".key"), issued.keyPem());
   }
 
-  /** Serves with this certificate; answers who the caller is. */
+  /** Starts a server with this certificate that replies who the caller is; returns its port. */
   private int startServer(String name, CertificateAuthority.IssuedCertificate issued)
       throws Exception {
     write(name, issued);
@@ -141,14 +145,17 @@
         "certificate = \"%s\"\nkey = \"%s\"\n"
             .formatted(folder.resolve("anna.pem"), folder.resolve("anna.key"));
     assertTrue(runStatusCommand(port, "ca", anna).out().contains("\"anna\",\"operates\":true"));
-    // A client certificate of somebody else's authority ends the connection.
+    // The server closes the connection if the client certificate is from another authority.
     CertificateAuthority otherAuthority = CertificateAuthority.create("them", Instant.now(), DAY);
     write("eve", otherAuthority.issueClientCertificate("eve", "operate", Instant.now(), DAY));
     Processes.Ended eveResult = runStatusCommand(port, "ca", anna.replace("anna", "eve"));
     assertTrue(eveResult.code() != 0 && eveResult.out().isEmpty(), eveResult.toString());
   }
 
-  /** Files that change are read again: without a restart, and a bad one leaves all as it was. */
+  /**
+   * A changed token file is reloaded without a restart, and a malformed line in it is skipped. (A
+   * file that cannot be read leaves the tokens as they were, which is not tested here.)
+   */
   @Test
   void changedTokenFileIsReloaded() throws Exception {
     Path tokenFile = folder.resolve("tokens");
