--- a/src/main/java/dapplestair/cli/RehearseCommand.java
+++ b/src/main/java/dapplestair/cli/RehearseCommand.java
@@ -100,14 +100,14 @@
     int emulationPort = emulation.start(new Address("127.0.0.1", 0));
     ControllerServer[] controllers = new ControllerServer[2];
     for (int i = 0; i < 2; i++) {
-      int peer = 1 - i;
+      int peerIndex = 1 - i;
       String settingsText =
           SETTINGS.formatted(
               i,
               ports[2 * i],
               ports[2 * i + 1],
-              peer,
-              ports[2 * peer + 1],
+              peerIndex,
+              ports[2 * peerIndex + 1],
               emulationPort,
               emulationPort);
       controllers[i] =
--- a/src/main/java/dapplestair/client/ClusterCommands.java
+++ b/src/main/java/dapplestair/client/ClusterCommands.java
@@ -134,18 +134,18 @@
       String path = "/v1/events?limit=500" + filterOption.queryParameter(Schema.EVENTS);
       List<JsonNode> rows = new ArrayList<>();
       JsonNode page = api.get(path);
-      String after = page.path("next").asText("0");
+      String cursor = page.path("next").asText("0");
       while (!page.path("rows").isEmpty()) {
         page.path("rows").forEach(rows::add);
-        page = api.get(path + "&after=" + after);
-        after = page.path("next").asText(after);
+        page = api.get(path + "&after=" + cursor);
+        cursor = page.path("next").asText(cursor);
       }
       List<JsonNode> lastRows =
           rows.subList(Math.max(0, rows.size() - Math.max(0, limit)), rows.size());
       printEvents(output, lastRows, page);
       while (follow) {
-        page = api.poll(path + "&waitMs=" + POLL_WAIT_MS + "&after=" + after, POLL_WAIT_MS);
-        after = page.path("next").asText(after);
+        page = api.poll(path + "&waitMs=" + POLL_WAIT_MS + "&after=" + cursor, POLL_WAIT_MS);
+        cursor = page.path("next").asText(cursor);
         List<JsonNode> newRows = new ArrayList<>();
         page.path("rows").forEach(newRows::add);
         if (!newRows.isEmpty()) {
--- a/src/main/java/dapplestair/daemon/LoopbackEnvironment.java
+++ b/src/main/java/dapplestair/daemon/LoopbackEnvironment.java
@@ -20,8 +20,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(LoopbackEnvironment.class);
   private static final String HOST = "127.0.0.1";
   private static final int MAX_CONNECTIONS_PER_MACHINE = 16;
-  // A machine without power does not answer, so its port stays open without answering for this
-  // long. The time exceeds any lease, after which no controller calls the machine any more.
+  // The port of a machine that has lost power stays open without answering for this long, which is
+  // longer than any lease. After the lease no controller calls the machine any more.
   private static final long SILENCE_BEFORE_CLOSE_MS = 60_000;
 
   private final ControllerEventLoop loop;
