--- a/src/main/java/dapplestair/cli/ControllerCommand.java
+++ b/src/main/java/dapplestair/cli/ControllerCommand.java
@@ -6,23 +6,23 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Runs one controller until it is killed. */
+/** Runs one controller until the process is killed. */
 @Command(name = "controller", description = "Run one controller until it is killed.")
 final class ControllerCommand implements Callable<Integer> {
-  /** The command goes on after it has returned. */
-  static final int STAYS = -1;
+  /** Exit code of a command whose process must keep running after the command has returned. */
+  static final int KEEP_RUNNING = -1;
 
-  @Mixin private SettingsOptions files;
+  @Mixin private SettingsOptions settingsOptions;
 
   @Override
   public Integer call() throws Exception {
     try {
-      Settings settings = files.settings();
-      ControllerServer.start(settings, files.operator(settings));
+      Settings settings = settingsOptions.settings();
+      ControllerServer.start(settings, settingsOptions.operatorSettings(settings));
     } catch (SettingsException e) {
-      return SettingsOptions.refuse(e);
+      return SettingsOptions.reportUnusable(e);
     }
     Thread.currentThread().join();
-    return STAYS;
+    return KEEP_RUNNING;
   }
 }
--- a/src/main/java/dapplestair/cli/Main.java
+++ b/src/main/java/dapplestair/cli/Main.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** Entry point. */
+/** Entry point of the {@code dapplestair} command line. */
 @Command(
     name = "dapplestair",
     mixinStandardHelpOptions = true,
@@ -30,26 +30,30 @@
 public final class Main implements Runnable {
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-  /** Runs a command; the exit code is 2 for wrong usage or settings. */
+  /** Runs a command; the exit code is 2 for wrong usage or unusable settings. */
   public static void main(String[] args) {
-    Logging.begin(System.getenv());
-    int code = commands(args).setExecutionExceptionHandler(Main::failed).execute(args);
-    if (code != ControllerCommand.STAYS) {
-      System.exit(code);
+    Logging.configure(System.getenv());
+    int exitCode =
+        createCommandLine(args).setExecutionExceptionHandler(Main::handleFailure).execute(args);
+    if (exitCode != ControllerCommand.KEEP_RUNNING) {
+      System.exit(exitCode);
     }
   }
 
-  /** An address in use is the caller's mistake: one line, not a trace. */
-  private static int failed(Exception e, CommandLine of, CommandLine.ParseResult parsed)
-      throws Exception {
+  /**
+   * Reports a failure to bind in one line without a stack trace: an address in use is the caller's
+   * mistake. Rethrows any other exception.
+   */
+  private static int handleFailure(
+      Exception e, CommandLine commandLine, CommandLine.ParseResult parsed) throws Exception {
     if (e instanceof BindException) {
-      of.getErr().println("dapplestair: cannot listen: " + e.getMessage());
+      commandLine.getErr().println("dapplestair: cannot listen: " + e.getMessage());
       return 1;
     }
     throw e;
   }
 
-  private static final List<String> COMMANDS =
+  private static final List<String> COMMAND_NAMES =
       List.of(
           "daemon",
           "emulate",
@@ -67,7 +71,7 @@
           "keys",
           "rehearse");
 
-  private static Object command(String name) {
+  private static Object createCommand(String name) {
     return switch (name) {
       case "daemon" -> new DaemonCommand();
       case "emulate" -> new EmulateCommand();
@@ -89,16 +93,17 @@
   }
 
   /**
-   * The commands: the one that is asked for, or else all. To load and read the description of a
-   * command takes time, of which a controller on a small machine has little.
+   * Returns the root command with only the requested subcommand, or with all of them if none
+   * matches. Loading a command's class and reading its annotations takes time, of which a
+   * controller on a small machine has little.
    */
-  static CommandLine commands(String... args) {
+  static CommandLine createCommandLine(String... args) {
     CommandLine root = new CommandLine(new Main());
-    Object one = args.length > 0 ? command(args[0]) : null;
-    if (one != null) {
-      return root.addSubcommand(one);
+    Object requestedCommand = args.length > 0 ? createCommand(args[0]) : null;
+    if (requestedCommand != null) {
+      return root.addSubcommand(requestedCommand);
     }
-    COMMANDS.forEach(c -> root.addSubcommand(command(c)));
+    COMMAND_NAMES.forEach(name -> root.addSubcommand(createCommand(name)));
     return root.addSubcommand(new AutoComplete.GenerateCompletion())
         .addSubcommand(new CommandLine.HelpCommand());
   }
--- a/src/main/java/dapplestair/cli/SettingsOptions.java
+++ b/src/main/java/dapplestair/cli/SettingsOptions.java
@@ -11,43 +11,48 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** The two files that commands read. */
+/** The options for the platform's settings file and the operators' settings file. */
 final class SettingsOptions {
   @Option(
       names = "--config",
       required = true,
       paramLabel = "FILE",
       description = "the platform's settings, TOML")
-  private Path config;
+  private Path settingsFile;
 
   @Option(
       names = "--operator",
       paramLabel = "FILE",
       description = "operators' own settings, protobuf text format")
-  private Path operator;
+  private Path operatorFile;
 
   Settings settings() throws SettingsException {
-    return SettingsLoader.load(config);
+    return SettingsLoader.load(settingsFile);
   }
 
-  OperatorSettings operator(Settings settings) throws SettingsException {
-    return operator(operator, settings);
+  OperatorSettings operatorSettings(Settings settings) throws SettingsException {
+    return operatorSettings(operatorFile, settings);
   }
 
-  /** The operators' file, if there is one, as far as it fits the platform's settings. */
-  static OperatorSettings operator(Path file, Settings settings) throws SettingsException {
-    if (file == null) {
+  /**
+   * Loads the operators' file and checks it against the platform's settings.
+   *
+   * @param operatorFile null for the default settings
+   */
+  static OperatorSettings operatorSettings(Path operatorFile, Settings settings)
+      throws SettingsException {
+    if (operatorFile == null) {
       return OperatorSettings.defaults();
     }
-    OperatorSettings read = OperatorSettingsLoader.load(file);
-    DisruptionBudgetsLoader.checkTeams(file, read.budgets(), settings);
-    LanesLoader.checkTeams(file, read.lanes(), settings);
-    CalendarsLoader.checkTeams(file, read.calendars(), settings);
-    return read;
+    OperatorSettings operatorSettings = OperatorSettingsLoader.load(operatorFile);
+    DisruptionBudgetsLoader.checkTeams(operatorFile, operatorSettings.budgets(), settings);
+    LanesLoader.checkTeams(operatorFile, operatorSettings.lanes(), settings);
+    CalendarsLoader.checkTeams(operatorFile, operatorSettings.calendars(), settings);
+    return operatorSettings;
   }
 
-  /** One clear line, and the code for unusable settings. */
-  static int refuse(SettingsException e) {
+  /** Prints one line about the fault and returns the exit code for unusable settings. */
+  static int reportUnusable(SettingsException e) {
     System.err.println("dapplestair: " + e.getMessage());
     return 2;
   }
--- a/src/main/java/dapplestair/client/ContextCommand.java
+++ b/src/main/java/dapplestair/client/ContextCommand.java
@@ -6,14 +6,14 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Contexts of the client. */
+/** Groups the commands on the client's contexts. */
 @Command(
     name = "context",
     mixinStandardHelpOptions = true,
     description = "Look at the contexts of client.toml, and choose the one in use.",
     subcommands = {ContextCommand.ListContexts.class, ContextCommand.UseContext.class})
 public final class ContextCommand {
-  /** A command that only reads or writes the file. */
+  /** A command that only reads or writes {@code client.toml} and does not call the service. */
   abstract static class LocalCommand implements Callable<Integer> {
     @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
@@ -39,10 +39,10 @@
   static final class ListContexts extends LocalCommand {
     @Override
     void run(Contexts contexts) throws CommandException {
-      for (Map.Entry<String, Contexts.Context> entry : contexts.all().entrySet()) {
-        String mark = entry.getKey().equals(contexts.current()) ? "* " : "  ";
+      for (Map.Entry<String, Contexts.Context> entry : contexts.byName().entrySet()) {
+        String currentMark = entry.getKey().equals(contexts.currentName()) ? "* " : "  ";
         String endpoints = String.join(" ", entry.getValue().endpoints());
-        spec.commandLine().getOut().println(mark + entry.getKey() + "  " + endpoints);
+        spec.commandLine().getOut().println(currentMark + entry.getKey() + "  " + endpoints);
       }
     }
   }
@@ -57,7 +57,7 @@
 
     @Override
     void run(Contexts contexts) throws CommandException {
-      contexts.use(name);
+      contexts.setCurrent(name);
     }
   }
 }
--- a/src/main/java/dapplestair/daemon/LoopbackEnvironment.java
+++ b/src/main/java/dapplestair/daemon/LoopbackEnvironment.java
@@ -15,18 +15,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Real time and real sockets on this machine for the emulated parts. */
+/** Provides the emulated components with real time and with loopback sockets. */
 final class LoopbackEnvironment implements EmulatorEnvironment {
   private static final Logger LOG = LoggerFactory.getLogger(LoopbackEnvironment.class);
   private static final String HOST = "127.0.0.1";
-  private static final int CONNECTIONS_A_MACHINE = 16;
-  // A machine without power is silent. Past any lease nobody calls it any more.
-  private static final long SILENT_MS = 60_000;
+  private static final int MAX_CONNECTIONS_PER_MACHINE = 16;
+  // The port of a machine that has lost power stays open without answering for this long, which is
+  // longer than any lease. After the lease no controller calls the machine any more.
+  private static final long SILENCE_BEFORE_CLOSE_MS = 60_000;
 
   private final ControllerEventLoop loop;
   private final HttpPool http;
   private final UniformRandomProvider random;
-  private final Map<String, HttpServer> open = new HashMap<>();
+  private final Map<String, HttpServer> serversByName = new HashMap<>();
 
   LoopbackEnvironment(ControllerEventLoop loop, HttpPool http, UniformRandomProvider random) {
     this.loop = loop;
@@ -65,23 +66,24 @@
   }
 
   @Override
-  public void open(String name, RequestHandler place, Consumer<String> opened) {
-    HttpServer.Options options = HttpServer.Options.users(CONNECTIONS_A_MACHINE);
-    HttpServer server = new HttpServer(loop, options, x -> EmulatorHttpAdapter.hand(x, place));
+  public void open(String name, RequestHandler handler, Consumer<String> onOpened) {
+    HttpServer.Options options = HttpServer.Options.users(MAX_CONNECTIONS_PER_MACHINE);
+    HttpServer server =
+        new HttpServer(loop, options, exchange -> EmulatorHttpAdapter.forward(exchange, handler));
     server.startAsync(
         new Address(HOST, 0),
         port -> {
           if (port < 0) {
-            LOG.error("no port for {}", name);
+            LOG.error("no loopback port could be opened for {}; it cannot be reached", name);
             return;
           }
-          open.put(name, server);
-          opened.accept(HOST + ":" + port);
+          serversByName.put(name, server);
+          onOpened.accept(HOST + ":" + port);
         });
   }
 
   private void close(String name) {
-    HttpServer server = open.remove(name);
+    HttpServer server = serversByName.remove(name);
     if (server != null) {
       server.close();
     }
@@ -89,7 +91,7 @@
 
   @Override
   public void removeMachine(String name) {
-    loop.after(SILENT_MS, () -> close(name));
+    loop.after(SILENCE_BEFORE_CLOSE_MS, () -> close(name));
   }
 
   @Override
