--- a/src/test/java/dapplestair/world/AcceptanceTest.java
+++ b/src/test/java/dapplestair/world/AcceptanceTest.java
@@ -15,8 +15,8 @@
 
   private static SimulatedCluster begun(long seed) {
     SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
-    w.checker.budget = null;
-    w.users.quiet = true;
+    w.checker.teamDisruptionBudget = null;
+    w.users.submissionsStopped = true;
     return w;
   }
 
@@ -24,12 +24,14 @@
   private static double soonAccepted(SimulatedCluster w) {
     List<SimulatedUsers.KnownJob> jobs = new ArrayList<>();
     for (int i = 0; i < SUBMISSIONS; i++) {
-      jobs.add(w.users.array("one", "high", 1, 2));
+      jobs.add(w.users.submitArray("one", "high", 1, 2));
       w.run(w.sim.between(200, 600));
     }
     w.run(10_000);
     long soon =
-        jobs.stream().filter(j -> j.accepted && j.acceptedAt - j.submittedAt <= SOON_MS).count();
+        jobs.stream()
+            .filter(j -> j.accepted && j.acceptedAtMs - j.submittedAtMs <= SOON_MS)
+            .count();
     return (double) soon / SUBMISSIONS;
   }
 
@@ -38,9 +40,9 @@
   @ValueSource(longs = {7101, 7102, 7103, 7104})
   void lostAnswersDelayNobodyForLong(long seed) {
     SimulatedCluster w = begun(seed);
-    w.net.lateWrites = 0.25;
+    w.network.lateWriteProbability = 0.25;
     double soon = soonAccepted(w);
-    w.net.lateWrites = 0;
+    w.network.lateWriteProbability = 0;
     assertTrue(soon >= 0.9, "accepted within a second: " + soon);
     SeededDaysTest.settle(w);
   }
@@ -55,11 +57,11 @@
     SimulatedCluster w = begun(seed);
     SimulatedCluster.ControllerNode leader = w.leader();
     SimulatedCluster.ControllerNode refused = leads ? leader : w.nodes.get((leader.index + 1) % 3);
-    SimulatedUsers.KnownJob cancelled = w.users.array("two", "high", 10, 60);
+    SimulatedUsers.KnownJob cancelled = w.users.submitArray("two", "high", 10, 60);
     w.run(8000);
     w.state.refuse("node-" + refused.index, true);
     // The time in which nobody leads is not what is looked at here.
-    w.run(2 * SimulatedCluster.REPORT_MS);
+    w.run(2 * SimulatedCluster.REPORT_INTERVAL_MS);
     w.users.cancelAt(cancelled, refused);
     double soon = soonAccepted(w);
     assertTrue(soon >= 0.95, "accepted within a second: " + soon);
--- a/src/test/java/dapplestair/world/AllControllersUnavailableTest.java
+++ b/src/test/java/dapplestair/world/AllControllersUnavailableTest.java
@@ -17,19 +17,20 @@
   private static final long AWAY_MS = SimulatedCluster.LEASE_MS * 5 / 4;
 
   private static List<SimulatedUsers.KnownJob> begun(SimulatedCluster w) {
-    w.net.loss = 0;
-    w.users.quiet = true;
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     w.run(5000);
     List<SimulatedUsers.KnownJob> jobs = new ArrayList<>();
     for (String team : List.of("one", "two")) {
-      jobs.add(w.users.array(team, "high", 6, 40));
+      jobs.add(w.users.submitArray(team, "high", 6, 40));
       jobs.add(
-          w.users.changed(team, 4, 40, b -> b.put("snapshotEveryS", 5.0).put("snapshotS", 2.0)));
-      jobs.add(w.users.changed(team, 3, 40, b -> b.put("shape", "gang")));
-      jobs.add(w.users.array(team, "standard", 1, 40));
-      jobs.add(w.users.service(team, 3));
+          w.users.submitModifiedArray(
+              team, 4, 40, b -> b.put("snapshotEveryS", 5.0).put("snapshotS", 2.0)));
+      jobs.add(w.users.submitModifiedArray(team, 3, 40, b -> b.put("shape", "gang")));
+      jobs.add(w.users.submitArray(team, "standard", 1, 40));
+      jobs.add(w.users.submitService(team, 3));
     }
-    w.users.array("one", "standard", 40, 4);
+    w.users.submitArray("one", "standard", 40, 4);
     for (int i = 0; i < 30 && !jobs.stream().allMatch(job -> job.started); i++) {
       w.run(1000);
     }
@@ -54,13 +55,13 @@
 
   private static void cutFromWorkers(
       SimulatedCluster w, SimulatedCluster.ControllerNode node, boolean hold, long until) {
-    List<String> names = List.of("node-" + node.index, SimulatedCluster.client(node.index));
+    List<String> names = List.of("node-" + node.index, SimulatedCluster.clientAddress(node.index));
     for (EmulatedWorker m : w.cloud.machines()) {
       for (String name : names) {
         if (w.sim.now() < until) {
-          w.net.cut(name, m.endpoint(), hold);
+          w.network.cut(name, m.endpoint(), hold);
         } else {
-          w.net.heal(name, m.endpoint());
+          w.network.heal(name, m.endpoint());
         }
       }
     }
@@ -90,7 +91,7 @@
     "9312,lost,17000,-1000"
   })
   void allAreAwayForLongerThanALease(long seed, String how, long spreadMs, long cancelledMs) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
     List<SimulatedUsers.KnownJob> jobs = begun(w);
     List<SimulatedUsers.KnownJob> cancelled = jobs.subList(0, jobs.size() / 2);
     if (cancelledMs >= 0) {
--- a/src/test/java/dapplestair/world/BurstTest.java
+++ b/src/test/java/dapplestair/world/BurstTest.java
@@ -9,16 +9,16 @@
 /** Much work at once: how soon machines are rented for it. */
 class BurstTest {
   private static SimulatedCluster world(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.LARGE);
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     w.run(4000);
     return w;
   }
 
   private static void burst(SimulatedCluster w) {
     for (int i = 0; i < 5; i++) {
-      w.users.changed("guest", 600, 30, b -> b.put("rank", "high"));
+      w.users.submitModifiedArray("guest", 600, 30, b -> b.put("rank", "high"));
     }
   }
 
@@ -73,8 +73,8 @@
             new SimulatedCluster.Size(30, 1200, 500, 150),
             false,
             List.of(SimulatedCluster.machineType("t8"), SimulatedCluster.machineType("t9")));
-    w.net.loss = 0;
-    w.users.quiet = true;
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     w.run(4000);
     burst(w);
     w.run(10_000);
--- a/src/test/java/dapplestair/world/CalendarTest.java
+++ b/src/test/java/dapplestair/world/CalendarTest.java
@@ -48,13 +48,13 @@
 
   /** At the beginning of a cycle. */
   static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     w.operatorSettings = OperatorSettings.defaults().withCalendars(List.of(BASIN));
     w.nodes.forEach(n -> n.crash(500));
     for (int i = 0; i < 3; i++) {
-      w.users.service("two", 3);
+      w.users.submitService("two", 3);
     }
     w.run(20_000);
     toNextCycle(w);
@@ -66,11 +66,13 @@
   }
 
   static SimulatedUsers.KnownJob model(SimulatedCluster w) {
-    return w.users.changed("one", 10, 8, b -> b.put("jobclass", "model").put("rank", "high"));
+    return w.users.submitModifiedArray(
+        "one", 10, 8, b -> b.put("jobclass", "model").put("rank", "high"));
   }
 
   private static SimulatedUsers.KnownJob gauge(SimulatedCluster w) {
-    return w.users.changed("one", 1, 1, b -> b.put("jobclass", "gauge").put("rank", "standard"));
+    return w.users.submitModifiedArray(
+        "one", 1, 1, b -> b.put("jobclass", "gauge").put("rank", "standard"));
   }
 
   static JsonNode record(SimulatedCluster w) {
@@ -148,7 +150,7 @@
     SimulatedCluster w = begun(seed);
     SimulatedUsers.KnownJob model = model(w);
     List<Long> released = new ArrayList<>();
-    w.also =
+    w.extraCheck =
         () -> {
           long cycle = record(w) == null ? 0 : record(w).path("cycle").asLong();
           if (cycle > 0 && (released.isEmpty() || released.get(released.size() - 1) != cycle)) {
@@ -162,7 +164,7 @@
     }
     w.run(afterMs);
     for (int i = 0; i < 2; i++) {
-      if (w.leader() != null && w.leader().up()) {
+      if (w.leader() != null && w.leader().isUp()) {
         w.leader().crash(w.sim.between(300, 3000));
       }
       w.run(1500);
@@ -184,7 +186,8 @@
   @ValueSource(longs = {6441, 6442})
   void lateOnesBelongToTheirs(long seed) {
     SimulatedCluster w = begun(seed);
-    w.users.changed("one", 1, 70, b -> b.put("jobclass", "gauge").put("rank", "standard"));
+    w.users.submitModifiedArray(
+        "one", 1, 70, b -> b.put("jobclass", "gauge").put("rank", "standard"));
     deliver(w, 1);
     toNextCycle(w);
     SimulatedUsers.KnownJob model = model(w);
@@ -217,7 +220,7 @@
     }
     w.run(CUT_OFF_MS);
     assertFalse(model.started, "nobody could have started it");
-    untilBegun(w, model, 2000 + 3 * SimulatedCluster.REPORT_MS);
+    untilBegun(w, model, 2000 + 3 * SimulatedCluster.REPORT_INTERVAL_MS);
     w.run(PERIOD_MS);
     assertTrue(record(w).path("cycle").asLong() > 0, "the schedule goes on");
   }
--- a/src/test/java/dapplestair/world/CancellationLatency.java
+++ b/src/test/java/dapplestair/world/CancellationLatency.java
@@ -57,14 +57,14 @@
       int seeds,
       Consumer<CancellationOutageTest.Day> before,
       Consumer<CancellationOutageTest.Day> after) {
-    Histogram ms = new Histogram(SimulatedCluster.CANCEL_MS * 4, 3);
+    Histogram ms = new Histogram(SimulatedCluster.CANCEL_DEADLINE_MS * 4, 3);
     for (int i = 0; i < seeds; i++) {
       CancellationOutageTest.Day d = new CancellationOutageTest.Day(8700 + i);
       before.accept(d);
       d.cancel(d.second);
       after.accept(d);
       Map<SimulatedUsers.KnownJob, Long> goneAt = new HashMap<>();
-      long end = d.w.sim.now() + SimulatedCluster.CANCEL_MS;
+      long end = d.w.sim.now() + SimulatedCluster.CANCEL_DEADLINE_MS;
       while (d.w.sim.now() < end && goneAt.size() < d.cancelled.size()) {
         for (SimulatedUsers.KnownJob t : d.cancelled) {
           if (d.running(t) == 0) {
@@ -74,7 +74,7 @@
         d.w.run(STEP_MS);
       }
       for (SimulatedUsers.KnownJob t : d.cancelled) {
-        ms.recordValue(Math.max(0, goneAt.getOrDefault(t, end) - t.abortedAt));
+        ms.recordValue(Math.max(0, goneAt.getOrDefault(t, end) - t.abortedAtMs));
       }
     }
     System.out.printf(
--- a/src/test/java/dapplestair/world/CancellationOutageTest.java
+++ b/src/test/java/dapplestair/world/CancellationOutageTest.java
@@ -36,7 +36,7 @@
 
     Day(SimulatedCluster begun) {
       w = begun;
-      w.checker.budget = null;
+      w.checker.teamDisruptionBudget = null;
       w.run(20_000);
       old = w.leader();
       second = w.nodes.get((old.index + 1) % 3);
@@ -44,16 +44,16 @@
       for (int i = 0; i < 2; i++) {
         List<SimulatedUsers.KnownJob> to = i == 0 ? cancelled : kept;
         // First, so that it makes its room before the others have theirs.
-        to.add(w.users.service("one", 3));
+        to.add(w.users.submitService("one", 3));
         w.run(4000);
-        to.add(w.users.array("one", "high", 8, 150));
+        to.add(w.users.submitArray("one", "high", 8, 150));
         if (i == 0) {
-          to.add(w.users.changed("two", 6, 150, b -> b.put("shape", "gang")));
+          to.add(w.users.submitModifiedArray("two", 6, 150, b -> b.put("shape", "gang")));
         }
         to.add(
-            w.users.changed(
+            w.users.submitModifiedArray(
                 "two", 6, 150, b -> b.put("snapshotEveryS", 20.0).put("snapshotS", 3.0)));
-        to.add(w.users.array("one", "high", 1, 150));
+        to.add(w.users.submitArray("one", "high", 1, 150));
       }
       w.run(12_000);
       for (int i = 0; i < MOST_WAITS && cancelled.stream().anyMatch(t -> running(t) == 0); i++) {
@@ -96,7 +96,7 @@
       int i = 0;
       for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
         if (!m.gone() && i++ % 3 == 0) {
-          m.stall(SimulatedCluster.CANCEL_MS * 3 / 2);
+          m.stall(SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
         }
       }
     }
@@ -104,7 +104,7 @@
     private void links(
         SimulatedCluster.ControllerNode a, SimulatedCluster.ControllerNode b, String how) {
       if (how.equals("refused") || how.equals("held")) {
-        w.net.cut("node-" + a.index, "node-" + b.index, how.equals("held"));
+        w.network.cut("node-" + a.index, "node-" + b.index, how.equals("held"));
       }
     }
 
@@ -121,7 +121,7 @@
       for (SimulatedCluster.ControllerNode a : w.nodes) {
         for (SimulatedCluster.ControllerNode b : w.nodes) {
           if (a != b) {
-            w.net.heal("node-" + a.index, "node-" + b.index);
+            w.network.heal("node-" + a.index, "node-" + b.index);
           }
         }
       }
@@ -145,9 +145,9 @@
     void outage(Consumer<Day> meanwhile) {
       w.state.fail();
       meanwhile.accept(this);
-      w.run(SimulatedCluster.CANCEL_MS);
+      w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
       assertEquals(0, running(cancelled), "cancelled tasks");
-      w.run(SimulatedCluster.CANCEL_MS);
+      w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
       w.state.refuse("node-" + old.index, false);
       w.state.recover();
       healLinks();
@@ -216,8 +216,8 @@
     Day d = new Day(seed);
     for (EmulatedWorker m : d.w.cloud.machines()) {
       for (SimulatedCluster.ControllerNode n : List.of(d.second, d.third)) {
-        d.w.net.cut("node-" + n.index, m.endpoint(), true);
-        d.w.net.cut(SimulatedCluster.client(n.index), m.endpoint(), true);
+        d.w.network.cut("node-" + n.index, m.endpoint(), true);
+        d.w.network.cut(SimulatedCluster.clientAddress(n.index), m.endpoint(), true);
       }
     }
     refuse(d);
@@ -236,8 +236,8 @@
               () -> {
                 for (EmulatedWorker m : d.w.cloud.machines()) {
                   for (SimulatedCluster.ControllerNode n : List.of(d.second, d.third)) {
-                    d.w.net.heal("node-" + n.index, m.endpoint());
-                    d.w.net.heal(SimulatedCluster.client(n.index), m.endpoint());
+                    d.w.network.heal("node-" + n.index, m.endpoint());
+                    d.w.network.heal(SimulatedCluster.clientAddress(n.index), m.endpoint());
                   }
                 }
               });
@@ -252,7 +252,7 @@
     refuse(d);
     d.cancel(d.second);
     d.w.state.fail();
-    d.w.run(SimulatedCluster.REPORT_MS);
+    d.w.run(SimulatedCluster.REPORT_INTERVAL_MS);
     assertEquals(0, d.running(d.cancelled), "cancelled tasks");
   }
 
@@ -265,7 +265,7 @@
     d.links(links, true);
     d.cancel(d.second);
     d.w.state.fail();
-    d.w.run(SimulatedCluster.CANCEL_MS / 2);
+    d.w.run(SimulatedCluster.CANCEL_DEADLINE_MS / 2);
     assertEquals(0, d.running(d.cancelled), "cancelled tasks");
   }
 
@@ -286,22 +286,23 @@
     Day d = new Day(seed);
     List<String> machines =
         d.w.cloud.machines().stream().filter(m -> !m.gone()).map(m -> m.endpoint()).toList();
-    machines.forEach(m -> d.w.net.cut("node-" + d.old.index, m, true));
+    machines.forEach(m -> d.w.network.cut("node-" + d.old.index, m, true));
     // As many as a follower's puts take in the time; the others are cancelled in the end.
     List<SimulatedUsers.KnownJob> later = List.copyOf(d.cancelled);
     d.cancelled.clear();
     for (int i = 0; i < 4; i++) {
-      d.cancelled.add(d.w.users.array("one", "high", 4, 150));
+      d.cancelled.add(d.w.users.submitArray("one", "high", 4, 150));
     }
     d.w.run(1200);
     refuse(d);
     d.links(links, false);
     d.cancel(d.second);
-    d.w.sim.after(5 * SimulatedCluster.CANCEL_MS / 2, () -> later.forEach(d.w.users::cancel));
+    d.w.sim.after(
+        5 * SimulatedCluster.CANCEL_DEADLINE_MS / 2, () -> later.forEach(d.w.users::cancel));
     d.outage(
         x ->
             d.w.sim.after(
-                arriveMs, () -> machines.forEach(m -> d.w.net.heal("node-" + d.old.index, m))));
+                arriveMs, () -> machines.forEach(m -> d.w.network.heal("node-" + d.old.index, m))));
   }
 
   /** Some machines with cancelled work hear nothing, or hang, or both, in turn. */
@@ -329,13 +330,14 @@
   @CsvSource({"8051,true", "8052,false", "8053,true"})
   void noAnswerInsteadOfARefusal(long seed, boolean hold) {
     Day d = new Day(seed);
-    d.w.net.cut("node-" + d.old.index, "state:1", hold);
+    d.w.network.cut("node-" + d.old.index, "state:1", hold);
     d.w.run(200);
     d.cancel(d.second);
     d.outage(
         x ->
             d.w.sim.after(
-                SimulatedCluster.CANCEL_MS, () -> d.w.net.heal("node-" + d.old.index, "state:1")));
+                SimulatedCluster.CANCEL_DEADLINE_MS,
+                () -> d.w.network.heal("node-" + d.old.index, "state:1")));
   }
 
   /** All controllers end in the outage: nobody remembers, so no lease is kept that must end. */
@@ -362,7 +364,7 @@
     List<SimulatedUsers.KnownJob> others = refused ? d.kept : d.cancelled;
     long before = d.running(others);
     d.w.state.fail();
-    d.w.run(2 * SimulatedCluster.CANCEL_MS);
+    d.w.run(2 * SimulatedCluster.CANCEL_DEADLINE_MS);
     assertEquals(before, d.running(others), "tasks of other jobs");
     assertEquals(byLease, d.w.cloud.killedByLease(), "tasks killed by the end of a lease");
     assertEquals(byRelease, d.w.cloud.killedByRelease(), "tasks killed by returns");
@@ -377,12 +379,12 @@
   void whoHearsNobodyLetsGo(long seed) {
     Day d = new Day(seed);
     d.w.state.fail();
-    new RandomFaults(d.w).alone(d.old, false, 2 * SimulatedCluster.CANCEL_MS);
-    new RandomFaults(d.w).alone(d.second, false, 2 * SimulatedCluster.CANCEL_MS);
-    d.w.run(SimulatedCluster.CANCEL_MS * 11 / 10);
+    new RandomFaults(d.w).alone(d.old, false, 2 * SimulatedCluster.CANCEL_DEADLINE_MS);
+    new RandomFaults(d.w).alone(d.second, false, 2 * SimulatedCluster.CANCEL_DEADLINE_MS);
+    d.w.run(SimulatedCluster.CANCEL_DEADLINE_MS * 11 / 10);
     assertEquals(0, d.running(d.cancelled) + d.running(d.kept), "tasks on kept leases");
     d.w.state.recover();
-    d.w.run(SimulatedCluster.CANCEL_MS);
+    d.w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
     SeededDaysTest.settle(d.w);
   }
 }
--- a/src/test/java/dapplestair/world/CommitInterceptor.java
+++ b/src/test/java/dapplestair/world/CommitInterceptor.java
@@ -13,28 +13,28 @@
  * so that their sender does not learn what everybody else can read.
  */
 final class CommitInterceptor {
-  static final String JOB = "live/job/";
-  static final String OVER = "over/";
+  static final String JOB_KEY_PREFIX = "live/job/";
+  static final String ENDED_JOB_KEY_PREFIX = "over/";
 
   private final EventSimulator sim;
 
   /** Share of the chosen transactions whose answer is lost. */
-  double lostAnswers;
+  double answerLossProbability;
 
   /** Which ones are chosen: those with a write that passes. */
-  Predicate<JsonNode> lostAnswersOf = write -> true;
+  Predicate<JsonNode> isLossCandidate = write -> true;
 
   /** Answers lost so far. */
-  int lost;
+  int lostAnswerCount;
 
   /** Told of the sender and the body of each transaction that was carried out, if set. */
-  BiConsumer<String, JsonNode> carriedOut;
+  BiConsumer<String, JsonNode> commitListener;
 
   /** Told of the sender and the body of each one whose answer is lost. */
-  BiConsumer<String, JsonNode> answerLost = (from, body) -> {};
+  BiConsumer<String, JsonNode> answerLostListener = (from, body) -> {};
 
   // Until when these callers get no answer to their questions for changes.
-  private final Map<String, Long> withoutNews = new HashMap<>();
+  private final Map<String, Long> changesBlockedUntilMs = new HashMap<>();
 
   CommitInterceptor(EventSimulator sim) {
     this.sim = sim;
@@ -51,15 +51,16 @@
   }
 
   /** Puts that end a job with this status. */
-  static Predicate<JsonNode> ends(String status) {
-    return puts(OVER).and(w -> w.path("value").path("status").asText().equals(status));
+  static Predicate<JsonNode> endsJobAs(String status) {
+    return puts(ENDED_JOB_KEY_PREFIX)
+        .and(w -> w.path("value").path("status").asText().equals(status));
   }
 
   /** The job that a transaction accepts or ends, or null. */
-  static String job(JsonNode body) {
+  static String jobRef(JsonNode body) {
     for (JsonNode write : body.path("writes")) {
       String key = key(write);
-      if (key.startsWith(OVER) || key.startsWith(JOB)) {
+      if (key.startsWith(ENDED_JOB_KEY_PREFIX) || key.startsWith(JOB_KEY_PREFIX)) {
         return key.substring(key.lastIndexOf('/') + 1);
       }
     }
@@ -72,9 +73,9 @@
   }
 
   /** True if any write of a transaction passes. */
-  static boolean any(JsonNode body, Predicate<JsonNode> wanted) {
+  static boolean anyWrite(JsonNode body, Predicate<JsonNode> condition) {
     for (JsonNode write : body.path("writes")) {
-      if (wanted.test(write)) {
+      if (condition.test(write)) {
         return true;
       }
     }
@@ -82,28 +83,30 @@
   }
 
   /** For a while a caller gets no answer to its questions for changes. */
-  void withoutNews(String caller, long ms) {
-    withoutNews.put(caller, sim.now() + ms);
+  void blockChanges(String caller, long durationMs) {
+    changesBlockedUntilMs.put(caller, sim.now() + durationMs);
   }
 
   /** Called once for each answer to a request. True if its sender must not get it. */
-  boolean answerLost(String from, String path, byte[] sent, HttpReply reply) {
-    if (path.startsWith("/changes") && sim.now() < withoutNews.getOrDefault(from, 0L)) {
+  boolean losesAnswer(String from, String path, byte[] requestBody, HttpReply reply) {
+    if (path.startsWith("/changes") && sim.now() < changesBlockedUntilMs.getOrDefault(from, 0L)) {
       return true;
     }
-    boolean wanted = carriedOut != null || lostAnswers > 0;
-    if (!wanted || !path.equals("/commit") || !reply.ok()) {
+    boolean observesCommits = commitListener != null || answerLossProbability > 0;
+    if (!observesCommits || !path.equals("/commit") || !reply.ok()) {
       return false;
     }
-    JsonNode body = Json.parse(sent);
-    if (carriedOut != null) {
-      carriedOut.accept(from, body);
+    JsonNode body = Json.parse(requestBody);
+    if (commitListener != null) {
+      commitListener.accept(from, body);
     }
-    if (lostAnswers == 0 || !any(body, lostAnswersOf) || !sim.chance(lostAnswers)) {
+    if (answerLossProbability == 0
+        || !anyWrite(body, isLossCandidate)
+        || !sim.chance(answerLossProbability)) {
       return false;
     }
-    lost++;
-    answerLost.accept(from, body);
+    lostAnswerCount++;
+    answerLostListener.accept(from, body);
     return true;
   }
 }
--- a/src/test/java/dapplestair/world/ConcurrentReaders.java
+++ b/src/test/java/dapplestair/world/ConcurrentReaders.java
@@ -9,32 +9,32 @@
  */
 final class ConcurrentReaders {
   /** Of one look after the other, in milliseconds: within a message, a put, a report. */
-  private static final long[] MOMENTS = {0, 3, 9, 30, 100, 400, 1500};
+  private static final long[] OFFSETS_MS = {0, 3, 9, 30, 100, 400, 1500};
 
-  private static final long POLL_MS = 2000;
-  private static final long SUBMIT_MS = 5000;
+  private static final long POLL_TIMEOUT_MS = 2000;
+  private static final long SUBMIT_TIMEOUT_MS = 5000;
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
 
   /** Answers that told a state. */
-  int told;
+  int statusAnswers;
 
-  ConcurrentReaders(SimulatedCluster world) {
-    this.world = world;
+  ConcurrentReaders(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   /** From now on, for a moment: each controller is asked, and every other time told again. */
-  void around(SimulatedUsers.KnownJob job) {
-    for (int i = 0; i < MOMENTS.length; i++) {
-      boolean again = i % 2 == 1;
-      world.sim.after(
-          MOMENTS[i],
+  void queryAllControllers(SimulatedUsers.KnownJob job) {
+    for (int i = 0; i < OFFSETS_MS.length; i++) {
+      boolean submitsAgain = i % 2 == 1;
+      cluster.sim.after(
+          OFFSETS_MS[i],
           () ->
-              world.nodes.forEach(
+              cluster.nodes.forEach(
                   n -> {
                     ask(job, n);
-                    if (again) {
-                      repeat(job, n);
+                    if (submitsAgain) {
+                      submitAgain(job, n);
                     }
                   }));
     }
@@ -42,12 +42,12 @@
 
   /** Asks for a job's state. */
   void ask(SimulatedUsers.KnownJob job, SimulatedCluster.ControllerNode node) {
-    call(job, node, "GET", "/submissions/" + job.ref, null, POLL_MS);
+    call(job, node, "GET", "/submissions/" + job.ref, null, POLL_TIMEOUT_MS);
   }
 
   /** Submits a job again. */
-  void repeat(SimulatedUsers.KnownJob job, SimulatedCluster.ControllerNode node) {
-    call(job, node, "POST", "/submissions", Json.bytes(job.body), SUBMIT_MS);
+  void submitAgain(SimulatedUsers.KnownJob job, SimulatedCluster.ControllerNode node) {
+    call(job, node, "POST", "/submissions", Json.bytes(job.body), SUBMIT_TIMEOUT_MS);
   }
 
   private void call(
@@ -57,21 +57,23 @@
       String path,
       byte[] body,
       long timeoutMs) {
-    String before = job.finalState();
-    world.net.call(
+    String finalStatusWhenAsked = job.finalStatus();
+    cluster.network.call(
         "users",
-        SimulatedCluster.client(node.index),
+        SimulatedCluster.clientAddress(node.index),
         method,
         path,
         body,
         timeoutMs,
-        reply -> heard(job, before, reply));
+        reply -> checkReportedStatus(job, finalStatusWhenAsked, reply));
   }
 
-  private void heard(SimulatedUsers.KnownJob job, String before, HttpReply reply) {
+  private void checkReportedStatus(
+      SimulatedUsers.KnownJob job, String finalStatusWhenAsked, HttpReply reply) {
     if (reply.status() == 200 || reply.status() == 201) {
-      told++;
-      world.checker.told(job, before, Json.parse(reply.body()).path("status").asText());
+      statusAnswers++;
+      cluster.checker.statusReported(
+          job, finalStatusWhenAsked, Json.parse(reply.body()).path("status").asText());
     }
   }
 }
--- a/src/test/java/dapplestair/world/DelayedReports.java
+++ b/src/test/java/dapplestair/world/DelayedReports.java
@@ -15,27 +15,28 @@
     ACTED
   }
 
-  private record Kept(long at, SimulatedNetwork.Request report) {}
+  private record KeptReport(long sentAtMs, SimulatedNetwork.Request report) {}
 
-  private final SimulatedCluster world;
-  private final long keptMs;
+  private final SimulatedCluster cluster;
+  private final long retentionMs;
   private final double share;
-  private final ArrayDeque<Kept> kept = new ArrayDeque<>();
+  private final ArrayDeque<KeptReport> keptReports = new ArrayDeque<>();
 
-  /** Keeps this share of the reports of the last {@code keptMs}. */
-  DelayedReports(SimulatedCluster world, double share, long keptMs) {
-    this.world = world;
+  /** Keeps this share of the reports of the last {@code retentionMs}. */
+  DelayedReports(SimulatedCluster cluster, double share, long retentionMs) {
+    this.cluster = cluster;
     this.share = share;
-    this.keptMs = keptMs;
-    world.net.observe(this::keep);
+    this.retentionMs = retentionMs;
+    cluster.network.observe(this::keep);
   }
 
-  private void keep(SimulatedNetwork.Request r) {
-    if (r.path().equals("/agent/beat") && (share >= 1 || world.sim.chance(share))) {
-      kept.add(new Kept(world.sim.now(), r));
+  private void keep(SimulatedNetwork.Request request) {
+    if (request.path().equals("/agent/beat") && (share >= 1 || cluster.sim.chance(share))) {
+      keptReports.add(new KeptReport(cluster.sim.now(), request));
     }
-    while (!kept.isEmpty() && kept.peek().at < world.sim.now() - keptMs) {
-      kept.poll();
+    while (!keptReports.isEmpty()
+        && keptReports.peek().sentAtMs < cluster.sim.now() - retentionMs) {
+      keptReports.poll();
     }
   }
 
@@ -43,28 +44,31 @@
    * The reports kept so far arrive once the next leader has begun or acted, in any order and within
    * {@code withinMs}: at every controller, or at the new leader alone.
    */
-  void arrive(Arrival arrival, boolean everywhere, long withinMs) {
-    List<Kept> copies = new ArrayList<>(kept);
-    long term = term();
-    Predicate<SimulatedNetwork.Request> sign =
+  void deliverAfterLeaderChange(Arrival arrival, boolean toAllControllers, long withinMs) {
+    List<KeptReport> copies = new ArrayList<>(keptReports);
+    long termBefore = term();
+    Predicate<SimulatedNetwork.Request> isNewLeaderActive =
         r ->
             r.path().equals("/orders")
-                && term() > term
-                && world.leader() != null
-                && r.from().equals("node-" + world.leader().index)
-                && (arrival == Arrival.BEGUN || r.orders("launch"));
-    world.net.when(sign, 0, () -> copies.forEach(c -> send(c, everywhere, withinMs)));
+                && term() > termBefore
+                && cluster.leader() != null
+                && r.from().equals("node-" + cluster.leader().index)
+                && (arrival == Arrival.BEGUN || r.hasOrder("launch"));
+    cluster.network.runAfterFirst(
+        isNewLeaderActive, 0, () -> copies.forEach(c -> send(c, toAllControllers, withinMs)));
   }
 
   private long term() {
-    return world.state.value("live/term").path("term").asLong();
+    return cluster.state.value("live/term").path("term").asLong();
   }
 
-  private void send(Kept copy, boolean everywhere, long withinMs) {
-    for (SimulatedCluster.ControllerNode node : world.nodes) {
-      if (everywhere || node == world.leader()) {
-        String to = SimulatedCluster.client(node.index);
-        world.sim.after(world.sim.between(0, withinMs), () -> world.net.late(copy.report(), to));
+  private void send(KeptReport copy, boolean toAllControllers, long withinMs) {
+    for (SimulatedCluster.ControllerNode node : cluster.nodes) {
+      if (toAllControllers || node == cluster.leader()) {
+        String receiver = SimulatedCluster.clientAddress(node.index);
+        cluster.sim.after(
+            cluster.sim.between(0, withinMs),
+            () -> cluster.network.deliverLate(copy.report(), receiver));
       }
     }
   }
--- a/src/test/java/dapplestair/world/DisruptionTest.java
+++ b/src/test/java/dapplestair/world/DisruptionTest.java
@@ -25,15 +25,15 @@
 
   /** Two teams' services of three replicas, and operators who allow so many out at once. */
   static SimulatedCluster begun(long seed, int one, int two) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, true);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM, true);
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     allow(w, one, two);
     for (int i = 0; i < SERVICES; i++) {
-      w.users.service("one", 3);
-      w.users.service("two", 3);
+      w.users.submitService("one", 3);
+      w.users.submitService("two", 3);
     }
-    w.users.array("one", "standard", 40, 20);
+    w.users.submitArray("one", "standard", 40, 20);
     w.run(45_000);
     assertEquals(2 * REPLICAS, replicas(w), "replicas at the beginning");
     return w;
@@ -48,7 +48,7 @@
                 new DisruptionBudgets(Map.of("one", replicas(d, one), "two", replicas(d, two)), d));
     w.nodes.forEach(n -> n.crash(1000));
     w.run(8000);
-    w.checker.budget = team -> team.equals("one") ? one : two;
+    w.checker.teamDisruptionBudget = team -> team.equals("one") ? one : two;
   }
 
   private static DisruptionBudgets.DisruptionBudget replicas(
@@ -84,7 +84,7 @@
       // Held back, so that stops of the former leader arrive when the next one has begun.
       for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
         if (w.sim.chance(0.3)) {
-          w.nodes.forEach(n -> w.net.cut("node-" + n.index, m.endpoint(), true));
+          w.nodes.forEach(n -> w.network.cut("node-" + n.index, m.endpoint(), true));
         }
       }
       w.run(w.sim.between(200, 2500));
@@ -93,15 +93,16 @@
       }
       w.run(w.sim.between(500, 3000));
       for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
-        w.nodes.forEach(n -> w.net.heal("node-" + n.index, m.endpoint()));
+        w.nodes.forEach(n -> w.network.heal("node-" + n.index, m.endpoint()));
       }
       w.run(w.sim.between(1000, 4000));
     }
     w.run(150_000);
     assertEquals(2 * REPLICAS, replicas(w), "replicas in the end");
     assertEquals(0, tasksIn(w, "c"), "tasks left in the zone");
-    assertEquals(1, w.checker.mostStopped.get("one"), "a budget of one was not used");
-    assertTrue(w.checker.mostStopped.get("two") > 1, "a budget of three was used as one of one");
+    assertEquals(1, w.checker.maxStoppedReplicas.get("one"), "a budget of one was not used");
+    assertTrue(
+        w.checker.maxStoppedReplicas.get("two") > 1, "a budget of three was used as one of one");
   }
 
   /**
@@ -125,11 +126,11 @@
               .limit(seed % 2 == 0 ? 1 : 100)
               .toList();
       for (EmulatedWorker m : some) {
-        w.net.cut("node-" + leader.index, m.endpoint(), true);
+        w.network.cut("node-" + leader.index, m.endpoint(), true);
         for (SimulatedCluster.ControllerNode n : w.nodes) {
-          w.net.cutOneWay(SimulatedCluster.client(n.index), m.endpoint());
+          w.network.cutOneWay(SimulatedCluster.clientAddress(n.index), m.endpoint());
           if (n != leader) {
-            w.net.cutOneWay("node-" + n.index, m.endpoint());
+            w.network.cutOneWay("node-" + n.index, m.endpoint());
           }
         }
         OperatorsTest.ask(
@@ -153,13 +154,13 @@
       }
       w.run(w.sim.between(200, 3500));
       for (EmulatedWorker m : some) {
-        w.net.heal("node-" + leader.index, m.endpoint());
+        w.network.heal("node-" + leader.index, m.endpoint());
       }
       w.run(200);
       for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
         for (SimulatedCluster.ControllerNode n : w.nodes) {
-          w.net.healOneWay(SimulatedCluster.client(n.index), m.endpoint());
-          w.net.healOneWay("node-" + n.index, m.endpoint());
+          w.network.healOneWay(SimulatedCluster.clientAddress(n.index), m.endpoint());
+          w.network.healOneWay("node-" + n.index, m.endpoint());
         }
         if (w.leader() != null) {
           OperatorsTest.ask(
@@ -168,7 +169,7 @@
       }
       w.run(14_000);
     }
-    assertTrue(w.checker.mostStopped.values().stream().mapToInt(n -> n).sum() > 0);
+    assertTrue(w.checker.maxStoppedReplicas.values().stream().mapToInt(n -> n).sum() > 0);
   }
 
   /** Nothing is stopped, and why says that it never will be. */
@@ -177,7 +178,8 @@
     SimulatedCluster w = begun(7, 0, 3);
     OperatorsTest.order(w, "/v1/zones/c/drain", Json.object().put("deadline_s", 5));
     w.run(60_000);
-    assertTrue(w.checker.mostStopped.getOrDefault("one", 0) == 0, "a replica of one was stopped");
+    assertTrue(
+        w.checker.maxStoppedReplicas.getOrDefault("one", 0) == 0, "a replica of one was stopped");
     long left =
         w.cloud.machines().stream()
             .filter(m -> !m.gone() && m.zone().equals("c"))
@@ -186,7 +188,7 @@
             .count();
     assertTrue(left > 0, "no replica of one was in the zone");
     boolean said = false;
-    for (SimulatedUsers.KnownJob job : w.users.told.values()) {
+    for (SimulatedUsers.KnownJob job : w.users.jobs.values()) {
       if (job.team.equals("one") && job.service && !said) {
         JsonNode why = OperatorsTest.answer(w, "/v1/jobs/" + job.ref + "/why");
         said = why.path("not_moved").asText().contains("zero means never");
@@ -202,7 +204,7 @@
     SimulatedCluster w = begun(seed, 1, 2);
     // These may run nowhere else, and there the cloud will have no more machines.
     SimulatedUsers.KnownJob lost =
-        w.users.changed(
+        w.users.submitModifiedArray(
             "one",
             3,
             0,
@@ -210,7 +212,7 @@
                 b.put("shape", "daemon")
                     .put("jobclass", "serve")
                     .put("rank", "critical")
-                    .put("vcpus", SimulatedCluster.CPUS)
+                    .put("vcpus", SimulatedCluster.MACHINE_CPUS)
                     .put("basin", "a")
                     .put("loaners", false));
     w.run(20_000);
@@ -218,12 +220,14 @@
     List.copyOf(w.cloud.machines()).stream()
         .filter(m -> m.tasks().stream().anyMatch(t -> t.key().startsWith(lost.ref + "/")))
         .forEach(EmulatedWorker::end);
-    w.run(4 * SimulatedCluster.REPORT_MS);
-    w.checker.mostStopped.clear();
+    w.run(4 * SimulatedCluster.REPORT_INTERVAL_MS);
+    w.checker.maxStoppedReplicas.clear();
     OperatorsTest.order(w, "/v1/zones/c/drain", Json.object());
     w.run(40_000);
-    assertEquals(0, w.checker.mostStopped.getOrDefault("one", 0), "drained on top of a loss");
-    assertTrue(w.checker.mostStopped.getOrDefault("two", 0) > 0, "the other team does not move");
+    assertEquals(
+        0, w.checker.maxStoppedReplicas.getOrDefault("one", 0), "drained on top of a loss");
+    assertTrue(
+        w.checker.maxStoppedReplicas.getOrDefault("two", 0) > 0, "the other team does not move");
     w.cloud.setCapacity(1);
     w.run(90_000);
     assertEquals(2 * REPLICAS + 3, replicas(w), "replicas in the end");
@@ -250,7 +254,7 @@
     SimulatedCluster w = begun(seed, 1, 1);
     double most = 2.0 * 60 * 8;
     allowLoss(w, most);
-    SimulatedUsers.KnownJob array = w.users.array("two", "standard", 60, 300);
+    SimulatedUsers.KnownJob array = w.users.submitArray("two", "standard", 60, 300);
     w.run(40_000);
     for (String zone : SimulatedCluster.ZONES) {
       OperatorsTest.order(w, "/v1/zones/" + zone + "/drain", Json.object().put("deadline_s", 1));
@@ -264,7 +268,7 @@
       }
     }
     w.run(30_000);
-    double lost = w.checker.thrownAwayCpuS.getOrDefault("two", 0.0);
+    double lost = w.checker.lostCpuSeconds.getOrDefault("two", 0.0);
     assertTrue(lost > 0, "nothing was stopped at the deadline");
     assertTrue(lost <= most + 1e-6, lost + " CPU seconds thrown away of " + most);
     assertTrue(array.accepted && !array.done);
@@ -276,12 +280,12 @@
   void aBudgetLoweredBelowWhatIsOut(long seed) {
     SimulatedCluster w = begun(seed, 6, 6);
     OperatorsTest.order(w, "/v1/zones/c/drain", Json.object());
-    for (int i = 0; i < 100 && w.checker.mostStopped.getOrDefault("one", 0) <= 1; i++) {
+    for (int i = 0; i < 100 && w.checker.maxStoppedReplicas.getOrDefault("one", 0) <= 1; i++) {
       w.run(200);
     }
-    assertTrue(w.checker.mostStopped.getOrDefault("one", 0) > 1, "only one was out");
+    assertTrue(w.checker.maxStoppedReplicas.getOrDefault("one", 0) > 1, "only one was out");
     allow(w, 1, 1);
-    w.checker.mostStopped.clear();
+    w.checker.maxStoppedReplicas.clear();
     w.run(150_000);
     assertEquals(2 * REPLICAS, replicas(w), "replicas in the end");
     assertEquals(0, tasksIn(w, "c"), "tasks left in the zone");
--- a/src/test/java/dapplestair/world/DrainTest.java
+++ b/src/test/java/dapplestair/world/DrainTest.java
@@ -28,20 +28,23 @@
   void drainingAZoneKeepsServicesWhole(long seed) {
     SimulatedCluster w = OperatorsTest.quiet(seed, OperatorsTest.ROOMY);
     List<SimulatedUsers.KnownJob> services =
-        List.of(w.users.service("one", 4), w.users.service("two", 6), w.users.service("one", 3));
+        List.of(
+            w.users.submitService("one", 4),
+            w.users.submitService("two", 6),
+            w.users.submitService("one", 3));
     w.run(60_000);
-    services.forEach(s -> assertEquals(s.steps, running(w, s), s.ref + " runs before"));
+    services.forEach(s -> assertEquals(s.taskCount, running(w, s), s.ref + " runs before"));
     long[] least = {Long.MAX_VALUE};
-    w.also =
+    w.extraCheck =
         () -> {
           for (SimulatedUsers.KnownJob s : services) {
-            least[0] = Math.min(least[0], running(w, s) - s.steps);
+            least[0] = Math.min(least[0], running(w, s) - s.taskCount);
           }
         };
     OperatorsTest.order(w, "/v1/zones/a/drain", Json.object().put("why", "power"));
     w.run(120_000);
     assertTrue(least[0] >= -1, "a service lacked " + -least[0] + " replicas");
-    services.forEach(s -> assertEquals(s.steps, running(w, s), s.ref + " runs after"));
+    services.forEach(s -> assertEquals(s.taskCount, running(w, s), s.ref + " runs after"));
     assertEquals(0, DisruptionTest.tasksIn(w, "a"), "tasks are left in the zone");
   }
 
@@ -49,7 +52,7 @@
   @Test
   void replicasWithoutAPlaceStay() {
     SimulatedCluster w = OperatorsTest.quiet(21, OperatorsTest.ROOMY);
-    SimulatedUsers.KnownJob service = w.users.service("one", 4);
+    SimulatedUsers.KnownJob service = w.users.submitService("one", 4);
     w.run(60_000);
     OperatorsTest.order(w, "/v1/zones/a/drain", Json.object().put("deadline_s", 5));
     OperatorsTest.order(w, "/v1/zones/b/drain", Json.object().put("deadline_s", 5));
@@ -72,7 +75,7 @@
       }
       w.run(w.sim.between(3000, 9000));
     }
-    w.users.quiet = true;
+    w.users.submissionsStopped = true;
     w.run(90_000);
     JsonNode drains = OperatorsTest.answer(w, "/v1/drains");
     assertEquals("cooling", drains.path("rows").path(0).path("why").asText());
@@ -80,7 +83,7 @@
         w.cloud.machines().stream()
             .filter(m -> !m.gone() && m.zone().equals("b"))
             .flatMap(m -> m.tasks().stream())
-            .filter(t -> t.onMachine() && !w.users.told.get(ref(t)).service)
+            .filter(t -> t.onMachine() && !w.users.jobs.get(ref(t)).service)
             .count();
     assertEquals(0, arrays, "arrays are left in the zone");
     OperatorsTest.order(w, "/v1/zones/b/undrain", null);
@@ -95,16 +98,16 @@
   @Test
   void aDrainedMachineIsLeftAlone() {
     SimulatedCluster w = OperatorsTest.quiet(41, OperatorsTest.ROOMY);
-    w.users.array("one", "standard", 24, 4);
+    w.users.submitArray("one", "standard", 24, 4);
     w.run(25_000);
     EmulatedWorker m =
         w.cloud.machines().stream().filter(x -> x.booted() && !x.gone()).findFirst().orElseThrow();
     OperatorsTest.order(w, "/v1/machines/" + m.id() + "/drain", Json.object());
     w.run(10_000);
     long[] started = {0};
-    w.also = () -> started[0] += m.tasks().stream().filter(EmulatedTask::onMachine).count();
+    w.extraCheck = () -> started[0] += m.tasks().stream().filter(EmulatedTask::onMachine).count();
     for (int i = 0; i < 6; i++) {
-      w.users.array("one", "standard", 24, 4);
+      w.users.submitArray("one", "standard", 24, 4);
       w.run(20_000);
     }
     assertEquals(0, started[0], "something ran on a drained machine");
--- a/src/test/java/dapplestair/world/EventSimulator.java
+++ b/src/test/java/dapplestair/world/EventSimulator.java
@@ -6,58 +6,58 @@
 
 /** Virtual time: events in order, ties in the order of their making. */
 final class EventSimulator {
-  private record Event(long at, long order, Runnable task) implements Comparable<Event> {
+  private record Event(long timeMs, long order, Runnable task) implements Comparable<Event> {
     @Override
     public int compareTo(Event o) {
-      return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+      return timeMs != o.timeMs ? Long.compare(timeMs, o.timeMs) : Long.compare(order, o.order);
     }
   }
 
   final SplittableRandom random;
 
   /** For what controllers ask each other: how much they do must not change the luck of all else. */
-  final SplittableRandom amongControllers;
+  final SplittableRandom controllerRequestRandom;
 
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private long now;
-  private long made;
+  private long createdEvents;
 
   EventSimulator(long seed) {
     random = new SplittableRandom(seed);
-    amongControllers = new SplittableRandom(~seed);
+    controllerRequestRandom = new SplittableRandom(~seed);
   }
 
   long now() {
     return now;
   }
 
-  Cancellable after(long ms, Runnable task) {
-    boolean[] off = {false};
+  Cancellable after(long delayMs, Runnable task) {
+    boolean[] cancelled = {false};
     events.add(
         new Event(
-            now + Math.max(0, ms),
-            made++,
+            now + Math.max(0, delayMs),
+            createdEvents++,
             () -> {
-              if (!off[0]) {
+              if (!cancelled[0]) {
                 task.run();
               }
             }));
-    return () -> off[0] = true;
+    return () -> cancelled[0] = true;
   }
 
   /** Runs up to a moment, calling {@code afterEach} after every event. */
-  void runUntil(long end, Runnable afterEach) {
-    while (!events.isEmpty() && events.peek().at <= end) {
-      Event e = events.poll();
-      now = e.at;
-      e.task.run();
+  void runUntil(long endMs, Runnable afterEach) {
+    while (!events.isEmpty() && events.peek().timeMs <= endMs) {
+      Event event = events.poll();
+      now = event.timeMs;
+      event.task.run();
       afterEach.run();
     }
-    now = end;
+    now = endMs;
   }
 
-  boolean chance(double p) {
-    return random.nextDouble() < p;
+  boolean chance(double probability) {
+    return random.nextDouble() < probability;
   }
 
   long between(long low, long high) {
--- a/src/test/java/dapplestair/world/FailingJobsTest.java
+++ b/src/test/java/dapplestair/world/FailingJobsTest.java
@@ -25,21 +25,21 @@
 
   /** Operators are served, so that what the product says of machines can be read. */
   private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, true);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM, true);
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     for (int i = 0; i < 6; i++) {
-      w.users.service(i % 2 == 0 ? "one" : "two", 3);
+      w.users.submitService(i % 2 == 0 ? "one" : "two", 3);
     }
     for (int i = 0; i < 6; i++) {
-      w.users.array(i % 2 == 0 ? "one" : "two", "high", STEPS, 8);
+      w.users.submitArray(i % 2 == 0 ? "one" : "two", "high", STEPS, 8);
     }
     w.run(25_000);
     return w;
   }
 
   private static SimulatedUsers.KnownJob wrong(SimulatedCluster w, int mistaken) {
-    return w.users.changed("one", STEPS, 5, b -> b.put("mistakenSteps", mistaken));
+    return w.users.submitModifiedArray("one", STEPS, 5, b -> b.put("mistakenSteps", mistaken));
   }
 
   /** Machines that the leader of now has blamed, by its own account; they may be gone by now. */
@@ -53,7 +53,7 @@
   }
 
   private static SimulatedUsers.KnownJob good(SimulatedCluster w, int i) {
-    return w.users.array(i % 2 == 0 ? "one" : "two", "high", 12, 6);
+    return w.users.submitArray(i % 2 == 0 ? "one" : "two", "high", 12, 6);
   }
 
   /** Half of all jobs are wrong: no machine is emptied for it, and the other half is served. */
@@ -73,12 +73,12 @@
     assertEquals(Set.of(), faulty(w), "machines emptied");
     good.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
     for (SimulatedUsers.KnownJob j : wrong) {
-      assertTrue(j.accepted && j.finalState() == null, j.ref + " is called " + j.finalState());
+      assertTrue(j.accepted && j.finalStatus() == null, j.ref + " is called " + j.finalStatus());
       // One wave, of which what failed first may have begun again, and then one task at a time.
       assertTrue(j.starts <= 2 * STEPS, j.ref + " was started " + j.starts + " times");
       w.users.cancel(j);
     }
-    w.run(SimulatedCluster.CANCEL_MS);
+    w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
     wrong.forEach(j -> assertTrue(j.aborted, j.ref + " is not cancelled"));
   }
 
@@ -88,7 +88,7 @@
   void aWrongJobTakesNoRoom(long seed) {
     SimulatedCluster w = begun(seed);
     SimulatedUsers.KnownJob wrong =
-        w.users.changed("one", 120, 5, b -> b.put("mistakenSteps", 120));
+        w.users.submitModifiedArray("one", 120, 5, b -> b.put("mistakenSteps", 120));
     w.run(40_000);
     int starts = wrong.starts;
     Set<String> before = machines(w);
@@ -154,7 +154,7 @@
       m.sicken();
       sick.add(m.id());
     }
-    Map<String, Integer> before = Map.copyOf(w.checker.startsOn);
+    Map<String, Integer> before = Map.copyOf(w.checker.startsByMachine);
     Set<String> emptied = new HashSet<>();
     List<SimulatedUsers.KnownJob> good = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
@@ -169,7 +169,7 @@
     }
     w.run(60_000);
     for (String id : sick) {
-      int wasted = w.checker.startsOn.getOrDefault(id, 0) - before.getOrDefault(id, 0);
+      int wasted = w.checker.startsByMachine.getOrDefault(id, 0) - before.getOrDefault(id, 0);
       assertTrue(wasted <= 12, wasted + " starts on faulty " + id);
     }
     emptied.removeAll(sick);
@@ -217,9 +217,10 @@
   void wrongServicesAndGangs(long seed) {
     SimulatedCluster w = begun(seed);
     SimulatedUsers.KnownJob gang =
-        w.users.changed("one", 6, 4, b -> b.put("mistakenSteps", 6).put("shape", "gang"));
+        w.users.submitModifiedArray(
+            "one", 6, 4, b -> b.put("mistakenSteps", 6).put("shape", "gang"));
     SimulatedUsers.KnownJob service =
-        w.users.changed(
+        w.users.submitModifiedArray(
             "two",
             6,
             0,
@@ -292,11 +293,11 @@
             .orElseThrow();
     sick.sicken();
     String id = sick.id();
-    int before = w.checker.startsOn.getOrDefault(id, 0);
+    int before = w.checker.startsByMachine.getOrDefault(id, 0);
     w.cloud.setDown(true);
-    w.users.changed("one", 600, 9, b -> b.put("mistakenSteps", 600));
+    w.users.submitModifiedArray("one", 600, 9, b -> b.put("mistakenSteps", 600));
     w.run(8000);
-    int starts = w.checker.startsOn.getOrDefault(id, 0) - before;
+    int starts = w.checker.startsByMachine.getOrDefault(id, 0) - before;
     assertTrue(starts <= 8, starts + " starts on faulty " + id);
   }
 }
--- a/src/test/java/dapplestair/world/FailureDetectionTimes.java
+++ b/src/test/java/dapplestair/world/FailureDetectionTimes.java
@@ -41,11 +41,11 @@
 
   private static SimulatedCluster begun(long seed, SimulatedCluster.Size size, int replicas) {
     SimulatedCluster world = new SimulatedCluster(seed, size);
-    world.net.loss = 0;
-    world.users.quiet = true;
+    world.network.lossProbability = 0;
+    world.users.submissionsStopped = true;
     for (int i = 0; i < replicas / 6; i++) {
-      world.users.service("one", 3);
-      world.users.service("two", 3);
+      world.users.submitService("one", 3);
+      world.users.submitService("two", 3);
     }
     world.run(40_000);
     return world;
@@ -59,17 +59,17 @@
         .parallel()
         .forEach(
             seed -> {
-              SimulatedCluster world = begun(seed, SimulatedCluster.Size.MIDDLE, REPLICAS);
+              SimulatedCluster world = begun(seed, SimulatedCluster.Size.MEDIUM, REPLICAS);
               long at = world.sim.now();
               if (all) {
                 world.nodes.forEach(n -> n.crash(1500));
               } else {
                 world.leader().crash(4000);
               }
-              int before = world.checker.started;
-              SimulatedUsers.KnownJob job = world.users.array("one", "high", 4, 5);
+              int before = world.checker.startCount;
+              SimulatedUsers.KnownJob job = world.users.submitArray("one", "high", 4, 5);
               long acceptedAt = 0;
-              while ((world.checker.started == before || !job.accepted)
+              while ((world.checker.startCount == before || !job.accepted)
                   && world.sim.now() - at < 60_000) {
                 world.run(20);
                 acceptedAt = acceptedAt == 0 && job.accepted ? world.sim.now() : acceptedAt;
@@ -94,7 +94,7 @@
         .parallel()
         .forEach(
             seed -> {
-              SimulatedCluster world = begun(seed, SimulatedCluster.Size.MIDDLE, REPLICAS);
+              SimulatedCluster world = begun(seed, SimulatedCluster.Size.MEDIUM, REPLICAS);
               int before = world.cloud.machines().size();
               world.nodes.forEach(how);
               world.run(SimulatedCluster.LEASE_MS * 3 / 2);
@@ -117,10 +117,10 @@
 
   /** What guests cost in puts, and how long another team's arrays wait for their first task. */
   private static void guests(String what, int singles, int tasks) {
-    SimulatedCluster world = new SimulatedCluster(4, SimulatedCluster.Size.GROWN);
-    world.net.loss = 0;
-    world.users.quiet = true;
-    world.users.service("one", 3);
+    SimulatedCluster world = new SimulatedCluster(4, SimulatedCluster.Size.LARGE);
+    world.network.lossProbability = 0;
+    world.users.submissionsStopped = true;
+    world.users.submitService("one", 3);
     world.run(20_000);
     int before = world.state.puts();
     for (int i = 0; i < singles; i++) {
@@ -132,7 +132,7 @@
     Histogram waits = new Histogram(120_000, 3);
     int others = 0;
     for (int i = 0; i < 60; i++) {
-      SimulatedUsers.KnownJob job = world.users.array("one", "high", 12, 6);
+      SimulatedUsers.KnownJob job = world.users.submitArray("one", "high", 12, 6);
       others++;
       long at = world.sim.now();
       while (!job.started && world.sim.now() - at < 60_000) {
@@ -143,7 +143,7 @@
     }
     world.run(180_000);
     long done =
-        world.users.told.values().stream().filter(j -> j.team.equals("guest") && j.done).count();
+        world.users.jobs.values().stream().filter(j -> j.team.equals("guest") && j.done).count();
     print(
         "guests: %s; %d puts beside %d arrays, %d guests done; arrays' first task"
             .formatted(what, world.state.puts() - before, others, done),
@@ -151,7 +151,7 @@
   }
 
   private static void guest(SimulatedCluster world, int steps, double runS) {
-    world.users.changed(
+    world.users.submitModifiedArray(
         "guest", steps, runS, b -> b.put("rank", "low").put("vcpus", 0.25).put("memoryGb", 0.4));
   }
 
--- a/src/test/java/dapplestair/world/FaultCombinationTest.java
+++ b/src/test/java/dapplestair/world/FaultCombinationTest.java
@@ -43,7 +43,7 @@
 
   static void play(SimulatedCluster w, long seed, Consumer<RandomFaults> trouble) {
     try {
-      w.users.cancelledArrays = 0.5;
+      w.users.cancelledArrayShare = 0.5;
       RandomFaults faults = new RandomFaults(w);
       w.run(15_000);
       for (int i = 0; i < ROUNDS; i++) {
@@ -67,7 +67,11 @@
   /** Within a message, a put, a hold, or a lease: each has its own moment in a change of leader. */
   private static long step(SimulatedCluster w) {
     long[] spans = {
-      30, 400, SimulatedCluster.LEASE_MS / 10, SimulatedCluster.REPORT_MS, SimulatedCluster.LEASE_MS
+      30,
+      400,
+      SimulatedCluster.LEASE_MS / 10,
+      SimulatedCluster.REPORT_INTERVAL_MS,
+      SimulatedCluster.LEASE_MS
     };
     return w.sim.between(0, spans[(int) w.sim.between(0, spans.length - 1)]);
   }
@@ -85,7 +89,7 @@
         // It alone is refused, and then all of them are, for longer than cancelled work may live.
         w.state.refuse(name, true);
         w.sim.after(w.sim.between(200, 4000), w.state::fail);
-        long out = w.sim.chance(0.3) ? SimulatedCluster.CANCEL_MS * 5 / 4 : ms;
+        long out = w.sim.chance(0.3) ? SimulatedCluster.CANCEL_DEADLINE_MS * 5 / 4 : ms;
         w.sim.after(4000 + out, w.state::recover);
         w.sim.after(w.sim.between(2000, 4000 + out), () -> w.state.refuse(name, false));
       }
@@ -114,11 +118,11 @@
 
   /** A third of what its users still wait for. */
   private static void cancelSome(SimulatedCluster w) {
-    for (SimulatedUsers.KnownJob t : new ArrayList<>(w.users.told.values())) {
-      if (t.accepted && !t.done && !t.cancelAsked && w.sim.chance(0.33)) {
+    for (SimulatedUsers.KnownJob t : new ArrayList<>(w.users.jobs.values())) {
+      if (t.accepted && !t.done && !t.cancelRequested && w.sim.chance(0.33)) {
         w.users.cancel(t);
       }
     }
-    assertTrue(w.users.told.size() > 5, "hardly any jobs");
+    assertTrue(w.users.jobs.size() > 5, "hardly any jobs");
   }
 }
--- a/src/test/java/dapplestair/world/ForgottenMachinesTest.java
+++ b/src/test/java/dapplestair/world/ForgottenMachinesTest.java
@@ -14,7 +14,7 @@
  * past their lease with cancelled tasks are returned in time, and others are kept.
  */
 class ForgottenMachinesTest {
-  private static final long LONG_MS = SimulatedCluster.CANCEL_MS * 3 / 2;
+  private static final long LONG_MS = SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2;
 
   private static SimulatedCluster allEndInAnOutage(long seed) {
     SimulatedCluster w = new CancellationOutageTest.Day(seed).w;
@@ -82,7 +82,7 @@
     CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     SimulatedCluster w = d.w;
     // More than fits, so that machines are rented for it.
-    SimulatedUsers.KnownJob job = w.users.array("one", "high", 12, 150);
+    SimulatedUsers.KnownJob job = w.users.submitArray("one", "high", 12, 150);
     for (int i = 0; i < 300 && d.running(job) < 3; i++) {
       w.run(100);
     }
--- a/src/test/java/dapplestair/world/FullMachineTest.java
+++ b/src/test/java/dapplestair/world/FullMachineTest.java
@@ -12,11 +12,11 @@
   private static final long BEGIN_MS = 60_000;
 
   private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, true);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM, true);
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     for (int i = 0; i < 4; i++) {
-      w.users.service("one", 3);
+      w.users.submitService("one", 3);
     }
     w.run(30_000);
     return w;
@@ -28,11 +28,11 @@
   void aStartRefusedAsFullIsNotRepeatedWithoutPause(long seed) {
     SimulatedCluster w = begun(seed);
     w.cloud.machines().forEach(m -> m.crowd(CROWDED_MS));
-    SimulatedUsers.KnownJob service = w.users.service("two", 3);
-    SimulatedUsers.KnownJob array = w.users.array("two", "high", 12, 5);
+    SimulatedUsers.KnownJob service = w.users.submitService("two", 3);
+    SimulatedUsers.KnownJob array = w.users.submitArray("two", "high", 12, 5);
     w.run(CROWDED_MS);
     w.run(BEGIN_MS);
-    assertTrue(service.begunAt() >= 0, "the service has not begun");
+    assertTrue(service.begunAtMs() >= 0, "the service has not begun");
     assertTrue(array.done, "the array is not done");
   }
 
@@ -43,15 +43,15 @@
     SimulatedCluster w = begun(seed);
     EmulatedWorker crowded = w.cloud.machines().iterator().next();
     crowded.crowd(CROWDED_MS);
-    SimulatedUsers.KnownJob first = w.users.array("two", "high", 24, 5);
+    SimulatedUsers.KnownJob first = w.users.submitArray("two", "high", 24, 5);
     w.run(CROWDED_MS);
     assertTrue(first.done, "the work of the crowded machine is not done elsewhere");
-    int before = w.checker.startsOn.getOrDefault(crowded.id(), 0);
+    int before = w.checker.startsByMachine.getOrDefault(crowded.id(), 0);
     // As many tasks as all machines have room for.
     SimulatedUsers.KnownJob second =
-        w.users.array("two", "high", (int) (w.size.teamLimit() / 2), 20);
+        w.users.submitArray("two", "high", (int) (w.size.maxTeamCpus() / 2), 20);
     w.run(BEGIN_MS);
-    int after = w.checker.startsOn.getOrDefault(crowded.id(), 0);
+    int after = w.checker.startsByMachine.getOrDefault(crowded.id(), 0);
     assertTrue(crowded.gone() || after > before, "it got no work again");
     SeededDaysTest.settle(w);
     assertTrue(second.done, "the second array is not done");
--- a/src/test/java/dapplestair/world/GangTest.java
+++ b/src/test/java/dapplestair/world/GangTest.java
@@ -60,14 +60,14 @@
     "9606,true,stopped,true"
   })
   void theOthersDoNotRunOnWithoutIt(long seed, boolean saves, String how, boolean leaderEnds) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     w.cloud.setCapacity(0.25);
     w.run(5000);
-    w.users.array("two", "low", 60, 3);
+    w.users.submitArray("two", "low", 60, 3);
     SimulatedUsers.KnownJob gang =
-        w.users.changed(
+        w.users.submitModifiedArray(
             "one",
             MEMBERS,
             RUN_S,
@@ -84,7 +84,7 @@
       machinesOf(w, gang).get(0).end();
     } else {
       // Replicas that take all steady room, and what the gang has of it.
-      w.users.changed(
+      w.users.submitModifiedArray(
           "two",
           8,
           0,
@@ -101,7 +101,7 @@
     }
     long incomplete = incompleteMs(w, gang);
     // A machine that ended is noticed after some reports.
-    long most = STOPPED_MS + (how.equals("lost") ? 3 * SimulatedCluster.REPORT_MS : 0);
+    long most = STOPPED_MS + (how.equals("lost") ? 3 * SimulatedCluster.REPORT_INTERVAL_MS : 0);
     assertTrue(incomplete <= most, "without a member for " + incomplete + " ms");
     SeededDaysTest.settle(w);
     assertTrue(gang.done, "the gang is not done");
--- a/src/test/java/dapplestair/world/GuaranteeTest.java
+++ b/src/test/java/dapplestair/world/GuaranteeTest.java
@@ -22,13 +22,13 @@
   @ValueSource(longs = {1, 2, 3})
   void borrowersOfEqualRankMakeRoom(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed, TIGHT);
-    world.net.loss = 0;
-    world.users.quiet = true;
+    world.network.lossProbability = 0;
+    world.users.submissionsStopped = true;
     world.run(5000);
-    SimulatedUsers.KnownJob borrower = world.users.array("one", "standard", 40, 300);
+    SimulatedUsers.KnownJob borrower = world.users.submitArray("one", "standard", 40, 300);
     world.run(60_000);
     assertTrue(running(world, borrower) >= 30, running(world, borrower) + " borrowers run");
-    SimulatedUsers.KnownJob owner = world.users.array("two", "standard", 20, 300);
+    SimulatedUsers.KnownJob owner = world.users.submitArray("two", "standard", 20, 300);
     world.run(30_000);
     long owned = running(world, owner);
     long borrowed = running(world, borrower);
--- a/src/test/java/dapplestair/world/HandoverTest.java
+++ b/src/test/java/dapplestair/world/HandoverTest.java
@@ -55,7 +55,7 @@
     List<SimulatedUsers.KnownJob> ending = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       // Tasks last a tenth more or less than their users guess, and begin about a second later.
-      ending.add(w.users.array("one", "high", 1 + i % 3, 5));
+      ending.add(w.users.submitArray("one", "high", 1 + i % 3, 5));
     }
     w.sim.after(at - 400 - w.sim.now(), () -> launch(w, d.cancelled));
     w.sim.after(at - w.sim.now(), () -> change.happen(w));
@@ -68,7 +68,7 @@
     w.run(30_000);
     d.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
     ending.forEach(t -> assertTrue(t.aborted || t.done, t.ref + " is neither done nor cancelled"));
-    w.run(SimulatedCluster.CANCEL_MS);
+    w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
     assertEquals(0, d.running(d.cancelled), "cancelled tasks");
     w.run(60_000);
     SeededDaysTest.settle(w);
@@ -93,7 +93,7 @@
     }
     w.run(ms);
     w.state.fail();
-    w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
+    w.run(SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
     w.state.recover();
     w.run(90_000);
     SeededDaysTest.settle(w);
@@ -101,11 +101,11 @@
 
   /** Arrays, a gang, a service and jobs of one task, whose launches are on their way. */
   private static void launch(SimulatedCluster w, List<SimulatedUsers.KnownJob> to) {
-    to.add(w.users.array("one", "high", 4, 150));
-    to.add(w.users.changed("two", 3, 150, b -> b.put("shape", "gang")));
-    to.add(w.users.service("two", 3));
+    to.add(w.users.submitArray("one", "high", 4, 150));
+    to.add(w.users.submitModifiedArray("two", 3, 150, b -> b.put("shape", "gang")));
+    to.add(w.users.submitService("two", 3));
     for (int i = 0; i < 4; i++) {
-      to.add(w.users.array("two", "high", 1, 150));
+      to.add(w.users.submitArray("two", "high", 1, 150));
     }
   }
 }
--- a/src/test/java/dapplestair/world/IdleCapacity.java
+++ b/src/test/java/dapplestair/world/IdleCapacity.java
@@ -22,7 +22,8 @@
   private static final long SAMPLE_MS = 1000;
 
   /** Room counts as idle once it was there in so many samples: two report intervals. */
-  private static final int SETTLED_SAMPLES = (int) (2 * SimulatedCluster.REPORT_MS / SAMPLE_MS);
+  private static final int SETTLED_SAMPLES =
+      (int) (2 * SimulatedCluster.REPORT_INTERVAL_MS / SAMPLE_MS);
 
   private final SimulatedCluster world;
   private final Map<EmulatedWorker, Deque<Room>> samples = new HashMap<>();
@@ -44,7 +45,7 @@
 
     /** How many more tasks of a job it holds. */
     int fitting(SimulatedUsers.KnownJob job) {
-      double tasks = job.steps;
+      double tasks = job.taskCount;
       for (int i = 0; i < free.size(); i++) {
         double each = job.body.path(EmulatorSettings.MachineSpec.FIELDS.get(i)).asDouble();
         tasks = each > 0 ? Math.min(tasks, (free.get(i) + 1e-9) / each) : tasks;
@@ -71,7 +72,7 @@
     world.sim.after(
         SAMPLE_MS,
         () -> {
-          if (world.sim.now() >= world.users.calmFrom) {
+          if (world.sim.now() >= world.users.faultsEndedAtMs) {
             look();
           }
           watch();
@@ -81,7 +82,7 @@
   private void look() {
     Map<EmulatedWorker, Room> idle = idle();
     Occupancy occupied = occupied();
-    for (SimulatedUsers.KnownJob job : world.users.told.values()) {
+    for (SimulatedUsers.KnownJob job : world.users.jobs.values()) {
       boolean neglected =
           waits(job, occupied) && allowed(job, occupied) && fits(job, occupied, idle);
       Waiting before = waiting.get(job);
@@ -90,7 +91,7 @@
       } else if (before == null || before.starts != job.starts) {
         waiting.put(job, new Waiting(world.sim.now(), job.starts));
       } else if (world.sim.now() - before.since > LONGEST_WAIT_MS) {
-        world.checker.broken("left waiting for 90 s beside idle room: " + job.body);
+        world.checker.reportViolation("left waiting for 90 s beside idle room: " + job.body);
       }
     }
   }
@@ -101,7 +102,7 @@
     samples.keySet().removeIf(EmulatedWorker::gone);
     for (EmulatedWorker machine : world.cloud.machines()) {
       Deque<Room> of = samples.computeIfAbsent(machine, m -> new ArrayDeque<>());
-      if (!machine.fit() || machine.unansweredMs() > 2 * SimulatedCluster.REPORT_MS) {
+      if (!machine.fit() || machine.unansweredMs() > 2 * SimulatedCluster.REPORT_INTERVAL_MS) {
         of.clear();
         continue;
       }
@@ -118,7 +119,7 @@
     Occupancy out = new Occupancy();
     for (EmulatedWorker machine : world.cloud.machines()) {
       for (EmulatedTask task : machine.tasks()) {
-        SimulatedUsers.KnownJob job = world.users.told.get(InvariantChecker.ref(task.key()));
+        SimulatedUsers.KnownJob job = world.users.jobs.get(InvariantChecker.jobRef(task.key()));
         if (machine.gone() || task.status().equals("exited")) {
           continue;
         }
@@ -134,13 +135,13 @@
 
   /** True when it has a task that neither has completed nor is on a machine; of a gang all. */
   private boolean waits(SimulatedUsers.KnownJob job, Occupancy occupied) {
-    if (!job.accepted || job.cancelAsked || job.done || job.body.has("mistakenSteps")) {
+    if (!job.accepted || job.cancelRequested || job.done || job.body.has("mistakenSteps")) {
       return false;
     }
     if (gang(job) && occupied.jobByZone.containsKey(job.ref)) {
       return false;
     }
-    for (int i = 0; i < job.steps; i++) {
+    for (int i = 0; i < job.taskCount; i++) {
       String key = job.ref + "/" + i;
       if (!world.checker.hasCompleted(key) && !occupied.tasks.contains(key)) {
         return true;
@@ -154,12 +155,12 @@
   }
 
   private static int atOnce(SimulatedUsers.KnownJob job) {
-    return gang(job) ? job.steps : 1;
+    return gang(job) ? job.taskCount : 1;
   }
 
   private boolean allowed(SimulatedUsers.KnownJob job, Occupancy occupied) {
     double cpus = occupied.teamCpus.getOrDefault(job.team, 0.0) + atOnce(job) * job.cpus;
-    return job.team.equals("guest") || cpus <= world.size.teamLimit() + 1e-6;
+    return job.team.equals("guest") || cpus <= world.size.maxTeamCpus() + 1e-6;
   }
 
   private boolean fits(
@@ -173,7 +174,7 @@
           }
         });
     if (job.body.path("apart").asBoolean()) {
-      int most = (job.steps + 1) / 2;
+      int most = (job.taskCount + 1) / 2;
       room.replaceAll((zone, tasks) -> Math.min(tasks, most - there.getOrDefault(zone, 0)));
     }
     boolean together = job.body.path("together").asBoolean();
--- a/src/test/java/dapplestair/world/ImageLocationsTest.java
+++ b/src/test/java/dapplestair/world/ImageLocationsTest.java
@@ -13,7 +13,7 @@
   private static final double GB = 4;
 
   private static SimulatedUsers.KnownJob model(SimulatedCluster w, int replicas) {
-    return w.users.changed(
+    return w.users.submitModifiedArray(
         "one",
         replicas,
         0,
@@ -29,11 +29,11 @@
 
   /** Some machines hold the weights, others not, and nothing runs that would tell which. */
   private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     // One on each machine, so that all of them stay and each has room for one replica more.
-    w.users.changed("two", 14, 900, b -> b.put("vcpus", 5.0).put("loaners", false));
+    w.users.submitModifiedArray("two", 14, 900, b -> b.put("vcpus", 5.0).put("loaners", false));
     w.run(25_000);
     SimulatedUsers.KnownJob model = model(w, 6);
     w.run(60_000);
@@ -80,12 +80,13 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6521, 6522})
   void putsAreFew(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
+    w.network.lossProbability = 0;
     long before = w.state.putsTo("live/weights/");
     w.run(180_000);
     long puts = w.state.putsTo("live/weights/") - before;
-    assertTrue(puts > 0 && puts <= 180_000 / (2 * SimulatedCluster.REPORT_MS), puts + " puts");
+    assertTrue(
+        puts > 0 && puts <= 180_000 / (2 * SimulatedCluster.REPORT_INTERVAL_MS), puts + " puts");
     SeededDaysTest.settle(w);
   }
 }
--- a/src/test/java/dapplestair/world/InboundCutTest.java
+++ b/src/test/java/dapplestair/world/InboundCutTest.java
@@ -21,7 +21,7 @@
   private static SimulatedCluster begun(long seed) {
     SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
     // What is lost with a machine is no choice.
-    w.checker.budget = null;
+    w.checker.teamDisruptionBudget = null;
     return w;
   }
 
@@ -62,15 +62,17 @@
     EmulatedWorker deaf = withReplicas(w);
     assertTrue(live(deaf) > 0, "nothing runs there");
     deaf.deafen(3 * SimulatedCluster.LEASE_MS);
-    w.users.array("two", "standard", 60, 15);
-    w.run(2 * SimulatedCluster.REPORT_MS);
-    int before = w.checker.startsOn.getOrDefault(deaf.id(), 0);
+    w.users.submitArray("two", "standard", 60, 15);
+    w.run(2 * SimulatedCluster.REPORT_INTERVAL_MS);
+    int before = w.checker.startsByMachine.getOrDefault(deaf.id(), 0);
     w.run(1000L * second);
     end(w, who);
     w.run(SimulatedCluster.LEASE_MS);
     assertEquals(
-        before, w.checker.startsOn.getOrDefault(deaf.id(), 0), "starts where nothing arrives");
-    w.run(SimulatedCluster.REPORT_MS);
+        before,
+        w.checker.startsByMachine.getOrDefault(deaf.id(), 0),
+        "starts where nothing arrives");
+    w.run(SimulatedCluster.REPORT_INTERVAL_MS);
     assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas a lease later");
     assertTrue(deaf.gone(), "it is still paid for, though it stays deaf");
   }
@@ -81,10 +83,11 @@
   void aMomentCostsNothing(long seed) {
     SimulatedCluster w = begun(seed);
     EmulatedWorker deaf = withReplicas(w);
-    deaf.deafen(SimulatedCluster.REPORT_MS);
+    deaf.deafen(SimulatedCluster.REPORT_INTERVAL_MS);
     w.run(SimulatedCluster.LEASE_MS);
     assertTrue(
-        !deaf.gone() && deaf.unansweredMs() < 2 * SimulatedCluster.REPORT_MS, "it was given up");
+        !deaf.gone() && deaf.unansweredMs() < 2 * SimulatedCluster.REPORT_INTERVAL_MS,
+        "it was given up");
     assertEquals(0, w.cloud.killedByLease(), "tasks killed by the end of a lease");
   }
 
@@ -129,8 +132,8 @@
   @ValueSource(longs = {6131, 6132, 6133, 6134, 6135, 6136})
   void copiesComeLate(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed);
-    w.net.copied = 0.3;
-    w.net.copyLateMs = 2 * SimulatedCluster.LEASE_MS;
+    w.network.copyProbability = 0.3;
+    w.network.maxCopyDelayMs = 2 * SimulatedCluster.LEASE_MS;
     for (int i = 0; i < 8; i++) {
       w.run(12_000 + w.sim.between(0, 8000));
       if (w.leader() != null && i % 2 == 0) {
@@ -148,10 +151,10 @@
   @ValueSource(longs = {6141, 6142, 6143})
   void copiesAreNoSignOfLife(long seed) {
     SimulatedCluster w = begun(seed);
-    w.net.copied = 0.5;
-    w.net.copyLateMs = 2 * SimulatedCluster.LEASE_MS;
+    w.network.copyProbability = 0.5;
+    w.network.maxCopyDelayMs = 2 * SimulatedCluster.LEASE_MS;
     w.run(SimulatedCluster.LEASE_MS);
-    w.net.copied = 0;
+    w.network.copyProbability = 0;
     w.cloud.machines().stream().filter(m -> m.zone().equals("c")).forEach(EmulatedWorker::end);
     w.run(3000);
     w.leader().crash(2000);
--- a/src/test/java/dapplestair/world/InvalidJob.java
+++ b/src/test/java/dapplestair/world/InvalidJob.java
@@ -48,7 +48,7 @@
       return job;
     }
     switch ((int) sim.between(1, IMPOSSIBLE_KINDS)) {
-      case 1 -> job.put("vcpus", SimulatedCluster.CPUS + 0.5);
+      case 1 -> job.put("vcpus", SimulatedCluster.MACHINE_CPUS + 0.5);
       case 2 -> job.put("memoryGb", MEMORY_GB + 1);
       case 3 -> job.put("accelerators", 1.0);
       case 4 -> job.put("owner", "nobody");
@@ -74,7 +74,7 @@
   }
 
   private static boolean fitsMachine(JsonNode job, SimulatedCluster world) {
-    return job.path("vcpus").asDouble() <= SimulatedCluster.CPUS
+    return job.path("vcpus").asDouble() <= SimulatedCluster.MACHINE_CPUS
         && job.path("memoryGb").asDouble() <= MEMORY_GB
         && job.path("accelerators").asDouble() == 0
         && (!job.path("basin").isTextual()
@@ -95,6 +95,6 @@
     }
     boolean array = job.path("shape").asText().equals("sweep");
     double needed = job.path("vcpus").asDouble() * (array ? 1 : job.path("steps").asInt());
-    return Set.of("one", "two").contains(team) && needed <= size.teamLimit();
+    return Set.of("one", "two").contains(team) && needed <= size.maxTeamCpus();
   }
 }
--- a/src/test/java/dapplestair/world/InvalidRequestsTest.java
+++ b/src/test/java/dapplestair/world/InvalidRequestsTest.java
@@ -45,7 +45,7 @@
       }
       switch ((int) w.sim.between(0, 3)) {
         case 0 -> cancelDone();
-        case 1 -> some(t -> t.accepted).forEach(t -> readers.repeat(t, someNode()));
+        case 1 -> some(t -> t.accepted).forEach(t -> readers.submitAgain(t, someNode()));
         case 2 -> some(t -> t.accepted).forEach(this::repeatWithoutField);
         default -> some(t -> true).forEach(t -> submitOdd(t.body));
       }
@@ -54,7 +54,7 @@
 
     /** One of the jobs that pass, if there are any. */
     private List<SimulatedUsers.KnownJob> some(Predicate<SimulatedUsers.KnownJob> wanted) {
-      List<SimulatedUsers.KnownJob> all = w.users.told.values().stream().filter(wanted).toList();
+      List<SimulatedUsers.KnownJob> all = w.users.jobs.values().stream().filter(wanted).toList();
       return all.isEmpty() ? all : List.of(all.get((int) w.sim.between(0, all.size() - 1)));
     }
 
@@ -107,7 +107,8 @@
         String path,
         byte[] body,
         Consumer<HttpReply> done) {
-      w.net.call("users", SimulatedCluster.client(node.index), method, path, body, ANSWER_MS, done);
+      w.network.call(
+          "users", SimulatedCluster.clientAddress(node.index), method, path, body, ANSWER_MS, done);
     }
   }
 
--- a/src/test/java/dapplestair/world/InvariantChecker.java
+++ b/src/test/java/dapplestair/world/InvariantChecker.java
@@ -17,28 +17,28 @@
 
 /** The rules of the protocol, checked on the world itself, knowing nothing of the product. */
 final class InvariantChecker implements TaskObserver {
-  private final SimulatedCluster world;
-  private final Set<String> completed = new HashSet<>();
+  private final SimulatedCluster cluster;
+  private final Set<String> completedTasks = new HashSet<>();
   // In the order in which their users were told.
-  private final ArrayDeque<SimulatedUsers.KnownJob> cancelled = new ArrayDeque<>();
-  int started;
-  final Map<String, Integer> startsOn = new HashMap<>();
+  private final ArrayDeque<SimulatedUsers.KnownJob> confirmedCancellations = new ArrayDeque<>();
+  int startCount;
+  final Map<String, Integer> startsByMachine = new HashMap<>();
 
   /** Stops by command, by class. */
-  final Map<String, Integer> stopsOf = new HashMap<>();
+  final Map<String, Integer> stopsByClass = new HashMap<>();
 
   // Replicas that were stopped by choice and do not run again yet, by team, and the most at once.
-  private final Map<String, Set<String>> stopped = new HashMap<>();
-  final Map<String, Integer> mostStopped = new HashMap<>();
+  private final Map<String, Set<String>> stoppedReplicas = new HashMap<>();
+  final Map<String, Integer> maxStoppedReplicas = new HashMap<>();
 
   /** Work of arrays that was stopped before it was saved. */
-  final Map<String, Double> thrownAwayCpuS = new HashMap<>();
+  final Map<String, Double> lostCpuSeconds = new HashMap<>();
 
   /** How many replicas of a team may be out by choice; nothing is checked without it. */
-  ToIntFunction<String> budget;
+  ToIntFunction<String> teamDisruptionBudget;
 
   /** How many of one job. */
-  int jobBudget = 1;
+  int jobDisruptionBudget = 1;
 
   /** Starts of jobs whose users had been told that they are cancelled. */
   int startsAfterCancellation;
@@ -47,67 +47,67 @@
   int resumedAfterCancellation;
 
   /** Commands with starts that one machine may refuse as full within four report intervals. */
-  private static final int MOST_REFUSED = 10;
+  private static final int MAX_REFUSED_COMMANDS = 10;
 
-  private static final long REFUSED_WITHIN_MS = 4 * SimulatedCluster.REPORT_MS;
+  private static final long REFUSAL_WINDOW_MS = 4 * SimulatedCluster.REPORT_INTERVAL_MS;
 
   // When each machine has refused starts, as full.
-  private final Map<String, ArrayDeque<Long>> refusals = new HashMap<>();
+  private final Map<String, ArrayDeque<Long>> refusalTimes = new HashMap<>();
 
-  String broken;
+  String violation;
 
   /** Told of each task that completes, on its machine and at that moment. */
-  Consumer<String> alsoCompleted = key -> {};
+  Consumer<String> completionListener = key -> {};
 
-  InvariantChecker(SimulatedCluster world) {
-    this.world = world;
+  InvariantChecker(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
-  void broken(String what) {
-    if (broken == null) {
-      broken = "at " + world.sim.now() + " ms: " + what;
+  void reportViolation(String description) {
+    if (violation == null) {
+      violation = "at " + cluster.sim.now() + " ms: " + description;
     }
   }
 
   @Override
   public void completed(String key) {
-    completed.add(key);
-    world.users.told.get(ref(key)).taskCompleted(key);
-    alsoCompleted.accept(key);
+    completedTasks.add(key);
+    cluster.users.jobs.get(jobRef(key)).taskCompleted(key);
+    completionListener.accept(key);
   }
 
   boolean hasCompleted(String key) {
-    return completed.contains(key);
+    return completedTasks.contains(key);
   }
 
-  static String ref(String key) {
+  static String jobRef(String key) {
     return key.substring(0, key.indexOf('/'));
   }
 
   /** A task has just started: it is running on {@code w} already. */
   @Override
   public void started(EmulatedWorker w, EmulatedTask task) {
-    started++;
-    SimulatedUsers.KnownJob job = world.users.told.get(ref(task.key()));
+    startCount++;
+    SimulatedUsers.KnownJob job = cluster.users.jobs.get(jobRef(task.key()));
     job.started = true;
     job.starts++;
-    job.taskStarted(task.key(), world.sim.now());
-    startsOn.merge(w.id(), 1, Integer::sum);
-    stopped.values().forEach(out -> out.remove(task.key()));
+    job.taskStarted(task.key(), cluster.sim.now());
+    startsByMachine.merge(w.id(), 1, Integer::sum);
+    stoppedReplicas.values().forEach(out -> out.remove(task.key()));
     if (job.aborted) {
       // Within the time allowed no rule is broken by it; how many there are is worth knowing.
       startsAfterCancellation++;
-      lateAfterCancellation(job, task, "starts on " + w.id());
+      checkCancellationDeadline(job, task, "starts on " + w.id());
     }
     double teamCpus = 0;
     Map<String, Integer> perZone = new HashMap<>();
     int copies = 0;
-    for (EmulatedWorker m : world.cloud.machines()) {
+    for (EmulatedWorker m : cluster.cloud.machines()) {
       for (EmulatedTask t : m.tasks()) {
         if (m.gone() || !t.onMachine()) {
           continue;
         }
-        SimulatedUsers.KnownJob other = world.users.told.get(ref(t.key()));
+        SimulatedUsers.KnownJob other = cluster.users.jobs.get(jobRef(t.key()));
         if (other.body.path("owner").equals(job.body.path("owner"))) {
           teamCpus += other.cpus;
         }
@@ -120,65 +120,67 @@
       }
     }
     if (copies > 1) {
-      broken("ran_twice: " + task.key() + " started on " + w.id());
+      reportViolation("ran_twice: " + task.key() + " started on " + w.id());
     }
-    if (!job.team.equals("guest") && teamCpus > world.size.teamLimit() + 1e-6) {
-      broken("quota: " + teamCpus + " CPUs of " + job.body.path("owner"));
+    if (!job.team.equals("guest") && teamCpus > cluster.size.maxTeamCpus() + 1e-6) {
+      reportViolation("quota: " + teamCpus + " CPUs of " + job.body.path("owner"));
     }
     String zone = job.body.path("basin").asText(w.zone());
     if (!zone.equals(w.zone())) {
-      broken("wrong_place: " + task.key() + " in " + w.zone() + ", not in " + zone);
+      reportViolation("wrong_place: " + task.key() + " in " + w.zone() + ", not in " + zone);
     }
     if (!job.allowsType(w.type())) {
-      broken("wrong_place: " + task.key() + " on a machine of type " + w.type());
+      reportViolation("wrong_place: " + task.key() + " on a machine of type " + w.type());
     }
     if (w.spot() && !job.body.path("loaners").asBoolean()) {
-      broken("wrong_place: " + task.key() + " on a spot machine");
+      reportViolation("wrong_place: " + task.key() + " on a spot machine");
     }
-    if (job.body.path("apart").asBoolean() && perZone.get(w.zone()) > (job.steps + 1) / 2) {
-      broken("wrong_place: " + task.key() + " crowds " + w.zone());
+    if (job.body.path("apart").asBoolean() && perZone.get(w.zone()) > (job.taskCount + 1) / 2) {
+      reportViolation("wrong_place: " + task.key() + " crowds " + w.zone());
     }
     if (job.body.path("together").asBoolean() && perZone.size() > 1) {
-      broken("wrong_place: " + task.key() + " is not with the others");
+      reportViolation("wrong_place: " + task.key() + " is not with the others");
     }
   }
 
-  private void lateAfterCancellation(SimulatedUsers.KnownJob job, EmulatedTask task, String what) {
-    if (world.sim.now() > job.abortedAt + SimulatedCluster.CANCEL_MS) {
-      broken("ran_cancelled: " + task.key() + " " + what);
+  private void checkCancellationDeadline(
+      SimulatedUsers.KnownJob job, EmulatedTask task, String description) {
+    if (cluster.sim.now() > job.abortedAtMs + SimulatedCluster.CANCEL_DEADLINE_MS) {
+      reportViolation("ran_cancelled: " + task.key() + " " + description);
     }
   }
 
   @Override
   public void resumed(EmulatedWorker w) {
     for (EmulatedTask t : w.tasks()) {
-      SimulatedUsers.KnownJob job = world.users.told.get(ref(t.key()));
+      SimulatedUsers.KnownJob job = cluster.users.jobs.get(jobRef(t.key()));
       if (!w.gone() && t.onMachine() && job.aborted) {
         resumedAfterCancellation++;
-        lateAfterCancellation(job, t, "goes on after " + w.id() + " hung");
+        checkCancellationDeadline(job, t, "goes on after " + w.id() + " hung");
       }
     }
   }
 
   /** After each step. What starts later than a job's last moment is caught by its start. */
   void check() {
-    while (!cancelled.isEmpty()
-        && cancelled.peek().abortedAt + SimulatedCluster.CANCEL_MS < world.sim.now()) {
-      gone(cancelled.poll());
+    while (!confirmedCancellations.isEmpty()
+        && confirmedCancellations.peek().abortedAtMs + SimulatedCluster.CANCEL_DEADLINE_MS
+            < cluster.sim.now()) {
+      checkNoTaskRemains(confirmedCancellations.poll());
     }
-    if (world.state.violation() != null) {
-      broken(world.state.violation());
+    if (cluster.state.violation() != null) {
+      reportViolation(cluster.state.violation());
     }
-    if (world.cloud.violation() != null) {
-      broken(world.cloud.violation());
+    if (cluster.cloud.violation() != null) {
+      reportViolation(cluster.cloud.violation());
     }
   }
 
-  private void gone(SimulatedUsers.KnownJob job) {
-    for (EmulatedWorker m : world.cloud.machines()) {
+  private void checkNoTaskRemains(SimulatedUsers.KnownJob job) {
+    for (EmulatedWorker m : cluster.cloud.machines()) {
       for (EmulatedTask t : m.tasks()) {
-        if (!m.gone() && t.onMachine() && ref(t.key()).equals(job.ref)) {
-          broken("ran_cancelled: " + t.key() + " on " + m.id());
+        if (!m.gone() && t.onMachine() && jobRef(t.key()).equals(job.ref)) {
+          reportViolation("ran_cancelled: " + t.key() + " on " + m.id());
         }
       }
     }
@@ -187,50 +189,55 @@
   /** Budgets of disruption are checked on what machines did, not on what the product counts. */
   @Override
   public void stopped(EmulatedWorker w, EmulatedTask task) {
-    SimulatedUsers.KnownJob job = world.users.told.get(ref(task.key()));
-    if (job == null || job.cancelAsked) {
+    SimulatedUsers.KnownJob job = cluster.users.jobs.get(jobRef(task.key()));
+    if (job == null || job.cancelRequested) {
       return;
     }
-    job.taskStopped(task.key(), world.sim.now());
-    stopsOf.merge(job.jobClass, 1, Integer::sum);
+    job.taskStopped(task.key(), cluster.sim.now());
+    stopsByClass.merge(job.jobClass, 1, Integer::sum);
     if (!job.service) {
-      double ranS = task.ranS(world.sim.now());
-      double every = job.body.path("snapshotEveryS").asDouble();
-      thrownAwayCpuS.merge(job.team, job.cpus * (every > 0 ? ranS % every : ranS), Double::sum);
+      double ranS = task.ranS(cluster.sim.now());
+      double saveIntervalS = job.body.path("snapshotEveryS").asDouble();
+      lostCpuSeconds.merge(
+          job.team, job.cpus * (saveIntervalS > 0 ? ranS % saveIntervalS : ranS), Double::sum);
       return;
     }
-    Set<String> out = stopped.computeIfAbsent(job.team, t -> new HashSet<>());
-    if (!out.add(task.key())) {
+    Set<String> teamStopped = stoppedReplicas.computeIfAbsent(job.team, t -> new HashSet<>());
+    if (!teamStopped.add(task.key())) {
       return;
     }
-    out.removeIf(key -> world.users.told.get(ref(key)).cancelAsked);
-    mostStopped.merge(job.team, out.size(), Math::max);
-    long ofJob = out.stream().filter(key -> ref(key).equals(job.ref)).count();
-    if (budget != null && (out.size() > budget.applyAsInt(job.team) || ofJob > jobBudget)) {
-      broken("budget: " + job.team + " has " + out.size() + " out by choice: " + out);
+    teamStopped.removeIf(key -> cluster.users.jobs.get(jobRef(key)).cancelRequested);
+    maxStoppedReplicas.merge(job.team, teamStopped.size(), Math::max);
+    long jobStopped = teamStopped.stream().filter(key -> jobRef(key).equals(job.ref)).count();
+    if (teamDisruptionBudget != null
+        && (teamStopped.size() > teamDisruptionBudget.applyAsInt(job.team)
+            || jobStopped > jobDisruptionBudget)) {
+      reportViolation(
+          "budget: " + job.team + " has " + teamStopped.size() + " out by choice: " + teamStopped);
     }
   }
 
   /** A start that is refused as full is not tried there again and again. */
   @Override
   public void refusedAsFull(EmulatedWorker w, EmulatedTask task) {
-    long now = world.sim.now();
-    ArrayDeque<Long> times = refusals.computeIfAbsent(w.id(), id -> new ArrayDeque<>());
+    long now = cluster.sim.now();
+    ArrayDeque<Long> times = refusalTimes.computeIfAbsent(w.id(), id -> new ArrayDeque<>());
     if (times.isEmpty() || times.peekLast() < now) {
       times.add(now);
     }
-    while (now - times.peek() > REFUSED_WITHIN_MS) {
+    while (now - times.peek() > REFUSAL_WINDOW_MS) {
       times.poll();
     }
-    if (times.size() > MOST_REFUSED) {
-      broken("refused: " + times.size() + " commands with starts on " + w.id() + ", " + task.key());
+    if (times.size() > MAX_REFUSED_COMMANDS) {
+      reportViolation(
+          "refused: " + times.size() + " commands with starts on " + w.id() + ", " + task.key());
     }
   }
 
   /** A machine that nobody has heard for a while is given up, not chosen. */
   @Override
   public void returned(EmulatedWorker w, EmulatedTask task) {
-    if (w.unansweredMs() < 3 * SimulatedCluster.REPORT_MS / 2) {
+    if (w.unansweredMs() < 3 * SimulatedCluster.REPORT_INTERVAL_MS / 2) {
       stopped(w, task);
     }
   }
@@ -240,7 +247,7 @@
     int jobs;
     int accepted;
     int started;
-    int due;
+    int dueToComplete;
     int done;
 
     private void add(SimulatedUsers.KnownJob job) {
@@ -251,104 +258,108 @@
       accepted++;
       started += job.started ? 1 : 0;
       // What its user has cancelled need not complete.
-      due += job.service || job.aborted ? 0 : 1;
+      dueToComplete += job.service || job.aborted ? 0 : 1;
       done += job.done ? 1 : 0;
     }
 
-    boolean half() {
-      return 2 * accepted >= jobs && 2 * started >= accepted && 2 * done >= due;
+    boolean isHalfServed() {
+      return 2 * accepted >= jobs && 2 * started >= accepted && 2 * done >= dueToComplete;
     }
 
     @Override
     public String toString() {
-      return "accepted %d/%d, started %d, done %d/%d".formatted(accepted, jobs, started, done, due);
+      return "accepted %d/%d, started %d, done %d/%d"
+          .formatted(accepted, jobs, started, done, dueToComplete);
     }
   }
 
   /** By class and by team, from what users were told and what machines ran. */
-  Map<String, JobTally> served() {
-    Map<String, JobTally> out = new TreeMap<>();
-    for (SimulatedUsers.KnownJob job : world.users.told.values()) {
-      out.computeIfAbsent("class " + job.jobClass, k -> new JobTally()).add(job);
-      out.computeIfAbsent("team " + job.team, k -> new JobTally()).add(job);
+  Map<String, JobTally> jobTallies() {
+    Map<String, JobTally> tallies = new TreeMap<>();
+    for (SimulatedUsers.KnownJob job : cluster.users.jobs.values()) {
+      tallies.computeIfAbsent("class " + job.jobClass, k -> new JobTally()).add(job);
+      tallies.computeIfAbsent("team " + job.team, k -> new JobTally()).add(job);
     }
-    return out;
+    return tallies;
   }
 
   /** Within what the largest jobs of each class have to begin, by the operators' letter. */
-  static final long BEGIN_MS = 240_000;
+  static final long MAX_START_WAIT_MS = 240_000;
 
   /** The largest tenth of each class by tasks times CPUs, three at the least. */
-  Map<String, List<SimulatedUsers.KnownJob>> largest() {
-    Map<String, List<SimulatedUsers.KnownJob>> out = new TreeMap<>();
-    for (SimulatedUsers.KnownJob job : world.users.told.values()) {
-      if (job.accepted && (!job.cancelAsked || job.begunAt() >= 0)) {
-        out.computeIfAbsent(job.jobClass, k -> new ArrayList<>()).add(job);
+  Map<String, List<SimulatedUsers.KnownJob>> largestJobsByClass() {
+    Map<String, List<SimulatedUsers.KnownJob>> jobsByClass = new TreeMap<>();
+    for (SimulatedUsers.KnownJob job : cluster.users.jobs.values()) {
+      if (job.accepted && (!job.cancelRequested || job.begunAtMs() >= 0)) {
+        jobsByClass.computeIfAbsent(job.jobClass, k -> new ArrayList<>()).add(job);
       }
     }
-    out.replaceAll(
+    jobsByClass.replaceAll(
         (c, jobs) -> {
-          jobs.sort(Comparator.comparingDouble(SimulatedUsers.KnownJob::size).reversed());
+          jobs.sort(Comparator.comparingDouble(SimulatedUsers.KnownJob::totalCpus).reversed());
           return jobs.subList(0, Math.min(jobs.size(), Math.max(3, (jobs.size() + 9) / 10)));
         });
-    return out;
+    return jobsByClass;
   }
 
   /** The longest that any of the largest jobs waited for its first task, or waits still. */
   long longestWaitMs() {
-    return largest().values().stream()
+    return largestJobsByClass().values().stream()
         .flatMap(List::stream)
-        .mapToLong(j -> (j.begunAt() >= 0 ? j.begunAt() : world.sim.now()) - j.submittedAt)
+        .mapToLong(j -> (j.begunAtMs() >= 0 ? j.begunAtMs() : cluster.sim.now()) - j.submittedAtMs)
         .max()
         .orElse(0);
   }
 
-  private void checkLargest() {
-    largest()
+  private void checkLargestJobs() {
+    largestJobsByClass()
         .forEach(
             (c, jobs) -> {
-              long begun = jobs.stream().filter(j -> j.begunAt() >= 0).count();
+              long begun = jobs.stream().filter(j -> j.begunAtMs() >= 0).count();
               if (2 * begun < jobs.size()) {
                 throw new AssertionError(
                     "of the largest of class %s %d of %d began".formatted(c, begun, jobs.size()));
               }
             });
-    if (longestWaitMs() > BEGIN_MS) {
+    if (longestWaitMs() > MAX_START_WAIT_MS) {
       throw new AssertionError("one of the largest jobs waited for " + longestWaitMs() + " ms");
     }
   }
 
   /** A day fails, too, if less than half of any one class or team is served. */
-  void checkServed() {
-    checkLargest();
-    served()
+  void checkHalfServed() {
+    checkLargestJobs();
+    jobTallies()
         .forEach(
-            (who, served) -> {
-              if (!served.half()) {
-                throw new AssertionError("less than half of " + who + " is served: " + served);
+            (group, tally) -> {
+              if (!tally.isHalfServed()) {
+                throw new AssertionError("less than half of " + group + " is served: " + tally);
               }
             });
   }
 
-  /** A user was told the state of a job, having been told {@code before} when it asked. */
-  void told(SimulatedUsers.KnownJob job, String before, String status) {
-    if (before != null && !before.equals(status)) {
-      broken("went_back: " + job.ref + " is called " + status);
+  /**
+   * A user was told the state of a job, having been told {@code finalStatusWhenAsked} when it
+   * asked.
+   */
+  void statusReported(SimulatedUsers.KnownJob job, String finalStatusWhenAsked, String status) {
+    if (finalStatusWhenAsked != null && !finalStatusWhenAsked.equals(status)) {
+      reportViolation("went_back: " + job.ref + " is called " + status);
     }
     if (status.equals("aborted")) {
-      if (!job.cancelAsked) {
-        broken("went_back: " + job.ref + " is called aborted, but nobody asked");
+      if (!job.cancelRequested) {
+        reportViolation("went_back: " + job.ref + " is called aborted, but nobody asked");
       }
       if (!job.aborted) {
         job.aborted = true;
-        job.abortedAt = world.sim.now();
-        cancelled.add(job);
+        job.abortedAtMs = cluster.sim.now();
+        confirmedCancellations.add(job);
       }
     }
     if (status.equals("done")) {
-      for (int i = 0; i < job.steps; i++) {
-        if (!completed.contains(job.ref + "/" + i)) {
-          broken("not_done: " + job.ref + " lacks task " + i);
+      for (int i = 0; i < job.taskCount; i++) {
+        if (!completedTasks.contains(job.ref + "/" + i)) {
+          reportViolation("not_done: " + job.ref + " lacks task " + i);
         }
       }
       job.done = true;
--- a/src/test/java/dapplestair/world/InvariantCheckerTest.java
+++ b/src/test/java/dapplestair/world/InvariantCheckerTest.java
@@ -15,13 +15,13 @@
   void jobsRunOnTheirTypesAndInTheirZones(long seed) {
     List<EmulatorSettings.MachineSpec> types =
         List.of(SimulatedCluster.machineType("t8"), SimulatedCluster.machineType("u8"));
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, false, types);
-    w.users.quiet = true;
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM, false, types);
+    w.users.submissionsStopped = true;
     w.run(5000);
     for (String type : List.of("t8", "u8")) {
       for (String zone : SimulatedCluster.ZONES) {
         SimulatedUsers.KnownJob job =
-            w.users.changed(
+            w.users.submitModifiedArray(
                 "one",
                 3,
                 4,
@@ -33,7 +33,7 @@
         assertTrue(job.accepted, job.ref + " is not accepted");
       }
     }
-    w.users.array("two", "high", 60, 4);
+    w.users.submitArray("two", "high", 60, 4);
     SeededDaysTest.settle(w);
   }
 }
--- a/src/test/java/dapplestair/world/IsolatedControllerTest.java
+++ b/src/test/java/dapplestair/world/IsolatedControllerTest.java
@@ -17,15 +17,15 @@
 
   private static SimulatedCluster begun(long seed) {
     SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
-    w.checker.budget = null;
+    w.checker.teamDisruptionBudget = null;
     return w;
   }
 
   private static int up(SimulatedCluster w, SimulatedCluster.ControllerNode node) {
     int[] status = {0};
-    w.net.call(
+    w.network.call(
         "balancer",
-        SimulatedCluster.client(node.index),
+        SimulatedCluster.clientAddress(node.index),
         "GET",
         "/up",
         null,
@@ -44,13 +44,15 @@
     SimulatedCluster.ControllerNode lone = led > 0 ? leader : w.nodes.get((leader.index + 1) % 3);
     int killed = w.cloud.killedByLease();
     new RandomFaults(w).alone(lone, hold, LONG_MS);
-    SimulatedUsers.KnownJob job = w.users.array("one", "high", 20, 5);
+    SimulatedUsers.KnownJob job = w.users.submitArray("one", "high", 20, 5);
     w.run(SimulatedCluster.LEASE_MS / 2);
     assertNotEquals(lone, w.leader(), "it cannot lead");
     assertEquals(503, up(w, lone), "users go on coming to it");
-    int beats = lone.beats;
+    int beats = lone.reportsReceived;
     w.run(SimulatedCluster.LEASE_MS);
-    assertTrue(lone.beats - beats <= 5, lone.beats - beats + " reports went on coming to it");
+    assertTrue(
+        lone.reportsReceived - beats <= 5,
+        lone.reportsReceived - beats + " reports went on coming to it");
     w.run(LONG_MS - SimulatedCluster.LEASE_MS);
     assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
     assertTrue(job.done, "the array is not done");
@@ -106,12 +108,12 @@
         w.run(w.sim.between(100, 1200));
       }
       long without = 0;
-      while (w.leader() == null || !w.leader().up()) {
+      while (w.leader() == null || !w.leader().isUp()) {
         w.run(100);
         without += 100;
         // A hold and two report intervals.
         assertTrue(
-            without <= SimulatedCluster.LEASE_MS / 10 + 2 * SimulatedCluster.REPORT_MS,
+            without <= SimulatedCluster.LEASE_MS / 10 + 2 * SimulatedCluster.REPORT_INTERVAL_MS,
             "nobody leads");
       }
       w.run(4000);
--- a/src/test/java/dapplestair/world/JobBeginTest.java
+++ b/src/test/java/dapplestair/world/JobBeginTest.java
@@ -19,9 +19,9 @@
   void aStartStoppedSoonIsNone() {
     job.taskStarted(TASK, 0);
     job.taskStopped(TASK, STOPPED_MS);
-    assertEquals(-1, job.begunAt());
+    assertEquals(-1, job.begunAtMs());
     job.taskStarted(TASK, LONG_MS);
-    assertEquals(LONG_MS, job.begunAt());
+    assertEquals(LONG_MS, job.begunAtMs());
   }
 
   /** Guards against jobs counted as waiting for ever though they are done. */
@@ -32,7 +32,7 @@
     job.taskStarted(TASK, LONG_MS);
     job.taskStopped(TASK, LONG_MS + STOPPED_MS);
     job.taskCompleted(TASK);
-    assertEquals(LONG_MS, job.begunAt());
+    assertEquals(LONG_MS, job.begunAtMs());
   }
 
   /** Guards against a start that was taken back and counts since a later one completes. */
@@ -42,7 +42,7 @@
     job.taskStopped(TASK, STOPPED_MS);
     job.taskStarted(TASK, LONG_MS);
     job.taskCompleted(TASK);
-    assertEquals(LONG_MS, job.begunAt());
+    assertEquals(LONG_MS, job.begunAtMs());
   }
 
   /** Guards against a completed task that hides another one whose start was taken back. */
@@ -51,6 +51,6 @@
     job.taskStarted(TASK, 0);
     job.taskStopped(TASK, STOPPED_MS);
     job.taskCompleted("wk-000001/1");
-    assertEquals(-1, job.begunAt());
+    assertEquals(-1, job.begunAtMs());
   }
 }
--- a/src/test/java/dapplestair/world/LaneTest.java
+++ b/src/test/java/dapplestair/world/LaneTest.java
@@ -30,16 +30,17 @@
   private static final long STEPS_MS = 1500;
 
   // Until somebody else leads, and its workers have shown the new token.
-  private static final long TAKEOVER_MS = SimulatedCluster.REPORT_MS + SimulatedCluster.REPORT_MS;
+  private static final long TAKEOVER_MS =
+      SimulatedCluster.REPORT_INTERVAL_MS + SimulatedCluster.REPORT_INTERVAL_MS;
 
   static final Lane GATE =
       new Lane(
           "gate", Set.of("gate"), Set.of(), Set.of("settle"), Rank.HIGH, Rank.STANDARD, 0, LANE_MS);
 
   static SimulatedCluster begun(long seed, Lane lane, double saveS) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     w.operatorSettings =
         OperatorSettings.defaults().withLanes(lane == null ? List.of() : List.of(lane));
     w.nodes.forEach(n -> n.crash(500));
@@ -47,7 +48,7 @@
     w.run(10_000);
     // Batches fill all there is, three times over, and each runs for long.
     for (int i = 0; i < 12; i++) {
-      w.users.changed(
+      w.users.submitModifiedArray(
           i % 2 == 0 ? "one" : "two",
           24,
           200,
@@ -57,7 +58,7 @@
                   .put("snapshotS", saveS));
     }
     w.run(40_000);
-    assertTrue(free(w) < SimulatedCluster.CPUS, "machines are not full");
+    assertTrue(free(w) < SimulatedCluster.MACHINE_CPUS, "machines are not full");
     return w;
   }
 
@@ -67,32 +68,32 @@
       free +=
           m.gone() || !m.booted()
               ? 0
-              : SimulatedCluster.CPUS
+              : SimulatedCluster.MACHINE_CPUS
                   - 2 * m.tasks().stream().filter(EmulatedTask::onMachine).count();
     }
     return free;
   }
 
   static SimulatedUsers.KnownJob rider(SimulatedCluster w, int tasks) {
-    return w.users.changed(
+    return w.users.submitModifiedArray(
         "two", tasks, 6, b -> b.put("jobclass", "gate").put("rank", "high").put("loaners", true));
   }
 
   /** How many of a job's tasks have started so far, each counted once. */
   static void untilBegun(SimulatedCluster w, List<SimulatedUsers.KnownJob> riders, long mostMs) {
     for (SimulatedUsers.KnownJob r : riders) {
-      long until = r.submittedAt + mostMs;
-      while (r.starts < r.steps && w.sim.now() < until) {
+      long until = r.submittedAtMs + mostMs;
+      while (r.starts < r.taskCount && w.sim.now() < until) {
         w.run(50);
       }
       assertTrue(
-          r.starts >= r.steps,
-          () -> "%d of %d tasks began in %d ms".formatted(r.starts, r.steps, mostMs));
+          r.starts >= r.taskCount,
+          () -> "%d of %d tasks began in %d ms".formatted(r.starts, r.taskCount, mostMs));
     }
   }
 
   private static int stopped(SimulatedCluster w) {
-    return w.checker.stopsOf.getOrDefault("settle", 0);
+    return w.checker.stopsByClass.getOrDefault("settle", 0);
   }
 
   private static JsonNode claims(SimulatedCluster w) {
@@ -127,7 +128,7 @@
     SimulatedCluster w = begun(seed, GATE, 0);
     // Some save before they go, so that the room of those that don't is free before theirs.
     for (int i = 0; i < 12; i++) {
-      w.users.changed(
+      w.users.submitModifiedArray(
           "one",
           24,
           3,
@@ -136,11 +137,14 @@
     w.cloud.machines().stream().limit(8).forEach(m -> w.sim.after(0, m::end));
     w.run(25_000);
     SimulatedUsers.KnownJob rider =
-        w.users.changed(
+        w.users.submitModifiedArray(
             "two",
             3,
             6,
-            b -> b.put("jobclass", "gate").put("rank", "high").put("vcpus", SimulatedCluster.CPUS));
+            b ->
+                b.put("jobclass", "gate")
+                    .put("rank", "high")
+                    .put("vcpus", SimulatedCluster.MACHINE_CPUS));
     int before = stopped(w);
     untilBegun(w, List.of(rider), LANE_MS + STEPS_MS);
     assertTrue(stopped(w) - before <= 3 * 4, stopped(w) - before + " stops for three machines");
@@ -164,7 +168,7 @@
     int before = stopped(w);
     SimulatedUsers.KnownJob rider = rider(w, 8);
     Map<String, Set<String>> claimed = new HashMap<>();
-    w.also =
+    w.extraCheck =
         () -> {
           if (claims(w) != null && !rider.done) {
             for (JsonNode c : claims(w).path("claims")) {
@@ -180,7 +184,7 @@
     }
     if (twice) {
       w.run(TAKEOVER_MS / 2);
-      if (w.leader() != null && w.leader().up()) {
+      if (w.leader() != null && w.leader().isUp()) {
         w.leader().crash(4000);
       }
     }
@@ -231,15 +235,15 @@
             Rank.STANDARD,
             24,
             LANE_MS);
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     w.operatorSettings = OperatorSettings.defaults().withLanes(List.of(lane));
     w.nodes.forEach(n -> n.crash(500));
     w.cloud.setCapacity(0.25);
     w.run(10_000);
     for (int i = 0; i < 12; i++) {
-      w.users.changed(
+      w.users.submitModifiedArray(
           "one",
           24,
           200,
--- a/src/test/java/dapplestair/world/LargeClusterDaysTest.java
+++ b/src/test/java/dapplestair/world/LargeClusterDaysTest.java
@@ -15,7 +15,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3})
   void rulesHoldAtTheGrownSize(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN);
+    SimulatedCluster world = new SimulatedCluster(seed, SimulatedCluster.Size.LARGE);
     try {
       world.run(30_000);
       for (int i = 0; i < 50 && world.leader() == null; i++) {
@@ -35,29 +35,31 @@
         world.leader().crash(6000);
       }
       world.run(40_000);
-      world.users.quiet = true;
+      world.users.submissionsStopped = true;
       world.run(60_000);
-      world.checker.checkServed();
+      world.checker.checkHalfServed();
     } catch (AssertionError e) {
       throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
     }
-    assertTrue(world.checker.started > 4000, "only " + world.checker.started + " tasks started");
+    assertTrue(
+        world.checker.startCount > 4000, "only " + world.checker.startCount + " tasks started");
     long ended =
-        world.users.told.values().stream().filter(j -> j.done || j.aborted || j.service).count();
+        world.users.jobs.values().stream().filter(j -> j.done || j.aborted || j.service).count();
     assertTrue(
-        ended > 0.95 * world.users.told.size(),
-        ended + " of " + world.users.told.size() + " jobs ended");
+        ended > 0.95 * world.users.jobs.size(),
+        ended + " of " + world.users.jobs.size() + " jobs ended");
   }
 
   /** Counts, not times: what a start costs the state service must not grow with the fleet. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {11, 12})
   void putsPerStartAreFew(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN);
-    world.net.loss = 0;
+    SimulatedCluster world = new SimulatedCluster(seed, SimulatedCluster.Size.LARGE);
+    world.network.lossProbability = 0;
     world.run(60_000);
-    double perStart = world.state.puts() / (double) world.checker.started;
-    assertTrue(world.checker.started > 3000, "only " + world.checker.started + " tasks started");
+    double perStart = world.state.puts() / (double) world.checker.startCount;
+    assertTrue(
+        world.checker.startCount > 3000, "only " + world.checker.startCount + " tasks started");
     assertTrue(perStart < MOST_PUTS_PER_START, perStart + " puts per start");
   }
 }
--- a/src/test/java/dapplestair/world/LargestJobsTest.java
+++ b/src/test/java/dapplestair/world/LargestJobsTest.java
@@ -22,12 +22,12 @@
 
   /** A quarter of the machines that the cloud could have, and one service in each zone. */
   private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     w.cloud.setCapacity(0.25);
     for (int i = 0; i < 4; i++) {
-      w.users.service("two", 3);
+      w.users.submitService("two", 3);
     }
     w.run(20_000);
     return w;
@@ -42,7 +42,7 @@
       w.sim.after(
           at,
           () ->
-              w.users.changed(
+              w.users.submitModifiedArray(
                   team,
                   SMALL_STEPS,
                   SMALL_S,
@@ -65,16 +65,16 @@
     List<SimulatedUsers.KnownJob> out = new ArrayList<>();
     for (String team : List.of("one", "guest")) {
       out.add(
-          w.users.changed(
+          w.users.submitModifiedArray(
               team, 120, 10, b -> b.put("rank", "low").put("jobclass", "large-" + team)));
     }
     // A task as large as a machine, which small ones never leave empty.
     out.add(
-        w.users.changed(
+        w.users.submitModifiedArray(
             "one", 6, 10, b -> b.put("rank", "low").put("vcpus", 8.0).put("jobclass", "wide")));
     // A service of no high rank, whose replicas fit nowhere without stops.
     out.add(
-        w.users.changed(
+        w.users.submitModifiedArray(
             "two",
             4,
             0,
@@ -88,13 +88,13 @@
   }
 
   private static long waitMs(SimulatedCluster w, SimulatedUsers.KnownJob job) {
-    return (job.begunAt() < 0 ? w.sim.now() : job.begunAt()) - job.submittedAt;
+    return (job.begunAtMs() < 0 ? w.sim.now() : job.begunAtMs()) - job.submittedAtMs;
   }
 
   private static void begunInTime(SimulatedCluster w, List<SimulatedUsers.KnownJob> jobs) {
     for (SimulatedUsers.KnownJob job : jobs) {
       assertTrue(
-          job.begunAt() >= 0 && waitMs(w, job) <= InvariantChecker.BEGIN_MS,
+          job.begunAtMs() >= 0 && waitMs(w, job) <= InvariantChecker.MAX_START_WAIT_MS,
           () -> job.ref + " of " + job.jobClass + " waits for " + waitMs(w, job) + " ms");
     }
   }
@@ -109,9 +109,9 @@
     runEnding(w, 255_000);
     begunInTime(w, large);
     // No replica was lost for it.
-    w.users.told.values().stream()
+    w.users.jobs.values().stream()
         .filter(j -> j.jobClass.equals("serve"))
-        .forEach(j -> assertTrue(j.begunAt() >= 0, j.ref + " does not run"));
+        .forEach(j -> assertTrue(j.begunAtMs() >= 0, j.ref + " does not run"));
   }
 
   /** Its wait begins with the first attempt to submit, though it is accepted after an outage. */
@@ -126,10 +126,10 @@
     SimulatedUsers.KnownJob large = large(w).get(0);
     w.run(outageMs);
     w.state.recover();
-    w.run(InvariantChecker.BEGIN_MS - outageMs);
+    w.run(InvariantChecker.MAX_START_WAIT_MS - outageMs);
     begunInTime(w, List.of(large));
     // Three fifths of the bound and what it takes to begin, but no outage on top.
-    long most = InvariantChecker.BEGIN_MS * 3 / 5 + outageMs * 2 / 3;
+    long most = InvariantChecker.MAX_START_WAIT_MS * 3 / 5 + outageMs * 2 / 3;
     assertTrue(waitMs(w, large) <= most, "it waited for " + waitMs(w, large) + " ms");
   }
 
@@ -146,21 +146,23 @@
       int size = steps + (int) w.sim.between(0, 4 * steps);
       w.sim.after(
           i * 4_000L,
-          () -> arrays.add(w.users.changed("one", size, 60, b -> b.put("jobclass", "long"))));
+          () ->
+              arrays.add(
+                  w.users.submitModifiedArray("one", size, 60, b -> b.put("jobclass", "long"))));
     }
-    w.run(24 * 4_000 + InvariantChecker.BEGIN_MS);
+    w.run(24 * 4_000 + InvariantChecker.MAX_START_WAIT_MS);
     begunInTime(w, arrays);
   }
 
   /** The guard taken out: with no bound that is near, the same work does not begin. */
   @Test
   void withoutTheBoundTheyDoNotBegin() {
-    SimulatedCluster w = new SimulatedCluster(6003, SimulatedCluster.Size.MIDDLE);
+    SimulatedCluster w = new SimulatedCluster(6003, SimulatedCluster.Size.MEDIUM);
     OperatorSettings d = OperatorSettings.defaults();
     w.operatorSettings = d.withBeginWithin(24 * 3600_000);
     w.nodes.forEach(n -> n.crash(500));
-    w.net.loss = 0;
-    w.users.quiet = true;
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     w.cloud.setCapacity(0.25);
     w.run(20_000);
     overload(w, 3, 2, 280_000);
@@ -168,7 +170,9 @@
     List<SimulatedUsers.KnownJob> large = large(w);
     w.run(255_000);
     assertFalse(
-        large.stream().allMatch(j -> j.begunAt() >= 0 && waitMs(w, j) <= InvariantChecker.BEGIN_MS),
+        large.stream()
+            .allMatch(
+                j -> j.begunAtMs() >= 0 && waitMs(w, j) <= InvariantChecker.MAX_START_WAIT_MS),
         "this test says nothing");
   }
 
@@ -180,7 +184,7 @@
     overload(w, 2, 2, 280_000);
     w.run(20_000);
     SimulatedUsers.KnownJob gang =
-        w.users.changed(
+        w.users.submitModifiedArray(
             "one",
             28,
             10,
--- a/src/test/java/dapplestair/world/LastTaskEndTest.java
+++ b/src/test/java/dapplestair/world/LastTaskEndTest.java
@@ -48,32 +48,32 @@
 
     Day(long seed, Step step, long moveMs) {
       w = new SimulatedCluster(seed);
-      w.net.loss = 0;
-      w.users.cancelledArrays = 0;
+      w.network.lossProbability = 0;
+      w.users.cancelledArrayShare = 0;
       readers = new ConcurrentReaders(w);
       this.step = step;
       this.moveMs = moveMs;
-      w.checker.alsoCompleted = this::completed;
-      w.net.commits.carriedOut = this::carriedOut;
-      SimulatedNetwork.Tap others = w.net.tap;
-      w.net.tap =
+      w.checker.completionListener = this::completed;
+      w.network.commits.commitListener = this::carriedOut;
+      SimulatedNetwork.RequestInterceptor others = w.network.interceptor;
+      w.network.interceptor =
           (from, method, path, body, done) -> {
             if (path.equals("/commit")) {
               sent(from, Json.parse(body));
             }
-            return others.asked(from, method, path, body, done);
+            return others.intercept(from, method, path, body, done);
           };
     }
 
     void submit(int i) {
       SimulatedUsers.KnownJob job =
-          w.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 3, RUN_S);
+          w.users.submitArray(i % 2 == 0 ? "one" : "two", "high", 1 + i % 3, RUN_S);
       jobs.put(job.ref, job);
     }
 
     private void completed(String task) {
       SimulatedUsers.KnownJob job = jobs.get(task.substring(0, task.indexOf('/')));
-      boolean last = job != null && completed.merge(job.ref, 1, Integer::sum) == job.steps;
+      boolean last = job != null && completed.merge(job.ref, 1, Integer::sum) == job.taskCount;
       if (last && step == Step.TASK_EXITS) {
         w.sim.after(moveMs, () -> meet(job));
       } else if (last && step == Step.CANCELLATION_IS_SENT) {
@@ -82,23 +82,24 @@
     }
 
     private void sent(String from, JsonNode body) {
-      SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
+      SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.jobRef(body)));
       boolean held =
-          step == Step.DONE_IS_SENT && CommitInterceptor.any(body, CommitInterceptor.ends("done"))
+          step == Step.DONE_IS_SENT
+                  && CommitInterceptor.anyWrite(body, CommitInterceptor.endsJobAs("done"))
               || step == Step.CANCELLATION_IS_SENT
-                  && CommitInterceptor.any(body, CommitInterceptor.ends("aborted"));
+                  && CommitInterceptor.anyWrite(body, CommitInterceptor.endsJobAs("aborted"));
       if (job != null && held && heldOnce.add(job.ref)) {
-        w.net.cut(from, "state:1", true);
-        w.sim.after(moveMs, () -> w.net.heal(from, "state:1"));
+        w.network.cut(from, "state:1", true);
+        w.sim.after(moveMs, () -> w.network.heal(from, "state:1"));
         meet(job);
       }
     }
 
     private void carriedOut(String from, JsonNode body) {
-      SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
+      SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.jobRef(body)));
       if (job != null
           && step == Step.DONE_IS_PUT
-          && CommitInterceptor.any(body, CommitInterceptor.ends("done"))) {
+          && CommitInterceptor.anyWrite(body, CommitInterceptor.endsJobAs("done"))) {
         w.sim.after(moveMs, () -> meet(job));
       }
     }
@@ -108,21 +109,21 @@
       int leader = w.leader().index;
       int kind = met++ % 4;
       if (kind == 3) {
-        readers.around(job);
+        readers.queryAllControllers(job);
         return;
       }
       for (SimulatedCluster.ControllerNode n : w.nodes) {
         if (kind == 2 || (n.index == leader) == (kind == 0)) {
           w.users.cancelAt(job, n);
           readers.ask(job, n);
-          readers.repeat(job, n);
+          readers.submitAgain(job, n);
         }
       }
-      readers.around(job);
+      readers.queryAllControllers(job);
     }
 
     String recorded(SimulatedUsers.KnownJob job) {
-      JsonNode over = w.state.value(CommitInterceptor.OVER + job.ref);
+      JsonNode over = w.state.value(CommitInterceptor.ENDED_JOB_KEY_PREFIX + job.ref);
       assertNotNull(over, job.ref + " is not over");
       return over.path("status").asText();
     }
@@ -157,9 +158,9 @@
     SeededDaysTest.settle(d.w);
     assertTrue(2 * d.met >= JOBS, d.met + " of " + JOBS + " ends were met");
     for (SimulatedUsers.KnownJob job : d.jobs.values()) {
-      assertEquals(d.recorded(job), job.finalState(), job.ref);
+      assertEquals(d.recorded(job), job.finalStatus(), job.ref);
       if (step == Step.DONE_IS_PUT) {
-        assertEquals("done", job.finalState(), job.ref);
+        assertEquals("done", job.finalStatus(), job.ref);
       }
     }
   }
--- a/src/test/java/dapplestair/world/LateCommandsTest.java
+++ b/src/test/java/dapplestair/world/LateCommandsTest.java
@@ -22,8 +22,8 @@
   /** Teams at their limits: what starts once too often is seen. */
   private static SimulatedCluster begun(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 24, 700, 6));
-    w.net.loss = 0;
-    w.users.cancelledArrays = 0.4;
+    w.network.lossProbability = 0;
+    w.users.cancelledArrayShare = 0.4;
     w.run(20_000);
     return w;
   }
@@ -43,10 +43,11 @@
     for (EmulatedWorker m : w.cloud.machines()) {
       for (SimulatedCluster.ControllerNode n : w.nodes) {
         if (n != old && m.zone().equals(zone)) {
-          w.net.cut("node-" + n.index, m.endpoint(), true);
-          w.net.cut(SimulatedCluster.client(n.index), m.endpoint(), true);
-          w.sim.after(ms, () -> w.net.heal("node-" + n.index, m.endpoint()));
-          w.sim.after(ms, () -> w.net.heal(SimulatedCluster.client(n.index), m.endpoint()));
+          w.network.cut("node-" + n.index, m.endpoint(), true);
+          w.network.cut(SimulatedCluster.clientAddress(n.index), m.endpoint(), true);
+          w.sim.after(ms, () -> w.network.heal("node-" + n.index, m.endpoint()));
+          w.sim.after(
+              ms, () -> w.network.heal(SimulatedCluster.clientAddress(n.index), m.endpoint()));
         }
       }
     }
@@ -66,8 +67,8 @@
 
   /** A third of what runs, or is about to, is cancelled through the new leader. */
   private static void cancelSome(SimulatedCluster w) {
-    for (SimulatedUsers.KnownJob t : new ArrayList<>(w.users.told.values())) {
-      if (t.accepted && !t.done && !t.cancelAsked && w.sim.chance(0.33)) {
+    for (SimulatedUsers.KnownJob t : new ArrayList<>(w.users.jobs.values())) {
+      if (t.accepted && !t.done && !t.cancelRequested && w.sim.chance(0.33)) {
         w.users.cancel(t);
       }
     }
@@ -102,11 +103,11 @@
         continue;
       }
       List<String> held = new ArrayList<>();
-      w.net.commandHeldMs =
+      w.network.commandDelayMs =
           r -> {
             boolean holds =
                 r.from().equals("node-" + old.index)
-                    && r.orders(verb)
+                    && r.hasOrder(verb)
                     && held.size() < HELD
                     && (reached || held.stream().allMatch(to -> sameZone(w, r.to(), to)));
             if (holds) {
@@ -125,10 +126,11 @@
       w.run(2500);
       cancelSome(w);
       w.run(heldMs + 12_000);
-      w.net.commandHeldMs = r -> 0;
+      w.network.commandDelayMs = r -> 0;
     }
-    int late = reached ? w.net.lateRefused.get() : w.net.lateTaken.get();
-    assertTrue(late > 0, "none came late: " + w.net.lateTaken + ", " + w.net.lateRefused);
+    int late = reached ? w.network.lateRejected.get() : w.network.lateAccepted.get();
+    assertTrue(
+        late > 0, "none came late: " + w.network.lateAccepted + ", " + w.network.lateRejected);
     SeededDaysTest.settle(w);
   }
 
@@ -138,7 +140,7 @@
   void ofTwoLeadersAtOnce(long seed) {
     SimulatedCluster w = begun(seed);
     for (int i = 0; i < 3; i++) {
-      w.net.lateCommands = 0.7;
+      w.network.lateCommandProbability = 0.7;
       for (int k = 0; k < 2; k++) {
         w.run(2500);
         SimulatedCluster.ControllerNode old = w.leader();
@@ -149,7 +151,7 @@
         assertNotEquals(old, w.leader(), "it still leads");
       }
       cancelSome(w);
-      w.net.lateCommands = 0;
+      w.network.lateCommandProbability = 0;
       w.run(SimulatedCluster.LEASE_MS);
     }
     SeededDaysTest.settle(w);
@@ -166,21 +168,21 @@
     for (int i = 0; i < 8; i++) {
       SimulatedCluster.ControllerNode leader = w.leader();
       List<String> stuck = new ArrayList<>();
-      w.net.commandHeldMs =
+      w.network.commandDelayMs =
           r -> {
-            boolean first = stuck.size() < 3 && r.orders("launch") && !stuck.contains(r.to());
+            boolean first = stuck.size() < 3 && r.hasOrder("launch") && !stuck.contains(r.to());
             if (first) {
               stuck.add(r.to());
-              w.net.cutOneWay(SimulatedCluster.client(leader.index), r.to());
+              w.network.cutOneWay(SimulatedCluster.clientAddress(leader.index), r.to());
             }
             return first || stuck.contains(r.to()) ? heldMs : 0;
           };
       w.run(heldMs + 2000);
-      w.net.commandHeldMs = r -> 0;
-      stuck.forEach(to -> w.net.healOneWay(SimulatedCluster.client(leader.index), to));
+      w.network.commandDelayMs = r -> 0;
+      stuck.forEach(to -> w.network.healOneWay(SimulatedCluster.clientAddress(leader.index), to));
       w.run(6000);
     }
-    assertTrue(w.net.lateTaken.get() > 0, "none came late");
+    assertTrue(w.network.lateAccepted.get() > 0, "none came late");
     SeededDaysTest.settle(w);
   }
 
@@ -189,13 +191,13 @@
   @CsvSource({"5131,0.15", "5132,0.4", "5133,0.4", "5134,0.6"})
   void underOneLeader(long seed, double share) {
     SimulatedCluster w = begun(seed);
-    w.net.lateCommands = share;
+    w.network.lateCommandProbability = share;
     for (int i = 0; i < 6; i++) {
       w.run(10_000);
       cancelSome(w);
     }
-    w.net.lateCommands = 0;
-    assertTrue(w.net.lateRefused.get() > 0, "none came late");
+    w.network.lateCommandProbability = 0;
+    assertTrue(w.network.lateRejected.get() > 0, "none came late");
     SeededDaysTest.settle(w);
   }
 }
--- a/src/test/java/dapplestair/world/LatencyReport.java
+++ b/src/test/java/dapplestair/world/LatencyReport.java
@@ -45,9 +45,9 @@
   }
 
   private static SimulatedCluster world(int seed, OperatorSettings operatorSettings) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     w.operatorSettings = operatorSettings;
     w.nodes.forEach(n -> n.crash(500));
     w.cloud.setCapacity(0.25);
@@ -66,7 +66,7 @@
     }
     long at = w.sim.now();
     long term = w.state.value("live/term").path("term").asLong();
-    boolean led = w.leader() != null && w.leader().up();
+    boolean led = w.leader() != null && w.leader().isUp();
     while (!led && w.sim.now() - at < MOST_MS) {
       w.run(20);
       // Of the process that runs now, not of its earlier life.
@@ -86,7 +86,7 @@
                 ? OperatorSettings.defaults().withLanes(List.of(gate))
                 : OperatorSettings.defaults());
     for (int i = 0; i < 12; i++) {
-      w.users.changed(
+      w.users.submitModifiedArray(
           i % 2 == 0 ? "one" : "two",
           24,
           300,
@@ -94,16 +94,17 @@
     }
     w.run(40_000);
     SimulatedUsers.KnownJob rider =
-        w.users.changed("two", 24, 60, b -> b.put("jobclass", "gate").put("rank", "high"));
+        w.users.submitModifiedArray(
+            "two", 24, 60, b -> b.put("jobclass", "gate").put("rank", "high"));
     if (leaderEnds) {
       w.run(w.sim.between(20, 500));
       if (w.leader() != null) {
         w.leader().crash(3000);
       }
     }
-    while (rider.starts < rider.steps && w.sim.now() - rider.submittedAt < 60_000) {
+    while (rider.starts < rider.taskCount && w.sim.now() - rider.submittedAtMs < 60_000) {
       w.run(20);
     }
-    return w.sim.now() - rider.submittedAt;
+    return w.sim.now() - rider.submittedAtMs;
   }
 }
--- a/src/test/java/dapplestair/world/LeaderChange.java
+++ b/src/test/java/dapplestair/world/LeaderChange.java
@@ -9,7 +9,7 @@
   PLANNED {
     @Override
     void happen(SimulatedCluster w, SimulatedCluster.ControllerNode leader) {
-      leader.leave(3000);
+      leader.shutDownGracefully(3000);
     }
   },
   /** Its process ends. */
@@ -30,12 +30,12 @@
   THERE_AND_BACK {
     @Override
     void happen(SimulatedCluster w, SimulatedCluster.ControllerNode leader) {
-      leader.leave(700);
+      leader.shutDownGracefully(700);
       w.sim.after(
           2500,
           () -> {
             if (w.leader() != null) {
-              w.leader().leave(700);
+              w.leader().shutDownGracefully(700);
             }
           });
     }
--- a/src/test/java/dapplestair/world/LeadsAgainTest.java
+++ b/src/test/java/dapplestair/world/LeadsAgainTest.java
@@ -29,7 +29,7 @@
   @CsvSource({"5,0", "34,0", "37,0", "5,3000", "9,3000", "14,3000", "5,6000", "8,6000", "393,6000"})
   void nothingOfTheFormerTermIsWrittenOrFreed(long seed, long outageMs) {
     SimulatedCluster w = new SimulatedCluster(seed, CROWDED);
-    w.users.cancelledArrays = 0.4;
+    w.users.cancelledArrayShare = 0.4;
     w.run(20_000);
     int again = 0;
     for (int i = 0; i < ROUNDS; i++) {
--- a/src/test/java/dapplestair/world/LeaseResponsesTest.java
+++ b/src/test/java/dapplestair/world/LeaseResponsesTest.java
@@ -28,7 +28,10 @@
 class LeaseResponsesTest {
   /** For how long after a cancellation a leader that does not know of it may send launches. */
   private static final long LAUNCH_MS =
-      (SimulatedCluster.CANCEL_MS - SimulatedCluster.LEASE_MS - SimulatedCluster.LEASE_MS / 16) / 4;
+      (SimulatedCluster.CANCEL_DEADLINE_MS
+              - SimulatedCluster.LEASE_MS
+              - SimulatedCluster.LEASE_MS / 16)
+          / 4;
 
   /** Sends a machine's report as it is now, or changed by the test. */
   private static final class Reporter {
@@ -116,9 +119,9 @@
     d.cancel(d.second);
     d.w.state.fail();
     // Its own reports must not meet those of the test, and who asks here is told here once more.
-    d.w.net.cut(SimulatedCluster.client(d.third.index), r.machine.endpoint(), false);
-    d.w.net.cut(SimulatedCluster.client(d.third.index), "users", false);
-    d.w.run(SimulatedCluster.REPORT_MS);
+    d.w.network.cut(SimulatedCluster.clientAddress(d.third.index), r.machine.endpoint(), false);
+    d.w.network.cut(SimulatedCluster.clientAddress(d.third.index), "users", false);
+    d.w.run(SimulatedCluster.REPORT_INTERVAL_MS);
     // The first is sent on to the leader; one that comes again was not taken there.
     assertEquals(421, r.to(d.third, r.tasks(), r.token()).status());
     return r;
@@ -151,10 +154,10 @@
     Reporter r = toldFollower(d);
     long first = token(r.to(d.third, r.tasks(), r.token()));
     assertTrue(first >= r.token() + 2 * FencingToken.MAX_FENCE_LEAD, "raised above any launch");
-    d.w.run(LAUNCH_MS + SimulatedCluster.REPORT_MS);
+    d.w.run(LAUNCH_MS + SimulatedCluster.REPORT_INTERVAL_MS);
     long second = token(r.to(d.third, r.tasks(), first));
     assertTrue(second > first, "a raise while launches could still be sent does not count");
-    d.w.run(SimulatedCluster.REPORT_MS);
+    d.w.run(SimulatedCluster.REPORT_INTERVAL_MS);
     assertEquals(second, token(r.to(d.third, r.tasks(), second)), "once is enough");
   }
 
@@ -177,7 +180,7 @@
   void aLeaderKeepsOutALaunchOnItsWay(long seed) {
     CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     refuseMachines(d, true);
-    SimulatedUsers.KnownJob job = d.w.users.array("one", "high", 4, 150);
+    SimulatedUsers.KnownJob job = d.w.users.submitArray("one", "high", 4, 150);
     waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
     List<Reporter> reporters = hostsOnRecord(d, job).stream().map(Reporter::new).toList();
     d.w.users.cancelAt(job, d.second);
@@ -188,7 +191,7 @@
       assertTrue(halts(answer).stream().anyMatch(k -> k.startsWith(job.ref + "/")), "halted");
     }
     refuseMachines(d, false);
-    d.w.run(SimulatedCluster.CANCEL_MS);
+    d.w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
   }
 
   /** Calls of the old leader get no answer; what was called is lost. Reports go on. */
@@ -196,9 +199,9 @@
     String node = "node-" + d.old.index;
     for (EmulatedWorker m : d.w.cloud.machines()) {
       if (refused) {
-        d.w.net.cut(node, m.endpoint(), false);
+        d.w.network.cut(node, m.endpoint(), false);
       } else {
-        d.w.net.heal(node, m.endpoint());
+        d.w.network.heal(node, m.endpoint());
       }
     }
   }
@@ -226,20 +229,20 @@
     CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     boolean[] refusing = {true};
     for (EmulatedWorker m : d.w.cloud.machines()) {
-      d.w.net.place(m.endpoint(), refusing("node-" + d.old.index, refusing, m));
+      d.w.network.register(m.endpoint(), refusing("node-" + d.old.index, refusing, m));
     }
-    SimulatedUsers.KnownJob job = d.w.users.array("two", "high", 4, 150);
+    SimulatedUsers.KnownJob job = d.w.users.submitArray("two", "high", 4, 150);
     waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
     CancellationOutageTest.refuse(d);
     d.links("refused", true);
     d.w.users.cancelAt(job, d.second);
     waitUntil(d, () -> job.aborted);
-    d.second.crash(3 * SimulatedCluster.CANCEL_MS);
+    d.second.crash(3 * SimulatedCluster.CANCEL_DEADLINE_MS);
     d.w.state.fail();
     d.w.run(LAUNCH_MS);
     assertEquals(0, job.starts, "the launches wait");
     refusing[0] = false;
-    d.w.run(SimulatedCluster.REPORT_MS);
+    d.w.run(SimulatedCluster.REPORT_INTERVAL_MS);
     assertEquals(0, job.starts, "late launches");
   }
 
@@ -305,9 +308,9 @@
   void nobodyIsToldBeforeAllPlacesAreRead(long seed) {
     CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
     HeldState state = new HeldState(d.w.state);
-    d.w.net.place("state:1", state);
+    d.w.network.register("state:1", state);
     state.blind.add("node-" + d.old.index);
-    SimulatedUsers.KnownJob job = d.w.users.array("one", "high", 4, 150);
+    SimulatedUsers.KnownJob job = d.w.users.submitArray("one", "high", 4, 150);
     waitUntil(d, () -> job.accepted);
     d.w.users.cancelAt(job, d.second);
     waitUntil(d, () -> state.cancellation != null);
@@ -316,11 +319,11 @@
     waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
     List<Reporter> reporters = hostsOnRecord(d, job).stream().map(Reporter::new).toList();
     state.cancellation.run();
-    d.w.run(SimulatedCluster.REPORT_MS / 4);
+    d.w.run(SimulatedCluster.REPORT_INTERVAL_MS / 4);
     assertFalse(job.aborted, "told before the launches were read");
     state.letSee("node-" + d.second.index);
     waitUntil(d, () -> job.aborted);
-    d.w.run(SimulatedCluster.CANCEL_MS);
+    d.w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
     assertEquals(0, d.running(job), "cancelled tasks");
     assertFalse(reporters.isEmpty());
   }
--- a/src/test/java/dapplestair/world/LostOperatorResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostOperatorResponsesTest.java
@@ -25,8 +25,8 @@
   }
 
   private static void end(SimulatedCluster w) {
-    assertTrue(w.net.commits.lost > 0, "no answer was lost");
-    w.net.commits.lostAnswers = 0;
+    assertTrue(w.network.commits.lostAnswerCount > 0, "no answer was lost");
+    w.network.commits.answerLossProbability = 0;
   }
 
   /** Guards against drains that are forgotten, or never end, for want of an answer. */
@@ -72,7 +72,7 @@
     SimulatedCluster w = DisruptionTest.begun(seed, 1, 1);
     double most = 2.0 * 60 * 8;
     DisruptionTest.allowLoss(w, most);
-    w.users.array("two", "standard", 60, 300);
+    w.users.submitArray("two", "standard", 60, 300);
     w.run(40_000);
     begin(w, CommitInterceptor.puts("live/disruption/"), sender);
     for (String zone : SimulatedCluster.ZONES) {
@@ -81,7 +81,7 @@
     w.run(FOR_MS);
     end(w);
     w.run(FOR_MS);
-    double lost = w.checker.thrownAwayCpuS.getOrDefault("two", 0.0);
+    double lost = w.checker.lostCpuSeconds.getOrDefault("two", 0.0);
     assertTrue(lost > 0, "nothing was stopped at the deadline");
     assertTrue(lost <= most + 1e-6, lost + " CPU seconds thrown away of " + most);
   }
--- a/src/test/java/dapplestair/world/LostResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostResponsesTest.java
@@ -29,9 +29,9 @@
 
   /** The kinds of transactions of docs/meetings.md. */
   enum Put {
-    ACCEPTANCE(CommitInterceptor.puts(CommitInterceptor.JOB)),
-    CANCELLATION(CommitInterceptor.ends("aborted")),
-    DONE(CommitInterceptor.ends("done")),
+    ACCEPTANCE(CommitInterceptor.puts(CommitInterceptor.JOB_KEY_PREFIX)),
+    CANCELLATION(CommitInterceptor.endsJobAs("aborted")),
+    DONE(CommitInterceptor.endsJobAs("done")),
     ATTEMPTS(CommitInterceptor.puts("live/run/")),
     LAUNCH_BATCH(CommitInterceptor.puts("live/sheet/")),
     CLEARING(CommitInterceptor.removes("live/run/").or(CommitInterceptor.removes("live/sheet/"))),
@@ -69,21 +69,21 @@
   static void loseAnswers(SimulatedCluster w, Predicate<JsonNode> writes, Sender sender) {
     ConcurrentReaders readers = new ConcurrentReaders(w);
     long[] crashAgainAt = {0};
-    w.net.commits.lostAnswersOf = writes;
-    w.net.commits.lostAnswers = SHARE;
-    w.net.commits.answerLost =
+    w.network.commits.isLossCandidate = writes;
+    w.network.commits.answerLossProbability = SHARE;
+    w.network.commits.answerLostListener =
         (from, body) -> {
           SimulatedUsers.KnownJob job =
-              w.users.told.get(String.valueOf(CommitInterceptor.job(body)));
+              w.users.jobs.get(String.valueOf(CommitInterceptor.jobRef(body)));
           if (job != null) {
             lookAt(w, readers, job);
           }
           if (sender == Sender.HEARS_NO_NEWS) {
-            w.net.commits.withoutNews(from, NO_NEWS_MS);
+            w.network.commits.blockChanges(from, NO_NEWS_MS);
           }
           if (sender.crashAfterMs >= 0 && w.sim.now() >= crashAgainAt[0]) {
             crashAgainAt[0] = w.sim.now() + CRASH_EVERY_MS;
-            SimulatedCluster.ControllerNode node = w.nodes.get(w.index(from));
+            SimulatedCluster.ControllerNode node = w.nodes.get(w.memberIndex(from));
             w.sim.after(sender.crashAfterMs, () -> node.crash(w.sim.between(60, 2000)));
           }
         };
@@ -92,7 +92,7 @@
   /** A job that nobody was told of yet may be asked for by whoever submitted it. */
   private static void lookAt(
       SimulatedCluster w, ConcurrentReaders readers, SimulatedUsers.KnownJob job) {
-    readers.around(job);
+    readers.queryAllControllers(job);
     if (w.sim.chance(0.3)) {
       w.nodes.forEach(n -> w.sim.after(w.sim.between(0, 30), () -> w.users.cancelAt(job, n)));
     }
@@ -109,7 +109,7 @@
   private static void singles(SimulatedCluster w, long until) {
     if (w.sim.now() < until) {
       for (int i = 0; i < 3; i++) {
-        w.users.changed("guest", 1, 3, b -> b.put("rank", "low").put("vcpus", 0.25));
+        w.users.submitModifiedArray("guest", 1, 3, b -> b.put("rank", "low").put("vcpus", 0.25));
       }
       w.sim.after(2000, () -> singles(w, until));
     }
@@ -146,7 +146,7 @@
   })
   void onlyTheAnswerIsLost(long seed, Put put, Sender sender) {
     SimulatedCluster w = new SimulatedCluster(seed);
-    w.users.cancelledArrays = 0.4;
+    w.users.cancelledArrayShare = 0.4;
     // Types are recorded and machines rented at the beginning.
     w.run(put == Put.RENTAL || put == Put.PLAN_OR_TYPES ? 0 : 15_000);
     long until = w.sim.now() + FOR_MS;
@@ -160,9 +160,9 @@
       w.sim.after(FOR_MS / 4, () -> w.cloud.machines().forEach(EmulatedWorker::end));
     }
     w.run(FOR_MS);
-    w.net.commits.lostAnswers = 0;
+    w.network.commits.answerLossProbability = 0;
     SeededDaysTest.settle(w);
-    assertTrue(w.net.commits.lost > 0, "no answer was lost");
+    assertTrue(w.network.commits.lostAnswerCount > 0, "no answer was lost");
     assertEquals(List.of(), w.state.keys("live/sheet/"), "launch batches once all is over");
   }
 
@@ -188,6 +188,6 @@
       w.run(3000);
     }
     LaneTest.untilBegun(w, riders, CLAIM_MS);
-    assertTrue(w.net.commits.lost > 0, "no answer was lost");
+    assertTrue(w.network.commits.lostAnswerCount > 0, "no answer was lost");
   }
 }
--- a/src/test/java/dapplestair/world/MachineFault.java
+++ b/src/test/java/dapplestair/world/MachineFault.java
@@ -68,13 +68,13 @@
         cut(w, "node-" + n.index, m.endpoint(), hold, ms);
       }
       if (reports) {
-        cut(w, SimulatedCluster.client(n.index), m.endpoint(), hold, ms);
+        cut(w, SimulatedCluster.clientAddress(n.index), m.endpoint(), hold, ms);
       }
     }
   }
 
   private static void cut(SimulatedCluster w, String a, String b, boolean hold, long ms) {
-    w.net.cut(a, b, hold);
-    w.sim.after(ms, () -> w.net.heal(a, b));
+    w.network.cut(a, b, hold);
+    w.sim.after(ms, () -> w.network.heal(a, b));
   }
 }
--- a/src/test/java/dapplestair/world/ManyLeadersTest.java
+++ b/src/test/java/dapplestair/world/ManyLeadersTest.java
@@ -44,7 +44,7 @@
     SimulatedCluster w = f.w;
     LeaderChange[] ways = LeaderChange.values();
     long first = term(w);
-    f.day.troubleEverySecond(fault, SimulatedCluster.CANCEL_MS * 3 / 2);
+    f.day.troubleEverySecond(fault, SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
     f.cancel();
     for (int i = 0; i < CHANGES; i++) {
       if (i == outRound) {
@@ -89,18 +89,18 @@
     if (ofOneTask) {
       d.cancelled.clear();
       for (int i = 0; i < 24; i++) {
-        d.cancelled.add(w.users.array("one", "high", 1, 150));
+        d.cancelled.add(w.users.submitArray("one", "high", 1, 150));
       }
       w.run(6000);
       assertTrue(d.running(d.cancelled) > 12, "hardly a job of one task runs");
     }
     for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
       if (!m.gone() && m.zone().equals(zone)) {
-        m.stall(SimulatedCluster.CANCEL_MS * 3 / 2);
+        m.stall(SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
       }
     }
     d.cancelled.forEach(w.users::cancel);
-    long end = w.sim.now() + SimulatedCluster.CANCEL_MS * 3 / 2;
+    long end = w.sim.now() + SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2;
     for (int i = 0; w.sim.now() < end; i++) {
       (i % 2 == 0 ? LeaderChange.PLANNED : LeaderChange.CRASH).happen(w);
       w.run(everyMs);
@@ -128,7 +128,7 @@
     CancellationOutageTest.Day d = cancelledOnHangingMachines(seed);
     SimulatedCluster w = d.w;
     w.sim.after(endsMs, () -> d.old.crash(4000));
-    w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
+    w.run(SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
     w.state.recover();
     w.run(90_000);
     SeededDaysTest.settle(w);
@@ -141,7 +141,7 @@
     CancellationOutageTest.Day d = cancelledOnHangingMachines(seed);
     SimulatedCluster w = d.w;
     w.nodes.forEach(n -> w.sim.after(endMs, () -> n.crash(1000)));
-    w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
+    w.run(SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
     w.state.recover();
     w.run(90_000);
     SeededDaysTest.settle(w);
@@ -149,7 +149,7 @@
 
   /** Something small that is just being launched. */
   private static void cancelOne(TeamLimitsTest.FullDay f) {
-    SimulatedUsers.KnownJob job = f.w.users.array("two", "high", 2, 20);
+    SimulatedUsers.KnownJob job = f.w.users.submitArray("two", "high", 2, 20);
     f.day.cancelled.add(job);
     cancelOnceAccepted(f.w, job);
   }
@@ -178,7 +178,7 @@
     }
     w.run(outMs + 30_000);
     d.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
-    w.run(SimulatedCluster.CANCEL_MS);
+    w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
     assertEquals(0, d.running(List.copyOf(d.cancelled)), "cancelled tasks");
     w.run(90_000);
     SeededDaysTest.settle(w);
--- a/src/test/java/dapplestair/world/MonotonicReadsChecker.java
+++ b/src/test/java/dapplestair/world/MonotonicReadsChecker.java
@@ -15,7 +15,7 @@
  * that job when the question was asked: no answer may be older. It sees requests and answers on the
  * wire and knows nothing of the product.
  */
-final class MonotonicReadsChecker implements SimulatedNetwork.Tap {
+final class MonotonicReadsChecker implements SimulatedNetwork.RequestInterceptor {
   private static final String SUBMISSIONS = "/submissions";
   private static final String CANCEL = "/withdraw";
 
@@ -56,7 +56,7 @@
   }
 
   @Override
-  public Consumer<HttpReply> asked(
+  public Consumer<HttpReply> intercept(
       String from, String method, String path, byte[] body, Consumer<HttpReply> done) {
     if (!from.equals("users") || !path.startsWith(SUBMISSIONS)) {
       return done;
@@ -84,7 +84,7 @@
     if (reply.status() == 200 || reply.status() == 201) {
       told(q, reply.status(), Json.parse(reply.body()).path("status").asText());
     } else if (reply.status() == 404 && (q.then.accepted || q.submission())) {
-      world.checker.broken("forgotten: " + q + " gets 404");
+      world.checker.reportViolation("forgotten: " + q + " gets 404");
     } else if (q.submission() && (reply.status() == 400 || reply.status() == 422)) {
       refused(q, reply.status());
     }
@@ -92,25 +92,25 @@
 
   private void refused(Question q, int status) {
     if (q.then.accepted) {
-      world.checker.broken("forgotten: " + q + " again gets " + status);
+      world.checker.reportViolation("forgotten: " + q + " again gets " + status);
     }
     InvalidJob.Fault fault = InvalidJob.faultOf(q.job, world);
     if (fault == null || fault.status != status) {
-      world.checker.broken(q + " gets " + status + ", expected was " + fault);
+      world.checker.reportViolation(q + " gets " + status + ", expected was " + fault);
     }
   }
 
   private void told(Question q, int status, String state) {
     if (!acceptable.contains(q.ref)) {
       InvalidJob.Fault fault = q.submission() ? InvalidJob.faultOf(q.job, world) : null;
-      world.checker.broken("invented: " + q + " gets " + status + ", fault: " + fault);
+      world.checker.reportViolation("invented: " + q + " gets " + status + ", fault: " + fault);
     }
     if (q.then.accepted && status == 201) {
-      world.checker.broken("went_back: " + q + " again gets 201");
+      world.checker.reportViolation("went_back: " + q + " again gets 201");
     }
     if (q.then.end != null && !q.then.end.equals(state)) {
       String what = q.cancellation && q.then.done() ? "cancelled though done: " : "went_back: ";
-      world.checker.broken(what + q + ", known to be " + q.then.end + ", gets " + state);
+      world.checker.reportViolation(what + q + ", known to be " + q.then.end + ", gets " + state);
     }
     note(q, state.equals("done") || state.equals("aborted") ? state : null);
   }
@@ -119,7 +119,7 @@
     Known before = known.getOrDefault(q.ref, Known.NOTHING);
     // Both are for ever, so the order of two such answers does not matter.
     if (end != null && before.end != null && !before.end.equals(end)) {
-      world.checker.broken("went_back: " + q.ref + " is called both done and aborted");
+      world.checker.reportViolation("went_back: " + q.ref + " is called both done and aborted");
     }
     known.put(q.ref, new Known(true, before.end != null ? before.end : end));
     if (!before.accepted) {
--- a/src/test/java/dapplestair/world/MonotonicReadsTest.java
+++ b/src/test/java/dapplestair/world/MonotonicReadsTest.java
@@ -48,8 +48,8 @@
       readers = new ConcurrentReaders(w);
       this.behind = behind;
       this.moveMs = moveMs;
-      w.answers.firstHeard = this::firstHeard;
-      w.net.commits.carriedOut = this::carriedOut;
+      w.readsChecker.firstHeard = this::firstHeard;
+      w.network.commits.commitListener = this::carriedOut;
     }
 
     /** Others are behind before the transaction, or fall behind right after it. */
@@ -66,7 +66,7 @@
           ms,
           () -> {
             SimulatedUsers.KnownJob job =
-                w.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 2, 3);
+                w.users.submitArray(i % 2 == 0 ? "one" : "two", "high", 1 + i % 2, 3);
             jobs.put(job.ref, job);
           });
     }
@@ -81,7 +81,7 @@
     }
 
     private void carriedOut(String from, JsonNode body) {
-      SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
+      SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.jobRef(body)));
       if (job == null) {
         return;
       }
@@ -95,13 +95,13 @@
       }
       if (job.accepted) {
         // Nobody has been told yet that it is over; whoever is told first makes the others late.
-        readers.around(job);
+        readers.queryAllControllers(job);
       }
     }
 
     private void hold(String node) {
-      w.net.cut(node, "state:1", true);
-      w.sim.after(moveMs, () -> w.net.heal(node, "state:1"));
+      w.network.cut(node, "state:1", true);
+      w.sim.after(moveMs, () -> w.network.heal(node, "state:1"));
     }
 
     private void depose() {
@@ -117,7 +117,7 @@
         return;
       }
       moments.merge(state, 1, Integer::sum);
-      readers.around(job);
+      readers.queryAllControllers(job);
       boolean cancelled = ref.hashCode() % 2 == 0;
       if (cancelled || !state.equals("accepted")) {
         // At once, at two controllers; one that is done must be answered done.
@@ -152,11 +152,12 @@
       d.w.run(5000);
     }
     d.w.run(20_000);
-    d.w.users.quiet = true;
+    d.w.users.submissionsStopped = true;
     SeededDaysTest.settle(d.w);
     assertTrue(d.moments.getOrDefault("accepted", 0) >= JOBS - 1, d.moments.toString());
     assertTrue(d.moments.getOrDefault("done", 0) > 1, d.moments.toString());
     assertTrue(d.moments.getOrDefault("aborted", 0) > 1, d.moments.toString());
-    assertTrue(d.readers.told > 20 * JOBS, d.readers.told + " looks were answered");
+    assertTrue(
+        d.readers.statusAnswers > 20 * JOBS, d.readers.statusAnswers + " looks were answered");
   }
 }
--- a/src/test/java/dapplestair/world/NoGuaranteeTest.java
+++ b/src/test/java/dapplestair/world/NoGuaranteeTest.java
@@ -17,16 +17,16 @@
   private static final double MOST_PUTS_PER_SINGLE = 3.6;
 
   private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
-    w.users.service("one", 3);
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
+    w.users.submitService("one", 3);
     w.run(15_000);
     return w;
   }
 
   private static SimulatedUsers.KnownJob single(SimulatedCluster w, double runS) {
-    return w.users.changed(
+    return w.users.submitModifiedArray(
         "guest", 1, runS, b -> b.put("rank", "low").put("vcpus", 0.25).put("jobclass", "swarm"));
   }
 
@@ -51,7 +51,7 @@
     double each = (w.state.puts() - before) / 300.0;
     assertTrue(each <= MOST_PUTS_PER_SINGLE, each + " puts for each job");
     assertEquals(List.of(), w.state.keys("live/sheet/"), "launch batches once all is over");
-    w.checker.checkServed();
+    w.checker.checkHalfServed();
   }
 
   /** Far more than the state service takes: the swarm is put off, others are accepted in time. */
@@ -63,10 +63,10 @@
     List<SimulatedUsers.KnownJob> others = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       w.run(1000);
-      others.add(w.users.array("one", "high", 2, 4));
+      others.add(w.users.submitArray("one", "high", 2, 4));
     }
     w.run(20_000);
-    long late = others.stream().filter(j -> j.acceptedAt - j.submittedAt > 1000).count();
+    long late = others.stream().filter(j -> j.acceptedAtMs - j.submittedAtMs > 1000).count();
     assertTrue(late <= 1, late + " of 20 waited for longer than a second");
     others.forEach(j -> assertTrue(j.accepted, j.ref + " is not accepted"));
   }
@@ -91,7 +91,7 @@
     w.run(70_000);
     swarm.forEach(j -> assertTrue(j.done || j.aborted, j.ref + " is not over"));
     assertEquals(List.of(), w.state.keys("live/sheet/"), "launch batches once all is over");
-    w.checker.checkServed();
+    w.checker.checkHalfServed();
   }
 
   /** Machines end and a worker's lease runs out while only launch batches know what runs there. */
@@ -121,10 +121,10 @@
     SimulatedUsers.KnownJob[] of = new SimulatedUsers.KnownJob[2];
     for (int i = 0; i < 2; i++) {
       of[i] =
-          w.users.changed(
+          w.users.submitModifiedArray(
               "guest", 2500, 3, b -> b.put("rank", "low").put("vcpus", 0.25).put("memoryGb", 0.4));
     }
-    SimulatedUsers.KnownJob other = w.users.array("one", "high", 20, 5);
+    SimulatedUsers.KnownJob other = w.users.submitArray("one", "high", 20, 5);
     w.run(30_000);
     assertTrue(other.done, "the other team's array is not done");
     w.nodes.forEach(n -> n.crash(2000));
--- a/src/test/java/dapplestair/world/OperatorsTest.java
+++ b/src/test/java/dapplestair/world/OperatorsTest.java
@@ -35,7 +35,7 @@
       JsonNode body,
       Consumer<HttpReply> done) {
     byte[] bytes = body == null ? null : Json.bytes(body);
-    w.net.call("users", SimulatedCluster.admin(node), method, path, bytes, 8000, done);
+    w.network.call("users", SimulatedCluster.adminAddress(node), method, path, bytes, 8000, done);
   }
 
   /** Asks until somebody answers 200. */
@@ -91,8 +91,8 @@
 
   private void question(SimulatedCluster w) {
     List<String> refs =
-        w.users.told.values().stream()
-            .filter(j -> w.sim.chance(0.1) || j.finalState() == null)
+        w.users.jobs.values().stream()
+            .filter(j -> w.sim.chance(0.1) || j.finalStatus() == null)
             .map(j -> j.ref)
             .toList();
     if (refs.isEmpty()) {
@@ -116,7 +116,7 @@
     JsonNode termKey = w.state.value("live/term");
     long term = termKey == null ? 0 : termKey.path("term").asLong();
     long asked = w.sim.now();
-    boolean accepted = w.users.told.get(ref).accepted;
+    boolean accepted = w.users.jobs.get(ref).accepted;
     ask(
         w,
         node,
@@ -129,17 +129,17 @@
             JsonNode b = Json.parse(r.body());
             JsonNode asOf = b.path("asOf");
             if (asOf.path("epoch").asLong() < epoch || asOf.path("term").asLong() < term) {
-              w.checker.broken(path + " is told as of " + asOf + ", asked at " + epoch);
+              w.checker.reportViolation(path + " is told as of " + asOf + ", asked at " + epoch);
             }
             if (path.endsWith("/why")) {
-              why(w, w.users.told.get(ref), b);
+              why(w, w.users.jobs.get(ref), b);
             }
           } else if (r.status() == 503 && w.sim.now() - asked > 6000) {
-            w.checker.broken("503 after " + (w.sim.now() - asked) + " ms for " + path);
+            w.checker.reportViolation("503 after " + (w.sim.now() - asked) + " ms for " + path);
           } else if (r.status() == 404 && accepted && path.contains(ref)) {
-            w.checker.broken("404 for " + path);
+            w.checker.reportViolation("404 for " + path);
           } else if (r.status() == 500) {
-            w.checker.broken("500 for " + path);
+            w.checker.reportViolation("500 for " + path);
           }
         });
   }
@@ -151,7 +151,7 @@
     }
     told.merge("waits", 1, Integer::sum);
     if (b.path("reasons").isEmpty()) {
-      w.checker.broken("no reason for " + job.ref);
+      w.checker.reportViolation("no reason for " + job.ref);
     }
     for (JsonNode r : b.path("reasons")) {
       String reason = r.path("reason").asText();
@@ -163,20 +163,20 @@
             case "gang" -> job.body.path("shape").asText().equals("gang");
             case "held-for-services" -> job.body.path("loaners").asBoolean() && !job.service;
             case "drained" -> !w.state.keys("live/drain").isEmpty();
-            case "team-limit" -> demand(w, job) > w.size.teamLimit() - job.cpus - 1e-6;
+            case "team-limit" -> demand(w, job) > w.size.maxTeamCpus() - job.cpus - 1e-6;
             default -> true;
           };
       if (!binds) {
-        w.checker.broken(reason + " is named for " + job.ref + ", which has no such rule");
+        w.checker.reportViolation(reason + " is named for " + job.ref + ", which has no such rule");
       }
     }
   }
 
   /** CPUs that the team's jobs could use at most; nothing can bind that lies above. */
   private static double demand(SimulatedCluster w, SimulatedUsers.KnownJob job) {
-    return w.users.told.values().stream()
+    return w.users.jobs.values().stream()
         .filter(o -> o.body.path("owner").equals(job.body.path("owner")))
-        .mapToDouble(o -> o.cpus * o.steps)
+        .mapToDouble(o -> o.cpus * o.taskCount)
         .sum();
   }
 
@@ -190,8 +190,8 @@
 
   static SimulatedCluster quiet(long seed, SimulatedCluster.Size size) {
     SimulatedCluster w = world(seed, size);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     w.run(6000);
     return w;
   }
@@ -202,19 +202,19 @@
   @Test
   void whatTeamsWereServedIsSaidAsItIs() {
     SimulatedCluster w = world(16, SimulatedCluster.Size.SMALL);
-    w.net.loss = 0;
+    w.network.lossProbability = 0;
     w.run(60_000);
-    w.users.quiet = true;
+    w.users.submissionsStopped = true;
     w.run(60_000);
     for (JsonNode row : answer(w, "/v1/teams").path("rows")) {
       InvariantChecker.JobTally seen =
           w.checker
-              .served()
+              .jobTallies()
               .getOrDefault("team " + row.path("team").asText(), new InvariantChecker.JobTally());
       JsonNode told = row.path("served");
       assertEquals(seen.accepted, told.path("accepted").asInt(), row + " " + seen);
       assertEquals(seen.started, told.path("started").asInt(), row + " " + seen);
-      assertEquals(seen.due, told.path("due").asInt(), row + " " + seen);
+      assertEquals(seen.dueToComplete, told.path("due").asInt(), row + " " + seen);
       assertEquals(seen.done, told.path("done").asInt(), row + " " + seen);
     }
   }
@@ -223,13 +223,13 @@
   @Test
   void aTeamThatIsNotServedFailsTheDay() {
     SimulatedCluster w = quiet(17, new SimulatedCluster.Size(2, 1000, 1_000_000, 1));
-    w.users.array("one", "standard", 4, 5);
+    w.users.submitArray("one", "standard", 4, 5);
     w.run(30_000);
-    w.checker.checkServed();
+    w.checker.checkHalfServed();
     w.cloud.setCapacity(0);
-    w.users.array("two", "standard", 8, 500);
+    w.users.submitArray("two", "standard", 8, 500);
     w.run(30_000);
-    AssertionError failed = assertThrows(AssertionError.class, w.checker::checkServed);
+    AssertionError failed = assertThrows(AssertionError.class, w.checker::checkHalfServed);
     assertTrue(failed.getMessage().contains("team two"), failed.getMessage());
   }
 }
--- a/src/test/java/dapplestair/world/OutboundCutTest.java
+++ b/src/test/java/dapplestair/world/OutboundCutTest.java
@@ -22,7 +22,7 @@
   private static SimulatedCluster begun(long seed) {
     SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
     // What is lost with a machine is no choice.
-    w.checker.budget = null;
+    w.checker.teamDisruptionBudget = null;
     return w;
   }
 
@@ -39,7 +39,7 @@
   }
 
   private static int starts(SimulatedCluster w, EmulatedWorker m) {
-    return w.checker.startsOn.getOrDefault(m.id(), 0);
+    return w.checker.startsByMachine.getOrDefault(m.id(), 0);
   }
 
   /**
@@ -53,11 +53,11 @@
     EmulatedWorker mute = busiest(w);
     mute.mute(4 * SimulatedCluster.LEASE_MS);
     // A cancelled job's tasks end there like anywhere: commands reach it.
-    w.users.told.values().stream()
+    w.users.jobs.values().stream()
         .filter(t -> mute.tasks().stream().anyMatch(k -> k.key().startsWith(t.ref + "/")))
         .limit(1)
         .forEach(w.users::cancel);
-    w.users.array("two", "standard", 60, 15);
+    w.users.submitArray("two", "standard", 60, 15);
     if (second >= 0) {
       w.sim.after(1000L * second, () -> w.leader().crash(2000));
     }
@@ -66,7 +66,7 @@
     w.run(SimulatedCluster.LEASE_MS);
     assertEquals(before, starts(w, mute), "starts on a machine that does not report");
     assertTrue(mute.gone(), "it is still paid for, though nothing can last there");
-    w.run(SimulatedCluster.REPORT_MS);
+    w.run(SimulatedCluster.REPORT_INTERVAL_MS);
     assertEquals(REPLICAS - 3, DisruptionTest.replicas(w), "replicas but the cancelled ones");
   }
 
@@ -81,7 +81,7 @@
         m.mute(4 * SimulatedCluster.LEASE_MS);
       }
     }
-    w.run(SimulatedCluster.LEASE_MS + 2 * SimulatedCluster.REPORT_MS);
+    w.run(SimulatedCluster.LEASE_MS + 2 * SimulatedCluster.REPORT_INTERVAL_MS);
     assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas after a lease");
     SeededDaysTest.settle(w);
   }
@@ -134,13 +134,13 @@
   void onlyTheLeaderHearsNothing(long seed) {
     SimulatedCluster w = begun(seed);
     SimulatedCluster.ControllerNode leader = w.leader();
-    String client = SimulatedCluster.client(leader.index);
+    String client = SimulatedCluster.clientAddress(leader.index);
     int killed = w.cloud.killedByLease();
     for (int i = 0; i < 200; i++) {
-      w.cloud.machines().forEach(m -> w.net.cutOneWay(m.endpoint(), client));
+      w.cloud.machines().forEach(m -> w.network.cutOneWay(m.endpoint(), client));
       w.run(100);
     }
-    w.cloud.machines().forEach(m -> w.net.healOneWay(m.endpoint(), client));
+    w.cloud.machines().forEach(m -> w.network.healOneWay(m.endpoint(), client));
     assertNotEquals(leader, w.leader(), "it still leads");
     assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
     SeededDaysTest.settle(w);
@@ -154,10 +154,10 @@
   @CsvSource({"5241,0.3,0", "5242,0.5,0.3", "5243,0.7,0.2", "5244,1,0", "5245,1,0.3"})
   void shares(long seed, double share, double late) {
     SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 24, 1000, 6));
-    w.users.cancelledArrays = 0.4;
+    w.users.cancelledArrayShare = 0.4;
     w.run(20_000);
     for (int i = 0; i < 3; i++) {
-      w.net.lateCommands = late;
+      w.network.lateCommandProbability = late;
       for (EmulatedWorker m : w.cloud.machines()) {
         if (w.sim.chance(share)) {
           m.mute(w.sim.between(SimulatedCluster.LEASE_MS / 2, 3 * SimulatedCluster.LEASE_MS));
@@ -168,7 +168,7 @@
         w.leader().crash(w.sim.between(500, 4000));
       }
       w.run(SimulatedCluster.LEASE_MS);
-      w.net.lateCommands = 0;
+      w.network.lateCommandProbability = 0;
     }
     w.run(3 * SimulatedCluster.LEASE_MS);
     SeededDaysTest.settle(w);
--- a/src/test/java/dapplestair/world/OverloadTest.java
+++ b/src/test/java/dapplestair/world/OverloadTest.java
@@ -25,16 +25,17 @@
   private void submit(SimulatedCluster w, int number) {
     String team = number % 2 == 0 ? "one" : "two";
     switch (number % 4) {
-      case 0 -> w.users.array(team, "low", 16, 6);
+      case 0 -> w.users.submitArray(team, "low", 16, 6);
       case 1 ->
-          w.users.changed(
+          w.users.submitModifiedArray(
               team,
               8,
               9,
               b -> b.put("rank", "standard").put("snapshotEveryS", 3.0).put("snapshotS", 1.0));
-      case 2 -> urgent.add(w.users.array(team, "critical", 2, 5));
+      case 2 -> urgent.add(w.users.submitArray(team, "critical", 2, 5));
       default ->
-          w.users.changed("guest", 12, 6, b -> b.put("rank", "low").put("jobclass", "guest"));
+          w.users.submitModifiedArray(
+              "guest", 12, 6, b -> b.put("rank", "low").put("jobclass", "guest"));
     }
   }
 
@@ -50,14 +51,14 @@
   })
   void urgentAndNotBeyondTheRoom(long seed, long slowMs, long endsMs) {
     SimulatedCluster w = new SimulatedCluster(seed, LIMITED);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     w.cloud.setCapacity(0.25);
-    w.users.service("one", 3);
-    w.users.service("two", 3);
+    w.users.submitService("one", 3);
+    w.users.submitService("two", 3);
     w.run(20_000);
-    w.net.slowMs = slowMs;
-    w.net.slow = (a, b) -> !a.startsWith("state") && !b.startsWith("state");
+    w.network.maxExtraDelayMs = slowMs;
+    w.network.isSlowLink = (a, b) -> !a.startsWith("state") && !b.startsWith("state");
     int number = 0;
     for (long at = 0; at < OVERLOAD_MS; at += 600) {
       submit(w, number++);
@@ -67,17 +68,17 @@
         cancelSome(w);
       }
     }
-    w.net.slowMs = 0;
+    w.network.maxExtraDelayMs = 0;
     SeededDaysTest.settle(w);
     for (SimulatedUsers.KnownJob job : urgent) {
       assertTrue(
-          !job.accepted || job.cancelAsked || waitedMs(job) <= URGENT_MS,
+          !job.accepted || job.cancelRequested || waitedMs(job) <= URGENT_MS,
           () -> job.ref + " waited for " + waitedMs(job) + " ms");
     }
   }
 
   private static long waitedMs(SimulatedUsers.KnownJob job) {
-    return job.begunAt() - job.submittedAt;
+    return job.begunAtMs() - job.submittedAtMs;
   }
 
   private static void endLeader(SimulatedCluster w) {
@@ -87,8 +88,8 @@
   }
 
   private static void cancelSome(SimulatedCluster w) {
-    for (SimulatedUsers.KnownJob job : List.copyOf(w.users.told.values())) {
-      if (job.accepted && !job.done && !job.cancelAsked && w.sim.chance(0.2)) {
+    for (SimulatedUsers.KnownJob job : List.copyOf(w.users.jobs.values())) {
+      if (job.accepted && !job.done && !job.cancelRequested && w.sim.chance(0.2)) {
         w.users.cancel(job);
       }
     }
--- a/src/test/java/dapplestair/world/QuickBootTest.java
+++ b/src/test/java/dapplestair/world/QuickBootTest.java
@@ -36,7 +36,7 @@
 
   private static SimulatedCluster begun(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(12, 60, 2150, 6));
-    w.net.loss = 0;
+    w.network.lossProbability = 0;
     w.cloud.setQuickBoots(1);
     w.run(20_000);
     return w;
@@ -55,15 +55,17 @@
     return r -> {
       String body = r.body() == null ? "" : new String(r.body(), StandardCharsets.UTF_8);
       boolean toLeader =
-          w.leader() != null && r.to().equals(SimulatedCluster.client(w.leader().index));
+          w.leader() != null && r.to().equals(SimulatedCluster.clientAddress(w.leader().index));
       return switch (crashPoint) {
-        case RENTAL_PUT -> r.puts("live/rental/") && !body.contains("\"hosts\"");
+        case RENTAL_PUT -> r.putsKeyWithPrefix("live/rental/") && !body.contains("\"hosts\"");
         case RENTAL_ASKED -> r.path().equals("/rentals") && r.method().equals("POST");
-        case HOSTS_PUT -> r.puts("live/rental/") && ofNew.test(body);
+        case HOSTS_PUT -> r.putsKeyWithPrefix("live/rental/") && ofNew.test(body);
         case REPORTED_ELSEWHERE ->
             r.path().equals("/agent/beat") && !toLeader && ofNew.test(r.from());
-        case LAUNCH_PUT -> (r.puts("live/run/") || r.puts("live/sheet/")) && ofNew.test(body);
-        case LAUNCH_SENT -> r.orders("launch") && ofNew.test(r.to());
+        case LAUNCH_PUT ->
+            (r.putsKeyWithPrefix("live/run/") || r.putsKeyWithPrefix("live/sheet/"))
+                && ofNew.test(body);
+        case LAUNCH_SENT -> r.hasOrder("launch") && ofNew.test(r.to());
       };
     };
   }
@@ -72,7 +74,7 @@
   private static void burst(SimulatedCluster w) {
     for (String team : List.of("one", "two")) {
       for (int i = 0; i < 3; i++) {
-        w.users.array(team, "high", 12, 6);
+        w.users.submitArray(team, "high", 12, 6);
       }
     }
   }
@@ -97,8 +99,8 @@
     SimulatedCluster w = begun(seed);
     int[] met = {0};
     for (int i = 0; i < 2; i++) {
-      w.net.lateWrites = late;
-      w.net.when(
+      w.network.lateWriteProbability = late;
+      w.network.runAfterFirst(
           mark(w, crashPoint),
           afterMs,
           () -> {
@@ -109,7 +111,7 @@
           });
       burst(w);
       w.run(SimulatedCluster.LEASE_MS + w.sim.between(0, 8000));
-      w.net.lateWrites = 0;
+      w.network.lateWriteProbability = 0;
       // Machines are returned again, so that the next burst needs new ones.
       w.run(60_000);
     }
@@ -125,16 +127,16 @@
   @ValueSource(longs = {5331, 5332, 5333})
   void aRentalOnRecordTooLateIsNoMachine(long seed) {
     SimulatedCluster w = new SimulatedCluster(seed);
-    w.net.loss = 0;
+    w.network.lossProbability = 0;
     w.cloud.setQuickBoots(1);
-    w.net.lateWrite = r -> r.puts("live/rental/") && w.sim.now() < 20_000;
+    w.network.isLateWrite = r -> r.putsKeyWithPrefix("live/rental/") && w.sim.now() < 20_000;
     w.run(20_000);
     assertTrue(w.state.putsTo("live/rental/") > 0, "no record came late");
     w.run(40_000);
     List<String> open =
         w.state.keys("live/rental/").stream().filter(k -> !w.state.value(k).has("hosts")).toList();
     assertEquals(List.of(), open, "rentals that nobody asks for");
-    assertTrue(w.checker.started > 0, "nothing was rented");
+    assertTrue(w.checker.startCount > 0, "nothing was rented");
     SeededDaysTest.settle(w);
   }
 }
--- a/src/test/java/dapplestair/world/RandomFaults.java
+++ b/src/test/java/dapplestair/world/RandomFaults.java
@@ -54,21 +54,24 @@
         }
       }
       case 1 -> {
-        w.net.lateCommands = 0.4;
-        w.sim.after(ms, () -> w.net.lateCommands = 0);
+        w.network.lateCommandProbability = 0.4;
+        w.sim.after(ms, () -> w.network.lateCommandProbability = 0);
       }
       case 2 -> {
         w.cloud.setQuickBoots(1);
-        w.net.lateWrites = 0.25;
+        w.network.lateWriteProbability = 0.25;
         w.sim.after(ms, () -> w.cloud.setQuickBoots(0));
-        w.sim.after(ms, () -> w.net.lateWrites = 0);
+        w.sim.after(ms, () -> w.network.lateWriteProbability = 0);
       }
       default -> {
         DelayedReports.Arrival[] all = DelayedReports.Arrival.values();
         DelayedReports reports = new DelayedReports(w, 0.3, ms);
         DelayedReports.Arrival arrival = all[(int) w.sim.between(0, all.length - 1)];
         w.sim.after(
-            ms, () -> reports.arrive(arrival, w.sim.chance(0.5), SimulatedCluster.REPORT_MS));
+            ms,
+            () ->
+                reports.deliverAfterLeaderChange(
+                    arrival, w.sim.chance(0.5), SimulatedCluster.REPORT_INTERVAL_MS));
       }
     }
   }
@@ -95,7 +98,7 @@
         for (EmulatedWorker each : List.copyOf(w.cloud.machines())) {
           if (w.sim.chance(0.5)) {
             cut(name, each.endpoint(), hold, ms);
-            cut(SimulatedCluster.client(node.index), each.endpoint(), hold, ms);
+            cut(SimulatedCluster.clientAddress(node.index), each.endpoint(), hold, ms);
           }
         }
       }
@@ -154,8 +157,8 @@
         }
       }
       case 17 -> {
-        w.net.copied = 0.2;
-        w.sim.after(ms, () -> w.net.copied = 0);
+        w.network.copyProbability = 0.2;
+        w.sim.after(ms, () -> w.network.copyProbability = 0);
       }
       case 18 -> alone(node, hold, ms);
       case 19 -> {
@@ -166,8 +169,8 @@
         }
       }
       case 20 -> {
-        w.net.lateWrites = 0.25;
-        w.sim.after(ms, () -> w.net.lateWrites = 0);
+        w.network.lateWriteProbability = 0.25;
+        w.sim.after(ms, () -> w.network.lateWriteProbability = 0);
       }
       default -> {
         if (m != null) {
@@ -190,7 +193,7 @@
   }
 
   private void cut(String a, String b, boolean hold, long ms) {
-    w.net.cut(a, b, hold);
-    w.sim.after(ms, () -> w.net.heal(a, b));
+    w.network.cut(a, b, hold);
+    w.sim.after(ms, () -> w.network.heal(a, b));
   }
 }
--- a/src/test/java/dapplestair/world/RefusedThenOutageTest.java
+++ b/src/test/java/dapplestair/world/RefusedThenOutageTest.java
@@ -71,7 +71,7 @@
       assertTrue(d.cancelled.stream().anyMatch(t -> t.aborted), "nothing is confirmed in time");
     }
     w.state.fail();
-    w.run(2 * SimulatedCluster.CANCEL_MS);
+    w.run(2 * SimulatedCluster.CANCEL_DEADLINE_MS);
     w.state.refuse("node-" + d.old.index, false);
     w.state.recover();
     d.healLinks();
--- a/src/test/java/dapplestair/world/RelayTest.java
+++ b/src/test/java/dapplestair/world/RelayTest.java
@@ -23,7 +23,7 @@
 class RelayTest {
   /** Controllers are candidates after a quarter of a lease; then each worker reports once. */
   private static final long SETTLED_MS =
-      SimulatedCluster.LEASE_MS / 4 + 3 * SimulatedCluster.REPORT_MS;
+      SimulatedCluster.LEASE_MS / 4 + 3 * SimulatedCluster.REPORT_INTERVAL_MS;
 
   /** To which controller each worker sent its last report. */
   private static final class Day {
@@ -32,10 +32,10 @@
 
     Day(long seed) {
       w = DisruptionTest.begun(seed, 5, 5);
-      w.checker.budget = null;
+      w.checker.teamDisruptionBudget = null;
       w.operatorSettings = w.operatorSettings.withRelayAbove(0);
       w.nodes.forEach(n -> n.crash(1000));
-      w.net.observe(
+      w.network.observe(
           r -> {
             if (r.path().equals("/agent/beat")) {
               reportsTo.put(r.from(), r.to());
@@ -56,7 +56,9 @@
 
     /** Machines whose worker reports to a node. */
     long at(SimulatedCluster.ControllerNode node) {
-      return living().values().stream().filter(SimulatedCluster.client(node.index)::equals).count();
+      return living().values().stream()
+          .filter(SimulatedCluster.clientAddress(node.index)::equals)
+          .count();
     }
 
     SimulatedCluster.ControllerNode follower() {
@@ -86,7 +88,7 @@
       }
     }
     assertTrue(3 * d.at(d.w.leader()) < 2 * d.living().size(), "the leader takes most");
-    SimulatedUsers.KnownJob array = d.w.users.array("one", "high", 30, 5);
+    SimulatedUsers.KnownJob array = d.w.users.submitArray("one", "high", 30, 5);
     d.w.run(30_000);
     assertTrue(array.done, "an array is not done");
     assertEquals(0, d.w.cloud.killedByLease(), "tasks killed by the end of a lease");
@@ -102,11 +104,11 @@
     Map<String, String> before = d.living();
     int lost = d.w.cloud.killedByLease() + d.w.cloud.killedByRelease();
     leader.crash(backAfterMs);
-    d.w.run(2 * SimulatedCluster.REPORT_MS);
+    d.w.run(2 * SimulatedCluster.REPORT_INTERVAL_MS);
     Map<String, String> after = d.living();
     before.forEach(
         (machine, node) -> {
-          if (!node.equals(SimulatedCluster.client(leader.index))) {
+          if (!node.equals(SimulatedCluster.clientAddress(leader.index))) {
             assertEquals(node, after.get(machine), machine + " was sent away");
           }
         });
@@ -140,23 +142,24 @@
         List<String> machines =
             d.w.cloud.machines().stream().map(EmulatedWorker::endpoint).toList();
         for (String m : machines) {
-          for (String own : List.of("node-" + relay.index, SimulatedCluster.client(relay.index))) {
-            d.w.net.cut(own, m, true);
-            d.w.sim.after(ms, () -> d.w.net.heal(own, m));
+          for (String own :
+              List.of("node-" + relay.index, SimulatedCluster.clientAddress(relay.index))) {
+            d.w.network.cut(own, m, true);
+            d.w.sim.after(ms, () -> d.w.network.heal(own, m));
           }
         }
       }
       case "loses the leader alone" -> {
         String leader = "node-" + d.w.leader().index;
-        d.w.net.cut("node-" + relay.index, leader, true);
-        d.w.sim.after(ms, () -> d.w.net.heal("node-" + relay.index, leader));
+        d.w.network.cut("node-" + relay.index, leader, true);
+        d.w.sim.after(ms, () -> d.w.network.heal("node-" + relay.index, leader));
       }
       default -> {
         d.w.leader().crash(2000);
         relay.crash(2000);
       }
     }
-    SimulatedUsers.KnownJob array = d.w.users.array("one", "high", 20, 5);
+    SimulatedUsers.KnownJob array = d.w.users.submitArray("one", "high", 20, 5);
     d.w.run(ms);
     assertEquals(lost, d.w.cloud.killedByLease() + d.w.cloud.killedByRelease(), "tasks killed");
     assertTrue(array.done, "an array is not done meanwhile");
@@ -177,16 +180,16 @@
     SimulatedCluster.ControllerNode relay = d.follower();
     List<SimulatedUsers.KnownJob> jobs =
         List.of(
-            d.w.users.array("one", "high", 30, 60),
-            d.w.users.array("two", "high", 30, 60),
-            d.w.users.service("one", 3));
-    d.w.run(SimulatedCluster.REPORT_MS / 2);
+            d.w.users.submitArray("one", "high", 30, 60),
+            d.w.users.submitArray("two", "high", 30, 60),
+            d.w.users.submitService("one", 3));
+    d.w.run(SimulatedCluster.REPORT_INTERVAL_MS / 2);
     relay.freeze(ms);
-    d.w.run(SimulatedCluster.REPORT_MS / 2);
+    d.w.run(SimulatedCluster.REPORT_INTERVAL_MS / 2);
     jobs.forEach(d.w.users::cancel);
     d.w.run(200);
     leader.crash(3000);
-    d.w.run(ms + SimulatedCluster.CANCEL_MS);
+    d.w.run(ms + SimulatedCluster.CANCEL_DEADLINE_MS);
     assertNotEquals(null, d.w.leader(), "nobody leads");
     SeededDaysTest.settle(d.w);
   }
--- a/src/test/java/dapplestair/world/ReplacementCosts.java
+++ b/src/test/java/dapplestair/world/ReplacementCosts.java
@@ -67,7 +67,7 @@
     for (int i = 0; i < 400; i++) {
       w.run(50);
       long at = System.nanoTime();
-      w.leader().ask("GET", "/metrics", r -> {});
+      w.leader().askAsOperator("GET", "/metrics", r -> {});
       if (i >= 100) {
         micros.recordValue((System.nanoTime() - at) / 1000);
       }
@@ -81,8 +81,8 @@
     SimulatedCluster w =
         new SimulatedCluster(
             4711, new SimulatedCluster.Size(perPlace, 8.0 * perPlace * 3, 1_000_000, 1), true);
-    w.net.loss = 0;
-    w.users.quiet = true;
+    w.network.lossProbability = 0;
+    w.users.submissionsStopped = true;
     DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
     w.operatorSettings =
         OperatorSettings.defaults()
@@ -94,7 +94,7 @@
     w.nodes.forEach(n -> n.crash(1000));
     w.run(8000);
     for (int i = 0; i < services; i++) {
-      w.users.service(i % 2 == 0 ? "one" : "two", REPLICAS);
+      w.users.submitService(i % 2 == 0 ? "one" : "two", REPLICAS);
       if (i % 10 == 9) {
         w.run(1000);
       }
@@ -110,7 +110,7 @@
       return;
     }
     boolean saves = w.sim.chance(0.5);
-    w.users.changed(
+    w.users.submitModifiedArray(
         w.sim.chance(0.5) ? "one" : "two",
         60,
         w.sim.between(20, 60),
@@ -191,7 +191,7 @@
   }
 
   private static double thrown(SimulatedCluster w) {
-    return w.checker.thrownAwayCpuS.values().stream().mapToDouble(d -> d).sum();
+    return w.checker.lostCpuSeconds.values().stream().mapToDouble(d -> d).sum();
   }
 
   private static int running(SimulatedCluster w) {
--- a/src/test/java/dapplestair/world/ReplacementFault.java
+++ b/src/test/java/dapplestair/world/ReplacementFault.java
@@ -41,9 +41,9 @@
       boolean hold = w.sim.chance(0.5);
       for (EmulatedWorker m : batch(w)) {
         for (SimulatedCluster.ControllerNode n : w.nodes) {
-          for (String node : List.of("node-" + n.index, SimulatedCluster.client(n.index))) {
-            w.net.cut(node, m.endpoint(), hold);
-            w.sim.after(9000, () -> w.net.heal(node, m.endpoint()));
+          for (String node : List.of("node-" + n.index, SimulatedCluster.clientAddress(n.index))) {
+            w.network.cut(node, m.endpoint(), hold);
+            w.sim.after(9000, () -> w.network.heal(node, m.endpoint()));
           }
         }
       }
@@ -71,8 +71,8 @@
     void strike(SimulatedCluster w) {
       for (EmulatedWorker m : batch(w)) {
         for (SimulatedCluster.ControllerNode n : w.nodes) {
-          w.net.cutOneWay(m.endpoint(), "node-" + n.index);
-          w.sim.after(4000, () -> w.net.healOneWay(m.endpoint(), "node-" + n.index));
+          w.network.cutOneWay(m.endpoint(), "node-" + n.index);
+          w.sim.after(4000, () -> w.network.healOneWay(m.endpoint(), "node-" + n.index));
         }
       }
     }
@@ -119,8 +119,8 @@
   GUARANTEE_IS_CALLED {
     @Override
     void strike(SimulatedCluster w) {
-      w.users.changed("two", 60, 6, b -> b.put("rank", "high").put("loaners", false));
-      w.users.changed("one", 60, 20, b -> b.put("rank", "low").put("loaners", false));
+      w.users.submitModifiedArray("two", 60, 6, b -> b.put("rank", "high").put("loaners", false));
+      w.users.submitModifiedArray("one", 60, 20, b -> b.put("rank", "low").put("loaners", false));
     }
   },
   A_ZONE_IS_CUT {
@@ -132,8 +132,8 @@
   A_BURST_COMES {
     @Override
     void strike(SimulatedCluster w) {
-      w.users.array("two", "standard", 80, 8);
-      w.users.service("two", 2);
+      w.users.submitArray("two", "standard", 80, 8);
+      w.users.submitService("two", 2);
     }
   },
   SPOT_WAVE {
@@ -153,8 +153,8 @@
   private static void late(SimulatedCluster w, String to) {
     if (w.leader() != null) {
       String from = "node-" + w.leader().index;
-      w.net.cut(from, to, true);
-      w.sim.after(w.sim.between(2000, 12_000), () -> w.net.heal(from, to));
+      w.network.cut(from, to, true);
+      w.sim.after(w.sim.between(2000, 12_000), () -> w.network.heal(from, to));
     }
   }
 
--- a/src/test/java/dapplestair/world/ReplacementTest.java
+++ b/src/test/java/dapplestair/world/ReplacementTest.java
@@ -99,12 +99,12 @@
         w.cloud.setNeverBoots(0);
         untilDone(w, 900_000);
         int wanted =
-            w.users.told.values().stream()
+            w.users.jobs.values().stream()
                 .filter(j -> j.service && j.accepted)
-                .mapToInt(j -> j.steps)
+                .mapToInt(j -> j.taskCount)
                 .sum();
         assertReplaced(w, before, wanted);
-        w.checker.checkServed();
+        w.checker.checkHalfServed();
       } catch (AssertionError e) {
         throw new AssertionError(fault + ", seed " + seed + ": " + e.getMessage(), e);
       }
@@ -115,13 +115,13 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {504, 511})
   void aLargeFleetIsNewThroughAMixOfTroubles(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN, true);
-    w.checker.budget = team -> Math.max(1, (int) Math.ceil(0.1 * wanted(w, team)));
+    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.LARGE, true);
+    w.checker.teamDisruptionBudget = team -> Math.max(1, (int) Math.ceil(0.1 * wanted(w, team)));
     try {
-      w.users.quiet = true;
+      w.users.submissionsStopped = true;
       w.run(8000);
       for (int i = 0; i < 210; i++) {
-        w.users.service(i % 2 == 0 ? "one" : "two", 6);
+        w.users.submitService(i % 2 == 0 ? "one" : "two", 6);
       }
       boolean[] busy = {true};
       ReplacementCosts.load(w, busy);
@@ -139,7 +139,7 @@
       Set<String> left = machines(w);
       left.retainAll(before);
       assertEquals(Set.of(), left, "old machines are left");
-      w.checker.checkServed();
+      w.checker.checkHalfServed();
     } catch (AssertionError e) {
       throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
     }
@@ -147,9 +147,9 @@
 
   /** As users see it; services that just came or went are the product's to know a moment later. */
   private static int wanted(SimulatedCluster w, String team) {
-    return w.users.told.values().stream()
+    return w.users.jobs.values().stream()
         .filter(j -> j.service && j.team.equals(team) && j.accepted && !j.aborted)
-        .mapToInt(j -> j.steps)
+        .mapToInt(j -> j.taskCount)
         .sum();
   }
 
@@ -162,10 +162,10 @@
     int replicas = DisruptionTest.replicas(w);
     w.cloud.setSick(true);
     OperatorsTest.order(w, NIGHT + "/start", all(4, 4));
-    w.users.array("one", "high", 60, 5);
+    w.users.submitArray("one", "high", 60, 5);
     JsonNode seen = null;
     for (int i = 0; i < 60 && (seen == null || !seen.has("paused")); i++) {
-      w.users.array("two", "high", 20, 5);
+      w.users.submitArray("two", "high", 20, 5);
       w.run(2000);
       seen = OperatorsTest.answer(w, NIGHT);
     }
@@ -190,7 +190,7 @@
     int before = machines(w).size();
     String[] last = {""};
     int[] writes = {0};
-    w.also =
+    w.extraCheck =
         () -> {
           String now = String.valueOf(w.state.value("live/replace/night"));
           writes[0] += now.equals(last[0]) ? 0 : 1;
@@ -249,7 +249,7 @@
     w.run(15_000);
     OperatorsTest.order(w, NIGHT + "/start", all(6, 6));
     long[] most = {0};
-    w.also = () -> most[0] = Math.max(most[0], steady(w));
+    w.extraCheck = () -> most[0] = Math.max(most[0], steady(w));
     w.run(90_000);
     assertTrue(most[0] <= held + 2, most[0] + " machines, " + held + " before, two more paid for");
     assertTrue(most[0] > held, "none beyond, though two are paid for");
@@ -288,12 +288,12 @@
       OperatorsTest.order(w, NIGHT + "/start", all(1, i % 2).put("watch_s", 0));
       w.run(w.sim.between(1000, 9000));
       SimulatedCluster.ControllerNode leader = w.leader();
-      w.net.cut("node-" + leader.index, "state:1", true);
+      w.network.cut("node-" + leader.index, "state:1", true);
       for (int k = 0; k < 60 && (w.leader() == null || w.leader() == leader); k++) {
         w.run(500);
       }
       OperatorsTest.order(w, NIGHT + "/abort", Json.object());
-      w.net.heal("node-" + leader.index, "state:1");
+      w.network.heal("node-" + leader.index, "state:1");
       w.run(8000);
       assertEquals(null, w.state.value("live/replace/night"), "the order is back");
     }
--- a/src/test/java/dapplestair/world/SeededDaysTest.java
+++ b/src/test/java/dapplestair/world/SeededDaysTest.java
@@ -34,14 +34,15 @@
   @ValueSource(longs = {201, 202, 203, 204})
   void aNewLeaderKeepsTheMachinesThatRun(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
+    world.network.lossProbability = 0;
     world.run(60_000);
     for (int i = 0; i < 3; i++) {
       world.nodes.forEach(n -> n.crash(world.sim.between(1000, 6000)));
       world.run(40_000);
     }
     assertEquals(0, world.cloud.killedByRelease(), "tasks killed by returning their machines");
-    assertTrue(world.checker.started > 100, "only " + world.checker.started + " tasks started");
+    assertTrue(
+        world.checker.startCount > 100, "only " + world.checker.startCount + " tasks started");
   }
 
   /** A zone with a controller is cut off for longer than a lease: its tasks go on. */
@@ -49,12 +50,12 @@
   @ValueSource(longs = {401, 402, 403, 404})
   void aZoneCutOffKeepsItsWork(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
+    world.network.lossProbability = 0;
     world.run(60_000);
     // Of a job accepted just before the cut the zone's controller may not know, and then it keeps
     // no
     // lease of a machine that runs it (docs/cancellations.md).
-    world.users.pausedUntil = world.sim.now() + 2000;
+    world.users.pausedUntilMs = world.sim.now() + 2000;
     world.run(2000);
     SimulatedCluster.ControllerNode follower = world.nodes.get((world.leader().index + 1) % 3);
     String zone = follower.settings.zone();
@@ -72,7 +73,7 @@
   @ValueSource(longs = {401, 402, 403, 404})
   void aZoneCutOffAtAnyMomentKeepsItsWork(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
+    world.network.lossProbability = 0;
     world.run(60_000);
     cutOffForLongerThanALease(world);
   }
@@ -93,7 +94,7 @@
   @ValueSource(longs = {451, 452, 453, 454})
   void aSilentZoneIsNotReturned(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
+    world.network.lossProbability = 0;
     world.run(60_000);
     SimulatedCluster.ControllerNode follower = world.nodes.get((world.leader().index + 1) % 3);
     String zone = follower.settings.zone();
@@ -111,13 +112,14 @@
   @ValueSource(longs = {471, 472, 473, 474, 475, 476})
   void aLeaderCutOffReturnsNothing(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
+    world.network.lossProbability = 0;
     world.run(60_000);
     SimulatedCluster.ControllerNode leader = world.leader();
     String zone = leader.settings.zone();
     int before = world.cloud.killedByRelease();
-    world.cutOff(leader, m -> m.zone().equals(zone), true, SimulatedCluster.CANCEL_MS * 15 / 32);
-    world.run(SimulatedCluster.CANCEL_MS * 5 / 8);
+    world.cutOff(
+        leader, m -> m.zone().equals(zone), true, SimulatedCluster.CANCEL_DEADLINE_MS * 15 / 32);
+    world.run(SimulatedCluster.CANCEL_DEADLINE_MS * 5 / 8);
     assertEquals(before, world.cloud.killedByRelease(), "tasks killed by returning their machines");
     settle(world);
   }
@@ -129,9 +131,9 @@
     SimulatedCluster world = new SimulatedCluster(seed);
     world.run(40_000);
     long term = world.state.value("live/term").path("term").asLong();
-    world.peersRefuse = true;
+    world.peersRefuseConnections = true;
     world.run(45_000);
-    world.peersRefuse = false;
+    world.peersRefuseConnections = false;
     long terms = world.state.value("live/term").path("term").asLong() - term;
     assertTrue(terms <= 8, terms + " terms in 45 s");
     settle(world);
@@ -142,20 +144,20 @@
   @ValueSource(longs = {501, 502, 503, 504})
   void aLeaderThatHearsNoWorkerGivesWay(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
+    world.network.lossProbability = 0;
     world.run(60_000);
     SimulatedCluster.ControllerNode leader = world.leader();
     for (int i = 0; i < 400; i++) {
       // Machines that come up meanwhile are out of its reach as well.
       for (EmulatedWorker m : world.cloud.machines()) {
-        world.net.cut("node-" + leader.index, m.endpoint(), false);
-        world.net.cut(SimulatedCluster.client(leader.index), m.endpoint(), false);
+        world.network.cut("node-" + leader.index, m.endpoint(), false);
+        world.network.cut(SimulatedCluster.clientAddress(leader.index), m.endpoint(), false);
       }
       world.run(100);
     }
     for (EmulatedWorker m : world.cloud.machines()) {
-      world.net.heal("node-" + leader.index, m.endpoint());
-      world.net.heal(SimulatedCluster.client(leader.index), m.endpoint());
+      world.network.heal("node-" + leader.index, m.endpoint());
+      world.network.heal(SimulatedCluster.clientAddress(leader.index), m.endpoint());
     }
     assertEquals(0, world.cloud.killedByLease(), "tasks killed by the end of a lease");
     assertNotEquals(leader, world.leader());
@@ -164,17 +166,18 @@
 
   /** No troubles and no new jobs from now on: everything accepted ends. */
   static void settle(SimulatedCluster world) {
-    world.users.quiet = true;
+    world.users.submissionsStopped = true;
     // The last troubles end by themselves.
-    world.users.calmFrom = world.sim.now() + RandomFaults.LONGEST_MS;
+    world.users.faultsEndedAtMs = world.sim.now() + RandomFaults.LONGEST_MS;
     world.run(CALM_MS);
-    for (SimulatedUsers.KnownJob job : world.users.told.values()) {
+    for (SimulatedUsers.KnownJob job : world.users.jobs.values()) {
       assertTrue(
           !job.accepted || job.service || job.done || job.aborted,
           () -> job.ref + " was accepted but never ended: " + job.body);
     }
-    assertTrue(world.checker.started > 50, "only " + world.checker.started + " tasks started");
-    world.checker.checkServed();
+    assertTrue(
+        world.checker.startCount > 50, "only " + world.checker.startCount + " tasks started");
+    world.checker.checkHalfServed();
   }
 
   /**
@@ -185,7 +188,7 @@
   @ValueSource(longs = {601, 602, 603, 604, 605, 606})
   void aNewLeaderTrustsNoReportOfAnOlderTerm(long seed) {
     SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
+    world.network.lossProbability = 0;
     world.run(15_000);
     for (int i = 0; i < 6; i++) {
       SimulatedCluster.ControllerNode leader = world.leader();
@@ -195,26 +198,27 @@
       }
       List<String> machines = world.cloud.machines().stream().map(m -> m.endpoint()).toList();
       for (String m : machines) {
-        world.nodes.forEach(n -> world.net.cut("node-" + n.index, m, true));
-        world.nodes.forEach(n -> world.net.cut(SimulatedCluster.client(n.index), m, true));
+        world.nodes.forEach(n -> world.network.cut("node-" + n.index, m, true));
+        world.nodes.forEach(
+            n -> world.network.cut(SimulatedCluster.clientAddress(n.index), m, true));
       }
       // Launches leave the leader and are held back; so are the reports to the next one.
       world.run(900);
       leader.crash(20_000);
       // Long enough for machines to have given it up and to have sent a report to the next one.
       world.run(8000);
-      machines.forEach(m -> world.net.heal("node-" + leader.index, m));
+      machines.forEach(m -> world.network.heal("node-" + leader.index, m));
       world.run(60);
       for (String m : machines) {
-        world.nodes.forEach(n -> world.net.heal(SimulatedCluster.client(n.index), m));
+        world.nodes.forEach(n -> world.network.heal(SimulatedCluster.clientAddress(n.index), m));
         if (world.sim.chance(0.5)) {
           // Orders reach this one again, so work taken for lost on others would start here.
-          world.nodes.forEach(n -> world.net.heal("node-" + n.index, m));
+          world.nodes.forEach(n -> world.network.heal("node-" + n.index, m));
         }
       }
       world.run(4000);
       for (String m : machines) {
-        world.nodes.forEach(n -> world.net.heal("node-" + n.index, m));
+        world.nodes.forEach(n -> world.network.heal("node-" + n.index, m));
       }
       world.run(22_000);
     }
@@ -232,15 +236,16 @@
         if (world.sim.chance(0.5)) {
           for (SimulatedCluster.ControllerNode node : world.nodes) {
             String name = "node-" + node.index;
-            world.net.cut(name, machine.endpoint(), true);
+            world.network.cut(name, machine.endpoint(), true);
             // Shorter than the time after which a call counts as unanswered.
-            world.sim.after(1300, () -> world.net.heal(name, machine.endpoint()));
+            world.sim.after(1300, () -> world.network.heal(name, machine.endpoint()));
           }
         }
       }
       world.run(1500);
     }
-    assertTrue(world.checker.started > 100, "only " + world.checker.started + " tasks started");
+    assertTrue(
+        world.checker.startCount > 100, "only " + world.checker.startCount + " tasks started");
   }
 
   static void play(long seed, long troubleEveryMs) {
--- a/src/test/java/dapplestair/world/SilenceTest.java
+++ b/src/test/java/dapplestair/world/SilenceTest.java
@@ -27,14 +27,14 @@
 
   /** Services of three replicas, one in each zone, and an array that goes on beside them. */
   private static SimulatedCluster begun(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    world.net.loss = 0;
-    world.users.quiet = true;
+    SimulatedCluster world = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
+    world.network.lossProbability = 0;
+    world.users.submissionsStopped = true;
     for (int i = 0; i < REPLICAS / 6; i++) {
-      world.users.service("one", 3);
-      world.users.service("two", 3);
+      world.users.submitService("one", 3);
+      world.users.submitService("two", 3);
     }
-    world.users.array("one", "high", 60, 15);
+    world.users.submitArray("one", "high", 60, 15);
     world.run(40_000);
     assertEquals(REPLICAS, replicas(world, m -> true), "replicas at the beginning");
     return world;
@@ -92,10 +92,10 @@
   void nothingIsRentedInASilentZone(long seed) {
     SimulatedCluster world = begun(seed);
     world.cutZone(ZONE, false, CUT_MS);
-    world.run(SimulatedCluster.REPORT_MS * 2);
+    world.run(SimulatedCluster.REPORT_INTERVAL_MS * 2);
     Set<String> before = names(world);
     for (int i = 0; i < 4; i++) {
-      world.users.array("one", "high", 8, 6);
+      world.users.submitArray("one", "high", 8, 6);
       world.run(3000);
     }
     for (EmulatedWorker m : world.cloud.machines()) {
@@ -121,11 +121,11 @@
             .collect(Collectors.toSet());
     for (EmulatedWorker m : cut) {
       for (SimulatedCluster.ControllerNode n : world.nodes) {
-        for (String node : List.of("node-" + n.index, SimulatedCluster.client(n.index))) {
+        for (String node : List.of("node-" + n.index, SimulatedCluster.clientAddress(n.index))) {
           if (deafWorkers) {
-            world.net.cutOneWay(node, m.endpoint());
+            world.network.cutOneWay(node, m.endpoint());
           } else {
-            world.net.cutOneWay(m.endpoint(), node);
+            world.network.cutOneWay(m.endpoint(), node);
           }
         }
       }
@@ -135,9 +135,9 @@
     world.run(SimulatedCluster.LEASE_MS);
     for (EmulatedWorker m : cut) {
       for (SimulatedCluster.ControllerNode n : world.nodes) {
-        for (String node : List.of("node-" + n.index, SimulatedCluster.client(n.index))) {
-          world.net.healOneWay(node, m.endpoint());
-          world.net.healOneWay(m.endpoint(), node);
+        for (String node : List.of("node-" + n.index, SimulatedCluster.clientAddress(n.index))) {
+          world.network.healOneWay(node, m.endpoint());
+          world.network.healOneWay(m.endpoint(), node);
         }
       }
     }
@@ -188,12 +188,12 @@
   void allEndWhileRoomIsRented(long seed) {
     SimulatedCluster world = begun(seed);
     world.cutZone(ZONE, false, 2 * CUT_MS);
-    world.run(SimulatedCluster.REPORT_MS);
-    world.nodes.forEach(n -> world.net.cut("node-" + n.index, "cloud:1", true));
+    world.run(SimulatedCluster.REPORT_INTERVAL_MS);
+    world.nodes.forEach(n -> world.network.cut("node-" + n.index, "cloud:1", true));
     world.run(4000 + 500 * (seed % 4));
     world.nodes.forEach(n -> n.crash(1500));
     world.run(3000);
-    world.nodes.forEach(n -> world.net.heal("node-" + n.index, "cloud:1"));
+    world.nodes.forEach(n -> world.network.heal("node-" + n.index, "cloud:1"));
     world.run(2 * CUT_MS + 30_000);
     assertEquals(REPLICAS, replicas(world, m -> true), "replicas once all is over");
   }
@@ -227,7 +227,7 @@
       if (world.leader() != null) {
         world.leader().crash(3000);
       }
-      world.run(SimulatedCluster.REPORT_MS * 2);
+      world.run(SimulatedCluster.REPORT_INTERVAL_MS * 2);
       cut.forEach(m -> link(world, m, false));
       world.run(45_000);
     }
@@ -238,11 +238,11 @@
 
   private static void link(SimulatedCluster world, EmulatedWorker m, boolean cut) {
     for (SimulatedCluster.ControllerNode n : world.nodes) {
-      for (String node : List.of("node-" + n.index, SimulatedCluster.client(n.index))) {
+      for (String node : List.of("node-" + n.index, SimulatedCluster.clientAddress(n.index))) {
         if (cut) {
-          world.net.cut(node, m.endpoint(), false);
+          world.network.cut(node, m.endpoint(), false);
         } else {
-          world.net.heal(node, m.endpoint());
+          world.network.heal(node, m.endpoint());
         }
       }
     }
