--- a/src/test/java/dapplestair/KnownRed.java
+++ b/src/test/java/dapplestair/KnownRed.java
@@ -26,7 +26,7 @@
   private static final ExtensionContext.Namespace NAMESPACE =
       ExtensionContext.Namespace.create(KnownRed.class);
 
-  static List<KnownRedEntry> entries() {
+  static List<KnownRedEntry> readEntries() {
     if (!Files.exists(FILE)) {
       return List.of();
     }
@@ -38,7 +38,7 @@
   }
 
   /** What this process has played of the listed tests; prints those that passed when it ends. */
-  private static final class Played implements ExtensionContext.Store.CloseableResource {
+  private static final class ExecutedTests implements ExtensionContext.Store.CloseableResource {
     final Set<String> methods = new LinkedHashSet<>();
     final Set<String> invocations = new LinkedHashSet<>();
     final Set<String> passed = new LinkedHashSet<>();
@@ -50,19 +50,19 @@
     }
   }
 
-  private static Played played(ExtensionContext context) {
+  private static ExecutedTests executedTests(ExtensionContext context) {
     return context
         .getRoot()
         .getStore(NAMESPACE)
-        .getOrComputeIfAbsent(Played.class, k -> new Played(), Played.class);
+        .getOrComputeIfAbsent(ExecutedTests.class, k -> new ExecutedTests(), ExecutedTests.class);
   }
 
-  private static String test(String className, String method, String name) {
+  private static String testId(String className, String method, String name) {
     return className + "." + method + "[" + name + "]";
   }
 
-  private static KnownRedEntry entryOf(ExtensionContext context) {
-    for (KnownRedEntry entry : entries()) {
+  private static KnownRedEntry findEntry(ExtensionContext context) {
+    for (KnownRedEntry entry : readEntries()) {
       if (entry.covers(
           context.getRequiredTestClass().getName(),
           context.getRequiredTestMethod().getName(),
@@ -76,37 +76,37 @@
   @Override
   public void handleTestExecutionException(ExtensionContext context, Throwable failure)
       throws Throwable {
-    KnownRedEntry entry = entryOf(context);
+    KnownRedEntry entry = findEntry(context);
     if (entry == null || !entry.covers(failure)) {
       throw failure;
     }
     System.out.printf(
         "KNOWN RED %s: %s%n",
-        test(entry.className(), entry.method(), context.getDisplayName()), failure.getMessage());
+        testId(entry.className(), entry.method(), context.getDisplayName()), failure.getMessage());
     throw new TestAbortedException("known red: " + entry.seen(), failure);
   }
 
   @Override
   public void afterTestExecution(ExtensionContext context) {
-    Played played = played(context);
+    ExecutedTests executed = executedTests(context);
     String className = context.getRequiredTestClass().getName();
     String method = context.getRequiredTestMethod().getName();
     String name = context.getDisplayName();
-    played.methods.add(className + "." + method);
-    played.invocations.add(test(className, method, name));
-    if (entryOf(context) != null && context.getExecutionException().isEmpty()) {
-      played.passed.add(test(className, method, name));
+    executed.methods.add(className + "." + method);
+    executed.invocations.add(testId(className, method, name));
+    if (findEntry(context) != null && context.getExecutionException().isEmpty()) {
+      executed.passed.add(testId(className, method, name));
     }
   }
 
   @Override
   public void afterAll(ExtensionContext context) {
-    Played played = played(context);
-    for (KnownRedEntry entry : entries()) {
+    ExecutedTests executed = executedTests(context);
+    for (KnownRedEntry entry : readEntries()) {
       for (String name : entry.names()) {
-        boolean ran = played.methods.contains(entry.className() + "." + entry.method());
-        String test = test(entry.className(), entry.method(), name);
-        if (ran && !played.invocations.contains(test)) {
+        boolean ran = executed.methods.contains(entry.className() + "." + entry.method());
+        String test = testId(entry.className(), entry.method(), name);
+        if (ran && !executed.invocations.contains(test)) {
           throw new IllegalStateException(FILE + " names no invocation of its test: " + test);
         }
       }
--- a/src/test/java/dapplestair/KnownRedTest.java
+++ b/src/test/java/dapplestair/KnownRedTest.java
@@ -18,7 +18,7 @@
 
   @Test
   void theListNamesTestsThatExist() throws ClassNotFoundException {
-    for (KnownRedEntry entry : KnownRed.entries()) {
+    for (KnownRedEntry entry : KnownRed.readEntries()) {
       long methods =
           Arrays.stream(Class.forName(entry.className()).getDeclaredMethods())
               .filter(m -> m.getName().equals(entry.method()))
--- a/src/test/java/dapplestair/world/CancellationLatency.java
+++ b/src/test/java/dapplestair/world/CancellationLatency.java
@@ -10,7 +10,7 @@
  * plays so many seeds of each trouble and prints median, 99 of 100 and the longest.
  */
 final class CancellationLatency {
-  private static final long STEP_MS = 20;
+  private static final long SAMPLE_INTERVAL_MS = 20;
 
   private CancellationLatency() {}
 
@@ -53,36 +53,37 @@
   }
 
   private static void measure(
-      String trouble,
+      String faultName,
       int seeds,
-      Consumer<CancellationOutageTest.Day> before,
-      Consumer<CancellationOutageTest.Day> after) {
-    Histogram ms = new Histogram(SimulatedCluster.CANCEL_DEADLINE_MS * 4, 3);
+      Consumer<CancellationOutageTest.Day> beforeCancellation,
+      Consumer<CancellationOutageTest.Day> afterCancellation) {
+    Histogram latenciesMs = new Histogram(SimulatedCluster.CANCEL_DEADLINE_MS * 4, 3);
     for (int i = 0; i < seeds; i++) {
-      CancellationOutageTest.Day d = new CancellationOutageTest.Day(8700 + i);
-      before.accept(d);
-      d.cancel(d.second);
-      after.accept(d);
-      Map<SimulatedUsers.KnownJob, Long> goneAt = new HashMap<>();
-      long end = d.w.sim.now() + SimulatedCluster.CANCEL_DEADLINE_MS;
-      while (d.w.sim.now() < end && goneAt.size() < d.cancelled.size()) {
-        for (SimulatedUsers.KnownJob t : d.cancelled) {
-          if (d.running(t) == 0) {
-            goneAt.putIfAbsent(t, d.w.sim.now());
+      CancellationOutageTest.Day day = new CancellationOutageTest.Day(8700 + i);
+      beforeCancellation.accept(day);
+      day.cancel(day.second);
+      afterCancellation.accept(day);
+      Map<SimulatedUsers.KnownJob, Long> stoppedAtMs = new HashMap<>();
+      long endMs = day.w.sim.now() + SimulatedCluster.CANCEL_DEADLINE_MS;
+      while (day.w.sim.now() < endMs && stoppedAtMs.size() < day.cancelled.size()) {
+        for (SimulatedUsers.KnownJob job : day.cancelled) {
+          if (day.running(job) == 0) {
+            stoppedAtMs.putIfAbsent(job, day.w.sim.now());
           }
         }
-        d.w.run(STEP_MS);
+        day.w.run(SAMPLE_INTERVAL_MS);
       }
-      for (SimulatedUsers.KnownJob t : d.cancelled) {
-        ms.recordValue(Math.max(0, goneAt.getOrDefault(t, end) - t.abortedAtMs));
+      for (SimulatedUsers.KnownJob job : day.cancelled) {
+        latenciesMs.recordValue(
+            Math.max(0, stoppedAtMs.getOrDefault(job, endMs) - job.abortedAtMs));
       }
     }
     System.out.printf(
         "| %s | %d | %d | %d | %d |%n",
-        trouble,
-        ms.getTotalCount(),
-        ms.getValueAtPercentile(50),
-        ms.getValueAtPercentile(99),
-        ms.getMaxValue());
+        faultName,
+        latenciesMs.getTotalCount(),
+        latenciesMs.getValueAtPercentile(50),
+        latenciesMs.getValueAtPercentile(99),
+        latenciesMs.getMaxValue());
   }
 }
--- a/src/test/java/dapplestair/world/CancellationOutageTest.java
+++ b/src/test/java/dapplestair/world/CancellationOutageTest.java
@@ -83,7 +83,7 @@
               .toList();
       assertTrue(machines.size() > 1, "hardly a machine runs what is to be cancelled");
       for (int i = 0; i < machines.size(); i += 2) {
-        fault.happen(w, machines.get(i), ms);
+        fault.inject(w, machines.get(i), ms);
       }
     }
 
@@ -379,8 +379,10 @@
   void whoHearsNobodyLetsGo(long seed) {
     Day d = new Day(seed);
     d.w.state.fail();
-    new RandomFaults(d.w).alone(d.old, false, 2 * SimulatedCluster.CANCEL_DEADLINE_MS);
-    new RandomFaults(d.w).alone(d.second, false, 2 * SimulatedCluster.CANCEL_DEADLINE_MS);
+    new RandomFaults(d.w)
+        .isolateFromPeersAndState(d.old, false, 2 * SimulatedCluster.CANCEL_DEADLINE_MS);
+    new RandomFaults(d.w)
+        .isolateFromPeersAndState(d.second, false, 2 * SimulatedCluster.CANCEL_DEADLINE_MS);
     d.w.run(SimulatedCluster.CANCEL_DEADLINE_MS * 11 / 10);
     assertEquals(0, d.running(d.cancelled) + d.running(d.kept), "tasks on kept leases");
     d.w.state.recover();
--- a/src/test/java/dapplestair/world/FailureDetectionTimes.java
+++ b/src/test/java/dapplestair/world/FailureDetectionTimes.java
@@ -23,189 +23,211 @@
   /** Prints the tables of docs/results.md. */
   public static void main(String[] args) {
     if (args.length > 0 && args[0].equals("on-call")) {
-      silent("all stand still for 1.5 leases", n -> n.freeze(SimulatedCluster.LEASE_MS * 3 / 2));
-      silent("all without power for 1.5 leases", n -> n.crash(SimulatedCluster.LEASE_MS * 3 / 2));
-      guests("none", 0, 0);
-      guests("300 single tasks, 7.7 a second", 300, 0);
-      guests("one array of 25,000 tasks", 0, 25_000);
+      measureControllerOutage(
+          "all stand still for 1.5 leases", n -> n.freeze(SimulatedCluster.LEASE_MS * 3 / 2));
+      measureControllerOutage(
+          "all without power for 1.5 leases", n -> n.crash(SimulatedCluster.LEASE_MS * 3 / 2));
+      measureGuestLoad("none", 0, 0);
+      measureGuestLoad("300 single tasks, 7.7 a second", 300, 0);
+      measureGuestLoad("one array of 25,000 tasks", 0, 25_000);
       return;
     }
-    failover("leader alone ends", false);
-    failover("all controllers end, back after 1.5 s", true);
+    measureFailover("leader alone ends", false);
+    measureFailover("all controllers end, back after 1.5 s", true);
     System.out.println(
         "| machines lost | replicas lost | half back after | all back after | replica s |");
     for (int lost : new int[] {10, 40, 160, 640}) {
-      curve(lost);
+      measureMachineLoss(lost);
     }
   }
 
-  private static SimulatedCluster begun(long seed, SimulatedCluster.Size size, int replicas) {
-    SimulatedCluster world = new SimulatedCluster(seed, size);
-    world.network.lossProbability = 0;
-    world.users.submissionsStopped = true;
+  private static SimulatedCluster startCluster(
+      long seed, SimulatedCluster.Size size, int replicas) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, size);
+    cluster.network.lossProbability = 0;
+    cluster.users.submissionsStopped = true;
     for (int i = 0; i < replicas / 6; i++) {
-      world.users.submitService("one", 3);
-      world.users.submitService("two", 3);
+      cluster.users.submitService("one", 3);
+      cluster.users.submitService("two", 3);
     }
-    world.run(40_000);
-    return world;
+    cluster.run(40_000);
+    return cluster;
   }
 
   /** From the end to the first submission accepted and the first task started after it. */
-  private static void failover(String what, boolean all) {
-    Histogram accepted = new Histogram(60_000, 3);
-    Histogram started = new Histogram(60_000, 3);
+  private static void measureFailover(String label, boolean allControllers) {
+    Histogram acceptedMs = new Histogram(60_000, 3);
+    Histogram startedMs = new Histogram(60_000, 3);
     IntStream.rangeClosed(1, SEEDS)
         .parallel()
         .forEach(
             seed -> {
-              SimulatedCluster world = begun(seed, SimulatedCluster.Size.MEDIUM, REPLICAS);
-              long at = world.sim.now();
-              if (all) {
-                world.nodes.forEach(n -> n.crash(1500));
+              SimulatedCluster cluster = startCluster(seed, SimulatedCluster.Size.MEDIUM, REPLICAS);
+              long crashedAtMs = cluster.sim.now();
+              if (allControllers) {
+                cluster.nodes.forEach(n -> n.crash(1500));
               } else {
-                world.leader().crash(4000);
+                cluster.leader().crash(4000);
               }
-              int before = world.checker.startCount;
-              SimulatedUsers.KnownJob job = world.users.submitArray("one", "high", 4, 5);
-              long acceptedAt = 0;
-              while ((world.checker.startCount == before || !job.accepted)
-                  && world.sim.now() - at < 60_000) {
-                world.run(20);
-                acceptedAt = acceptedAt == 0 && job.accepted ? world.sim.now() : acceptedAt;
+              int startsBefore = cluster.checker.startCount;
+              SimulatedUsers.KnownJob job = cluster.users.submitArray("one", "high", 4, 5);
+              long acceptedAtMs = 0;
+              while ((cluster.checker.startCount == startsBefore || !job.accepted)
+                  && cluster.sim.now() - crashedAtMs < 60_000) {
+                cluster.run(20);
+                acceptedAtMs = acceptedAtMs == 0 && job.accepted ? cluster.sim.now() : acceptedAtMs;
               }
-              long startedAt = world.sim.now();
-              acceptedAt = acceptedAt == 0 ? startedAt : acceptedAt;
-              synchronized (accepted) {
-                accepted.recordValue(acceptedAt - at);
-                started.recordValue(startedAt - at);
+              long startedAtMs = cluster.sim.now();
+              acceptedAtMs = acceptedAtMs == 0 ? startedAtMs : acceptedAtMs;
+              synchronized (acceptedMs) {
+                acceptedMs.recordValue(acceptedAtMs - crashedAtMs);
+                startedMs.recordValue(startedAtMs - crashedAtMs);
               }
             });
-    print(what + ": first accepted", accepted);
-    print(what + ": first task started", started);
+    printRow(label + ": first accepted", acceptedMs);
+    printRow(label + ": first task started", startedMs);
   }
 
   /** From the return of all controllers to the first and the last replica that runs again. */
-  private static void silent(String what, Consumer<SimulatedCluster.ControllerNode> how) {
-    Histogram first = new Histogram(120_000, 3);
-    Histogram last = new Histogram(120_000, 3);
-    Histogram rented = new Histogram(1000, 3);
+  private static void measureControllerOutage(
+      String label, Consumer<SimulatedCluster.ControllerNode> outage) {
+    Histogram firstReplicaMs = new Histogram(120_000, 3);
+    Histogram lastReplicaMs = new Histogram(120_000, 3);
+    Histogram rentedMachines = new Histogram(1000, 3);
     IntStream.rangeClosed(1, SEEDS)
         .parallel()
         .forEach(
             seed -> {
-              SimulatedCluster world = begun(seed, SimulatedCluster.Size.MEDIUM, REPLICAS);
-              int before = world.cloud.machines().size();
-              world.nodes.forEach(how);
-              world.run(SimulatedCluster.LEASE_MS * 3 / 2);
-              long at = world.sim.now();
-              long firstAt = 0;
-              while (replicas(world) < REPLICAS && world.sim.now() - at < 120_000) {
-                world.run(20);
-                firstAt = firstAt == 0 && replicas(world) > 0 ? world.sim.now() : firstAt;
+              SimulatedCluster cluster = startCluster(seed, SimulatedCluster.Size.MEDIUM, REPLICAS);
+              int machinesBefore = cluster.cloud.machines().size();
+              cluster.nodes.forEach(outage);
+              cluster.run(SimulatedCluster.LEASE_MS * 3 / 2);
+              long returnedAtMs = cluster.sim.now();
+              long firstAtMs = 0;
+              while (countRunningReplicas(cluster) < REPLICAS
+                  && cluster.sim.now() - returnedAtMs < 120_000) {
+                cluster.run(20);
+                firstAtMs =
+                    firstAtMs == 0 && countRunningReplicas(cluster) > 0
+                        ? cluster.sim.now()
+                        : firstAtMs;
               }
-              synchronized (first) {
-                first.recordValue(Math.max(0, firstAt - at));
-                last.recordValue(world.sim.now() - at);
-                rented.recordValue(world.cloud.machines().size() - before);
+              synchronized (firstReplicaMs) {
+                firstReplicaMs.recordValue(Math.max(0, firstAtMs - returnedAtMs));
+                lastReplicaMs.recordValue(cluster.sim.now() - returnedAtMs);
+                rentedMachines.recordValue(cluster.cloud.machines().size() - machinesBefore);
               }
             });
-    print(what + ": first replica back", first);
-    print(what + ": last replica back", last);
-    print(what + ": machines rented meanwhile", rented);
+    printRow(label + ": first replica back", firstReplicaMs);
+    printRow(label + ": last replica back", lastReplicaMs);
+    printRow(label + ": machines rented meanwhile", rentedMachines);
   }
 
   /** What guests cost in puts, and how long another team's arrays wait for their first task. */
-  private static void guests(String what, int singles, int tasks) {
-    SimulatedCluster world = new SimulatedCluster(4, SimulatedCluster.Size.LARGE);
-    world.network.lossProbability = 0;
-    world.users.submissionsStopped = true;
-    world.users.submitService("one", 3);
-    world.run(20_000);
-    int before = world.state.puts();
-    for (int i = 0; i < singles; i++) {
-      world.sim.after(i * 130L, () -> guest(world, 1, 20));
+  private static void measureGuestLoad(String label, int singleTaskJobs, int arrayTasks) {
+    SimulatedCluster cluster = new SimulatedCluster(4, SimulatedCluster.Size.LARGE);
+    cluster.network.lossProbability = 0;
+    cluster.users.submissionsStopped = true;
+    cluster.users.submitService("one", 3);
+    cluster.run(20_000);
+    int putsBefore = cluster.state.puts();
+    for (int i = 0; i < singleTaskJobs; i++) {
+      cluster.sim.after(i * 130L, () -> submitGuestJob(cluster, 1, 20));
     }
-    if (tasks > 0) {
-      guest(world, tasks, 4);
+    if (arrayTasks > 0) {
+      submitGuestJob(cluster, arrayTasks, 4);
     }
-    Histogram waits = new Histogram(120_000, 3);
-    int others = 0;
+    Histogram waitsMs = new Histogram(120_000, 3);
+    int arrays = 0;
     for (int i = 0; i < 60; i++) {
-      SimulatedUsers.KnownJob job = world.users.submitArray("one", "high", 12, 6);
-      others++;
-      long at = world.sim.now();
-      while (!job.started && world.sim.now() - at < 60_000) {
-        world.run(20);
+      SimulatedUsers.KnownJob job = cluster.users.submitArray("one", "high", 12, 6);
+      arrays++;
+      long submittedAtMs = cluster.sim.now();
+      while (!job.started && cluster.sim.now() - submittedAtMs < 60_000) {
+        cluster.run(20);
       }
-      waits.recordValue(world.sim.now() - at);
-      world.run(1000);
+      waitsMs.recordValue(cluster.sim.now() - submittedAtMs);
+      cluster.run(1000);
     }
-    world.run(180_000);
+    cluster.run(180_000);
     long done =
-        world.users.jobs.values().stream().filter(j -> j.team.equals("guest") && j.done).count();
-    print(
+        cluster.users.jobs.values().stream().filter(j -> j.team.equals("guest") && j.done).count();
+    printRow(
         "guests: %s; %d puts beside %d arrays, %d guests done; arrays' first task"
-            .formatted(what, world.state.puts() - before, others, done),
-        waits);
+            .formatted(label, cluster.state.puts() - putsBefore, arrays, done),
+        waitsMs);
   }
 
-  private static void guest(SimulatedCluster world, int steps, double runS) {
-    world.users.submitModifiedArray(
-        "guest", steps, runS, b -> b.put("rank", "low").put("vcpus", 0.25).put("memoryGb", 0.4));
+  private static void submitGuestJob(SimulatedCluster cluster, int taskCount, double runS) {
+    cluster.users.submitModifiedArray(
+        "guest",
+        taskCount,
+        runS,
+        b -> b.put("rank", "low").put("vcpus", 0.25).put("memoryGb", 0.4));
   }
 
-  private static void print(String what, Histogram h) {
+  private static void printRow(String label, Histogram histogram) {
     System.out.printf(
         "| %s | %d | %d | %d | %d |%n",
-        what,
-        h.getValueAtPercentile(50),
-        h.getValueAtPercentile(90),
-        h.getValueAtPercentile(99),
-        h.getMaxValue());
+        label,
+        histogram.getValueAtPercentile(50),
+        histogram.getValueAtPercentile(90),
+        histogram.getValueAtPercentile(99),
+        histogram.getMaxValue());
   }
 
   /** So many machines with all that is on them end in one second. */
-  private static void curve(int lost) {
-    SimulatedCluster world = begun(17, new SimulatedCluster.Size(260, 12_000, 3_600_000, 1), 7200);
-    world.run(60_000);
-    List<EmulatedWorker> up = new ArrayList<>();
-    world.cloud.machines().stream().filter(m -> m.booted() && !m.gone()).forEach(up::add);
-    int before = replicas(world);
-    Set<Integer> chosen = new HashSet<>();
-    while (chosen.size() < Math.min(lost, up.size())) {
-      chosen.add((int) world.sim.between(0, up.size() - 1));
+  private static void measureMachineLoss(int machinesToEnd) {
+    SimulatedCluster cluster =
+        startCluster(17, new SimulatedCluster.Size(260, 12_000, 3_600_000, 1), 7200);
+    cluster.run(60_000);
+    List<EmulatedWorker> runningMachines = new ArrayList<>();
+    cluster.cloud.machines().stream()
+        .filter(m -> m.booted() && !m.gone())
+        .forEach(runningMachines::add);
+    int replicasBefore = countRunningReplicas(cluster);
+    Set<Integer> chosenIndexes = new HashSet<>();
+    while (chosenIndexes.size() < Math.min(machinesToEnd, runningMachines.size())) {
+      chosenIndexes.add((int) cluster.sim.between(0, runningMachines.size() - 1));
     }
-    chosen.forEach(i -> world.sim.after(world.sim.between(0, 1000), () -> up.get(i).end()));
-    long at = world.sim.now();
-    world.run(1000);
-    int missing = before - replicas(world);
-    long half = -1;
-    long whole = -1;
-    double sum = 0;
-    while (whole < 0 && world.sim.now() - at < 120_000) {
-      world.run(250);
-      int now = before - replicas(world);
-      sum += 0.25 * Math.max(0, now);
-      half = half < 0 && now <= missing / 2 ? world.sim.now() - at : half;
-      whole = now <= 0 ? world.sim.now() - at : whole;
+    chosenIndexes.forEach(
+        i -> cluster.sim.after(cluster.sim.between(0, 1000), () -> runningMachines.get(i).end()));
+    long lostAtMs = cluster.sim.now();
+    cluster.run(1000);
+    int replicasLost = replicasBefore - countRunningReplicas(cluster);
+    long halfBackMs = -1;
+    long allBackMs = -1;
+    double missingReplicaSeconds = 0;
+    while (allBackMs < 0 && cluster.sim.now() - lostAtMs < 120_000) {
+      cluster.run(250);
+      int missing = replicasBefore - countRunningReplicas(cluster);
+      missingReplicaSeconds += 0.25 * Math.max(0, missing);
+      halfBackMs =
+          halfBackMs < 0 && missing <= replicasLost / 2 ? cluster.sim.now() - lostAtMs : halfBackMs;
+      allBackMs = missing <= 0 ? cluster.sim.now() - lostAtMs : allBackMs;
     }
     System.out.printf(
         "| %d of %d | %d | %.1f s | %.1f s | %.0f |%n",
-        chosen.size(), up.size(), missing, half / 1000.0, whole / 1000.0, sum);
+        chosenIndexes.size(),
+        runningMachines.size(),
+        replicasLost,
+        halfBackMs / 1000.0,
+        allBackMs / 1000.0,
+        missingReplicaSeconds);
   }
 
-  private static int replicas(SimulatedCluster world) {
-    int n = 0;
-    for (EmulatedWorker m : world.cloud.machines()) {
-      if (!m.gone()) {
-        n += (int) m.tasks().stream().filter(FailureDetectionTimes::up).count();
+  private static int countRunningReplicas(SimulatedCluster cluster) {
+    int count = 0;
+    for (EmulatedWorker machine : cluster.cloud.machines()) {
+      if (!machine.gone()) {
+        count +=
+            (int) machine.tasks().stream().filter(FailureDetectionTimes::isRunningReplica).count();
       }
     }
-    return n;
+    return count;
   }
 
-  private static boolean up(EmulatedTask t) {
-    return t.service() && t.status().equals("running");
+  private static boolean isRunningReplica(EmulatedTask task) {
+    return task.service() && task.status().equals("running");
   }
 }
--- a/src/test/java/dapplestair/world/FaultCombinationRunner.java
+++ b/src/test/java/dapplestair/world/FaultCombinationRunner.java
@@ -12,10 +12,10 @@
   private FaultCombinationRunner() {}
 
   public static void main(String[] args) {
-    long from = Long.parseLong(args[0]);
-    long to = Long.parseLong(args[1]);
-    List<String> broken = new ArrayList<>();
-    for (long seed = from; seed <= to; seed++) {
+    long firstSeed = Long.parseLong(args[0]);
+    long lastSeed = Long.parseLong(args[1]);
+    List<String> failures = new ArrayList<>();
+    for (long seed = firstSeed; seed <= lastSeed; seed++) {
       if (seed % 25 == 0) {
         System.out.println("at seed " + seed);
       }
@@ -26,10 +26,10 @@
           FaultCombinationTest.play(seed);
         }
       } catch (AssertionError e) {
-        broken.add(e.getMessage());
+        failures.add(e.getMessage());
         System.out.println(e.getMessage());
       }
     }
-    System.out.printf("%d seeds, %d failed%n", to - from + 1, broken.size());
+    System.out.printf("%d seeds, %d failed%n", lastSeed - firstSeed + 1, failures.size());
   }
 }
--- a/src/test/java/dapplestair/world/FaultCombinationTest.java
+++ b/src/test/java/dapplestair/world/FaultCombinationTest.java
@@ -34,11 +34,11 @@
   }
 
   static void play(long seed) {
-    play(new SimulatedCluster(seed, SHORT), seed, RandomFaults::any);
+    play(new SimulatedCluster(seed, SHORT), seed, RandomFaults::injectAny);
   }
 
   static void playMachines(long seed) {
-    play(new SimulatedCluster(seed, SHORT), seed, RandomFaults::ofMachines);
+    play(new SimulatedCluster(seed, SHORT), seed, RandomFaults::injectMachineFault);
   }
 
   static void play(SimulatedCluster w, long seed, Consumer<RandomFaults> trouble) {
@@ -56,7 +56,7 @@
         cancelSome(w);
         w.run(w.sim.between(8000, 40_000));
       }
-      w.run(RandomFaults.LONGEST_MS);
+      w.run(RandomFaults.MAX_DURATION_MS);
       w.state.recover();
       SeededDaysTest.settle(w);
     } catch (AssertionError e) {
@@ -79,12 +79,12 @@
   private static void transition(SimulatedCluster w, RandomFaults faults) {
     SimulatedCluster.ControllerNode leader = w.leader() == null ? w.nodes.get(0) : w.leader();
     String name = "node-" + leader.index;
-    long ms = w.sim.between(1500, RandomFaults.LONGEST_MS);
+    long ms = w.sim.between(1500, RandomFaults.MAX_DURATION_MS);
     switch ((int) w.sim.between(0, 7)) {
       case 0 -> leader.crash(w.sim.between(60, 900));
       case 1 -> leader.crash(w.sim.between(2000, 6000));
       case 2 -> w.nodes.forEach(n -> n.crash(w.sim.between(60, 4000)));
-      case 3 -> faults.alone(leader, w.sim.chance(0.5), ms);
+      case 3 -> faults.isolateFromPeersAndState(leader, w.sim.chance(0.5), ms);
       case 4 -> {
         // It alone is refused, and then all of them are, for longer than cancelled work may live.
         w.state.refuse(name, true);
--- a/src/test/java/dapplestair/world/HandoverTest.java
+++ b/src/test/java/dapplestair/world/HandoverTest.java
@@ -58,7 +58,7 @@
       ending.add(w.users.submitArray("one", "high", 1 + i % 3, 5));
     }
     w.sim.after(at - 400 - w.sim.now(), () -> launch(w, d.cancelled));
-    w.sim.after(at - w.sim.now(), () -> change.happen(w));
+    w.sim.after(at - w.sim.now(), () -> change.inject(w));
     w.sim.after(
         at + cancelledMs - w.sim.now(),
         () -> {
--- a/src/test/java/dapplestair/world/InvalidJob.java
+++ b/src/test/java/dapplestair/world/InvalidJob.java
@@ -21,35 +21,36 @@
     }
   }
 
-  private static final double MEMORY_GB = 64;
+  private static final double MACHINE_MEMORY_GB = 64;
 
   /** All that may neither be null nor be left out. */
-  private static final List<String> TEXTS =
+  private static final List<String> TEXT_FIELDS =
       List.of("ref", "jobclass", "owner", "shape", "rank", "bundle");
 
-  private static final List<String> AMOUNTS =
+  private static final List<String> NUMBER_FIELDS =
       List.of(
           "vcpus", "accelerators", "memoryGb", "imageGb", "guessS", "snapshotEveryS", "snapshotS");
 
-  private static final List<String> FLAGS = List.of("together", "apart", "loaners");
+  private static final List<String> BOOLEAN_FIELDS = List.of("together", "apart", "loaners");
 
   private static final int IMPOSSIBLE_KINDS = 7;
 
   private InvalidJob() {}
 
   /** The same job without one field, or changed so that it can never run. */
-  static ObjectNode make(ObjectNode job, EventSimulator sim) {
+  static ObjectNode invalidate(ObjectNode job, EventSimulator sim) {
     if (sim.chance(0.5)) {
-      List<List<String>> kinds = List.of(TEXTS, AMOUNTS, FLAGS, List.of("steps"));
-      List<String> kind = kinds.get((int) sim.between(0, kinds.size() - 1));
+      List<List<String>> fieldGroups =
+          List.of(TEXT_FIELDS, NUMBER_FIELDS, BOOLEAN_FIELDS, List.of("steps"));
+      List<String> fields = fieldGroups.get((int) sim.between(0, fieldGroups.size() - 1));
       // Without its id it would be no job at all.
-      int from = kind == TEXTS ? 1 : 0;
-      job.remove(kind.get((int) sim.between(from, kind.size() - 1)));
+      int firstIndex = fields == TEXT_FIELDS ? 1 : 0;
+      job.remove(fields.get((int) sim.between(firstIndex, fields.size() - 1)));
       return job;
     }
     switch ((int) sim.between(1, IMPOSSIBLE_KINDS)) {
       case 1 -> job.put("vcpus", SimulatedCluster.MACHINE_CPUS + 0.5);
-      case 2 -> job.put("memoryGb", MEMORY_GB + 1);
+      case 2 -> job.put("memoryGb", MACHINE_MEMORY_GB + 1);
       case 3 -> job.put("accelerators", 1.0);
       case 4 -> job.put("owner", "nobody");
       case 5 -> job.put("basin", "no-such-zone");
@@ -60,29 +61,30 @@
   }
 
   /** What is wrong with it, or null. */
-  static Fault faultOf(JsonNode job, SimulatedCluster world) {
-    boolean whole =
-        TEXTS.stream().allMatch(f -> job.path(f).isTextual())
-            && AMOUNTS.stream().allMatch(f -> job.path(f).isNumber())
-            && FLAGS.stream().allMatch(f -> job.path(f).isBoolean())
+  static Fault faultOf(JsonNode job, SimulatedCluster cluster) {
+    boolean wellFormed =
+        TEXT_FIELDS.stream().allMatch(f -> job.path(f).isTextual())
+            && NUMBER_FIELDS.stream().allMatch(f -> job.path(f).isNumber())
+            && BOOLEAN_FIELDS.stream().allMatch(f -> job.path(f).isBoolean())
             && job.path("steps").asInt() >= 1
             && job.path("vcpus").asDouble() > 0;
-    if (!whole) {
+    if (!wellFormed) {
       return Fault.MALFORMED;
     }
-    return fitsMachine(job, world) && fitsTeam(job, world.size) ? null : Fault.CANNOT_RUN;
+    return fitsMachine(job, cluster) && fitsTeam(job, cluster.size) ? null : Fault.CANNOT_RUN;
   }
 
-  private static boolean fitsMachine(JsonNode job, SimulatedCluster world) {
+  private static boolean fitsMachine(JsonNode job, SimulatedCluster cluster) {
     return job.path("vcpus").asDouble() <= SimulatedCluster.MACHINE_CPUS
-        && job.path("memoryGb").asDouble() <= MEMORY_GB
+        && job.path("memoryGb").asDouble() <= MACHINE_MEMORY_GB
         && job.path("accelerators").asDouble() == 0
         && (!job.path("basin").isTextual()
             || SimulatedCluster.ZONES.contains(job.path("basin").asText()))
-        && (!job.path("hulls").isArray() || !Collections.disjoint(names(job), world.types));
+        && (!job.path("hulls").isArray()
+            || !Collections.disjoint(allowedTypes(job), cluster.types));
   }
 
-  private static Set<String> names(JsonNode job) {
+  private static Set<String> allowedTypes(JsonNode job) {
     Set<String> names = new HashSet<>();
     job.path("hulls").forEach(h -> names.add(h.asText()));
     return names;
@@ -94,7 +96,7 @@
       return true;
     }
     boolean array = job.path("shape").asText().equals("sweep");
-    double needed = job.path("vcpus").asDouble() * (array ? 1 : job.path("steps").asInt());
-    return Set.of("one", "two").contains(team) && needed <= size.maxTeamCpus();
+    double neededCpus = job.path("vcpus").asDouble() * (array ? 1 : job.path("steps").asInt());
+    return Set.of("one", "two").contains(team) && neededCpus <= size.maxTeamCpus();
   }
 }
--- a/src/test/java/dapplestair/world/InvalidRequestsTest.java
+++ b/src/test/java/dapplestair/world/InvalidRequestsTest.java
@@ -80,7 +80,7 @@
     private void submitOdd(JsonNode like) {
       ObjectNode body = like.deepCopy();
       body.put("ref", "od-%06d".formatted(++made));
-      submitUntilRefused(InvalidJob.make(body, w.sim));
+      submitUntilRefused(InvalidJob.invalidate(body, w.sim));
     }
 
     private void submitUntilRefused(ObjectNode body) {
--- a/src/test/java/dapplestair/world/InvariantChecker.java
+++ b/src/test/java/dapplestair/world/InvariantChecker.java
@@ -84,59 +84,60 @@
     return key.substring(0, key.indexOf('/'));
   }
 
-  /** A task has just started: it is running on {@code w} already. */
+  /** A task has just started: it is running on {@code worker} already. */
   @Override
-  public void started(EmulatedWorker w, EmulatedTask task) {
+  public void started(EmulatedWorker worker, EmulatedTask task) {
     startCount++;
     SimulatedUsers.KnownJob job = cluster.users.jobs.get(jobRef(task.key()));
     job.started = true;
     job.starts++;
     job.taskStarted(task.key(), cluster.sim.now());
-    startsByMachine.merge(w.id(), 1, Integer::sum);
+    startsByMachine.merge(worker.id(), 1, Integer::sum);
     stoppedReplicas.values().forEach(out -> out.remove(task.key()));
     if (job.aborted) {
       // Within the time allowed no rule is broken by it; how many there are is worth knowing.
       startsAfterCancellation++;
-      checkCancellationDeadline(job, task, "starts on " + w.id());
+      checkCancellationDeadline(job, task, "starts on " + worker.id());
     }
     double teamCpus = 0;
     Map<String, Integer> perZone = new HashMap<>();
     int copies = 0;
-    for (EmulatedWorker m : cluster.cloud.machines()) {
-      for (EmulatedTask t : m.tasks()) {
-        if (m.gone() || !t.onMachine()) {
+    for (EmulatedWorker machine : cluster.cloud.machines()) {
+      for (EmulatedTask otherTask : machine.tasks()) {
+        if (machine.gone() || !otherTask.onMachine()) {
           continue;
         }
-        SimulatedUsers.KnownJob other = cluster.users.jobs.get(jobRef(t.key()));
+        SimulatedUsers.KnownJob other = cluster.users.jobs.get(jobRef(otherTask.key()));
         if (other.body.path("owner").equals(job.body.path("owner"))) {
           teamCpus += other.cpus;
         }
-        if (t.key().equals(task.key())) {
+        if (otherTask.key().equals(task.key())) {
           copies++;
         }
         if (other == job) {
-          perZone.merge(m.zone(), 1, Integer::sum);
+          perZone.merge(machine.zone(), 1, Integer::sum);
         }
       }
     }
     if (copies > 1) {
-      reportViolation("ran_twice: " + task.key() + " started on " + w.id());
+      reportViolation("ran_twice: " + task.key() + " started on " + worker.id());
     }
     if (!job.team.equals("guest") && teamCpus > cluster.size.maxTeamCpus() + 1e-6) {
       reportViolation("quota: " + teamCpus + " CPUs of " + job.body.path("owner"));
     }
-    String zone = job.body.path("basin").asText(w.zone());
-    if (!zone.equals(w.zone())) {
-      reportViolation("wrong_place: " + task.key() + " in " + w.zone() + ", not in " + zone);
+    String zone = job.body.path("basin").asText(worker.zone());
+    if (!zone.equals(worker.zone())) {
+      reportViolation("wrong_place: " + task.key() + " in " + worker.zone() + ", not in " + zone);
     }
-    if (!job.allowsType(w.type())) {
-      reportViolation("wrong_place: " + task.key() + " on a machine of type " + w.type());
+    if (!job.allowsType(worker.type())) {
+      reportViolation("wrong_place: " + task.key() + " on a machine of type " + worker.type());
     }
-    if (w.spot() && !job.body.path("loaners").asBoolean()) {
+    if (worker.spot() && !job.body.path("loaners").asBoolean()) {
       reportViolation("wrong_place: " + task.key() + " on a spot machine");
     }
-    if (job.body.path("apart").asBoolean() && perZone.get(w.zone()) > (job.taskCount + 1) / 2) {
-      reportViolation("wrong_place: " + task.key() + " crowds " + w.zone());
+    if (job.body.path("apart").asBoolean()
+        && perZone.get(worker.zone()) > (job.taskCount + 1) / 2) {
+      reportViolation("wrong_place: " + task.key() + " crowds " + worker.zone());
     }
     if (job.body.path("together").asBoolean() && perZone.size() > 1) {
       reportViolation("wrong_place: " + task.key() + " is not with the others");
@@ -151,12 +152,12 @@
   }
 
   @Override
-  public void resumed(EmulatedWorker w) {
-    for (EmulatedTask t : w.tasks()) {
-      SimulatedUsers.KnownJob job = cluster.users.jobs.get(jobRef(t.key()));
-      if (!w.gone() && t.onMachine() && job.aborted) {
+  public void resumed(EmulatedWorker worker) {
+    for (EmulatedTask otherTask : worker.tasks()) {
+      SimulatedUsers.KnownJob job = cluster.users.jobs.get(jobRef(otherTask.key()));
+      if (!worker.gone() && otherTask.onMachine() && job.aborted) {
         resumedAfterCancellation++;
-        checkCancellationDeadline(job, t, "goes on after " + w.id() + " hung");
+        checkCancellationDeadline(job, otherTask, "goes on after " + worker.id() + " hung");
       }
     }
   }
@@ -177,10 +178,10 @@
   }
 
   private void checkNoTaskRemains(SimulatedUsers.KnownJob job) {
-    for (EmulatedWorker m : cluster.cloud.machines()) {
-      for (EmulatedTask t : m.tasks()) {
-        if (!m.gone() && t.onMachine() && jobRef(t.key()).equals(job.ref)) {
-          reportViolation("ran_cancelled: " + t.key() + " on " + m.id());
+    for (EmulatedWorker machine : cluster.cloud.machines()) {
+      for (EmulatedTask otherTask : machine.tasks()) {
+        if (!machine.gone() && otherTask.onMachine() && jobRef(otherTask.key()).equals(job.ref)) {
+          reportViolation("ran_cancelled: " + otherTask.key() + " on " + machine.id());
         }
       }
     }
@@ -188,7 +189,7 @@
 
   /** Budgets of disruption are checked on what machines did, not on what the product counts. */
   @Override
-  public void stopped(EmulatedWorker w, EmulatedTask task) {
+  public void stopped(EmulatedWorker worker, EmulatedTask task) {
     SimulatedUsers.KnownJob job = cluster.users.jobs.get(jobRef(task.key()));
     if (job == null || job.cancelRequested) {
       return;
@@ -219,9 +220,9 @@
 
   /** A start that is refused as full is not tried there again and again. */
   @Override
-  public void refusedAsFull(EmulatedWorker w, EmulatedTask task) {
+  public void refusedAsFull(EmulatedWorker worker, EmulatedTask task) {
     long now = cluster.sim.now();
-    ArrayDeque<Long> times = refusalTimes.computeIfAbsent(w.id(), id -> new ArrayDeque<>());
+    ArrayDeque<Long> times = refusalTimes.computeIfAbsent(worker.id(), id -> new ArrayDeque<>());
     if (times.isEmpty() || times.peekLast() < now) {
       times.add(now);
     }
@@ -230,15 +231,20 @@
     }
     if (times.size() > MAX_REFUSED_COMMANDS) {
       reportViolation(
-          "refused: " + times.size() + " commands with starts on " + w.id() + ", " + task.key());
+          "refused: "
+              + times.size()
+              + " commands with starts on "
+              + worker.id()
+              + ", "
+              + task.key());
     }
   }
 
   /** A machine that nobody has heard for a while is given up, not chosen. */
   @Override
-  public void returned(EmulatedWorker w, EmulatedTask task) {
-    if (w.unansweredMs() < 3 * SimulatedCluster.REPORT_INTERVAL_MS / 2) {
-      stopped(w, task);
+  public void returned(EmulatedWorker worker, EmulatedTask task) {
+    if (worker.unansweredMs() < 3 * SimulatedCluster.REPORT_INTERVAL_MS / 2) {
+      stopped(worker, task);
     }
   }
 
--- a/src/test/java/dapplestair/world/InvariantCheckerTest.java
+++ b/src/test/java/dapplestair/world/InvariantCheckerTest.java
@@ -15,13 +15,14 @@
   void jobsRunOnTheirTypesAndInTheirZones(long seed) {
     List<EmulatorSettings.MachineSpec> types =
         List.of(SimulatedCluster.machineType("t8"), SimulatedCluster.machineType("u8"));
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM, false, types);
-    w.users.submissionsStopped = true;
-    w.run(5000);
+    SimulatedCluster cluster =
+        new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM, false, types);
+    cluster.users.submissionsStopped = true;
+    cluster.run(5000);
     for (String type : List.of("t8", "u8")) {
       for (String zone : SimulatedCluster.ZONES) {
         SimulatedUsers.KnownJob job =
-            w.users.submitModifiedArray(
+            cluster.users.submitModifiedArray(
                 "one",
                 3,
                 4,
@@ -29,11 +30,11 @@
                   b.put("basin", zone);
                   b.putArray("hulls").add(type);
                 });
-        w.run(5000);
+        cluster.run(5000);
         assertTrue(job.accepted, job.ref + " is not accepted");
       }
     }
-    w.users.submitArray("two", "high", 60, 4);
-    SeededDaysTest.settle(w);
+    cluster.users.submitArray("two", "high", 60, 4);
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/IsolatedControllerTest.java
+++ b/src/test/java/dapplestair/world/IsolatedControllerTest.java
@@ -43,7 +43,7 @@
     SimulatedCluster.ControllerNode leader = w.leader();
     SimulatedCluster.ControllerNode lone = led > 0 ? leader : w.nodes.get((leader.index + 1) % 3);
     int killed = w.cloud.killedByLease();
-    new RandomFaults(w).alone(lone, hold, LONG_MS);
+    new RandomFaults(w).isolateFromPeersAndState(lone, hold, LONG_MS);
     SimulatedUsers.KnownJob job = w.users.submitArray("one", "high", 20, 5);
     w.run(SimulatedCluster.LEASE_MS / 2);
     assertNotEquals(lone, w.leader(), "it cannot lead");
@@ -70,8 +70,8 @@
     SimulatedCluster w = begun(seed);
     SimulatedCluster.ControllerNode leader = w.leader();
     RandomFaults faults = new RandomFaults(w);
-    faults.alone(leader, false, LONG_MS);
-    faults.alone(w.nodes.get((leader.index + 1) % 3), true, LONG_MS);
+    faults.isolateFromPeersAndState(leader, false, LONG_MS);
+    faults.isolateFromPeersAndState(w.nodes.get((leader.index + 1) % 3), true, LONG_MS);
     int killed = w.cloud.killedByLease();
     w.run(LONG_MS);
     assertEquals(w.nodes.get((leader.index + 2) % 3), w.leader());
--- a/src/test/java/dapplestair/world/LateCommandsTest.java
+++ b/src/test/java/dapplestair/world/LateCommandsTest.java
@@ -32,7 +32,8 @@
     switch (how) {
       case "ends" -> old.crash(6000);
       case "hangs" -> old.freeze(12_000);
-      case "alone" -> new RandomFaults(w).alone(old, false, SimulatedCluster.LEASE_MS);
+      case "alone" ->
+          new RandomFaults(w).isolateFromPeersAndState(old, false, SimulatedCluster.LEASE_MS);
       default -> throw new IllegalArgumentException(how);
     }
   }
--- a/src/test/java/dapplestair/world/LeaderChangeRunner.java
+++ b/src/test/java/dapplestair/world/LeaderChangeRunner.java
@@ -10,53 +10,60 @@
  */
 final class LeaderChangeRunner {
   private static final long[] OFFSETS_MS = {-1500, -400, -30, -5, 0, 5, 30, 400, 1700, 3000};
-  private static final String[] LINKS = {"whole", "refused", "held"};
+  private static final String[] LINK_STATES = {"whole", "refused", "held"};
 
-  private final List<String> broken = new ArrayList<>();
-  private int played;
+  private final List<String> failures = new ArrayList<>();
+  private int runs;
   private int startsAfterCancellation;
   private int resumedAfterCancellation;
 
-  private static <T> T pick(T[] of, long n) {
-    return of[(int) (n % of.length)];
+  private static <T> T pick(T[] values, long number) {
+    return values[(int) (number % values.length)];
   }
 
-  private void play(String what, long seed, LongFunction<SimulatedCluster> day) {
+  private void runScenarios(
+      String scenarioName, long seed, LongFunction<SimulatedCluster> scenario) {
     try {
-      SimulatedCluster w = day.apply(seed);
-      startsAfterCancellation += w.checker.startsAfterCancellation;
-      resumedAfterCancellation += w.checker.resumedAfterCancellation;
+      SimulatedCluster cluster = scenario.apply(seed);
+      startsAfterCancellation += cluster.checker.startsAfterCancellation;
+      resumedAfterCancellation += cluster.checker.resumedAfterCancellation;
     } catch (AssertionError e) {
-      broken.add(what);
-      System.out.printf("%s, seed %d: %s%n", what, seed, e.getMessage());
+      failures.add(scenarioName);
+      System.out.printf("%s, seed %d: %s%n", scenarioName, seed, e.getMessage());
     }
-    played++;
+    runs++;
   }
 
-  private void play(long seed) {
+  private void runScenarios(long seed) {
     MachineFault fault = pick(MachineFault.values(), seed);
     LeaderChange change = pick(LeaderChange.values(), seed / 7);
-    long offset = OFFSETS_MS[(int) (seed / 3 % OFFSETS_MS.length)];
-    RefusedThenOutageTest.Asked asked = pick(RefusedThenOutageTest.Asked.values(), seed / 10);
-    long askedMs = Math.min(offset, 900);
-    play("limits", seed, s -> TeamLimitsTest.play(s, fault, change, Math.max(-1500, offset)));
-    play("handover", seed, s -> HandoverTest.play(s, change, Math.max(-400, offset)));
-    play("refused", seed, s -> RefusedThenOutageTest.play(s, asked, askedMs, pick(LINKS, s), 1700));
-    long outMs = seed % 2 * 8000;
-    play("leaders", seed, s -> ManyLeadersTest.play(s, fault, (int) (s % 5), outMs));
+    long offsetMs = OFFSETS_MS[(int) (seed / 3 % OFFSETS_MS.length)];
+    RefusedThenOutageTest.Asked requestKind = pick(RefusedThenOutageTest.Asked.values(), seed / 10);
+    long requestOffsetMs = Math.min(offsetMs, 900);
+    runScenarios(
+        "limits", seed, s -> TeamLimitsTest.play(s, fault, change, Math.max(-1500, offsetMs)));
+    runScenarios("handover", seed, s -> HandoverTest.play(s, change, Math.max(-400, offsetMs)));
+    runScenarios(
+        "refused",
+        seed,
+        s ->
+            RefusedThenOutageTest.play(
+                s, requestKind, requestOffsetMs, pick(LINK_STATES, s), 1700));
+    long outageMs = seed % 2 * 8000;
+    runScenarios("leaders", seed, s -> ManyLeadersTest.play(s, fault, (int) (s % 5), outageMs));
   }
 
   public static void main(String[] args) {
-    LeaderChangeRunner meetings = new LeaderChangeRunner();
+    LeaderChangeRunner runner = new LeaderChangeRunner();
     for (long seed = Long.parseLong(args[0]); seed <= Long.parseLong(args[1]); seed++) {
-      meetings.play(seed);
+      runner.runScenarios(seed);
     }
     System.out.printf(
         "%d days, %d failed, %d starts after a confirmed cancellation, %d cancelled tasks on "
             + "machines that went on%n",
-        meetings.played,
-        meetings.broken.size(),
-        meetings.startsAfterCancellation,
-        meetings.resumedAfterCancellation);
+        runner.runs,
+        runner.failures.size(),
+        runner.startsAfterCancellation,
+        runner.resumedAfterCancellation);
   }
 }
--- a/src/test/java/dapplestair/world/LeadsAgainTest.java
+++ b/src/test/java/dapplestair/world/LeadsAgainTest.java
@@ -22,7 +22,7 @@
         w.sim.after(REFUSED_MS, () -> w.state.refuse("node-" + node.index, false));
       }
     }
-    LeaderChange.loseKey(w);
+    LeaderChange.removeLeaderKey(w);
   }
 
   @ParameterizedTest(name = "seed {0}, state service out for {1} ms before")
--- a/src/test/java/dapplestair/world/LostResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostResponsesTest.java
@@ -100,7 +100,7 @@
 
   private static void depose(SimulatedCluster w, long everyMs, long until) {
     if (w.sim.now() < until) {
-      LeaderChange.loseKey(w);
+      LeaderChange.removeLeaderKey(w);
       w.sim.after(everyMs, () -> depose(w, everyMs, until));
     }
   }
--- a/src/test/java/dapplestair/world/MachineFault.java
+++ b/src/test/java/dapplestair/world/MachineFault.java
@@ -7,74 +7,80 @@
   /** Nothing reaches it or comes from it; the messages are lost. */
   CUT {
     @Override
-    void happen(SimulatedCluster w, EmulatedWorker m, long ms) {
-      cut(w, m, true, true, false, ms);
+    void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
+      cut(cluster, machine, true, true, false, durationMs);
     }
   },
   /** Nothing reaches it or comes from it; the messages arrive once this is over. */
   HELD {
     @Override
-    void happen(SimulatedCluster w, EmulatedWorker m, long ms) {
-      cut(w, m, true, true, true, ms);
+    void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
+      cut(cluster, machine, true, true, true, durationMs);
     }
   },
   /** It reports and hears the answers, but can't be asked or commanded directly. */
   UNASKED {
     @Override
-    void happen(SimulatedCluster w, EmulatedWorker m, long ms) {
-      cut(w, m, true, false, true, ms);
+    void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
+      cut(cluster, machine, true, false, true, durationMs);
     }
   },
   /** It can be asked and commanded, but reaches no controller by itself. */
   MUTE {
     @Override
-    void happen(SimulatedCluster w, EmulatedWorker m, long ms) {
-      cut(w, m, false, true, false, ms);
+    void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
+      cut(cluster, machine, false, true, false, durationMs);
     }
   },
   /** It reports, and hears nothing. */
   DEAF {
     @Override
-    void happen(SimulatedCluster w, EmulatedWorker m, long ms) {
-      m.deafen(ms);
+    void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
+      machine.deafen(durationMs);
     }
   },
   /** It hangs and goes on within its lease. */
   HANG {
     @Override
-    void happen(SimulatedCluster w, EmulatedWorker m, long ms) {
-      m.hang(Math.min(ms, SimulatedCluster.LEASE_MS * 9 / 10));
+    void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
+      machine.hang(Math.min(durationMs, SimulatedCluster.LEASE_MS * 9 / 10));
     }
   },
   /** It hangs past its lease, with its tasks on it. */
   STALL {
     @Override
-    void happen(SimulatedCluster w, EmulatedWorker m, long ms) {
-      m.stall(ms);
+    void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
+      machine.stall(durationMs);
     }
   };
 
-  abstract void happen(SimulatedCluster w, EmulatedWorker m, long ms);
+  abstract void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs);
 
   private static void cut(
-      SimulatedCluster w,
-      EmulatedWorker m,
-      boolean commands,
-      boolean reports,
-      boolean hold,
-      long ms) {
-    for (SimulatedCluster.ControllerNode n : w.nodes) {
-      if (commands) {
-        cut(w, "node-" + n.index, m.endpoint(), hold, ms);
+      SimulatedCluster cluster,
+      EmulatedWorker machine,
+      boolean cutsCommands,
+      boolean cutsReports,
+      boolean holdMessages,
+      long durationMs) {
+    for (SimulatedCluster.ControllerNode node : cluster.nodes) {
+      if (cutsCommands) {
+        cut(cluster, "node-" + node.index, machine.endpoint(), holdMessages, durationMs);
       }
-      if (reports) {
-        cut(w, SimulatedCluster.clientAddress(n.index), m.endpoint(), hold, ms);
+      if (cutsReports) {
+        cut(
+            cluster,
+            SimulatedCluster.clientAddress(node.index),
+            machine.endpoint(),
+            holdMessages,
+            durationMs);
       }
     }
   }
 
-  private static void cut(SimulatedCluster w, String a, String b, boolean hold, long ms) {
-    w.network.cut(a, b, hold);
-    w.sim.after(ms, () -> w.network.heal(a, b));
+  private static void cut(
+      SimulatedCluster cluster, String a, String b, boolean holdMessages, long durationMs) {
+    cluster.network.cut(a, b, holdMessages);
+    cluster.sim.after(durationMs, () -> cluster.network.heal(a, b));
   }
 }
--- a/src/test/java/dapplestair/world/ManyLeadersTest.java
+++ b/src/test/java/dapplestair/world/ManyLeadersTest.java
@@ -53,7 +53,7 @@
       }
       w.run(w.sim.between(0, 400));
       LeaderChange way = ways[(int) (seed + i) % ways.length];
-      way.happen(w);
+      way.inject(w);
       long end = w.sim.now() + EVERY_MS;
       w.run(w.sim.between(0, 4000));
       cancelOne(f);
@@ -102,7 +102,7 @@
     d.cancelled.forEach(w.users::cancel);
     long end = w.sim.now() + SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2;
     for (int i = 0; w.sim.now() < end; i++) {
-      (i % 2 == 0 ? LeaderChange.PLANNED : LeaderChange.CRASH).happen(w);
+      (i % 2 == 0 ? LeaderChange.PLANNED : LeaderChange.CRASH).inject(w);
       w.run(everyMs);
     }
     w.run(90_000);
--- a/src/test/java/dapplestair/world/MonotonicReadsChecker.java
+++ b/src/test/java/dapplestair/world/MonotonicReadsChecker.java
@@ -16,117 +16,140 @@
  * wire and knows nothing of the product.
  */
 final class MonotonicReadsChecker implements SimulatedNetwork.RequestInterceptor {
-  private static final String SUBMISSIONS = "/submissions";
-  private static final String CANCEL = "/withdraw";
+  private static final String SUBMISSIONS_PATH = "/submissions";
+  private static final String CANCEL_SUFFIX = "/withdraw";
 
   /** What users have been answered about one job so far. */
-  private record Known(boolean accepted, String end) {
-    static final Known NOTHING = new Known(false, null);
+  private record KnownState(boolean accepted, String finalStatus) {
+    static final KnownState NOTHING = new KnownState(false, null);
 
-    boolean done() {
-      return "done".equals(end);
+    boolean isDone() {
+      return "done".equals(finalStatus);
     }
   }
 
-  private record Question(
-      String ref, String method, boolean cancellation, JsonNode job, Known then) {
-    boolean submission() {
-      return method.equals("POST") && !cancellation;
+  private record UserRequest(
+      String ref, String method, boolean isCancellation, JsonNode job, KnownState knownWhenSent) {
+    boolean isSubmission() {
+      return method.equals("POST") && !isCancellation;
     }
 
     @Override
     public String toString() {
-      return (cancellation ? "cancelling " : submission() ? "submitting " : "asking for ") + ref;
+      return (isCancellation ? "cancelling " : isSubmission() ? "submitting " : "asking for ")
+          + ref;
     }
   }
 
-  private final SimulatedCluster world;
-  private final Map<String, Known> known = new HashMap<>();
+  private final SimulatedCluster cluster;
+  private final Map<String, KnownState> knownStates = new HashMap<>();
   // Jobs that were submitted without a fault.
-  private final Set<String> acceptable = new HashSet<>();
+  private final Set<String> validJobs = new HashSet<>();
 
   /** Told of a job and its state ("accepted", "done", "aborted") when a user first hears of it. */
-  BiConsumer<String, String> firstHeard = (ref, state) -> {};
+  BiConsumer<String, String> firstReportListener = (ref, state) -> {};
 
   /** Answers held against what had been known. */
-  int checked;
+  int checkedAnswers;
 
-  MonotonicReadsChecker(SimulatedCluster world) {
-    this.world = world;
+  MonotonicReadsChecker(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   @Override
   public Consumer<HttpReply> intercept(
       String from, String method, String path, byte[] body, Consumer<HttpReply> done) {
-    if (!from.equals("users") || !path.startsWith(SUBMISSIONS)) {
+    if (!from.equals("users") || !path.startsWith(SUBMISSIONS_PATH)) {
       return done;
     }
     JsonNode job = Json.parse(body == null ? new byte[0] : body);
-    boolean cancellation = path.endsWith(CANCEL);
+    boolean cancellation = path.endsWith(CANCEL_SUFFIX);
     String ref =
-        path.equals(SUBMISSIONS)
+        path.equals(SUBMISSIONS_PATH)
             ? job.path("ref").asText()
             : path.substring(
-                SUBMISSIONS.length() + 1, path.length() - (cancellation ? CANCEL.length() : 0));
-    Question q =
-        new Question(ref, method, cancellation, job, known.getOrDefault(ref, Known.NOTHING));
-    if (q.submission() && InvalidJob.faultOf(job, world) == null) {
-      acceptable.add(ref);
+                SUBMISSIONS_PATH.length() + 1,
+                path.length() - (cancellation ? CANCEL_SUFFIX.length() : 0));
+    UserRequest question =
+        new UserRequest(
+            ref, method, cancellation, job, knownStates.getOrDefault(ref, KnownState.NOTHING));
+    if (question.isSubmission() && InvalidJob.faultOf(job, cluster) == null) {
+      validJobs.add(ref);
     }
     return reply -> {
-      answered(q, reply);
+      checkAnswer(question, reply);
       done.accept(reply);
     };
   }
 
-  private void answered(Question q, HttpReply reply) {
-    checked++;
+  private void checkAnswer(UserRequest question, HttpReply reply) {
+    checkedAnswers++;
     if (reply.status() == 200 || reply.status() == 201) {
-      told(q, reply.status(), Json.parse(reply.body()).path("status").asText());
-    } else if (reply.status() == 404 && (q.then.accepted || q.submission())) {
-      world.checker.reportViolation("forgotten: " + q + " gets 404");
-    } else if (q.submission() && (reply.status() == 400 || reply.status() == 422)) {
-      refused(q, reply.status());
+      checkStatus(question, reply.status(), Json.parse(reply.body()).path("status").asText());
+    } else if (reply.status() == 404
+        && (question.knownWhenSent.accepted || question.isSubmission())) {
+      cluster.checker.reportViolation("forgotten: " + question + " gets 404");
+    } else if (question.isSubmission() && (reply.status() == 400 || reply.status() == 422)) {
+      checkRejection(question, reply.status());
     }
   }
 
-  private void refused(Question q, int status) {
-    if (q.then.accepted) {
-      world.checker.reportViolation("forgotten: " + q + " again gets " + status);
+  private void checkRejection(UserRequest question, int status) {
+    if (question.knownWhenSent.accepted) {
+      cluster.checker.reportViolation("forgotten: " + question + " again gets " + status);
     }
-    InvalidJob.Fault fault = InvalidJob.faultOf(q.job, world);
+    InvalidJob.Fault fault = InvalidJob.faultOf(question.job, cluster);
     if (fault == null || fault.status != status) {
-      world.checker.reportViolation(q + " gets " + status + ", expected was " + fault);
+      cluster.checker.reportViolation(question + " gets " + status + ", expected was " + fault);
     }
   }
 
-  private void told(Question q, int status, String state) {
-    if (!acceptable.contains(q.ref)) {
-      InvalidJob.Fault fault = q.submission() ? InvalidJob.faultOf(q.job, world) : null;
-      world.checker.reportViolation("invented: " + q + " gets " + status + ", fault: " + fault);
+  private void checkStatus(UserRequest question, int status, String jobStatus) {
+    if (!validJobs.contains(question.ref)) {
+      InvalidJob.Fault fault =
+          question.isSubmission() ? InvalidJob.faultOf(question.job, cluster) : null;
+      cluster.checker.reportViolation(
+          "invented: " + question + " gets " + status + ", fault: " + fault);
     }
-    if (q.then.accepted && status == 201) {
-      world.checker.reportViolation("went_back: " + q + " again gets 201");
+    if (question.knownWhenSent.accepted && status == 201) {
+      cluster.checker.reportViolation("went_back: " + question + " again gets 201");
     }
-    if (q.then.end != null && !q.then.end.equals(state)) {
-      String what = q.cancellation && q.then.done() ? "cancelled though done: " : "went_back: ";
-      world.checker.reportViolation(what + q + ", known to be " + q.then.end + ", gets " + state);
+    if (question.knownWhenSent.finalStatus != null
+        && !question.knownWhenSent.finalStatus.equals(jobStatus)) {
+      String violation =
+          question.isCancellation && question.knownWhenSent.isDone()
+              ? "cancelled though done: "
+              : "went_back: ";
+      cluster.checker.reportViolation(
+          violation
+              + question
+              + ", known to be "
+              + question.knownWhenSent.finalStatus
+              + ", gets "
+              + jobStatus);
     }
-    note(q, state.equals("done") || state.equals("aborted") ? state : null);
+    recordStatus(
+        question, jobStatus.equals("done") || jobStatus.equals("aborted") ? jobStatus : null);
   }
 
-  private void note(Question q, String end) {
-    Known before = known.getOrDefault(q.ref, Known.NOTHING);
+  private void recordStatus(UserRequest question, String finalStatus) {
+    KnownState knownBefore = knownStates.getOrDefault(question.ref, KnownState.NOTHING);
     // Both are for ever, so the order of two such answers does not matter.
-    if (end != null && before.end != null && !before.end.equals(end)) {
-      world.checker.reportViolation("went_back: " + q.ref + " is called both done and aborted");
+    if (finalStatus != null
+        && knownBefore.finalStatus != null
+        && !knownBefore.finalStatus.equals(finalStatus)) {
+      cluster.checker.reportViolation(
+          "went_back: " + question.ref + " is called both done and aborted");
     }
-    known.put(q.ref, new Known(true, before.end != null ? before.end : end));
-    if (!before.accepted) {
-      firstHeard.accept(q.ref, "accepted");
+    knownStates.put(
+        question.ref,
+        new KnownState(
+            true, knownBefore.finalStatus != null ? knownBefore.finalStatus : finalStatus));
+    if (!knownBefore.accepted) {
+      firstReportListener.accept(question.ref, "accepted");
     }
-    if (end != null && before.end == null) {
-      firstHeard.accept(q.ref, end);
+    if (finalStatus != null && knownBefore.finalStatus == null) {
+      firstReportListener.accept(question.ref, finalStatus);
     }
   }
 }
--- a/src/test/java/dapplestair/world/MonotonicReadsTest.java
+++ b/src/test/java/dapplestair/world/MonotonicReadsTest.java
@@ -48,7 +48,7 @@
       readers = new ConcurrentReaders(w);
       this.behind = behind;
       this.moveMs = moveMs;
-      w.readsChecker.firstHeard = this::firstHeard;
+      w.readsChecker.firstReportListener = this::firstHeard;
       w.network.commits.commitListener = this::carriedOut;
     }
 
--- a/src/test/java/dapplestair/world/OperatorsTest.java
+++ b/src/test/java/dapplestair/world/OperatorsTest.java
@@ -73,13 +73,13 @@
     SimulatedCluster w = world(seed, SimulatedCluster.Size.SMALL);
     RandomFaults faults = new RandomFaults(w);
     w.run(10_000);
-    faults.begin(4000);
+    faults.injectRepeatedly(4000);
     try {
       for (int i = 0; i < 700; i++) {
         question(w);
         w.run(w.sim.between(200, 800));
       }
-      faults.end();
+      faults.stop();
       w.run(30_000);
       SeededDaysTest.settle(w);
     } catch (AssertionError e) {
--- a/src/test/java/dapplestair/world/RandomFaults.java
+++ b/src/test/java/dapplestair/world/RandomFaults.java
@@ -5,195 +5,206 @@
 
 /** Troubles of every kind at random times, alone and overlapping. */
 final class RandomFaults {
-  static final long LONGEST_MS = 25_000;
-  private final SimulatedCluster w;
-  private boolean over;
+  static final long MAX_DURATION_MS = 25_000;
+  private final SimulatedCluster cluster;
+  private boolean ended;
 
-  RandomFaults(SimulatedCluster w) {
-    this.w = w;
+  RandomFaults(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
-  void begin(long everyMs) {
-    w.sim.after(
-        w.sim.between(everyMs / 2, everyMs * 3 / 2),
+  void injectRepeatedly(long meanIntervalMs) {
+    cluster.sim.after(
+        cluster.sim.between(meanIntervalMs / 2, meanIntervalMs * 3 / 2),
         () -> {
-          if (!over) {
-            one((int) w.sim.between(0, 19));
-            begin(everyMs);
+          if (!ended) {
+            inject((int) cluster.sim.between(0, 19));
+            injectRepeatedly(meanIntervalMs);
           }
         });
   }
 
-  void end() {
-    over = true;
+  void stop() {
+    ended = true;
   }
 
-  private EmulatedWorker someMachine() {
-    List<EmulatedWorker> all = w.cloud.machines().stream().filter(m -> !m.gone()).toList();
-    return all.isEmpty() ? null : all.get((int) w.sim.between(0, all.size() - 1));
+  private EmulatedWorker randomMachine() {
+    List<EmulatedWorker> machines =
+        cluster.cloud.machines().stream().filter(m -> !m.gone()).toList();
+    return machines.isEmpty()
+        ? null
+        : machines.get((int) cluster.sim.between(0, machines.size() - 1));
   }
 
   /** One of any kind at this moment, those of late writes among them. */
-  void any() {
-    one((int) w.sim.between(0, 20));
+  void injectAny() {
+    inject((int) cluster.sim.between(0, 20));
   }
 
   /**
-   * One with machines, their reports or their commands; by itself, so that what {@link #any} draws
-   * stays the same.
+   * One with machines, their reports or their commands; by itself, so that what {@link #injectAny}
+   * draws stays the same.
    */
-  void ofMachines() {
-    long ms = w.sim.between(2000, LONGEST_MS);
-    switch ((int) w.sim.between(0, 3)) {
+  void injectMachineFault() {
+    long durationMs = cluster.sim.between(2000, MAX_DURATION_MS);
+    switch ((int) cluster.sim.between(0, 3)) {
       case 0 -> {
-        double share = w.sim.chance(0.2) ? 1 : 0.3;
-        for (EmulatedWorker each : w.cloud.machines()) {
-          if (w.sim.chance(share)) {
-            each.mute(ms);
+        double share = cluster.sim.chance(0.2) ? 1 : 0.3;
+        for (EmulatedWorker each : cluster.cloud.machines()) {
+          if (cluster.sim.chance(share)) {
+            each.mute(durationMs);
           }
         }
       }
       case 1 -> {
-        w.network.lateCommandProbability = 0.4;
-        w.sim.after(ms, () -> w.network.lateCommandProbability = 0);
+        cluster.network.lateCommandProbability = 0.4;
+        cluster.sim.after(durationMs, () -> cluster.network.lateCommandProbability = 0);
       }
       case 2 -> {
-        w.cloud.setQuickBoots(1);
-        w.network.lateWriteProbability = 0.25;
-        w.sim.after(ms, () -> w.cloud.setQuickBoots(0));
-        w.sim.after(ms, () -> w.network.lateWriteProbability = 0);
+        cluster.cloud.setQuickBoots(1);
+        cluster.network.lateWriteProbability = 0.25;
+        cluster.sim.after(durationMs, () -> cluster.cloud.setQuickBoots(0));
+        cluster.sim.after(durationMs, () -> cluster.network.lateWriteProbability = 0);
       }
       default -> {
-        DelayedReports.Arrival[] all = DelayedReports.Arrival.values();
-        DelayedReports reports = new DelayedReports(w, 0.3, ms);
-        DelayedReports.Arrival arrival = all[(int) w.sim.between(0, all.length - 1)];
-        w.sim.after(
-            ms,
+        DelayedReports.Arrival[] arrivals = DelayedReports.Arrival.values();
+        DelayedReports reports = new DelayedReports(cluster, 0.3, durationMs);
+        DelayedReports.Arrival arrival =
+            arrivals[(int) cluster.sim.between(0, arrivals.length - 1)];
+        cluster.sim.after(
+            durationMs,
             () ->
                 reports.deliverAfterLeaderChange(
-                    arrival, w.sim.chance(0.5), SimulatedCluster.REPORT_INTERVAL_MS));
+                    arrival, cluster.sim.chance(0.5), SimulatedCluster.REPORT_INTERVAL_MS));
       }
     }
   }
 
-  private void one(int kind) {
-    SimulatedCluster.ControllerNode node = w.nodes.get((int) w.sim.between(0, 2));
+  private void inject(int kind) {
+    SimulatedCluster.ControllerNode node = cluster.nodes.get((int) cluster.sim.between(0, 2));
     String name = "node-" + node.index;
-    long ms = w.sim.between(2000, LONGEST_MS);
-    EmulatedWorker m = someMachine();
-    boolean hold = w.sim.chance(0.6);
+    long durationMs = cluster.sim.between(2000, MAX_DURATION_MS);
+    EmulatedWorker machine = randomMachine();
+    boolean holdMessages = cluster.sim.chance(0.6);
     switch (kind) {
-      case 0, 1 -> node.crash(w.sim.between(800, 6000));
-      case 2 -> w.nodes.forEach(n -> n.crash(w.sim.between(800, 6000)));
+      case 0, 1 -> node.crash(cluster.sim.between(800, 6000));
+      case 2 -> cluster.nodes.forEach(n -> n.crash(cluster.sim.between(800, 6000)));
       case 3 -> {
-        w.state.fail();
-        w.sim.after(ms, w.state::recover);
+        cluster.state.fail();
+        cluster.sim.after(durationMs, cluster.state::recover);
       }
       case 4 -> {
-        w.state.refuse(name, true);
-        w.sim.after(ms, () -> w.state.refuse(name, false));
+        cluster.state.refuse(name, true);
+        cluster.sim.after(durationMs, () -> cluster.state.refuse(name, false));
       }
-      case 5, 6 -> cut(name, "state:1", hold, ms);
+      case 5, 6 -> cut(name, "state:1", holdMessages, durationMs);
       case 7 -> {
-        for (EmulatedWorker each : List.copyOf(w.cloud.machines())) {
-          if (w.sim.chance(0.5)) {
-            cut(name, each.endpoint(), hold, ms);
-            cut(SimulatedCluster.clientAddress(node.index), each.endpoint(), hold, ms);
+        for (EmulatedWorker each : List.copyOf(cluster.cloud.machines())) {
+          if (cluster.sim.chance(0.5)) {
+            cut(name, each.endpoint(), holdMessages, durationMs);
+            cut(
+                SimulatedCluster.clientAddress(node.index),
+                each.endpoint(),
+                holdMessages,
+                durationMs);
           }
         }
       }
       case 8 -> {
-        for (SimulatedCluster.ControllerNode other : w.nodes) {
+        for (SimulatedCluster.ControllerNode other : cluster.nodes) {
           if (other != node) {
-            cut(name, "node-" + other.index, hold, ms);
+            cut(name, "node-" + other.index, holdMessages, durationMs);
           }
         }
       }
       case 9 -> {
-        if (m != null) {
-          m.end();
+        if (machine != null) {
+          machine.end();
         }
       }
       case 10 -> {
-        if (m != null) {
-          m.hang(ms);
+        if (machine != null) {
+          machine.hang(durationMs);
         }
       }
       case 11 -> {
-        for (EmulatedWorker each : w.cloud.machines()) {
-          if (each.spot() && w.sim.chance(0.4)) {
-            each.recall(w.sim.chance(0.5) ? 0 : w.sim.between(2000, 15_000));
+        for (EmulatedWorker each : cluster.cloud.machines()) {
+          if (each.spot() && cluster.sim.chance(0.4)) {
+            each.recall(cluster.sim.chance(0.5) ? 0 : cluster.sim.between(2000, 15_000));
           }
         }
       }
       case 12 -> {
-        boolean down = w.sim.chance(0.5);
-        w.cloud.setDown(down);
-        w.cloud.setCapacity(down ? 1 : 0.25);
-        w.sim.after(
-            ms,
+        boolean down = cluster.sim.chance(0.5);
+        cluster.cloud.setDown(down);
+        cluster.cloud.setCapacity(down ? 1 : 0.25);
+        cluster.sim.after(
+            durationMs,
             () -> {
-              w.cloud.setDown(false);
-              w.cloud.setCapacity(1);
+              cluster.cloud.setDown(false);
+              cluster.cloud.setCapacity(1);
             });
       }
       case 14, 15 -> {
         // Orders are held back while reports still come through, and perhaps the sender ends.
-        for (EmulatedWorker each : List.copyOf(w.cloud.machines())) {
-          if (w.sim.chance(0.5)) {
-            cut(name, each.endpoint(), true, w.sim.between(300, 6000));
+        for (EmulatedWorker each : List.copyOf(cluster.cloud.machines())) {
+          if (cluster.sim.chance(0.5)) {
+            cut(name, each.endpoint(), true, cluster.sim.between(300, 6000));
           }
         }
         if (kind == 15) {
-          w.sim.after(w.sim.between(100, 3000), () -> node.crash(w.sim.between(800, 6000)));
+          cluster.sim.after(
+              cluster.sim.between(100, 3000), () -> node.crash(cluster.sim.between(800, 6000)));
         }
       }
       case 16 -> {
         // Reports arrive; answers and commands don't.
-        for (EmulatedWorker each : List.copyOf(w.cloud.machines())) {
-          if (each == m || w.sim.chance(0.1)) {
-            each.deafen(ms);
+        for (EmulatedWorker each : List.copyOf(cluster.cloud.machines())) {
+          if (each == machine || cluster.sim.chance(0.1)) {
+            each.deafen(durationMs);
           }
         }
       }
       case 17 -> {
-        w.network.copyProbability = 0.2;
-        w.sim.after(ms, () -> w.network.copyProbability = 0);
+        cluster.network.copyProbability = 0.2;
+        cluster.sim.after(durationMs, () -> cluster.network.copyProbability = 0);
       }
-      case 18 -> alone(node, hold, ms);
+      case 18 -> isolateFromPeersAndState(node, holdMessages, durationMs);
       case 19 -> {
         // Back within a fraction of a second, and perhaps gone again before it is ready.
-        node.crash(w.sim.between(60, 500));
-        if (w.sim.chance(0.5)) {
-          w.sim.after(w.sim.between(500, 1500), () -> node.crash(w.sim.between(60, 500)));
+        node.crash(cluster.sim.between(60, 500));
+        if (cluster.sim.chance(0.5)) {
+          cluster.sim.after(
+              cluster.sim.between(500, 1500), () -> node.crash(cluster.sim.between(60, 500)));
         }
       }
       case 20 -> {
-        w.network.lateWriteProbability = 0.25;
-        w.sim.after(ms, () -> w.network.lateWriteProbability = 0);
+        cluster.network.lateWriteProbability = 0.25;
+        cluster.sim.after(durationMs, () -> cluster.network.lateWriteProbability = 0);
       }
       default -> {
-        if (m != null) {
-          m.sicken();
+        if (machine != null) {
+          machine.sicken();
         }
-        cut(name, "cloud:1", hold, ms);
+        cut(name, "cloud:1", holdMessages, durationMs);
       }
     }
   }
 
   /** It loses the state service and the other controllers, but neither workers nor users. */
-  void alone(SimulatedCluster.ControllerNode node, boolean hold, long ms) {
+  void isolateFromPeersAndState(
+      SimulatedCluster.ControllerNode node, boolean holdMessages, long durationMs) {
     String name = "node-" + node.index;
-    cut(name, "state:1", hold, ms);
-    for (SimulatedCluster.ControllerNode other : w.nodes) {
+    cut(name, "state:1", holdMessages, durationMs);
+    for (SimulatedCluster.ControllerNode other : cluster.nodes) {
       if (other != node) {
-        cut(name, "node-" + other.index, hold, ms);
+        cut(name, "node-" + other.index, holdMessages, durationMs);
       }
     }
   }
 
-  private void cut(String a, String b, boolean hold, long ms) {
-    w.network.cut(a, b, hold);
-    w.sim.after(ms, () -> w.network.heal(a, b));
+  private void cut(String a, String b, boolean holdMessages, long durationMs) {
+    cluster.network.cut(a, b, holdMessages);
+    cluster.sim.after(durationMs, () -> cluster.network.heal(a, b));
   }
 }
--- a/src/test/java/dapplestair/world/RelayTest.java
+++ b/src/test/java/dapplestair/world/RelayTest.java
@@ -137,7 +137,8 @@
       case "ends" -> relay.crash(ms);
       case "ends and returns at once" -> relay.crash(80);
       case "stands still" -> relay.freeze(ms);
-      case "loses its peers and the state service" -> new RandomFaults(d.w).alone(relay, true, ms);
+      case "loses its peers and the state service" ->
+          new RandomFaults(d.w).isolateFromPeersAndState(relay, true, ms);
       case "loses its workers" -> {
         List<String> machines =
             d.w.cloud.machines().stream().map(EmulatedWorker::endpoint).toList();
@@ -202,6 +203,6 @@
     FaultCombinationTest.play(
         new SimulatedCluster(seed, FaultCombinationTest.SHORT, true, spread),
         seed,
-        seed % 2 == 0 ? RandomFaults::any : RandomFaults::ofMachines);
+        seed % 2 == 0 ? RandomFaults::injectAny : RandomFaults::injectMachineFault);
   }
 }
--- a/src/test/java/dapplestair/world/ReplacementCosts.java
+++ b/src/test/java/dapplestair/world/ReplacementCosts.java
@@ -18,58 +18,65 @@
  * virtual: they hold what is decided and sent, not what a processor takes.
  */
 public final class ReplacementCosts {
-  private static final long SAMPLE_MS = 500;
-  private static final long MOST_MS = 7_200_000;
-  private static final int REPLICAS = 6;
-  private static final double STEADY = 1;
-  private static final double SPOT = 0.4;
+  private static final long SAMPLE_INTERVAL_MS = 500;
+  private static final long MAX_DURATION_MS = 7_200_000;
+  private static final int REPLICAS_PER_SERVICE = 6;
+  private static final double STEADY_PRICE = 1;
+  private static final double SPOT_PRICE = 0.4;
 
   private ReplacementCosts() {}
 
-  private record Way(double step, double budget, boolean beyond) {
+  private record Strategy(double stepShare, double budgetShare, boolean usesSurge) {
     String name() {
-      return step == 0
-          ? "all drained at once, %s".formatted(budget >= 1 ? "as before" : "10% out")
+      return stepShare == 0
+          ? "all drained at once, %s".formatted(budgetShare >= 1 ? "as before" : "10% out")
           : "step %.0f%%, %.0f%% out, %s"
-              .formatted(100 * step, 100 * budget, beyond ? "as many beyond" : "none beyond");
+              .formatted(
+                  100 * stepShare, 100 * budgetShare, usesSurge ? "as many beyond" : "none beyond");
     }
   }
 
   /** Prints the tables of docs/results.md: machines of each kind in each zone, services. */
   public static void main(String[] args) {
-    int perPlace = args.length > 0 ? Integer.parseInt(args[0]) : 60;
+    int machinesPerZone = args.length > 0 ? Integer.parseInt(args[0]) : 60;
     int services = args.length > 1 ? Integer.parseInt(args[1]) : 200;
-    boolean few = args.length > 2;
-    if (few && args[2].equals("look")) {
-      look(perPlace, services);
+    boolean fewStrategies = args.length > 2;
+    if (fewStrategies && args[2].equals("look")) {
+      measureMetricsScrape(machinesPerZone, services);
       return;
     }
-    List<Way> ways = new ArrayList<>(List.of(new Way(0, 1, false), new Way(0, 0.1, false)));
-    for (double step : few ? new double[] {0.05} : new double[] {0.01, 0.05, 0.2}) {
-      for (double budget : few ? new double[] {0.02} : new double[] {0.01, 0.02, 0.1}) {
-        ways.add(new Way(step, budget, true));
-        ways.add(new Way(step, budget, false));
+    List<Strategy> strategies =
+        new ArrayList<>(List.of(new Strategy(0, 1, false), new Strategy(0, 0.1, false)));
+    for (double stepShare : fewStrategies ? new double[] {0.05} : new double[] {0.01, 0.05, 0.2}) {
+      for (double budgetShare :
+          fewStrategies ? new double[] {0.02} : new double[] {0.01, 0.02, 0.1}) {
+        strategies.add(new Strategy(stepShare, budgetShare, true));
+        strategies.add(new Strategy(stepShare, budgetShare, false));
       }
     }
-    if (few && args[2].equals("one")) {
-      ways.removeIf(w -> !w.beyond());
+    if (fewStrategies && args[2].equals("one")) {
+      strategies.removeIf(w -> !w.usesSurge());
     }
     System.out.println(
         "| way | machines | minutes | replica s out | worst 30 s | CPU s thrown away | money | puts |");
-    ways.parallelStream().map(w -> play(w, perPlace, services)).forEachOrdered(System.out::println);
+    strategies.parallelStream()
+        .map(w -> replaceAll(w, machinesPerZone, services))
+        .forEachOrdered(System.out::println);
   }
 
   /** Processor time of one scrape of the metrics, which looks at all attempts several times. */
-  private static void look(int perPlace, int services) {
-    SimulatedCluster w = begun(new Way(0.05, 0.1, true), perPlace, services);
-    int attempts = w.cloud.machines().stream().mapToInt(m -> m.gone() ? 0 : m.tasks().size()).sum();
+  private static void measureMetricsScrape(int machinesPerZone, int services) {
+    SimulatedCluster cluster =
+        startLoadedCluster(new Strategy(0.05, 0.1, true), machinesPerZone, services);
+    int attempts =
+        cluster.cloud.machines().stream().mapToInt(m -> m.gone() ? 0 : m.tasks().size()).sum();
     Histogram micros = new Histogram(60_000_000, 3);
     for (int i = 0; i < 400; i++) {
-      w.run(50);
-      long at = System.nanoTime();
-      w.leader().askAsOperator("GET", "/metrics", r -> {});
+      cluster.run(50);
+      long startNs = System.nanoTime();
+      cluster.leader().askAsOperator("GET", "/metrics", r -> {});
       if (i >= 100) {
-        micros.recordValue((System.nanoTime() - at) / 1000);
+        micros.recordValue((System.nanoTime() - startNs) / 1000);
       }
     }
     System.out.printf(
@@ -77,132 +84,154 @@
         attempts, micros.getValueAtPercentile(50), micros.getValueAtPercentile(99));
   }
 
-  private static SimulatedCluster begun(Way way, int perPlace, int services) {
-    SimulatedCluster w =
+  private static SimulatedCluster startLoadedCluster(
+      Strategy strategy, int machinesPerZone, int services) {
+    SimulatedCluster cluster =
         new SimulatedCluster(
-            4711, new SimulatedCluster.Size(perPlace, 8.0 * perPlace * 3, 1_000_000, 1), true);
-    w.network.lossProbability = 0;
-    w.users.submissionsStopped = true;
-    DisruptionBudgets.DisruptionBudget d = DisruptionBudgets.USUAL.others();
-    w.operatorSettings =
+            4711,
+            new SimulatedCluster.Size(machinesPerZone, 8.0 * machinesPerZone * 3, 1_000_000, 1),
+            true);
+    cluster.network.lossProbability = 0;
+    cluster.users.submissionsStopped = true;
+    DisruptionBudgets.DisruptionBudget defaultBudget = DisruptionBudgets.USUAL.others();
+    cluster.operatorSettings =
         OperatorSettings.defaults()
             .withBudgets(
                 new DisruptionBudgets(
                     Map.of(),
                     new DisruptionBudgets.DisruptionBudget(
-                        Integer.MAX_VALUE, way.budget, 1, 1, d.arrayTasks(), d.lostCpuS())));
-    w.nodes.forEach(n -> n.crash(1000));
-    w.run(8000);
+                        Integer.MAX_VALUE,
+                        strategy.budgetShare,
+                        1,
+                        1,
+                        defaultBudget.arrayTasks(),
+                        defaultBudget.lostCpuS())));
+    cluster.nodes.forEach(n -> n.crash(1000));
+    cluster.run(8000);
     for (int i = 0; i < services; i++) {
-      w.users.submitService(i % 2 == 0 ? "one" : "two", REPLICAS);
+      cluster.users.submitService(i % 2 == 0 ? "one" : "two", REPLICAS_PER_SERVICE);
       if (i % 10 == 9) {
-        w.run(1000);
+        cluster.run(1000);
       }
     }
-    load(w, new boolean[] {true});
-    w.run(150_000);
-    return w;
+    submitLoad(cluster, new boolean[] {true});
+    cluster.run(150_000);
+    return cluster;
   }
 
   /** Arrays that save and arrays that do not, as long as the day lasts. */
-  static void load(SimulatedCluster w, boolean[] busy) {
-    if (!busy[0]) {
+  static void submitLoad(SimulatedCluster cluster, boolean[] active) {
+    if (!active[0]) {
       return;
     }
-    boolean saves = w.sim.chance(0.5);
-    w.users.submitModifiedArray(
-        w.sim.chance(0.5) ? "one" : "two",
+    boolean savesSnapshots = cluster.sim.chance(0.5);
+    cluster.users.submitModifiedArray(
+        cluster.sim.chance(0.5) ? "one" : "two",
         60,
-        w.sim.between(20, 60),
-        b -> b.put("snapshotEveryS", saves ? 10.0 : 0.0).put("snapshotS", saves ? 1.0 : 0.0));
-    w.sim.after(4000, () -> load(w, busy));
+        cluster.sim.between(20, 60),
+        b ->
+            b.put("snapshotEveryS", savesSnapshots ? 10.0 : 0.0)
+                .put("snapshotS", savesSnapshots ? 1.0 : 0.0));
+    cluster.sim.after(4000, () -> submitLoad(cluster, active));
   }
 
-  private static String play(Way way, int perPlace, int services) {
-    SimulatedCluster w = begun(way, perPlace, services);
-    Set<String> old = ReplacementTest.machines(w);
-    long puts = w.state.puts();
-    double thrown = thrown(w);
-    if (way.step == 0) {
+  private static String replaceAll(Strategy strategy, int machinesPerZone, int services) {
+    SimulatedCluster cluster = startLoadedCluster(strategy, machinesPerZone, services);
+    Set<String> oldMachineIds = ReplacementTest.machines(cluster);
+    long putsBefore = cluster.state.puts();
+    double lostCpuSecondsBefore = totalLostCpuSeconds(cluster);
+    if (strategy.stepShare == 0) {
       for (String zone : SimulatedCluster.ZONES) {
-        for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
-          if (m.zone().equals(zone) && old.contains(m.id())) {
+        for (EmulatedWorker machine : List.copyOf(cluster.cloud.machines())) {
+          if (machine.zone().equals(zone) && oldMachineIds.contains(machine.id())) {
             OperatorsTest.ask(
-                w,
+                cluster,
                 0,
                 "POST",
-                "/v1/machines/" + m.id() + "/drain",
+                "/v1/machines/" + machine.id() + "/drain",
                 Json.object().put("return", true),
                 r -> {});
-            w.run(20);
+            cluster.run(20);
           }
         }
       }
     } else {
-      int step = (int) Math.ceil(way.step * old.size());
+      int step = (int) Math.ceil(strategy.stepShare * oldMachineIds.size());
       OperatorsTest.order(
-          w,
+          cluster,
           "/v1/replacements/night/start",
           Json.object()
               .put("older_s", 0.001)
               .put("step", step)
-              .put("beyond", way.beyond ? step : 0));
+              .put("beyond", strategy.usesSurge ? step : 0));
     }
-    return measured(way, w, old, services * REPLICAS, puts, thrown);
+    return measureReplacement(
+        strategy,
+        cluster,
+        oldMachineIds,
+        services * REPLICAS_PER_SERVICE,
+        putsBefore,
+        lostCpuSecondsBefore);
   }
 
-  private static String measured(
-      Way way, SimulatedCluster w, Set<String> old, int wanted, long puts, double thrown) {
-    long began = w.sim.now();
-    double out = 0;
-    double worst = 0;
-    double money = 0;
+  private static String measureReplacement(
+      Strategy strategy,
+      SimulatedCluster cluster,
+      Set<String> oldMachineIds,
+      int wantedReplicas,
+      long putsBefore,
+      double lostCpuSecondsBefore) {
+    long startMs = cluster.sim.now();
+    double missingReplicaSeconds = 0;
+    double maxMissingShare = 0;
+    double cost = 0;
     ArrayDeque<Double> window = new ArrayDeque<>();
-    double inWindow = 0;
-    int left = old.size();
-    while (left > 0 && w.sim.now() - began < MOST_MS) {
-      w.run(SAMPLE_MS);
-      double missing = Math.max(0, wanted - running(w)) * SAMPLE_MS / 1000.0;
-      out += missing;
-      window.add(missing);
-      inWindow += missing - (window.size() > 60 ? window.poll() : 0);
-      worst = Math.max(worst, inWindow / (30.0 * wanted));
-      left = 0;
-      for (EmulatedWorker m : w.cloud.machines()) {
-        if (!m.gone()) {
-          left += old.contains(m.id()) ? 1 : 0;
-          money += (m.spot() ? SPOT : STEADY) * SAMPLE_MS / 3_600_000.0;
+    double missingInWindow = 0;
+    int remainingMachines = oldMachineIds.size();
+    while (remainingMachines > 0 && cluster.sim.now() - startMs < MAX_DURATION_MS) {
+      cluster.run(SAMPLE_INTERVAL_MS);
+      double missingInSample =
+          Math.max(0, wantedReplicas - countReplicas(cluster)) * SAMPLE_INTERVAL_MS / 1000.0;
+      missingReplicaSeconds += missingInSample;
+      window.add(missingInSample);
+      missingInWindow += missingInSample - (window.size() > 60 ? window.poll() : 0);
+      maxMissingShare = Math.max(maxMissingShare, missingInWindow / (30.0 * wantedReplicas));
+      remainingMachines = 0;
+      for (EmulatedWorker machine : cluster.cloud.machines()) {
+        if (!machine.gone()) {
+          remainingMachines += oldMachineIds.contains(machine.id()) ? 1 : 0;
+          cost += (machine.spot() ? SPOT_PRICE : STEADY_PRICE) * SAMPLE_INTERVAL_MS / 3_600_000.0;
         }
       }
     }
     return String.format(
         Locale.ROOT,
         "| %s | %d | %s | %.0f | %.4f | %.0f | %.1f | %d |",
-        way.name(),
-        old.size(),
-        left > 0
-            ? left + " left after " + MOST_MS / 60_000
-            : String.format(Locale.ROOT, "%.1f", (w.sim.now() - began) / 60_000.0),
-        out,
-        1 - worst,
-        thrown(w) - thrown,
-        money,
-        w.state.puts() - puts);
+        strategy.name(),
+        oldMachineIds.size(),
+        remainingMachines > 0
+            ? remainingMachines + " left after " + MAX_DURATION_MS / 60_000
+            : String.format(Locale.ROOT, "%.1f", (cluster.sim.now() - startMs) / 60_000.0),
+        missingReplicaSeconds,
+        1 - maxMissingShare,
+        totalLostCpuSeconds(cluster) - lostCpuSecondsBefore,
+        cost,
+        cluster.state.puts() - putsBefore);
   }
 
-  private static double thrown(SimulatedCluster w) {
-    return w.checker.lostCpuSeconds.values().stream().mapToDouble(d -> d).sum();
+  private static double totalLostCpuSeconds(SimulatedCluster cluster) {
+    return cluster.checker.lostCpuSeconds.values().stream().mapToDouble(d -> d).sum();
   }
 
-  private static int running(SimulatedCluster w) {
-    int n = 0;
-    for (EmulatedWorker m : w.cloud.machines()) {
-      if (!m.gone()) {
-        for (EmulatedTask t : m.tasks()) {
-          n += t.onMachine() && t.service() ? 1 : 0;
+  private static int countReplicas(SimulatedCluster cluster) {
+    int count = 0;
+    for (EmulatedWorker machine : cluster.cloud.machines()) {
+      if (!machine.gone()) {
+        for (EmulatedTask task : machine.tasks()) {
+          count += task.onMachine() && task.service() ? 1 : 0;
         }
       }
     }
-    return n;
+    return count;
   }
 }
--- a/src/test/java/dapplestair/world/ReplacementTest.java
+++ b/src/test/java/dapplestair/world/ReplacementTest.java
@@ -93,7 +93,7 @@
         OperatorsTest.order(w, NIGHT + "/start", all(3, 3));
         for (int i = 0; i < 7; i++) {
           w.run(w.sim.between(1500, 9000));
-          fault.strike(w);
+          fault.inject(w);
         }
         w.run(10_000);
         w.cloud.setNeverBoots(0);
@@ -124,15 +124,15 @@
         w.users.submitService(i % 2 == 0 ? "one" : "two", 6);
       }
       boolean[] busy = {true};
-      ReplacementCosts.load(w, busy);
+      ReplacementCosts.submitLoad(w, busy);
       w.run(100_000);
       Set<String> before = machines(w);
       assertTrue(before.size() > 200, before.size() + " machines");
       RandomFaults faults = new RandomFaults(w);
       OperatorsTest.order(w, NIGHT + "/start", all(20, 20));
-      faults.begin(9000);
+      faults.injectRepeatedly(9000);
       w.run(120_000);
-      faults.end();
+      faults.stop();
       busy[0] = false;
       w.run(30_000);
       untilDone(w, 1_500_000, seen -> goOn(w, seen));
--- a/src/test/java/dapplestair/world/RequestRaceRunner.java
+++ b/src/test/java/dapplestair/world/RequestRaceRunner.java
@@ -9,43 +9,45 @@
  * TO} plays each kind with these seeds and prints each play that failed.
  */
 final class RequestRaceRunner {
-  private static final long[] MOVES_MS = {0, 2, 8, 25, 90, 300, 1300};
+  private static final long[] OFFSETS_MS = {0, 2, 8, 25, 90, 300, 1300};
 
-  private static int plays;
-  private static int failed;
+  private static int runs;
+  private static int failures;
 
   private RequestRaceRunner() {}
 
   public static void main(String[] args) {
-    long to = Long.parseLong(args[1]);
-    for (long seed = Long.parseLong(args[0]); seed <= to; seed++) {
-      long s = seed;
-      long move = MOVES_MS[(int) (s % MOVES_MS.length)];
-      Behind behind = Behind.values()[(int) (s % Behind.values().length)];
-      Put put = Put.values()[(int) (s % Put.values().length)];
-      Sender sender = Sender.values()[(int) (s / 2 % Sender.values().length)];
-      LastTaskEndTest.Step step = LastTaskEndTest.Step.values()[(int) (s % 4)];
-      play(
-          "%d %s %d".formatted(s, behind, move),
-          () -> new MonotonicReadsTest().nobodyIsToldAnythingOlder(s, behind, move));
-      play(
-          "%d %s %s".formatted(s, put, sender),
-          () -> new LostResponsesTest().onlyTheAnswerIsLost(s, put, sender));
-      play(
-          "%d %s %d".formatted(s, step, move),
-          () -> new LastTaskEndTest().aRequestMeetsTheEnd(s, step, move));
-      play("%d odd".formatted(s), () -> new InvalidRequestsTest().oddRequestsGetTheirAnswers(s));
+    long lastSeed = Long.parseLong(args[1]);
+    for (long seed = Long.parseLong(args[0]); seed <= lastSeed; seed++) {
+      long testSeed = seed;
+      long offsetMs = OFFSETS_MS[(int) (testSeed % OFFSETS_MS.length)];
+      Behind behind = Behind.values()[(int) (testSeed % Behind.values().length)];
+      Put put = Put.values()[(int) (testSeed % Put.values().length)];
+      Sender sender = Sender.values()[(int) (testSeed / 2 % Sender.values().length)];
+      LastTaskEndTest.Step step = LastTaskEndTest.Step.values()[(int) (testSeed % 4)];
+      runScenario(
+          "%d %s %d".formatted(testSeed, behind, offsetMs),
+          () -> new MonotonicReadsTest().nobodyIsToldAnythingOlder(testSeed, behind, offsetMs));
+      runScenario(
+          "%d %s %s".formatted(testSeed, put, sender),
+          () -> new LostResponsesTest().onlyTheAnswerIsLost(testSeed, put, sender));
+      runScenario(
+          "%d %s %d".formatted(testSeed, step, offsetMs),
+          () -> new LastTaskEndTest().aRequestMeetsTheEnd(testSeed, step, offsetMs));
+      runScenario(
+          "%d odd".formatted(testSeed),
+          () -> new InvalidRequestsTest().oddRequestsGetTheirAnswers(testSeed));
     }
-    System.out.printf("%d plays, %d failed%n", plays, failed);
+    System.out.printf("%d plays, %d failed%n", runs, failures);
   }
 
-  private static void play(String what, Runnable day) {
-    plays++;
+  private static void runScenario(String description, Runnable scenario) {
+    runs++;
     try {
-      day.run();
+      scenario.run();
     } catch (AssertionError e) {
-      failed++;
-      System.out.println(what + ": " + e.getMessage());
+      failures++;
+      System.out.println(description + ": " + e.getMessage());
     }
   }
 }
--- a/src/test/java/dapplestair/world/SeededDaysTest.java
+++ b/src/test/java/dapplestair/world/SeededDaysTest.java
@@ -168,7 +168,7 @@
   static void settle(SimulatedCluster world) {
     world.users.submissionsStopped = true;
     // The last troubles end by themselves.
-    world.users.faultsEndedAtMs = world.sim.now() + RandomFaults.LONGEST_MS;
+    world.users.faultsEndedAtMs = world.sim.now() + RandomFaults.MAX_DURATION_MS;
     world.run(CALM_MS);
     for (SimulatedUsers.KnownJob job : world.users.jobs.values()) {
       assertTrue(
@@ -253,9 +253,9 @@
     try {
       RandomFaults faults = new RandomFaults(world);
       world.run(10_000);
-      faults.begin(troubleEveryMs);
+      faults.injectRepeatedly(troubleEveryMs);
       world.run(ROUGH_MS);
-      faults.end();
+      faults.stop();
       settle(world);
     } catch (AssertionError e) {
       throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
--- a/src/test/java/dapplestair/world/SimulatedCluster.java
+++ b/src/test/java/dapplestair/world/SimulatedCluster.java
@@ -202,7 +202,7 @@
             checker);
     network.register("cloud:1", cloud);
     users = new SimulatedUsers(this);
-    new IdleCapacity(this).watch();
+    new IdleCapacity(this).start();
     nodes.forEach(ControllerNode::start);
   }
 
--- a/src/test/java/dapplestair/world/SimulatedNetwork.java
+++ b/src/test/java/dapplestair/world/SimulatedNetwork.java
@@ -106,8 +106,8 @@
     commits = new CommitInterceptor(sim);
   }
 
-  void register(String name, RequestHandler place) {
-    handlers.put(name, place);
+  void register(String name, RequestHandler handler) {
+    handlers.put(name, handler);
   }
 
   /** No power: what is connected hears nothing more, and nobody can connect. */
--- a/src/test/java/dapplestair/world/SingleTaskJobsTest.java
+++ b/src/test/java/dapplestair/world/SingleTaskJobsTest.java
@@ -34,7 +34,7 @@
     Swarm(long seed) {
       w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM.withWriteRps(WRITE_RPS));
       w.users.submissionsStopped = true;
-      w.readsChecker.firstHeard =
+      w.readsChecker.firstReportListener =
           (ref, state) -> {
             if (state.equals("accepted") && cancelledAtOnce.contains(ref)) {
               w.users.cancel(w.users.jobs.get(ref));
--- a/src/test/java/dapplestair/world/TeamLimitsTest.java
+++ b/src/test/java/dapplestair/world/TeamLimitsTest.java
@@ -94,7 +94,7 @@
   static SimulatedCluster play(long seed, MachineFault fault, LeaderChange change, long afterMs) {
     FullDay f = new FullDay(seed);
     int before = f.w.checker.startCount;
-    f.w.sim.after(1500 + afterMs, () -> change.happen(f.w));
+    f.w.sim.after(1500 + afterMs, () -> change.inject(f.w));
     f.day.troubleEverySecond(fault, SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
     f.w.run(1500);
     f.cancel();
