--- a/src/test/java/dapplestair/KnownRed.java
+++ b/src/test/java/dapplestair/KnownRed.java
@@ -14,13 +14,13 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Passes over the failures that KNOWN-RED.txt lists, and over no others: each is printed and
- * counted as skipped. An entry whose test passes is printed at the end of the run, and one that
- * names no invocation of its test fails the test's class.
+ * Skips the failures that KNOWN-RED.txt lists, and no others: each is printed and counted as
+ * skipped. An entry whose test passes is printed at the end of the run, and one that names no
+ * invocation of its test fails the test's class.
  */
 public final class KnownRed
     implements TestExecutionExceptionHandler, AfterTestExecutionCallback, AfterAllCallback {
-  /** The list, at the root of the repository. */
+  /** The list of known failures, at the root of the repository. */
   static final Path FILE = Path.of("KNOWN-RED.txt");
 
   private static final ExtensionContext.Namespace NAMESPACE =
@@ -37,7 +37,7 @@
     }
   }
 
-  /** What this process has played of the listed tests; prints those that passed when it ends. */
+  /** Listed tests that ran in this process; prints those that passed when the process ends. */
   private static final class ExecutedTests implements ExtensionContext.Store.CloseableResource {
     final Set<String> methods = new LinkedHashSet<>();
     final Set<String> invocations = new LinkedHashSet<>();
@@ -107,7 +107,8 @@
         boolean ran = executed.methods.contains(entry.className() + "." + entry.method());
         String test = testId(entry.className(), entry.method(), name);
         if (ran && !executed.invocations.contains(test)) {
-          throw new IllegalStateException(FILE + " names no invocation of its test: " + test);
+          throw new IllegalStateException(
+              FILE + " lists a name that is no invocation of its test: " + test);
         }
       }
     }
--- a/src/test/java/dapplestair/world/CancellationLatency.java
+++ b/src/test/java/dapplestair/world/CancellationLatency.java
@@ -6,8 +6,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long a cancelled job's tasks live after its user was told: {@code CancellationLatency SEEDS}
- * plays so many seeds of each trouble and prints median, 99 of 100 and the longest.
+ * Measures how long the tasks of a cancelled job live after its user was told: {@code
+ * CancellationLatency SEEDS} runs this many seeds of each fault and prints the median, the 99th
+ * percentile and the maximum.
  */
 final class CancellationLatency {
   private static final long SAMPLE_INTERVAL_MS = 20;
--- a/src/test/java/dapplestair/world/CommitInterceptor.java
+++ b/src/test/java/dapplestair/world/CommitInterceptor.java
@@ -9,8 +9,8 @@
 import java.util.function.Predicate;
 
 /**
- * Transactions that were carried out: a test may watch them, and may lose the answer alone of some,
- * so that their sender does not learn what everybody else can read.
+ * Lets a test observe transactions that were applied, and suppresses the answers of some, so that
+ * the sender does not learn the outcome although everybody else can read it.
  */
 final class CommitInterceptor {
   static final String JOB_KEY_PREFIX = "live/job/";
@@ -18,45 +18,45 @@
 
   private final EventSimulator sim;
 
-  /** Share of the chosen transactions whose answer is lost. */
+  /** Share of the candidate transactions whose answer is lost. */
   double answerLossProbability;
 
-  /** Which ones are chosen: those with a write that passes. */
+  /** Selects the candidates: transactions with at least one write that passes this test. */
   Predicate<JsonNode> isLossCandidate = write -> true;
 
-  /** Answers lost so far. */
+  /** Number of answers lost so far. */
   int lostAnswerCount;
 
-  /** Told of the sender and the body of each transaction that was carried out, if set. */
+  /** Called with the sender and the body of each transaction that was applied, if set. */
   BiConsumer<String, JsonNode> commitListener;
 
-  /** Told of the sender and the body of each one whose answer is lost. */
+  /** Called with the sender and the body of each transaction whose answer is lost. */
   BiConsumer<String, JsonNode> answerLostListener = (from, body) -> {};
 
-  // Until when these callers get no answer to their questions for changes.
+  // Times until which these callers get no answers to their requests for changes.
   private final Map<String, Long> changesBlockedUntilMs = new HashMap<>();
 
   CommitInterceptor(EventSimulator sim) {
     this.sim = sim;
   }
 
-  /** Puts under a key that begins so. */
+  /** Selects puts of keys with this prefix. */
   static Predicate<JsonNode> puts(String prefix) {
     return write -> write.path("put").asText().startsWith(prefix);
   }
 
-  /** Removals of a key that begins so. */
+  /** Selects removals of keys with this prefix. */
   static Predicate<JsonNode> removes(String prefix) {
     return write -> write.path("remove").asText().startsWith(prefix);
   }
 
-  /** Puts that end a job with this status. */
+  /** Selects puts that end a job with this status. */
   static Predicate<JsonNode> endsJobAs(String status) {
     return puts(ENDED_JOB_KEY_PREFIX)
         .and(w -> w.path("value").path("status").asText().equals(status));
   }
 
-  /** The job that a transaction accepts or ends, or null. */
+  /** Returns the reference of the job that a transaction accepts or ends, or null. */
   static String jobRef(JsonNode body) {
     for (JsonNode write : body.path("writes")) {
       String key = key(write);
@@ -67,12 +67,12 @@
     return null;
   }
 
-  /** The key that a write puts or removes. */
+  /** Returns the key that a write puts or removes. */
   static String key(JsonNode write) {
     return write.path(write.has("put") ? "put" : "remove").asText();
   }
 
-  /** True if any write of a transaction passes. */
+  /** Returns true if any write of a transaction meets the condition. */
   static boolean anyWrite(JsonNode body, Predicate<JsonNode> condition) {
     for (JsonNode write : body.path("writes")) {
       if (condition.test(write)) {
@@ -82,12 +82,12 @@
     return false;
   }
 
-  /** For a while a caller gets no answer to its questions for changes. */
+  /** Suppresses the answers to a caller's requests for changes for {@code durationMs}. */
   void blockChanges(String caller, long durationMs) {
     changesBlockedUntilMs.put(caller, sim.now() + durationMs);
   }
 
-  /** Called once for each answer to a request. True if its sender must not get it. */
+  /** Called once for each answer to a request; returns true if its sender must not get it. */
   boolean losesAnswer(String from, String path, byte[] requestBody, HttpReply reply) {
     if (path.startsWith("/changes") && sim.now() < changesBlockedUntilMs.getOrDefault(from, 0L)) {
       return true;
--- a/src/test/java/dapplestair/world/ConcurrentReaders.java
+++ b/src/test/java/dapplestair/world/ConcurrentReaders.java
@@ -4,11 +4,14 @@
 import dapplestair.ports.HttpReply;
 
 /**
- * Users who ask at all controllers within milliseconds, and submit again what was accepted. Answers
- * are held against each other by {@link MonotonicReadsChecker} and {@link InvariantChecker}.
+ * Queries all controllers about a job within milliseconds and submits accepted jobs again. {@link
+ * MonotonicReadsChecker} and {@link InvariantChecker} compare the answers with each other.
  */
 final class ConcurrentReaders {
-  /** Of one look after the other, in milliseconds: within a message, a put, a report. */
+  /**
+   * Offsets in milliseconds of the successive rounds of requests; they lie within the delay of a
+   * message, of a put and of a report.
+   */
   private static final long[] OFFSETS_MS = {0, 3, 9, 30, 100, 400, 1500};
 
   private static final long POLL_TIMEOUT_MS = 2000;
@@ -16,14 +19,17 @@
 
   private final SimulatedCluster cluster;
 
-  /** Answers that told a state. */
+  /** Number of answers that contained a status. */
   int statusAnswers;
 
   ConcurrentReaders(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  /** From now on, for a moment: each controller is asked, and every other time told again. */
+  /**
+   * Queries each controller in several rounds from now on; every second round also submits the job
+   * again.
+   */
   void queryAllControllers(SimulatedUsers.KnownJob job) {
     for (int i = 0; i < OFFSETS_MS.length; i++) {
       boolean submitsAgain = i % 2 == 1;
@@ -40,7 +46,7 @@
     }
   }
 
-  /** Asks for a job's state. */
+  /** Polls the status of a job. */
   void ask(SimulatedUsers.KnownJob job, SimulatedCluster.ControllerNode node) {
     call(job, node, "GET", "/submissions/" + job.ref, null, POLL_TIMEOUT_MS);
   }
--- a/src/test/java/dapplestair/world/DelayedReports.java
+++ b/src/test/java/dapplestair/world/DelayedReports.java
@@ -5,11 +5,14 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Copies of workers' reports that are kept until the next leader has begun, or has acted. */
+/**
+ * Keeps copies of workers' reports and delivers them after the next leader has begun to lead or has
+ * launched a task.
+ */
 final class DelayedReports {
-  /** What the next leader has done before the copies arrive. */
+  /** What the next leader does before the copies arrive. */
   enum Arrival {
-    /** It has begun: it shows its token to machines. */
+    /** It has begun to lead: it sends its token to machines. */
     BEGUN,
     /** It has launched a task. */
     ACTED
@@ -41,8 +44,8 @@
   }
 
   /**
-   * The reports kept so far arrive once the next leader has begun or acted, in any order and within
-   * {@code withinMs}: at every controller, or at the new leader alone.
+   * Delivers the reports kept so far once the next leader has reached the state {@code arrival}, in
+   * random order and within {@code withinMs}: to every controller, or to the new leader only.
    */
   void deliverAfterLeaderChange(Arrival arrival, boolean toAllControllers, long withinMs) {
     List<KeptReport> copies = new ArrayList<>(keptReports);
--- a/src/test/java/dapplestair/world/EventSimulator.java
+++ b/src/test/java/dapplestair/world/EventSimulator.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Virtual time: events in order, ties in the order of their making. */
+/** Executes events in virtual time; events at the same time run in the order of their creation. */
 final class EventSimulator {
   private record Event(long timeMs, long order, Runnable task) implements Comparable<Event> {
     @Override
@@ -15,7 +15,10 @@
 
   final SplittableRandom random;
 
-  /** For what controllers ask each other: how much they do must not change the luck of all else. */
+  /**
+   * Random numbers for requests between controllers, separate so that the number of such requests
+   * does not change the random draws of everything else.
+   */
   final SplittableRandom controllerRequestRandom;
 
   private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -45,7 +48,7 @@
     return () -> cancelled[0] = true;
   }
 
-  /** Runs up to a moment, calling {@code afterEach} after every event. */
+  /** Runs all events up to {@code endMs}, calling {@code afterEach} after every event. */
   void runUntil(long endMs, Runnable afterEach) {
     while (!events.isEmpty() && events.peek().timeMs <= endMs) {
       Event event = events.poll();
--- a/src/test/java/dapplestair/world/FailureDetectionTimes.java
+++ b/src/test/java/dapplestair/world/FailureDetectionTimes.java
@@ -11,8 +11,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long failures are noticed, measured in the seeded world; started by hand. Times are virtual:
- * they hold what is decided and sent, not what a processor takes.
+ * Measures in the simulated cluster how long failures affect users; started by hand. Times are
+ * virtual: they include decisions and messages, but no processor time.
  */
 public final class FailureDetectionTimes {
   private static final int SEEDS = 200;
@@ -54,7 +54,10 @@
     return cluster;
   }
 
-  /** From the end to the first submission accepted and the first task started after it. */
+  /**
+   * Measures the time from a crash to the first accepted submission and the first task started
+   * after it.
+   */
   private static void measureFailover(String label, boolean allControllers) {
     Histogram acceptedMs = new Histogram(60_000, 3);
     Histogram startedMs = new Histogram(60_000, 3);
@@ -88,7 +91,10 @@
     printRow(label + ": first task started", startedMs);
   }
 
-  /** From the return of all controllers to the first and the last replica that runs again. */
+  /**
+   * Measures the time from the return of all controllers to the first and the last replica that
+   * runs again.
+   */
   private static void measureControllerOutage(
       String label, Consumer<SimulatedCluster.ControllerNode> outage) {
     Histogram firstReplicaMs = new Histogram(120_000, 3);
@@ -123,7 +129,10 @@
     printRow(label + ": machines rented meanwhile", rentedMachines);
   }
 
-  /** What guests cost in puts, and how long another team's arrays wait for their first task. */
+  /**
+   * Measures how many puts guest jobs cost, and how long another team's arrays wait for their first
+   * task.
+   */
   private static void measureGuestLoad(String label, int singleTaskJobs, int arrayTasks) {
     SimulatedCluster cluster = new SimulatedCluster(4, SimulatedCluster.Size.LARGE);
     cluster.network.lossProbability = 0;
@@ -176,7 +185,10 @@
         histogram.getMaxValue());
   }
 
-  /** So many machines with all that is on them end in one second. */
+  /**
+   * Ends this many machines with everything on them within one second and measures how fast their
+   * replicas return.
+   */
   private static void measureMachineLoss(int machinesToEnd) {
     SimulatedCluster cluster =
         startCluster(17, new SimulatedCluster.Size(260, 12_000, 3_600_000, 1), 7200);
--- a/src/test/java/dapplestair/world/FaultCombinationRunner.java
+++ b/src/test/java/dapplestair/world/FaultCombinationRunner.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Plays more meetings than a build has time for: {@code FaultCombinationRunner FROM TO} plays these
- * seeds and prints each that broke a rule; {@code FaultCombinationRunner FROM TO machines} plays
- * troubles with machines.
+ * Runs more fault combinations than fit into a build: {@code FaultCombinationRunner FROM TO} runs
+ * these seeds and prints each that broke a rule; {@code FaultCombinationRunner FROM TO machines}
+ * runs machine faults instead.
  */
 final class FaultCombinationRunner {
   private FaultCombinationRunner() {}
--- a/src/test/java/dapplestair/world/IdleCapacity.java
+++ b/src/test/java/dapplestair/world/IdleCapacity.java
@@ -13,15 +13,18 @@
 import java.util.Set;
 
 /**
- * Once troubles are over, no job may be left waiting for 90 s while a machine that fits has room
- * and its team is under its limit. Counted on the machines themselves, once a second.
+ * Checks that, once faults are over, no job waits for 90 s while a machine that fits has free
+ * resources and the team is below its limit. Machines and tasks are counted on the emulated
+ * machines themselves, once a second.
  */
 final class IdleCapacity {
   static final long MAX_WAIT_MS = 90_000;
 
   private static final long SAMPLE_INTERVAL_MS = 1000;
 
-  /** Room counts as idle once it was there in so many samples: two report intervals. */
+  /**
+   * Free resources count as idle once they were there in this many samples: two report intervals.
+   */
   private static final int SAMPLES_UNTIL_IDLE =
       (int) (2 * SimulatedCluster.REPORT_INTERVAL_MS / SAMPLE_INTERVAL_MS);
 
@@ -44,7 +47,7 @@
       return new FreeResources(minimums);
     }
 
-    /** How many more tasks of a job it holds. */
+    /** Returns how many more tasks of a job fit. */
     int countFittingTasks(SimulatedUsers.KnownJob job) {
       double tasks = job.taskCount;
       for (int i = 0; i < free.size(); i++) {
@@ -55,10 +58,13 @@
     }
   }
 
-  /** Since when a job has waited beside room, and how many starts it had by then. */
+  /**
+   * The time since which a job has waited although it fits an idle machine, and its number of
+   * starts at that time.
+   */
   private record Waiting(long sinceMs, int starts) {}
 
-  /** What is on machines at one moment. */
+  /** The tasks on all machines at one moment. */
   private static final class Occupancy {
     final Set<String> tasksOnMachines = new HashSet<>();
     final Map<String, Map<String, Integer>> tasksByJobAndZone = new HashMap<>();
@@ -94,12 +100,13 @@
       } else if (waitingBefore == null || waitingBefore.starts != job.starts) {
         waitingJobs.put(job, new Waiting(cluster.sim.now(), job.starts));
       } else if (cluster.sim.now() - waitingBefore.sinceMs > MAX_WAIT_MS) {
-        cluster.checker.reportViolation("left waiting for 90 s beside idle room: " + job.body);
+        cluster.checker.reportViolation(
+            "job waited for 90 s although an idle machine fits: " + job.body);
       }
     }
   }
 
-  /** The room of each machine that was free in all of the last samples. */
+  /** Returns the resources of each machine that were free in all of the last samples. */
   private Map<EmulatedWorker, FreeResources> idleResources() {
     Map<EmulatedWorker, FreeResources> idleByMachine = new HashMap<>();
     samplesByMachine.keySet().removeIf(EmulatedWorker::gone);
@@ -139,7 +146,10 @@
     return occupancy;
   }
 
-  /** True when it has a task that neither has completed nor is on a machine; of a gang all. */
+  /**
+   * Returns true if the job has a task that has neither completed nor is on a machine; for a gang,
+   * only if none of its tasks is on a machine.
+   */
   private boolean hasWaitingTask(SimulatedUsers.KnownJob job, Occupancy occupancy) {
     if (!job.accepted || job.cancelRequested || job.done || job.body.has("mistakenSteps")) {
       return false;
@@ -196,7 +206,9 @@
     return fittingTasks >= tasksNeededAtOnce(job);
   }
 
-  /** What the job's user allows, given where its other tasks are. */
+  /**
+   * Returns true if the job's user allows this machine, given the zones of the job's other tasks.
+   */
   private static boolean mayUse(
       SimulatedUsers.KnownJob job, EmulatedWorker machine, Map<String, Integer> jobTasksByZone) {
     boolean hasTasksInOtherZones =
--- a/src/test/java/dapplestair/world/InvalidJob.java
+++ b/src/test/java/dapplestair/world/InvalidJob.java
@@ -7,9 +7,12 @@
 import java.util.List;
 import java.util.Set;
 
-/** Jobs that must not be accepted, by the protocol's page and the world's machines and teams. */
+/**
+ * Creates and recognizes jobs that must be rejected according to the protocol page and to the
+ * machines and teams of the simulated cluster.
+ */
 final class InvalidJob {
-  /** What is wrong with a job, and the answer that it must get. */
+  /** The fault of a job, with the status of the answer that it must get. */
   enum Fault {
     MALFORMED(400),
     CANNOT_RUN(422);
@@ -23,7 +26,7 @@
 
   private static final double MACHINE_MEMORY_GB = 64;
 
-  /** All that may neither be null nor be left out. */
+  /** Fields that may neither be null nor be missing. */
   private static final List<String> TEXT_FIELDS =
       List.of("ref", "jobclass", "owner", "shape", "rank", "bundle");
 
@@ -37,13 +40,13 @@
 
   private InvalidJob() {}
 
-  /** The same job without one field, or changed so that it can never run. */
+  /** Removes one field of the job, or changes the job so that it can never run. */
   static ObjectNode invalidate(ObjectNode job, EventSimulator sim) {
     if (sim.chance(0.5)) {
       List<List<String>> fieldGroups =
           List.of(TEXT_FIELDS, NUMBER_FIELDS, BOOLEAN_FIELDS, List.of("steps"));
       List<String> fields = fieldGroups.get((int) sim.between(0, fieldGroups.size() - 1));
-      // Without its id it would be no job at all.
+      // A body without a ref (the first field) would identify no job.
       int firstIndex = fields == TEXT_FIELDS ? 1 : 0;
       job.remove(fields.get((int) sim.between(firstIndex, fields.size() - 1)));
       return job;
@@ -60,7 +63,7 @@
     return job;
   }
 
-  /** What is wrong with it, or null. */
+  /** Returns the fault of the job, or null. */
   static Fault faultOf(JsonNode job, SimulatedCluster cluster) {
     boolean wellFormed =
         TEXT_FIELDS.stream().allMatch(f -> job.path(f).isTextual())
--- a/src/test/java/dapplestair/world/InvariantChecker.java
+++ b/src/test/java/dapplestair/world/InvariantChecker.java
@@ -15,48 +15,59 @@
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
 
-/** The rules of the protocol, checked on the world itself, knowing nothing of the product. */
+/**
+ * Checks the rules of the protocol on what the emulated components do and on the answers to users,
+ * independently of the code under test.
+ */
 final class InvariantChecker implements TaskObserver {
   private final SimulatedCluster cluster;
   private final Set<String> completedTasks = new HashSet<>();
-  // In the order in which their users were told.
+  // Jobs whose cancellation was confirmed, in the order of confirmation.
   private final ArrayDeque<SimulatedUsers.KnownJob> confirmedCancellations = new ArrayDeque<>();
   int startCount;
   final Map<String, Integer> startsByMachine = new HashMap<>();
 
-  /** Stops by command, by class. */
+  /** Stops by command, by job class. */
   final Map<String, Integer> stopsByClass = new HashMap<>();
 
-  // Replicas that were stopped by choice and do not run again yet, by team, and the most at once.
+  // Replicas that were stopped by choice and do not run again yet, by team; and the maximum number
+  // of them at the same time.
   private final Map<String, Set<String>> stoppedReplicas = new HashMap<>();
   final Map<String, Integer> maxStoppedReplicas = new HashMap<>();
 
-  /** Work of arrays that was stopped before it was saved. */
+  /**
+   * CPU seconds of array work that were lost because tasks were stopped before saving it, by team.
+   */
   final Map<String, Double> lostCpuSeconds = new HashMap<>();
 
-  /** How many replicas of a team may be out by choice; nothing is checked without it. */
+  /**
+   * Maximum number of replicas of a team that may be stopped by choice; null disables the check.
+   */
   ToIntFunction<String> teamDisruptionBudget;
 
-  /** How many of one job. */
+  /** Maximum number of replicas of one job that may be stopped by choice. */
   int jobDisruptionBudget = 1;
 
-  /** Starts of jobs whose users had been told that they are cancelled. */
+  /** Number of task starts after the cancellation of the job was confirmed to its user. */
   int startsAfterCancellation;
 
-  /** Cancelled tasks that were still there when a machine that hung went on. */
+  /** Number of cancelled tasks that were still on a suspended machine when it resumed. */
   int resumedAfterCancellation;
 
-  /** Commands with starts that one machine may refuse as full within four report intervals. */
+  /**
+   * Maximum number of commands with starts that one machine may refuse as full within four report
+   * intervals.
+   */
   private static final int MAX_REFUSED_COMMANDS = 10;
 
   private static final long REFUSAL_WINDOW_MS = 4 * SimulatedCluster.REPORT_INTERVAL_MS;
 
-  // When each machine has refused starts, as full.
+  // Times at which each machine refused starts as full.
   private final Map<String, ArrayDeque<Long>> refusalTimes = new HashMap<>();
 
   String violation;
 
-  /** Told of each task that completes, on its machine and at that moment. */
+  /** Called with the key of each task that completes, at the moment it completes on its machine. */
   Consumer<String> completionListener = key -> {};
 
   InvariantChecker(SimulatedCluster cluster) {
@@ -84,7 +95,7 @@
     return key.substring(0, key.indexOf('/'));
   }
 
-  /** A task has just started: it is running on {@code worker} already. */
+  /** Checks the rules for starts; the task is already running on {@code worker}. */
   @Override
   public void started(EmulatedWorker worker, EmulatedTask task) {
     startCount++;
@@ -95,7 +106,7 @@
     startsByMachine.merge(worker.id(), 1, Integer::sum);
     stoppedReplicas.values().forEach(out -> out.remove(task.key()));
     if (job.aborted) {
-      // Within the time allowed no rule is broken by it; how many there are is worth knowing.
+      // A start within the cancellation deadline breaks no rule; it is only counted.
       startsAfterCancellation++;
       checkCancellationDeadline(job, task, "starts on " + worker.id());
     }
@@ -137,10 +148,12 @@
     }
     if (job.body.path("apart").asBoolean()
         && perZone.get(worker.zone()) > (job.taskCount + 1) / 2) {
-      reportViolation("wrong_place: " + task.key() + " crowds " + worker.zone());
+      reportViolation(
+          "wrong_place: " + task.key() + " exceeds its job's share of zone " + worker.zone());
     }
     if (job.body.path("together").asBoolean() && perZone.size() > 1) {
-      reportViolation("wrong_place: " + task.key() + " is not with the others");
+      reportViolation(
+          "wrong_place: " + task.key() + " runs in another zone than other tasks of its job");
     }
   }
 
@@ -157,12 +170,15 @@
       SimulatedUsers.KnownJob job = cluster.users.jobs.get(jobRef(otherTask.key()));
       if (!worker.gone() && otherTask.onMachine() && job.aborted) {
         resumedAfterCancellation++;
-        checkCancellationDeadline(job, otherTask, "goes on after " + worker.id() + " hung");
+        checkCancellationDeadline(job, otherTask, "resumes after " + worker.id() + " hung");
       }
     }
   }
 
-  /** After each step. What starts later than a job's last moment is caught by its start. */
+  /**
+   * Runs after each event. Tasks that start after a job's cancellation deadline are detected by
+   * {@link #started}.
+   */
   void check() {
     while (!confirmedCancellations.isEmpty()
         && confirmedCancellations.peek().abortedAtMs + SimulatedCluster.CANCEL_DEADLINE_MS
@@ -187,7 +203,9 @@
     }
   }
 
-  /** Budgets of disruption are checked on what machines did, not on what the product counts. */
+  /**
+   * Checks disruption budgets against what machines did, not against the controllers' own counts.
+   */
   @Override
   public void stopped(EmulatedWorker worker, EmulatedTask task) {
     SimulatedUsers.KnownJob job = cluster.users.jobs.get(jobRef(task.key()));
@@ -214,11 +232,16 @@
         && (teamStopped.size() > teamDisruptionBudget.applyAsInt(job.team)
             || jobStopped > jobDisruptionBudget)) {
       reportViolation(
-          "budget: " + job.team + " has " + teamStopped.size() + " out by choice: " + teamStopped);
+          "budget: "
+              + job.team
+              + " has "
+              + teamStopped.size()
+              + " replicas stopped by choice: "
+              + teamStopped);
     }
   }
 
-  /** A start that is refused as full is not tried there again and again. */
+  /** Checks that a start refused as full is not retried on the same machine again and again. */
   @Override
   public void refusedAsFull(EmulatedWorker worker, EmulatedTask task) {
     long now = cluster.sim.now();
@@ -233,14 +256,17 @@
       reportViolation(
           "refused: "
               + times.size()
-              + " commands with starts on "
+              + " commands with starts refused as full on "
               + worker.id()
               + ", "
               + task.key());
     }
   }
 
-  /** A machine that nobody has heard for a while is given up, not chosen. */
+  /**
+   * Counts a returned task as a stop by choice only if its machine was answered recently: a machine
+   * that has been silent for longer is given up as failed, not chosen.
+   */
   @Override
   public void returned(EmulatedWorker worker, EmulatedTask task) {
     if (worker.unansweredMs() < 3 * SimulatedCluster.REPORT_INTERVAL_MS / 2) {
@@ -248,7 +274,7 @@
     }
   }
 
-  /** What became of the jobs of one class, or of one team. */
+  /** Counts of accepted, started and completed jobs of one class or one team. */
   static final class JobTally {
     int jobs;
     int accepted;
@@ -263,7 +289,7 @@
       }
       accepted++;
       started += job.started ? 1 : 0;
-      // What its user has cancelled need not complete.
+      // A job that its user cancelled need not complete.
       dueToComplete += job.service || job.aborted ? 0 : 1;
       done += job.done ? 1 : 0;
     }
@@ -279,7 +305,10 @@
     }
   }
 
-  /** By class and by team, from what users were told and what machines ran. */
+  /**
+   * Returns the tallies by class and by team, computed from the answers to users and from what
+   * machines ran.
+   */
   Map<String, JobTally> jobTallies() {
     Map<String, JobTally> tallies = new TreeMap<>();
     for (SimulatedUsers.KnownJob job : cluster.users.jobs.values()) {
@@ -289,10 +318,10 @@
     return tallies;
   }
 
-  /** Within what the largest jobs of each class have to begin, by the operators' letter. */
+  /** Time within which the largest jobs of each class must begin, as the operators require. */
   static final long MAX_START_WAIT_MS = 240_000;
 
-  /** The largest tenth of each class by tasks times CPUs, three at the least. */
+  /** Returns the largest tenth of the jobs of each class by tasks times CPUs, at least three. */
   Map<String, List<SimulatedUsers.KnownJob>> largestJobsByClass() {
     Map<String, List<SimulatedUsers.KnownJob>> jobsByClass = new TreeMap<>();
     for (SimulatedUsers.KnownJob job : cluster.users.jobs.values()) {
@@ -308,7 +337,10 @@
     return jobsByClass;
   }
 
-  /** The longest that any of the largest jobs waited for its first task, or waits still. */
+  /**
+   * Returns the longest time that any of the largest jobs waited for its first task, or has been
+   * waiting so far.
+   */
   long longestWaitMs() {
     return largestJobsByClass().values().stream()
         .flatMap(List::stream)
@@ -324,7 +356,8 @@
               long begun = jobs.stream().filter(j -> j.begunAtMs() >= 0).count();
               if (2 * begun < jobs.size()) {
                 throw new AssertionError(
-                    "of the largest of class %s %d of %d began".formatted(c, begun, jobs.size()));
+                    "of the largest jobs of class %s only %d of %d began"
+                        .formatted(c, begun, jobs.size()));
               }
             });
     if (longestWaitMs() > MAX_START_WAIT_MS) {
@@ -332,7 +365,10 @@
     }
   }
 
-  /** A day fails, too, if less than half of any one class or team is served. */
+  /**
+   * Fails the run if the largest jobs began too late or too seldom, or if less than half of any one
+   * class or team is served.
+   */
   void checkHalfServed() {
     checkLargestJobs();
     jobTallies()
@@ -345,16 +381,17 @@
   }
 
   /**
-   * A user was told the state of a job, having been told {@code finalStatusWhenAsked} when it
-   * asked.
+   * Records that a user was told the status of a job. {@code finalStatusWhenAsked} is the final
+   * status that users knew when the request was sent, or null.
    */
   void statusReported(SimulatedUsers.KnownJob job, String finalStatusWhenAsked, String status) {
     if (finalStatusWhenAsked != null && !finalStatusWhenAsked.equals(status)) {
-      reportViolation("went_back: " + job.ref + " is called " + status);
+      reportViolation("went_back: " + job.ref + " is reported as " + status);
     }
     if (status.equals("aborted")) {
       if (!job.cancelRequested) {
-        reportViolation("went_back: " + job.ref + " is called aborted, but nobody asked");
+        reportViolation(
+            "went_back: " + job.ref + " is reported as aborted, but no user cancelled it");
       }
       if (!job.aborted) {
         job.aborted = true;
@@ -365,7 +402,8 @@
     if (status.equals("done")) {
       for (int i = 0; i < job.taskCount; i++) {
         if (!completedTasks.contains(job.ref + "/" + i)) {
-          reportViolation("not_done: " + job.ref + " lacks task " + i);
+          reportViolation(
+              "not_done: " + job.ref + " is reported done without completion of task " + i);
         }
       }
       job.done = true;
--- a/src/test/java/dapplestair/world/InvariantCheckerTest.java
+++ b/src/test/java/dapplestair/world/InvariantCheckerTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Days on which each of the checker's rules of place has work to look at. */
+/** Runs the checker's placement rules on jobs that name machine types and zones. */
 class InvariantCheckerTest {
-  /** Two types of machines, one of them for nobody but the jobs that name it. */
+  /** Offers two machine types, one of which is used only by jobs that name it. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9101, 9102})
   void jobsRunOnTheirTypesAndInTheirZones(long seed) {
--- a/src/test/java/dapplestair/world/LatencyReport.java
+++ b/src/test/java/dapplestair/world/LatencyReport.java
@@ -10,14 +10,14 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Prints the tables of docs/results.md on elections, lanes and long waits. Not a test. */
+/** Prints the tables of docs/results.md on elections, lanes and long waits. It is not a test. */
 final class LatencyReport {
   private static final int DEFAULT_SEEDS = 200;
   private static final long MAX_WAIT_MS = 600_000;
 
   private LatencyReport() {}
 
-  /** Without arguments all tables; the number of seeds may be given. */
+  /** Prints all tables; the optional argument is the number of seeds. */
   public static void main(String[] args) {
     int seeds = args.length > 0 ? Integer.parseInt(args[0]) : DEFAULT_SEEDS;
     System.out.println(
@@ -78,7 +78,7 @@
     boolean newLeaderElected = cluster.leader() != null && cluster.leader().isUp();
     while (!newLeaderElected && cluster.sim.now() - startMs < MAX_WAIT_MS) {
       cluster.run(20);
-      // Of the process that runs now, not of its earlier life.
+      // A new term shows that the leader is the process running now, not one before its restart.
       newLeaderElected =
           cluster.leader() != null
               && cluster.state.value("live/term").path("term").asLong() > termBefore;
--- a/src/test/java/dapplestair/world/LeaderChange.java
+++ b/src/test/java/dapplestair/world/LeaderChange.java
@@ -3,30 +3,30 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplestair.json.Json;
 
-/** The ways in which the lead changes hands. */
+/** Ways in which the leader changes. */
 enum LeaderChange {
-  /** The leader gives its hold back and ends, as for a new version. */
+  /** The leader gives up its lease and ends, as for a new version. */
   PLANNED {
     @Override
     void inject(SimulatedCluster cluster, SimulatedCluster.ControllerNode leader) {
       leader.shutDownGracefully(3000);
     }
   },
-  /** Its process ends. */
+  /** The leader's process ends. */
   CRASH {
     @Override
     void inject(SimulatedCluster cluster, SimulatedCluster.ControllerNode leader) {
       leader.crash(cluster.sim.between(2000, 6000));
     }
   },
-  /** Its process ends and is back before anybody else may lead. */
+  /** The leader's process ends and restarts before any other controller may lead. */
   BACK_AT_ONCE {
     @Override
     void inject(SimulatedCluster cluster, SimulatedCluster.ControllerNode leader) {
       leader.crash(cluster.sim.between(60, 900));
     }
   },
-  /** It hands over, and whoever leads next hands over as well. */
+  /** The leader hands over, and so does the next leader. */
   THERE_AND_BACK {
     @Override
     void inject(SimulatedCluster cluster, SimulatedCluster.ControllerNode leader) {
@@ -40,21 +40,24 @@
           });
     }
   },
-  /** Its process stands still for so long that its hold ends. */
+  /** The leader's process is suspended until its lease has expired. */
   FROZEN {
     @Override
     void inject(SimulatedCluster cluster, SimulatedCluster.ControllerNode leader) {
       leader.freeze(5000);
     }
   },
-  /** It loses the state service and the other controllers, but no worker and no user. */
+  /**
+   * The leader loses its connections to the state service and the other controllers, but not to
+   * workers and users.
+   */
   ALONE {
     @Override
     void inject(SimulatedCluster cluster, SimulatedCluster.ControllerNode leader) {
       new RandomFaults(cluster).isolateFromPeersAndState(leader, cluster.sim.chance(0.5), 8000);
     }
   },
-  /** The state service refuses it alone. */
+  /** The state service refuses the leader only. */
   REFUSED {
     @Override
     void inject(SimulatedCluster cluster, SimulatedCluster.ControllerNode leader) {
@@ -66,14 +69,17 @@
 
   abstract void inject(SimulatedCluster cluster, SimulatedCluster.ControllerNode leader);
 
-  /** The leader's key is lost: whoever leads is deposed, and the key can be won again at once. */
+  /**
+   * Removes the leader's key: the current leader is deposed, and any controller can acquire the key
+   * at once.
+   */
   static void removeLeaderKey(SimulatedCluster cluster) {
     ObjectNode body = Json.object();
     body.putArray("writes").addObject().put("remove", "live/leader");
     cluster.state.request("noise", "POST", "/commit", Json.bytes(body), r -> {});
   }
 
-  /** Whoever leads now, if anybody does, leads no more. */
+  /** Injects this change at the current leader, if there is one. */
   void inject(SimulatedCluster cluster) {
     if (cluster.leader() != null) {
       inject(cluster, cluster.leader());
--- a/src/test/java/dapplestair/world/LeaderChangeRunner.java
+++ b/src/test/java/dapplestair/world/LeaderChangeRunner.java
@@ -5,8 +5,9 @@
 import java.util.function.LongFunction;
 
 /**
- * Plays more changes of the leader than a build has time for: {@code LeaderChangeRunner FROM TO}
- * plays these seeds, prints each that broke a rule, and counts what rules permit.
+ * Runs more leader changes than fit into a build: {@code LeaderChangeRunner FROM TO} runs these
+ * seeds, prints each that broke a rule, and counts late starts and resumptions that the rules
+ * permit.
  */
 final class LeaderChangeRunner {
   private static final long[] OFFSETS_MS = {-1500, -400, -30, -5, 0, 5, 30, 400, 1700, 3000};
--- a/src/test/java/dapplestair/world/MachineFault.java
+++ b/src/test/java/dapplestair/world/MachineFault.java
@@ -2,51 +2,51 @@
 
 import dapplestair.emulator.EmulatedWorker;
 
-/** The ways in which a machine with cancelled tasks does not do what it is told. */
+/** Faults by which a machine with cancelled tasks does not carry out its commands. */
 enum MachineFault {
-  /** Nothing reaches it or comes from it; the messages are lost. */
+  /** All messages to and from the machine are lost. */
   CUT {
     @Override
     void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
       cut(cluster, machine, true, true, false, durationMs);
     }
   },
-  /** Nothing reaches it or comes from it; the messages arrive once this is over. */
+  /** All messages to and from the machine are held and arrive after the fault ends. */
   HELD {
     @Override
     void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
       cut(cluster, machine, true, true, true, durationMs);
     }
   },
-  /** It reports and hears the answers, but can't be asked or commanded directly. */
+  /** The machine reports and gets the answers, but direct requests and commands do not reach it. */
   UNASKED {
     @Override
     void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
       cut(cluster, machine, true, false, true, durationMs);
     }
   },
-  /** It can be asked and commanded, but reaches no controller by itself. */
+  /** Direct requests and commands reach the machine, but its own reports reach no controller. */
   MUTE {
     @Override
     void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
       cut(cluster, machine, false, true, false, durationMs);
     }
   },
-  /** It reports, and hears nothing. */
+  /** The machine reports, but receives neither answers nor commands. */
   DEAF {
     @Override
     void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
       machine.deafen(durationMs);
     }
   },
-  /** It hangs and goes on within its lease. */
+  /** The machine hangs and resumes within its lease. */
   HANG {
     @Override
     void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
       machine.hang(Math.min(durationMs, SimulatedCluster.LEASE_MS * 9 / 10));
     }
   },
-  /** It hangs past its lease, with its tasks on it. */
+  /** The machine hangs beyond its lease, with its tasks still on it. */
   STALL {
     @Override
     void inject(SimulatedCluster cluster, EmulatedWorker machine, long durationMs) {
--- a/src/test/java/dapplestair/world/MonotonicReadsChecker.java
+++ b/src/test/java/dapplestair/world/MonotonicReadsChecker.java
@@ -11,15 +11,15 @@
 import java.util.function.Consumer;
 
 /**
- * Holds each answer to a user, of any controller, against all that users had been answered about
- * that job when the question was asked: no answer may be older. It sees requests and answers on the
- * wire and knows nothing of the product.
+ * Compares each answer to a user, from any controller, with everything that users had been told
+ * about that job when the request was sent: no answer may be older. It observes requests and
+ * answers on the wire only, independently of the code under test.
  */
 final class MonotonicReadsChecker implements SimulatedNetwork.RequestInterceptor {
   private static final String SUBMISSIONS_PATH = "/submissions";
   private static final String CANCEL_SUFFIX = "/withdraw";
 
-  /** What users have been answered about one job so far. */
+  /** What users have been told about one job so far. */
   private record KnownState(boolean accepted, String finalStatus) {
     static final KnownState NOTHING = new KnownState(false, null);
 
@@ -43,13 +43,16 @@
 
   private final SimulatedCluster cluster;
   private final Map<String, KnownState> knownStates = new HashMap<>();
-  // Jobs that were submitted without a fault.
+  // Jobs that were submitted at least once without a fault in the body.
   private final Set<String> validJobs = new HashSet<>();
 
-  /** Told of a job and its state ("accepted", "done", "aborted") when a user first hears of it. */
+  /**
+   * Called with a job and its status ("accepted", "done", "aborted") when a user is first told of
+   * it.
+   */
   BiConsumer<String, String> firstReportListener = (ref, state) -> {};
 
-  /** Answers held against what had been known. */
+  /** Number of answers compared with what was known. */
   int checkedAnswers;
 
   MonotonicReadsChecker(SimulatedCluster cluster) {
@@ -134,12 +137,12 @@
 
   private void recordStatus(UserRequest question, String finalStatus) {
     KnownState knownBefore = knownStates.getOrDefault(question.ref, KnownState.NOTHING);
-    // Both are for ever, so the order of two such answers does not matter.
+    // Both statuses are final, so the order of two such answers does not matter.
     if (finalStatus != null
         && knownBefore.finalStatus != null
         && !knownBefore.finalStatus.equals(finalStatus)) {
       cluster.checker.reportViolation(
-          "went_back: " + question.ref + " is called both done and aborted");
+          "went_back: " + question.ref + " is reported both as done and as aborted");
     }
     knownStates.put(
         question.ref,
--- a/src/test/java/dapplestair/world/RandomFaults.java
+++ b/src/test/java/dapplestair/world/RandomFaults.java
@@ -3,7 +3,7 @@
 import dapplestair.emulator.EmulatedWorker;
 import java.util.List;
 
-/** Troubles of every kind at random times, alone and overlapping. */
+/** Injects faults of every kind at random times, alone and overlapping. */
 final class RandomFaults {
   static final long MAX_DURATION_MS = 25_000;
   private final SimulatedCluster cluster;
@@ -36,14 +36,14 @@
         : machines.get((int) cluster.sim.between(0, machines.size() - 1));
   }
 
-  /** One of any kind at this moment, those of late writes among them. */
+  /** Injects one random fault of any kind now, including late writes. */
   void injectAny() {
     inject((int) cluster.sim.between(0, 20));
   }
 
   /**
-   * One with machines, their reports or their commands; by itself, so that what {@link #injectAny}
-   * draws stays the same.
+   * Injects one random fault of machines, their reports or their commands. It is separate from
+   * {@link #injectAny}, so that the random draws of that method stay the same.
    */
   void injectMachineFault() {
     long durationMs = cluster.sim.between(2000, MAX_DURATION_MS);
@@ -146,7 +146,7 @@
             });
       }
       case 14, 15 -> {
-        // Orders are held back while reports still come through, and perhaps the sender ends.
+        // Commands are held back while reports still arrive, and the sender may crash.
         for (EmulatedWorker each : List.copyOf(cluster.cloud.machines())) {
           if (cluster.sim.chance(0.5)) {
             cut(name, each.endpoint(), true, cluster.sim.between(300, 6000));
@@ -158,7 +158,7 @@
         }
       }
       case 16 -> {
-        // Reports arrive; answers and commands don't.
+        // Reports arrive, but answers and commands do not.
         for (EmulatedWorker each : List.copyOf(cluster.cloud.machines())) {
           if (each == machine || cluster.sim.chance(0.1)) {
             each.deafen(durationMs);
@@ -171,7 +171,7 @@
       }
       case 18 -> isolateFromPeersAndState(node, holdMessages, durationMs);
       case 19 -> {
-        // Back within a fraction of a second, and perhaps gone again before it is ready.
+        // The node restarts within a fraction of a second and may crash again before it is ready.
         node.crash(cluster.sim.between(60, 500));
         if (cluster.sim.chance(0.5)) {
           cluster.sim.after(
@@ -191,7 +191,10 @@
     }
   }
 
-  /** It loses the state service and the other controllers, but neither workers nor users. */
+  /**
+   * Disconnects a node from the state service and the other controllers, but not from workers and
+   * users.
+   */
   void isolateFromPeersAndState(
       SimulatedCluster.ControllerNode node, boolean holdMessages, long durationMs) {
     String name = "node-" + node.index;
--- a/src/test/java/dapplestair/world/ReplacementCosts.java
+++ b/src/test/java/dapplestair/world/ReplacementCosts.java
@@ -14,8 +14,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What it costs to replace all workers under load, in the seeded world; started by hand. Times are
- * virtual: they hold what is decided and sent, not what a processor takes.
+ * Measures what it costs to replace all workers under load in the simulated cluster; started by
+ * hand. Times are virtual: they include decisions and messages, but no processor time.
  */
 public final class ReplacementCosts {
   private static final long SAMPLE_INTERVAL_MS = 500;
@@ -36,7 +36,10 @@
     }
   }
 
-  /** Prints the tables of docs/results.md: machines of each kind in each zone, services. */
+  /**
+   * Prints the tables of docs/results.md. Arguments: machines of each kind in each zone, number of
+   * services, and optionally {@code look}, {@code one} or another word for fewer strategies.
+   */
   public static void main(String[] args) {
     int machinesPerZone = args.length > 0 ? Integer.parseInt(args[0]) : 60;
     int services = args.length > 1 ? Integer.parseInt(args[1]) : 200;
@@ -64,7 +67,10 @@
         .forEachOrdered(System.out::println);
   }
 
-  /** Processor time of one scrape of the metrics, which looks at all attempts several times. */
+  /**
+   * Measures the processor time of one scrape of the metrics, which iterates over all attempts
+   * several times.
+   */
   private static void measureMetricsScrape(int machinesPerZone, int services) {
     SimulatedCluster cluster =
         startLoadedCluster(new Strategy(0.05, 0.1, true), machinesPerZone, services);
@@ -119,7 +125,7 @@
     return cluster;
   }
 
-  /** Arrays that save and arrays that do not, as long as the day lasts. */
+  /** Submits arrays, of which half save snapshots, for as long as {@code active[0]} is true. */
   static void submitLoad(SimulatedCluster cluster, boolean[] active) {
     if (!active[0]) {
       return;
--- a/src/test/java/dapplestair/world/ReplacementFault.java
+++ b/src/test/java/dapplestair/world/ReplacementFault.java
@@ -7,7 +7,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.StreamSupport;
 
-/** What goes wrong while workers are replaced. */
+/** Faults that are injected while workers are replaced. */
 enum ReplacementFault {
   LEADERS_END {
     @Override
@@ -160,7 +160,10 @@
 
   abstract void inject(SimulatedCluster cluster);
 
-  /** What a leader sends there is held back, and done when another one may lead. */
+  /**
+   * Holds back the requests of the current leader to {@code receiver} until another controller may
+   * lead.
+   */
   private static void delayRequestsOfLeader(SimulatedCluster cluster, String receiver) {
     if (cluster.leader() != null) {
       String sender = "node-" + cluster.leader().index;
@@ -170,7 +173,7 @@
     }
   }
 
-  /** The machines that are being emptied, by what is on record. */
+  /** Returns the machines that are being drained according to the recorded replacement order. */
   static List<EmulatedWorker> machinesBeingDrained(SimulatedCluster cluster) {
     JsonNode order = cluster.state.value("live/replace/night");
     Set<String> names =
--- a/src/test/java/dapplestair/world/RequestRaceRunner.java
+++ b/src/test/java/dapplestair/world/RequestRaceRunner.java
@@ -5,8 +5,8 @@
 import dapplestair.world.MonotonicReadsTest.Behind;
 
 /**
- * Plays more meetings of users' answers than a build has time for: {@code RequestRaceRunner FROM
- * TO} plays each kind with these seeds and prints each play that failed.
+ * Runs more request races than fit into a build: {@code RequestRaceRunner FROM TO} runs each kind
+ * with these seeds and prints each run that failed.
  */
 final class RequestRaceRunner {
   private static final long[] OFFSETS_MS = {0, 2, 8, 25, 90, 300, 1300};
--- a/src/test/java/dapplestair/world/SimulatedCluster.java
+++ b/src/test/java/dapplestair/world/SimulatedCluster.java
@@ -32,27 +32,30 @@
 import java.util.function.Supplier;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Controllers, as they are, in a world of stand-ins on virtual time. */
+/**
+ * The real controllers together with emulated workers, cloud, state service and users, all on
+ * virtual time and with seeded random numbers.
+ */
 final class SimulatedCluster {
   static final List<String> ZONES = List.of("a", "b", "c");
 
-  /** One zone has no controller. */
+  /** Zones of the controllers; zone c has none, so that a zone without a controller is covered. */
   static final List<String> NODE_ZONES = List.of("a", "b", "a");
 
   static final double MACHINE_CPUS = 8;
 
-  /** The one machine type. */
+  /** The only machine type, unless a test names others. */
   static final String MACHINE_TYPE = "t8";
 
   /**
-   * How large the world is.
+   * Size of the simulated cluster.
    *
-   * @param machinesPerZone machines that the cloud has of each kind in each zone
-   * @param guaranteedTeamCpus what each of the two teams is guaranteed; twice that is its limit
+   * @param machinesPerZone machines of each kind that the cloud offers in each zone
+   * @param guaranteedTeamCpus CPUs guaranteed to each of the two teams; twice that is its limit
    * @param meanArrivalIntervalMs mean time between submissions
-   * @param maxArrayTasks most tasks of an array
-   * @param writeRps puts a second that the state service takes, refusing more; 0 when only the
-   *     settings name a limit
+   * @param maxArrayTasks maximum number of tasks of an array
+   * @param writeRps puts per second that the state service accepts before it refuses; 0 when only
+   *     the settings name a limit
    */
   record Size(
       int machinesPerZone,
@@ -71,22 +74,22 @@
           machinesPerZone, guaranteedTeamCpus, meanArrivalIntervalMs, maxArrayTasks, perSecond);
     }
 
-    /** The limit that the controllers are told. */
+    /** Returns the write limit in the settings of the controllers. */
     double configuredWriteRps() {
       return writeRps > 0 ? writeRps : DEFAULT_WRITE_RPS;
     }
 
-    /** The limit that the state service keeps. */
+    /** Returns the write limit that the state service enforces. */
     double enforcedWriteRps() {
       return writeRps > 0 ? writeRps : Double.POSITIVE_INFINITY;
     }
 
     static final Size SMALL = new Size(4, 20, 2150, 12);
 
-    /** The shape of a grown deployment: hundreds of machines, thousands of tasks. */
+    /** A large deployment: hundreds of machines, thousands of tasks. */
     static final Size LARGE = new Size(60, 1200, 500, 150);
 
-    /** Some dozens of machines in each zone. */
+    /** A medium deployment: some dozens of machines in each zone. */
     static final Size MEDIUM = new Size(16, 300, 2150, 12);
 
     double maxTeamCpus() {
@@ -96,23 +99,26 @@
 
   final Size size;
 
-  /** Names of the machine types that the cloud has. */
+  /** Names of the machine types that the cloud offers. */
   final List<String> types;
 
   private final long seed;
   private final boolean operatorsServed;
 
-  /** Checked after each step besides the rules. */
+  /** Runs after each event, in addition to the checks of {@link InvariantChecker}. */
   Runnable extraCheck = () -> {};
 
-  /** What controllers are told by their operators from their next start on. */
+  /** Operator settings that a controller reads at its next start. */
   OperatorSettings operatorSettings;
 
-  /** Every world spreads its connections from this share on; less than 0: as the operators say. */
+  /**
+   * Overrides the relay threshold of the operator settings in every simulated cluster; a value
+   * below 0 leaves the settings as they are.
+   */
   private static final double RELAY_ABOVE =
       Double.parseDouble(System.getProperty("world.relayAbove", "-1"));
 
-  /** Controllers refuse each other's connections, though all of them live. */
+  /** True while controllers refuse connections from each other, although all of them run. */
   boolean peersRefuseConnections;
 
   static final long REPORT_INTERVAL_MS = 3000;
@@ -134,7 +140,8 @@
   }
 
   SimulatedCluster(long seed, Size size) {
-    // Operators are served on half of all days, so that both ways are played.
+    // Half of all seeds run with the operators' interface enabled, so that both configurations are
+    // tested.
     this(seed, size, seed % 2 == 0);
   }
 
@@ -147,12 +154,14 @@
     this(seed, size, operators, types, OperatorSettings.defaults());
   }
 
-  /** Controllers are told {@code operatorSettings} from their first start on. */
+  /**
+   * Creates a cluster whose controllers read {@code operatorSettings} from their first start on.
+   */
   SimulatedCluster(long seed, Size size, boolean operators, OperatorSettings operatorSettings) {
     this(seed, size, operators, List.of(machineType(MACHINE_TYPE)), operatorSettings);
   }
 
-  /** A type of machine like the usual one. */
+  /** Returns a machine type with this name and the resources of the usual one. */
   static EmulatorSettings.MachineSpec machineType(String name) {
     return new EmulatorSettings.MachineSpec(name, MACHINE_CPUS, 0, 64, 50, 1, 1, 0.4, 4);
   }
@@ -181,7 +190,8 @@
             CLOUD_LAG_MS,
             24,
             8192,
-            // Small pages and a short memory, so that listings take several and streams are lost.
+            // Small pages and a short change history, so that listings take several requests and
+            // watches lose their position.
             40,
             400,
             size.enforcedWriteRps());
@@ -210,7 +220,7 @@
     return users;
   }
 
-  /** Where operators ask a node. */
+  /** Returns the address of a node's interface for operators. */
   static String adminAddress(int node) {
     return "node-" + node + ":9090";
   }
@@ -254,13 +264,13 @@
         new Settings.Resources(0.425, 263, 1800));
   }
 
-  /** The node that leads by the state service's word, or null. */
+  /** Returns the node that the state service records as leader, or null. */
   ControllerNode leader() {
     var value = state.value("live/leader");
     return value == null ? null : nodes.get(memberIndex(value.path("member").asText()));
   }
 
-  /** Cuts a node and some machines off from everything else, for a while. */
+  /** Disconnects a node and some machines from everything else for a limited time. */
   void cutOff(
       ControllerNode node,
       Predicate<EmulatedWorker> machines,
@@ -269,7 +279,7 @@
     cutOff(List.of(node), machines, holdMessages, sim.now() + durationMs, new HashSet<>());
   }
 
-  /** Cuts a zone off from everything else, for a while. */
+  /** Disconnects a zone from everything else for a limited time. */
   void cutZone(String zone, boolean holdMessages, long durationMs) {
     List<ControllerNode> zoneNodes =
         nodes.stream().filter(n -> n.settings.zone().equals(zone)).toList();
@@ -300,11 +310,11 @@
     cloud.machines().forEach(m -> (machines.test(m) ? inside : outside).add(m.endpoint()));
     inside.forEach(a -> outside.forEach(b -> network.cut(a, b, holdMessages)));
     healActions.add(() -> inside.forEach(a -> outside.forEach(b -> network.heal(a, b))));
-    // Machines that are rented meanwhile are on one side of the cut as well.
+    // Repeats the cut, so that machines rented in the meantime are on one side of it, too.
     sim.after(400, () -> cutOff(cutNodes, machines, holdMessages, endMs, healActions));
   }
 
-  /** Runs for a while, checking the rules after each step. */
+  /** Advances virtual time by {@code durationMs} and checks the invariants after each event. */
   void run(long durationMs) {
     long endMs = sim.now() + durationMs;
     sim.runUntil(
@@ -318,7 +328,10 @@
         });
   }
 
-  /** Virtual time, seeded chance and the simulated network, as the emulated parts meet them. */
+  /**
+   * Connects the emulated components to virtual time, seeded random numbers and the simulated
+   * network.
+   */
   private final class SimulatedEnvironment implements EmulatorEnvironment {
     @Override
     public long now() {
@@ -386,13 +399,13 @@
     }
   }
 
-  /** A controller's machine: its process may end and begin again. */
+  /** A machine of a controller; the controller process on it may end and restart. */
   final class ControllerNode implements RequestHandler {
     final int index;
     final Settings settings;
     private ControllerProcess process;
 
-    /** Reports of workers that came to it. */
+    /** Number of worker reports that reached this node. */
     int reportsReceived;
 
     ControllerNode(int index) {
@@ -424,7 +437,7 @@
       }
     }
 
-    /** It hands over and ends, as for a new version. */
+    /** Hands over leadership and ends, as for a new version. */
     void shutDownGracefully(long restartDelayMs) {
       if (process != null) {
         process.controller.leave();
@@ -433,8 +446,8 @@
     }
 
     /**
-     * The process stands still while its clocks run on: what it was to do, and what comes for it,
-     * waits until then. Its connections are taken as before.
+     * Suspends the process while its clocks run on: its timers and incoming messages are delayed
+     * until it resumes. Connections to it are accepted as before.
      */
     void freeze(long durationMs) {
       if (process != null) {
@@ -442,7 +455,7 @@
       }
     }
 
-    /** What an operator asks, without the network between. */
+    /** Sends an operator request directly to the process, bypassing the simulated network. */
     void askAsOperator(String method, String path, Consumer<HttpReply> reply) {
       handleOperatorRequest("users", method, path, null, reply);
     }
@@ -495,7 +508,10 @@
     }
   }
 
-  /** One process: everything it set in motion ends with it, except what has left it. */
+  /**
+   * One controller process. When it ends, its timers and callbacks end with it; messages that it
+   * has already sent are still delivered.
+   */
   private final class ControllerProcess implements Clock, Timers, BackgroundExecutor, PeerNetwork {
     final ControllerNode node;
     final Controller controller;
@@ -565,7 +581,7 @@
       return () -> cancelled[0] = true;
     }
 
-    /** Runs it now, or when the process goes on. */
+    /** Runs the task now or, while the process is suspended, once it resumes. */
     void run(Runnable task) {
       if (dead) {
         return;
@@ -612,7 +628,7 @@
       reportRefusedConnections();
     }
 
-    /** A dead process's port refuses, as its peers soon notice. */
+    /** Reports connections that are refused because a peer's process has ended or refuses them. */
     private void reportRefusedConnections() {
       for (ControllerNode n : nodes) {
         if (n != node && (n.process == null || peersRefuseConnections)) {
--- a/src/test/java/dapplestair/world/SimulatedNetwork.java
+++ b/src/test/java/dapplestair/world/SimulatedNetwork.java
@@ -18,22 +18,23 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Carries requests between named places, with delay, and through cuts that drop or hold back. What
- * is held back arrives once the cut ends, even if nobody waits for an answer any more.
+ * Delivers requests between named addresses, with random delays and through cuts that drop or hold
+ * messages. Held messages arrive once the cut ends, even if their sender no longer waits for an
+ * answer.
  */
 final class SimulatedNetwork {
   private record Pair(String first, String second) {}
 
-  /** A request as it leaves its sender. */
+  /** A request at the time it is sent. */
   record Request(String from, String to, String method, String path, byte[] body) {
-    /** True for a command with an order of this kind. */
+    /** Returns true if this is a command to a worker that contains an order of this kind. */
     boolean hasOrder(String verb) {
       return path.equals("/orders")
           && Streams.stream(Json.parse(body).path("orders"))
               .anyMatch(o -> o.path("verb").asText().equals(verb));
     }
 
-    /** True for a transaction that writes a key with this prefix. */
+    /** Returns true if this is a transaction that writes a key with this prefix. */
     boolean putsKeyWithPrefix(String prefix) {
       return path.equals("/commit")
           && Streams.stream(Json.parse(body).path("writes"))
@@ -41,7 +42,7 @@
     }
   }
 
-  /** Commands are held up for between these times. */
+  /** Minimum delay of a command that is delayed at random. */
   static final long MIN_COMMAND_DELAY_MS = 2000;
 
   static final long MAX_COMMAND_DELAY_MS = 16_000;
@@ -51,33 +52,34 @@
   private final Map<Pair, List<Runnable>> heldMessages = new HashMap<>();
   private final Set<Pair> droppingPairs = new HashSet<>();
 
-  // Ordered pairs: what the first sends to the second is lost.
+  // Ordered pairs: messages from the first to the second are lost.
   private final Set<Pair> oneWayCuts = new HashSet<>();
-  // Machines without power, and who has noticed that its connection to one leads nowhere.
+  // Machines without power, and the pairs of which the sender has found that its connection to such
+  // a machine is broken.
   private final Set<String> poweredOff = new HashSet<>();
   private final Set<Pair> brokenConnectionsNoticed = new HashSet<>();
   double lossProbability = 0.001;
 
-  /** Slow links: up to so many milliseconds more for each message between these two. */
+  /** Maximum additional delay in milliseconds of each message on a slow link; 0 for none. */
   long maxExtraDelayMs;
 
   BiPredicate<String, String> isSlowLink = (a, b) -> true;
 
-  /** Share of requests of which a copy arrives late, and after how long at the most. */
+  /** Share of requests of which a copy arrives late, after at most {@link #maxCopyDelayMs}. */
   double copyProbability;
 
   long maxCopyDelayMs = 60_000;
 
   /**
-   * Share of transactions that get no answer and are carried out later, after newer ones of the
-   * same controller.
+   * Share of transactions that get no answer and are applied later, after newer ones of the same
+   * controller.
    */
   double lateWriteProbability;
 
-  /** What is done to the answers to transactions. */
+  /** Observes the answers to transactions and suppresses some of them. */
   final CommitInterceptor commits;
 
-  /** Sees each request on its way and may look at its answer. */
+  /** Sees each request when it is sent and may wrap the consumer of its answer. */
   interface RequestInterceptor {
     Consumer<HttpReply> intercept(
         String from, String method, String path, byte[] body, Consumer<HttpReply> done);
@@ -88,13 +90,13 @@
   /** Share of direct commands that get no answer and are carried out once, late. */
   double lateCommandProbability;
 
-  /** By how much a direct command is held up in the same way, or 0 if it is not. */
+  /** Returns by how much a direct command is delayed in the same way, or 0 for no delay. */
   ToLongFunction<Request> commandDelayMs = r -> 0;
 
-  /** Transactions that are late in that way for certain. */
+  /** Selects transactions that are always applied late without an answer. */
   Predicate<Request> isLateWrite = r -> false;
 
-  /** What was handed over late and taken or refused. */
+  /** Numbers of requests that were delivered late and accepted or rejected. */
   final AtomicInteger lateAccepted = new AtomicInteger();
 
   final AtomicInteger lateRejected = new AtomicInteger();
@@ -110,17 +112,19 @@
     handlers.put(name, handler);
   }
 
-  /** No power: what is connected hears nothing more, and nobody can connect. */
+  /** Switches a machine off: open connections deliver nothing more, and new connections fail. */
   void powerOff(String name) {
     poweredOff.add(name);
   }
 
-  /** Shows each request to {@code observer} as it leaves. */
+  /** Registers an observer that receives each request when it is sent. */
   void observe(Consumer<Request> observer) {
     observers.add(observer);
   }
 
-  /** Does something once, so many milliseconds after the first such request from now on. */
+  /**
+   * Runs a task once, {@code delayMs} after the first request from now on that meets the condition.
+   */
   void runAfterFirst(Predicate<Request> condition, long delayMs, Runnable task) {
     boolean[] seen = {false};
     observe(
@@ -144,7 +148,7 @@
     }
   }
 
-  /** Loses what one sends to the other; the way back is open. */
+  /** Drops messages from {@code from} to {@code to}; the opposite direction stays open. */
   void cutOneWay(String from, String to) {
     oneWayCuts.add(new Pair(from, to));
   }
@@ -264,7 +268,7 @@
         : commandDelayMs.applyAsLong(command);
   }
 
-  /** Hands a request to a place now; its sender does not hear the answer. */
+  /** Delivers a request now without passing the answer to its sender. */
   void deliverLate(Request request, String receiver) {
     RequestHandler handler = handlers.get(receiver);
     if (handler != null && !poweredOff.contains(receiver)) {
@@ -277,7 +281,10 @@
     }
   }
 
-  /** The same once more, much later and perhaps to another controller; nobody hears the answer. */
+  /**
+   * Delivers a copy of a request much later, possibly to another controller; its answer is
+   * discarded.
+   */
   private void sendLateCopy(String from, String to, String method, String path, byte[] body) {
     boolean isReroutedReport = path.equals("/agent/beat") && sim.chance(0.5);
     String receiver =
@@ -293,8 +300,8 @@
   }
 
   /**
-   * One-way message; {@code peerRequestOrAnswer} when it is a question among controllers, or an
-   * answer.
+   * Sends a one-way message; {@code peerRequestOrAnswer} is true for a request between controllers
+   * or the answer to one.
    */
   void send(String from, String to, boolean peerRequestOrAnswer, Runnable onArrival) {
     deliver(peerRequestOrAnswer ? sim.controllerRequestRandom : sim.random, from, to, onArrival);
--- a/src/test/java/dapplestair/world/SimulatedUsers.java
+++ b/src/test/java/dapplestair/world/SimulatedUsers.java
@@ -9,9 +9,12 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Users who submit, poll and cancel, repeat what failed, and remember what they were told. */
+/**
+ * Simulates users who submit, poll and cancel jobs, retry failed requests, and report every status
+ * that they are told to {@link InvariantChecker}.
+ */
 final class SimulatedUsers {
-  /** A job with all that any user was told of it. */
+  /** A job with everything that any user was told about it. */
   static final class KnownJob {
     final String ref;
     final JsonNode body;
@@ -32,16 +35,17 @@
     long abortedAtMs;
     long lastAnswerMs;
 
-    /** Somebody asks about it again and again. */
+    /** True while a user polls the job. */
     boolean polled;
 
-    /** Since when, if somebody does. */
+    /** Start of the current polling; meaningful only while {@link #polled} is true. */
     long polledSinceMs;
 
-    // Starts that may yet turn out to be none, by task; empty once one has counted.
+    // Starts that do not count yet because the task may still be stopped within 30 s, by task;
+    // empty once one start has counted.
     private final Map<String, Long> provisionalStarts = new HashMap<>();
 
-    // Starts that were stopped by command so soon that they are none, unless the task completes.
+    // Starts that were stopped by command within 30 s; they do not count unless the task completes.
     private final Map<String, Long> stoppedStarts = new HashMap<>();
     private long begunAtMs = -1;
 
@@ -53,7 +57,7 @@
       }
     }
 
-    /** A start that is stopped by command within 30 s is none. */
+    /** Records a stop by command; a start that is stopped within 30 s does not count. */
     void taskStopped(String key, long now) {
       confirmLastingStart(now);
       Long startedAt = begunAtMs < 0 ? provisionalStarts.remove(key) : null;
@@ -62,7 +66,10 @@
       }
     }
 
-    /** A task that completes while it saves has begun: nobody starts it again. */
+    /**
+     * Records a completion. A task that completes while it saves has begun, since nobody starts it
+     * again.
+     */
     void taskCompleted(String key) {
       Long startedAt = stoppedStarts.get(key);
       if (begunAtMs < 0 && startedAt != null) {
@@ -82,7 +89,9 @@
               });
     }
 
-    /** When it began, or -1. */
+    /**
+     * Returns the time of the job's first start that counts, or of one that may still count, or -1.
+     */
     long begunAtMs() {
       return begunAtMs >= 0
           ? begunAtMs
@@ -93,7 +102,7 @@
       return taskCount * cpus;
     }
 
-    /** True when its user allows machines of this type. */
+    /** Returns true if the job's user allows machines of this type. */
     boolean allowsType(String type) {
       JsonNode types = body.path("hulls");
       if (!types.isArray()) {
@@ -128,18 +137,19 @@
   private int createdJobs;
   boolean submissionsStopped;
 
-  /** No random jobs are submitted before. */
+  /** No random jobs are submitted before this time. */
   long pausedUntilMs;
 
-  /** Share of arrays that are cancelled within seconds. */
+  /** Share of random arrays that are cancelled within seconds of their submission. */
   double cancelledArrayShare = 0.15;
 
   /**
-   * By the operators' letter, no job may go without an answer for longer once troubles are over.
+   * Maximum time for which questions about a job may go unanswered once faults are over, as the
+   * operators require.
    */
   static final long MAX_UNANSWERED_MS = 75_000;
 
-  /** Since when there have been no troubles. */
+  /** Time since which no faults are injected. */
   long faultsEndedAtMs = Long.MAX_VALUE / 2;
 
   SimulatedUsers(SimulatedCluster cluster) {
@@ -151,7 +161,8 @@
 
   private void checkPollsAnswered() {
     for (KnownJob job : jobs.values()) {
-      // A question counts from when it was asked: late retries ask anew about jobs long over.
+      // Time counts from the start of polling: late retries poll again for jobs that ended long
+      // ago.
       long unansweredSinceMs =
           Math.max(faultsEndedAtMs, Math.max(job.lastAnswerMs, job.polledSinceMs));
       if (job.accepted && job.polled && cluster.sim.now() - unansweredSinceMs > MAX_UNANSWERED_MS) {
@@ -207,12 +218,15 @@
     }
   }
 
-  /** Submits one array of two-CPU tasks that never save, besides the random ones. */
+  /** Submits one array of two-CPU tasks that never save, in addition to the random jobs. */
   KnownJob submitArray(String team, String rank, int taskCount, double runS) {
     return submitModifiedArray(team, taskCount, runS, b -> b.put("rank", rank));
   }
 
-  /** Submits one service of one-CPU replicas, spread over zones, besides the random ones. */
+  /**
+   * Submits one service of one-CPU replicas that are spread over zones, in addition to the random
+   * jobs.
+   */
   KnownJob submitService(String team, int replicas) {
     return submitModifiedArray(
         team,
@@ -227,7 +241,7 @@
                 .put("loaners", false));
   }
 
-  /** Submits one such array, changed by the test. */
+  /** Submits one array of two-CPU tasks that never save, modified by the test. */
   KnownJob submitModifiedArray(
       String team, int taskCount, double runS, Consumer<ObjectNode> modifier) {
     ObjectNode body =
@@ -264,8 +278,8 @@
     if (job.submittedAtMs == 0) {
       job.submittedAtMs = cluster.sim.now();
     }
-    // Answers are held against what had been told when the question was asked: two questions at
-    // once may be answered in either order.
+    // Answers are compared with what was known when the request was sent: two concurrent requests
+    // may be answered in either order.
     String finalStatusWhenAsked = job.finalStatus();
     callRandomNode(
         "POST",
@@ -280,12 +294,13 @@
             }
             checkReportedStatus(job, finalStatusWhenAsked, r);
             if (cluster.sim.chance(0.1)) {
-              // A retry that comes much later.
+              // Submits the job again much later, as a delayed retry.
               cluster.sim.after(cluster.sim.between(1000, 90_000), () -> submit(job, 0));
             }
             cluster.sim.after(5000, () -> poll(job));
           } else if (r.status() == 400 || r.status() == 422) {
-            cluster.checker.reportViolation("forgotten: " + job.ref + " is answered " + r.status());
+            cluster.checker.reportViolation(
+                "forgotten: " + job.ref + " is rejected with " + r.status());
           } else if (cluster.sim.now() < retryUntilMs || job.accepted) {
             cluster.sim.after(1000 + cluster.sim.between(0, 500), () -> submit(job, retryUntilMs));
           }
@@ -318,7 +333,7 @@
         });
   }
 
-  /** Cancels through one controller, once; what it answers counts like any other answer. */
+  /** Cancels through one controller, once; its answer is checked like any other. */
   void cancelAt(KnownJob job, SimulatedCluster.ControllerNode node) {
     cancelAt(job, SimulatedCluster.clientAddress(node.index), () -> {});
   }
@@ -366,7 +381,7 @@
         2000,
         r -> {
           if (r.status() == 200) {
-            cluster.checker.reportViolation("invented: a job nobody submitted");
+            cluster.checker.reportViolation("invented: a job that nobody submitted is reported");
           }
           cluster.sim.after(7000, this::requestUnknownJob);
         });
