--- a/src/test/java/dapplestair/world/ConcurrentReaders.java
+++ b/src/test/java/dapplestair/world/ConcurrentReaders.java
@@ -38,7 +38,7 @@
           () ->
               cluster.nodes.forEach(
                   n -> {
-                    ask(job, n);
+                    poll(job, n);
                     if (submitsAgain) {
                       submitAgain(job, n);
                     }
@@ -47,7 +47,7 @@
   }
 
   /** Polls the status of a job. */
-  void ask(SimulatedUsers.KnownJob job, SimulatedCluster.ControllerNode node) {
+  void poll(SimulatedUsers.KnownJob job, SimulatedCluster.ControllerNode node) {
     call(job, node, "GET", "/submissions/" + job.ref, null, POLL_TIMEOUT_MS);
   }
 
--- a/src/test/java/dapplestair/world/DelayedReports.java
+++ b/src/test/java/dapplestair/world/DelayedReports.java
@@ -22,19 +22,19 @@
 
   private final SimulatedCluster cluster;
   private final long retentionMs;
-  private final double share;
+  private final double keptShare;
   private final ArrayDeque<KeptReport> keptReports = new ArrayDeque<>();
 
   /** Keeps this share of the reports of the last {@code retentionMs}. */
   DelayedReports(SimulatedCluster cluster, double share, long retentionMs) {
     this.cluster = cluster;
-    this.share = share;
+    this.keptShare = share;
     this.retentionMs = retentionMs;
     cluster.network.observe(this::keep);
   }
 
   private void keep(SimulatedNetwork.Request request) {
-    if (request.path().equals("/agent/beat") && (share >= 1 || cluster.sim.chance(share))) {
+    if (request.path().equals("/agent/beat") && (keptShare >= 1 || cluster.sim.chance(keptShare))) {
       keptReports.add(new KeptReport(cluster.sim.now(), request));
     }
     while (!keptReports.isEmpty()
@@ -49,19 +49,19 @@
    */
   void deliverAfterLeaderChange(Arrival arrival, boolean toAllControllers, long withinMs) {
     List<KeptReport> copies = new ArrayList<>(keptReports);
-    long termBefore = term();
+    long termBefore = currentTerm();
     Predicate<SimulatedNetwork.Request> isNewLeaderActive =
-        r ->
-            r.path().equals("/orders")
-                && term() > termBefore
+        request ->
+            request.path().equals("/orders")
+                && currentTerm() > termBefore
                 && cluster.leader() != null
-                && r.from().equals("node-" + cluster.leader().index)
-                && (arrival == Arrival.BEGUN || r.hasOrder("launch"));
+                && request.from().equals("node-" + cluster.leader().index)
+                && (arrival == Arrival.BEGUN || request.hasOrder("launch"));
     cluster.network.runAfterFirst(
         isNewLeaderActive, 0, () -> copies.forEach(c -> send(c, toAllControllers, withinMs)));
   }
 
-  private long term() {
+  private long currentTerm() {
     return cluster.state.value("live/term").path("term").asLong();
   }
 
--- a/src/test/java/dapplestair/world/FailureDetectionTimes.java
+++ b/src/test/java/dapplestair/world/FailureDetectionTimes.java
@@ -36,8 +36,8 @@
     measureFailover("all controllers end, back after 1.5 s", true);
     System.out.println(
         "| machines lost | replicas lost | half back after | all back after | replica s |");
-    for (int lost : new int[] {10, 40, 160, 640}) {
-      measureMachineLoss(lost);
+    for (int machinesToEnd : new int[] {10, 40, 160, 640}) {
+      measureMachineLoss(machinesToEnd);
     }
   }
 
@@ -159,11 +159,11 @@
       cluster.run(1000);
     }
     cluster.run(180_000);
-    long done =
+    long completedGuestJobs =
         cluster.users.jobs.values().stream().filter(j -> j.team.equals("guest") && j.done).count();
     printRow(
         "guests: %s; %d puts beside %d arrays, %d guests done; arrays' first task"
-            .formatted(label, cluster.state.puts() - putsBefore, arrays, done),
+            .formatted(label, cluster.state.puts() - putsBefore, arrays, completedGuestJobs),
         waitsMs);
   }
 
--- a/src/test/java/dapplestair/world/IdleCapacity.java
+++ b/src/test/java/dapplestair/world/IdleCapacity.java
@@ -90,12 +90,12 @@
     Map<EmulatedWorker, FreeResources> idleByMachine = idleResources();
     Occupancy occupancy = currentOccupancy();
     for (SimulatedUsers.KnownJob job : cluster.users.jobs.values()) {
-      boolean waitsBesideIdleRoom =
+      boolean waitsDespiteIdleMachine =
           hasWaitingTask(job, occupancy)
               && isWithinTeamLimit(job, occupancy)
               && fitsIdleMachines(job, occupancy, idleByMachine);
       Waiting waitingBefore = waitingJobs.get(job);
-      if (!waitsBesideIdleRoom) {
+      if (!waitsDespiteIdleMachine) {
         waitingJobs.remove(job);
       } else if (waitingBefore == null || waitingBefore.starts != job.starts) {
         waitingJobs.put(job, new Waiting(cluster.sim.now(), job.starts));
@@ -198,9 +198,9 @@
       fittingByZone.replaceAll(
           (zone, tasks) -> Math.min(tasks, maxPerZone - jobTasksByZone.getOrDefault(zone, 0)));
     }
-    boolean together = job.body.path("together").asBoolean();
+    boolean sameZoneRequired = job.body.path("together").asBoolean();
     int fittingTasks =
-        together
+        sameZoneRequired
             ? fittingByZone.values().stream().mapToInt(n -> n).max().orElse(0)
             : fittingByZone.values().stream().mapToInt(n -> n).sum();
     return fittingTasks >= tasksNeededAtOnce(job);
--- a/src/test/java/dapplestair/world/InvalidJob.java
+++ b/src/test/java/dapplestair/world/InvalidJob.java
@@ -84,7 +84,7 @@
         && (!job.path("basin").isTextual()
             || SimulatedCluster.ZONES.contains(job.path("basin").asText()))
         && (!job.path("hulls").isArray()
-            || !Collections.disjoint(allowedTypes(job), cluster.types));
+            || !Collections.disjoint(allowedTypes(job), cluster.machineTypes));
   }
 
   private static Set<String> allowedTypes(JsonNode job) {
--- a/src/test/java/dapplestair/world/LastTaskEndTest.java
+++ b/src/test/java/dapplestair/world/LastTaskEndTest.java
@@ -115,7 +115,7 @@
       for (SimulatedCluster.ControllerNode n : w.nodes) {
         if (kind == 2 || (n.index == leader) == (kind == 0)) {
           w.users.cancelAt(job, n);
-          readers.ask(job, n);
+          readers.poll(job, n);
           readers.submitAgain(job, n);
         }
       }
--- a/src/test/java/dapplestair/world/LatencyReport.java
+++ b/src/test/java/dapplestair/world/LatencyReport.java
@@ -87,14 +87,14 @@
   }
 
   private static long measureRiderStartMs(int seed, boolean useLane, boolean crashLeader) {
-    Lane gate =
+    Lane gateLane =
         new Lane(
             "gate", Set.of("gate"), Set.of(), Set.of("settle"), Rank.HIGH, Rank.STANDARD, 0, 2000);
     SimulatedCluster cluster =
         startCluster(
             seed,
             useLane
-                ? OperatorSettings.defaults().withLanes(List.of(gate))
+                ? OperatorSettings.defaults().withLanes(List.of(gateLane))
                 : OperatorSettings.defaults());
     for (int i = 0; i < 12; i++) {
       cluster.users.submitModifiedArray(
--- a/src/test/java/dapplestair/world/ReplacementCosts.java
+++ b/src/test/java/dapplestair/world/ReplacementCosts.java
@@ -63,7 +63,7 @@
     System.out.println(
         "| way | machines | minutes | replica s out | worst 30 s | CPU s thrown away | money | puts |");
     strategies.parallelStream()
-        .map(w -> replaceAll(w, machinesPerZone, services))
+        .map(w -> replaceAllMachines(w, machinesPerZone, services))
         .forEachOrdered(System.out::println);
   }
 
@@ -141,7 +141,7 @@
     cluster.sim.after(4000, () -> submitLoad(cluster, active));
   }
 
-  private static String replaceAll(Strategy strategy, int machinesPerZone, int services) {
+  private static String replaceAllMachines(Strategy strategy, int machinesPerZone, int services) {
     SimulatedCluster cluster = startLoadedCluster(strategy, machinesPerZone, services);
     Set<String> oldMachineIds = ReplacementTest.machines(cluster);
     long putsBefore = cluster.state.puts();
--- a/src/test/java/dapplestair/world/ReplacementFault.java
+++ b/src/test/java/dapplestair/world/ReplacementFault.java
@@ -40,12 +40,12 @@
   OLD_IS_CUT_OFF {
     @Override
     void inject(SimulatedCluster cluster) {
-      boolean hold = cluster.sim.chance(0.5);
+      boolean holdMessages = cluster.sim.chance(0.5);
       for (EmulatedWorker machine : machinesBeingDrained(cluster)) {
-        for (SimulatedCluster.ControllerNode n : cluster.nodes) {
+        for (SimulatedCluster.ControllerNode node : cluster.nodes) {
           for (String address :
-              List.of("node-" + n.index, SimulatedCluster.clientAddress(n.index))) {
-            cluster.network.cut(address, machine.endpoint(), hold);
+              List.of("node-" + node.index, SimulatedCluster.clientAddress(node.index))) {
+            cluster.network.cut(address, machine.endpoint(), holdMessages);
             cluster.sim.after(9000, () -> cluster.network.heal(address, machine.endpoint()));
           }
         }
@@ -75,10 +75,10 @@
     @Override
     void inject(SimulatedCluster cluster) {
       for (EmulatedWorker machine : machinesBeingDrained(cluster)) {
-        for (SimulatedCluster.ControllerNode n : cluster.nodes) {
-          cluster.network.cutOneWay(machine.endpoint(), "node-" + n.index);
+        for (SimulatedCluster.ControllerNode node : cluster.nodes) {
+          cluster.network.cutOneWay(machine.endpoint(), "node-" + node.index);
           cluster.sim.after(
-              4000, () -> cluster.network.healOneWay(machine.endpoint(), "node-" + n.index));
+              4000, () -> cluster.network.healOneWay(machine.endpoint(), "node-" + node.index));
         }
       }
     }
--- a/src/test/java/dapplestair/world/SimulatedCluster.java
+++ b/src/test/java/dapplestair/world/SimulatedCluster.java
@@ -65,8 +65,12 @@
       double writeRps) {
     private static final double DEFAULT_WRITE_RPS = 50;
 
-    Size(int perPlace, double teamCpus, long arrivalsEveryMs, int steps) {
-      this(perPlace, teamCpus, arrivalsEveryMs, steps, 0);
+    Size(
+        int machinesPerZone,
+        double guaranteedTeamCpus,
+        long meanArrivalIntervalMs,
+        int maxArrayTasks) {
+      this(machinesPerZone, guaranteedTeamCpus, meanArrivalIntervalMs, maxArrayTasks, 0);
     }
 
     Size withWriteRps(double perSecond) {
@@ -100,7 +104,7 @@
   final Size size;
 
   /** Names of the machine types that the cloud offers. */
-  final List<String> types;
+  final List<String> machineTypes;
 
   private final long seed;
   private final boolean operatorsServed;
@@ -145,20 +149,26 @@
     this(seed, size, seed % 2 == 0);
   }
 
-  SimulatedCluster(long seed, Size size, boolean operators) {
-    this(seed, size, operators, List.of(machineType(MACHINE_TYPE)), OperatorSettings.defaults());
+  SimulatedCluster(long seed, Size size, boolean operatorsServed) {
+    this(
+        seed,
+        size,
+        operatorsServed,
+        List.of(machineType(MACHINE_TYPE)),
+        OperatorSettings.defaults());
   }
 
   SimulatedCluster(
-      long seed, Size size, boolean operators, List<EmulatorSettings.MachineSpec> types) {
-    this(seed, size, operators, types, OperatorSettings.defaults());
+      long seed, Size size, boolean operatorsServed, List<EmulatorSettings.MachineSpec> types) {
+    this(seed, size, operatorsServed, types, OperatorSettings.defaults());
   }
 
   /**
    * Creates a cluster whose controllers read {@code operatorSettings} from their first start on.
    */
-  SimulatedCluster(long seed, Size size, boolean operators, OperatorSettings operatorSettings) {
-    this(seed, size, operators, List.of(machineType(MACHINE_TYPE)), operatorSettings);
+  SimulatedCluster(
+      long seed, Size size, boolean operatorsServed, OperatorSettings operatorSettings) {
+    this(seed, size, operatorsServed, List.of(machineType(MACHINE_TYPE)), operatorSettings);
   }
 
   /** Returns a machine type with this name and the resources of the usual one. */
@@ -169,13 +179,13 @@
   private SimulatedCluster(
       long seed,
       Size size,
-      boolean operators,
+      boolean operatorsServed,
       List<EmulatorSettings.MachineSpec> machineTypes,
       OperatorSettings operatorSettings) {
     this.operatorSettings = operatorSettings;
     this.seed = seed;
-    this.types = machineTypes.stream().map(EmulatorSettings.MachineSpec::name).toList();
-    this.operatorsServed = operators;
+    this.machineTypes = machineTypes.stream().map(EmulatorSettings.MachineSpec::name).toList();
+    this.operatorsServed = operatorsServed;
     this.size = size;
     sim = new EventSimulator(seed);
     network = new SimulatedNetwork(sim);
@@ -301,15 +311,18 @@
       healActions.forEach(Runnable::run);
       return;
     }
-    Set<String> inside = new LinkedHashSet<>();
-    Set<String> outside = new LinkedHashSet<>(List.of("state:1", "cloud:1", "users"));
-    for (ControllerNode n : nodes) {
-      (cutNodes.contains(n) ? inside : outside)
-          .addAll(List.of("node-" + n.index, clientAddress(n.index)));
-    }
-    cloud.machines().forEach(m -> (machines.test(m) ? inside : outside).add(m.endpoint()));
-    inside.forEach(a -> outside.forEach(b -> network.cut(a, b, holdMessages)));
-    healActions.add(() -> inside.forEach(a -> outside.forEach(b -> network.heal(a, b))));
+    Set<String> insideAddresses = new LinkedHashSet<>();
+    Set<String> outsideAddresses = new LinkedHashSet<>(List.of("state:1", "cloud:1", "users"));
+    for (ControllerNode node : nodes) {
+      (cutNodes.contains(node) ? insideAddresses : outsideAddresses)
+          .addAll(List.of("node-" + node.index, clientAddress(node.index)));
+    }
+    cloud
+        .machines()
+        .forEach(m -> (machines.test(m) ? insideAddresses : outsideAddresses).add(m.endpoint()));
+    insideAddresses.forEach(a -> outsideAddresses.forEach(b -> network.cut(a, b, holdMessages)));
+    healActions.add(
+        () -> insideAddresses.forEach(a -> outsideAddresses.forEach(b -> network.heal(a, b))));
     // Repeats the cut, so that machines rented in the meantime are on one side of it, too.
     sim.after(400, () -> cutOff(cutNodes, machines, holdMessages, endMs, healActions));
   }
@@ -428,9 +441,9 @@
       if (process != null) {
         process.dead = true;
         process = null;
-        for (ControllerNode n : nodes) {
-          if (n.process != null) {
-            n.process.listener.linkDown("node-" + index);
+        for (ControllerNode node : nodes) {
+          if (node.process != null) {
+            node.process.listener.linkDown("node-" + index);
           }
         }
         sim.after(restartDelayMs, this::start);
@@ -630,9 +643,9 @@
 
     /** Reports connections that are refused because a peer's process has ended or refuses them. */
     private void reportRefusedConnections() {
-      for (ControllerNode n : nodes) {
-        if (n != node && (n.process == null || peersRefuseConnections)) {
-          listener.connectionRefused("node-" + n.index);
+      for (ControllerNode peerNode : nodes) {
+        if (peerNode != node && (peerNode.process == null || peersRefuseConnections)) {
+          listener.connectionRefused("node-" + peerNode.index);
         }
       }
       after(200, this::reportRefusedConnections);
--- a/src/test/java/dapplestair/world/SimulatedNetwork.java
+++ b/src/test/java/dapplestair/world/SimulatedNetwork.java
@@ -50,7 +50,7 @@
   private final EventSimulator sim;
   private final Map<String, RequestHandler> handlers = new HashMap<>();
   private final Map<Pair, List<Runnable>> heldMessages = new HashMap<>();
-  private final Set<Pair> droppingPairs = new HashSet<>();
+  private final Set<Pair> droppedPairs = new HashSet<>();
 
   // Ordered pairs: messages from the first to the second are lost.
   private final Set<Pair> oneWayCuts = new HashSet<>();
@@ -144,7 +144,7 @@
     if (holdMessages) {
       heldMessages.putIfAbsent(pair(a, b), new ArrayList<>());
     } else {
-      droppingPairs.add(pair(a, b));
+      droppedPairs.add(pair(a, b));
     }
   }
 
@@ -158,7 +158,7 @@
   }
 
   void heal(String a, String b) {
-    droppingPairs.remove(pair(a, b));
+    droppedPairs.remove(pair(a, b));
     List<Runnable> released = heldMessages.remove(pair(a, b));
     if (released != null) {
       released.forEach(r -> sim.after(sim.between(1, 40), r));
@@ -171,7 +171,7 @@
 
   private void deliver(SplittableRandom random, String a, String b, Runnable onArrival) {
     Pair pair = pair(a, b);
-    if (droppingPairs.contains(pair)
+    if (droppedPairs.contains(pair)
         || oneWayCuts.contains(new Pair(a, b))
         || random.nextDouble() < lossProbability) {
       return;
@@ -191,7 +191,7 @@
           List<Runnable> heldOnArrival = heldMessages.get(pair);
           if (heldOnArrival != null) {
             heldOnArrival.add(onArrival);
-          } else if (!droppingPairs.contains(pair)) {
+          } else if (!droppedPairs.contains(pair)) {
             onArrival.run();
           }
         });
@@ -252,9 +252,9 @@
                 method,
                 path,
                 body,
-                r -> {
-                  if (!commits.losesAnswer(from, path, body, r)) {
-                    deliver(to, from, () -> replyOnce.accept(r));
+                reply -> {
+                  if (!commits.losesAnswer(from, path, body, reply)) {
+                    deliver(to, from, () -> replyOnce.accept(reply));
                   }
                 });
           }
--- a/src/test/java/dapplestair/world/SimulatedUsers.java
+++ b/src/test/java/dapplestair/world/SimulatedUsers.java
@@ -21,7 +21,7 @@
     final int taskCount;
     final double cpus;
     final boolean service;
-    final double runS;
+    final double expectedRunS;
     final String team;
     final String jobClass;
     boolean accepted;
@@ -126,7 +126,7 @@
       this.taskCount = body.path("steps").asInt();
       this.cpus = body.path("vcpus").asDouble();
       this.service = body.path("shape").asText().equals("daemon");
-      this.runS = body.path("guessS").asDouble();
+      this.expectedRunS = body.path("guessS").asDouble();
       this.team = body.path("owner").asText();
       this.jobClass = body.path("jobclass").asText();
     }
@@ -286,21 +286,21 @@
         "/submissions",
         Json.bytes(job.body),
         5000,
-        r -> {
-          if (r.status() == 201 || r.status() == 200) {
+        reply -> {
+          if (reply.status() == 201 || reply.status() == 200) {
             if (!job.accepted) {
               job.accepted = true;
               job.acceptedAtMs = cluster.sim.now();
             }
-            checkReportedStatus(job, finalStatusWhenAsked, r);
+            checkReportedStatus(job, finalStatusWhenAsked, reply);
             if (cluster.sim.chance(0.1)) {
               // Submits the job again much later, as a delayed retry.
               cluster.sim.after(cluster.sim.between(1000, 90_000), () -> submit(job, 0));
             }
             cluster.sim.after(5000, () -> poll(job));
-          } else if (r.status() == 400 || r.status() == 422) {
+          } else if (reply.status() == 400 || reply.status() == 422) {
             cluster.checker.reportViolation(
-                "forgotten: " + job.ref + " is rejected with " + r.status());
+                "forgotten: " + job.ref + " is rejected with " + reply.status());
           } else if (cluster.sim.now() < retryUntilMs || job.accepted) {
             cluster.sim.after(1000 + cluster.sim.between(0, 500), () -> submit(job, retryUntilMs));
           }
@@ -318,12 +318,12 @@
         "/submissions/" + job.ref,
         null,
         2000,
-        r -> {
-          if (r.status() == 404) {
+        reply -> {
+          if (reply.status() == 404) {
             cluster.checker.reportViolation("forgotten: " + job.ref + " gets 404");
-          } else if (r.status() == 200) {
+          } else if (reply.status() == 200) {
             job.lastAnswerMs = cluster.sim.now();
-            checkReportedStatus(job, finalStatusWhenAsked, r);
+            checkReportedStatus(job, finalStatusWhenAsked, reply);
           }
           if (!job.done && !job.aborted || cluster.sim.chance(0.7)) {
             cluster.sim.after(cluster.sim.between(4000, 6000), () -> poll(job));
@@ -348,10 +348,10 @@
         "/submissions/" + job.ref + "/withdraw",
         null,
         5000,
-        r -> {
-          if (r.status() == 200) {
-            checkReportedStatus(job, finalStatusWhenAsked, r);
-          } else if (r.status() == 404) {
+        reply -> {
+          if (reply.status() == 200) {
+            checkReportedStatus(job, finalStatusWhenAsked, reply);
+          } else if (reply.status() == 404) {
             cluster.checker.reportViolation("forgotten: cancelling " + job.ref + " gets 404");
           } else {
             onFailure.run();
@@ -379,8 +379,8 @@
         "/submissions/zz-" + cluster.sim.between(1, 99),
         null,
         2000,
-        r -> {
-          if (r.status() == 200) {
+        reply -> {
+          if (reply.status() == 200) {
             cluster.checker.reportViolation("invented: a job that nobody submitted is reported");
           }
           cluster.sim.after(7000, this::requestUnknownJob);
@@ -388,8 +388,8 @@
   }
 
   private void callRandomNode(
-      String method, String path, byte[] body, long timeout, Consumer<HttpReply> done) {
-    cluster.network.call("users", randomClientAddress(), method, path, body, timeout, done);
+      String method, String path, byte[] body, long timeoutMs, Consumer<HttpReply> done) {
+    cluster.network.call("users", randomClientAddress(), method, path, body, timeoutMs, done);
   }
 
   private void checkReportedStatus(KnownJob job, String finalStatusWhenAsked, HttpReply reply) {
