--- a/src/test/java/dapplestair/world/FailureDetectionTimes.java
+++ b/src/test/java/dapplestair/world/FailureDetectionTimes.java
@@ -11,7 +11,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures in the simulated cluster how long failures affect users; started by hand. Times are
+ * Measures in the simulated cluster how long failures are noticeable; started by hand. Times are
  * virtual: they include decisions and messages, but no processor time.
  */
 public final class FailureDetectionTimes {
--- a/src/test/java/dapplestair/world/LeaderChange.java
+++ b/src/test/java/dapplestair/world/LeaderChange.java
@@ -40,7 +40,7 @@
           });
     }
   },
-  /** The leader's process is suspended until its lease has expired. */
+  /** The leader's process is suspended for so long that its lease expires. */
   FROZEN {
     @Override
     void inject(SimulatedCluster cluster, SimulatedCluster.ControllerNode leader) {
--- a/src/test/java/dapplestair/world/SimulatedNetwork.java
+++ b/src/test/java/dapplestair/world/SimulatedNetwork.java
@@ -45,6 +45,7 @@
   /** Minimum delay of a command that is delayed at random. */
   static final long MIN_COMMAND_DELAY_MS = 2000;
 
+  /** Maximum delay of a command that is delayed at random. */
   static final long MAX_COMMAND_DELAY_MS = 16_000;
 
   private final EventSimulator sim;
@@ -96,9 +97,10 @@
   /** Selects transactions that are always applied late without an answer. */
   Predicate<Request> isLateWrite = r -> false;
 
-  /** Numbers of requests that were delivered late and accepted or rejected. */
+  /** Number of requests that were delivered late and accepted. */
   final AtomicInteger lateAccepted = new AtomicInteger();
 
+  /** Number of requests that were delivered late and rejected. */
   final AtomicInteger lateRejected = new AtomicInteger();
 
   private final List<Consumer<Request>> observers = new ArrayList<>();
