--- a/src/test/java/dapplestair/world/InvariantChecker.java
+++ b/src/test/java/dapplestair/world/InvariantChecker.java
@@ -35,14 +35,10 @@
   private final Map<String, Set<String>> stoppedReplicas = new HashMap<>();
   final Map<String, Integer> maxStoppedReplicas = new HashMap<>();
 
-  /**
-   * CPU seconds of array work that were lost because tasks were stopped before saving it, by team.
-   */
+  /** CPU seconds of array work that were lost because tasks stopped before saving, by team. */
   final Map<String, Double> lostCpuSeconds = new HashMap<>();
 
-  /**
-   * Maximum number of replicas of a team that may be stopped by choice; null disables the check.
-   */
+  /** Maximum number of replicas of a team stopped by choice; null disables the check. */
   ToIntFunction<String> teamDisruptionBudget;
 
   /** Maximum number of replicas of one job that may be stopped by choice. */
@@ -175,10 +171,7 @@
     }
   }
 
-  /**
-   * Runs after each event. Tasks that start after a job's cancellation deadline are detected by
-   * {@link #started}.
-   */
+  /** Runs after each event. {@link #started} detects starts after a cancellation deadline. */
   void check() {
     while (!confirmedCancellations.isEmpty()
         && confirmedCancellations.peek().abortedAtMs + SimulatedCluster.CANCEL_DEADLINE_MS
@@ -203,9 +196,7 @@
     }
   }
 
-  /**
-   * Checks disruption budgets against what machines did, not against the controllers' own counts.
-   */
+  /** Checks disruption budgets against what machines did, not what controllers count. */
   @Override
   public void stopped(EmulatedWorker worker, EmulatedTask task) {
     SimulatedUsers.KnownJob job = cluster.users.jobs.get(jobRef(task.key()));
@@ -305,10 +296,7 @@
     }
   }
 
-  /**
-   * Returns the tallies by class and by team, computed from the answers to users and from what
-   * machines ran.
-   */
+  /** Returns tallies by class and by team, from the answers to users and from what machines ran. */
   Map<String, JobTally> jobTallies() {
     Map<String, JobTally> tallies = new TreeMap<>();
     for (SimulatedUsers.KnownJob job : cluster.users.jobs.values()) {
