--- a/src/test/java/dapplestair/world/ConcurrentReaders.java
+++ b/src/test/java/dapplestair/world/ConcurrentReaders.java
@@ -4,50 +4,56 @@
 import dapplestair.ports.HttpReply;
 
 /**
- * Users who ask at all controllers within milliseconds, and submit again what was accepted. Answers
- * are held against each other by {@link MonotonicReadsChecker} and {@link InvariantChecker}.
+ * Queries all controllers about a job within milliseconds and submits accepted jobs again. {@link
+ * MonotonicReadsChecker} and {@link InvariantChecker} compare the answers with each other.
  */
 final class ConcurrentReaders {
-  /** Of one look after the other, in milliseconds: within a message, a put, a report. */
-  private static final long[] MOMENTS = {0, 3, 9, 30, 100, 400, 1500};
+  /**
+   * Offsets in milliseconds of the successive rounds of requests; they lie within the delay of a
+   * message, of a put and of a report.
+   */
+  private static final long[] OFFSETS_MS = {0, 3, 9, 30, 100, 400, 1500};
 
-  private static final long POLL_MS = 2000;
-  private static final long SUBMIT_MS = 5000;
+  private static final long POLL_TIMEOUT_MS = 2000;
+  private static final long SUBMIT_TIMEOUT_MS = 5000;
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
 
-  /** Answers that told a state. */
-  int told;
+  /** Number of answers that contained a status. */
+  int statusAnswers;
 
-  ConcurrentReaders(SimulatedCluster world) {
-    this.world = world;
+  ConcurrentReaders(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
-  /** From now on, for a moment: each controller is asked, and every other time told again. */
-  void around(SimulatedUsers.KnownJob job) {
-    for (int i = 0; i < MOMENTS.length; i++) {
-      boolean again = i % 2 == 1;
-      world.sim.after(
-          MOMENTS[i],
+  /**
+   * Queries each controller in several rounds from now on; every second round also submits the job
+   * again.
+   */
+  void queryAllControllers(SimulatedUsers.KnownJob job) {
+    for (int i = 0; i < OFFSETS_MS.length; i++) {
+      boolean submitsAgain = i % 2 == 1;
+      cluster.sim.after(
+          OFFSETS_MS[i],
           () ->
-              world.nodes.forEach(
+              cluster.nodes.forEach(
                   n -> {
-                    ask(job, n);
-                    if (again) {
-                      repeat(job, n);
+                    poll(job, n);
+                    if (submitsAgain) {
+                      submitAgain(job, n);
                     }
                   }));
     }
   }
 
-  /** Asks for a job's state. */
-  void ask(SimulatedUsers.KnownJob job, SimulatedCluster.ControllerNode node) {
-    call(job, node, "GET", "/submissions/" + job.ref, null, POLL_MS);
+  /** Polls the status of a job. */
+  void poll(SimulatedUsers.KnownJob job, SimulatedCluster.ControllerNode node) {
+    call(job, node, "GET", "/submissions/" + job.ref, null, POLL_TIMEOUT_MS);
   }
 
   /** Submits a job again. */
-  void repeat(SimulatedUsers.KnownJob job, SimulatedCluster.ControllerNode node) {
-    call(job, node, "POST", "/submissions", Json.bytes(job.body), SUBMIT_MS);
+  void submitAgain(SimulatedUsers.KnownJob job, SimulatedCluster.ControllerNode node) {
+    call(job, node, "POST", "/submissions", Json.bytes(job.body), SUBMIT_TIMEOUT_MS);
   }
 
   private void call(
@@ -57,21 +63,23 @@
       String path,
       byte[] body,
       long timeoutMs) {
-    String before = job.finalState();
-    world.net.call(
+    String finalStatusWhenAsked = job.finalStatus();
+    cluster.network.call(
         "users",
-        SimulatedCluster.client(node.index),
+        SimulatedCluster.clientAddress(node.index),
         method,
         path,
         body,
         timeoutMs,
-        reply -> heard(job, before, reply));
+        reply -> checkReportedStatus(job, finalStatusWhenAsked, reply));
   }
 
-  private void heard(SimulatedUsers.KnownJob job, String before, HttpReply reply) {
+  private void checkReportedStatus(
+      SimulatedUsers.KnownJob job, String finalStatusWhenAsked, HttpReply reply) {
     if (reply.status() == 200 || reply.status() == 201) {
-      told++;
-      world.checker.told(job, before, Json.parse(reply.body()).path("status").asText());
+      statusAnswers++;
+      cluster.checker.statusReported(
+          job, finalStatusWhenAsked, Json.parse(reply.body()).path("status").asText());
     }
   }
 }
--- a/src/test/java/dapplestair/world/FaultCombinationRunner.java
+++ b/src/test/java/dapplestair/world/FaultCombinationRunner.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * Plays more meetings than a build has time for: {@code FaultCombinationRunner FROM TO} plays these
- * seeds and prints each that broke a rule; {@code FaultCombinationRunner FROM TO machines} plays
- * troubles with machines.
+ * Runs more fault combinations than fit into a build: {@code FaultCombinationRunner FROM TO} runs
+ * these seeds and prints each that broke a rule; {@code FaultCombinationRunner FROM TO machines}
+ * runs machine faults instead.
  */
 final class FaultCombinationRunner {
   private FaultCombinationRunner() {}
 
   public static void main(String[] args) {
-    long from = Long.parseLong(args[0]);
-    long to = Long.parseLong(args[1]);
-    List<String> broken = new ArrayList<>();
-    for (long seed = from; seed <= to; seed++) {
+    long firstSeed = Long.parseLong(args[0]);
+    long lastSeed = Long.parseLong(args[1]);
+    List<String> failures = new ArrayList<>();
+    for (long seed = firstSeed; seed <= lastSeed; seed++) {
       if (seed % 25 == 0) {
         System.out.println("at seed " + seed);
       }
@@ -26,10 +26,10 @@
           FaultCombinationTest.play(seed);
         }
       } catch (AssertionError e) {
-        broken.add(e.getMessage());
+        failures.add(e.getMessage());
         System.out.println(e.getMessage());
       }
     }
-    System.out.printf("%d seeds, %d failed%n", to - from + 1, broken.size());
+    System.out.printf("%d seeds, %d failed%n", lastSeed - firstSeed + 1, failures.size());
   }
 }
--- a/src/test/java/dapplestair/world/FaultCombinationTest.java
+++ b/src/test/java/dapplestair/world/FaultCombinationTest.java
@@ -34,16 +34,16 @@
   }
 
   static void play(long seed) {
-    play(new SimulatedCluster(seed, SHORT), seed, RandomFaults::any);
+    play(new SimulatedCluster(seed, SHORT), seed, RandomFaults::injectAny);
   }
 
   static void playMachines(long seed) {
-    play(new SimulatedCluster(seed, SHORT), seed, RandomFaults::ofMachines);
+    play(new SimulatedCluster(seed, SHORT), seed, RandomFaults::injectMachineFault);
   }
 
   static void play(SimulatedCluster w, long seed, Consumer<RandomFaults> trouble) {
     try {
-      w.users.cancelledArrays = 0.5;
+      w.users.cancelledArrayShare = 0.5;
       RandomFaults faults = new RandomFaults(w);
       w.run(15_000);
       for (int i = 0; i < ROUNDS; i++) {
@@ -56,7 +56,7 @@
         cancelSome(w);
         w.run(w.sim.between(8000, 40_000));
       }
-      w.run(RandomFaults.LONGEST_MS);
+      w.run(RandomFaults.MAX_DURATION_MS);
       w.state.endOutage();
       SeededDaysTest.settle(w);
     } catch (AssertionError e) {
@@ -67,7 +67,11 @@
   /** Within a message, a put, a hold, or a lease: each has its own moment in a change of leader. */
   private static long step(SimulatedCluster w) {
     long[] spans = {
-      30, 400, SimulatedCluster.LEASE_MS / 10, SimulatedCluster.REPORT_MS, SimulatedCluster.LEASE_MS
+      30,
+      400,
+      SimulatedCluster.LEASE_MS / 10,
+      SimulatedCluster.REPORT_INTERVAL_MS,
+      SimulatedCluster.LEASE_MS
     };
     return w.sim.between(0, spans[(int) w.sim.between(0, spans.length - 1)]);
   }
@@ -75,17 +79,17 @@
   private static void transition(SimulatedCluster w, RandomFaults faults) {
     SimulatedCluster.ControllerNode leader = w.leader() == null ? w.nodes.get(0) : w.leader();
     String name = "node-" + leader.index;
-    long ms = w.sim.between(1500, RandomFaults.LONGEST_MS);
+    long ms = w.sim.between(1500, RandomFaults.MAX_DURATION_MS);
     switch ((int) w.sim.between(0, 7)) {
       case 0 -> leader.crash(w.sim.between(60, 900));
       case 1 -> leader.crash(w.sim.between(2000, 6000));
       case 2 -> w.nodes.forEach(n -> n.crash(w.sim.between(60, 4000)));
-      case 3 -> faults.alone(leader, w.sim.chance(0.5), ms);
+      case 3 -> faults.isolateFromPeersAndState(leader, w.sim.chance(0.5), ms);
       case 4 -> {
         // It alone is refused, and then all of them are, for longer than cancelled work may live.
         w.state.setRefused(name, true);
         w.sim.after(w.sim.between(200, 4000), w.state::beginOutage);
-        long out = w.sim.chance(0.3) ? SimulatedCluster.CANCEL_MS * 5 / 4 : ms;
+        long out = w.sim.chance(0.3) ? SimulatedCluster.CANCEL_DEADLINE_MS * 5 / 4 : ms;
         w.sim.after(4000 + out, w.state::endOutage);
         w.sim.after(w.sim.between(2000, 4000 + out), () -> w.state.setRefused(name, false));
       }
@@ -114,11 +118,11 @@
 
   /** A third of what its users still wait for. */
   private static void cancelSome(SimulatedCluster w) {
-    for (SimulatedUsers.KnownJob t : new ArrayList<>(w.users.told.values())) {
-      if (t.accepted && !t.done && !t.cancelAsked && w.sim.chance(0.33)) {
+    for (SimulatedUsers.KnownJob t : new ArrayList<>(w.users.jobs.values())) {
+      if (t.accepted && !t.done && !t.cancelRequested && w.sim.chance(0.33)) {
         w.users.cancel(t);
       }
     }
-    assertTrue(w.users.told.size() > 5, "hardly any jobs");
+    assertTrue(w.users.jobs.size() > 5, "hardly any jobs");
   }
 }
--- a/src/test/java/dapplestair/world/InvariantCheckerTest.java
+++ b/src/test/java/dapplestair/world/InvariantCheckerTest.java
@@ -7,21 +7,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Days on which each of the checker's rules of place has work to look at. */
+/** Runs the checker's placement rules on jobs that name machine types and zones. */
 class InvariantCheckerTest {
-  /** Two types of machines, one of them for nobody but the jobs that name it. */
+  /** Offers two machine types, one of which is used only by jobs that name it. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9101, 9102})
   void jobsRunOnTheirTypesAndInTheirZones(long seed) {
     List<EmulatorSettings.MachineSpec> types =
         List.of(SimulatedCluster.machineType("t8"), SimulatedCluster.machineType("u8"));
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, false, types);
-    w.users.quiet = true;
-    w.run(5000);
+    SimulatedCluster cluster =
+        new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM, false, types);
+    cluster.users.submissionsStopped = true;
+    cluster.run(5000);
     for (String type : List.of("t8", "u8")) {
       for (String zone : SimulatedCluster.ZONES) {
         SimulatedUsers.KnownJob job =
-            w.users.changed(
+            cluster.users.submitModifiedArray(
                 "one",
                 3,
                 4,
@@ -29,11 +30,11 @@
                   b.put("basin", zone);
                   b.putArray("hulls").add(type);
                 });
-        w.run(5000);
+        cluster.run(5000);
         assertTrue(job.accepted, job.ref + " is not accepted");
       }
     }
-    w.users.array("two", "high", 60, 4);
-    SeededDaysTest.settle(w);
+    cluster.users.submitArray("two", "high", 60, 4);
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/LeadsAgainTest.java
+++ b/src/test/java/dapplestair/world/LeadsAgainTest.java
@@ -22,14 +22,14 @@
         w.sim.after(REFUSED_MS, () -> w.state.setRefused("node-" + node.index, false));
       }
     }
-    LeaderChange.loseKey(w);
+    LeaderChange.removeLeaderKey(w);
   }
 
   @ParameterizedTest(name = "seed {0}, state service out for {1} ms before")
   @CsvSource({"5,0", "34,0", "37,0", "5,3000", "9,3000", "14,3000", "5,6000", "8,6000", "393,6000"})
   void nothingOfTheFormerTermIsWrittenOrFreed(long seed, long outageMs) {
     SimulatedCluster w = new SimulatedCluster(seed, CROWDED);
-    w.users.cancelledArrays = 0.4;
+    w.users.cancelledArrayShare = 0.4;
     w.run(20_000);
     int again = 0;
     for (int i = 0; i < ROUNDS; i++) {
