--- a/src/test/java/dapplestair/world/AcceptanceTest.java
+++ b/src/test/java/dapplestair/world/AcceptanceTest.java
@@ -11,38 +11,38 @@
 /** How soon submissions are accepted while the state service serves only in part. */
 class AcceptanceTest {
   private static final int SUBMISSIONS = 60;
-  private static final long SOON_MS = 1000;
+  private static final long PROMPT_MS = 1000;
 
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
-    w.checker.budget = null;
-    w.users.quiet = true;
-    return w;
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = DisruptionTest.startServices(seed, 5, 5);
+    cluster.checker.budget = null;
+    cluster.users.quiet = true;
+    return cluster;
   }
 
   /** Submits small jobs at a steady pace; returns the share that was accepted soon. */
-  private static double soonAccepted(SimulatedCluster w) {
+  private static double promptlyAcceptedShare(SimulatedCluster cluster) {
     List<SimulatedUsers.KnownJob> jobs = new ArrayList<>();
     for (int i = 0; i < SUBMISSIONS; i++) {
-      jobs.add(w.users.array("one", "high", 1, 2));
-      w.run(w.sim.between(200, 600));
+      jobs.add(cluster.users.array("one", "high", 1, 2));
+      cluster.run(cluster.sim.between(200, 600));
     }
-    w.run(10_000);
-    long soon =
-        jobs.stream().filter(j -> j.accepted && j.acceptedAt - j.submittedAt <= SOON_MS).count();
-    return (double) soon / SUBMISSIONS;
+    cluster.run(10_000);
+    long promptlyAccepted =
+        jobs.stream().filter(j -> j.accepted && j.acceptedAt - j.submittedAt <= PROMPT_MS).count();
+    return (double) promptlyAccepted / SUBMISSIONS;
   }
 
   /** A transaction whose answer is lost is repeated at once, not after the longest time-out. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {7101, 7102, 7103, 7104})
-  void lostAnswersDelayNobodyForLong(long seed) {
-    SimulatedCluster w = begun(seed);
-    w.net.lateWrites = 0.25;
-    double soon = soonAccepted(w);
-    w.net.lateWrites = 0;
-    assertTrue(soon >= 0.9, "accepted within a second: " + soon);
-    SeededDaysTest.settle(w);
+  void lostResponsesDelayNoSubmissionForLong(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    cluster.net.lateWrites = 0.25;
+    double acceptedShare = promptlyAcceptedShare(cluster);
+    cluster.net.lateWrites = 0;
+    assertTrue(acceptedShare >= 0.9, "accepted within a second: " + acceptedShare);
+    SeededDaysTest.settle(cluster);
   }
 
   /**
@@ -51,20 +51,21 @@
    */
   @ParameterizedTest(name = "seed {0}, the leader: {1}")
   @CsvSource({"7111,true", "7112,true", "7113,false", "7114,false"})
-  void oneThatIsRefusedAloneHasAPeerAnswer(long seed, boolean leads) {
-    SimulatedCluster w = begun(seed);
-    SimulatedCluster.ControllerNode leader = w.leader();
-    SimulatedCluster.ControllerNode refused = leads ? leader : w.nodes.get((leader.index + 1) % 3);
-    SimulatedUsers.KnownJob cancelled = w.users.array("two", "high", 10, 60);
-    w.run(8000);
-    w.state.refuse("node-" + refused.index, true);
+  void controllerRefusedByTheStateServiceRelaysToAPeer(long seed, boolean refuseLeader) {
+    SimulatedCluster cluster = startCluster(seed);
+    SimulatedCluster.ControllerNode leader = cluster.leader();
+    SimulatedCluster.ControllerNode refused =
+        refuseLeader ? leader : cluster.nodes.get((leader.index + 1) % 3);
+    SimulatedUsers.KnownJob cancelled = cluster.users.array("two", "high", 10, 60);
+    cluster.run(8000);
+    cluster.state.refuse("node-" + refused.index, true);
     // The time in which nobody leads is not what is looked at here.
-    w.run(2 * SimulatedCluster.REPORT_MS);
-    w.users.cancelAt(cancelled, refused);
-    double soon = soonAccepted(w);
-    assertTrue(soon >= 0.95, "accepted within a second: " + soon);
+    cluster.run(2 * SimulatedCluster.REPORT_MS);
+    cluster.users.cancelAt(cancelled, refused);
+    double acceptedShare = promptlyAcceptedShare(cluster);
+    assertTrue(acceptedShare >= 0.95, "accepted within a second: " + acceptedShare);
     assertTrue(cancelled.aborted, "the cancellation was not confirmed");
-    w.state.refuse("node-" + refused.index, false);
-    SeededDaysTest.settle(w);
+    cluster.state.refuse("node-" + refused.index, false);
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/AllControllersUnavailableTest.java
+++ b/src/test/java/dapplestair/world/AllControllersUnavailableTest.java
@@ -14,59 +14,60 @@
  * worker. All tasks are killed; what was accepted runs again, what was cancelled does not.
  */
 class AllControllersUnavailableTest {
-  private static final long AWAY_MS = SimulatedCluster.LEASE_MS * 5 / 4;
+  private static final long UNAVAILABLE_MS = SimulatedCluster.LEASE_MS * 5 / 4;
 
-  private static List<SimulatedUsers.KnownJob> begun(SimulatedCluster w) {
-    w.net.loss = 0;
-    w.users.quiet = true;
-    w.run(5000);
+  private static List<SimulatedUsers.KnownJob> startJobs(SimulatedCluster cluster) {
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
+    cluster.run(5000);
     List<SimulatedUsers.KnownJob> jobs = new ArrayList<>();
     for (String team : List.of("one", "two")) {
-      jobs.add(w.users.array(team, "high", 6, 40));
+      jobs.add(cluster.users.array(team, "high", 6, 40));
       jobs.add(
-          w.users.changed(team, 4, 40, b -> b.put("snapshotEveryS", 5.0).put("snapshotS", 2.0)));
-      jobs.add(w.users.changed(team, 3, 40, b -> b.put("shape", "gang")));
-      jobs.add(w.users.array(team, "standard", 1, 40));
-      jobs.add(w.users.service(team, 3));
+          cluster.users.changed(
+              team, 4, 40, b -> b.put("snapshotEveryS", 5.0).put("snapshotS", 2.0)));
+      jobs.add(cluster.users.changed(team, 3, 40, b -> b.put("shape", "gang")));
+      jobs.add(cluster.users.array(team, "standard", 1, 40));
+      jobs.add(cluster.users.service(team, 3));
     }
-    w.users.array("one", "standard", 40, 4);
+    cluster.users.array("one", "standard", 40, 4);
     for (int i = 0; i < 30 && !jobs.stream().allMatch(job -> job.started); i++) {
-      w.run(1000);
+      cluster.run(1000);
     }
-    w.run(2000);
+    cluster.run(2000);
     jobs.forEach(job -> assertTrue(job.started, () -> job.ref + " does not run"));
     return jobs;
   }
 
   /** Their return is spread over {@code spreadMs}; the leader's place is free for all of them. */
-  private static void away(SimulatedCluster w, String how, long spreadMs) {
-    for (SimulatedCluster.ControllerNode node : w.nodes) {
-      long ms = AWAY_MS + w.sim.between(0, spreadMs);
-      if (how.equals("ended")) {
-        node.crash(ms);
-      } else if (how.equals("still")) {
-        node.freeze(ms);
+  private static void makeUnavailable(SimulatedCluster cluster, String fault, long spreadMs) {
+    for (SimulatedCluster.ControllerNode node : cluster.nodes) {
+      long durationMs = UNAVAILABLE_MS + cluster.sim.between(0, spreadMs);
+      if (fault.equals("ended")) {
+        node.crash(durationMs);
+      } else if (fault.equals("still")) {
+        node.freeze(durationMs);
       } else {
-        cutFromWorkers(w, node, how.equals("held"), w.sim.now() + ms);
+        cutFromWorkers(cluster, node, fault.equals("held"), cluster.sim.now() + durationMs);
       }
     }
   }
 
   private static void cutFromWorkers(
-      SimulatedCluster w, SimulatedCluster.ControllerNode node, boolean hold, long until) {
+      SimulatedCluster cluster, SimulatedCluster.ControllerNode node, boolean hold, long untilMs) {
     List<String> names = List.of("node-" + node.index, SimulatedCluster.client(node.index));
-    for (EmulatedWorker m : w.cloud.machines()) {
+    for (EmulatedWorker m : cluster.cloud.machines()) {
       for (String name : names) {
-        if (w.sim.now() < until) {
-          w.net.cut(name, m.endpoint(), hold);
+        if (cluster.sim.now() < untilMs) {
+          cluster.net.cut(name, m.endpoint(), hold);
         } else {
-          w.net.heal(name, m.endpoint());
+          cluster.net.heal(name, m.endpoint());
         }
       }
     }
-    if (w.sim.now() < until) {
+    if (cluster.sim.now() < untilMs) {
       // Machines that come up meanwhile are out of reach as well.
-      w.sim.after(400, () -> cutFromWorkers(w, node, hold, until));
+      cluster.sim.after(400, () -> cutFromWorkers(cluster, node, hold, untilMs));
     }
   }
 
@@ -89,29 +90,33 @@
     "9311,lost,500,400",
     "9312,lost,17000,-1000"
   })
-  void allAreAwayForLongerThanALease(long seed, String how, long spreadMs, long cancelledMs) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    List<SimulatedUsers.KnownJob> jobs = begun(w);
+  void allControllersUnavailableForLongerThanALease(
+      long seed, String fault, long spreadMs, long cancelledBeforeMs) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
+    List<SimulatedUsers.KnownJob> jobs = startJobs(cluster);
     List<SimulatedUsers.KnownJob> cancelled = jobs.subList(0, jobs.size() / 2);
-    if (cancelledMs >= 0) {
-      cancelled.forEach(w.users::cancel);
-      w.run(cancelledMs);
+    if (cancelledBeforeMs >= 0) {
+      cancelled.forEach(cluster.users::cancel);
+      cluster.run(cancelledBeforeMs);
     }
-    int byLease = w.cloud.killedByLease();
-    away(w, how, spreadMs);
-    if (cancelledMs < 0) {
-      w.run(-cancelledMs);
-      cancelled.forEach(w.users::cancel);
+    int killedByLeaseBefore = cluster.cloud.killedByLease();
+    makeUnavailable(cluster, fault, spreadMs);
+    if (cancelledBeforeMs < 0) {
+      cluster.run(-cancelledBeforeMs);
+      cancelled.forEach(cluster.users::cancel);
     }
-    w.run(AWAY_MS + spreadMs);
-    assertTrue(w.cloud.killedByLease() > byLease, "no lease ran out");
-    w.run(SimulatedCluster.LEASE_MS);
-    SeededDaysTest.settle(w);
-    assertEquals(3, running(w, jobs.get(jobs.size() - 1)), "replicas of a service not cancelled");
+    cluster.run(UNAVAILABLE_MS + spreadMs);
+    assertTrue(cluster.cloud.killedByLease() > killedByLeaseBefore, "no lease ran out");
+    cluster.run(SimulatedCluster.LEASE_MS);
+    SeededDaysTest.settle(cluster);
+    assertEquals(
+        3,
+        countRunningTasks(cluster, jobs.get(jobs.size() - 1)),
+        "replicas of a service not cancelled");
   }
 
-  private static long running(SimulatedCluster w, SimulatedUsers.KnownJob job) {
-    return w.cloud.machines().stream()
+  private static long countRunningTasks(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
+    return cluster.cloud.machines().stream()
         .filter(m -> !m.gone())
         .flatMap(m -> m.tasks().stream())
         .filter(t -> t.onMachine() && t.key().startsWith(job.ref + "/"))
--- a/src/test/java/dapplestair/world/CalendarTest.java
+++ b/src/test/java/dapplestair/world/CalendarTest.java
@@ -23,10 +23,10 @@
 class CalendarTest {
   private static final long PERIOD_MS = 60_000;
   static final long CUT_OFF_MS = 30_000;
-  static final int COMPLETE = 4;
+  static final int EXPECTED_DELIVERIES = 4;
 
   // A tick, the put, a turn of placing, a launch.
-  static final long STEPS_MS = 2500;
+  static final long RELEASE_TO_START_MS = 2500;
 
   private static final RunCalendar BASIN =
       new RunCalendar(
@@ -37,97 +37,98 @@
           PERIOD_MS,
           ZoneOffset.UTC,
           Set.of("gauge"),
-          COMPLETE,
+          EXPECTED_DELIVERIES,
           2,
           20_000,
           CUT_OFF_MS);
 
-  private static long wall(SimulatedCluster w) {
-    return 1_700_000_000_000L + w.sim.now();
+  private static long wallClockMs(SimulatedCluster cluster) {
+    return 1_700_000_000_000L + cluster.sim.now();
   }
 
   /** At the beginning of a cycle. */
-  static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
-    w.operatorSettings = OperatorSettings.defaults().withCalendars(List.of(BASIN));
-    w.nodes.forEach(n -> n.crash(500));
+  static SimulatedCluster startAtCycle(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
+    cluster.operatorSettings = OperatorSettings.defaults().withCalendars(List.of(BASIN));
+    cluster.nodes.forEach(n -> n.crash(500));
     for (int i = 0; i < 3; i++) {
-      w.users.service("two", 3);
+      cluster.users.service("two", 3);
     }
-    w.run(20_000);
-    toNextCycle(w);
-    return w;
+    cluster.run(20_000);
+    runToNextCycle(cluster);
+    return cluster;
   }
 
-  private static void toNextCycle(SimulatedCluster w) {
-    w.run(BASIN.next(BASIN.cycle(wall(w))) - wall(w) + 200);
+  private static void runToNextCycle(SimulatedCluster cluster) {
+    cluster.run(BASIN.next(BASIN.cycle(wallClockMs(cluster))) - wallClockMs(cluster) + 200);
   }
 
-  static SimulatedUsers.KnownJob model(SimulatedCluster w) {
-    return w.users.changed("one", 10, 8, b -> b.put("jobclass", "model").put("rank", "high"));
+  static SimulatedUsers.KnownJob submitModelRun(SimulatedCluster cluster) {
+    return cluster.users.changed("one", 10, 8, b -> b.put("jobclass", "model").put("rank", "high"));
   }
 
-  private static SimulatedUsers.KnownJob gauge(SimulatedCluster w) {
-    return w.users.changed("one", 1, 1, b -> b.put("jobclass", "gauge").put("rank", "standard"));
+  private static SimulatedUsers.KnownJob submitGaugeDelivery(SimulatedCluster cluster) {
+    return cluster.users.changed(
+        "one", 1, 1, b -> b.put("jobclass", "gauge").put("rank", "standard"));
   }
 
-  static JsonNode record(SimulatedCluster w) {
-    return w.state.value("live/calendar/basin");
+  static JsonNode calendarRecord(SimulatedCluster cluster) {
+    return cluster.state.value("live/calendar/basin");
   }
 
-  private static int marks(SimulatedCluster w) {
-    return w.state.keys("live/calendar/basin/").size();
+  private static int countDeliveryMarks(SimulatedCluster cluster) {
+    return cluster.state.keys("live/calendar/basin/").size();
   }
 
-  static void deliver(SimulatedCluster w, int gauges) {
-    List<SimulatedUsers.KnownJob> sent = new ArrayList<>();
+  static void deliverGauges(SimulatedCluster cluster, int gauges) {
+    List<SimulatedUsers.KnownJob> deliveries = new ArrayList<>();
     for (int i = 0; i < gauges; i++) {
-      sent.add(gauge(w));
+      deliveries.add(submitGaugeDelivery(cluster));
     }
-    long until = w.sim.now() + 15_000;
-    while (!sent.stream().allMatch(g -> g.done) && w.sim.now() < until) {
-      w.run(50);
+    long deadlineMs = cluster.sim.now() + 15_000;
+    while (!deliveries.stream().allMatch(g -> g.done) && cluster.sim.now() < deadlineMs) {
+      cluster.run(50);
     }
   }
 
-  static void untilBegun(SimulatedCluster w, SimulatedUsers.KnownJob job, long ms) {
-    long until = w.sim.now() + ms;
-    while (!job.started && w.sim.now() < until) {
-      w.run(50);
+  static void runUntilBegun(SimulatedCluster cluster, SimulatedUsers.KnownJob job, long maxWaitMs) {
+    long deadlineMs = cluster.sim.now() + maxWaitMs;
+    while (!job.started && cluster.sim.now() < deadlineMs) {
+      cluster.run(50);
     }
-    assertTrue(job.started, () -> job.ref + " has not begun: " + record(w));
+    assertTrue(job.started, () -> job.ref + " has not begun: " + calendarRecord(cluster));
   }
 
   /** Held until the last delivery, with no more puts than marks and one release. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6401, 6402, 6403})
-  void completeReleases(long seed) {
-    SimulatedCluster w = begun(seed);
-    SimulatedUsers.KnownJob model = model(w);
-    deliver(w, COMPLETE - 1);
+  void completeDeliveriesReleaseTheCycle(long seed) {
+    SimulatedCluster cluster = startAtCycle(seed);
+    SimulatedUsers.KnownJob model = submitModelRun(cluster);
+    deliverGauges(cluster, EXPECTED_DELIVERIES - 1);
     assertFalse(model.started, "it did not wait");
-    long before = w.state.putsTo("live/calendar/");
-    deliver(w, 1);
-    untilBegun(w, model, STEPS_MS);
-    assertEquals("complete", record(w).path("by").asText());
-    assertEquals(COMPLETE, record(w).path("delivered").asInt());
-    assertEquals(2, w.state.putsTo("live/calendar/") - before, "a mark and a release");
+    long putsBefore = cluster.state.putsTo("live/calendar/");
+    deliverGauges(cluster, 1);
+    runUntilBegun(cluster, model, RELEASE_TO_START_MS);
+    assertEquals("complete", calendarRecord(cluster).path("by").asText());
+    assertEquals(EXPECTED_DELIVERIES, calendarRecord(cluster).path("delivered").asInt());
+    assertEquals(2, cluster.state.putsTo("live/calendar/") - putsBefore, "a mark and a release");
   }
 
   @ParameterizedTest(name = "seed {0}, {1} deliveries: {2}")
   @CsvSource({"6411,2,quorum", "6412,3,quorum", "6413,1,cut-off", "6414,0,cut-off"})
-  void fewerReleaseLater(long seed, int gauges, String by) {
-    SimulatedCluster w = begun(seed);
-    long start = BASIN.cycle(wall(w));
-    SimulatedUsers.KnownJob model = model(w);
-    deliver(w, gauges);
-    long due = by.equals("quorum") ? 20_000 : CUT_OFF_MS;
-    w.run(Math.max(0, start + due - wall(w) - 500));
+  void fewerDeliveriesReleaseAtTheQuorumOrCutOff(long seed, int gauges, String expectedCause) {
+    SimulatedCluster cluster = startAtCycle(seed);
+    long cycleStartMs = BASIN.cycle(wallClockMs(cluster));
+    SimulatedUsers.KnownJob model = submitModelRun(cluster);
+    deliverGauges(cluster, gauges);
+    long releaseMs = expectedCause.equals("quorum") ? 20_000 : CUT_OFF_MS;
+    cluster.run(Math.max(0, cycleStartMs + releaseMs - wallClockMs(cluster) - 500));
     assertFalse(model.started, "it did not wait");
-    untilBegun(w, model, STEPS_MS + 500);
-    assertEquals(by, record(w).path("by").asText());
+    runUntilBegun(cluster, model, RELEASE_TO_START_MS + 500);
+    assertEquals(expectedCause, calendarRecord(cluster).path("by").asText());
   }
 
   /** The leader ends at some moment of a cycle, the next one too: one release, each mark once. */
@@ -144,81 +145,85 @@
     "6429,2400",
     "6430,2800"
   })
-  void aCycleOutlivesItsLeaders(long seed, long afterMs) {
-    SimulatedCluster w = begun(seed);
-    SimulatedUsers.KnownJob model = model(w);
-    List<Long> released = new ArrayList<>();
-    w.also =
+  void aCycleIsReleasedOnceAcrossLeaderChanges(long seed, long afterMs) {
+    SimulatedCluster cluster = startAtCycle(seed);
+    SimulatedUsers.KnownJob model = submitModelRun(cluster);
+    List<Long> releasedCycles = new ArrayList<>();
+    cluster.also =
         () -> {
-          long cycle = record(w) == null ? 0 : record(w).path("cycle").asLong();
-          if (cycle > 0 && (released.isEmpty() || released.get(released.size() - 1) != cycle)) {
-            released.add(cycle);
+          long releasedCycle =
+              calendarRecord(cluster) == null ? 0 : calendarRecord(cluster).path("cycle").asLong();
+          if (releasedCycle > 0
+              && (releasedCycles.isEmpty()
+                  || releasedCycles.get(releasedCycles.size() - 1) != releasedCycle)) {
+            releasedCycles.add(releasedCycle);
           }
         };
-    w.run(1000);
+    cluster.run(1000);
     List<SimulatedUsers.KnownJob> gauges = new ArrayList<>();
-    for (int i = 0; i < COMPLETE; i++) {
-      gauges.add(gauge(w));
+    for (int i = 0; i < EXPECTED_DELIVERIES; i++) {
+      gauges.add(submitGaugeDelivery(cluster));
     }
-    w.run(afterMs);
+    cluster.run(afterMs);
     for (int i = 0; i < 2; i++) {
-      if (w.leader() != null && w.leader().up()) {
-        w.leader().crash(w.sim.between(300, 3000));
+      if (cluster.leader() != null && cluster.leader().up()) {
+        cluster.leader().crash(cluster.sim.between(300, 3000));
       }
-      w.run(1500);
+      cluster.run(1500);
     }
-    untilBegun(w, model, CUT_OFF_MS);
-    toNextCycle(w);
-    w.run(CUT_OFF_MS + STEPS_MS);
-    assertEquals(released.stream().sorted().distinct().toList(), released, "released once each");
+    runUntilBegun(cluster, model, CUT_OFF_MS);
+    runToNextCycle(cluster);
+    cluster.run(CUT_OFF_MS + RELEASE_TO_START_MS);
+    assertEquals(
+        releasedCycles.stream().sorted().distinct().toList(), releasedCycles, "released once each");
     gauges.forEach(g -> assertTrue(g.done, g.ref + " is not done"));
     assertTrue(model.done, "it is not done");
-    JsonNode past = record(w).path("past").path(0);
+    JsonNode pastCycle = calendarRecord(cluster).path("past").path(0);
     assertTrue(
-        Set.of("complete", "quorum", "cut-off").contains(past.path("by").asText()),
-        record(w).toString());
+        Set.of("complete", "quorum", "cut-off").contains(pastCycle.path("by").asText()),
+        calendarRecord(cluster).toString());
   }
 
   /** Deliveries that come late count in no later cycle; nothing is kept of cycles long over. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6441, 6442})
-  void lateOnesBelongToTheirs(long seed) {
-    SimulatedCluster w = begun(seed);
-    w.users.changed("one", 1, 70, b -> b.put("jobclass", "gauge").put("rank", "standard"));
-    deliver(w, 1);
-    toNextCycle(w);
-    SimulatedUsers.KnownJob model = model(w);
-    deliver(w, COMPLETE - 1);
-    w.run(CUT_OFF_MS - 12_000);
+  void lateDeliveriesCountOnlyForTheirOwnCycle(long seed) {
+    SimulatedCluster cluster = startAtCycle(seed);
+    cluster.users.changed("one", 1, 70, b -> b.put("jobclass", "gauge").put("rank", "standard"));
+    deliverGauges(cluster, 1);
+    runToNextCycle(cluster);
+    SimulatedUsers.KnownJob model = submitModelRun(cluster);
+    deliverGauges(cluster, EXPECTED_DELIVERIES - 1);
+    cluster.run(CUT_OFF_MS - 12_000);
     assertEquals(
-        COMPLETE - 1,
-        w.state.keys("live/calendar/basin/" + BASIN.cycle(wall(w)) + "/").size(),
+        EXPECTED_DELIVERIES - 1,
+        cluster.state.keys("live/calendar/basin/" + BASIN.cycle(wallClockMs(cluster)) + "/").size(),
         "deliveries of this cycle");
-    w.run(CUT_OFF_MS);
+    cluster.run(CUT_OFF_MS);
     assertTrue(model.started);
     for (int i = 0; i < 4; i++) {
-      toNextCycle(w);
+      runToNextCycle(cluster);
     }
-    assertEquals(0, marks(w), "marks of cycles that are over");
+    assertEquals(0, countDeliveryMarks(cluster), "marks of cycles that are over");
   }
 
   /** Nobody can write at the release, or nobody is there for a cycle: runs begin at the cut-off. */
   @ParameterizedTest(name = "seed {0}, all down: {1}")
   @CsvSource({"6451,false", "6452,true", "6453,false", "6454,true"})
-  void nothingIsHeldPastTheCutOff(long seed, boolean down) {
-    SimulatedCluster w = begun(seed);
-    SimulatedUsers.KnownJob model = model(w);
-    w.run(8000);
-    if (down) {
-      w.nodes.forEach(n -> n.crash(CUT_OFF_MS + 2000));
+  void noRunIsHeldPastTheCutOff(long seed, boolean allControllersDown) {
+    SimulatedCluster cluster = startAtCycle(seed);
+    SimulatedUsers.KnownJob model = submitModelRun(cluster);
+    cluster.run(8000);
+    if (allControllersDown) {
+      cluster.nodes.forEach(n -> n.crash(CUT_OFF_MS + 2000));
     } else {
-      w.state.fail();
-      w.sim.after(CUT_OFF_MS + 2000, w.state::recover);
+      cluster.state.fail();
+      cluster.sim.after(CUT_OFF_MS + 2000, cluster.state::recover);
     }
-    w.run(CUT_OFF_MS);
+    cluster.run(CUT_OFF_MS);
     assertFalse(model.started, "nobody could have started it");
-    untilBegun(w, model, 2000 + 3 * SimulatedCluster.REPORT_MS);
-    w.run(PERIOD_MS);
-    assertTrue(record(w).path("cycle").asLong() > 0, "the schedule goes on");
+    runUntilBegun(cluster, model, 2000 + 3 * SimulatedCluster.REPORT_MS);
+    cluster.run(PERIOD_MS);
+    assertTrue(calendarRecord(cluster).path("cycle").asLong() > 0, "the schedule goes on");
   }
 }
--- a/src/test/java/dapplestair/world/CancellationLatency.java
+++ b/src/test/java/dapplestair/world/CancellationLatency.java
@@ -17,37 +17,37 @@
   public static void main(String[] args) {
     int seeds = Integer.parseInt(args[0]);
     measure("none", seeds, d -> {}, d -> {});
-    measure("the leader ends as it is told", seeds, d -> {}, d -> d.old.crash(800));
+    measure("the leader ends as it is told", seeds, d -> {}, d -> d.oldLeader.crash(800));
     measure(
         "the leader is refused, then all",
         seeds,
-        CancellationOutageTest::refuse,
-        d -> d.w.state.fail());
+        CancellationOutageTest::refuseOldLeader,
+        d -> d.cluster.state.fail());
     measure(
         "the same, links between controllers refused",
         seeds,
         d -> {
-          CancellationOutageTest.refuse(d);
-          d.links("refused", true);
+          CancellationOutageTest.refuseOldLeader(d);
+          d.cutLinks("refused", true);
         },
-        d -> d.w.state.fail());
+        d -> d.cluster.state.fail());
     measure(
         "the same, who confirmed ends at once",
         seeds,
         d -> {
-          CancellationOutageTest.refuse(d);
-          d.links("refused", true);
+          CancellationOutageTest.refuseOldLeader(d);
+          d.cutLinks("refused", true);
         },
         d -> {
-          d.w.state.fail();
+          d.cluster.state.fail();
           d.second.crash(800);
         });
     measure(
         "a tenth of the machines deaf",
         seeds,
         d ->
-            d.w.cloud.machines().stream()
-                .filter(m -> d.w.sim.chance(0.1))
+            d.cluster.cloud.machines().stream()
+                .filter(m -> d.cluster.sim.chance(0.1))
                 .forEach(m -> m.deafen(SimulatedCluster.LEASE_MS)),
         d -> {});
   }
@@ -55,23 +55,23 @@
   private static void measure(
       String trouble,
       int seeds,
-      Consumer<CancellationOutageTest.Day> before,
-      Consumer<CancellationOutageTest.Day> after) {
+      Consumer<CancellationOutageTest.Scenario> before,
+      Consumer<CancellationOutageTest.Scenario> after) {
     Histogram ms = new Histogram(SimulatedCluster.CANCEL_MS * 4, 3);
     for (int i = 0; i < seeds; i++) {
-      CancellationOutageTest.Day d = new CancellationOutageTest.Day(8700 + i);
+      CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(8700 + i);
       before.accept(d);
-      d.cancel(d.second);
+      d.cancelJobs(d.second);
       after.accept(d);
       Map<SimulatedUsers.KnownJob, Long> goneAt = new HashMap<>();
-      long end = d.w.sim.now() + SimulatedCluster.CANCEL_MS;
-      while (d.w.sim.now() < end && goneAt.size() < d.cancelled.size()) {
+      long end = d.cluster.sim.now() + SimulatedCluster.CANCEL_MS;
+      while (d.cluster.sim.now() < end && goneAt.size() < d.cancelled.size()) {
         for (SimulatedUsers.KnownJob t : d.cancelled) {
           if (d.running(t) == 0) {
-            goneAt.putIfAbsent(t, d.w.sim.now());
+            goneAt.putIfAbsent(t, d.cluster.sim.now());
           }
         }
-        d.w.run(STEP_MS);
+        d.cluster.run(STEP_MS);
       }
       for (SimulatedUsers.KnownJob t : d.cancelled) {
         ms.recordValue(Math.max(0, goneAt.getOrDefault(t, end) - t.abortedAt));
--- a/src/test/java/dapplestair/world/CancellationOutageTest.java
+++ b/src/test/java/dapplestair/world/CancellationOutageTest.java
@@ -19,52 +19,52 @@
  * on (docs/cancellations.md).
  */
 class CancellationOutageTest {
-  private static final int MOST_WAITS = 30;
+  private static final int MAX_WAITS = 30;
 
   /** Jobs of every kind that run for longer than the outage. */
-  static final class Day {
-    final SimulatedCluster w;
-    final SimulatedCluster.ControllerNode old;
+  static final class Scenario {
+    final SimulatedCluster cluster;
+    final SimulatedCluster.ControllerNode oldLeader;
     final SimulatedCluster.ControllerNode second;
     final SimulatedCluster.ControllerNode third;
     final List<SimulatedUsers.KnownJob> cancelled = new ArrayList<>();
-    final List<SimulatedUsers.KnownJob> kept = new ArrayList<>();
+    final List<SimulatedUsers.KnownJob> otherJobs = new ArrayList<>();
 
-    Day(long seed) {
-      this(DisruptionTest.begun(seed, 5, 5));
+    Scenario(long seed) {
+      this(DisruptionTest.startServices(seed, 5, 5));
     }
 
-    Day(SimulatedCluster begun) {
-      w = begun;
-      w.checker.budget = null;
-      w.run(20_000);
-      old = w.leader();
-      second = w.nodes.get((old.index + 1) % 3);
-      third = w.nodes.get((old.index + 2) % 3);
+    Scenario(SimulatedCluster startedCluster) {
+      cluster = startedCluster;
+      cluster.checker.budget = null;
+      cluster.run(20_000);
+      oldLeader = cluster.leader();
+      second = cluster.nodes.get((oldLeader.index + 1) % 3);
+      third = cluster.nodes.get((oldLeader.index + 2) % 3);
       for (int i = 0; i < 2; i++) {
-        List<SimulatedUsers.KnownJob> to = i == 0 ? cancelled : kept;
+        List<SimulatedUsers.KnownJob> jobs = i == 0 ? cancelled : otherJobs;
         // First, so that it makes its room before the others have theirs.
-        to.add(w.users.service("one", 3));
-        w.run(4000);
-        to.add(w.users.array("one", "high", 8, 150));
+        jobs.add(cluster.users.service("one", 3));
+        cluster.run(4000);
+        jobs.add(cluster.users.array("one", "high", 8, 150));
         if (i == 0) {
-          to.add(w.users.changed("two", 6, 150, b -> b.put("shape", "gang")));
+          jobs.add(cluster.users.changed("two", 6, 150, b -> b.put("shape", "gang")));
         }
-        to.add(
-            w.users.changed(
+        jobs.add(
+            cluster.users.changed(
                 "two", 6, 150, b -> b.put("snapshotEveryS", 20.0).put("snapshotS", 3.0)));
-        to.add(w.users.array("one", "high", 1, 150));
+        jobs.add(cluster.users.array("one", "high", 1, 150));
       }
-      w.run(12_000);
-      for (int i = 0; i < MOST_WAITS && cancelled.stream().anyMatch(t -> running(t) == 0); i++) {
+      cluster.run(12_000);
+      for (int i = 0; i < MAX_WAITS && cancelled.stream().anyMatch(t -> running(t) == 0); i++) {
         // A gang whose member had to go begins anew as a whole.
-        w.run(1000);
+        cluster.run(1000);
       }
       cancelled.forEach(t -> assertTrue(running(t) > 0, t.ref + " does not run"));
     }
 
     long running(SimulatedUsers.KnownJob job) {
-      return w.cloud.machines().stream()
+      return cluster.cloud.machines().stream()
           .filter(m -> !m.gone())
           .flatMap(m -> m.tasks().stream())
           .filter(t -> t.onMachine() && t.key().startsWith(job.ref + "/"))
@@ -76,63 +76,63 @@
     }
 
     /** Every second machine that runs a task of a job that is to be cancelled. */
-    void troubleEverySecond(MachineFault fault, long ms) {
+    void injectFaultOnEverySecondMachine(MachineFault fault, long durationMs) {
       List<EmulatedWorker> machines =
-          w.cloud.machines().stream()
-              .filter(m -> !m.gone() && m.tasks().stream().anyMatch(this::toBeCancelled))
+          cluster.cloud.machines().stream()
+              .filter(m -> !m.gone() && m.tasks().stream().anyMatch(this::belongsToCancelledJob))
               .toList();
       assertTrue(machines.size() > 1, "hardly a machine runs what is to be cancelled");
       for (int i = 0; i < machines.size(); i += 2) {
-        fault.happen(w, machines.get(i), ms);
+        fault.happen(cluster, machines.get(i), durationMs);
       }
     }
 
-    private boolean toBeCancelled(EmulatedTask t) {
+    private boolean belongsToCancelledJob(EmulatedTask t) {
       return t.onMachine() && cancelled.stream().anyMatch(j -> t.key().startsWith(j.ref + "/"));
     }
 
     /** A part of all machines hang past their lease, with what runs on them. */
-    void stallEveryThird() {
+    void stallEveryThirdMachine() {
       int i = 0;
-      for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
+      for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
         if (!m.gone() && i++ % 3 == 0) {
           m.stall(SimulatedCluster.CANCEL_MS * 3 / 2);
         }
       }
     }
 
-    private void links(
-        SimulatedCluster.ControllerNode a, SimulatedCluster.ControllerNode b, String how) {
-      if (how.equals("refused") || how.equals("held")) {
-        w.net.cut("node-" + a.index, "node-" + b.index, how.equals("held"));
+    private void cutLinks(
+        SimulatedCluster.ControllerNode a, SimulatedCluster.ControllerNode b, String fault) {
+      if (fault.equals("refused") || fault.equals("held")) {
+        cluster.net.cut("node-" + a.index, "node-" + b.index, fault.equals("held"));
       }
     }
 
-    /** Those of the old leader to both others, and theirs to each other if {@code all}. */
-    void links(String how, boolean all) {
-      links(old, second, how);
-      links(old, third, how);
-      if (all) {
-        links(second, third, how);
+    /** Those of the old leader to both others, and theirs to each other if {@code allLinks}. */
+    void cutLinks(String fault, boolean allLinks) {
+      cutLinks(oldLeader, second, fault);
+      cutLinks(oldLeader, third, fault);
+      if (allLinks) {
+        cutLinks(second, third, fault);
       }
     }
 
     void healLinks() {
-      for (SimulatedCluster.ControllerNode a : w.nodes) {
-        for (SimulatedCluster.ControllerNode b : w.nodes) {
+      for (SimulatedCluster.ControllerNode a : cluster.nodes) {
+        for (SimulatedCluster.ControllerNode b : cluster.nodes) {
           if (a != b) {
-            w.net.heal("node-" + a.index, "node-" + b.index);
+            cluster.net.heal("node-" + a.index, "node-" + b.index);
           }
         }
       }
     }
 
-    void cancel(SimulatedCluster.ControllerNode at) {
+    void cancelJobs(SimulatedCluster.ControllerNode node) {
       for (int i = 0; i < 55 && cancelled.stream().anyMatch(t -> !t.aborted); i++) {
         if (i % 20 == 0) {
-          cancelled.stream().filter(t -> !t.aborted).forEach(t -> w.users.cancelAt(t, at));
+          cancelled.stream().filter(t -> !t.aborted).forEach(t -> cluster.users.cancelAt(t, node));
         }
-        w.run(20);
+        cluster.run(20);
       }
       cancelled.forEach(
           t ->
@@ -142,25 +142,25 @@
     }
 
     /** The outage, for twice as long as cancelled work may live; then all calms down. */
-    void outage(Consumer<Day> meanwhile) {
-      w.state.fail();
-      meanwhile.accept(this);
-      w.run(SimulatedCluster.CANCEL_MS);
+    void runOutage(Consumer<Scenario> duringOutage) {
+      cluster.state.fail();
+      duringOutage.accept(this);
+      cluster.run(SimulatedCluster.CANCEL_MS);
       assertEquals(0, running(cancelled), "cancelled tasks");
-      w.run(SimulatedCluster.CANCEL_MS);
-      w.state.refuse("node-" + old.index, false);
-      w.state.recover();
+      cluster.run(SimulatedCluster.CANCEL_MS);
+      cluster.state.refuse("node-" + oldLeader.index, false);
+      cluster.state.recover();
       healLinks();
       // What was lost with a lease begins again, a gang as a whole.
-      w.run(160_000);
+      cluster.run(160_000);
       assertEquals(0, running(cancelled), "cancelled tasks");
-      SeededDaysTest.settle(w);
+      SeededDaysTest.settle(cluster);
     }
   }
 
-  static void refuse(Day d) {
-    d.w.state.refuse("node-" + d.old.index, true);
-    d.w.run(200);
+  static void refuseOldLeader(Scenario test) {
+    test.cluster.state.refuse("node-" + test.oldLeader.index, true);
+    test.cluster.run(200);
   }
 
   /**
@@ -185,19 +185,19 @@
     "8014,refused,50,3000",
     "8015,held,-1,500"
   })
-  void confirmedByAFollower(long seed, String links, long ends, long oldEnds) {
-    Day d = new Day(seed);
-    refuse(d);
-    d.links(links, true);
-    d.cancel(d.second);
-    assertEquals(d.old, d.w.leader());
-    d.outage(
+  void confirmedByAFollower(long seed, String links, long endsAfterMs, long oldLeaderEndsAfterMs) {
+    Scenario test = new Scenario(seed);
+    refuseOldLeader(test);
+    test.cutLinks(links, true);
+    test.cancelJobs(test.second);
+    assertEquals(test.oldLeader, test.cluster.leader());
+    test.runOutage(
         x -> {
-          if (ends >= 0) {
-            d.w.sim.after(ends, () -> d.second.crash(800));
+          if (endsAfterMs >= 0) {
+            test.cluster.sim.after(endsAfterMs, () -> test.second.crash(800));
           }
-          if (oldEnds >= 0) {
-            d.w.sim.after(oldEnds, () -> d.old.crash(800));
+          if (oldLeaderEndsAfterMs >= 0) {
+            test.cluster.sim.after(oldLeaderEndsAfterMs, () -> test.oldLeader.crash(800));
           }
         });
   }
@@ -212,32 +212,32 @@
     "8025,held,250",
     "8026,held,-1"
   })
-  void confirmedByTheNextLeader(long seed, String links, long ends) {
-    Day d = new Day(seed);
-    for (EmulatedWorker m : d.w.cloud.machines()) {
-      for (SimulatedCluster.ControllerNode n : List.of(d.second, d.third)) {
-        d.w.net.cut("node-" + n.index, m.endpoint(), true);
-        d.w.net.cut(SimulatedCluster.client(n.index), m.endpoint(), true);
+  void confirmedByTheNextLeader(long seed, String links, long endsAfterMs) {
+    Scenario test = new Scenario(seed);
+    for (EmulatedWorker m : test.cluster.cloud.machines()) {
+      for (SimulatedCluster.ControllerNode n : List.of(test.second, test.third)) {
+        test.cluster.net.cut("node-" + n.index, m.endpoint(), true);
+        test.cluster.net.cut(SimulatedCluster.client(n.index), m.endpoint(), true);
       }
     }
-    refuse(d);
-    d.links(links, false);
-    d.w.run(4000);
-    SimulatedCluster.ControllerNode leader = d.w.leader();
-    assertTrue(leader != null && leader != d.old, "nobody else leads");
-    d.cancel(leader);
-    d.outage(
+    refuseOldLeader(test);
+    test.cutLinks(links, false);
+    test.cluster.run(4000);
+    SimulatedCluster.ControllerNode leader = test.cluster.leader();
+    assertTrue(leader != null && leader != test.oldLeader, "nobody else leads");
+    test.cancelJobs(leader);
+    test.runOutage(
         x -> {
-          if (ends >= 0) {
-            d.w.sim.after(ends, () -> leader.crash(800));
+          if (endsAfterMs >= 0) {
+            test.cluster.sim.after(endsAfterMs, () -> leader.crash(800));
           }
-          d.w.sim.after(
+          test.cluster.sim.after(
               SimulatedCluster.LEASE_MS,
               () -> {
-                for (EmulatedWorker m : d.w.cloud.machines()) {
-                  for (SimulatedCluster.ControllerNode n : List.of(d.second, d.third)) {
-                    d.w.net.heal("node-" + n.index, m.endpoint());
-                    d.w.net.heal(SimulatedCluster.client(n.index), m.endpoint());
+                for (EmulatedWorker m : test.cluster.cloud.machines()) {
+                  for (SimulatedCluster.ControllerNode n : List.of(test.second, test.third)) {
+                    test.cluster.net.heal("node-" + n.index, m.endpoint());
+                    test.cluster.net.heal(SimulatedCluster.client(n.index), m.endpoint());
                   }
                 }
               });
@@ -247,26 +247,26 @@
   /** The first layer: who confirms tells, and the old leader ends the tasks at once. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8101, 8102})
-  void whoConfirmsTells(long seed) {
-    Day d = new Day(seed);
-    refuse(d);
-    d.cancel(d.second);
-    d.w.state.fail();
-    d.w.run(SimulatedCluster.REPORT_MS);
-    assertEquals(0, d.running(d.cancelled), "cancelled tasks");
+  void theConfirmingControllerTellsTheOldLeader(long seed) {
+    Scenario test = new Scenario(seed);
+    refuseOldLeader(test);
+    test.cancelJobs(test.second);
+    test.cluster.state.fail();
+    test.cluster.run(SimulatedCluster.REPORT_MS);
+    assertEquals(0, test.running(test.cancelled), "cancelled tasks");
   }
 
   /** The second layer: nobody can be told, so who confirmed ends the tasks on their machines. */
   @ParameterizedTest(name = "seed {0}, links {1}")
   @CsvSource({"8103,refused", "8104,held"})
-  void whoConfirmsActs(long seed, String links) {
-    Day d = new Day(seed);
-    refuse(d);
-    d.links(links, true);
-    d.cancel(d.second);
-    d.w.state.fail();
-    d.w.run(SimulatedCluster.CANCEL_MS / 2);
-    assertEquals(0, d.running(d.cancelled), "cancelled tasks");
+  void theConfirmingControllerEndsTheTasksItself(long seed, String links) {
+    Scenario test = new Scenario(seed);
+    refuseOldLeader(test);
+    test.cutLinks(links, true);
+    test.cancelJobs(test.second);
+    test.cluster.state.fail();
+    test.cluster.run(SimulatedCluster.CANCEL_MS / 2);
+    assertEquals(0, test.running(test.cancelled), "cancelled tasks");
   }
 
   /** Launches are on the wire while their jobs are cancelled, and arrive any time later. */
@@ -282,107 +282,118 @@
     "8038,60000,refused",
     "8039,40000,held"
   })
-  void launchesInFlight(long seed, long arriveMs, String links) {
-    Day d = new Day(seed);
+  void launchesThatArriveAfterTheCancellation(long seed, long arriveAfterMs, String links) {
+    Scenario test = new Scenario(seed);
     List<String> machines =
-        d.w.cloud.machines().stream().filter(m -> !m.gone()).map(m -> m.endpoint()).toList();
-    machines.forEach(m -> d.w.net.cut("node-" + d.old.index, m, true));
+        test.cluster.cloud.machines().stream()
+            .filter(m -> !m.gone())
+            .map(m -> m.endpoint())
+            .toList();
+    machines.forEach(m -> test.cluster.net.cut("node-" + test.oldLeader.index, m, true));
     // As many as a follower's puts take in the time; the others are cancelled in the end.
-    List<SimulatedUsers.KnownJob> later = List.copyOf(d.cancelled);
-    d.cancelled.clear();
+    List<SimulatedUsers.KnownJob> otherCancelled = List.copyOf(test.cancelled);
+    test.cancelled.clear();
     for (int i = 0; i < 4; i++) {
-      d.cancelled.add(d.w.users.array("one", "high", 4, 150));
+      test.cancelled.add(test.cluster.users.array("one", "high", 4, 150));
     }
-    d.w.run(1200);
-    refuse(d);
-    d.links(links, false);
-    d.cancel(d.second);
-    d.w.sim.after(5 * SimulatedCluster.CANCEL_MS / 2, () -> later.forEach(d.w.users::cancel));
-    d.outage(
+    test.cluster.run(1200);
+    refuseOldLeader(test);
+    test.cutLinks(links, false);
+    test.cancelJobs(test.second);
+    test.cluster.sim.after(
+        5 * SimulatedCluster.CANCEL_MS / 2,
+        () -> otherCancelled.forEach(test.cluster.users::cancel));
+    test.runOutage(
         x ->
-            d.w.sim.after(
-                arriveMs, () -> machines.forEach(m -> d.w.net.heal("node-" + d.old.index, m))));
+            test.cluster.sim.after(
+                arriveAfterMs,
+                () ->
+                    machines.forEach(
+                        m -> test.cluster.net.heal("node-" + test.oldLeader.index, m))));
   }
 
   /** Some machines with cancelled work hear nothing, or hang, or both, in turn. */
   @ParameterizedTest(name = "seed {0}, {1}")
   @CsvSource({"8041,deaf", "8042,deaf", "8043,hang", "8044,hang", "8045,both", "8046,both"})
-  void machinesThatDoNotObey(long seed, String how) {
-    Day d = new Day(seed);
-    refuse(d);
-    d.cancel(d.second);
+  void machinesThatCannotBeReachedOrHang(long seed, String fault) {
+    Scenario test = new Scenario(seed);
+    refuseOldLeader(test);
+    test.cancelJobs(test.second);
     int i = 0;
-    for (EmulatedWorker m : d.w.cloud.machines()) {
+    for (EmulatedWorker m : test.cluster.cloud.machines()) {
       if (!m.gone() && m.tasks().stream().anyMatch(EmulatedTask::onMachine) && i++ % 2 == 0) {
-        if (how.equals("hang") || how.equals("both") && i % 4 == 1) {
+        if (fault.equals("hang") || fault.equals("both") && i % 4 == 1) {
           m.hang(SimulatedCluster.LEASE_MS * 9 / 10);
         } else {
           m.deafen(SimulatedCluster.LEASE_MS * 9 / 10);
         }
       }
     }
-    d.outage(x -> {});
+    test.runOutage(x -> {});
   }
 
   /** The state service does not refuse the old leader, it does not answer it. */
   @ParameterizedTest(name = "seed {0}, held back: {1}")
   @CsvSource({"8051,true", "8052,false", "8053,true"})
-  void noAnswerInsteadOfARefusal(long seed, boolean hold) {
-    Day d = new Day(seed);
-    d.w.net.cut("node-" + d.old.index, "state:1", hold);
-    d.w.run(200);
-    d.cancel(d.second);
-    d.outage(
+  void theStateServiceDoesNotAnswerTheOldLeader(long seed, boolean hold) {
+    Scenario test = new Scenario(seed);
+    test.cluster.net.cut("node-" + test.oldLeader.index, "state:1", hold);
+    test.cluster.run(200);
+    test.cancelJobs(test.second);
+    test.runOutage(
         x ->
-            d.w.sim.after(
-                SimulatedCluster.CANCEL_MS, () -> d.w.net.heal("node-" + d.old.index, "state:1")));
+            test.cluster.sim.after(
+                SimulatedCluster.CANCEL_MS,
+                () -> test.cluster.net.heal("node-" + test.oldLeader.index, "state:1")));
   }
 
   /** All controllers end in the outage: nobody remembers, so no lease is kept that must end. */
   @ParameterizedTest(name = "seed {0}, after {1} ms")
   @CsvSource({"8061,0", "8062,300", "8063,8000"})
-  void allEnd(long seed, long after) {
-    Day d = new Day(seed);
-    refuse(d);
-    d.cancel(d.second);
-    d.outage(x -> d.w.sim.after(after, () -> d.w.nodes.forEach(n -> n.crash(700))));
+  void allControllersEndInTheOutage(long seed, long afterMs) {
+    Scenario test = new Scenario(seed);
+    refuseOldLeader(test);
+    test.cancelJobs(test.second);
+    test.runOutage(
+        x -> test.cluster.sim.after(afterMs, () -> test.cluster.nodes.forEach(n -> n.crash(700))));
   }
 
   /** In an outage of all, with controllers that reach each other, nothing else is lost. */
   @ParameterizedTest(name = "seed {0}, the leader refused before: {1}")
   @CsvSource({"8071,false", "8072,true", "8073,true"})
-  void aCommonOutageCostsNothing(long seed, boolean refused) {
-    Day d = new Day(seed);
-    int byLease = d.w.cloud.killedByLease();
-    int byRelease = d.w.cloud.killedByRelease();
-    if (refused) {
-      refuse(d);
-      d.cancel(d.second);
+  void anOutageForAllLosesNoOtherTasks(long seed, boolean leaderRefused) {
+    Scenario test = new Scenario(seed);
+    int byLeaseBefore = test.cluster.cloud.killedByLease();
+    int byReleaseBefore = test.cluster.cloud.killedByRelease();
+    if (leaderRefused) {
+      refuseOldLeader(test);
+      test.cancelJobs(test.second);
     }
-    List<SimulatedUsers.KnownJob> others = refused ? d.kept : d.cancelled;
-    long before = d.running(others);
-    d.w.state.fail();
-    d.w.run(2 * SimulatedCluster.CANCEL_MS);
-    assertEquals(before, d.running(others), "tasks of other jobs");
-    assertEquals(byLease, d.w.cloud.killedByLease(), "tasks killed by the end of a lease");
-    assertEquals(byRelease, d.w.cloud.killedByRelease(), "tasks killed by returns");
-    d.w.state.refuse("node-" + d.old.index, false);
-    d.w.state.recover();
-    SeededDaysTest.settle(d.w);
+    List<SimulatedUsers.KnownJob> others = leaderRefused ? test.otherJobs : test.cancelled;
+    long runningBefore = test.running(others);
+    test.cluster.state.fail();
+    test.cluster.run(2 * SimulatedCluster.CANCEL_MS);
+    assertEquals(runningBefore, test.running(others), "tasks of other jobs");
+    assertEquals(byLeaseBefore, test.cluster.cloud.killedByLease(), "tasks killed at lease end");
+    assertEquals(byReleaseBefore, test.cluster.cloud.killedByRelease(), "tasks killed by returns");
+    test.cluster.state.refuse("node-" + test.oldLeader.index, false);
+    test.cluster.state.recover();
+    SeededDaysTest.settle(test.cluster);
   }
 
   /** A controller that is cut off from all others keeps no lease for longer than it may. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8081, 8082})
-  void whoHearsNobodyLetsGo(long seed) {
-    Day d = new Day(seed);
-    d.w.state.fail();
-    new RandomFaults(d.w).alone(d.old, false, 2 * SimulatedCluster.CANCEL_MS);
-    new RandomFaults(d.w).alone(d.second, false, 2 * SimulatedCluster.CANCEL_MS);
-    d.w.run(SimulatedCluster.CANCEL_MS * 11 / 10);
-    assertEquals(0, d.running(d.cancelled) + d.running(d.kept), "tasks on kept leases");
-    d.w.state.recover();
-    d.w.run(SimulatedCluster.CANCEL_MS);
-    SeededDaysTest.settle(d.w);
+  void isolatedControllersReleaseTheirLeases(long seed) {
+    Scenario test = new Scenario(seed);
+    test.cluster.state.fail();
+    new RandomFaults(test.cluster).alone(test.oldLeader, false, 2 * SimulatedCluster.CANCEL_MS);
+    new RandomFaults(test.cluster).alone(test.second, false, 2 * SimulatedCluster.CANCEL_MS);
+    test.cluster.run(SimulatedCluster.CANCEL_MS * 11 / 10);
+    assertEquals(
+        0, test.running(test.cancelled) + test.running(test.otherJobs), "tasks on kept leases");
+    test.cluster.state.recover();
+    test.cluster.run(SimulatedCluster.CANCEL_MS);
+    SeededDaysTest.settle(test.cluster);
   }
 }
--- a/src/test/java/dapplestair/world/DrainTest.java
+++ b/src/test/java/dapplestair/world/DrainTest.java
@@ -14,8 +14,8 @@
 
 /** Machines and zones that operators empty, while leaders end and operators disagree. */
 class DrainTest {
-  static long running(SimulatedCluster w, SimulatedUsers.KnownJob job) {
-    return w.cloud.machines().stream()
+  static long countRunningTasks(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
+    return cluster.cloud.machines().stream()
         .filter(m -> !m.gone())
         .flatMap(m -> m.tasks().stream())
         .filter(t -> t.onMachine() && t.key().startsWith(job.ref + "/"))
@@ -25,120 +25,131 @@
   /** A zone is emptied; services never lack more than the one replica on its way. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {11, 12, 13})
-  void drainingAZoneKeepsServicesWhole(long seed) {
-    SimulatedCluster w = OperatorsTest.quiet(seed, OperatorsTest.ROOMY);
+  void drainingAZoneStopsAtMostOneReplicaPerService(long seed) {
+    SimulatedCluster cluster = OperatorsTest.quiet(seed, OperatorsTest.ROOMY);
     List<SimulatedUsers.KnownJob> services =
-        List.of(w.users.service("one", 4), w.users.service("two", 6), w.users.service("one", 3));
-    w.run(60_000);
-    services.forEach(s -> assertEquals(s.steps, running(w, s), s.ref + " runs before"));
-    long[] least = {Long.MAX_VALUE};
-    w.also =
+        List.of(
+            cluster.users.service("one", 4),
+            cluster.users.service("two", 6),
+            cluster.users.service("one", 3));
+    cluster.run(60_000);
+    services.forEach(
+        s -> assertEquals(s.steps, countRunningTasks(cluster, s), s.ref + " runs before"));
+    long[] minSurplus = {Long.MAX_VALUE};
+    cluster.also =
         () -> {
           for (SimulatedUsers.KnownJob s : services) {
-            least[0] = Math.min(least[0], running(w, s) - s.steps);
+            minSurplus[0] = Math.min(minSurplus[0], countRunningTasks(cluster, s) - s.steps);
           }
         };
-    OperatorsTest.order(w, "/v1/zones/a/drain", Json.object().put("why", "power"));
-    w.run(120_000);
-    assertTrue(least[0] >= -1, "a service lacked " + -least[0] + " replicas");
-    services.forEach(s -> assertEquals(s.steps, running(w, s), s.ref + " runs after"));
-    assertEquals(0, DisruptionTest.tasksIn(w, "a"), "tasks are left in the zone");
+    OperatorsTest.order(cluster, "/v1/zones/a/drain", Json.object().put("why", "power"));
+    cluster.run(120_000);
+    assertTrue(minSurplus[0] >= -1, "a service lacked " + -minSurplus[0] + " replicas");
+    services.forEach(
+        s -> assertEquals(s.steps, countRunningTasks(cluster, s), s.ref + " runs after"));
+    assertEquals(0, DisruptionTest.countTasksInZone(cluster, "a"), "tasks are left in the zone");
   }
 
   /** Two zones of three: the spread leaves no place for all, so those replicas stay. */
   @Test
-  void replicasWithoutAPlaceStay() {
-    SimulatedCluster w = OperatorsTest.quiet(21, OperatorsTest.ROOMY);
-    SimulatedUsers.KnownJob service = w.users.service("one", 4);
-    w.run(60_000);
-    OperatorsTest.order(w, "/v1/zones/a/drain", Json.object().put("deadline_s", 5));
-    OperatorsTest.order(w, "/v1/zones/b/drain", Json.object().put("deadline_s", 5));
-    w.run(90_000);
-    assertEquals(4, running(w, service));
-    assertTrue(DisruptionTest.tasksIn(w, "c") <= 2, "the spread is kept");
+  void replicasThatFitNowhereElseStay() {
+    SimulatedCluster cluster = OperatorsTest.quiet(21, OperatorsTest.ROOMY);
+    SimulatedUsers.KnownJob service = cluster.users.service("one", 4);
+    cluster.run(60_000);
+    OperatorsTest.order(cluster, "/v1/zones/a/drain", Json.object().put("deadline_s", 5));
+    OperatorsTest.order(cluster, "/v1/zones/b/drain", Json.object().put("deadline_s", 5));
+    cluster.run(90_000);
+    assertEquals(4, countRunningTasks(cluster, service));
+    assertTrue(DisruptionTest.countTasksInZone(cluster, "c") <= 2, "the spread is kept");
   }
 
   /** The leader ends in the middle, again and again; the next one goes on. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {31, 32, 33, 34})
-  void aDrainOutlivesItsLeader(long seed) {
-    SimulatedCluster w = OperatorsTest.world(seed, SimulatedCluster.Size.SMALL);
-    w.run(30_000);
+  void aDrainContinuesAcrossLeaderChanges(long seed) {
+    SimulatedCluster cluster = OperatorsTest.world(seed, SimulatedCluster.Size.SMALL);
+    cluster.run(30_000);
     OperatorsTest.order(
-        w, "/v1/zones/b/drain", Json.object().put("why", "cooling").put("deadline_s", 20));
+        cluster, "/v1/zones/b/drain", Json.object().put("why", "cooling").put("deadline_s", 20));
     for (int i = 0; i < 4; i++) {
-      if (w.leader() != null) {
-        w.leader().crash(w.sim.between(1000, 6000));
+      if (cluster.leader() != null) {
+        cluster.leader().crash(cluster.sim.between(1000, 6000));
       }
-      w.run(w.sim.between(3000, 9000));
+      cluster.run(cluster.sim.between(3000, 9000));
     }
-    w.users.quiet = true;
-    w.run(90_000);
-    JsonNode drains = OperatorsTest.answer(w, "/v1/drains");
+    cluster.users.quiet = true;
+    cluster.run(90_000);
+    JsonNode drains = OperatorsTest.answer(cluster, "/v1/drains");
     assertEquals("cooling", drains.path("rows").path(0).path("why").asText());
-    long arrays =
-        w.cloud.machines().stream()
+    long arrayTasksInZone =
+        cluster.cloud.machines().stream()
             .filter(m -> !m.gone() && m.zone().equals("b"))
             .flatMap(m -> m.tasks().stream())
-            .filter(t -> t.onMachine() && !w.users.told.get(ref(t)).service)
+            .filter(t -> t.onMachine() && !cluster.users.told.get(jobRef(t)).service)
             .count();
-    assertEquals(0, arrays, "arrays are left in the zone");
-    OperatorsTest.order(w, "/v1/zones/b/undrain", null);
-    SeededDaysTest.settle(w);
+    assertEquals(0, arrayTasksInZone, "arrays are left in the zone");
+    OperatorsTest.order(cluster, "/v1/zones/b/undrain", null);
+    SeededDaysTest.settle(cluster);
   }
 
-  private static String ref(EmulatedTask t) {
+  private static String jobRef(EmulatedTask t) {
     return t.key().substring(0, t.key().indexOf('/'));
   }
 
   /** A drained machine gets nothing new, is not returned unless asked, and is taken back. */
   @Test
-  void aDrainedMachineIsLeftAlone() {
-    SimulatedCluster w = OperatorsTest.quiet(41, OperatorsTest.ROOMY);
-    w.users.array("one", "standard", 24, 4);
-    w.run(25_000);
-    EmulatedWorker m =
-        w.cloud.machines().stream().filter(x -> x.booted() && !x.gone()).findFirst().orElseThrow();
-    OperatorsTest.order(w, "/v1/machines/" + m.id() + "/drain", Json.object());
-    w.run(10_000);
-    long[] started = {0};
-    w.also = () -> started[0] += m.tasks().stream().filter(EmulatedTask::onMachine).count();
+  void aDrainedMachineGetsNoTasksAndIsReturnedOnRequest() {
+    SimulatedCluster cluster = OperatorsTest.quiet(41, OperatorsTest.ROOMY);
+    cluster.users.array("one", "standard", 24, 4);
+    cluster.run(25_000);
+    EmulatedWorker drained =
+        cluster.cloud.machines().stream()
+            .filter(x -> x.booted() && !x.gone())
+            .findFirst()
+            .orElseThrow();
+    OperatorsTest.order(cluster, "/v1/machines/" + drained.id() + "/drain", Json.object());
+    cluster.run(10_000);
+    long[] tasksSeen = {0};
+    cluster.also =
+        () -> tasksSeen[0] += drained.tasks().stream().filter(EmulatedTask::onMachine).count();
     for (int i = 0; i < 6; i++) {
-      w.users.array("one", "standard", 24, 4);
-      w.run(20_000);
+      cluster.users.array("one", "standard", 24, 4);
+      cluster.run(20_000);
     }
-    assertEquals(0, started[0], "something ran on a drained machine");
-    assertTrue(!m.gone(), "a drained machine was returned");
-    OperatorsTest.order(w, "/v1/machines/" + m.id() + "/drain", Json.object().put("return", true));
-    w.run(90_000);
-    assertTrue(m.gone(), "a machine drained with return is still rented");
-    assertTrue(w.state.keys("live/drain/").isEmpty(), "the record of a machine that is gone stays");
+    assertEquals(0, tasksSeen[0], "something ran on a drained machine");
+    assertTrue(!drained.gone(), "a drained machine was returned");
+    OperatorsTest.order(
+        cluster, "/v1/machines/" + drained.id() + "/drain", Json.object().put("return", true));
+    cluster.run(90_000);
+    assertTrue(drained.gone(), "a machine drained with return is still rented");
+    assertTrue(
+        cluster.state.keys("live/drain/").isEmpty(), "the record of a machine that is gone stays");
   }
 
   /** Two who drain and undrain the same machine both get an answer, and the last one holds. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {51, 52, 53})
-  void twoWhoDisagreeBothGetAnAnswer(long seed) {
-    SimulatedCluster w = OperatorsTest.world(seed, SimulatedCluster.Size.SMALL);
-    w.run(30_000);
-    String id = w.cloud.machines().iterator().next().id();
-    int[] answers = new int[2];
+  void concurrentDrainAndUndrainAreAnswered(long seed) {
+    SimulatedCluster cluster = OperatorsTest.world(seed, SimulatedCluster.Size.SMALL);
+    cluster.run(30_000);
+    String id = cluster.cloud.machines().iterator().next().id();
+    int[] replyCounts = new int[2];
     for (int i = 0; i < 40; i++) {
       String verb = i % 2 == 0 ? "drain" : "undrain";
       OperatorsTest.ask(
-          w,
+          cluster,
           i % 3,
           "POST",
           "/v1/machines/" + id + "/" + verb,
           null,
           r -> {
-            answers[r.status() == 200 || r.status() == 409 ? 0 : 1]++;
+            replyCounts[r.status() == 200 || r.status() == 409 ? 0 : 1]++;
             assertTrue(r.status() != 500, "500");
           });
-      w.run(w.sim.between(0, 40));
+      cluster.run(cluster.sim.between(0, 40));
     }
-    w.run(10_000);
-    assertEquals(40, answers[0] + answers[1]);
-    assertTrue(answers[0] >= 30, answers[0] + " of 40 answered for good");
+    cluster.run(10_000);
+    assertEquals(40, replyCounts[0] + replyCounts[1]);
+    assertTrue(replyCounts[0] >= 30, replyCounts[0] + " of 40 answered for good");
   }
 }
--- a/src/test/java/dapplestair/world/FailingJobsTest.java
+++ b/src/test/java/dapplestair/world/FailingJobsTest.java
@@ -24,186 +24,195 @@
   private static final int STEPS = 24;
 
   /** Operators are served, so that what the product says of machines can be read. */
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, true);
-    w.net.loss = 0;
-    w.users.quiet = true;
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, true);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
     for (int i = 0; i < 6; i++) {
-      w.users.service(i % 2 == 0 ? "one" : "two", 3);
+      cluster.users.service(i % 2 == 0 ? "one" : "two", 3);
     }
     for (int i = 0; i < 6; i++) {
-      w.users.array(i % 2 == 0 ? "one" : "two", "high", STEPS, 8);
+      cluster.users.array(i % 2 == 0 ? "one" : "two", "high", STEPS, 8);
     }
-    w.run(25_000);
-    return w;
+    cluster.run(25_000);
+    return cluster;
   }
 
-  private static SimulatedUsers.KnownJob wrong(SimulatedCluster w, int mistaken) {
-    return w.users.changed("one", STEPS, 5, b -> b.put("mistakenSteps", mistaken));
+  private static SimulatedUsers.KnownJob submitFailingJob(
+      SimulatedCluster cluster, int mistakenSteps) {
+    return cluster.users.changed("one", STEPS, 5, b -> b.put("mistakenSteps", mistakenSteps));
   }
 
   /** Machines that the leader of now has blamed, by its own account; they may be gone by now. */
-  private static Set<String> faulty(SimulatedCluster w) {
-    Set<String> out = new HashSet<>();
-    JsonNode events = OperatorsTest.answer(w, "/v1/events?limit=500&where=kind%20%3D%20faulty");
-    for (JsonNode e : events.path("rows")) {
-      out.add(e.path("machine").asText());
+  private static Set<String> machinesFoundFaulty(SimulatedCluster cluster) {
+    Set<String> machineIds = new HashSet<>();
+    JsonNode events =
+        OperatorsTest.answer(cluster, "/v1/events?limit=500&where=kind%20%3D%20faulty");
+    for (JsonNode event : events.path("rows")) {
+      machineIds.add(event.path("machine").asText());
     }
-    return out;
+    return machineIds;
   }
 
-  private static SimulatedUsers.KnownJob good(SimulatedCluster w, int i) {
-    return w.users.array(i % 2 == 0 ? "one" : "two", "high", 12, 6);
+  private static SimulatedUsers.KnownJob submitWorkingJob(SimulatedCluster cluster, int index) {
+    return cluster.users.array(index % 2 == 0 ? "one" : "two", "high", 12, 6);
   }
 
   /** Half of all jobs are wrong: no machine is emptied for it, and the other half is served. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2001, 2002, 2003, 2004})
-  void noMachineIsBlamedForJobs(long seed) {
-    SimulatedCluster w = begun(seed);
-    List<SimulatedUsers.KnownJob> wrong = new ArrayList<>();
-    List<SimulatedUsers.KnownJob> good = new ArrayList<>();
+  void failingJobsDoNotMakeMachinesFaulty(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    List<SimulatedUsers.KnownJob> failingJobs = new ArrayList<>();
+    List<SimulatedUsers.KnownJob> workingJobs = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
-      wrong.add(wrong(w, STEPS));
-      good.add(good(w, i));
-      w.run(1500);
-      assertEquals(Set.of(), faulty(w), "machines emptied");
+      failingJobs.add(submitFailingJob(cluster, STEPS));
+      workingJobs.add(submitWorkingJob(cluster, i));
+      cluster.run(1500);
+      assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines emptied");
     }
-    w.run(60_000);
-    assertEquals(Set.of(), faulty(w), "machines emptied");
-    good.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
-    for (SimulatedUsers.KnownJob j : wrong) {
+    cluster.run(60_000);
+    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines emptied");
+    workingJobs.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
+    for (SimulatedUsers.KnownJob j : failingJobs) {
       assertTrue(j.accepted && j.finalState() == null, j.ref + " is called " + j.finalState());
       // One wave, of which what failed first may have begun again, and then one task at a time.
       assertTrue(j.starts <= 2 * STEPS, j.ref + " was started " + j.starts + " times");
-      w.users.cancel(j);
+      cluster.users.cancel(j);
     }
-    w.run(SimulatedCluster.CANCEL_MS);
-    wrong.forEach(j -> assertTrue(j.aborted, j.ref + " is not cancelled"));
+    cluster.run(SimulatedCluster.CANCEL_MS);
+    failingJobs.forEach(j -> assertTrue(j.aborted, j.ref + " is not cancelled"));
   }
 
   /** Nothing is rented for a job that fails wherever it runs, nor does it hold what is there. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2011, 2012})
-  void aWrongJobTakesNoRoom(long seed) {
-    SimulatedCluster w = begun(seed);
-    SimulatedUsers.KnownJob wrong =
-        w.users.changed("one", 120, 5, b -> b.put("mistakenSteps", 120));
-    w.run(40_000);
-    int starts = wrong.starts;
-    Set<String> before = machines(w);
-    w.run(90_000);
-    Set<String> rented = machines(w);
-    rented.removeAll(before);
+  void aFailingJobRentsNoMachinesAndIsProbedSlowly(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    SimulatedUsers.KnownJob failingJob =
+        cluster.users.changed("one", 120, 5, b -> b.put("mistakenSteps", 120));
+    cluster.run(40_000);
+    int startsBefore = failingJob.starts;
+    Set<String> machinesBefore = machineIds(cluster);
+    cluster.run(90_000);
+    Set<String> rented = machineIds(cluster);
+    rented.removeAll(machinesBefore);
     assertTrue(rented.size() <= 2, "rented meanwhile: " + rented);
-    assertTrue(wrong.starts - starts <= 6, wrong.starts - starts + " probes in 90 s");
-    assertTrue(wrong.starts > starts, "it is not tried any more");
-    JsonNode why = OperatorsTest.answer(w, "/v1/jobs/" + wrong.ref + "/why");
+    assertTrue(
+        failingJob.starts - startsBefore <= 6,
+        failingJob.starts - startsBefore + " probes in 90 s");
+    assertTrue(failingJob.starts > startsBefore, "it is not tried any more");
+    JsonNode why = OperatorsTest.answer(cluster, "/v1/jobs/" + failingJob.ref + "/why");
     assertTrue(why.path("failing").path("one_at_a_time").asBoolean(), why.toString());
-    assertEquals(1, OperatorsTest.answer(w, "/v1/status").path("jobs_suspected").asInt());
+    assertEquals(1, OperatorsTest.answer(cluster, "/v1/status").path("jobs_suspected").asInt());
   }
 
-  private static Set<String> machines(SimulatedCluster w) {
-    return w.cloud.machines().stream().map(EmulatedWorker::id).collect(Collectors.toSet());
+  private static Set<String> machineIds(SimulatedCluster cluster) {
+    return cluster.cloud.machines().stream().map(EmulatedWorker::id).collect(Collectors.toSet());
   }
 
   /** Its user has mended the mistake: it runs to its end. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2021, 2022, 2023, 2024})
-  void itRunsOnceItWorks(long seed) {
-    SimulatedCluster w = begun(seed);
-    SimulatedUsers.KnownJob wrong = wrong(w, STEPS);
-    w.run(45_000);
-    assertFalse(wrong.done);
-    ((ObjectNode) wrong.body).remove("mistakenSteps");
-    w.run(110_000);
-    assertTrue(wrong.done, wrong.ref + " is not done, " + wrong.starts + " starts");
-    assertEquals(Set.of(), faulty(w), "machines emptied");
+  void aFailingJobCompletesOnceItsMistakeIsFixed(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    SimulatedUsers.KnownJob failingJob = submitFailingJob(cluster, STEPS);
+    cluster.run(45_000);
+    assertFalse(failingJob.done);
+    ((ObjectNode) failingJob.body).remove("mistakenSteps");
+    cluster.run(110_000);
+    assertTrue(failingJob.done, failingJob.ref + " is not done, " + failingJob.starts + " starts");
+    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines emptied");
   }
 
   /** A few tasks fail wherever they run: the others are done once each, and stay so. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2031, 2032, 2033, 2034})
-  void whatIsDoneStaysDone(long seed) {
-    SimulatedCluster w = begun(seed);
-    SimulatedUsers.KnownJob some = wrong(w, 3);
-    w.run(40_000);
-    int starts = some.starts;
-    JsonNode job = OperatorsTest.answer(w, "/v1/jobs/" + some.ref);
+  void completedTasksAreNotRunAgain(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    SimulatedUsers.KnownJob partlyFailingJob = submitFailingJob(cluster, 3);
+    cluster.run(40_000);
+    int startsBefore = partlyFailingJob.starts;
+    JsonNode job = OperatorsTest.answer(cluster, "/v1/jobs/" + partlyFailingJob.ref);
     assertEquals(STEPS - 3, job.path("done").asInt(), job.toString());
-    w.run(60_000);
-    assertTrue(some.starts - starts <= 24, some.starts - starts + " starts of three tasks in 60 s");
-    assertEquals(Set.of(), faulty(w), "machines emptied");
-    ((ObjectNode) some.body).remove("mistakenSteps");
-    w.run(100_000);
-    assertTrue(some.done, some.ref + " is not done");
+    cluster.run(60_000);
+    assertTrue(
+        partlyFailingJob.starts - startsBefore <= 24,
+        partlyFailingJob.starts - startsBefore + " starts of three tasks in 60 s");
+    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines emptied");
+    ((ObjectNode) partlyFailingJob.body).remove("mistakenSteps");
+    cluster.run(100_000);
+    assertTrue(partlyFailingJob.done, partlyFailingJob.ref + " is not done");
   }
 
   /** Faulty machines among wrong jobs: those are emptied, and no others. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2041, 2042, 2043, 2044, 2045, 2046, 2047, 2049})
-  void machinesAreBlamedForTheirOwn(long seed) {
-    SimulatedCluster w = begun(seed);
-    List<EmulatedWorker> up =
-        w.cloud.machines().stream()
+  void onlyFaultyMachinesAreDrained(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    List<EmulatedWorker> candidates =
+        cluster.cloud.machines().stream()
             .filter(m -> m.booted() && !m.gone() && m.tasks().stream().noneMatch(t -> t.service()))
             .toList();
-    Set<String> sick = new HashSet<>();
+    Set<String> faultyMachines = new HashSet<>();
     for (int i = 0; i < 3; i++) {
-      EmulatedWorker m = up.get((int) w.sim.between(0, up.size() - 1));
+      EmulatedWorker m = candidates.get((int) cluster.sim.between(0, candidates.size() - 1));
       m.sicken();
-      sick.add(m.id());
+      faultyMachines.add(m.id());
     }
-    Map<String, Integer> before = Map.copyOf(w.checker.startsOn);
-    Set<String> emptied = new HashSet<>();
-    List<SimulatedUsers.KnownJob> good = new ArrayList<>();
+    Map<String, Integer> startsBefore = Map.copyOf(cluster.checker.startsOn);
+    Set<String> foundFaulty = new HashSet<>();
+    List<SimulatedUsers.KnownJob> workingJobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       if (i % 2 == 0) {
-        wrong(w, STEPS);
+        submitFailingJob(cluster, STEPS);
       }
-      good.add(good(w, i));
-      good.add(good(w, i + 1));
-      w.run(4000);
-      emptied.addAll(faulty(w));
-      noneInUse(w, emptied);
+      workingJobs.add(submitWorkingJob(cluster, i));
+      workingJobs.add(submitWorkingJob(cluster, i + 1));
+      cluster.run(4000);
+      foundFaulty.addAll(machinesFoundFaulty(cluster));
+      assertNotInUse(cluster, foundFaulty);
     }
-    w.run(60_000);
-    for (String id : sick) {
-      int wasted = w.checker.startsOn.getOrDefault(id, 0) - before.getOrDefault(id, 0);
+    cluster.run(60_000);
+    for (String id : faultyMachines) {
+      int wasted = cluster.checker.startsOn.getOrDefault(id, 0) - startsBefore.getOrDefault(id, 0);
       assertTrue(wasted <= 12, wasted + " starts on faulty " + id);
     }
-    emptied.removeAll(sick);
-    assertEquals(Set.of(), emptied, "healthy machines emptied");
-    good.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
-    long left = w.cloud.machines().stream().filter(m -> sick.contains(m.id()) && !m.gone()).count();
-    assertTrue(left <= 1, left + " faulty machines are still there");
+    foundFaulty.removeAll(faultyMachines);
+    assertEquals(Set.of(), foundFaulty, "healthy machines emptied");
+    workingJobs.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
+    long remainingFaulty =
+        cluster.cloud.machines().stream()
+            .filter(m -> faultyMachines.contains(m.id()) && !m.gone())
+            .count();
+    assertTrue(remainingFaulty <= 1, remainingFaulty + " faulty machines are still there");
   }
 
   /** Found while workers were replaced: nothing of a service completes elsewhere, ever. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2082, 2083, 2084, 2086})
-  void aMachineThatFailsReplicas(long seed) {
-    SimulatedCluster w = begun(seed);
-    w.cloud.setSick(true);
-    w.cloud.machines().stream()
+  void machinesThatFailServiceReplicas(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    cluster.cloud.setSick(true);
+    cluster.cloud.machines().stream()
         .filter(m -> m.tasks().stream().anyMatch(t -> t.service()))
         .limit(2)
         .forEach(EmulatedWorker::end);
-    w.run(20_000);
-    w.cloud.setSick(false);
-    w.run(60_000);
-    long up =
-        w.cloud.machines().stream()
+    cluster.run(20_000);
+    cluster.cloud.setSick(false);
+    cluster.run(60_000);
+    long runningReplicas =
+        cluster.cloud.machines().stream()
             .filter(m -> !m.gone())
             .flatMap(m -> m.tasks().stream())
             .filter(t -> t.service() && t.onMachine())
             .count();
-    assertEquals(18, up, "replicas");
+    assertEquals(18, runningReplicas, "replicas");
   }
 
-  private static void noneInUse(SimulatedCluster w, Set<String> blamed) {
-    for (JsonNode m : OperatorsTest.answer(w, "/v1/machines?limit=500").path("rows")) {
-      if (blamed.contains(m.path("id").asText())) {
+  private static void assertNotInUse(SimulatedCluster cluster, Set<String> faultyMachines) {
+    for (JsonNode m : OperatorsTest.answer(cluster, "/v1/machines?limit=500").path("rows")) {
+      if (faultyMachines.contains(m.path("id").asText())) {
         assertTrue(
             Set.of("faulty", "returning", "silent").contains(m.path("state").asText()),
             m.toString());
@@ -214,12 +223,12 @@
   /** Wrong services and gangs are tried one pause after the other, as a gang must, as a whole. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2051, 2052})
-  void wrongServicesAndGangs(long seed) {
-    SimulatedCluster w = begun(seed);
+  void failingServicesAndGangsAreRetriedWithPauses(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
     SimulatedUsers.KnownJob gang =
-        w.users.changed("one", 6, 4, b -> b.put("mistakenSteps", 6).put("shape", "gang"));
+        cluster.users.changed("one", 6, 4, b -> b.put("mistakenSteps", 6).put("shape", "gang"));
     SimulatedUsers.KnownJob service =
-        w.users.changed(
+        cluster.users.changed(
             "two",
             6,
             0,
@@ -229,74 +238,78 @@
                     .put("rank", "critical")
                     .put("vcpus", 1.0)
                     .put("loaners", false));
-    w.run(100_000);
+    cluster.run(100_000);
     assertTrue(gang.starts <= 6 * 8, gang.starts + " starts of a gang of 6");
     assertTrue(service.starts <= 6 * 3, service.starts + " starts of a service of 6");
-    assertEquals(Set.of(), faulty(w), "machines emptied");
+    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines emptied");
     ((ObjectNode) service.body).remove("mistakenSteps");
     ((ObjectNode) gang.body).remove("mistakenSteps");
-    w.run(130_000);
+    cluster.run(130_000);
     assertTrue(gang.done, "the gang is not done");
     assertEquals(
-        6, OperatorsTest.answer(w, "/v1/jobs/" + service.ref).path("running").asInt(), "replicas");
+        6,
+        OperatorsTest.answer(cluster, "/v1/jobs/" + service.ref).path("running").asInt(),
+        "replicas");
   }
 
   /** New machines on which wrong jobs fail are not to blame: workers go on being replaced. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2071, 2072})
-  void newMachinesAreNotBlamedForJobs(long seed) {
-    SimulatedCluster w = begun(seed);
-    OperatorsTest.order(w, "/v1/replacements/night/start", ReplacementTest.all(6, 6));
+  void replacementContinuesThoughJobsFailOnNewMachines(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    OperatorsTest.order(cluster, "/v1/replacements/night/start", ReplacementTest.all(6, 6));
     for (int i = 0; i < 20; i++) {
-      wrong(w, STEPS);
-      w.run(4000);
-      String remark = OperatorsTest.answer(w, "/v1/replacements/night").toString();
-      assertFalse(remark.contains("fail tasks"), remark);
+      submitFailingJob(cluster, STEPS);
+      cluster.run(4000);
+      String replacement = OperatorsTest.answer(cluster, "/v1/replacements/night").toString();
+      assertFalse(replacement.contains("fail tasks"), replacement);
     }
   }
 
   /** The next leader knows which jobs fail wherever they run, without trying all of them again. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2061, 2062, 2063, 2064})
-  void itOutlivesALeader(long seed) {
-    SimulatedCluster w = begun(seed);
-    SimulatedUsers.KnownJob wrong = wrong(w, STEPS);
-    w.run(40_000);
-    int starts = wrong.starts;
+  void failingJobsStayKnownAcrossLeaderChanges(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    SimulatedUsers.KnownJob failingJob = submitFailingJob(cluster, STEPS);
+    cluster.run(40_000);
+    int startsBefore = failingJob.starts;
     for (int i = 0; i < 3; i++) {
-      w.leader().crash(3000);
-      w.run(15_000);
+      cluster.leader().crash(3000);
+      cluster.run(15_000);
     }
-    assertTrue(wrong.starts - starts <= 9, wrong.starts - starts + " starts under three leaders");
-    good(w, 1);
-    w.run(30_000);
-    assertEquals(Set.of(), faulty(w), "machines emptied");
+    assertTrue(
+        failingJob.starts - startsBefore <= 9,
+        failingJob.starts - startsBefore + " starts under three leaders");
+    submitWorkingJob(cluster, 1);
+    cluster.run(30_000);
+    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines emptied");
   }
 
   /** Seeds on which one of the three causes, or two of them, kept a machine from being blamed. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2048, 2055, 2061, 2064, 2080, 2086, 2106, 2111, 2125, 2143, 2165})
-  void whateverHidesThemMachinesAreBlamed(long seed) {
-    machinesAreBlamedForTheirOwn(seed);
+  void faultyMachinesHiddenByOtherCausesAreDrained(long seed) {
+    onlyFaultyMachinesAreDrained(seed);
   }
 
   /** One job does not run into the same machine again and again while others are full. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2311, 2312, 2313, 2314, 2315, 2316})
   void aJobDoesNotStartAgainWhereItFailed(long seed) {
-    SimulatedCluster w = begun(seed);
-    EmulatedWorker sick =
-        w.cloud.machines().stream()
+    SimulatedCluster cluster = startCluster(seed);
+    EmulatedWorker faultyMachine =
+        cluster.cloud.machines().stream()
             .filter(m -> m.booted() && !m.gone() && m.tasks().isEmpty())
             .findFirst()
             .orElseThrow();
-    sick.sicken();
-    String id = sick.id();
-    int before = w.checker.startsOn.getOrDefault(id, 0);
-    w.cloud.setDown(true);
-    w.users.changed("one", 600, 9, b -> b.put("mistakenSteps", 600));
-    w.run(8000);
-    int starts = w.checker.startsOn.getOrDefault(id, 0) - before;
-    assertTrue(starts <= 8, starts + " starts on faulty " + id);
+    faultyMachine.sicken();
+    String faultyId = faultyMachine.id();
+    int startsBefore = cluster.checker.startsOn.getOrDefault(faultyId, 0);
+    cluster.cloud.setDown(true);
+    cluster.users.changed("one", 600, 9, b -> b.put("mistakenSteps", 600));
+    cluster.run(8000);
+    int starts = cluster.checker.startsOn.getOrDefault(faultyId, 0) - startsBefore;
+    assertTrue(starts <= 8, starts + " starts on faulty " + faultyId);
   }
 }
--- a/src/test/java/dapplestair/world/FaultCombinationRunner.java
+++ b/src/test/java/dapplestair/world/FaultCombinationRunner.java
@@ -21,9 +21,9 @@
       }
       try {
         if (args.length > 2 && args[2].equals("machines")) {
-          FaultCombinationTest.playMachines(seed);
+          FaultCombinationTest.runMachineFaults(seed);
         } else {
-          FaultCombinationTest.play(seed);
+          FaultCombinationTest.run(seed);
         }
       } catch (AssertionError e) {
         broken.add(e.getMessage());
--- a/src/test/java/dapplestair/world/FaultCombinationTest.java
+++ b/src/test/java/dapplestair/world/FaultCombinationTest.java
@@ -18,107 +18,110 @@
   private static final int ROUNDS = 5;
 
   /** Jobs of at most three tasks. */
-  static final SimulatedCluster.Size SHORT = new SimulatedCluster.Size(4, 20, 1100, 3);
+  static final SimulatedCluster.Size SHORT_JOBS = new SimulatedCluster.Size(4, 20, 1100, 3);
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9001, 9002, 9003, 9004, 9005, 9006, 9007, 9008, 9009, 9010, 9011, 9012})
-  void troublesMeet(long seed) {
-    play(seed);
+  void faultsOverlapWithLeaderChanges(long seed) {
+    run(seed);
   }
 
   /** Among them mute machines, late commands, quick boots with late writes, and old reports. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9101, 9102, 9103, 9104})
-  void troublesOfMachinesMeet(long seed) {
-    playMachines(seed);
+  void machineFaultsOverlapWithLeaderChanges(long seed) {
+    runMachineFaults(seed);
   }
 
-  static void play(long seed) {
-    play(new SimulatedCluster(seed, SHORT), seed, RandomFaults::any);
+  static void run(long seed) {
+    run(new SimulatedCluster(seed, SHORT_JOBS), seed, RandomFaults::any);
   }
 
-  static void playMachines(long seed) {
-    play(new SimulatedCluster(seed, SHORT), seed, RandomFaults::ofMachines);
+  static void runMachineFaults(long seed) {
+    run(new SimulatedCluster(seed, SHORT_JOBS), seed, RandomFaults::ofMachines);
   }
 
-  static void play(SimulatedCluster w, long seed, Consumer<RandomFaults> trouble) {
+  static void run(SimulatedCluster cluster, long seed, Consumer<RandomFaults> injectFault) {
     try {
-      w.users.cancelledArrays = 0.5;
-      RandomFaults faults = new RandomFaults(w);
-      w.run(15_000);
+      cluster.users.cancelledArrays = 0.5;
+      RandomFaults faults = new RandomFaults(cluster);
+      cluster.run(15_000);
       for (int i = 0; i < ROUNDS; i++) {
-        transition(w, faults);
-        int more = (int) w.sim.between(1, 2);
-        for (int k = 0; k < more; k++) {
-          w.run(step(w));
-          trouble.accept(faults);
+        startLeaderChange(cluster, faults);
+        int additionalFaults = (int) cluster.sim.between(1, 2);
+        for (int k = 0; k < additionalFaults; k++) {
+          cluster.run(faultOffsetMs(cluster));
+          injectFault.accept(faults);
         }
-        cancelSome(w);
-        w.run(w.sim.between(8000, 40_000));
+        cancelSomeJobs(cluster);
+        cluster.run(cluster.sim.between(8000, 40_000));
       }
-      w.run(RandomFaults.LONGEST_MS);
-      w.state.recover();
-      SeededDaysTest.settle(w);
+      cluster.run(RandomFaults.LONGEST_MS);
+      cluster.state.recover();
+      SeededDaysTest.settle(cluster);
     } catch (AssertionError e) {
       throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
     }
   }
 
   /** Within a message, a put, a hold, or a lease: each has its own moment in a change of leader. */
-  private static long step(SimulatedCluster w) {
-    long[] spans = {
+  private static long faultOffsetMs(SimulatedCluster cluster) {
+    long[] maxOffsetsMs = {
       30, 400, SimulatedCluster.LEASE_MS / 10, SimulatedCluster.REPORT_MS, SimulatedCluster.LEASE_MS
     };
-    return w.sim.between(0, spans[(int) w.sim.between(0, spans.length - 1)]);
+    return cluster.sim.between(
+        0, maxOffsetsMs[(int) cluster.sim.between(0, maxOffsetsMs.length - 1)]);
   }
 
-  private static void transition(SimulatedCluster w, RandomFaults faults) {
-    SimulatedCluster.ControllerNode leader = w.leader() == null ? w.nodes.get(0) : w.leader();
+  private static void startLeaderChange(SimulatedCluster cluster, RandomFaults faults) {
+    SimulatedCluster.ControllerNode leader =
+        cluster.leader() == null ? cluster.nodes.get(0) : cluster.leader();
     String name = "node-" + leader.index;
-    long ms = w.sim.between(1500, RandomFaults.LONGEST_MS);
-    switch ((int) w.sim.between(0, 7)) {
-      case 0 -> leader.crash(w.sim.between(60, 900));
-      case 1 -> leader.crash(w.sim.between(2000, 6000));
-      case 2 -> w.nodes.forEach(n -> n.crash(w.sim.between(60, 4000)));
-      case 3 -> faults.alone(leader, w.sim.chance(0.5), ms);
+    long faultMs = cluster.sim.between(1500, RandomFaults.LONGEST_MS);
+    switch ((int) cluster.sim.between(0, 7)) {
+      case 0 -> leader.crash(cluster.sim.between(60, 900));
+      case 1 -> leader.crash(cluster.sim.between(2000, 6000));
+      case 2 -> cluster.nodes.forEach(n -> n.crash(cluster.sim.between(60, 4000)));
+      case 3 -> faults.alone(leader, cluster.sim.chance(0.5), faultMs);
       case 4 -> {
         // It alone is refused, and then all of them are, for longer than cancelled work may live.
-        w.state.refuse(name, true);
-        w.sim.after(w.sim.between(200, 4000), w.state::fail);
-        long out = w.sim.chance(0.3) ? SimulatedCluster.CANCEL_MS * 5 / 4 : ms;
-        w.sim.after(4000 + out, w.state::recover);
-        w.sim.after(w.sim.between(2000, 4000 + out), () -> w.state.refuse(name, false));
+        cluster.state.refuse(name, true);
+        cluster.sim.after(cluster.sim.between(200, 4000), cluster.state::fail);
+        long outageMs = cluster.sim.chance(0.3) ? SimulatedCluster.CANCEL_MS * 5 / 4 : faultMs;
+        cluster.sim.after(4000 + outageMs, cluster.state::recover);
+        cluster.sim.after(
+            cluster.sim.between(2000, 4000 + outageMs), () -> cluster.state.refuse(name, false));
       }
-      case 5 -> leader.freeze(ms);
+      case 5 -> leader.freeze(faultMs);
       case 6 -> {
         // It ends while machines with tasks can't be reached by anybody, or don't hear.
-        for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
-          if (w.sim.chance(0.3)) {
-            m.deafen(ms);
-          } else if (w.sim.chance(0.2)) {
-            m.hang(Math.min(ms, SimulatedCluster.LEASE_MS * 9 / 10));
+        for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
+          if (cluster.sim.chance(0.3)) {
+            m.deafen(faultMs);
+          } else if (cluster.sim.chance(0.2)) {
+            m.hang(Math.min(faultMs, SimulatedCluster.LEASE_MS * 9 / 10));
           }
         }
-        w.run(w.sim.between(0, 2000));
-        leader.crash(w.sim.between(60, 4000));
+        cluster.run(cluster.sim.between(0, 2000));
+        leader.crash(cluster.sim.between(60, 4000));
       }
       default -> {
         // Hand over and back.
-        leader.crash(w.sim.between(60, 500));
-        w.sim.after(
-            w.sim.between(300, 2500),
-            () -> w.nodes.get((leader.index + 1) % 3).crash(w.sim.between(60, 500)));
+        leader.crash(cluster.sim.between(60, 500));
+        cluster.sim.after(
+            cluster.sim.between(300, 2500),
+            () -> cluster.nodes.get((leader.index + 1) % 3).crash(cluster.sim.between(60, 500)));
       }
     }
   }
 
   /** A third of what its users still wait for. */
-  private static void cancelSome(SimulatedCluster w) {
-    for (SimulatedUsers.KnownJob t : new ArrayList<>(w.users.told.values())) {
-      if (t.accepted && !t.done && !t.cancelAsked && w.sim.chance(0.33)) {
-        w.users.cancel(t);
+  private static void cancelSomeJobs(SimulatedCluster cluster) {
+    for (SimulatedUsers.KnownJob job : new ArrayList<>(cluster.users.told.values())) {
+      if (job.accepted && !job.done && !job.cancelAsked && cluster.sim.chance(0.33)) {
+        cluster.users.cancel(job);
       }
     }
-    assertTrue(w.users.told.size() > 5, "hardly any jobs");
+    assertTrue(cluster.users.told.size() > 5, "hardly any jobs");
   }
 }
--- a/src/test/java/dapplestair/world/ForgottenMachinesTest.java
+++ b/src/test/java/dapplestair/world/ForgottenMachinesTest.java
@@ -16,143 +16,147 @@
 class ForgottenMachinesTest {
   private static final long LONG_MS = SimulatedCluster.CANCEL_MS * 3 / 2;
 
-  private static SimulatedCluster allEndInAnOutage(long seed) {
-    SimulatedCluster w = new CancellationOutageTest.Day(seed).w;
-    w.state.fail();
-    w.nodes.forEach(n -> n.crash(1000));
-    return w;
+  private static SimulatedCluster crashAllInAnOutage(long seed) {
+    SimulatedCluster cluster = new CancellationOutageTest.Scenario(seed).cluster;
+    cluster.state.fail();
+    cluster.nodes.forEach(n -> n.crash(1000));
+    return cluster;
   }
 
   /** The outage goes on, then all calms down; the checker looks at {@code ran_cancelled}. */
-  private static void outlast(SimulatedCluster w) {
-    w.run(LONG_MS);
-    calmDown(w);
+  private static void runOutageAndRecover(SimulatedCluster cluster) {
+    cluster.run(LONG_MS);
+    recover(cluster);
   }
 
-  private static void calmDown(SimulatedCluster w) {
-    w.state.recover();
-    w.run(90_000);
-    SeededDaysTest.settle(w);
+  private static void recover(SimulatedCluster cluster) {
+    cluster.state.recover();
+    cluster.run(90_000);
+    SeededDaysTest.settle(cluster);
   }
 
   /** Guards against cancelled tasks that live on since one controller stays away. */
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12301,100", "12302,3000", "12303,9000", "12304,15000"})
-  void oneControllerStaysAway(long seed, long endMs) {
-    CancellationOutageTest.Day d = ManyLeadersTest.cancelledOnHangingMachines(seed);
-    SimulatedCluster w = d.w;
-    w.run(endMs);
-    w.nodes.forEach(n -> n.crash(n == d.third ? LONG_MS : 1000));
-    outlast(w);
+  void oneControllerStaysAway(long seed, long crashAfterMs) {
+    CancellationOutageTest.Scenario scenario = ManyLeadersTest.cancelledOnHangingMachines(seed);
+    SimulatedCluster cluster = scenario.cluster;
+    cluster.run(crashAfterMs);
+    cluster.nodes.forEach(n -> n.crash(n == scenario.third ? LONG_MS : 1000));
+    runOutageAndRecover(cluster);
   }
 
   /** Guards against cancelled tasks that live on since one controller cannot be asked. */
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12311,100", "12312,3000", "12313,9000", "12314,15000"})
-  void oneControllerIsCutOff(long seed, long endMs) {
-    CancellationOutageTest.Day d = ManyLeadersTest.cancelledOnHangingMachines(seed);
-    SimulatedCluster w = d.w;
-    w.run(endMs);
-    w.cutOff(d.third, m -> false, false, LONG_MS);
-    w.nodes.forEach(n -> n.crash(1000));
-    outlast(w);
+  void oneControllerIsCutOff(long seed, long crashAfterMs) {
+    CancellationOutageTest.Scenario scenario = ManyLeadersTest.cancelledOnHangingMachines(seed);
+    SimulatedCluster cluster = scenario.cluster;
+    cluster.run(crashAfterMs);
+    cluster.cutOff(scenario.third, m -> false, false, LONG_MS);
+    cluster.nodes.forEach(n -> n.crash(1000));
+    runOutageAndRecover(cluster);
   }
 
   /** Guards against cancelled tasks that live on since most machines hang. */
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12321,100", "12322,3000", "12323,9000", "12324,15000"})
-  void mostMachinesHang(long seed, long endMs) {
-    CancellationOutageTest.Day d = ManyLeadersTest.cancelledOnHangingMachines(seed);
-    SimulatedCluster w = d.w;
+  void mostMachinesHang(long seed, long crashAfterMs) {
+    CancellationOutageTest.Scenario scenario = ManyLeadersTest.cancelledOnHangingMachines(seed);
+    SimulatedCluster cluster = scenario.cluster;
     int i = 0;
-    for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
+    for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
       if (!m.gone() && i++ % 4 != 0) {
         m.stall(LONG_MS);
       }
     }
-    w.run(endMs);
-    w.nodes.forEach(n -> n.crash(1000));
-    outlast(w);
+    cluster.run(crashAfterMs);
+    cluster.nodes.forEach(n -> n.crash(1000));
+    runOutageAndRecover(cluster);
   }
 
   /** Guards against cancelled tasks on machines that the cloud's list shows as booting. */
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12331,0", "12332,500", "12333,2000", "12334,4000"})
-  void aMachineIsListedAsBooting(long seed, long endMs) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    SimulatedCluster w = d.w;
+  void aMachineIsListedAsBooting(long seed, long crashAfterMs) {
+    CancellationOutageTest.Scenario scenario = new CancellationOutageTest.Scenario(seed);
+    SimulatedCluster cluster = scenario.cluster;
     // More than fits, so that machines are rented for it.
-    SimulatedUsers.KnownJob job = w.users.array("one", "high", 12, 150);
-    for (int i = 0; i < 300 && d.running(job) < 3; i++) {
-      w.run(100);
+    SimulatedUsers.KnownJob job = cluster.users.array("one", "high", 12, 150);
+    for (int i = 0; i < 300 && scenario.running(job) < 3; i++) {
+      cluster.run(100);
     }
-    assertTrue(d.running(job) > 0, "it does not run");
-    w.users.cancelAt(job, d.old);
-    for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
+    assertTrue(scenario.running(job) > 0, "it does not run");
+    cluster.users.cancelAt(job, scenario.oldLeader);
+    for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
       if (!m.gone() && m.tasks().stream().anyMatch(t -> t.key().startsWith(job.ref + "/"))) {
         m.stall(LONG_MS);
       }
     }
-    w.run(500);
-    w.state.fail();
-    w.run(endMs);
-    w.nodes.forEach(n -> n.crash(1000));
-    outlast(w);
+    cluster.run(500);
+    cluster.state.fail();
+    cluster.run(crashAfterMs);
+    cluster.nodes.forEach(n -> n.crash(1000));
+    runOutageAndRecover(cluster);
   }
 
   /** Guards against machines returned that report, however little else works. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {12341, 12342, 12343, 12344})
   void machinesThatReportAreKept(long seed) {
-    SimulatedCluster w = allEndInAnOutage(seed);
-    long before = held(w);
-    w.run(LONG_MS);
-    assertEquals(before, held(w), "machines");
-    calmDown(w);
+    SimulatedCluster cluster = crashAllInAnOutage(seed);
+    long rentedBefore = countRentedMachines(cluster);
+    cluster.run(LONG_MS);
+    assertEquals(rentedBefore, countRentedMachines(cluster), "machines");
+    recover(cluster);
   }
 
   /** Guards against machines returned in numbers that are only mute for a quarter of a lease. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {12351, 12352, 12353, 12354})
   void machinesSilentForAWhileAreKept(long seed) {
-    SimulatedCluster w = allEndInAnOutage(seed);
-    w.run(SimulatedCluster.LEASE_MS);
-    long before = held(w);
+    SimulatedCluster cluster = crashAllInAnOutage(seed);
+    cluster.run(SimulatedCluster.LEASE_MS);
+    long rentedBefore = countRentedMachines(cluster);
     int i = 0;
-    for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
+    for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
       if (!m.gone() && i++ % 4 != 0) {
         m.mute(SimulatedCluster.LEASE_MS / 4);
       }
     }
-    w.run(SimulatedCluster.LEASE_MS);
-    long returned = before - held(w);
-    assertTrue(10 * returned <= before, returned + " of " + before + " machines are returned");
-    calmDown(w);
+    cluster.run(SimulatedCluster.LEASE_MS);
+    long returnedMachines = rentedBefore - countRentedMachines(cluster);
+    assertTrue(
+        10 * returnedMachines <= rentedBefore,
+        returnedMachines + " of " + rentedBefore + " machines are returned");
+    recover(cluster);
   }
 
   /** Guards against machines returned of a zone that is cut off with a controller that knows. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {12361, 12362, 12363, 12364})
   void aZoneCutOffWithItsControllerIsKept(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    SimulatedCluster w = d.w;
-    SimulatedCluster.ControllerNode inside = w.nodes.get(1);
+    CancellationOutageTest.Scenario scenario = new CancellationOutageTest.Scenario(seed);
+    SimulatedCluster cluster = scenario.cluster;
+    SimulatedCluster.ControllerNode inside = cluster.nodes.get(1);
     String zone = inside.settings.zone();
-    w.state.fail();
-    w.cutZone(zone, false, LONG_MS);
-    w.nodes.stream().filter(n -> n != inside).forEach(n -> n.crash(1000));
-    long before = held(w, zone);
-    assertTrue(before > 0, "no machine in the zone");
-    w.run(LONG_MS);
-    assertEquals(before, held(w, zone), "machines");
-    calmDown(w);
+    cluster.state.fail();
+    cluster.cutZone(zone, false, LONG_MS);
+    cluster.nodes.stream().filter(n -> n != inside).forEach(n -> n.crash(1000));
+    long rentedBefore = countRentedMachines(cluster, zone);
+    assertTrue(rentedBefore > 0, "no machine in the zone");
+    cluster.run(LONG_MS);
+    assertEquals(rentedBefore, countRentedMachines(cluster, zone), "machines");
+    recover(cluster);
   }
 
-  private static long held(SimulatedCluster w) {
-    return w.cloud.machines().stream().filter(m -> !m.gone()).count();
+  private static long countRentedMachines(SimulatedCluster cluster) {
+    return cluster.cloud.machines().stream().filter(m -> !m.gone()).count();
   }
 
-  private static long held(SimulatedCluster w, String zone) {
-    return w.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals(zone)).count();
+  private static long countRentedMachines(SimulatedCluster cluster, String zone) {
+    return cluster.cloud.machines().stream()
+        .filter(m -> !m.gone() && m.zone().equals(zone))
+        .count();
   }
 }
--- a/src/test/java/dapplestair/world/FullMachineTest.java
+++ b/src/test/java/dapplestair/world/FullMachineTest.java
@@ -11,27 +11,27 @@
   private static final long CROWDED_MS = 40_000;
   private static final long BEGIN_MS = 60_000;
 
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, true);
-    w.net.loss = 0;
-    w.users.quiet = true;
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, true);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
     for (int i = 0; i < 4; i++) {
-      w.users.service("one", 3);
+      cluster.users.service("one", 3);
     }
-    w.run(30_000);
-    return w;
+    cluster.run(30_000);
+    return cluster;
   }
 
   /** The checker counts how often a machine refuses. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {16101, 16102, 16103})
   void aStartRefusedAsFullIsNotRepeatedWithoutPause(long seed) {
-    SimulatedCluster w = begun(seed);
-    w.cloud.machines().forEach(m -> m.crowd(CROWDED_MS));
-    SimulatedUsers.KnownJob service = w.users.service("two", 3);
-    SimulatedUsers.KnownJob array = w.users.array("two", "high", 12, 5);
-    w.run(CROWDED_MS);
-    w.run(BEGIN_MS);
+    SimulatedCluster cluster = startCluster(seed);
+    cluster.cloud.machines().forEach(m -> m.crowd(CROWDED_MS));
+    SimulatedUsers.KnownJob service = cluster.users.service("two", 3);
+    SimulatedUsers.KnownJob array = cluster.users.array("two", "high", 12, 5);
+    cluster.run(CROWDED_MS);
+    cluster.run(BEGIN_MS);
     assertTrue(service.begunAt() >= 0, "the service has not begun");
     assertTrue(array.done, "the array is not done");
   }
@@ -40,20 +40,20 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {16111, 16112, 16113})
   void workGoesElsewhereAndTheMachineComesBackIntoUse(long seed) {
-    SimulatedCluster w = begun(seed);
-    EmulatedWorker crowded = w.cloud.machines().iterator().next();
+    SimulatedCluster cluster = startCluster(seed);
+    EmulatedWorker crowded = cluster.cloud.machines().iterator().next();
     crowded.crowd(CROWDED_MS);
-    SimulatedUsers.KnownJob first = w.users.array("two", "high", 24, 5);
-    w.run(CROWDED_MS);
+    SimulatedUsers.KnownJob first = cluster.users.array("two", "high", 24, 5);
+    cluster.run(CROWDED_MS);
     assertTrue(first.done, "the work of the crowded machine is not done elsewhere");
-    int before = w.checker.startsOn.getOrDefault(crowded.id(), 0);
+    int startsBefore = cluster.checker.startsOn.getOrDefault(crowded.id(), 0);
     // As many tasks as all machines have room for.
     SimulatedUsers.KnownJob second =
-        w.users.array("two", "high", (int) (w.size.teamLimit() / 2), 20);
-    w.run(BEGIN_MS);
-    int after = w.checker.startsOn.getOrDefault(crowded.id(), 0);
-    assertTrue(crowded.gone() || after > before, "it got no work again");
-    SeededDaysTest.settle(w);
+        cluster.users.array("two", "high", (int) (cluster.size.teamLimit() / 2), 20);
+    cluster.run(BEGIN_MS);
+    int startsAfter = cluster.checker.startsOn.getOrDefault(crowded.id(), 0);
+    assertTrue(crowded.gone() || startsAfter > startsBefore, "it got no work again");
+    SeededDaysTest.settle(cluster);
     assertTrue(second.done, "the second array is not done");
   }
 }
--- a/src/test/java/dapplestair/world/GangTest.java
+++ b/src/test/java/dapplestair/world/GangTest.java
@@ -13,41 +13,44 @@
 class GangTest {
   private static final int MEMBERS = 6;
   private static final double RUN_S = 60;
-  private static final long LOOK_MS = 50_000;
+  private static final long OBSERVATION_MS = 50_000;
   private static final long STEP_MS = 500;
 
   /** Within which the others are stopped and saved, once it is known that one is missing. */
-  private static final long STOPPED_MS = 10_000;
+  private static final long MAX_STOP_MS = 10_000;
 
-  private static List<EmulatedWorker> machinesOf(SimulatedCluster w, SimulatedUsers.KnownJob gang) {
-    return w.cloud.machines().stream()
-        .filter(m -> !m.gone() && m.tasks().stream().anyMatch(t -> member(gang, t)))
+  private static List<EmulatedWorker> machinesOf(
+      SimulatedCluster cluster, SimulatedUsers.KnownJob gang) {
+    return cluster.cloud.machines().stream()
+        .filter(m -> !m.gone() && m.tasks().stream().anyMatch(t -> isRunningMember(gang, t)))
         .toList();
   }
 
-  private static boolean member(SimulatedUsers.KnownJob gang, EmulatedTask task) {
+  private static boolean isRunningMember(SimulatedUsers.KnownJob gang, EmulatedTask task) {
     return task.onMachine() && task.key().startsWith(gang.ref + "/");
   }
 
-  private static long running(SimulatedCluster w, SimulatedUsers.KnownJob gang) {
-    return machinesOf(w, gang).stream()
+  private static long countRunningMembers(SimulatedCluster cluster, SimulatedUsers.KnownJob gang) {
+    return machinesOf(cluster, gang).stream()
         .flatMap(m -> m.tasks().stream())
-        .filter(t -> member(gang, t))
+        .filter(t -> isRunningMember(gang, t))
         .count();
   }
 
   /** For how long some of it, but not all, is on machines until it has begun anew as a whole. */
-  private static long incompleteMs(SimulatedCluster w, SimulatedUsers.KnownJob gang) {
-    int starts = gang.starts;
-    long sum = 0;
-    for (long t = 0; t < LOOK_MS && (gang.starts == starts || running(w, gang) < MEMBERS); ) {
-      w.run(STEP_MS);
-      t += STEP_MS;
-      long members = running(w, gang);
-      sum += members > 0 && members < MEMBERS ? STEP_MS : 0;
+  private static long measureIncompleteMs(SimulatedCluster cluster, SimulatedUsers.KnownJob gang) {
+    int startsBefore = gang.starts;
+    long incompleteMs = 0;
+    for (long elapsedMs = 0;
+        elapsedMs < OBSERVATION_MS
+            && (gang.starts == startsBefore || countRunningMembers(cluster, gang) < MEMBERS); ) {
+      cluster.run(STEP_MS);
+      elapsedMs += STEP_MS;
+      long members = countRunningMembers(cluster, gang);
+      incompleteMs += members > 0 && members < MEMBERS ? STEP_MS : 0;
     }
-    assertEquals(starts + MEMBERS, gang.starts, "it has not begun anew as a whole");
-    return sum;
+    assertEquals(startsBefore + MEMBERS, gang.starts, "it has not begun anew as a whole");
+    return incompleteMs;
   }
 
   @ParameterizedTest(name = "seed {0}, saves: {1}, a member is {2}, the leader ends: {3}")
@@ -59,15 +62,16 @@
     "9605,true,stopped,false",
     "9606,true,stopped,true"
   })
-  void theOthersDoNotRunOnWithoutIt(long seed, boolean saves, String how, boolean leaderEnds) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
-    w.cloud.setCapacity(0.25);
-    w.run(5000);
-    w.users.array("two", "low", 60, 3);
+  void theOtherMembersDoNotRunOnWithoutTheMissingOne(
+      long seed, boolean savesSnapshots, String memberFault, boolean leaderEnds) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
+    cluster.cloud.setCapacity(0.25);
+    cluster.run(5000);
+    cluster.users.array("two", "low", 60, 3);
     SimulatedUsers.KnownJob gang =
-        w.users.changed(
+        cluster.users.changed(
             "one",
             MEMBERS,
             RUN_S,
@@ -76,15 +80,15 @@
                     .put("rank", "low")
                     .put("vcpus", 4.0)
                     .put("loaners", false)
-                    .put("snapshotEveryS", saves ? 5.0 : 0.0)
-                    .put("snapshotS", saves ? 1.0 : 0.0));
-    w.run(30_000);
-    assertEquals(MEMBERS, running(w, gang), "the gang does not run");
-    if (how.equals("lost")) {
-      machinesOf(w, gang).get(0).end();
+                    .put("snapshotEveryS", savesSnapshots ? 5.0 : 0.0)
+                    .put("snapshotS", savesSnapshots ? 1.0 : 0.0));
+    cluster.run(30_000);
+    assertEquals(MEMBERS, countRunningMembers(cluster, gang), "the gang does not run");
+    if (memberFault.equals("lost")) {
+      machinesOf(cluster, gang).get(0).end();
     } else {
       // Replicas that take all steady room, and what the gang has of it.
-      w.users.changed(
+      cluster.users.changed(
           "two",
           8,
           0,
@@ -96,14 +100,15 @@
                   .put("jobclass", "wide"));
     }
     if (leaderEnds) {
-      w.run(2000);
-      w.leader().crash(2000);
+      cluster.run(2000);
+      cluster.leader().crash(2000);
     }
-    long incomplete = incompleteMs(w, gang);
+    long incompleteMs = measureIncompleteMs(cluster, gang);
     // A machine that ended is noticed after some reports.
-    long most = STOPPED_MS + (how.equals("lost") ? 3 * SimulatedCluster.REPORT_MS : 0);
-    assertTrue(incomplete <= most, "without a member for " + incomplete + " ms");
-    SeededDaysTest.settle(w);
+    long maxIncompleteMs =
+        MAX_STOP_MS + (memberFault.equals("lost") ? 3 * SimulatedCluster.REPORT_MS : 0);
+    assertTrue(incompleteMs <= maxIncompleteMs, "without a member for " + incompleteMs + " ms");
+    SeededDaysTest.settle(cluster);
     assertTrue(gang.done, "the gang is not done");
   }
 }
--- a/src/test/java/dapplestair/world/GuaranteeTest.java
+++ b/src/test/java/dapplestair/world/GuaranteeTest.java
@@ -10,8 +10,8 @@
   // 96 CPUs in all; each of the two teams is guaranteed 40 and limited to 80.
   private static final SimulatedCluster.Size TIGHT = new SimulatedCluster.Size(2, 40, 1_000_000, 1);
 
-  private static long running(SimulatedCluster world, SimulatedUsers.KnownJob job) {
-    return world.cloud.machines().stream()
+  private static long countRunningTasks(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
+    return cluster.cloud.machines().stream()
         .filter(m -> !m.gone())
         .flatMap(m -> m.tasks().stream())
         .filter(t -> t.onMachine() && t.key().startsWith(job.ref + "/"))
@@ -20,21 +20,24 @@
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3})
-  void borrowersOfEqualRankMakeRoom(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed, TIGHT);
-    world.net.loss = 0;
-    world.users.quiet = true;
-    world.run(5000);
-    SimulatedUsers.KnownJob borrower = world.users.array("one", "standard", 40, 300);
-    world.run(60_000);
-    assertTrue(running(world, borrower) >= 30, running(world, borrower) + " borrowers run");
-    SimulatedUsers.KnownJob owner = world.users.array("two", "standard", 20, 300);
-    world.run(30_000);
-    long owned = running(world, owner);
-    long borrowed = running(world, borrower);
+  void borrowersOfEqualRankAreEvictedForTheOwner(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, TIGHT);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
+    cluster.run(5000);
+    SimulatedUsers.KnownJob borrowersJob = cluster.users.array("one", "standard", 40, 300);
+    cluster.run(60_000);
+    assertTrue(
+        countRunningTasks(cluster, borrowersJob) >= 30,
+        countRunningTasks(cluster, borrowersJob) + " borrowers run");
+    SimulatedUsers.KnownJob ownersJob = cluster.users.array("two", "standard", 20, 300);
+    cluster.run(30_000);
+    long runningOfOwner = countRunningTasks(cluster, ownersJob);
+    long runningOfBorrower = countRunningTasks(cluster, borrowersJob);
     // A machine that never boots leaves less for both: then the borrower is down to its own share.
     assertTrue(
-        owned >= 18 || borrowed <= 20, owned + " of 20 run, " + borrowed + " are still borrowed");
-    assertTrue(borrowed >= 18, borrowed + " left of the borrower's own 20");
+        runningOfOwner >= 18 || runningOfBorrower <= 20,
+        runningOfOwner + " of 20 run, " + runningOfBorrower + " are still borrowed");
+    assertTrue(runningOfBorrower >= 18, runningOfBorrower + " left of the borrower's own 20");
   }
 }
--- a/src/test/java/dapplestair/world/HandoverTest.java
+++ b/src/test/java/dapplestair/world/HandoverTest.java
@@ -44,35 +44,37 @@
     "11125,REFUSED,30",
     "11126,REFUSED,2000"
   })
-  void cancelledWhileTheLeadChanges(long seed, LeaderChange change, long cancelledMs) {
-    play(seed, change, cancelledMs);
+  void jobsCancelledDuringALeaderChange(long seed, LeaderChange change, long cancelAfterMs) {
+    run(seed, change, cancelAfterMs);
   }
 
-  static SimulatedCluster play(long seed, LeaderChange change, long cancelledMs) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    SimulatedCluster w = d.w;
-    long at = w.sim.now() + 6000;
-    List<SimulatedUsers.KnownJob> ending = new ArrayList<>();
+  static SimulatedCluster run(long seed, LeaderChange change, long cancelAfterMs) {
+    CancellationOutageTest.Scenario scenario = new CancellationOutageTest.Scenario(seed);
+    SimulatedCluster cluster = scenario.cluster;
+    long changeAtMs = cluster.sim.now() + 6000;
+    List<SimulatedUsers.KnownJob> endingJobs = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       // Tasks last a tenth more or less than their users guess, and begin about a second later.
-      ending.add(w.users.array("one", "high", 1 + i % 3, 5));
+      endingJobs.add(cluster.users.array("one", "high", 1 + i % 3, 5));
     }
-    w.sim.after(at - 400 - w.sim.now(), () -> launch(w, d.cancelled));
-    w.sim.after(at - w.sim.now(), () -> change.happen(w));
-    w.sim.after(
-        at + cancelledMs - w.sim.now(),
+    cluster.sim.after(
+        changeAtMs - 400 - cluster.sim.now(), () -> launchJobs(cluster, scenario.cancelled));
+    cluster.sim.after(changeAtMs - cluster.sim.now(), () -> change.happen(cluster));
+    cluster.sim.after(
+        changeAtMs + cancelAfterMs - cluster.sim.now(),
         () -> {
-          d.cancelled.forEach(w.users::cancel);
-          ending.forEach(w.users::cancel);
+          scenario.cancelled.forEach(cluster.users::cancel);
+          endingJobs.forEach(cluster.users::cancel);
         });
-    w.run(30_000);
-    d.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
-    ending.forEach(t -> assertTrue(t.aborted || t.done, t.ref + " is neither done nor cancelled"));
-    w.run(SimulatedCluster.CANCEL_MS);
-    assertEquals(0, d.running(d.cancelled), "cancelled tasks");
-    w.run(60_000);
-    SeededDaysTest.settle(w);
-    return w;
+    cluster.run(30_000);
+    scenario.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
+    endingJobs.forEach(
+        t -> assertTrue(t.aborted || t.done, t.ref + " is neither done nor cancelled"));
+    cluster.run(SimulatedCluster.CANCEL_MS);
+    assertEquals(0, scenario.running(scenario.cancelled), "cancelled tasks");
+    cluster.run(60_000);
+    SeededDaysTest.settle(cluster);
+    return cluster;
   }
 
   /**
@@ -81,31 +83,32 @@
    */
   @ParameterizedTest(name = "out {0} ms after the next leader has won")
   @ValueSource(ints = {3, 5, 9, 11})
-  void outAsTheNextOneBegins(int ms) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(12200 + ms);
-    SimulatedCluster w = d.w;
-    d.stallEveryThird();
-    d.old.crash(9000);
-    d.cancelled.forEach(t -> w.users.cancelAt(t, d.second));
-    w.run(150);
-    while (w.leader() == null || w.leader() == d.old) {
-      w.run(1);
+  void stateServiceFailsAsTheNextLeaderBegins(int outageAfterMs) {
+    CancellationOutageTest.Scenario scenario =
+        new CancellationOutageTest.Scenario(12200 + outageAfterMs);
+    SimulatedCluster cluster = scenario.cluster;
+    scenario.stallEveryThirdMachine();
+    scenario.oldLeader.crash(9000);
+    scenario.cancelled.forEach(t -> cluster.users.cancelAt(t, scenario.second));
+    cluster.run(150);
+    while (cluster.leader() == null || cluster.leader() == scenario.oldLeader) {
+      cluster.run(1);
     }
-    w.run(ms);
-    w.state.fail();
-    w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
-    w.state.recover();
-    w.run(90_000);
-    SeededDaysTest.settle(w);
+    cluster.run(outageAfterMs);
+    cluster.state.fail();
+    cluster.run(SimulatedCluster.CANCEL_MS * 3 / 2);
+    cluster.state.recover();
+    cluster.run(90_000);
+    SeededDaysTest.settle(cluster);
   }
 
   /** Arrays, a gang, a service and jobs of one task, whose launches are on their way. */
-  private static void launch(SimulatedCluster w, List<SimulatedUsers.KnownJob> to) {
-    to.add(w.users.array("one", "high", 4, 150));
-    to.add(w.users.changed("two", 3, 150, b -> b.put("shape", "gang")));
-    to.add(w.users.service("two", 3));
+  private static void launchJobs(SimulatedCluster cluster, List<SimulatedUsers.KnownJob> jobs) {
+    jobs.add(cluster.users.array("one", "high", 4, 150));
+    jobs.add(cluster.users.changed("two", 3, 150, b -> b.put("shape", "gang")));
+    jobs.add(cluster.users.service("two", 3));
     for (int i = 0; i < 4; i++) {
-      to.add(w.users.array("two", "high", 1, 150));
+      jobs.add(cluster.users.array("two", "high", 1, 150));
     }
   }
 }
--- a/src/test/java/dapplestair/world/InboundCutTest.java
+++ b/src/test/java/dapplestair/world/InboundCutTest.java
@@ -18,30 +18,30 @@
 class InboundCutTest {
   private static final int REPLICAS = 72;
 
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
+  private static SimulatedCluster startServices(long seed) {
+    SimulatedCluster cluster = DisruptionTest.startServices(seed, 5, 5);
     // What is lost with a machine is no choice.
-    w.checker.budget = null;
-    return w;
+    cluster.checker.budget = null;
+    return cluster;
   }
 
-  private static void end(SimulatedCluster w, String who) {
-    if (w.leader() != null) {
-      switch (who) {
-        case "leader" -> w.leader().crash(2000);
-        case "follower" -> w.nodes.get((w.leader().index + 1) % 3).crash(2000);
+  private static void crashController(SimulatedCluster cluster, String role) {
+    if (cluster.leader() != null) {
+      switch (role) {
+        case "leader" -> cluster.leader().crash(2000);
+        case "follower" -> cluster.nodes.get((cluster.leader().index + 1) % 3).crash(2000);
         default -> {}
       }
     }
   }
 
-  private static long live(EmulatedWorker m) {
+  private static long countRunningTasks(EmulatedWorker m) {
     return m.tasks().stream().filter(EmulatedTask::onMachine).count();
   }
 
   /** The machine with most replicas. */
-  private static EmulatedWorker withReplicas(SimulatedCluster w) {
-    return w.cloud.machines().stream()
+  private static EmulatedWorker machineWithMostReplicas(SimulatedCluster cluster) {
+    return cluster.cloud.machines().stream()
         .filter(m -> !m.gone())
         .max(
             Comparator.comparingLong(m -> m.tasks().stream().filter(EmulatedTask::service).count()))
@@ -57,52 +57,56 @@
     "6104,follower,4",
     "6105,leader,14"
   })
-  void aDeafMachineIsNotUsed(long seed, String who, int second) {
-    SimulatedCluster w = begun(seed);
-    EmulatedWorker deaf = withReplicas(w);
-    assertTrue(live(deaf) > 0, "nothing runs there");
-    deaf.deafen(3 * SimulatedCluster.LEASE_MS);
-    w.users.array("two", "standard", 60, 15);
-    w.run(2 * SimulatedCluster.REPORT_MS);
-    int before = w.checker.startsOn.getOrDefault(deaf.id(), 0);
-    w.run(1000L * second);
-    end(w, who);
-    w.run(SimulatedCluster.LEASE_MS);
+  void aMachineThatReceivesNothingIsNotUsed(long seed, String role, int crashSecond) {
+    SimulatedCluster cluster = startServices(seed);
+    EmulatedWorker cutOffMachine = machineWithMostReplicas(cluster);
+    assertTrue(countRunningTasks(cutOffMachine) > 0, "nothing runs there");
+    cutOffMachine.deafen(3 * SimulatedCluster.LEASE_MS);
+    cluster.users.array("two", "standard", 60, 15);
+    cluster.run(2 * SimulatedCluster.REPORT_MS);
+    int startsBefore = cluster.checker.startsOn.getOrDefault(cutOffMachine.id(), 0);
+    cluster.run(1000L * crashSecond);
+    crashController(cluster, role);
+    cluster.run(SimulatedCluster.LEASE_MS);
     assertEquals(
-        before, w.checker.startsOn.getOrDefault(deaf.id(), 0), "starts where nothing arrives");
-    w.run(SimulatedCluster.REPORT_MS);
-    assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas a lease later");
-    assertTrue(deaf.gone(), "it is still paid for, though it stays deaf");
+        startsBefore,
+        cluster.checker.startsOn.getOrDefault(cutOffMachine.id(), 0),
+        "starts where nothing arrives");
+    cluster.run(SimulatedCluster.REPORT_MS);
+    assertEquals(REPLICAS, DisruptionTest.countReplicas(cluster), "replicas a lease later");
+    assertTrue(cutOffMachine.gone(), "it is still paid for, though it stays deaf");
   }
 
   /** Deaf for a moment: nothing is lost, and it is used again. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6111, 6112, 6113})
-  void aMomentCostsNothing(long seed) {
-    SimulatedCluster w = begun(seed);
-    EmulatedWorker deaf = withReplicas(w);
-    deaf.deafen(SimulatedCluster.REPORT_MS);
-    w.run(SimulatedCluster.LEASE_MS);
+  void aShortInboundCutLosesNothing(long seed) {
+    SimulatedCluster cluster = startServices(seed);
+    EmulatedWorker cutOffMachine = machineWithMostReplicas(cluster);
+    cutOffMachine.deafen(SimulatedCluster.REPORT_MS);
+    cluster.run(SimulatedCluster.LEASE_MS);
     assertTrue(
-        !deaf.gone() && deaf.unansweredMs() < 2 * SimulatedCluster.REPORT_MS, "it was given up");
-    assertEquals(0, w.cloud.killedByLease(), "tasks killed by the end of a lease");
+        !cutOffMachine.gone() && cutOffMachine.unansweredMs() < 2 * SimulatedCluster.REPORT_MS,
+        "it was given up");
+    assertEquals(0, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
   }
 
   /** A whole zone: decided once, as one that is silent, and not machine by machine. */
   @ParameterizedTest(name = "seed {0}, the {1} ends at second {2}")
   @CsvSource({"6121,nobody,0", "6122,leader,3", "6123,leader,10", "6124,follower,6"})
-  void aDeafZoneIsASilentOne(long seed, String who, int second) {
-    SimulatedCluster w = begun(seed);
-    List<EmulatedWorker> zone =
-        w.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals("c")).toList();
-    zone.forEach(m -> m.deafen(SimulatedCluster.LEASE_MS * 2 / 3));
-    w.run(1000L * second);
-    end(w, who);
-    w.run(SimulatedCluster.LEASE_MS * 2 / 3 - 1000L * second);
-    assertEquals(0, zone.stream().filter(EmulatedWorker::gone).count(), "returned one by one");
-    w.run(SimulatedCluster.LEASE_MS);
-    assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas once it hears again");
-    SeededDaysTest.settle(w);
+  void aZoneThatReceivesNothingIsTreatedAsSilent(long seed, String role, int crashSecond) {
+    SimulatedCluster cluster = startServices(seed);
+    List<EmulatedWorker> zoneMachines =
+        cluster.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals("c")).toList();
+    zoneMachines.forEach(m -> m.deafen(SimulatedCluster.LEASE_MS * 2 / 3));
+    cluster.run(1000L * crashSecond);
+    crashController(cluster, role);
+    cluster.run(SimulatedCluster.LEASE_MS * 2 / 3 - 1000L * crashSecond);
+    assertEquals(
+        0, zoneMachines.stream().filter(EmulatedWorker::gone).count(), "returned one by one");
+    cluster.run(SimulatedCluster.LEASE_MS);
+    assertEquals(REPLICAS, DisruptionTest.countReplicas(cluster), "replicas once it hears again");
+    SeededDaysTest.settle(cluster);
   }
 
   /**
@@ -111,54 +115,57 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6125, 6126, 6127})
-  void aDeafZoneIsDecidedOnce(long seed) {
-    SimulatedCluster w = begun(seed);
-    List<EmulatedWorker> zone =
-        w.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals("c")).toList();
-    zone.forEach(m -> m.deafen(4 * SimulatedCluster.LEASE_MS));
-    w.run(SimulatedCluster.LEASE_MS * 9 / 10);
-    assertEquals(0, zone.stream().filter(EmulatedWorker::gone).count(), "returned one by one");
-    assertEquals("CUT", w.state.value("live/zone/c").path("state").asText());
-    w.run(SimulatedCluster.LEASE_MS * 3 / 2);
-    assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas without the zone");
-    assertEquals(1, w.state.value("live/zone/c").path("cuts").asInt(), "cuts on record");
+  void aZoneThatReceivesNothingIsGivenUpOnce(long seed) {
+    SimulatedCluster cluster = startServices(seed);
+    List<EmulatedWorker> zoneMachines =
+        cluster.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals("c")).toList();
+    zoneMachines.forEach(m -> m.deafen(4 * SimulatedCluster.LEASE_MS));
+    cluster.run(SimulatedCluster.LEASE_MS * 9 / 10);
+    assertEquals(
+        0, zoneMachines.stream().filter(EmulatedWorker::gone).count(), "returned one by one");
+    assertEquals("CUT", cluster.state.value("live/zone/c").path("state").asText());
+    cluster.run(SimulatedCluster.LEASE_MS * 3 / 2);
+    assertEquals(REPLICAS, DisruptionTest.countReplicas(cluster), "replicas without the zone");
+    assertEquals(1, cluster.state.value("live/zone/c").path("cuts").asInt(), "cuts on record");
   }
 
   /** Copies of everything, late by up to two leases, while leaders end. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6131, 6132, 6133, 6134, 6135, 6136})
-  void copiesComeLate(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed);
-    w.net.copied = 0.3;
-    w.net.copyLateMs = 2 * SimulatedCluster.LEASE_MS;
+  void delayedCopiesOfMessages(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.net.copied = 0.3;
+    cluster.net.copyLateMs = 2 * SimulatedCluster.LEASE_MS;
     for (int i = 0; i < 8; i++) {
-      w.run(12_000 + w.sim.between(0, 8000));
-      if (w.leader() != null && i % 2 == 0) {
-        w.leader().crash(w.sim.between(100, 5000));
-      } else if (!w.cloud.machines().isEmpty()) {
-        List<EmulatedWorker> up = w.cloud.machines().stream().filter(m -> !m.gone()).toList();
-        up.get((int) w.sim.between(0, up.size() - 1)).end();
+      cluster.run(12_000 + cluster.sim.between(0, 8000));
+      if (cluster.leader() != null && i % 2 == 0) {
+        cluster.leader().crash(cluster.sim.between(100, 5000));
+      } else if (!cluster.cloud.machines().isEmpty()) {
+        List<EmulatedWorker> up = cluster.cloud.machines().stream().filter(m -> !m.gone()).toList();
+        up.get((int) cluster.sim.between(0, up.size() - 1)).end();
       }
     }
-    SeededDaysTest.settle(w);
+    SeededDaysTest.settle(cluster);
   }
 
   /** A zone has no power any more; copies of what it once said go on for well over a lease. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6141, 6142, 6143})
-  void copiesAreNoSignOfLife(long seed) {
-    SimulatedCluster w = begun(seed);
-    w.net.copied = 0.5;
-    w.net.copyLateMs = 2 * SimulatedCluster.LEASE_MS;
-    w.run(SimulatedCluster.LEASE_MS);
-    w.net.copied = 0;
-    w.cloud.machines().stream().filter(m -> m.zone().equals("c")).forEach(EmulatedWorker::end);
-    w.run(3000);
-    w.leader().crash(2000);
+  void delayedCopiesOfReportsDoNotShowLiveness(long seed) {
+    SimulatedCluster cluster = startServices(seed);
+    cluster.net.copied = 0.5;
+    cluster.net.copyLateMs = 2 * SimulatedCluster.LEASE_MS;
+    cluster.run(SimulatedCluster.LEASE_MS);
+    cluster.net.copied = 0;
+    cluster.cloud.machines().stream()
+        .filter(m -> m.zone().equals("c"))
+        .forEach(EmulatedWorker::end);
+    cluster.run(3000);
+    cluster.leader().crash(2000);
     // As without copies: silence is judged after two reports, and the cloud needs its time.
     // As without copies: silence is judged, the cloud takes its time, and the last ones boot.
-    w.run(SimulatedCluster.LEASE_MS * 5 / 4);
-    assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas without the zone");
-    SeededDaysTest.settle(w);
+    cluster.run(SimulatedCluster.LEASE_MS * 5 / 4);
+    assertEquals(REPLICAS, DisruptionTest.countReplicas(cluster), "replicas without the zone");
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/InvalidRequestsTest.java
+++ b/src/test/java/dapplestair/world/InvalidRequestsTest.java
@@ -18,69 +18,72 @@
  * MonotonicReadsChecker} knows which answer each must get.
  */
 class InvalidRequestsTest {
-  private static final long EVERY_MS = 250;
-  private static final long ANSWER_MS = 5000;
-  private static final long FOR_MS = 90_000;
-  private static final long RESTART_EVERY_MS = 7000;
+  private static final long REQUEST_INTERVAL_MS = 250;
+  private static final long ANSWER_TIMEOUT_MS = 5000;
+  private static final long DURATION_MS = 90_000;
+  private static final long RESTART_INTERVAL_MS = 7000;
 
   /** The requests of one day. */
   private static final class Requests {
-    final SimulatedCluster w;
+    final SimulatedCluster cluster;
     final ConcurrentReaders readers;
-    final long until;
-    int made;
-    int refused;
-    int repeated;
-    int cancelledDone;
+    final long endMs;
+    int invalidJobs;
+    int refusedJobs;
+    int acceptedRepeats;
+    int cancelledDoneJobs;
 
-    Requests(SimulatedCluster w) {
-      this.w = w;
-      readers = new ConcurrentReaders(w);
-      until = w.sim.now() + FOR_MS;
+    Requests(SimulatedCluster cluster) {
+      this.cluster = cluster;
+      readers = new ConcurrentReaders(cluster);
+      endMs = cluster.sim.now() + DURATION_MS;
     }
 
-    void next() {
-      if (w.sim.now() > until) {
+    void sendNext() {
+      if (cluster.sim.now() > endMs) {
         return;
       }
-      switch ((int) w.sim.between(0, 3)) {
-        case 0 -> cancelDone();
-        case 1 -> some(t -> t.accepted).forEach(t -> readers.repeat(t, someNode()));
-        case 2 -> some(t -> t.accepted).forEach(this::repeatWithoutField);
-        default -> some(t -> true).forEach(t -> submitOdd(t.body));
+      switch ((int) cluster.sim.between(0, 3)) {
+        case 0 -> cancelDoneJob();
+        case 1 -> randomJob(t -> t.accepted).forEach(t -> readers.repeat(t, randomNode()));
+        case 2 -> randomJob(t -> t.accepted).forEach(this::repeatWithoutField);
+        default -> randomJob(t -> true).forEach(t -> submitInvalid(t.body));
       }
-      w.sim.after(EVERY_MS, this::next);
+      cluster.sim.after(REQUEST_INTERVAL_MS, this::sendNext);
     }
 
     /** One of the jobs that pass, if there are any. */
-    private List<SimulatedUsers.KnownJob> some(Predicate<SimulatedUsers.KnownJob> wanted) {
-      List<SimulatedUsers.KnownJob> all = w.users.told.values().stream().filter(wanted).toList();
-      return all.isEmpty() ? all : List.of(all.get((int) w.sim.between(0, all.size() - 1)));
+    private List<SimulatedUsers.KnownJob> randomJob(Predicate<SimulatedUsers.KnownJob> condition) {
+      List<SimulatedUsers.KnownJob> matchingJobs =
+          cluster.users.told.values().stream().filter(condition).toList();
+      return matchingJobs.isEmpty()
+          ? matchingJobs
+          : List.of(matchingJobs.get((int) cluster.sim.between(0, matchingJobs.size() - 1)));
     }
 
-    private SimulatedCluster.ControllerNode someNode() {
-      return w.nodes.get((int) w.sim.between(0, w.nodes.size() - 1));
+    private SimulatedCluster.ControllerNode randomNode() {
+      return cluster.nodes.get((int) cluster.sim.between(0, cluster.nodes.size() - 1));
     }
 
-    private void cancelDone() {
-      some(t -> t.done)
+    private void cancelDoneJob() {
+      randomJob(t -> t.done)
           .forEach(
               t -> {
-                cancelledDone++;
-                w.users.cancelAt(t, someNode());
+                cancelledDoneJobs++;
+                cluster.users.cancelAt(t, randomNode());
               });
     }
 
     private void repeatWithoutField(SimulatedUsers.KnownJob job) {
       ObjectNode body = job.body.deepCopy();
       body.remove("imageGb");
-      submit(body, r -> repeated += r.status() == 200 ? 1 : 0);
+      submit(body, r -> acceptedRepeats += r.status() == 200 ? 1 : 0);
     }
 
-    private void submitOdd(JsonNode like) {
-      ObjectNode body = like.deepCopy();
-      body.put("ref", "od-%06d".formatted(++made));
-      submitUntilRefused(InvalidJob.make(body, w.sim));
+    private void submitInvalid(JsonNode template) {
+      ObjectNode body = template.deepCopy();
+      body.put("ref", "od-%06d".formatted(++invalidJobs));
+      submitUntilRefused(InvalidJob.make(body, cluster.sim));
     }
 
     private void submitUntilRefused(ObjectNode body) {
@@ -88,17 +91,17 @@
           body,
           r -> {
             if (r.status() == 400 || r.status() == 422) {
-              refused++;
+              refusedJobs++;
               String path = "/submissions/" + body.path("ref").asText();
-              w.nodes.forEach(n -> call(n, "GET", path, null, answer -> {}));
-            } else if (w.sim.now() < until) {
-              w.sim.after(1000, () -> submitUntilRefused(body));
+              cluster.nodes.forEach(n -> call(n, "GET", path, null, answer -> {}));
+            } else if (cluster.sim.now() < endMs) {
+              cluster.sim.after(1000, () -> submitUntilRefused(body));
             }
           });
     }
 
-    private void submit(ObjectNode body, Consumer<HttpReply> done) {
-      call(someNode(), "POST", "/submissions", Json.bytes(body), done);
+    private void submit(ObjectNode body, Consumer<HttpReply> onReply) {
+      call(randomNode(), "POST", "/submissions", Json.bytes(body), onReply);
     }
 
     private void call(
@@ -106,24 +109,33 @@
         String method,
         String path,
         byte[] body,
-        Consumer<HttpReply> done) {
-      w.net.call("users", SimulatedCluster.client(node.index), method, path, body, ANSWER_MS, done);
+        Consumer<HttpReply> onReply) {
+      cluster.net.call(
+          "users",
+          SimulatedCluster.client(node.index),
+          method,
+          path,
+          body,
+          ANSWER_TIMEOUT_MS,
+          onReply);
     }
   }
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9151, 9152, 9153, 9154})
-  void oddRequestsGetTheirAnswers(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed);
-    Requests requests = new Requests(w);
-    requests.next();
-    for (long ms = 0; ms < FOR_MS; ms += RESTART_EVERY_MS) {
-      w.run(RESTART_EVERY_MS);
-      w.nodes.get((int) w.sim.between(0, 2)).crash(w.sim.between(60, 2000));
+  void invalidAndRepeatedRequestsGetTheExpectedAnswers(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    Requests requests = new Requests(cluster);
+    requests.sendNext();
+    for (long ms = 0; ms < DURATION_MS; ms += RESTART_INTERVAL_MS) {
+      cluster.run(RESTART_INTERVAL_MS);
+      cluster.nodes.get((int) cluster.sim.between(0, 2)).crash(cluster.sim.between(60, 2000));
     }
-    SeededDaysTest.settle(w);
-    assertTrue(requests.refused > 40, requests.refused + " odd jobs were refused");
-    assertTrue(requests.repeated > 40, requests.repeated + " repetitions were answered 200");
-    assertTrue(requests.cancelledDone > 20, requests.cancelledDone + " done jobs were cancelled");
+    SeededDaysTest.settle(cluster);
+    assertTrue(requests.refusedJobs > 40, requests.refusedJobs + " odd jobs were refused");
+    assertTrue(
+        requests.acceptedRepeats > 40, requests.acceptedRepeats + " repetitions were answered 200");
+    assertTrue(
+        requests.cancelledDoneJobs > 20, requests.cancelledDoneJobs + " done jobs were cancelled");
   }
 }
--- a/src/test/java/dapplestair/world/IsolatedControllerTest.java
+++ b/src/test/java/dapplestair/world/IsolatedControllerTest.java
@@ -13,17 +13,18 @@
  * are back within a fraction of a second (docs/known.md).
  */
 class IsolatedControllerTest {
-  private static final long LONG_MS = 2 * SimulatedCluster.LEASE_MS;
+  private static final long ISOLATION_MS = 2 * SimulatedCluster.LEASE_MS;
 
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
-    w.checker.budget = null;
-    return w;
+  private static SimulatedCluster startServices(long seed) {
+    SimulatedCluster cluster = DisruptionTest.startServices(seed, 5, 5);
+    cluster.checker.budget = null;
+    return cluster;
   }
 
-  private static int up(SimulatedCluster w, SimulatedCluster.ControllerNode node) {
+  private static int requestUpStatus(
+      SimulatedCluster cluster, SimulatedCluster.ControllerNode node) {
     int[] status = {0};
-    w.net.call(
+    cluster.net.call(
         "balancer",
         SimulatedCluster.client(node.index),
         "GET",
@@ -31,62 +32,67 @@
         null,
         1000,
         r -> status[0] = r.status());
-    w.run(1000);
+    cluster.run(1000);
     return status[0];
   }
 
   /** Another one leads, workers go over to it with all that they run, and users are sent away. */
   @ParameterizedTest(name = "seed {0}, {1} of them led, held back: {2}")
   @CsvSource({"6201,1,false", "6202,1,true", "6203,0,false", "6204,0,true", "6205,1,false"})
-  void aLoneControllerLetsGo(long seed, int led, boolean hold) {
-    SimulatedCluster w = begun(seed);
-    SimulatedCluster.ControllerNode leader = w.leader();
-    SimulatedCluster.ControllerNode lone = led > 0 ? leader : w.nodes.get((leader.index + 1) % 3);
-    int killed = w.cloud.killedByLease();
-    new RandomFaults(w).alone(lone, hold, LONG_MS);
-    SimulatedUsers.KnownJob job = w.users.array("one", "high", 20, 5);
-    w.run(SimulatedCluster.LEASE_MS / 2);
-    assertNotEquals(lone, w.leader(), "it cannot lead");
-    assertEquals(503, up(w, lone), "users go on coming to it");
-    int beats = lone.beats;
-    w.run(SimulatedCluster.LEASE_MS);
-    assertTrue(lone.beats - beats <= 5, lone.beats - beats + " reports went on coming to it");
-    w.run(LONG_MS - SimulatedCluster.LEASE_MS);
-    assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
+  void anIsolatedControllerReleasesLeadershipAndWorkers(
+      long seed, int ledControllers, boolean hold) {
+    SimulatedCluster cluster = startServices(seed);
+    SimulatedCluster.ControllerNode leader = cluster.leader();
+    SimulatedCluster.ControllerNode isolated =
+        ledControllers > 0 ? leader : cluster.nodes.get((leader.index + 1) % 3);
+    int killedBefore = cluster.cloud.killedByLease();
+    new RandomFaults(cluster).alone(isolated, hold, ISOLATION_MS);
+    SimulatedUsers.KnownJob job = cluster.users.array("one", "high", 20, 5);
+    cluster.run(SimulatedCluster.LEASE_MS / 2);
+    assertNotEquals(isolated, cluster.leader(), "it cannot lead");
+    assertEquals(503, requestUpStatus(cluster, isolated), "users go on coming to it");
+    int beatsBefore = isolated.beats;
+    cluster.run(SimulatedCluster.LEASE_MS);
+    assertTrue(
+        isolated.beats - beatsBefore <= 5,
+        isolated.beats - beatsBefore + " reports went on coming to it");
+    cluster.run(ISOLATION_MS - SimulatedCluster.LEASE_MS);
+    assertEquals(killedBefore, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
     assertTrue(job.done, "the array is not done");
-    SimulatedCluster.ControllerNode leads = w.leader();
-    w.run(SimulatedCluster.LEASE_MS);
-    assertEquals(leads, w.leader(), "its return changes who leads");
-    assertEquals(200, up(w, lone), "it is back");
-    SeededDaysTest.settle(w);
+    SimulatedCluster.ControllerNode leaderBeforeReturn = cluster.leader();
+    cluster.run(SimulatedCluster.LEASE_MS);
+    assertEquals(leaderBeforeReturn, cluster.leader(), "its return changes who leads");
+    assertEquals(200, requestUpStatus(cluster, isolated), "it is back");
+    SeededDaysTest.settle(cluster);
   }
 
   /** Two at once, one of which led; the third one leads alone. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6211, 6212, 6213})
-  void twoAtOnce(long seed) {
-    SimulatedCluster w = begun(seed);
-    SimulatedCluster.ControllerNode leader = w.leader();
-    RandomFaults faults = new RandomFaults(w);
-    faults.alone(leader, false, LONG_MS);
-    faults.alone(w.nodes.get((leader.index + 1) % 3), true, LONG_MS);
-    int killed = w.cloud.killedByLease();
-    w.run(LONG_MS);
-    assertEquals(w.nodes.get((leader.index + 2) % 3), w.leader());
-    assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
-    SeededDaysTest.settle(w);
+  void twoControllersIsolatedAtOnce(long seed) {
+    SimulatedCluster cluster = startServices(seed);
+    SimulatedCluster.ControllerNode leader = cluster.leader();
+    RandomFaults faults = new RandomFaults(cluster);
+    faults.alone(leader, false, ISOLATION_MS);
+    faults.alone(cluster.nodes.get((leader.index + 1) % 3), true, ISOLATION_MS);
+    int killedBefore = cluster.cloud.killedByLease();
+    cluster.run(ISOLATION_MS);
+    assertEquals(cluster.nodes.get((leader.index + 2) % 3), cluster.leader());
+    assertEquals(killedBefore, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
+    SeededDaysTest.settle(cluster);
   }
 
   /** An outage of all is no reason to send users away: they are told when to come back. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6221, 6222})
-  void anOutageOfAllIsNone(long seed) {
-    SimulatedCluster w = begun(seed);
-    w.state.fail();
-    w.run(SimulatedCluster.LEASE_MS / 2);
-    w.nodes.forEach(n -> assertEquals(200, up(w, n), "nobody is left to tell users"));
-    w.state.recover();
-    SeededDaysTest.settle(w);
+  void controllersStayUpInAStateServiceOutage(long seed) {
+    SimulatedCluster cluster = startServices(seed);
+    cluster.state.fail();
+    cluster.run(SimulatedCluster.LEASE_MS / 2);
+    cluster.nodes.forEach(
+        n -> assertEquals(200, requestUpStatus(cluster, n), "nobody is left to tell users"));
+    cluster.state.recover();
+    SeededDaysTest.settle(cluster);
   }
 
   /** Back within a fraction of a second, in the middle of an election, twice, two or three. */
@@ -94,29 +100,29 @@
   @CsvSource({
     "6231,1", "6232,2", "6233,3", "6234,1", "6235,2", "6236,3", "6237,2", "6238,3", "6239,3"
   })
-  void backAtOnce(long seed, int atOnce) {
-    SimulatedCluster w = begun(seed);
-    int killed = w.cloud.killedByLease();
+  void controllersThatRestartWithinAFractionOfASecond(long seed, int restartedControllers) {
+    SimulatedCluster cluster = startServices(seed);
+    int killedBefore = cluster.cloud.killedByLease();
     for (int round = 0; round < 4; round++) {
-      for (int twice = 0; twice < 2; twice++) {
-        int first = w.leader() == null ? 0 : w.leader().index;
-        for (int i = 0; i < atOnce; i++) {
-          w.nodes.get((first + i) % 3).crash(w.sim.between(50, 600));
+      for (int repetition = 0; repetition < 2; repetition++) {
+        int first = cluster.leader() == null ? 0 : cluster.leader().index;
+        for (int i = 0; i < restartedControllers; i++) {
+          cluster.nodes.get((first + i) % 3).crash(cluster.sim.between(50, 600));
         }
-        w.run(w.sim.between(100, 1200));
+        cluster.run(cluster.sim.between(100, 1200));
       }
-      long without = 0;
-      while (w.leader() == null || !w.leader().up()) {
-        w.run(100);
-        without += 100;
+      long leaderlessMs = 0;
+      while (cluster.leader() == null || !cluster.leader().up()) {
+        cluster.run(100);
+        leaderlessMs += 100;
         // A hold and two report intervals.
         assertTrue(
-            without <= SimulatedCluster.LEASE_MS / 10 + 2 * SimulatedCluster.REPORT_MS,
+            leaderlessMs <= SimulatedCluster.LEASE_MS / 10 + 2 * SimulatedCluster.REPORT_MS,
             "nobody leads");
       }
-      w.run(4000);
+      cluster.run(4000);
     }
-    assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
-    SeededDaysTest.settle(w);
+    assertEquals(killedBefore, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/LaneTest.java
+++ b/src/test/java/dapplestair/world/LaneTest.java
@@ -27,7 +27,7 @@
   private static final long LANE_MS = 2000;
 
   // A claim's put, a halt and its proof, a launch's put and the launch.
-  private static final long STEPS_MS = 1500;
+  private static final long CLAIM_TO_START_MS = 1500;
 
   // Until somebody else leads, and its workers have shown the new token.
   private static final long TAKEOVER_MS = SimulatedCluster.REPORT_MS + SimulatedCluster.REPORT_MS;
@@ -36,18 +36,18 @@
       new Lane(
           "gate", Set.of("gate"), Set.of(), Set.of("settle"), Rank.HIGH, Rank.STANDARD, 0, LANE_MS);
 
-  static SimulatedCluster begun(long seed, Lane lane, double saveS) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
-    w.operatorSettings =
+  static SimulatedCluster startWithFullMachines(long seed, Lane lane, double saveS) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
+    cluster.operatorSettings =
         OperatorSettings.defaults().withLanes(lane == null ? List.of() : List.of(lane));
-    w.nodes.forEach(n -> n.crash(500));
-    w.cloud.setCapacity(0.25);
-    w.run(10_000);
+    cluster.nodes.forEach(n -> n.crash(500));
+    cluster.cloud.setCapacity(0.25);
+    cluster.run(10_000);
     // Batches fill all there is, three times over, and each runs for long.
     for (int i = 0; i < 12; i++) {
-      w.users.changed(
+      cluster.users.changed(
           i % 2 == 0 ? "one" : "two",
           24,
           200,
@@ -56,94 +56,101 @@
                   .put("snapshotEveryS", saveS > 0 ? 5.0 : 0.0)
                   .put("snapshotS", saveS));
     }
-    w.run(40_000);
-    assertTrue(free(w) < SimulatedCluster.CPUS, "machines are not full");
-    return w;
+    cluster.run(40_000);
+    assertTrue(freeCpus(cluster) < SimulatedCluster.CPUS, "machines are not full");
+    return cluster;
   }
 
-  private static double free(SimulatedCluster w) {
-    double free = 0;
-    for (EmulatedWorker m : w.cloud.machines()) {
-      free +=
+  private static double freeCpus(SimulatedCluster cluster) {
+    double freeCpus = 0;
+    for (EmulatedWorker m : cluster.cloud.machines()) {
+      freeCpus +=
           m.gone() || !m.booted()
               ? 0
               : SimulatedCluster.CPUS
                   - 2 * m.tasks().stream().filter(EmulatedTask::onMachine).count();
     }
-    return free;
+    return freeCpus;
   }
 
-  static SimulatedUsers.KnownJob rider(SimulatedCluster w, int tasks) {
-    return w.users.changed(
+  static SimulatedUsers.KnownJob submitRider(SimulatedCluster cluster, int tasks) {
+    return cluster.users.changed(
         "two", tasks, 6, b -> b.put("jobclass", "gate").put("rank", "high").put("loaners", true));
   }
 
   /** How many of a job's tasks have started so far, each counted once. */
-  static void untilBegun(SimulatedCluster w, List<SimulatedUsers.KnownJob> riders, long mostMs) {
-    for (SimulatedUsers.KnownJob r : riders) {
-      long until = r.submittedAt + mostMs;
-      while (r.starts < r.steps && w.sim.now() < until) {
-        w.run(50);
+  static void runUntilBegun(
+      SimulatedCluster cluster, List<SimulatedUsers.KnownJob> riders, long maxWaitMs) {
+    for (SimulatedUsers.KnownJob rider : riders) {
+      long deadlineMs = rider.submittedAt + maxWaitMs;
+      while (rider.starts < rider.steps && cluster.sim.now() < deadlineMs) {
+        cluster.run(50);
       }
       assertTrue(
-          r.starts >= r.steps,
-          () -> "%d of %d tasks began in %d ms".formatted(r.starts, r.steps, mostMs));
+          rider.starts >= rider.steps,
+          () -> "%d of %d tasks began in %d ms".formatted(rider.starts, rider.steps, maxWaitMs));
     }
   }
 
-  private static int stopped(SimulatedCluster w) {
-    return w.checker.stopsOf.getOrDefault("settle", 0);
+  private static int countStoppedBatchTasks(SimulatedCluster cluster) {
+    return cluster.checker.stopsOf.getOrDefault("settle", 0);
   }
 
-  private static JsonNode claims(SimulatedCluster w) {
-    return w.state.value("live/lane/gate");
+  private static JsonNode laneRecord(SimulatedCluster cluster) {
+    return cluster.state.value("live/lane/gate");
   }
 
   /** All begin within the lane's time, one stop for each, one put for all claims of a turn. */
   @ParameterizedTest(name = "seed {0}, saving takes {1} s")
   @CsvSource({"6301,0", "6302,0.5", "6303,0", "6304,30", "8042,30"})
-  void ridersDoNotWait(long seed, double saveS) {
-    SimulatedCluster w = begun(seed, GATE, saveS);
-    int before = stopped(w);
-    long laneBefore = w.state.putsTo("live/lane/");
+  void ridersBeginWithinTheLaneTime(long seed, double saveS) {
+    SimulatedCluster cluster = startWithFullMachines(seed, GATE, saveS);
+    int stopsBefore = countStoppedBatchTasks(cluster);
+    long lanePutsBefore = cluster.state.putsTo("live/lane/");
     List<SimulatedUsers.KnownJob> riders = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      riders.add(rider(w, 6));
+      riders.add(submitRider(cluster, 6));
     }
-    untilBegun(w, riders, LANE_MS + STEPS_MS);
-    assertTrue(stopped(w) - before <= 24, stopped(w) - before + " stops for 24 riders of one size");
+    runUntilBegun(cluster, riders, LANE_MS + CLAIM_TO_START_MS);
     assertTrue(
-        w.state.putsTo("live/lane/") - laneBefore <= 6,
-        w.state.putsTo("live/lane/") - laneBefore + " puts for the claims of four riders");
-    w.run(20_000);
+        countStoppedBatchTasks(cluster) - stopsBefore <= 24,
+        countStoppedBatchTasks(cluster) - stopsBefore + " stops for 24 riders of one size");
+    assertTrue(
+        cluster.state.putsTo("live/lane/") - lanePutsBefore <= 6,
+        cluster.state.putsTo("live/lane/")
+            - lanePutsBefore
+            + " puts for the claims of four riders");
+    cluster.run(20_000);
     riders.forEach(r -> assertTrue(r.done, r.ref + " is not done"));
-    assertEquals(null, claims(w), "a claim outlives its rider");
+    assertEquals(null, laneRecord(cluster), "a claim outlives its rider");
   }
 
   /** What goes for a rider goes one after the other; meanwhile no batch takes what is free. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6321, 6322, 6323})
   void ridersAsLargeAsMachines(long seed) {
-    SimulatedCluster w = begun(seed, GATE, 0);
+    SimulatedCluster cluster = startWithFullMachines(seed, GATE, 0);
     // Some save before they go, so that the room of those that don't is free before theirs.
     for (int i = 0; i < 12; i++) {
-      w.users.changed(
+      cluster.users.changed(
           "one",
           24,
           3,
           b -> b.put("jobclass", "settle").put("snapshotEveryS", 1.0).put("snapshotS", 0.9));
     }
-    w.cloud.machines().stream().limit(8).forEach(m -> w.sim.after(0, m::end));
-    w.run(25_000);
+    cluster.cloud.machines().stream().limit(8).forEach(m -> cluster.sim.after(0, m::end));
+    cluster.run(25_000);
     SimulatedUsers.KnownJob rider =
-        w.users.changed(
+        cluster.users.changed(
             "two",
             3,
             6,
             b -> b.put("jobclass", "gate").put("rank", "high").put("vcpus", SimulatedCluster.CPUS));
-    int before = stopped(w);
-    untilBegun(w, List.of(rider), LANE_MS + STEPS_MS);
-    assertTrue(stopped(w) - before <= 3 * 4, stopped(w) - before + " stops for three machines");
+    int stopsBefore = countStoppedBatchTasks(cluster);
+    runUntilBegun(cluster, List.of(rider), LANE_MS + CLAIM_TO_START_MS);
+    assertTrue(
+        countStoppedBatchTasks(cluster) - stopsBefore <= 3 * 4,
+        countStoppedBatchTasks(cluster) - stopsBefore + " stops for three machines");
   }
 
   /** The leader ends at some moment between acceptance and start, and so may the next one. */
@@ -159,53 +166,58 @@
     "6318,700,true",
     "6319,1000,false"
   })
-  void claimsOutliveLeaders(long seed, long afterMs, boolean twice) {
-    SimulatedCluster w = begun(seed, GATE, 0);
-    int before = stopped(w);
-    SimulatedUsers.KnownJob rider = rider(w, 8);
-    Map<String, Set<String>> claimed = new HashMap<>();
-    w.also =
+  void claimsHoldAcrossLeaderChanges(long seed, long crashAfterMs, boolean nextLeaderEndsToo) {
+    SimulatedCluster cluster = startWithFullMachines(seed, GATE, 0);
+    int stopsBefore = countStoppedBatchTasks(cluster);
+    SimulatedUsers.KnownJob rider = submitRider(cluster, 8);
+    Map<String, Set<String>> victimsByHost = new HashMap<>();
+    cluster.also =
         () -> {
-          if (claims(w) != null && !rider.done) {
-            for (JsonNode c : claims(w).path("claims")) {
+          if (laneRecord(cluster) != null && !rider.done) {
+            for (JsonNode claim : laneRecord(cluster).path("claims")) {
               Set<String> victims =
-                  claimed.computeIfAbsent(c.path("host").asText(), h -> new HashSet<>());
-              c.path("victims").forEach(v -> victims.add(v.asText()));
+                  victimsByHost.computeIfAbsent(claim.path("host").asText(), h -> new HashSet<>());
+              claim.path("victims").forEach(v -> victims.add(v.asText()));
             }
           }
         };
-    w.run(afterMs);
-    if (w.leader() != null) {
-      w.leader().crash(4000);
+    cluster.run(crashAfterMs);
+    if (cluster.leader() != null) {
+      cluster.leader().crash(4000);
     }
-    if (twice) {
-      w.run(TAKEOVER_MS / 2);
-      if (w.leader() != null && w.leader().up()) {
-        w.leader().crash(4000);
+    if (nextLeaderEndsToo) {
+      cluster.run(TAKEOVER_MS / 2);
+      if (cluster.leader() != null && cluster.leader().up()) {
+        cluster.leader().crash(4000);
       }
     }
-    untilBegun(w, List.of(rider), LANE_MS + STEPS_MS + (twice ? 3 : 2) * TAKEOVER_MS);
-    int victims = claimed.values().stream().mapToInt(Set::size).sum();
+    runUntilBegun(
+        cluster,
+        List.of(rider),
+        LANE_MS + CLAIM_TO_START_MS + (nextLeaderEndsToo ? 3 : 2) * TAKEOVER_MS);
+    int victims = victimsByHost.values().stream().mapToInt(Set::size).sum();
     assertTrue(victims <= 2 * 8, victims + " tasks had to go for 8");
-    assertTrue(stopped(w) - before <= 2 * 8, stopped(w) - before + " stops for 8 riders");
-    w.run(30_000);
+    assertTrue(
+        countStoppedBatchTasks(cluster) - stopsBefore <= 2 * 8,
+        countStoppedBatchTasks(cluster) - stopsBefore + " stops for 8 riders");
+    cluster.run(30_000);
     assertTrue(rider.done, "it is not done");
-    assertEquals(null, claims(w), "a claim outlives its rider");
+    assertEquals(null, laneRecord(cluster), "a claim outlives its rider");
   }
 
   /** Machines on which room is claimed hang, go deaf or end; others are claimed instead. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6331, 6332, 6333, 6334})
   void claimedMachinesFail(long seed) {
-    SimulatedCluster w = begun(seed, GATE, 0);
-    SimulatedUsers.KnownJob rider = rider(w, 12);
-    w.run(250);
-    if (claims(w) != null) {
-      int n = 0;
-      for (JsonNode c : claims(w).path("claims")) {
-        for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
-          if (m.id().equals(c.path("host").asText())) {
-            switch (n++ % 3) {
+    SimulatedCluster cluster = startWithFullMachines(seed, GATE, 0);
+    SimulatedUsers.KnownJob rider = submitRider(cluster, 12);
+    cluster.run(250);
+    if (laneRecord(cluster) != null) {
+      int claimedMachines = 0;
+      for (JsonNode claim : laneRecord(cluster).path("claims")) {
+        for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
+          if (m.id().equals(claim.path("host").asText())) {
+            switch (claimedMachines++ % 3) {
               case 0 -> m.end();
               case 1 -> m.hang(SimulatedCluster.LEASE_MS / 2);
               default -> m.deafen(SimulatedCluster.LEASE_MS);
@@ -214,13 +226,13 @@
         }
       }
     }
-    untilBegun(w, List.of(rider), SimulatedCluster.LEASE_MS + LANE_MS);
+    runUntilBegun(cluster, List.of(rider), SimulatedCluster.LEASE_MS + LANE_MS);
   }
 
   /** What takes too long to save leaves the reserve to riders; what is gone at once may use it. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6341, 6342})
-  void theReserveIsKept(long seed) {
+  void theReserveIsKeptForRiders(long seed) {
     Lane lane =
         new Lane(
             "gate",
@@ -231,38 +243,39 @@
             Rank.STANDARD,
             24,
             LANE_MS);
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
-    w.operatorSettings = OperatorSettings.defaults().withLanes(List.of(lane));
-    w.nodes.forEach(n -> n.crash(500));
-    w.cloud.setCapacity(0.25);
-    w.run(10_000);
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
+    cluster.operatorSettings = OperatorSettings.defaults().withLanes(List.of(lane));
+    cluster.nodes.forEach(n -> n.crash(500));
+    cluster.cloud.setCapacity(0.25);
+    cluster.run(10_000);
     for (int i = 0; i < 12; i++) {
-      w.users.changed(
+      cluster.users.changed(
           "one",
           24,
           200,
           b -> b.put("jobclass", "settle").put("snapshotEveryS", 5.0).put("snapshotS", 20.0));
     }
-    w.run(40_000);
-    assertTrue(free(w) >= 24, free(w) + " CPUs are left of a reserve of 24");
-    int before = stopped(w);
-    SimulatedUsers.KnownJob rider = rider(w, 10);
-    untilBegun(w, List.of(rider), STEPS_MS);
-    assertEquals(before, stopped(w), "stops, though the reserve was free");
+    cluster.run(40_000);
+    assertTrue(freeCpus(cluster) >= 24, freeCpus(cluster) + " CPUs are left of a reserve of 24");
+    int stopsBefore = countStoppedBatchTasks(cluster);
+    SimulatedUsers.KnownJob rider = submitRider(cluster, 10);
+    runUntilBegun(cluster, List.of(rider), CLAIM_TO_START_MS);
+    assertEquals(
+        stopsBefore, countStoppedBatchTasks(cluster), "stops, though the reserve was free");
   }
 
   /** A lane that is gone from the settings leaves no claim, and riders are jobs as any other. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6351, 6352})
-  void aLaneIsRemoved(long seed) {
-    SimulatedCluster w = begun(seed, GATE, 0);
-    rider(w, 30);
-    w.run(150);
-    w.operatorSettings = OperatorSettings.defaults();
-    w.nodes.forEach(n -> n.crash(500));
-    w.run(30_000);
-    assertEquals(null, claims(w), "a claim without a lane");
+  void aRemovedLaneLeavesNoClaims(long seed) {
+    SimulatedCluster cluster = startWithFullMachines(seed, GATE, 0);
+    submitRider(cluster, 30);
+    cluster.run(150);
+    cluster.operatorSettings = OperatorSettings.defaults();
+    cluster.nodes.forEach(n -> n.crash(500));
+    cluster.run(30_000);
+    assertEquals(null, laneRecord(cluster), "a claim without a lane");
   }
 }
--- a/src/test/java/dapplestair/world/LargeClusterDaysTest.java
+++ b/src/test/java/dapplestair/world/LargeClusterDaysTest.java
@@ -9,55 +9,58 @@
 /** Days with hundreds of machines and thousands of tasks: the rules, and what a start costs. */
 class LargeClusterDaysTest {
   // An array of some 75 tasks takes about a dozen puts from its acceptance to its end.
-  private static final double MOST_PUTS_PER_START = 0.5;
+  private static final double MAX_PUTS_PER_START = 0.5;
 
   /** A leader ends, a zone is cut off, spot machines are taken without notice, all overlapping. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3})
-  void rulesHoldAtTheGrownSize(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN);
+  void invariantsHoldInALargeCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN);
     try {
-      world.run(30_000);
-      for (int i = 0; i < 50 && world.leader() == null; i++) {
-        world.run(100);
+      cluster.run(30_000);
+      for (int i = 0; i < 50 && cluster.leader() == null; i++) {
+        cluster.run(100);
       }
-      SimulatedCluster.ControllerNode follower = world.nodes.get((world.leader().index + 1) % 3);
+      SimulatedCluster.ControllerNode follower =
+          cluster.nodes.get((cluster.leader().index + 1) % 3);
       String zone = follower.settings.zone();
-      world.cutOff(follower, m -> m.zone().equals(zone), false, 20_000);
-      world.run(5000);
-      for (EmulatedWorker m : world.cloud.machines()) {
-        if (m.spot() && world.sim.chance(0.3)) {
+      cluster.cutOff(follower, m -> m.zone().equals(zone), false, 20_000);
+      cluster.run(5000);
+      for (EmulatedWorker m : cluster.cloud.machines()) {
+        if (m.spot() && cluster.sim.chance(0.3)) {
           m.recall(0);
         }
       }
-      world.run(5000);
-      if (world.leader() != null) {
-        world.leader().crash(6000);
+      cluster.run(5000);
+      if (cluster.leader() != null) {
+        cluster.leader().crash(6000);
       }
-      world.run(40_000);
-      world.users.quiet = true;
-      world.run(60_000);
-      world.checker.checkServed();
+      cluster.run(40_000);
+      cluster.users.quiet = true;
+      cluster.run(60_000);
+      cluster.checker.checkServed();
     } catch (AssertionError e) {
       throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
     }
-    assertTrue(world.checker.started > 4000, "only " + world.checker.started + " tasks started");
-    long ended =
-        world.users.told.values().stream().filter(j -> j.done || j.aborted || j.service).count();
     assertTrue(
-        ended > 0.95 * world.users.told.size(),
-        ended + " of " + world.users.told.size() + " jobs ended");
+        cluster.checker.started > 4000, "only " + cluster.checker.started + " tasks started");
+    long endedJobs =
+        cluster.users.told.values().stream().filter(j -> j.done || j.aborted || j.service).count();
+    assertTrue(
+        endedJobs > 0.95 * cluster.users.told.size(),
+        endedJobs + " of " + cluster.users.told.size() + " jobs ended");
   }
 
   /** Counts, not times: what a start costs the state service must not grow with the fleet. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {11, 12})
   void putsPerStartAreFew(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN);
-    world.net.loss = 0;
-    world.run(60_000);
-    double perStart = world.state.puts() / (double) world.checker.started;
-    assertTrue(world.checker.started > 3000, "only " + world.checker.started + " tasks started");
-    assertTrue(perStart < MOST_PUTS_PER_START, perStart + " puts per start");
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN);
+    cluster.net.loss = 0;
+    cluster.run(60_000);
+    double putsPerStart = cluster.state.puts() / (double) cluster.checker.started;
+    assertTrue(
+        cluster.checker.started > 3000, "only " + cluster.checker.started + " tasks started");
+    assertTrue(putsPerStart < MAX_PUTS_PER_START, putsPerStart + " puts per start");
   }
 }
--- a/src/test/java/dapplestair/world/LargestJobsTest.java
+++ b/src/test/java/dapplestair/world/LargestJobsTest.java
@@ -17,64 +17,65 @@
  */
 class LargestJobsTest {
   private static final double CLUSTER_CPUS = 192;
-  private static final int SMALL_STEPS = 8;
-  private static final double SMALL_S = 8;
+  private static final int SMALL_JOB_TASKS = 8;
+  private static final double SMALL_TASK_S = 8;
 
   /** A quarter of the machines that the cloud could have, and one service in each zone. */
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
-    w.cloud.setCapacity(0.25);
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
+    cluster.cloud.setCapacity(0.25);
     for (int i = 0; i < 4; i++) {
-      w.users.service("two", 3);
+      cluster.users.service("two", 3);
     }
-    w.run(20_000);
-    return w;
+    cluster.run(20_000);
+    return cluster;
   }
 
   /** Small arrays of rank high, so often that they alone need this much of the cluster. */
-  private static void overload(SimulatedCluster w, double factor, double cpus, long forMs) {
-    double each = SMALL_STEPS * cpus * SMALL_S;
-    long everyMs = Math.round(1000 * each / (CLUSTER_CPUS * factor));
-    for (long at = 0; at < forMs; at += everyMs) {
-      String team = at / everyMs % 2 == 0 ? "one" : "two";
-      w.sim.after(
-          at,
+  private static void overload(
+      SimulatedCluster cluster, double factor, double cpus, long durationMs) {
+    double cpuSPerJob = SMALL_JOB_TASKS * cpus * SMALL_TASK_S;
+    long intervalMs = Math.round(1000 * cpuSPerJob / (CLUSTER_CPUS * factor));
+    for (long atMs = 0; atMs < durationMs; atMs += intervalMs) {
+      String team = atMs / intervalMs % 2 == 0 ? "one" : "two";
+      cluster.sim.after(
+          atMs,
           () ->
-              w.users.changed(
+              cluster.users.changed(
                   team,
-                  SMALL_STEPS,
-                  SMALL_S,
+                  SMALL_JOB_TASKS,
+                  SMALL_TASK_S,
                   b -> b.put("rank", "high").put("vcpus", cpus).put("jobclass", "small")));
     }
   }
 
   /** Runs for so long; leaders end again and again. */
-  private static void runEnding(SimulatedCluster w, long ms) {
-    long end = w.sim.now() + ms;
-    while (w.sim.now() < end) {
-      w.run(Math.min(end - w.sim.now(), 30_000 + w.sim.between(0, 20_000)));
-      if (w.leader() != null) {
-        w.leader().crash(w.sim.between(300, 4000));
+  private static void runWithLeaderCrashes(SimulatedCluster cluster, long durationMs) {
+    long endMs = cluster.sim.now() + durationMs;
+    while (cluster.sim.now() < endMs) {
+      cluster.run(Math.min(endMs - cluster.sim.now(), 30_000 + cluster.sim.between(0, 20_000)));
+      if (cluster.leader() != null) {
+        cluster.leader().crash(cluster.sim.between(300, 4000));
       }
     }
   }
 
-  private static List<SimulatedUsers.KnownJob> large(SimulatedCluster w) {
-    List<SimulatedUsers.KnownJob> out = new ArrayList<>();
+  private static List<SimulatedUsers.KnownJob> submitLargeJobs(SimulatedCluster cluster) {
+    List<SimulatedUsers.KnownJob> largeJobs = new ArrayList<>();
     for (String team : List.of("one", "guest")) {
-      out.add(
-          w.users.changed(
+      largeJobs.add(
+          cluster.users.changed(
               team, 120, 10, b -> b.put("rank", "low").put("jobclass", "large-" + team)));
     }
     // A task as large as a machine, which small ones never leave empty.
-    out.add(
-        w.users.changed(
+    largeJobs.add(
+        cluster.users.changed(
             "one", 6, 10, b -> b.put("rank", "low").put("vcpus", 8.0).put("jobclass", "wide")));
     // A service of no high rank, whose replicas fit nowhere without stops.
-    out.add(
-        w.users.changed(
+    largeJobs.add(
+        cluster.users.changed(
             "two",
             4,
             0,
@@ -84,32 +85,33 @@
                     .put("apart", true)
                     .put("loaners", false)
                     .put("jobclass", "plain")));
-    return out;
+    return largeJobs;
   }
 
-  private static long waitMs(SimulatedCluster w, SimulatedUsers.KnownJob job) {
-    return (job.begunAt() < 0 ? w.sim.now() : job.begunAt()) - job.submittedAt;
+  private static long waitMs(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
+    return (job.begunAt() < 0 ? cluster.sim.now() : job.begunAt()) - job.submittedAt;
   }
 
-  private static void begunInTime(SimulatedCluster w, List<SimulatedUsers.KnownJob> jobs) {
+  private static void assertBegunInTime(
+      SimulatedCluster cluster, List<SimulatedUsers.KnownJob> jobs) {
     for (SimulatedUsers.KnownJob job : jobs) {
       assertTrue(
-          job.begunAt() >= 0 && waitMs(w, job) <= InvariantChecker.BEGIN_MS,
-          () -> job.ref + " of " + job.jobClass + " waits for " + waitMs(w, job) + " ms");
+          job.begunAt() >= 0 && waitMs(cluster, job) <= InvariantChecker.BEGIN_MS,
+          () -> job.ref + " of " + job.jobClass + " waits for " + waitMs(cluster, job) + " ms");
     }
   }
 
   @ParameterizedTest(name = "seed {0}, {1} times too much, tasks of {2} CPUs")
   @CsvSource({"6001,1.5,2", "6003,3,2", "6004,4,1"})
-  void whoWaitsLongBegins(long seed, double factor, double cpus) {
-    SimulatedCluster w = begun(seed);
-    overload(w, factor, cpus, 280_000);
-    w.run(20_000);
-    List<SimulatedUsers.KnownJob> large = large(w);
-    runEnding(w, 255_000);
-    begunInTime(w, large);
+  void longWaitingJobsBegin(long seed, double factor, double cpus) {
+    SimulatedCluster cluster = startCluster(seed);
+    overload(cluster, factor, cpus, 280_000);
+    cluster.run(20_000);
+    List<SimulatedUsers.KnownJob> largeJobs = submitLargeJobs(cluster);
+    runWithLeaderCrashes(cluster, 255_000);
+    assertBegunInTime(cluster, largeJobs);
     // No replica was lost for it.
-    w.users.told.values().stream()
+    cluster.users.told.values().stream()
         .filter(j -> j.jobClass.equals("serve"))
         .forEach(j -> assertTrue(j.begunAt() >= 0, j.ref + " does not run"));
   }
@@ -117,20 +119,22 @@
   /** Its wait begins with the first attempt to submit, though it is accepted after an outage. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6021, 6022, 6023})
-  void aJobThatWasTurnedAwayIsAsOldAsItsFirstAttempt(long seed) {
-    SimulatedCluster w = begun(seed);
-    overload(w, 3, 2, 300_000);
-    w.run(20_000);
+  void theWaitCountsFromTheFirstSubmissionAttempt(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    overload(cluster, 3, 2, 300_000);
+    cluster.run(20_000);
     long outageMs = 55_000;
-    w.state.fail();
-    SimulatedUsers.KnownJob large = large(w).get(0);
-    w.run(outageMs);
-    w.state.recover();
-    w.run(InvariantChecker.BEGIN_MS - outageMs);
-    begunInTime(w, List.of(large));
+    cluster.state.fail();
+    SimulatedUsers.KnownJob largeJob = submitLargeJobs(cluster).get(0);
+    cluster.run(outageMs);
+    cluster.state.recover();
+    cluster.run(InvariantChecker.BEGIN_MS - outageMs);
+    assertBegunInTime(cluster, List.of(largeJob));
     // Three fifths of the bound and what it takes to begin, but no outage on top.
-    long most = InvariantChecker.BEGIN_MS * 3 / 5 + outageMs * 2 / 3;
-    assertTrue(waitMs(w, large) <= most, "it waited for " + waitMs(w, large) + " ms");
+    long maxWaitMs = InvariantChecker.BEGIN_MS * 3 / 5 + outageMs * 2 / 3;
+    assertTrue(
+        waitMs(cluster, largeJob) <= maxWaitMs,
+        "it waited for " + waitMs(cluster, largeJob) + " ms");
   }
 
   /**
@@ -139,36 +143,37 @@
    */
   @ParameterizedTest(name = "seed {0}, arrays of {1} tasks and more")
   @CsvSource({"6021,40", "6022,80", "6023,20"})
-  void everyArrayBeginsThoughWindowsAreFull(long seed, int steps) {
-    SimulatedCluster w = begun(seed);
+  void everyArrayBeginsThoughLaunchWindowsAreFull(long seed, int steps) {
+    SimulatedCluster cluster = startCluster(seed);
     List<SimulatedUsers.KnownJob> arrays = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
-      int size = steps + (int) w.sim.between(0, 4 * steps);
-      w.sim.after(
+      int size = steps + (int) cluster.sim.between(0, 4 * steps);
+      cluster.sim.after(
           i * 4_000L,
-          () -> arrays.add(w.users.changed("one", size, 60, b -> b.put("jobclass", "long"))));
+          () -> arrays.add(cluster.users.changed("one", size, 60, b -> b.put("jobclass", "long"))));
     }
-    w.run(24 * 4_000 + InvariantChecker.BEGIN_MS);
-    begunInTime(w, arrays);
+    cluster.run(24 * 4_000 + InvariantChecker.BEGIN_MS);
+    assertBegunInTime(cluster, arrays);
   }
 
   /** The guard taken out: with no bound that is near, the same work does not begin. */
   @Test
-  void withoutTheBoundTheyDoNotBegin() {
-    SimulatedCluster w = new SimulatedCluster(6003, SimulatedCluster.Size.MIDDLE);
-    OperatorSettings d = OperatorSettings.defaults();
-    w.operatorSettings = d.withBeginWithin(24 * 3600_000);
-    w.nodes.forEach(n -> n.crash(500));
-    w.net.loss = 0;
-    w.users.quiet = true;
-    w.cloud.setCapacity(0.25);
-    w.run(20_000);
-    overload(w, 3, 2, 280_000);
-    w.run(20_000);
-    List<SimulatedUsers.KnownJob> large = large(w);
-    w.run(255_000);
+  void largeJobsDoNotBeginWithoutTheBound() {
+    SimulatedCluster cluster = new SimulatedCluster(6003, SimulatedCluster.Size.MIDDLE);
+    OperatorSettings defaults = OperatorSettings.defaults();
+    cluster.operatorSettings = defaults.withBeginWithin(24 * 3600_000);
+    cluster.nodes.forEach(n -> n.crash(500));
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
+    cluster.cloud.setCapacity(0.25);
+    cluster.run(20_000);
+    overload(cluster, 3, 2, 280_000);
+    cluster.run(20_000);
+    List<SimulatedUsers.KnownJob> largeJobs = submitLargeJobs(cluster);
+    cluster.run(255_000);
     assertFalse(
-        large.stream().allMatch(j -> j.begunAt() >= 0 && waitMs(w, j) <= InvariantChecker.BEGIN_MS),
+        largeJobs.stream()
+            .allMatch(j -> j.begunAt() >= 0 && waitMs(cluster, j) <= InvariantChecker.BEGIN_MS),
         "this test says nothing");
   }
 
@@ -176,11 +181,11 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6011, 6012})
   void aGangAsWideAsAZoneBegins(long seed) {
-    SimulatedCluster w = begun(seed);
-    overload(w, 2, 2, 280_000);
-    w.run(20_000);
+    SimulatedCluster cluster = startCluster(seed);
+    overload(cluster, 2, 2, 280_000);
+    cluster.run(20_000);
     SimulatedUsers.KnownJob gang =
-        w.users.changed(
+        cluster.users.changed(
             "one",
             28,
             10,
@@ -189,7 +194,7 @@
                     .put("rank", "low")
                     .put("together", true)
                     .put("jobclass", "gang"));
-    runEnding(w, 250_000);
-    begunInTime(w, List.of(gang));
+    runWithLeaderCrashes(cluster, 250_000);
+    assertBegunInTime(cluster, List.of(gang));
   }
 }
--- a/src/test/java/dapplestair/world/LeaseResponsesTest.java
+++ b/src/test/java/dapplestair/world/LeaseResponsesTest.java
@@ -77,11 +77,11 @@
   /**
    * Halts of jobs that are not done: of those that are, what is on record may be halted as well.
    */
-  private static Set<String> halts(CancellationOutageTest.Day d, HttpReply reply) {
+  private static Set<String> halts(CancellationOutageTest.Scenario d, HttpReply reply) {
     Set<String> keys = halts(reply);
     keys.removeIf(
         key -> {
-          JsonNode over = d.w.state.value("over/" + key.substring(0, key.indexOf('/')));
+          JsonNode over = d.cluster.state.value("over/" + key.substring(0, key.indexOf('/')));
           return over != null && over.path("status").asText().equals("done");
         });
     return keys;
@@ -100,25 +100,25 @@
   }
 
   /** A machine that runs tasks to be cancelled as well as others. */
-  private static Reporter mixed(CancellationOutageTest.Day d) {
-    return d.w.cloud.machines().stream()
+  private static Reporter mixed(CancellationOutageTest.Scenario d) {
+    return d.cluster.cloud.machines().stream()
         .filter(m -> !m.gone() && m.booted())
         .map(Reporter::new)
-        .filter(r -> !of(d.cancelled, r.tasks()).isEmpty() && !of(d.kept, r.tasks()).isEmpty())
+        .filter(r -> !of(d.cancelled, r.tasks()).isEmpty() && !of(d.otherJobs, r.tasks()).isEmpty())
         .findFirst()
         .orElseThrow();
   }
 
   /** A follower that was told of cancellations answers in an outage of all. */
-  private static Reporter toldFollower(CancellationOutageTest.Day d) {
+  private static Reporter toldFollower(CancellationOutageTest.Scenario d) {
     Reporter r = mixed(d);
-    CancellationOutageTest.refuse(d);
-    d.cancel(d.second);
-    d.w.state.fail();
+    CancellationOutageTest.refuseOldLeader(d);
+    d.cancelJobs(d.second);
+    d.cluster.state.fail();
     // Its own reports must not meet those of the test, and who asks here is told here once more.
-    d.w.net.cut(SimulatedCluster.client(d.third.index), r.machine.endpoint(), false);
-    d.w.net.cut(SimulatedCluster.client(d.third.index), "users", false);
-    d.w.run(SimulatedCluster.REPORT_MS);
+    d.cluster.net.cut(SimulatedCluster.client(d.third.index), r.machine.endpoint(), false);
+    d.cluster.net.cut(SimulatedCluster.client(d.third.index), "users", false);
+    d.cluster.run(SimulatedCluster.REPORT_MS);
     // The first is sent on to the leader; one that comes again was not taken there.
     assertEquals(421, r.to(d.third, r.tasks(), r.token()).status());
     return r;
@@ -127,7 +127,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8201, 8202, 8203})
   void aFollowersAnswerHaltsCancelledTasks(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
+    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
     Reporter r = toldFollower(d);
     Set<String> cancelled = of(d.cancelled, r.tasks());
     HttpReply answer = r.to(d.third, r.tasks(), r.token());
@@ -147,21 +147,21 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8201, 8202, 8203})
   void aFollowerRaisesTheTokenUntilNoLaunchCanBeSent(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
+    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
     Reporter r = toldFollower(d);
     long first = token(r.to(d.third, r.tasks(), r.token()));
     assertTrue(first >= r.token() + 2 * FencingToken.MAX_FENCE_LEAD, "raised above any launch");
-    d.w.run(LAUNCH_MS + SimulatedCluster.REPORT_MS);
+    d.cluster.run(LAUNCH_MS + SimulatedCluster.REPORT_MS);
     long second = token(r.to(d.third, r.tasks(), first));
     assertTrue(second > first, "a raise while launches could still be sent does not count");
-    d.w.run(SimulatedCluster.REPORT_MS);
+    d.cluster.run(SimulatedCluster.REPORT_MS);
     assertEquals(second, token(r.to(d.third, r.tasks(), second)), "once is enough");
   }
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8201, 8202, 8203})
   void aFollowerKeepsNoLeaseForJobsItDoesNotKnow(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
+    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
     Reporter r = toldFollower(d);
     token(r.to(d.third, r.tasks(), r.token()));
     ArrayNode tasks = r.tasks().deepCopy();
@@ -175,44 +175,46 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8211, 8212, 8213})
   void aLeaderKeepsOutALaunchOnItsWay(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
+    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
     refuseMachines(d, true);
-    SimulatedUsers.KnownJob job = d.w.users.array("one", "high", 4, 150);
+    SimulatedUsers.KnownJob job = d.cluster.users.array("one", "high", 4, 150);
     waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
     List<Reporter> reporters = hostsOnRecord(d, job).stream().map(Reporter::new).toList();
-    d.w.users.cancelAt(job, d.second);
+    d.cluster.users.cancelAt(job, d.second);
     waitUntil(d, () -> job.aborted);
     for (Reporter r : reporters) {
-      HttpReply answer = r.to(d.old, r.tasks(), r.token());
+      HttpReply answer = r.to(d.oldLeader, r.tasks(), r.token());
       assertTrue(token(answer) > r.token(), "above the launch, which carries the token shown");
       assertTrue(halts(answer).stream().anyMatch(k -> k.startsWith(job.ref + "/")), "halted");
     }
     refuseMachines(d, false);
-    d.w.run(SimulatedCluster.CANCEL_MS);
+    d.cluster.run(SimulatedCluster.CANCEL_MS);
   }
 
   /** Calls of the old leader get no answer; what was called is lost. Reports go on. */
-  private static void refuseMachines(CancellationOutageTest.Day d, boolean refused) {
-    String node = "node-" + d.old.index;
-    for (EmulatedWorker m : d.w.cloud.machines()) {
+  private static void refuseMachines(CancellationOutageTest.Scenario d, boolean refused) {
+    String node = "node-" + d.oldLeader.index;
+    for (EmulatedWorker m : d.cluster.cloud.machines()) {
       if (refused) {
-        d.w.net.cut(node, m.endpoint(), false);
+        d.cluster.net.cut(node, m.endpoint(), false);
       } else {
-        d.w.net.heal(node, m.endpoint());
+        d.cluster.net.heal(node, m.endpoint());
       }
     }
   }
 
   private static List<EmulatedWorker> hostsOnRecord(
-      CancellationOutageTest.Day d, SimulatedUsers.KnownJob job) {
+      CancellationOutageTest.Scenario d, SimulatedUsers.KnownJob job) {
     String records = "";
-    for (String key : d.w.state.keys("live/")) {
+    for (String key : d.cluster.state.keys("live/")) {
       if (key.startsWith("live/run/" + job.ref) || key.startsWith("live/sheet/")) {
-        records += d.w.state.value(key);
+        records += d.cluster.state.value(key);
       }
     }
     String text = records;
-    return d.w.cloud.machines().stream().filter(m -> !m.gone() && text.contains(m.id())).toList();
+    return d.cluster.cloud.machines().stream()
+        .filter(m -> !m.gone() && text.contains(m.id()))
+        .toList();
   }
 
   /**
@@ -223,23 +225,23 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8221, 8222, 8223})
   void noLaunchLeavesLongAfterTheLastKnowledge(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
+    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
     boolean[] refusing = {true};
-    for (EmulatedWorker m : d.w.cloud.machines()) {
-      d.w.net.place(m.endpoint(), refusing("node-" + d.old.index, refusing, m));
+    for (EmulatedWorker m : d.cluster.cloud.machines()) {
+      d.cluster.net.place(m.endpoint(), refusing("node-" + d.oldLeader.index, refusing, m));
     }
-    SimulatedUsers.KnownJob job = d.w.users.array("two", "high", 4, 150);
+    SimulatedUsers.KnownJob job = d.cluster.users.array("two", "high", 4, 150);
     waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
-    CancellationOutageTest.refuse(d);
-    d.links("refused", true);
-    d.w.users.cancelAt(job, d.second);
+    CancellationOutageTest.refuseOldLeader(d);
+    d.cutLinks("refused", true);
+    d.cluster.users.cancelAt(job, d.second);
     waitUntil(d, () -> job.aborted);
     d.second.crash(3 * SimulatedCluster.CANCEL_MS);
-    d.w.state.fail();
-    d.w.run(LAUNCH_MS);
+    d.cluster.state.fail();
+    d.cluster.run(LAUNCH_MS);
     assertEquals(0, job.starts, "the launches wait");
     refusing[0] = false;
-    d.w.run(SimulatedCluster.REPORT_MS);
+    d.cluster.run(SimulatedCluster.REPORT_MS);
     assertEquals(0, job.starts, "late launches");
   }
 
@@ -303,31 +305,31 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8231, 8232, 8233})
   void nobodyIsToldBeforeAllPlacesAreRead(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    HeldState state = new HeldState(d.w.state);
-    d.w.net.place("state:1", state);
-    state.blind.add("node-" + d.old.index);
-    SimulatedUsers.KnownJob job = d.w.users.array("one", "high", 4, 150);
+    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
+    HeldState state = new HeldState(d.cluster.state);
+    d.cluster.net.place("state:1", state);
+    state.blind.add("node-" + d.oldLeader.index);
+    SimulatedUsers.KnownJob job = d.cluster.users.array("one", "high", 4, 150);
     waitUntil(d, () -> job.accepted);
-    d.w.users.cancelAt(job, d.second);
+    d.cluster.users.cancelAt(job, d.second);
     waitUntil(d, () -> state.cancellation != null);
     // The leader learns of the job only now, and launches it, while the canceller sees nothing.
-    state.letSee("node-" + d.old.index);
+    state.letSee("node-" + d.oldLeader.index);
     waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
     List<Reporter> reporters = hostsOnRecord(d, job).stream().map(Reporter::new).toList();
     state.cancellation.run();
-    d.w.run(SimulatedCluster.REPORT_MS / 4);
+    d.cluster.run(SimulatedCluster.REPORT_MS / 4);
     assertFalse(job.aborted, "told before the launches were read");
     state.letSee("node-" + d.second.index);
     waitUntil(d, () -> job.aborted);
-    d.w.run(SimulatedCluster.CANCEL_MS);
+    d.cluster.run(SimulatedCluster.CANCEL_MS);
     assertEquals(0, d.running(job), "cancelled tasks");
     assertFalse(reporters.isEmpty());
   }
 
-  private static void waitUntil(CancellationOutageTest.Day d, BooleanSupplier condition) {
+  private static void waitUntil(CancellationOutageTest.Scenario d, BooleanSupplier condition) {
     for (int i = 0; i < 400 && !condition.getAsBoolean(); i++) {
-      d.w.run(10);
+      d.cluster.run(10);
     }
     assertTrue(condition.getAsBoolean(), "it does not come about");
   }
--- a/src/test/java/dapplestair/world/LostOperatorResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostOperatorResponsesTest.java
@@ -33,30 +33,30 @@
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13101,GOES_ON", "13102,HEARS_NO_NEWS", "13105,ENDS_AT_ONCE", "13104,ENDS_LATER"})
   void drainsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
-    int replicas = DisruptionTest.replicas(w);
+    SimulatedCluster w = DisruptionTest.startServices(seed, 2, 3);
+    int replicas = DisruptionTest.countReplicas(w);
     begin(
         w,
         CommitInterceptor.puts("live/drain").or(CommitInterceptor.removes("live/drain")),
         sender);
     OperatorsTest.order(w, "/v1/zones/c/drain", Json.object().put("why", "power"));
     w.run(LONG_MS);
-    assertEquals(0, DisruptionTest.tasksIn(w, "c"), "tasks left in the zone");
+    assertEquals(0, DisruptionTest.countTasksInZone(w, "c"), "tasks left in the zone");
     OperatorsTest.order(w, "/v1/zones/c/undrain", null);
     w.run(FOR_MS);
     end(w);
     w.run(FOR_MS);
     assertEquals(0, w.state.keys("live/drain").size(), "drains on record");
-    assertEquals(replicas, DisruptionTest.replicas(w), "replicas in the end");
+    assertEquals(replicas, DisruptionTest.countReplicas(w), "replicas in the end");
   }
 
   /** Guards against replacements that stand still, or begin again, for want of an answer. */
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13111,GOES_ON", "13112,HEARS_NO_NEWS", "13113,ENDS_AT_ONCE", "13114,ENDS_LATER"})
   void replacementsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
+    SimulatedCluster w = DisruptionTest.startServices(seed, 2, 3);
     Set<String> before = ReplacementTest.machines(w);
-    int replicas = DisruptionTest.replicas(w);
+    int replicas = DisruptionTest.countReplicas(w);
     begin(w, CommitInterceptor.puts("live/replace/"), sender);
     OperatorsTest.order(w, "/v1/replacements/night/start", ReplacementTest.all(3, 3));
     w.run(2 * FOR_MS);
@@ -69,9 +69,9 @@
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13112,GOES_ON", "13222,HEARS_NO_NEWS", "13123,ENDS_AT_ONCE", "13124,ENDS_LATER"})
   void budgetsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 1, 1);
+    SimulatedCluster w = DisruptionTest.startServices(seed, 1, 1);
     double most = 2.0 * 60 * 8;
-    DisruptionTest.allowLoss(w, most);
+    DisruptionTest.setLostWorkBudget(w, most);
     w.users.array("two", "standard", 60, 300);
     w.run(40_000);
     begin(w, CommitInterceptor.puts("live/disruption/"), sender);
@@ -90,15 +90,17 @@
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13122,GOES_ON", "13116,HEARS_NO_NEWS", "13110,ENDS_AT_ONCE", "13134,ENDS_LATER"})
   void calendarMarksWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
-    SimulatedCluster w = CalendarTest.begun(seed);
-    SimulatedUsers.KnownJob model = CalendarTest.model(w);
+    SimulatedCluster w = CalendarTest.startAtCycle(seed);
+    SimulatedUsers.KnownJob model = CalendarTest.submitModelRun(w);
     begin(w, CommitInterceptor.puts("live/calendar/"), sender);
-    CalendarTest.deliver(w, CalendarTest.COMPLETE);
-    CalendarTest.untilBegun(w, model, CalendarTest.CUT_OFF_MS + CalendarTest.STEPS_MS);
+    CalendarTest.deliverGauges(w, CalendarTest.EXPECTED_DELIVERIES);
+    CalendarTest.runUntilBegun(
+        w, model, CalendarTest.CUT_OFF_MS + CalendarTest.RELEASE_TO_START_MS);
     end(w);
     w.run(FOR_MS);
-    int delivered = CalendarTest.record(w).path("delivered").asInt();
-    assertTrue(delivered <= CalendarTest.COMPLETE, delivered + " deliveries are on record");
+    int delivered = CalendarTest.calendarRecord(w).path("delivered").asInt();
+    assertTrue(
+        delivered <= CalendarTest.EXPECTED_DELIVERIES, delivered + " deliveries are on record");
     assertTrue(model.done, "it is not done");
   }
 }
--- a/src/test/java/dapplestair/world/LostResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostResponsesTest.java
@@ -180,14 +180,14 @@
     "9270,HEARS_NO_NEWS"
   })
   void claimsOfALane(long seed, Sender sender) {
-    SimulatedCluster w = LaneTest.begun(seed, LaneTest.GATE, 0);
+    SimulatedCluster w = LaneTest.startWithFullMachines(seed, LaneTest.GATE, 0);
     loseAnswers(w, CommitInterceptor.puts("live/lane/"), sender);
     List<SimulatedUsers.KnownJob> riders = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      riders.add(LaneTest.rider(w, 6));
+      riders.add(LaneTest.submitRider(w, 6));
       w.run(3000);
     }
-    LaneTest.untilBegun(w, riders, CLAIM_MS);
+    LaneTest.runUntilBegun(w, riders, CLAIM_MS);
     assertTrue(w.net.commits.lost > 0, "no answer was lost");
   }
 }
--- a/src/test/java/dapplestair/world/ManyLeadersTest.java
+++ b/src/test/java/dapplestair/world/ManyLeadersTest.java
@@ -44,7 +44,7 @@
     SimulatedCluster w = f.w;
     LeaderChange[] ways = LeaderChange.values();
     long first = term(w);
-    f.day.troubleEverySecond(fault, SimulatedCluster.CANCEL_MS * 3 / 2);
+    f.day.injectFaultOnEverySecondMachine(fault, SimulatedCluster.CANCEL_MS * 3 / 2);
     f.cancel();
     for (int i = 0; i < CHANGES; i++) {
       if (i == outRound) {
@@ -83,9 +83,11 @@
     "12013,a,9000,true"
   })
   void aZoneHangsAndNoLeaderStays(long seed, String zone, long everyMs, boolean ofOneTask) {
-    CancellationOutageTest.Day d =
-        ofOneTask ? new CancellationOutageTest.Day(seed) : new TeamLimitsTest.FullDay(seed).day;
-    SimulatedCluster w = d.w;
+    CancellationOutageTest.Scenario d =
+        ofOneTask
+            ? new CancellationOutageTest.Scenario(seed)
+            : new TeamLimitsTest.FullDay(seed).day;
+    SimulatedCluster w = d.cluster;
     if (ofOneTask) {
       d.cancelled.clear();
       for (int i = 0; i < 24; i++) {
@@ -110,14 +112,14 @@
   }
 
   /** Users are told while machines hang, and an outage begins. */
-  static CancellationOutageTest.Day cancelledOnHangingMachines(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    d.cancelled.forEach(t -> d.w.users.cancelAt(t, d.old));
-    d.stallEveryThird();
-    d.w.run(500);
-    d.cancel(d.old);
+  static CancellationOutageTest.Scenario cancelledOnHangingMachines(long seed) {
+    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
+    d.cancelled.forEach(t -> d.cluster.users.cancelAt(t, d.oldLeader));
+    d.stallEveryThirdMachine();
+    d.cluster.run(500);
+    d.cancelJobs(d.oldLeader);
     assertTrue(d.running(d.cancelled) > 0, "everything stops at once");
-    d.w.state.fail();
+    d.cluster.state.fail();
     return d;
   }
 
@@ -125,9 +127,9 @@
   @ParameterizedTest(name = "seed {0}, ends after {1} ms")
   @CsvSource({"12101,100", "12102,3000", "12103,15000"})
   void whoToldEndsInAnOutage(long seed, long endsMs) {
-    CancellationOutageTest.Day d = cancelledOnHangingMachines(seed);
-    SimulatedCluster w = d.w;
-    w.sim.after(endsMs, () -> d.old.crash(4000));
+    CancellationOutageTest.Scenario d = cancelledOnHangingMachines(seed);
+    SimulatedCluster w = d.cluster;
+    w.sim.after(endsMs, () -> d.oldLeader.crash(4000));
     w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
     w.state.recover();
     w.run(90_000);
@@ -138,8 +140,8 @@
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12201,100", "12202,3000", "12203,15000"})
   void allEndInAnOutageWhileMachinesHang(long seed, long endMs) {
-    CancellationOutageTest.Day d = cancelledOnHangingMachines(seed);
-    SimulatedCluster w = d.w;
+    CancellationOutageTest.Scenario d = cancelledOnHangingMachines(seed);
+    SimulatedCluster w = d.cluster;
     w.nodes.forEach(n -> w.sim.after(endMs, () -> n.crash(1000)));
     w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
     w.state.recover();
@@ -166,14 +168,14 @@
   @ParameterizedTest(name = "seed {0}, out for {1} ms, back after {2} ms")
   @CsvSource({"11221,20000,300", "11222,60000,300", "11223,75000,4000", "11224,120000,800"})
   void allEndInTurnInsideAnOutage(long seed, long outMs, long backMs) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    SimulatedCluster w = d.w;
+    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
+    SimulatedCluster w = d.cluster;
     d.cancelled.forEach(w.users::cancel);
     w.run(w.sim.between(50, 400));
     w.state.fail();
     w.sim.after(outMs, w.state::recover);
     for (int i = 0; i < CHANGES; i++) {
-      SimulatedCluster.ControllerNode node = w.nodes.get((d.old.index + i) % 3);
+      SimulatedCluster.ControllerNode node = w.nodes.get((d.oldLeader.index + i) % 3);
       w.sim.after(i * outMs / CHANGES, () -> node.crash(backMs));
     }
     w.run(outMs + 30_000);
--- a/src/test/java/dapplestair/world/OutboundCutTest.java
+++ b/src/test/java/dapplestair/world/OutboundCutTest.java
@@ -20,7 +20,7 @@
   private static final int REPLICAS = 72;
 
   private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
+    SimulatedCluster w = DisruptionTest.startServices(seed, 5, 5);
     // What is lost with a machine is no choice.
     w.checker.budget = null;
     return w;
@@ -67,7 +67,7 @@
     assertEquals(before, starts(w, mute), "starts on a machine that does not report");
     assertTrue(mute.gone(), "it is still paid for, though nothing can last there");
     w.run(SimulatedCluster.REPORT_MS);
-    assertEquals(REPLICAS - 3, DisruptionTest.replicas(w), "replicas but the cancelled ones");
+    assertEquals(REPLICAS - 3, DisruptionTest.countReplicas(w), "replicas but the cancelled ones");
   }
 
   /** Half of all machines: what is rented in their place is up when their leases end. */
@@ -82,7 +82,7 @@
       }
     }
     w.run(SimulatedCluster.LEASE_MS + 2 * SimulatedCluster.REPORT_MS);
-    assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas after a lease");
+    assertEquals(REPLICAS, DisruptionTest.countReplicas(w), "replicas after a lease");
     SeededDaysTest.settle(w);
   }
 
@@ -119,7 +119,7 @@
       assertEquals("CUT", w.state.value("live/zone/c").path("state").asText());
     }
     w.run(SimulatedCluster.LEASE_MS * 6 / 5);
-    assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas without the zone");
+    assertEquals(REPLICAS, DisruptionTest.countReplicas(w), "replicas without the zone");
     int starts = inZone(w, "c").stream().mapToInt(m -> starts(w, m)).sum();
     w.run(SimulatedCluster.LEASE_MS);
     assertEquals(
--- a/src/test/java/dapplestair/world/RefusedThenOutageTest.java
+++ b/src/test/java/dapplestair/world/RefusedThenOutageTest.java
@@ -19,13 +19,13 @@
     ALL
   }
 
-  private static void cancel(CancellationOutageTest.Day d, Asked asked) {
+  private static void cancel(CancellationOutageTest.Scenario d, Asked asked) {
     for (SimulatedUsers.KnownJob job : d.cancelled) {
       switch (asked) {
-        case LEADER -> d.w.users.cancelAt(job, d.old);
-        case OTHER -> d.w.users.cancelAt(job, d.second);
-        case ANY -> d.w.users.cancel(job);
-        default -> d.w.nodes.forEach(n -> d.w.users.cancelAt(job, n));
+        case LEADER -> d.cluster.users.cancelAt(job, d.oldLeader);
+        case OTHER -> d.cluster.users.cancelAt(job, d.second);
+        case ANY -> d.cluster.users.cancel(job);
+        default -> d.cluster.nodes.forEach(n -> d.cluster.users.cancelAt(job, n));
       }
     }
   }
@@ -60,11 +60,11 @@
   }
 
   static SimulatedCluster play(long seed, Asked asked, long askedMs, String links, long outMs) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    SimulatedCluster w = d.w;
+    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
+    SimulatedCluster w = d.cluster;
     long at = w.sim.now() + 100;
-    w.sim.after(100, () -> w.state.refuse("node-" + d.old.index, true));
-    w.sim.after(100 + Math.max(0, askedMs), () -> d.links(links, true));
+    w.sim.after(100, () -> w.state.refuse("node-" + d.oldLeader.index, true));
+    w.sim.after(100 + Math.max(0, askedMs), () -> d.cutLinks(links, true));
     w.sim.after(100 + askedMs, () -> cancel(d, asked));
     w.run(at + outMs - w.sim.now());
     if (asked != Asked.LEADER && askedMs <= 700) {
@@ -72,7 +72,7 @@
     }
     w.state.fail();
     w.run(2 * SimulatedCluster.CANCEL_MS);
-    w.state.refuse("node-" + d.old.index, false);
+    w.state.refuse("node-" + d.oldLeader.index, false);
     w.state.recover();
     d.healLinks();
     d.cancelled.forEach(w.users::cancel);
--- a/src/test/java/dapplestair/world/RelayTest.java
+++ b/src/test/java/dapplestair/world/RelayTest.java
@@ -31,7 +31,7 @@
     final Map<String, String> reportsTo = new HashMap<>();
 
     Day(long seed) {
-      w = DisruptionTest.begun(seed, 5, 5);
+      w = DisruptionTest.startServices(seed, 5, 5);
       w.checker.budget = null;
       w.operatorSettings = w.operatorSettings.withRelayAbove(0);
       w.nodes.forEach(n -> n.crash(1000));
@@ -196,8 +196,8 @@
   @ValueSource(longs = {9741, 9742, 9743, 9744, 9745, 9746})
   void troublesMeet(long seed) {
     OperatorSettings spread = OperatorSettings.defaults().withRelayAbove(0);
-    FaultCombinationTest.play(
-        new SimulatedCluster(seed, FaultCombinationTest.SHORT, true, spread),
+    FaultCombinationTest.run(
+        new SimulatedCluster(seed, FaultCombinationTest.SHORT_JOBS, true, spread),
         seed,
         seed % 2 == 0 ? RandomFaults::any : RandomFaults::ofMachines);
   }
