--- a/src/test/java/dapplestair/world/ReplacementTest.java
+++ b/src/test/java/dapplestair/world/ReplacementTest.java
@@ -64,16 +64,16 @@
     left.retainAll(before);
     assertEquals(Set.of(), left, "old machines are left");
     w.run(30_000);
-    assertEquals(replicas, DisruptionTest.replicas(w), "replicas in the end");
+    assertEquals(replicas, DisruptionTest.countReplicas(w), "replicas in the end");
   }
 
   /** All machines go, new ones first, within the budgets; then nothing old is left. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
   void aFleetIsNewInTheMorning(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
+    SimulatedCluster w = DisruptionTest.startServices(seed, 2, 3);
     Set<String> before = machines(w);
-    int replicas = DisruptionTest.replicas(w);
+    int replicas = DisruptionTest.countReplicas(w);
     OperatorsTest.order(w, NIGHT + "/start", all(3, 3));
     int killed = w.cloud.killedByRelease();
     JsonNode end = untilDone(w, 900_000);
@@ -87,7 +87,7 @@
   @EnumSource
   void theOrderGoesOnThrough(ReplacementFault fault) {
     for (long seed = 1; seed <= 2; seed++) {
-      SimulatedCluster w = DisruptionTest.begun(100 * fault.ordinal() + seed, 2, 3);
+      SimulatedCluster w = DisruptionTest.startServices(100 * fault.ordinal() + seed, 2, 3);
       try {
         Set<String> before = machines(w);
         OperatorsTest.order(w, NIGHT + "/start", all(3, 3));
@@ -157,9 +157,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {61, 62, 63})
   void badNewMachinesPauseTheOrder(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
+    SimulatedCluster w = DisruptionTest.startServices(seed, 2, 3);
     Set<String> before = machines(w);
-    int replicas = DisruptionTest.replicas(w);
+    int replicas = DisruptionTest.countReplicas(w);
     w.cloud.setSick(true);
     OperatorsTest.order(w, NIGHT + "/start", all(4, 4));
     w.users.array("one", "high", 60, 5);
@@ -186,7 +186,7 @@
   @ParameterizedTest(name = "{0} beyond")
   @ValueSource(ints = {0, 1})
   void twoPutsForAMachineAtMost(int beyond) {
-    SimulatedCluster w = DisruptionTest.begun(93 + beyond, 3, 3);
+    SimulatedCluster w = DisruptionTest.startServices(93 + beyond, 3, 3);
     int before = machines(w).size();
     String[] last = {""};
     int[] writes = {0};
@@ -211,9 +211,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {90, 91, 92, 95, 96, 97, 99})
   void anOrderForAFullFleetDoesNotStandStill(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 3, 3);
+    SimulatedCluster w = DisruptionTest.startServices(seed, 3, 3);
     Set<String> before = machines(w);
-    int replicas = DisruptionTest.replicas(w);
+    int replicas = DisruptionTest.countReplicas(w);
     OperatorsTest.order(w, NIGHT + "/start", all(1, 0));
     untilDone(w, 1_500_000);
     assertReplaced(w, before, replicas);
@@ -223,7 +223,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {96, 97, 98})
   void theBudgetBoundsWhatIsBeyond(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 3, 3);
+    SimulatedCluster w = DisruptionTest.startServices(seed, 3, 3);
     // What arrays needed is given back first.
     w.run(60_000);
     long held = steady(w);
@@ -263,7 +263,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {71, 72})
   void abortTakesTheOldBackIntoUse(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
+    SimulatedCluster w = DisruptionTest.startServices(seed, 2, 3);
     Set<String> before = machines(w);
     OperatorsTest.order(w, NIGHT + "/start", all(2, 2));
     for (int i = 0; i < 200 && before.equals(intersection(machines(w), before)); i++) {
@@ -276,14 +276,14 @@
       assertTrue(!row.path("drained").asBoolean(), "still drained: " + row);
     }
     w.run(20_000);
-    assertEquals(72, DisruptionTest.replicas(w), "replicas in the end");
+    assertEquals(72, DisruptionTest.countReplicas(w), "replicas in the end");
   }
 
   /** What a former leader wrote arrives when the order has been aborted: it stays aborted. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {75, 76, 77, 78})
   void aLateWriteDoesNotRevive(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
+    SimulatedCluster w = DisruptionTest.startServices(seed, 2, 3);
     for (int i = 0; i < 5; i++) {
       OperatorsTest.order(w, NIGHT + "/start", all(1, i % 2).put("watch_s", 0));
       w.run(w.sim.between(1000, 9000));
@@ -308,7 +308,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {81, 82, 83})
   void ordersThatOverlapAllEnd(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 1, 2);
+    SimulatedCluster w = DisruptionTest.startServices(seed, 1, 2);
     Set<String> before = machines(w);
     String some = before.stream().sorted().findFirst().orElseThrow();
     OperatorsTest.order(w, NIGHT + "/start", all(2, 2));
@@ -330,7 +330,7 @@
   /** What cannot be meant is refused with field and value, and nothing is recorded. */
   @Test
   void badInputIsRefused() {
-    SimulatedCluster w = DisruptionTest.begun(91, 1, 1);
+    SimulatedCluster w = DisruptionTest.startServices(91, 1, 1);
     String[][] bad = {
       {"{\"zone\":\"x\"}", "zone = \"x\": no such zone"},
       {"{\"type\":\"huge\"}", "type = \"huge\": no such type"},
@@ -365,7 +365,7 @@
   /** The same order is the same order, also when no old machine is left. */
   @Test
   void anOrderRepeatedIsTheSame() {
-    SimulatedCluster w = DisruptionTest.begun(92, 3, 3);
+    SimulatedCluster w = DisruptionTest.startServices(92, 3, 3);
     ObjectNode order = Json.object().put("zone", "a").put("step", 4).put("beyond", 4);
     OperatorsTest.order(w, NIGHT + "/start", order);
     long at = w.state.value("live/replace/night").path("at").asLong();
--- a/src/test/java/dapplestair/world/RequestRaceRunner.java
+++ b/src/test/java/dapplestair/world/RequestRaceRunner.java
@@ -34,7 +34,9 @@
       play(
           "%d %s %d".formatted(s, step, move),
           () -> new LastTaskEndTest().aRequestMeetsTheEnd(s, step, move));
-      play("%d odd".formatted(s), () -> new InvalidRequestsTest().oddRequestsGetTheirAnswers(s));
+      play(
+          "%d odd".formatted(s),
+          () -> new InvalidRequestsTest().invalidAndRepeatedRequestsGetTheExpectedAnswers(s));
     }
     System.out.printf("%d plays, %d failed%n", plays, failed);
   }
--- a/src/test/java/dapplestair/world/TeamLimitsTest.java
+++ b/src/test/java/dapplestair/world/TeamLimitsTest.java
@@ -18,12 +18,12 @@
 
   /** Jobs to be cancelled and jobs to be kept, and more work than the teams' limits allow. */
   static final class FullDay {
-    final CancellationOutageTest.Day day;
+    final CancellationOutageTest.Scenario day;
     final SimulatedCluster w;
 
     FullDay(long seed) {
-      day = new CancellationOutageTest.Day(begun(seed));
-      w = day.w;
+      day = new CancellationOutageTest.Scenario(begun(seed));
+      w = day.cluster;
       TEAMS.forEach(team -> w.users.array(team, "low", 60, 20));
       w.run(8000);
       for (String team : TEAMS) {
@@ -94,7 +94,7 @@
     FullDay f = new FullDay(seed);
     int before = f.w.checker.started;
     f.w.sim.after(1500 + afterMs, () -> change.happen(f.w));
-    f.day.troubleEverySecond(fault, SimulatedCluster.CANCEL_MS * 3 / 2);
+    f.day.injectFaultOnEverySecondMachine(fault, SimulatedCluster.CANCEL_MS * 3 / 2);
     f.w.run(1500);
     f.cancel();
     f.w.run(SimulatedCluster.CANCEL_MS);
--- a/src/test/java/dapplestair/world/WaitingReasonsTest.java
+++ b/src/test/java/dapplestair/world/WaitingReasonsTest.java
@@ -229,7 +229,7 @@
     w.run(40_000);
     Set<String> all = reasons(w, job);
     assertTrue(all.contains("spread"), all.toString());
-    assertEquals(3, DrainTest.running(w, job));
+    assertEquals(3, DrainTest.countRunningTasks(w, job));
   }
 
   @Test
--- a/src/test/java/dapplestair/world/ZonesTest.java
+++ b/src/test/java/dapplestair/world/ZonesTest.java
@@ -41,7 +41,7 @@
   }
 
   private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
+    SimulatedCluster w = DisruptionTest.startServices(seed, 5, 5);
     // What is lost with a zone is no choice; other tests look at that.
     w.checker.budget = null;
     return w;
@@ -109,7 +109,7 @@
     long late = life.path("cutAt").asLong() - (1_700_000_000_000L + began);
     assertTrue(
         Math.abs(late) < 2 * SimulatedCluster.REPORT_MS, "cut " + late + " ms late by the record");
-    assertEquals(72, DisruptionTest.replicas(w), "replicas once all is over");
+    assertEquals(72, DisruptionTest.countReplicas(w), "replicas once all is over");
   }
 
   /** A zone that flaps is held down for twice as long each time, and nothing is rented there. */
@@ -142,7 +142,7 @@
     }
     w.run(8 * SimulatedCluster.LEASE_MS);
     assertEquals("STEADY", seen.get(seen.size() - 1));
-    assertEquals(72, DisruptionTest.replicas(w), "replicas once all is over");
+    assertEquals(72, DisruptionTest.countReplicas(w), "replicas once all is over");
   }
 
   /** When all zones are silent it is we who are cut off: nothing is concluded of any zone. */
@@ -199,7 +199,7 @@
     w.run(6 * SimulatedCluster.LEASE_MS);
     assertEquals("STEADY", state(w, "b"));
     assertEquals("STEADY", state(w, "c"));
-    assertEquals(72, DisruptionTest.replicas(w), "replicas once all is over");
+    assertEquals(72, DisruptionTest.countReplicas(w), "replicas once all is over");
   }
 
   private static String state(SimulatedCluster w, String zone) {
