--- a/src/test/java/dapplestair/world/AcceptanceTest.java
+++ b/src/test/java/dapplestair/world/AcceptanceTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How soon submissions are accepted while the state service serves only in part. */
+/** Tests how soon submissions are accepted while the state service is only partly available. */
 class AcceptanceTest {
   private static final int SUBMISSIONS = 60;
   private static final long PROMPT_MS = 1000;
@@ -20,7 +20,10 @@
     return cluster;
   }
 
-  /** Submits small jobs at a steady pace; returns the share that was accepted soon. */
+  /**
+   * Submits small jobs at a steady pace and returns the share that was accepted within {@link
+   * #PROMPT_MS}.
+   */
   private static double promptlyAcceptedShare(SimulatedCluster cluster) {
     List<SimulatedUsers.KnownJob> jobs = new ArrayList<>();
     for (int i = 0; i < SUBMISSIONS; i++) {
@@ -33,7 +36,10 @@
     return (double) promptlyAccepted / SUBMISSIONS;
   }
 
-  /** A transaction whose answer is lost is repeated at once, not after the longest time-out. */
+  /**
+   * Guards against a transaction whose response is lost being repeated only after the longest
+   * timeout. It is repeated at once.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {7101, 7102, 7103, 7104})
   void lostResponsesDelayNoSubmissionForLong(long seed) {
@@ -41,13 +47,15 @@
     cluster.net.lateWrites = 0.25;
     double acceptedShare = promptlyAcceptedShare(cluster);
     cluster.net.lateWrites = 0;
-    assertTrue(acceptedShare >= 0.9, "accepted within a second: " + acceptedShare);
+    assertTrue(
+        acceptedShare >= 0.9, "share of submissions accepted within a second: " + acceptedShare);
     SeededDaysTest.settle(cluster);
   }
 
   /**
-   * While the state service refuses one controller alone, a peer answers the users whose
-   * connections are still there, and what it confirms as cancelled stops in time.
+   * While the state service refuses a single controller, a peer answers the requests of users who
+   * are still connected to that controller, and the tasks of cancellations that it confirms stop in
+   * time.
    */
   @ParameterizedTest(name = "seed {0}, the leader: {1}")
   @CsvSource({"7111,true", "7112,true", "7113,false", "7114,false"})
@@ -59,11 +67,12 @@
     SimulatedUsers.KnownJob cancelled = cluster.users.array("two", "high", 10, 60);
     cluster.run(8000);
     cluster.state.refuse("node-" + refused.index, true);
-    // The time in which nobody leads is not what is looked at here.
+    // Waits for a new leader first: the time without a leader is not part of this test.
     cluster.run(2 * SimulatedCluster.REPORT_MS);
     cluster.users.cancelAt(cancelled, refused);
     double acceptedShare = promptlyAcceptedShare(cluster);
-    assertTrue(acceptedShare >= 0.95, "accepted within a second: " + acceptedShare);
+    assertTrue(
+        acceptedShare >= 0.95, "share of submissions accepted within a second: " + acceptedShare);
     assertTrue(cancelled.aborted, "the cancellation was not confirmed");
     cluster.state.refuse("node-" + refused.index, false);
     SeededDaysTest.settle(cluster);
--- a/src/test/java/dapplestair/world/AllControllersUnavailableTest.java
+++ b/src/test/java/dapplestair/world/AllControllersUnavailableTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * All controllers are away for longer than a lease: their processes ended, stand still, or reach no
- * worker. All tasks are killed; what was accepted runs again, what was cancelled does not.
+ * All controllers are unavailable for longer than a lease: their processes end, are frozen, or
+ * reach no worker. All tasks are killed; accepted jobs run again afterwards, cancelled jobs do not.
  */
 class AllControllersUnavailableTest {
   private static final long UNAVAILABLE_MS = SimulatedCluster.LEASE_MS * 5 / 4;
@@ -39,7 +39,10 @@
     return jobs;
   }
 
-  /** Their return is spread over {@code spreadMs}; the leader's place is free for all of them. */
+  /**
+   * Makes all controllers unavailable. Their return is spread over {@code spreadMs}, and any of
+   * them may become the leader.
+   */
   private static void makeUnavailable(SimulatedCluster cluster, String fault, long spreadMs) {
     for (SimulatedCluster.ControllerNode node : cluster.nodes) {
       long durationMs = UNAVAILABLE_MS + cluster.sim.between(0, spreadMs);
@@ -66,14 +69,14 @@
       }
     }
     if (cluster.sim.now() < untilMs) {
-      // Machines that come up meanwhile are out of reach as well.
+      // Cuts off the machines that boot in the meantime as well.
       cluster.sim.after(400, () -> cutFromWorkers(cluster, node, hold, untilMs));
     }
   }
 
   /**
-   * Half of the jobs are cancelled so many milliseconds before all are away, or after the first may
-   * be back (negative: while nobody is there to be asked).
+   * Half of the jobs are cancelled {@code cancelledBeforeMs} before the controllers become
+   * unavailable; a negative value cancels them that long after, while no controller answers.
    */
   @ParameterizedTest(name = "seed {0}, {1}, back within {2} ms, cancelled {3} ms before")
   @CsvSource({
@@ -106,13 +109,15 @@
       cancelled.forEach(cluster.users::cancel);
     }
     cluster.run(UNAVAILABLE_MS + spreadMs);
-    assertTrue(cluster.cloud.killedByLease() > killedByLeaseBefore, "no lease ran out");
+    assertTrue(
+        cluster.cloud.killedByLease() > killedByLeaseBefore,
+        "no task was killed by the end of its lease");
     cluster.run(SimulatedCluster.LEASE_MS);
     SeededDaysTest.settle(cluster);
     assertEquals(
         3,
         countRunningTasks(cluster, jobs.get(jobs.size() - 1)),
-        "replicas of a service not cancelled");
+        "running replicas of a service that was not cancelled");
   }
 
   private static long countRunningTasks(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
--- a/src/test/java/dapplestair/world/BurstTest.java
+++ b/src/test/java/dapplestair/world/BurstTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Much work at once: how soon machines are rented for it. */
+/** Tests how soon machines are rented for a burst of submissions. */
 class BurstTest {
   private static SimulatedCluster startCluster(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN);
@@ -26,21 +26,22 @@
     return cluster.cloud.machines().stream().filter(m -> !m.gone()).count();
   }
 
-  /** What the cloud has refused is looked for elsewhere at once. */
+  /** Capacity that the cloud refuses is requested elsewhere at once. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5011, 5013, 5016})
   void refusedCapacityIsRentedElsewhereAtOnce(long seed) {
     SimulatedCluster cluster = startCluster(seed);
     submitBurst(cluster);
-    // The plans of two intervals; a refusal is believed for five reports, fifteen seconds.
+    // Two planning intervals. A refusal is taken as valid for five report intervals, fifteen
+    // seconds.
     cluster.run(8000);
     assertTrue(
         countRentedMachines(cluster) >= 290,
-        countRentedMachines(cluster) + " of the 360 machines that the cloud has");
+        countRentedMachines(cluster) + " machines rented of the 360 that the cloud has");
   }
 
   /**
-   * The first plan that knows of a burst already asks for most of what it needs
+   * The first plan after a burst already rents most of the machines that the burst needs
    * (docs/incidents/cold-burst.md).
    */
   @ParameterizedTest(name = "seed {0}")
@@ -48,14 +49,17 @@
   void theFirstPlanCoversMostOfTheBurst(long seed) {
     SimulatedCluster cluster = startCluster(seed);
     submitBurst(cluster);
-    // One interval of plans, and the rental's record and answer.
+    // One planning interval, plus the time to record the rental and receive the answer.
     cluster.run(4000);
     assertTrue(
         countRentedMachines(cluster) >= 120,
-        countRentedMachines(cluster) + " of the 180 spot machines that the cloud has");
+        countRentedMachines(cluster) + " machines rented; the cloud has 180 spot machines");
   }
 
-  /** A new leader has no plan that stands, and knows of no refusal. */
+  /**
+   * A new leader has neither a plan in force nor a record of refused capacity, and still rents in
+   * time.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5201, 5202, 5203, 5204})
   void aNewLeaderRentsWithoutDelay(long seed) {
@@ -66,10 +70,10 @@
     cluster.run(12_000);
     assertTrue(
         countRentedMachines(cluster) >= 290,
-        countRentedMachines(cluster) + " of the 360 machines that the cloud has");
+        countRentedMachines(cluster) + " machines rented of the 360 that the cloud has");
   }
 
-  /** What is refused of one type is had of the other, in whichever zone. */
+  /** Capacity that is refused for one machine type is rented as the other type, in any zone. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5301, 5313, 5325, 5331})
   void severalTypesRefusedAtOnce(long seed) {
@@ -86,6 +90,6 @@
     cluster.run(10_000);
     assertTrue(
         countRentedMachines(cluster) >= 290,
-        countRentedMachines(cluster) + " of the 360 machines that the cloud has");
+        countRentedMachines(cluster) + " machines rented of the 360 that the cloud has");
   }
 }
--- a/src/test/java/dapplestair/world/CalendarTest.java
+++ b/src/test/java/dapplestair/world/CalendarTest.java
@@ -25,7 +25,7 @@
   static final long CUT_OFF_MS = 30_000;
   static final int EXPECTED_DELIVERIES = 4;
 
-  // A tick, the put, a turn of placing, a launch.
+  // Covers a timer tick, the put of the release, a placement turn and a launch.
   static final long RELEASE_TO_START_MS = 2500;
 
   private static final RunCalendar BASIN =
@@ -46,7 +46,7 @@
     return 1_700_000_000_000L + cluster.sim.now();
   }
 
-  /** At the beginning of a cycle. */
+  /** Starts a cluster and runs it to the beginning of a cycle. */
   static SimulatedCluster startAtCycle(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     cluster.net.loss = 0;
@@ -101,20 +101,26 @@
     assertTrue(job.started, () -> job.ref + " has not begun: " + calendarRecord(cluster));
   }
 
-  /** Held until the last delivery, with no more puts than marks and one release. */
+  /**
+   * Model runs are held until the last delivery. The release takes no more puts than one for each
+   * delivery mark and one for the release.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6401, 6402, 6403})
   void completeDeliveriesReleaseTheCycle(long seed) {
     SimulatedCluster cluster = startAtCycle(seed);
     SimulatedUsers.KnownJob model = submitModelRun(cluster);
     deliverGauges(cluster, EXPECTED_DELIVERIES - 1);
-    assertFalse(model.started, "it did not wait");
+    assertFalse(model.started, "the model run did not wait for its release");
     long putsBefore = cluster.state.putsTo("live/calendar/");
     deliverGauges(cluster, 1);
     runUntilBegun(cluster, model, RELEASE_TO_START_MS);
     assertEquals("complete", calendarRecord(cluster).path("by").asText());
     assertEquals(EXPECTED_DELIVERIES, calendarRecord(cluster).path("delivered").asInt());
-    assertEquals(2, cluster.state.putsTo("live/calendar/") - putsBefore, "a mark and a release");
+    assertEquals(
+        2,
+        cluster.state.putsTo("live/calendar/") - putsBefore,
+        "puts for one delivery mark and the release");
   }
 
   @ParameterizedTest(name = "seed {0}, {1} deliveries: {2}")
@@ -126,12 +132,15 @@
     deliverGauges(cluster, gauges);
     long releaseMs = expectedCause.equals("quorum") ? 20_000 : CUT_OFF_MS;
     cluster.run(Math.max(0, cycleStartMs + releaseMs - wallClockMs(cluster) - 500));
-    assertFalse(model.started, "it did not wait");
+    assertFalse(model.started, "the model run did not wait for its release");
     runUntilBegun(cluster, model, RELEASE_TO_START_MS + 500);
     assertEquals(expectedCause, calendarRecord(cluster).path("by").asText());
   }
 
-  /** The leader ends at some moment of a cycle, the next one too: one release, each mark once. */
+  /**
+   * The leader ends at some point in a cycle, and so does the next leader: each cycle is released
+   * once and each delivery is marked once.
+   */
   @ParameterizedTest(name = "seed {0}, a leader ends {1} ms after the deliveries were sent")
   @CsvSource({
     "6421,0",
@@ -175,16 +184,21 @@
     runToNextCycle(cluster);
     cluster.run(CUT_OFF_MS + RELEASE_TO_START_MS);
     assertEquals(
-        releasedCycles.stream().sorted().distinct().toList(), releasedCycles, "released once each");
+        releasedCycles.stream().sorted().distinct().toList(),
+        releasedCycles,
+        "each cycle is released once");
     gauges.forEach(g -> assertTrue(g.done, g.ref + " is not done"));
-    assertTrue(model.done, "it is not done");
+    assertTrue(model.done, "the model run is not done");
     JsonNode pastCycle = calendarRecord(cluster).path("past").path(0);
     assertTrue(
         Set.of("complete", "quorum", "cut-off").contains(pastCycle.path("by").asText()),
         calendarRecord(cluster).toString());
   }
 
-  /** Deliveries that come late count in no later cycle; nothing is kept of cycles long over. */
+  /**
+   * Late deliveries count for no later cycle, and no delivery marks are kept of cycles that ended
+   * long ago.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6441, 6442})
   void lateDeliveriesCountOnlyForTheirOwnCycle(long seed) {
@@ -198,16 +212,19 @@
     assertEquals(
         EXPECTED_DELIVERIES - 1,
         cluster.state.keys("live/calendar/basin/" + BASIN.cycle(wallClockMs(cluster)) + "/").size(),
-        "deliveries of this cycle");
+        "deliveries marked for this cycle");
     cluster.run(CUT_OFF_MS);
     assertTrue(model.started);
     for (int i = 0; i < 4; i++) {
       runToNextCycle(cluster);
     }
-    assertEquals(0, countDeliveryMarks(cluster), "marks of cycles that are over");
+    assertEquals(0, countDeliveryMarks(cluster), "delivery marks of ended cycles");
   }
 
-  /** Nobody can write at the release, or nobody is there for a cycle: runs begin at the cut-off. */
+  /**
+   * Either the state service is unavailable at the release, or all controllers are down for a
+   * cycle: held runs begin at the cut-off.
+   */
   @ParameterizedTest(name = "seed {0}, all down: {1}")
   @CsvSource({"6451,false", "6452,true", "6453,false", "6454,true"})
   void noRunIsHeldPastTheCutOff(long seed, boolean allControllersDown) {
@@ -221,9 +238,11 @@
       cluster.sim.after(CUT_OFF_MS + 2000, cluster.state::recover);
     }
     cluster.run(CUT_OFF_MS);
-    assertFalse(model.started, "nobody could have started it");
+    assertFalse(model.started, "the model run started while nobody could start it");
     runUntilBegun(cluster, model, 2000 + 3 * SimulatedCluster.REPORT_MS);
     cluster.run(PERIOD_MS);
-    assertTrue(calendarRecord(cluster).path("cycle").asLong() > 0, "the schedule goes on");
+    assertTrue(
+        calendarRecord(cluster).path("cycle").asLong() > 0,
+        "no cycle is recorded after the recovery");
   }
 }
--- a/src/test/java/dapplestair/world/CancellationOutageTest.java
+++ b/src/test/java/dapplestair/world/CancellationOutageTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The state service refuses the leader alone, another controller confirms cancellations, then it is
- * out for all for longer than {@code cancel_s} while the workers report to the old leader. That the
- * tasks are gone in time is checked by the checker's {@code ran_cancelled}, from the user's answer
- * on (docs/cancellations.md).
+ * The state service refuses only the leader, another controller confirms cancellations, and then
+ * the state service is unavailable to all for longer than {@code cancel_s} while the workers report
+ * to the old leader. The invariant {@code ran_cancelled} checks that the tasks end in time, counted
+ * from the answer to the user (docs/cancellations.md).
  */
 class CancellationOutageTest {
   private static final int MAX_WAITS = 30;
 
-  /** Jobs of every kind that run for longer than the outage. */
+  /** Runs jobs of every kind that last longer than the outage. */
   static final class Scenario {
     final SimulatedCluster cluster;
     final SimulatedCluster.ControllerNode oldLeader;
@@ -43,7 +43,7 @@
       third = cluster.nodes.get((oldLeader.index + 2) % 3);
       for (int i = 0; i < 2; i++) {
         List<SimulatedUsers.KnownJob> jobs = i == 0 ? cancelled : otherJobs;
-        // First, so that it makes its room before the others have theirs.
+        // The service comes first so that it makes its room before the other jobs are placed.
         jobs.add(cluster.users.service("one", 3));
         cluster.run(4000);
         jobs.add(cluster.users.array("one", "high", 8, 150));
@@ -57,7 +57,7 @@
       }
       cluster.run(12_000);
       for (int i = 0; i < MAX_WAITS && cancelled.stream().anyMatch(t -> running(t) == 0); i++) {
-        // A gang whose member had to go begins anew as a whole.
+        // A gang that lost a member to an eviction starts again as a whole.
         cluster.run(1000);
       }
       cancelled.forEach(t -> assertTrue(running(t) > 0, t.ref + " does not run"));
@@ -75,13 +75,13 @@
       return jobs.stream().mapToLong(this::running).sum();
     }
 
-    /** Every second machine that runs a task of a job that is to be cancelled. */
+    /** Injects a fault on every second machine that runs tasks of the jobs to be cancelled. */
     void injectFaultOnEverySecondMachine(MachineFault fault, long durationMs) {
       List<EmulatedWorker> machines =
           cluster.cloud.machines().stream()
               .filter(m -> !m.gone() && m.tasks().stream().anyMatch(this::belongsToCancelledJob))
               .toList();
-      assertTrue(machines.size() > 1, "hardly a machine runs what is to be cancelled");
+      assertTrue(machines.size() > 1, "too few machines run tasks to cancel");
       for (int i = 0; i < machines.size(); i += 2) {
         fault.happen(cluster, machines.get(i), durationMs);
       }
@@ -91,7 +91,7 @@
       return t.onMachine() && cancelled.stream().anyMatch(j -> t.key().startsWith(j.ref + "/"));
     }
 
-    /** A part of all machines hang past their lease, with what runs on them. */
+    /** Stalls every third machine, with its tasks, past the end of its lease. */
     void stallEveryThirdMachine() {
       int i = 0;
       for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
@@ -108,7 +108,7 @@
       }
     }
 
-    /** Those of the old leader to both others, and theirs to each other if {@code allLinks}. */
+    /** Cuts the old leader off from both others, and these from each other if {@code allLinks}. */
     void cutLinks(String fault, boolean allLinks) {
       cutLinks(oldLeader, second, fault);
       cutLinks(oldLeader, third, fault);
@@ -141,19 +141,19 @@
                   t.ref + " accepted " + t.accepted + " is not confirmed before the outage"));
     }
 
-    /** The outage, for twice as long as cancelled work may live; then all calms down. */
+    /** Runs an outage of twice the time that cancelled tasks may live, and recovers. */
     void runOutage(Consumer<Scenario> duringOutage) {
       cluster.state.fail();
       duringOutage.accept(this);
       cluster.run(SimulatedCluster.CANCEL_MS);
-      assertEquals(0, running(cancelled), "cancelled tasks");
+      assertEquals(0, running(cancelled), "cancelled tasks still run");
       cluster.run(SimulatedCluster.CANCEL_MS);
       cluster.state.refuse("node-" + oldLeader.index, false);
       cluster.state.recover();
       healLinks();
-      // What was lost with a lease begins again, a gang as a whole.
+      // Tasks lost with a lease start again, a gang as a whole.
       cluster.run(160_000);
-      assertEquals(0, running(cancelled), "cancelled tasks");
+      assertEquals(0, running(cancelled), "cancelled tasks still run");
       SeededDaysTest.settle(cluster);
     }
   }
@@ -164,8 +164,8 @@
   }
 
   /**
-   * The confirming controller is a follower: the outage comes before another one leads. It ends so
-   * many milliseconds after it has confirmed, or not at all (-1), and so may the old leader.
+   * The confirming controller is a follower: the outage begins before another controller leads. The
+   * follower and the old leader may end at the given times after its begin (-1: not at all).
    */
   @ParameterizedTest(name = "seed {0}, links {1}, it ends after {2} ms, the old leader after {3}")
   @CsvSource({
@@ -202,7 +202,7 @@
         });
   }
 
-  /** The confirming controller leads by now, and reaches no worker before the outage. */
+  /** The confirming controller already leads but reaches no worker before the outage. */
   @ParameterizedTest(name = "seed {0}, links {1}, it ends after {2} ms")
   @CsvSource({
     "8021,whole,-1",
@@ -224,7 +224,7 @@
     test.cutLinks(links, false);
     test.cluster.run(4000);
     SimulatedCluster.ControllerNode leader = test.cluster.leader();
-    assertTrue(leader != null && leader != test.oldLeader, "nobody else leads");
+    assertTrue(leader != null && leader != test.oldLeader, "no other controller leads");
     test.cancelJobs(leader);
     test.runOutage(
         x -> {
@@ -244,7 +244,7 @@
         });
   }
 
-  /** The first layer: who confirms tells, and the old leader ends the tasks at once. */
+  /** First layer: the confirming controller tells the old leader, which ends the tasks at once. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8101, 8102})
   void theConfirmingControllerTellsTheOldLeader(long seed) {
@@ -253,10 +253,10 @@
     test.cancelJobs(test.second);
     test.cluster.state.fail();
     test.cluster.run(SimulatedCluster.REPORT_MS);
-    assertEquals(0, test.running(test.cancelled), "cancelled tasks");
+    assertEquals(0, test.running(test.cancelled), "cancelled tasks still run");
   }
 
-  /** The second layer: nobody can be told, so who confirmed ends the tasks on their machines. */
+  /** Second layer: no peer can be told, so the confirming controller ends the tasks itself. */
   @ParameterizedTest(name = "seed {0}, links {1}")
   @CsvSource({"8103,refused", "8104,held"})
   void theConfirmingControllerEndsTheTasksItself(long seed, String links) {
@@ -266,10 +266,10 @@
     test.cancelJobs(test.second);
     test.cluster.state.fail();
     test.cluster.run(SimulatedCluster.CANCEL_MS / 2);
-    assertEquals(0, test.running(test.cancelled), "cancelled tasks");
+    assertEquals(0, test.running(test.cancelled), "cancelled tasks still run");
   }
 
-  /** Launches are on the wire while their jobs are cancelled, and arrive any time later. */
+  /** Launches are in flight while their jobs are cancelled, and arrive at any later time. */
   @ParameterizedTest(name = "seed {0}, arriving after {1} ms, links {2}")
   @CsvSource({
     "8031,1000,whole",
@@ -290,7 +290,7 @@
             .map(m -> m.endpoint())
             .toList();
     machines.forEach(m -> test.cluster.net.cut("node-" + test.oldLeader.index, m, true));
-    // As many as a follower's puts take in the time; the others are cancelled in the end.
+    // Only as many jobs as a follower's puts can cancel in time; the rest are cancelled later.
     List<SimulatedUsers.KnownJob> otherCancelled = List.copyOf(test.cancelled);
     test.cancelled.clear();
     for (int i = 0; i < 4; i++) {
@@ -312,7 +312,7 @@
                         m -> test.cluster.net.heal("node-" + test.oldLeader.index, m))));
   }
 
-  /** Some machines with cancelled work hear nothing, or hang, or both, in turn. */
+  /** Machines with cancelled tasks receive nothing or hang, or the two alternate. */
   @ParameterizedTest(name = "seed {0}, {1}")
   @CsvSource({"8041,deaf", "8042,deaf", "8043,hang", "8044,hang", "8045,both", "8046,both"})
   void machinesThatCannotBeReachedOrHang(long seed, String fault) {
@@ -332,7 +332,7 @@
     test.runOutage(x -> {});
   }
 
-  /** The state service does not refuse the old leader, it does not answer it. */
+  /** The state service does not refuse the old leader but leaves it without an answer. */
   @ParameterizedTest(name = "seed {0}, held back: {1}")
   @CsvSource({"8051,true", "8052,false", "8053,true"})
   void theStateServiceDoesNotAnswerTheOldLeader(long seed, boolean hold) {
@@ -347,7 +347,7 @@
                 () -> test.cluster.net.heal("node-" + test.oldLeader.index, "state:1")));
   }
 
-  /** All controllers end in the outage: nobody remembers, so no lease is kept that must end. */
+  /** All controllers end in the outage: none remembers the cancellations, so none keeps leases. */
   @ParameterizedTest(name = "seed {0}, after {1} ms")
   @CsvSource({"8061,0", "8062,300", "8063,8000"})
   void allControllersEndInTheOutage(long seed, long afterMs) {
@@ -358,7 +358,7 @@
         x -> test.cluster.sim.after(afterMs, () -> test.cluster.nodes.forEach(n -> n.crash(700))));
   }
 
-  /** In an outage of all, with controllers that reach each other, nothing else is lost. */
+  /** An outage for all, with controllers that reach each other, loses no other tasks. */
   @ParameterizedTest(name = "seed {0}, the leader refused before: {1}")
   @CsvSource({"8071,false", "8072,true", "8073,true"})
   void anOutageForAllLosesNoOtherTasks(long seed, boolean leaderRefused) {
@@ -373,15 +373,15 @@
     long runningBefore = test.running(others);
     test.cluster.state.fail();
     test.cluster.run(2 * SimulatedCluster.CANCEL_MS);
-    assertEquals(runningBefore, test.running(others), "tasks of other jobs");
+    assertEquals(runningBefore, test.running(others), "running tasks of other jobs");
     assertEquals(byLeaseBefore, test.cluster.cloud.killedByLease(), "tasks killed at lease end");
-    assertEquals(byReleaseBefore, test.cluster.cloud.killedByRelease(), "tasks killed by returns");
+    assertEquals(byReleaseBefore, test.cluster.cloud.killedByRelease(), "tasks killed by release");
     test.cluster.state.refuse("node-" + test.oldLeader.index, false);
     test.cluster.state.recover();
     SeededDaysTest.settle(test.cluster);
   }
 
-  /** A controller that is cut off from all others keeps no lease for longer than it may. */
+  /** A controller that is cut off from all others renews leases no longer than it may. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8081, 8082})
   void isolatedControllersReleaseTheirLeases(long seed) {
@@ -391,7 +391,7 @@
     new RandomFaults(test.cluster).alone(test.second, false, 2 * SimulatedCluster.CANCEL_MS);
     test.cluster.run(SimulatedCluster.CANCEL_MS * 11 / 10);
     assertEquals(
-        0, test.running(test.cancelled) + test.running(test.otherJobs), "tasks on kept leases");
+        0, test.running(test.cancelled) + test.running(test.otherJobs), "tasks still running");
     test.cluster.state.recover();
     test.cluster.run(SimulatedCluster.CANCEL_MS);
     SeededDaysTest.settle(test.cluster);
--- a/src/test/java/dapplestair/world/DisruptionTest.java
+++ b/src/test/java/dapplestair/world/DisruptionTest.java
@@ -16,14 +16,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Budgets of disruption while machines, zones and leaders fail: what is out by choice is counted by
- * the checker on the machines themselves.
+ * Tests disruption budgets while machines, zones and leaders fail. The invariant checker counts the
+ * deliberately stopped replicas on the machines themselves.
  */
 class DisruptionTest {
   private static final int SERVICES = 12;
   private static final int REPLICAS = 3 * SERVICES;
 
-  /** Two teams' services of three replicas, and operators who allow so many out at once. */
+  /**
+   * Starts services of three replicas each for two teams, with at most {@code maxOutOfOne} and
+   * {@code maxOutOfTwo} replicas stopped at once.
+   */
   static SimulatedCluster startServices(long seed, int maxOutOfOne, int maxOutOfTwo) {
     SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, true);
     cluster.net.loss = 0;
@@ -35,11 +38,11 @@
     }
     cluster.users.array("one", "standard", 40, 20);
     cluster.run(45_000);
-    assertEquals(2 * REPLICAS, countReplicas(cluster), "replicas at the beginning");
+    assertEquals(2 * REPLICAS, countReplicas(cluster), "running replicas at the beginning");
     return cluster;
   }
 
-  /** From the next start of each controller on; all of them start again now. */
+  /** Sets the budgets and restarts all controllers, which read them at their start. */
   private static void setReplicaBudgets(
       SimulatedCluster cluster, int maxOutOfOne, int maxOutOfTwo) {
     DisruptionBudgets.DisruptionBudget defaults = DisruptionBudgets.USUAL.others();
@@ -86,14 +89,18 @@
         .count();
   }
 
-  /** A zone is emptied within two teams' budgets, whoever leads, and both move. */
+  /**
+   * A zone is drained within the budgets of two teams under changing leaders, and both teams'
+   * replicas move.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void budgetsHoldAcrossLeaderChanges(long seed) {
     SimulatedCluster cluster = startServices(seed, 1, 3);
     OperatorsTest.order(cluster, "/v1/zones/c/drain", Json.object().put("why", "power"));
     for (int i = 0; i < 8; i++) {
-      // Held back, so that stops of the former leader arrive when the next one has begun.
+      // Holds messages back, so that stop commands of the former leader arrive after the next one
+      // has begun to lead.
       for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
         if (cluster.sim.chance(0.3)) {
           cluster.nodes.forEach(n -> cluster.net.cut("node-" + n.index, m.endpoint(), true));
@@ -110,16 +117,21 @@
       cluster.run(cluster.sim.between(1000, 4000));
     }
     cluster.run(150_000);
-    assertEquals(2 * REPLICAS, countReplicas(cluster), "replicas in the end");
+    assertEquals(2 * REPLICAS, countReplicas(cluster), "running replicas in the end");
     assertEquals(0, countTasksInZone(cluster, "c"), "tasks left in the zone");
-    assertEquals(1, cluster.checker.mostStopped.get("one"), "a budget of one was not used");
+    assertEquals(
+        1,
+        cluster.checker.mostStopped.get("one"),
+        "replicas of team one stopped at once, with a budget of one");
     assertTrue(
-        cluster.checker.mostStopped.get("two") > 1, "a budget of three was used as one of one");
+        cluster.checker.mostStopped.get("two") > 1,
+        "team two never used more than one of its budget of three");
   }
 
   /**
-   * Orders are held back and answers lost, leaders end, and each time other machines are drained:
-   * what the former leader has stopped, or may yet stop, counts for the next one.
+   * Commands are held back and responses lost, leaders end, and other machines are drained each
+   * time: replicas that the former leader has stopped, or may still stop, count against the budget
+   * of the next leader.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {401, 402, 403, 404})
@@ -194,21 +206,25 @@
     assertTrue(cluster.checker.mostStopped.values().stream().mapToInt(n -> n).sum() > 0);
   }
 
-  /** Nothing is stopped, and why says that it never will be. */
+  /**
+   * With a budget of zero no replica is stopped, and the job's explanation says that it never will
+   * be.
+   */
   @Test
   void aBudgetOfZeroStopsNothing() {
     SimulatedCluster cluster = startServices(7, 0, 3);
     OperatorsTest.order(cluster, "/v1/zones/c/drain", Json.object().put("deadline_s", 5));
     cluster.run(60_000);
     assertTrue(
-        cluster.checker.mostStopped.getOrDefault("one", 0) == 0, "a replica of one was stopped");
+        cluster.checker.mostStopped.getOrDefault("one", 0) == 0,
+        "a replica of team one was stopped");
     long replicasInZone =
         cluster.cloud.machines().stream()
             .filter(m -> !m.gone() && m.zone().equals("c"))
             .flatMap(m -> m.tasks().stream())
             .filter(t -> t.onMachine() && t.service())
             .count();
-    assertTrue(replicasInZone > 0, "no replica of one was in the zone");
+    assertTrue(replicasInZone > 0, "no replica of team one is left in the zone");
     boolean explained = false;
     for (SimulatedUsers.KnownJob job : cluster.users.told.values()) {
       if (job.team.equals("one") && job.service && !explained) {
@@ -216,15 +232,18 @@
         explained = why.path("not_moved").asText().contains("zero means never");
       }
     }
-    assertTrue(explained, "no job of the team says why it is not moved");
+    assertTrue(explained, "no job of team one explains why it is not moved");
   }
 
-  /** A team that has lost replicas is not drained on top of it; the other one is. */
+  /**
+   * Replicas that a team has lost count against its budget, so that draining stops no more of them;
+   * the other team's replicas move.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {11, 12, 13})
   void lostReplicasCountAgainstTheBudget(long seed) {
     SimulatedCluster cluster = startServices(seed, 1, 2);
-    // These may run nowhere else, and there the cloud will have no more machines.
+    // The replicas may run only in this zone, where the cloud will have no more machines.
     SimulatedUsers.KnownJob lostService =
         cluster.users.changed(
             "one",
@@ -246,16 +265,19 @@
     cluster.checker.mostStopped.clear();
     OperatorsTest.order(cluster, "/v1/zones/c/drain", Json.object());
     cluster.run(40_000);
-    assertEquals(0, cluster.checker.mostStopped.getOrDefault("one", 0), "drained on top of a loss");
+    assertEquals(
+        0,
+        cluster.checker.mostStopped.getOrDefault("one", 0),
+        "replicas of team one stopped in addition to the lost ones");
     assertTrue(
-        cluster.checker.mostStopped.getOrDefault("two", 0) > 0, "the other team does not move");
+        cluster.checker.mostStopped.getOrDefault("two", 0) > 0, "no replica of team two was moved");
     cluster.cloud.setCapacity(1);
     cluster.run(90_000);
-    assertEquals(2 * REPLICAS + 3, countReplicas(cluster), "replicas in the end");
+    assertEquals(2 * REPLICAS + 3, countReplicas(cluster), "running replicas in the end");
     assertEquals(0, countTasksInZone(cluster, "c"), "tasks left in the zone");
   }
 
-  /** Operators allow so many CPU seconds of each team's work to be thrown away in an hour. */
+  /** Sets how many CPU seconds of each team's work may be lost to deliberate stops in an hour. */
   static void setLostWorkBudget(SimulatedCluster cluster, double maxCpuSPerHour) {
     DisruptionBudgets.DisruptionBudget defaults = DisruptionBudgets.USUAL.others();
     cluster.operatorSettings =
@@ -269,7 +291,7 @@
     cluster.run(8000);
   }
 
-  /** A budget of work thrown away is kept over leaders and a restart of all. */
+  /** A budget of lost work holds across leader changes and a restart of all controllers. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {21, 22, 23})
   void lostWorkStaysWithinTheBudget(long seed) {
@@ -292,13 +314,17 @@
     }
     cluster.run(30_000);
     double lostCpuS = cluster.checker.thrownAwayCpuS.getOrDefault("two", 0.0);
-    assertTrue(lostCpuS > 0, "nothing was stopped at the deadline");
+    assertTrue(lostCpuS > 0, "no work was lost at the drain deadline");
     assertTrue(
-        lostCpuS <= maxLostCpuS + 1e-6, lostCpuS + " CPU seconds thrown away of " + maxLostCpuS);
+        lostCpuS <= maxLostCpuS + 1e-6,
+        lostCpuS + " CPU seconds lost, with a budget of " + maxLostCpuS);
     assertTrue(array.accepted && !array.done);
   }
 
-  /** Operators lower a budget while more is out than it allows: nothing more goes until it fits. */
+  /**
+   * Operators lower a budget while more replicas are stopped than it allows: no more are stopped
+   * until the number is within the budget.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {31, 32, 33})
   void aBudgetLoweredBelowTheStoppedReplicas(long seed) {
@@ -307,11 +333,13 @@
     for (int i = 0; i < 100 && cluster.checker.mostStopped.getOrDefault("one", 0) <= 1; i++) {
       cluster.run(200);
     }
-    assertTrue(cluster.checker.mostStopped.getOrDefault("one", 0) > 1, "only one was out");
+    assertTrue(
+        cluster.checker.mostStopped.getOrDefault("one", 0) > 1,
+        "at most one replica of team one was stopped at once");
     setReplicaBudgets(cluster, 1, 1);
     cluster.checker.mostStopped.clear();
     cluster.run(150_000);
-    assertEquals(2 * REPLICAS, countReplicas(cluster), "replicas in the end");
+    assertEquals(2 * REPLICAS, countReplicas(cluster), "running replicas in the end");
     assertEquals(0, countTasksInZone(cluster, "c"), "tasks left in the zone");
   }
 }
--- a/src/test/java/dapplestair/world/DrainTest.java
+++ b/src/test/java/dapplestair/world/DrainTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Machines and zones that operators empty, while leaders end and operators disagree. */
+/** Tests draining machines and zones while leaders end and operators give contradictory orders. */
 class DrainTest {
   static long countRunningTasks(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
     return cluster.cloud.machines().stream()
@@ -22,7 +22,7 @@
         .count();
   }
 
-  /** A zone is emptied; services never lack more than the one replica on its way. */
+  /** A zone is drained: each service lacks at most the one replica that is being moved. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {11, 12, 13})
   void drainingAZoneStopsAtMostOneReplicaPerService(long seed) {
@@ -34,7 +34,11 @@
             cluster.users.service("one", 3));
     cluster.run(60_000);
     services.forEach(
-        s -> assertEquals(s.steps, countRunningTasks(cluster, s), s.ref + " runs before"));
+        s ->
+            assertEquals(
+                s.steps,
+                countRunningTasks(cluster, s),
+                s.ref + " running replicas before the drain"));
     long[] minSurplus = {Long.MAX_VALUE};
     cluster.also =
         () -> {
@@ -44,13 +48,20 @@
         };
     OperatorsTest.order(cluster, "/v1/zones/a/drain", Json.object().put("why", "power"));
     cluster.run(120_000);
-    assertTrue(minSurplus[0] >= -1, "a service lacked " + -minSurplus[0] + " replicas");
+    assertTrue(minSurplus[0] >= -1, "a service lacked up to " + -minSurplus[0] + " replicas");
     services.forEach(
-        s -> assertEquals(s.steps, countRunningTasks(cluster, s), s.ref + " runs after"));
-    assertEquals(0, DisruptionTest.countTasksInZone(cluster, "a"), "tasks are left in the zone");
+        s ->
+            assertEquals(
+                s.steps,
+                countRunningTasks(cluster, s),
+                s.ref + " running replicas after the drain"));
+    assertEquals(0, DisruptionTest.countTasksInZone(cluster, "a"), "tasks left in the zone");
   }
 
-  /** Two zones of three: the spread leaves no place for all, so those replicas stay. */
+  /**
+   * With two of three zones drained, the spread rule leaves no place for all replicas, so the
+   * remaining ones stay.
+   */
   @Test
   void replicasThatFitNowhereElseStay() {
     SimulatedCluster cluster = OperatorsTest.quiet(21, OperatorsTest.ROOMY);
@@ -60,10 +71,10 @@
     OperatorsTest.order(cluster, "/v1/zones/b/drain", Json.object().put("deadline_s", 5));
     cluster.run(90_000);
     assertEquals(4, countRunningTasks(cluster, service));
-    assertTrue(DisruptionTest.countTasksInZone(cluster, "c") <= 2, "the spread is kept");
+    assertTrue(DisruptionTest.countTasksInZone(cluster, "c") <= 2, "the spread rule is violated");
   }
 
-  /** The leader ends in the middle, again and again; the next one goes on. */
+  /** The leader ends repeatedly during a drain, and the next leader continues it. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {31, 32, 33, 34})
   void aDrainContinuesAcrossLeaderChanges(long seed) {
@@ -87,7 +98,7 @@
             .flatMap(m -> m.tasks().stream())
             .filter(t -> t.onMachine() && !cluster.users.told.get(jobRef(t)).service)
             .count();
-    assertEquals(0, arrayTasksInZone, "arrays are left in the zone");
+    assertEquals(0, arrayTasksInZone, "array tasks left in the zone");
     OperatorsTest.order(cluster, "/v1/zones/b/undrain", null);
     SeededDaysTest.settle(cluster);
   }
@@ -96,7 +107,10 @@
     return t.key().substring(0, t.key().indexOf('/'));
   }
 
-  /** A drained machine gets nothing new, is not returned unless asked, and is taken back. */
+  /**
+   * A drained machine gets no new tasks, is returned only on request, and its drain record is
+   * removed then.
+   */
   @Test
   void aDrainedMachineGetsNoTasksAndIsReturnedOnRequest() {
     SimulatedCluster cluster = OperatorsTest.quiet(41, OperatorsTest.ROOMY);
@@ -116,17 +130,21 @@
       cluster.users.array("one", "standard", 24, 4);
       cluster.run(20_000);
     }
-    assertEquals(0, tasksSeen[0], "something ran on a drained machine");
+    assertEquals(0, tasksSeen[0], "tasks seen on a drained machine");
     assertTrue(!drained.gone(), "a drained machine was returned");
     OperatorsTest.order(
         cluster, "/v1/machines/" + drained.id() + "/drain", Json.object().put("return", true));
     cluster.run(90_000);
     assertTrue(drained.gone(), "a machine drained with return is still rented");
     assertTrue(
-        cluster.state.keys("live/drain/").isEmpty(), "the record of a machine that is gone stays");
+        cluster.state.keys("live/drain/").isEmpty(),
+        "the drain record of a returned machine is left");
   }
 
-  /** Two who drain and undrain the same machine both get an answer, and the last one holds. */
+  /**
+   * Two operators who drain and undrain the same machine both get answers, and the last order
+   * holds.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {51, 52, 53})
   void concurrentDrainAndUndrainAreAnswered(long seed) {
@@ -144,12 +162,12 @@
           null,
           r -> {
             replyCounts[r.status() == 200 || r.status() == 409 ? 0 : 1]++;
-            assertTrue(r.status() != 500, "500");
+            assertTrue(r.status() != 500, "a request was answered with 500");
           });
       cluster.run(cluster.sim.between(0, 40));
     }
     cluster.run(10_000);
     assertEquals(40, replyCounts[0] + replyCounts[1]);
-    assertTrue(replyCounts[0] >= 30, replyCounts[0] + " of 40 answered for good");
+    assertTrue(replyCounts[0] >= 30, replyCounts[0] + " of 40 requests answered with 200 or 409");
   }
 }
--- a/src/test/java/dapplestair/world/FailingJobsTest.java
+++ b/src/test/java/dapplestair/world/FailingJobsTest.java
@@ -17,13 +17,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Jobs submitted with a mistake, which fail on every machine, and machines that fail every task:
- * each side is blamed for its own, whatever else is under way, and the rules hold after each step.
+ * Jobs submitted with a mistake fail on every machine, and faulty machines fail every task. Each
+ * failure is attributed to its cause, whatever else happens, and the invariants hold after each
+ * step.
  */
 class FailingJobsTest {
   private static final int STEPS = 24;
 
-  /** Operators are served, so that what the product says of machines can be read. */
+  /**
+   * Starts a cluster with the admin interface, through which the tests read the states of machines.
+   */
   private static SimulatedCluster startCluster(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE, true);
     cluster.net.loss = 0;
@@ -43,7 +46,10 @@
     return cluster.users.changed("one", STEPS, 5, b -> b.put("mistakenSteps", mistakenSteps));
   }
 
-  /** Machines that the leader of now has blamed, by its own account; they may be gone by now. */
+  /**
+   * Returns the machines that the current leader reports as faulty in its events; they may be gone
+   * already.
+   */
   private static Set<String> machinesFoundFaulty(SimulatedCluster cluster) {
     Set<String> machineIds = new HashSet<>();
     JsonNode events =
@@ -58,7 +64,7 @@
     return cluster.users.array(index % 2 == 0 ? "one" : "two", "high", 12, 6);
   }
 
-  /** Half of all jobs are wrong: no machine is emptied for it, and the other half is served. */
+  /** Half of all jobs fail: no machine is drained because of them, and the other half is served. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2001, 2002, 2003, 2004})
   void failingJobsDoNotMakeMachinesFaulty(long seed) {
@@ -69,14 +75,16 @@
       failingJobs.add(submitFailingJob(cluster, STEPS));
       workingJobs.add(submitWorkingJob(cluster, i));
       cluster.run(1500);
-      assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines emptied");
+      assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines found faulty");
     }
     cluster.run(60_000);
-    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines emptied");
+    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines found faulty");
     workingJobs.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
     for (SimulatedUsers.KnownJob j : failingJobs) {
-      assertTrue(j.accepted && j.finalState() == null, j.ref + " is called " + j.finalState());
-      // One wave, of which what failed first may have begun again, and then one task at a time.
+      assertTrue(
+          j.accepted && j.finalState() == null, j.ref + " has the final state " + j.finalState());
+      // One wave of tasks, of which the first to fail may have started again, and then one task at
+      // a time.
       assertTrue(j.starts <= 2 * STEPS, j.ref + " was started " + j.starts + " times");
       cluster.users.cancel(j);
     }
@@ -84,7 +92,9 @@
     failingJobs.forEach(j -> assertTrue(j.aborted, j.ref + " is not cancelled"));
   }
 
-  /** Nothing is rented for a job that fails wherever it runs, nor does it hold what is there. */
+  /**
+   * No machines are rented for a job that fails wherever it runs, and it keeps no machines either.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2011, 2012})
   void aFailingJobRentsNoMachinesAndIsProbedSlowly(long seed) {
@@ -97,11 +107,11 @@
     cluster.run(90_000);
     Set<String> rented = machineIds(cluster);
     rented.removeAll(machinesBefore);
-    assertTrue(rented.size() <= 2, "rented meanwhile: " + rented);
+    assertTrue(rented.size() <= 2, "machines rented for a failing job: " + rented);
     assertTrue(
         failingJob.starts - startsBefore <= 6,
         failingJob.starts - startsBefore + " probes in 90 s");
-    assertTrue(failingJob.starts > startsBefore, "it is not tried any more");
+    assertTrue(failingJob.starts > startsBefore, "the failing job is not retried");
     JsonNode why = OperatorsTest.answer(cluster, "/v1/jobs/" + failingJob.ref + "/why");
     assertTrue(why.path("failing").path("one_at_a_time").asBoolean(), why.toString());
     assertEquals(1, OperatorsTest.answer(cluster, "/v1/status").path("jobs_suspected").asInt());
@@ -111,7 +121,7 @@
     return cluster.cloud.machines().stream().map(EmulatedWorker::id).collect(Collectors.toSet());
   }
 
-  /** Its user has mended the mistake: it runs to its end. */
+  /** A job whose user has corrected its mistake runs to its end. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2021, 2022, 2023, 2024})
   void aFailingJobCompletesOnceItsMistakeIsFixed(long seed) {
@@ -122,10 +132,12 @@
     ((ObjectNode) failingJob.body).remove("mistakenSteps");
     cluster.run(110_000);
     assertTrue(failingJob.done, failingJob.ref + " is not done, " + failingJob.starts + " starts");
-    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines emptied");
+    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines found faulty");
   }
 
-  /** A few tasks fail wherever they run: the others are done once each, and stay so. */
+  /**
+   * A few tasks of a job fail wherever they run: the others complete once each, and stay completed.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2031, 2032, 2033, 2034})
   void completedTasksAreNotRunAgain(long seed) {
@@ -139,13 +151,13 @@
     assertTrue(
         partlyFailingJob.starts - startsBefore <= 24,
         partlyFailingJob.starts - startsBefore + " starts of three tasks in 60 s");
-    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines emptied");
+    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines found faulty");
     ((ObjectNode) partlyFailingJob.body).remove("mistakenSteps");
     cluster.run(100_000);
     assertTrue(partlyFailingJob.done, partlyFailingJob.ref + " is not done");
   }
 
-  /** Faulty machines among wrong jobs: those are emptied, and no others. */
+  /** With faulty machines among failing jobs, the faulty machines are drained, and no others. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2041, 2042, 2043, 2044, 2045, 2046, 2047, 2049})
   void onlyFaultyMachinesAreDrained(long seed) {
@@ -179,7 +191,7 @@
       assertTrue(wasted <= 12, wasted + " starts on faulty " + id);
     }
     foundFaulty.removeAll(faultyMachines);
-    assertEquals(Set.of(), foundFaulty, "healthy machines emptied");
+    assertEquals(Set.of(), foundFaulty, "healthy machines found faulty");
     workingJobs.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
     long remainingFaulty =
         cluster.cloud.machines().stream()
@@ -188,7 +200,10 @@
     assertTrue(remainingFaulty <= 1, remainingFaulty + " faulty machines are still there");
   }
 
-  /** Found while workers were replaced: nothing of a service completes elsewhere, ever. */
+  /**
+   * Faulty machines fail replicas of services, whose tasks never complete on another machine
+   * either. This was found while workers were replaced.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2082, 2083, 2084, 2086})
   void machinesThatFailServiceReplicas(long seed) {
@@ -207,7 +222,7 @@
             .flatMap(m -> m.tasks().stream())
             .filter(t -> t.service() && t.onMachine())
             .count();
-    assertEquals(18, runningReplicas, "replicas");
+    assertEquals(18, runningReplicas, "running replicas");
   }
 
   private static void assertNotInUse(SimulatedCluster cluster, Set<String> faultyMachines) {
@@ -220,7 +235,7 @@
     }
   }
 
-  /** Wrong services and gangs are tried one pause after the other, as a gang must, as a whole. */
+  /** Failing services are retried with pauses; gangs are retried as a whole, as a gang must be. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2051, 2052})
   void failingServicesAndGangsAreRetriedWithPauses(long seed) {
@@ -241,7 +256,7 @@
     cluster.run(100_000);
     assertTrue(gang.starts <= 6 * 8, gang.starts + " starts of a gang of 6");
     assertTrue(service.starts <= 6 * 3, service.starts + " starts of a service of 6");
-    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines emptied");
+    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines found faulty");
     ((ObjectNode) service.body).remove("mistakenSteps");
     ((ObjectNode) gang.body).remove("mistakenSteps");
     cluster.run(130_000);
@@ -249,10 +264,12 @@
     assertEquals(
         6,
         OperatorsTest.answer(cluster, "/v1/jobs/" + service.ref).path("running").asInt(),
-        "replicas");
+        "running replicas");
   }
 
-  /** New machines on which wrong jobs fail are not to blame: workers go on being replaced. */
+  /**
+   * New machines on which failing jobs fail are not found faulty, and the replacement continues.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2071, 2072})
   void replacementContinuesThoughJobsFailOnNewMachines(long seed) {
@@ -266,7 +283,10 @@
     }
   }
 
-  /** The next leader knows which jobs fail wherever they run, without trying all of them again. */
+  /**
+   * The next leader knows which jobs fail wherever they run, without trying all of their tasks
+   * again.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2061, 2062, 2063, 2064})
   void failingJobsStayKnownAcrossLeaderChanges(long seed) {
@@ -283,17 +303,23 @@
         failingJob.starts - startsBefore + " starts under three leaders");
     submitWorkingJob(cluster, 1);
     cluster.run(30_000);
-    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines emptied");
+    assertEquals(Set.of(), machinesFoundFaulty(cluster), "machines found faulty");
   }
 
-  /** Seeds on which one of the three causes, or two of them, kept a machine from being blamed. */
+  /**
+   * Runs seeds on which one of three causes, or two of them, kept a machine from being found
+   * faulty.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2048, 2055, 2061, 2064, 2080, 2086, 2106, 2111, 2125, 2143, 2165})
   void faultyMachinesHiddenByOtherCausesAreDrained(long seed) {
     onlyFaultyMachinesAreDrained(seed);
   }
 
-  /** One job does not run into the same machine again and again while others are full. */
+  /**
+   * Tasks of one job do not start again and again on the same faulty machine while the others are
+   * full.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {2311, 2312, 2313, 2314, 2315, 2316})
   void aJobDoesNotStartAgainWhereItFailed(long seed) {
--- a/src/test/java/dapplestair/world/FaultCombinationTest.java
+++ b/src/test/java/dapplestair/world/FaultCombinationTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two and three troubles that meet, placed at the steps of a change of leader, while jobs of one to
- * three tasks are cancelled by the dozen (docs/meetings.md). More seeds than here are played with
- * {@link FaultCombinationRunner}.
+ * Two and three overlapping faults, placed at the steps of a leader change, while many jobs of one
+ * to three tasks are cancelled (docs/meetings.md). {@link FaultCombinationRunner} runs more seeds
+ * than this class.
  */
 class FaultCombinationTest {
   private static final int ROUNDS = 5;
@@ -26,7 +26,10 @@
     run(seed);
   }
 
-  /** Among them mute machines, late commands, quick boots with late writes, and old reports. */
+  /**
+   * Faults of machines are added: machines whose reports are lost, late commands, machines that
+   * boot fast with late writes, and stale reports.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9101, 9102, 9103, 9104})
   void machineFaultsOverlapWithLeaderChanges(long seed) {
@@ -64,7 +67,10 @@
     }
   }
 
-  /** Within a message, a put, a hold, or a lease: each has its own moment in a change of leader. */
+  /**
+   * Returns a random time within a message delay, a put, a hold, a report interval or a lease,
+   * since each has its own step in a leader change.
+   */
   private static long faultOffsetMs(SimulatedCluster cluster) {
     long[] maxOffsetsMs = {
       30, 400, SimulatedCluster.LEASE_MS / 10, SimulatedCluster.REPORT_MS, SimulatedCluster.LEASE_MS
@@ -84,7 +90,8 @@
       case 2 -> cluster.nodes.forEach(n -> n.crash(cluster.sim.between(60, 4000)));
       case 3 -> faults.alone(leader, cluster.sim.chance(0.5), faultMs);
       case 4 -> {
-        // It alone is refused, and then all of them are, for longer than cancelled work may live.
+        // The state service refuses this leader, and then everybody, for longer than cancelled
+        // tasks may live.
         cluster.state.refuse(name, true);
         cluster.sim.after(cluster.sim.between(200, 4000), cluster.state::fail);
         long outageMs = cluster.sim.chance(0.3) ? SimulatedCluster.CANCEL_MS * 5 / 4 : faultMs;
@@ -94,7 +101,8 @@
       }
       case 5 -> leader.freeze(faultMs);
       case 6 -> {
-        // It ends while machines with tasks can't be reached by anybody, or don't hear.
+        // The leader ends while some machines with tasks are unreachable for all, or receive
+        // nothing.
         for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
           if (cluster.sim.chance(0.3)) {
             m.deafen(faultMs);
@@ -106,7 +114,7 @@
         leader.crash(cluster.sim.between(60, 4000));
       }
       default -> {
-        // Hand over and back.
+        // The leadership changes to another controller and back.
         leader.crash(cluster.sim.between(60, 500));
         cluster.sim.after(
             cluster.sim.between(300, 2500),
@@ -115,13 +123,13 @@
     }
   }
 
-  /** A third of what its users still wait for. */
+  /** Cancels about a third of the jobs that their users still wait for. */
   private static void cancelSomeJobs(SimulatedCluster cluster) {
     for (SimulatedUsers.KnownJob job : new ArrayList<>(cluster.users.told.values())) {
       if (job.accepted && !job.done && !job.cancelAsked && cluster.sim.chance(0.33)) {
         cluster.users.cancel(job);
       }
     }
-    assertTrue(cluster.users.told.size() > 5, "hardly any jobs");
+    assertTrue(cluster.users.told.size() > 5, "too few jobs were submitted");
   }
 }
--- a/src/test/java/dapplestair/world/ForgottenMachinesTest.java
+++ b/src/test/java/dapplestair/world/ForgottenMachinesTest.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * All controllers end in an outage, so that nobody remembers what was cancelled: machines that hang
- * past their lease with cancelled tasks are returned in time, and others are kept.
+ * All controllers end in an outage of the state service, so that none remembers which jobs were
+ * cancelled. Machines that hang past their lease with cancelled tasks are returned in time; other
+ * machines are kept.
  */
 class ForgottenMachinesTest {
   private static final long LONG_MS = SimulatedCluster.CANCEL_MS * 3 / 2;
@@ -23,7 +24,7 @@
     return cluster;
   }
 
-  /** The outage goes on, then all calms down; the checker looks at {@code ran_cancelled}. */
+  /** Lets the outage last and recovers; the invariant checker checks {@code ran_cancelled}. */
   private static void runOutageAndRecover(SimulatedCluster cluster) {
     cluster.run(LONG_MS);
     recover(cluster);
@@ -35,7 +36,7 @@
     SeededDaysTest.settle(cluster);
   }
 
-  /** Guards against cancelled tasks that live on since one controller stays away. */
+  /** Guards against cancelled tasks that keep running because one controller stays down. */
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12301,100", "12302,3000", "12303,9000", "12304,15000"})
   void oneControllerStaysAway(long seed, long crashAfterMs) {
@@ -46,7 +47,7 @@
     runOutageAndRecover(cluster);
   }
 
-  /** Guards against cancelled tasks that live on since one controller cannot be asked. */
+  /** Guards against cancelled tasks that keep running because one controller cannot be asked. */
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12311,100", "12312,3000", "12313,9000", "12314,15000"})
   void oneControllerIsCutOff(long seed, long crashAfterMs) {
@@ -58,7 +59,7 @@
     runOutageAndRecover(cluster);
   }
 
-  /** Guards against cancelled tasks that live on since most machines hang. */
+  /** Guards against cancelled tasks that keep running because most machines hang. */
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12321,100", "12322,3000", "12323,9000", "12324,15000"})
   void mostMachinesHang(long seed, long crashAfterMs) {
@@ -75,18 +76,20 @@
     runOutageAndRecover(cluster);
   }
 
-  /** Guards against cancelled tasks on machines that the cloud's list shows as booting. */
+  /**
+   * Guards against cancelled tasks that keep running on machines that the cloud lists as booting.
+   */
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12331,0", "12332,500", "12333,2000", "12334,4000"})
   void aMachineIsListedAsBooting(long seed, long crashAfterMs) {
     CancellationOutageTest.Scenario scenario = new CancellationOutageTest.Scenario(seed);
     SimulatedCluster cluster = scenario.cluster;
-    // More than fits, so that machines are rented for it.
+    // The job needs more than the free capacity, so that machines are rented for it.
     SimulatedUsers.KnownJob job = cluster.users.array("one", "high", 12, 150);
     for (int i = 0; i < 300 && scenario.running(job) < 3; i++) {
       cluster.run(100);
     }
-    assertTrue(scenario.running(job) > 0, "it does not run");
+    assertTrue(scenario.running(job) > 0, "the job does not run");
     cluster.users.cancelAt(job, scenario.oldLeader);
     for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
       if (!m.gone() && m.tasks().stream().anyMatch(t -> t.key().startsWith(job.ref + "/"))) {
@@ -100,18 +103,20 @@
     runOutageAndRecover(cluster);
   }
 
-  /** Guards against machines returned that report, however little else works. */
+  /** Guards against returning machines that report, however little else works. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {12341, 12342, 12343, 12344})
   void machinesThatReportAreKept(long seed) {
     SimulatedCluster cluster = crashAllInAnOutage(seed);
     long rentedBefore = countRentedMachines(cluster);
     cluster.run(LONG_MS);
-    assertEquals(rentedBefore, countRentedMachines(cluster), "machines");
+    assertEquals(rentedBefore, countRentedMachines(cluster), "rented machines");
     recover(cluster);
   }
 
-  /** Guards against machines returned in numbers that are only mute for a quarter of a lease. */
+  /**
+   * Guards against returning many machines whose reports are lost for only a quarter of a lease.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {12351, 12352, 12353, 12354})
   void machinesSilentForAWhileAreKept(long seed) {
@@ -128,11 +133,14 @@
     long returnedMachines = rentedBefore - countRentedMachines(cluster);
     assertTrue(
         10 * returnedMachines <= rentedBefore,
-        returnedMachines + " of " + rentedBefore + " machines are returned");
+        returnedMachines + " of " + rentedBefore + " machines were returned");
     recover(cluster);
   }
 
-  /** Guards against machines returned of a zone that is cut off with a controller that knows. */
+  /**
+   * Guards against returning the machines of a zone that is cut off together with a controller that
+   * knows their state.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {12361, 12362, 12363, 12364})
   void aZoneCutOffWithItsControllerIsKept(long seed) {
@@ -144,9 +152,9 @@
     cluster.cutZone(zone, false, LONG_MS);
     cluster.nodes.stream().filter(n -> n != inside).forEach(n -> n.crash(1000));
     long rentedBefore = countRentedMachines(cluster, zone);
-    assertTrue(rentedBefore > 0, "no machine in the zone");
+    assertTrue(rentedBefore > 0, "no machine is rented in the zone");
     cluster.run(LONG_MS);
-    assertEquals(rentedBefore, countRentedMachines(cluster, zone), "machines");
+    assertEquals(rentedBefore, countRentedMachines(cluster, zone), "rented machines");
     recover(cluster);
   }
 
--- a/src/test/java/dapplestair/world/FullMachineTest.java
+++ b/src/test/java/dapplestair/world/FullMachineTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Machines have less room than the records say: their starts are refused as full. */
+/** Machines have less free capacity than the records say, and refuse starts as full. */
 class FullMachineTest {
   private static final long CROWDED_MS = 40_000;
   private static final long BEGIN_MS = 60_000;
@@ -22,7 +22,10 @@
     return cluster;
   }
 
-  /** The checker counts how often a machine refuses. */
+  /**
+   * Guards against starts that are repeated without a pause after a refusal. The invariant checker
+   * counts the refusals of each machine.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {16101, 16102, 16103})
   void aStartRefusedAsFullIsNotRepeatedWithoutPause(long seed) {
@@ -36,7 +39,10 @@
     assertTrue(array.done, "the array is not done");
   }
 
-  /** One machine alone: what it refuses runs on others, and it gets work again. */
+  /**
+   * A single full machine: the work that it refuses runs on other machines, and later it gets work
+   * again.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {16111, 16112, 16113})
   void workGoesElsewhereAndTheMachineComesBackIntoUse(long seed) {
@@ -45,14 +51,14 @@
     crowded.crowd(CROWDED_MS);
     SimulatedUsers.KnownJob first = cluster.users.array("two", "high", 24, 5);
     cluster.run(CROWDED_MS);
-    assertTrue(first.done, "the work of the crowded machine is not done elsewhere");
+    assertTrue(first.done, "the work that the full machine refused is not done elsewhere");
     int startsBefore = cluster.checker.startsOn.getOrDefault(crowded.id(), 0);
-    // As many tasks as all machines have room for.
+    // Submits as many tasks as all machines have room for.
     SimulatedUsers.KnownJob second =
         cluster.users.array("two", "high", (int) (cluster.size.teamLimit() / 2), 20);
     cluster.run(BEGIN_MS);
     int startsAfter = cluster.checker.startsOn.getOrDefault(crowded.id(), 0);
-    assertTrue(crowded.gone() || startsAfter > startsBefore, "it got no work again");
+    assertTrue(crowded.gone() || startsAfter > startsBefore, "the machine got no work again");
     SeededDaysTest.settle(cluster);
     assertTrue(second.done, "the second array is not done");
   }
--- a/src/test/java/dapplestair/world/GangTest.java
+++ b/src/test/java/dapplestair/world/GangTest.java
@@ -9,14 +9,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A gang of which one member is stopped or lost: the others do not run on without it. */
+/** One member of a gang is stopped or lost: the other members do not run on without it. */
 class GangTest {
   private static final int MEMBERS = 6;
   private static final double RUN_S = 60;
   private static final long OBSERVATION_MS = 50_000;
   private static final long STEP_MS = 500;
 
-  /** Within which the others are stopped and saved, once it is known that one is missing. */
+  /**
+   * Time within which the other members are stopped and saved, once a member is known to be
+   * missing.
+   */
   private static final long MAX_STOP_MS = 10_000;
 
   private static List<EmulatedWorker> machinesOf(
@@ -37,7 +40,10 @@
         .count();
   }
 
-  /** For how long some of it, but not all, is on machines until it has begun anew as a whole. */
+  /**
+   * Returns for how long some members, but not all, are on machines until the gang has started
+   * again as a whole.
+   */
   private static long measureIncompleteMs(SimulatedCluster cluster, SimulatedUsers.KnownJob gang) {
     int startsBefore = gang.starts;
     long incompleteMs = 0;
@@ -49,7 +55,10 @@
       long members = countRunningMembers(cluster, gang);
       incompleteMs += members > 0 && members < MEMBERS ? STEP_MS : 0;
     }
-    assertEquals(startsBefore + MEMBERS, gang.starts, "it has not begun anew as a whole");
+    assertEquals(
+        startsBefore + MEMBERS,
+        gang.starts,
+        "starts of the gang, which did not start again as a whole");
     return incompleteMs;
   }
 
@@ -83,11 +92,12 @@
                     .put("snapshotEveryS", savesSnapshots ? 5.0 : 0.0)
                     .put("snapshotS", savesSnapshots ? 1.0 : 0.0));
     cluster.run(30_000);
-    assertEquals(MEMBERS, countRunningMembers(cluster, gang), "the gang does not run");
+    assertEquals(MEMBERS, countRunningMembers(cluster, gang), "running members of the gang");
     if (memberFault.equals("lost")) {
       machinesOf(cluster, gang).get(0).end();
     } else {
-      // Replicas that take all steady room, and what the gang has of it.
+      // These replicas take all free capacity of steady machines, and the part of it that the gang
+      // uses.
       cluster.users.changed(
           "two",
           8,
@@ -104,10 +114,12 @@
       cluster.leader().crash(2000);
     }
     long incompleteMs = measureIncompleteMs(cluster, gang);
-    // A machine that ended is noticed after some reports.
+    // The end of a machine is noticed after several missing reports.
     long maxIncompleteMs =
         MAX_STOP_MS + (memberFault.equals("lost") ? 3 * SimulatedCluster.REPORT_MS : 0);
-    assertTrue(incompleteMs <= maxIncompleteMs, "without a member for " + incompleteMs + " ms");
+    assertTrue(
+        incompleteMs <= maxIncompleteMs,
+        "some members ran without the others for " + incompleteMs + " ms");
     SeededDaysTest.settle(cluster);
     assertTrue(gang.done, "the gang is not done");
   }
--- a/src/test/java/dapplestair/world/GuaranteeTest.java
+++ b/src/test/java/dapplestair/world/GuaranteeTest.java
@@ -5,9 +5,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a team borrows goes back to its owner, whatever the rank. */
+/**
+ * Capacity that a team borrows returns to the team that it is guaranteed to, whatever the ranks of
+ * the jobs.
+ */
 class GuaranteeTest {
-  // 96 CPUs in all; each of the two teams is guaranteed 40 and limited to 80.
+  // The cluster has 96 CPUs in all; each of the two teams is guaranteed 40 and limited to 80.
   private static final SimulatedCluster.Size TIGHT = new SimulatedCluster.Size(2, 40, 1_000_000, 1);
 
   private static long countRunningTasks(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
@@ -29,15 +32,21 @@
     cluster.run(60_000);
     assertTrue(
         countRunningTasks(cluster, borrowersJob) >= 30,
-        countRunningTasks(cluster, borrowersJob) + " borrowers run");
+        countRunningTasks(cluster, borrowersJob) + " tasks of the borrower run");
     SimulatedUsers.KnownJob ownersJob = cluster.users.array("two", "standard", 20, 300);
     cluster.run(30_000);
     long runningOfOwner = countRunningTasks(cluster, ownersJob);
     long runningOfBorrower = countRunningTasks(cluster, borrowersJob);
-    // A machine that never boots leaves less for both: then the borrower is down to its own share.
+    // A machine that never boots leaves less for both teams; the borrower is then down to its own
+    // share.
     assertTrue(
         runningOfOwner >= 18 || runningOfBorrower <= 20,
-        runningOfOwner + " of 20 run, " + runningOfBorrower + " are still borrowed");
-    assertTrue(runningOfBorrower >= 18, runningOfBorrower + " left of the borrower's own 20");
+        runningOfOwner
+            + " of the owner's 20 tasks run, "
+            + runningOfBorrower
+            + " tasks of the borrower still run");
+    assertTrue(
+        runningOfBorrower >= 18,
+        runningOfBorrower + " tasks of the borrower run; its own share is 20");
   }
 }
--- a/src/test/java/dapplestair/world/HandoverTest.java
+++ b/src/test/java/dapplestair/world/HandoverTest.java
@@ -10,11 +10,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Jobs are cancelled in the seconds in which the leader's work changes hands: some run, some are
- * being launched, and of some the last task ends just then.
+ * Jobs are cancelled in the seconds around a leader change: some run, some are being launched, and
+ * the last task of some ends at that time.
  */
 class HandoverTest {
-  /** Cancelled so many milliseconds after the change begins, or before it. */
+  /**
+   * Cancels the jobs {@code cancelAfterMs} after the change begins; a negative value is before it.
+   */
   @ParameterizedTest(name = "seed {0}, {1}, cancelled at {2} ms")
   @CsvSource({
     "11101,PLANNED,-400",
@@ -54,7 +56,8 @@
     long changeAtMs = cluster.sim.now() + 6000;
     List<SimulatedUsers.KnownJob> endingJobs = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      // Tasks last a tenth more or less than their users guess, and begin about a second later.
+      // Tasks last up to a tenth more or less than their users estimate, and begin about a second
+      // later.
       endingJobs.add(cluster.users.array("one", "high", 1 + i % 3, 5));
     }
     cluster.sim.after(
@@ -71,15 +74,16 @@
     endingJobs.forEach(
         t -> assertTrue(t.aborted || t.done, t.ref + " is neither done nor cancelled"));
     cluster.run(SimulatedCluster.CANCEL_MS);
-    assertEquals(0, scenario.running(scenario.cancelled), "cancelled tasks");
+    assertEquals(0, scenario.running(scenario.cancelled), "cancelled tasks still run");
     cluster.run(60_000);
     SeededDaysTest.settle(cluster);
     return cluster;
   }
 
   /**
-   * Nobody leads when users are told, and the state service is out some milliseconds after the next
-   * leader has won: it may not have read yet what jobs that are over have on machines.
+   * No controller leads when users get their confirmations, and the state service fails some
+   * milliseconds after the next leader is elected: that leader may not have read yet which tasks of
+   * ended jobs are on machines.
    */
   @ParameterizedTest(name = "out {0} ms after the next leader has won")
   @ValueSource(ints = {3, 5, 9, 11})
@@ -102,7 +106,10 @@
     SeededDaysTest.settle(cluster);
   }
 
-  /** Arrays, a gang, a service and jobs of one task, whose launches are on their way. */
+  /**
+   * Submits arrays, a gang, a service and jobs of one task, whose launches are in flight at the
+   * change.
+   */
   private static void launchJobs(SimulatedCluster cluster, List<SimulatedUsers.KnownJob> jobs) {
     jobs.add(cluster.users.array("one", "high", 4, 150));
     jobs.add(cluster.users.changed("two", 3, 150, b -> b.put("shape", "gang")));
--- a/src/test/java/dapplestair/world/ImageLocationsTest.java
+++ b/src/test/java/dapplestair/world/ImageLocationsTest.java
@@ -7,9 +7,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a leader knows of machines' images outlives it (docs/weights.md). */
+/**
+ * Tests that a leader's knowledge of which machines hold which image survives a leader change
+ * (docs/weights.md).
+ */
 class ImageLocationsTest {
-  /** A model of four gigabytes: on one gigabyte a second its fetch takes four seconds. */
+  /**
+   * Image size of the model, in gigabytes: at one gigabyte per second a fetch takes four seconds.
+   */
   private static final double IMAGE_GB = 4;
 
   private static SimulatedUsers.KnownJob submitModel(SimulatedCluster cluster, int replicas) {
@@ -27,12 +32,15 @@
                 .put("imageGb", IMAGE_GB));
   }
 
-  /** Some machines hold the weights, others not, and nothing runs that would tell which. */
+  /**
+   * Starts a cluster in which some machines hold the image and others do not, and no running task
+   * shows which.
+   */
   private static SimulatedCluster startWithFetchedImages(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     cluster.net.loss = 0;
     cluster.users.quiet = true;
-    // One on each machine, so that all of them stay and each has room for one replica more.
+    // One task on each machine, so that all machines stay and each has room for one more replica.
     cluster.users.changed("two", 14, 900, b -> b.put("vcpus", 5.0).put("loaners", false));
     cluster.run(25_000);
     SimulatedUsers.KnownJob model = submitModel(cluster, 6);
@@ -52,7 +60,7 @@
     return cluster.sim.now() - submittedAtMs;
   }
 
-  /** The next leader starts replicas where their weights are, without a fetch. */
+  /** The next leader starts replicas on machines that hold their image, without a fetch. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6501, 6502, 6503, 6504})
   void theNextLeaderStartsReplicasWhereTheImageIs(long seed) {
@@ -60,10 +68,12 @@
     cluster.leader().crash(4000);
     cluster.run(8000);
     long startMs = startReplicasMs(cluster);
-    assertTrue(startMs < 1000 * IMAGE_GB * 2 / 3, startMs + " ms: it was fetched again");
+    assertTrue(
+        startMs < 1000 * IMAGE_GB * 2 / 3,
+        startMs + " ms until all replicas started: the image was fetched again");
   }
 
-  /** Hints that are wrong cost a fetch and nothing else; gone machines are named no more. */
+  /** Wrong hints cost a fetch and nothing else, and machines that are gone are no longer listed. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6511, 6512})
   void wrongHintsCostAFetch(long seed) {
@@ -73,10 +83,10 @@
         .forEach(EmulatedWorker::end);
     cluster.nodes.forEach(n -> n.crash(1500));
     cluster.run(6000);
-    assertTrue(startReplicasMs(cluster) < 20_000, "it does not start");
+    assertTrue(startReplicasMs(cluster) < 20_000, "the replicas did not start");
   }
 
-  /** Few puts, however many images come and go. */
+  /** Recording image locations takes few puts, however many images are fetched and dropped. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6521, 6522})
   void imageLocationsTakeFewPuts(long seed) {
--- a/src/test/java/dapplestair/world/InboundCutTest.java
+++ b/src/test/java/dapplestair/world/InboundCutTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Heard is not reached: machines whose reports arrive while nothing reaches them, and copies of
- * reports that come late (docs/known.md).
+ * A machine that is heard need not be reachable: tests machines whose reports arrive while nothing
+ * reaches them, and delayed copies of reports (docs/known.md).
  */
 class InboundCutTest {
   private static final int REPLICAS = 72;
 
   private static SimulatedCluster startServices(long seed) {
     SimulatedCluster cluster = DisruptionTest.startServices(seed, 5, 5);
-    // What is lost with a machine is no choice.
+    // Replicas lost with a machine are not deliberate stops.
     cluster.checker.budget = null;
     return cluster;
   }
@@ -39,7 +39,7 @@
     return m.tasks().stream().filter(EmulatedTask::onMachine).count();
   }
 
-  /** The machine with most replicas. */
+  /** Returns the machine with the most replicas. */
   private static EmulatedWorker machineWithMostReplicas(SimulatedCluster cluster) {
     return cluster.cloud.machines().stream()
         .filter(m -> !m.gone())
@@ -48,7 +48,10 @@
         .orElseThrow();
   }
 
-  /** Nothing more is launched there, and its replicas serve elsewhere before its lease ends. */
+  /**
+   * No more tasks are launched on a machine that receives nothing, and its replicas run elsewhere
+   * before its lease ends.
+   */
   @ParameterizedTest(name = "seed {0}, the {1} ends at second {2}")
   @CsvSource({
     "6101,nobody,0",
@@ -60,7 +63,7 @@
   void aMachineThatReceivesNothingIsNotUsed(long seed, String role, int crashSecond) {
     SimulatedCluster cluster = startServices(seed);
     EmulatedWorker cutOffMachine = machineWithMostReplicas(cluster);
-    assertTrue(countRunningTasks(cutOffMachine) > 0, "nothing runs there");
+    assertTrue(countRunningTasks(cutOffMachine) > 0, "no task runs on the machine");
     cutOffMachine.deafen(3 * SimulatedCluster.LEASE_MS);
     cluster.users.array("two", "standard", 60, 15);
     cluster.run(2 * SimulatedCluster.REPORT_MS);
@@ -71,13 +74,14 @@
     assertEquals(
         startsBefore,
         cluster.checker.startsOn.getOrDefault(cutOffMachine.id(), 0),
-        "starts where nothing arrives");
+        "starts on a machine that receives nothing");
     cluster.run(SimulatedCluster.REPORT_MS);
-    assertEquals(REPLICAS, DisruptionTest.countReplicas(cluster), "replicas a lease later");
-    assertTrue(cutOffMachine.gone(), "it is still paid for, though it stays deaf");
+    assertEquals(REPLICAS, DisruptionTest.countReplicas(cluster), "running replicas a lease later");
+    assertTrue(
+        cutOffMachine.gone(), "the machine is still rented, though it still receives nothing");
   }
 
-  /** Deaf for a moment: nothing is lost, and it is used again. */
+  /** A machine that receives nothing for one report interval loses no tasks and stays in use. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6111, 6112, 6113})
   void aShortInboundCutLosesNothing(long seed) {
@@ -87,11 +91,14 @@
     cluster.run(SimulatedCluster.LEASE_MS);
     assertTrue(
         !cutOffMachine.gone() && cutOffMachine.unansweredMs() < 2 * SimulatedCluster.REPORT_MS,
-        "it was given up");
+        "the machine was given up");
     assertEquals(0, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
   }
 
-  /** A whole zone: decided once, as one that is silent, and not machine by machine. */
+  /**
+   * If a whole zone receives nothing, the zone is decided on once, like a silent zone, and not
+   * machine by machine.
+   */
   @ParameterizedTest(name = "seed {0}, the {1} ends at second {2}")
   @CsvSource({"6121,nobody,0", "6122,leader,3", "6123,leader,10", "6124,follower,6"})
   void aZoneThatReceivesNothingIsTreatedAsSilent(long seed, String role, int crashSecond) {
@@ -103,15 +110,20 @@
     crashController(cluster, role);
     cluster.run(SimulatedCluster.LEASE_MS * 2 / 3 - 1000L * crashSecond);
     assertEquals(
-        0, zoneMachines.stream().filter(EmulatedWorker::gone).count(), "returned one by one");
+        0,
+        zoneMachines.stream().filter(EmulatedWorker::gone).count(),
+        "machines returned one by one");
     cluster.run(SimulatedCluster.LEASE_MS);
-    assertEquals(REPLICAS, DisruptionTest.countReplicas(cluster), "replicas once it hears again");
+    assertEquals(
+        REPLICAS,
+        DisruptionTest.countReplicas(cluster),
+        "running replicas after the zone is reachable again");
     SeededDaysTest.settle(cluster);
   }
 
   /**
-   * Deaf for as long as a lease: what runs there is given up as a whole and once, when its leases
-   * are over, though its machines report all the time.
+   * A zone receives nothing for longer than a lease: its tasks are given up as a whole and once,
+   * when their leases have ended, although its machines report all the time.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6125, 6126, 6127})
@@ -122,14 +134,19 @@
     zoneMachines.forEach(m -> m.deafen(4 * SimulatedCluster.LEASE_MS));
     cluster.run(SimulatedCluster.LEASE_MS * 9 / 10);
     assertEquals(
-        0, zoneMachines.stream().filter(EmulatedWorker::gone).count(), "returned one by one");
+        0,
+        zoneMachines.stream().filter(EmulatedWorker::gone).count(),
+        "machines returned one by one");
     assertEquals("CUT", cluster.state.value("live/zone/c").path("state").asText());
     cluster.run(SimulatedCluster.LEASE_MS * 3 / 2);
-    assertEquals(REPLICAS, DisruptionTest.countReplicas(cluster), "replicas without the zone");
+    assertEquals(
+        REPLICAS, DisruptionTest.countReplicas(cluster), "running replicas without the zone");
     assertEquals(1, cluster.state.value("live/zone/c").path("cuts").asInt(), "cuts on record");
   }
 
-  /** Copies of everything, late by up to two leases, while leaders end. */
+  /**
+   * All messages may arrive again as copies, up to two leases late, while leaders and machines end.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6131, 6132, 6133, 6134, 6135, 6136})
   void delayedCopiesOfMessages(long seed) {
@@ -148,7 +165,7 @@
     SeededDaysTest.settle(cluster);
   }
 
-  /** A zone has no power any more; copies of what it once said go on for well over a lease. */
+  /** A zone loses its power while copies of its earlier reports arrive for well over a lease. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6141, 6142, 6143})
   void delayedCopiesOfReportsDoNotShowLiveness(long seed) {
@@ -162,10 +179,11 @@
         .forEach(EmulatedWorker::end);
     cluster.run(3000);
     cluster.leader().crash(2000);
-    // As without copies: silence is judged after two reports, and the cloud needs its time.
-    // As without copies: silence is judged, the cloud takes its time, and the last ones boot.
+    // The bound is the same as without copies: silence is decided on after two reports, the cloud
+    // takes its time, and the last machines have to boot.
     cluster.run(SimulatedCluster.LEASE_MS * 5 / 4);
-    assertEquals(REPLICAS, DisruptionTest.countReplicas(cluster), "replicas without the zone");
+    assertEquals(
+        REPLICAS, DisruptionTest.countReplicas(cluster), "running replicas without the zone");
     SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/InvalidRequestsTest.java
+++ b/src/test/java/dapplestair/world/InvalidRequestsTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Users send jobs that can't run or lack a field, submit accepted jobs again, also without a field,
- * and cancel what is done, at controllers of which some have just started. {@link
- * MonotonicReadsChecker} knows which answer each must get.
+ * Users submit jobs that cannot run or lack a field, submit accepted jobs again, also without a
+ * field, and cancel completed jobs, at controllers of which some have just started. {@link
+ * MonotonicReadsChecker} knows which answer each request must get.
  */
 class InvalidRequestsTest {
   private static final long REQUEST_INTERVAL_MS = 250;
@@ -23,7 +23,7 @@
   private static final long DURATION_MS = 90_000;
   private static final long RESTART_INTERVAL_MS = 7000;
 
-  /** The requests of one day. */
+  /** Sends the requests and counts their outcomes. */
   private static final class Requests {
     final SimulatedCluster cluster;
     final ConcurrentReaders readers;
@@ -52,7 +52,7 @@
       cluster.sim.after(REQUEST_INTERVAL_MS, this::sendNext);
     }
 
-    /** One of the jobs that pass, if there are any. */
+    /** Returns a random job that meets the condition, or none if there is no such job. */
     private List<SimulatedUsers.KnownJob> randomJob(Predicate<SimulatedUsers.KnownJob> condition) {
       List<SimulatedUsers.KnownJob> matchingJobs =
           cluster.users.told.values().stream().filter(condition).toList();
@@ -132,10 +132,12 @@
       cluster.nodes.get((int) cluster.sim.between(0, 2)).crash(cluster.sim.between(60, 2000));
     }
     SeededDaysTest.settle(cluster);
-    assertTrue(requests.refusedJobs > 40, requests.refusedJobs + " odd jobs were refused");
+    assertTrue(requests.refusedJobs > 40, requests.refusedJobs + " invalid jobs were refused");
     assertTrue(
-        requests.acceptedRepeats > 40, requests.acceptedRepeats + " repetitions were answered 200");
+        requests.acceptedRepeats > 40,
+        requests.acceptedRepeats + " repeated submissions were answered with 200");
     assertTrue(
-        requests.cancelledDoneJobs > 20, requests.cancelledDoneJobs + " done jobs were cancelled");
+        requests.cancelledDoneJobs > 20,
+        requests.cancelledDoneJobs + " cancellations of completed jobs were requested");
   }
 }
--- a/src/test/java/dapplestair/world/IsolatedControllerTest.java
+++ b/src/test/java/dapplestair/world/IsolatedControllerTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Controllers that lose the state service and each other, but not their workers, and processes that
- * are back within a fraction of a second (docs/known.md).
+ * Tests controllers that lose the state service and each other but not their workers, and processes
+ * that restart within a fraction of a second (docs/known.md).
  */
 class IsolatedControllerTest {
   private static final long ISOLATION_MS = 2 * SimulatedCluster.LEASE_MS;
@@ -36,7 +36,10 @@
     return status[0];
   }
 
-  /** Another one leads, workers go over to it with all that they run, and users are sent away. */
+  /**
+   * Another controller leads, the workers move to it with all of their tasks, and the isolated
+   * controller sends users away.
+   */
   @ParameterizedTest(name = "seed {0}, {1} of them led, held back: {2}")
   @CsvSource({"6201,1,false", "6202,1,true", "6203,0,false", "6204,0,true", "6205,1,false"})
   void anIsolatedControllerReleasesLeadershipAndWorkers(
@@ -49,24 +52,31 @@
     new RandomFaults(cluster).alone(isolated, hold, ISOLATION_MS);
     SimulatedUsers.KnownJob job = cluster.users.array("one", "high", 20, 5);
     cluster.run(SimulatedCluster.LEASE_MS / 2);
-    assertNotEquals(isolated, cluster.leader(), "it cannot lead");
-    assertEquals(503, requestUpStatus(cluster, isolated), "users go on coming to it");
+    assertNotEquals(isolated, cluster.leader(), "the isolated controller still leads");
+    assertEquals(
+        503,
+        requestUpStatus(cluster, isolated),
+        "status of /up: users are still sent to the isolated controller");
     int beatsBefore = isolated.beats;
     cluster.run(SimulatedCluster.LEASE_MS);
     assertTrue(
         isolated.beats - beatsBefore <= 5,
-        isolated.beats - beatsBefore + " reports went on coming to it");
+        isolated.beats - beatsBefore + " reports still arrived at the isolated controller");
     cluster.run(ISOLATION_MS - SimulatedCluster.LEASE_MS);
     assertEquals(killedBefore, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
     assertTrue(job.done, "the array is not done");
     SimulatedCluster.ControllerNode leaderBeforeReturn = cluster.leader();
     cluster.run(SimulatedCluster.LEASE_MS);
-    assertEquals(leaderBeforeReturn, cluster.leader(), "its return changes who leads");
-    assertEquals(200, requestUpStatus(cluster, isolated), "it is back");
+    assertEquals(
+        leaderBeforeReturn,
+        cluster.leader(),
+        "the leader changed when the isolated controller returned");
+    assertEquals(
+        200, requestUpStatus(cluster, isolated), "status of /up of the returned controller");
     SeededDaysTest.settle(cluster);
   }
 
-  /** Two at once, one of which led; the third one leads alone. */
+  /** Two controllers are isolated at once, one of them the leader: the third one leads. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6211, 6212, 6213})
   void twoControllersIsolatedAtOnce(long seed) {
@@ -82,7 +92,10 @@
     SeededDaysTest.settle(cluster);
   }
 
-  /** An outage of all is no reason to send users away: they are told when to come back. */
+  /**
+   * An outage of the state service for all controllers does not make them send users away: users
+   * are told when to retry.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6221, 6222})
   void controllersStayUpInAStateServiceOutage(long seed) {
@@ -90,12 +103,19 @@
     cluster.state.fail();
     cluster.run(SimulatedCluster.LEASE_MS / 2);
     cluster.nodes.forEach(
-        n -> assertEquals(200, requestUpStatus(cluster, n), "nobody is left to tell users"));
+        n ->
+            assertEquals(
+                200,
+                requestUpStatus(cluster, n),
+                "status of /up: no controller is left to answer users"));
     cluster.state.recover();
     SeededDaysTest.settle(cluster);
   }
 
-  /** Back within a fraction of a second, in the middle of an election, twice, two or three. */
+  /**
+   * One to three controllers restart within a fraction of a second, twice, the second time in the
+   * middle of the election.
+   */
   @ParameterizedTest(name = "seed {0}, {1} at once")
   @CsvSource({
     "6231,1", "6232,2", "6233,3", "6234,1", "6235,2", "6236,3", "6237,2", "6238,3", "6239,3"
@@ -115,10 +135,10 @@
       while (cluster.leader() == null || !cluster.leader().up()) {
         cluster.run(100);
         leaderlessMs += 100;
-        // A hold and two report intervals.
+        // The hold before a new leader acts, and two report intervals.
         assertTrue(
             leaderlessMs <= SimulatedCluster.LEASE_MS / 10 + 2 * SimulatedCluster.REPORT_MS,
-            "nobody leads");
+            "no controller leads");
       }
       cluster.run(4000);
     }
--- a/src/test/java/dapplestair/world/JobBeginTest.java
+++ b/src/test/java/dapplestair/world/JobBeginTest.java
@@ -5,7 +5,7 @@
 import dapplestair.json.Json;
 import org.junit.jupiter.api.Test;
 
-/** When a job has begun, as the checker counts it. */
+/** Tests when the invariant checker counts a job as begun. */
 class JobBeginTest {
   private static final String TASK = "wk-000001/0";
   private static final long STOP_MS = 1500;
@@ -14,7 +14,7 @@
   private final SimulatedUsers.KnownJob job =
       new SimulatedUsers.KnownJob(Json.object().put("ref", "wk-000001"));
 
-  /** Guards against jobs counted as begun by starts that were taken back. */
+  /** Guards against counting a job as begun by a start that was stopped soon after. */
   @Test
   void aStartThatIsStoppedSoonDoesNotCount() {
     job.taskStarted(TASK, 0);
@@ -24,7 +24,7 @@
     assertEquals(RESTART_MS, job.begunAt());
   }
 
-  /** Guards against jobs counted as waiting for ever though they are done. */
+  /** Guards against counting a job as waiting forever although it is done. */
   @Test
   void aTaskThatCompletesWhileItSavesCountsAsBegun() {
     job.taskStarted(TASK, 0);
@@ -35,7 +35,10 @@
     assertEquals(RESTART_MS, job.begunAt());
   }
 
-  /** Guards against a start that was taken back and counts since a later one completes. */
+  /**
+   * Guards against counting a start that was stopped because a later start of the same task
+   * completes.
+   */
   @Test
   void aLaterStartDoesNotRestoreAnEarlierOne() {
     job.taskStarted(TASK, 0);
@@ -45,7 +48,7 @@
     assertEquals(RESTART_MS, job.begunAt());
   }
 
-  /** Guards against a completed task that hides another one whose start was taken back. */
+  /** Guards against counting a stopped start because another task of the job completes. */
   @Test
   void theCompletionOfAnotherTaskDoesNotCount() {
     job.taskStarted(TASK, 0);
--- a/src/test/java/dapplestair/world/LaneTest.java
+++ b/src/test/java/dapplestair/world/LaneTest.java
@@ -20,16 +20,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Riders go over batches that fill all machines, whichever controller ends at whichever step
+ * Riders evict batch tasks that fill all machines, whichever controller ends at whichever step
  * between a rider's acceptance and its start (docs/lane.md).
  */
 class LaneTest {
   private static final long LANE_MS = 2000;
 
-  // A claim's put, a halt and its proof, a launch's put and the launch.
+  // Covers the put of a claim, a halt and its proof, the put of a launch, and the launch.
   private static final long CLAIM_TO_START_MS = 1500;
 
-  // Until somebody else leads, and its workers have shown the new token.
+  // Covers the time until another controller leads and its workers have reported the new fencing
+  // token.
   private static final long TAKEOVER_MS = SimulatedCluster.REPORT_MS + SimulatedCluster.REPORT_MS;
 
   static final Lane GATE =
@@ -45,7 +46,7 @@
     cluster.nodes.forEach(n -> n.crash(500));
     cluster.cloud.setCapacity(0.25);
     cluster.run(10_000);
-    // Batches fill all there is, three times over, and each runs for long.
+    // Batch tasks need three times the capacity of all machines, and each runs for a long time.
     for (int i = 0; i < 12; i++) {
       cluster.users.changed(
           i % 2 == 0 ? "one" : "two",
@@ -57,7 +58,7 @@
                   .put("snapshotS", saveS));
     }
     cluster.run(40_000);
-    assertTrue(freeCpus(cluster) < SimulatedCluster.CPUS, "machines are not full");
+    assertTrue(freeCpus(cluster) < SimulatedCluster.CPUS, "the machines are not full");
     return cluster;
   }
 
@@ -78,7 +79,10 @@
         "two", tasks, 6, b -> b.put("jobclass", "gate").put("rank", "high").put("loaners", true));
   }
 
-  /** How many of a job's tasks have started so far, each counted once. */
+  /**
+   * Waits until all tasks of each rider have started, each counted once, for at most {@code
+   * maxWaitMs} from the rider's submission.
+   */
   static void runUntilBegun(
       SimulatedCluster cluster, List<SimulatedUsers.KnownJob> riders, long maxWaitMs) {
     for (SimulatedUsers.KnownJob rider : riders) {
@@ -100,7 +104,10 @@
     return cluster.state.value("live/lane/gate");
   }
 
-  /** All begin within the lane's time, one stop for each, one put for all claims of a turn. */
+  /**
+   * All riders begin within the lane's time, with one eviction for each task and one put for all
+   * claims of a placement turn.
+   */
   @ParameterizedTest(name = "seed {0}, saving takes {1} s")
   @CsvSource({"6301,0", "6302,0.5", "6303,0", "6304,30", "8042,30"})
   void ridersBeginWithinTheLaneTime(long seed, double saveS) {
@@ -114,7 +121,9 @@
     runUntilBegun(cluster, riders, LANE_MS + CLAIM_TO_START_MS);
     assertTrue(
         countStoppedBatchTasks(cluster) - stopsBefore <= 24,
-        countStoppedBatchTasks(cluster) - stopsBefore + " stops for 24 riders of one size");
+        countStoppedBatchTasks(cluster)
+            - stopsBefore
+            + " stops for 24 rider tasks of the same size");
     assertTrue(
         cluster.state.putsTo("live/lane/") - lanePutsBefore <= 6,
         cluster.state.putsTo("live/lane/")
@@ -122,15 +131,19 @@
             + " puts for the claims of four riders");
     cluster.run(20_000);
     riders.forEach(r -> assertTrue(r.done, r.ref + " is not done"));
-    assertEquals(null, laneRecord(cluster), "a claim outlives its rider");
+    assertEquals(null, laneRecord(cluster), "a claim is left after its rider has ended");
   }
 
-  /** What goes for a rider goes one after the other; meanwhile no batch takes what is free. */
+  /**
+   * The tasks evicted for a rider stop at different times; meanwhile no batch task takes the
+   * capacity that is already free.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6321, 6322, 6323})
   void ridersAsLargeAsMachines(long seed) {
     SimulatedCluster cluster = startWithFullMachines(seed, GATE, 0);
-    // Some save before they go, so that the room of those that don't is free before theirs.
+    // Some tasks save before they stop, so that the capacity of tasks that do not save is free
+    // earlier.
     for (int i = 0; i < 12; i++) {
       cluster.users.changed(
           "one",
@@ -150,10 +163,12 @@
     runUntilBegun(cluster, List.of(rider), LANE_MS + CLAIM_TO_START_MS);
     assertTrue(
         countStoppedBatchTasks(cluster) - stopsBefore <= 3 * 4,
-        countStoppedBatchTasks(cluster) - stopsBefore + " stops for three machines");
+        countStoppedBatchTasks(cluster)
+            - stopsBefore
+            + " stops for riders that need three machines");
   }
 
-  /** The leader ends at some moment between acceptance and start, and so may the next one. */
+  /** The leader ends at some point between acceptance and start, and so may the next leader. */
   @ParameterizedTest(name = "seed {0}, the leader ends after {1} ms, the next one too: {2}")
   @CsvSource({
     "6311,20,false",
@@ -196,16 +211,19 @@
         List.of(rider),
         LANE_MS + CLAIM_TO_START_MS + (nextLeaderEndsToo ? 3 : 2) * TAKEOVER_MS);
     int victims = victimsByHost.values().stream().mapToInt(Set::size).sum();
-    assertTrue(victims <= 2 * 8, victims + " tasks had to go for 8");
+    assertTrue(victims <= 2 * 8, victims + " tasks were claimed for eviction for 8 rider tasks");
     assertTrue(
         countStoppedBatchTasks(cluster) - stopsBefore <= 2 * 8,
-        countStoppedBatchTasks(cluster) - stopsBefore + " stops for 8 riders");
+        countStoppedBatchTasks(cluster) - stopsBefore + " stops for 8 rider tasks");
     cluster.run(30_000);
-    assertTrue(rider.done, "it is not done");
-    assertEquals(null, laneRecord(cluster), "a claim outlives its rider");
+    assertTrue(rider.done, "the rider is not done");
+    assertEquals(null, laneRecord(cluster), "a claim is left after its rider has ended");
   }
 
-  /** Machines on which room is claimed hang, go deaf or end; others are claimed instead. */
+  /**
+   * Machines with claimed capacity hang, receive nothing, or end; other machines are claimed
+   * instead.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6331, 6332, 6333, 6334})
   void claimedMachinesFail(long seed) {
@@ -229,7 +247,10 @@
     runUntilBegun(cluster, List.of(rider), SimulatedCluster.LEASE_MS + LANE_MS);
   }
 
-  /** What takes too long to save leaves the reserve to riders; what is gone at once may use it. */
+  /**
+   * Batch tasks that take too long to save keep off the reserve for riders; batch tasks that stop
+   * at once may use it.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6341, 6342})
   void theReserveIsKeptForRiders(long seed) {
@@ -258,15 +279,19 @@
           b -> b.put("jobclass", "settle").put("snapshotEveryS", 5.0).put("snapshotS", 20.0));
     }
     cluster.run(40_000);
-    assertTrue(freeCpus(cluster) >= 24, freeCpus(cluster) + " CPUs are left of a reserve of 24");
+    assertTrue(freeCpus(cluster) >= 24, freeCpus(cluster) + " CPUs are free, with a reserve of 24");
     int stopsBefore = countStoppedBatchTasks(cluster);
     SimulatedUsers.KnownJob rider = submitRider(cluster, 10);
     runUntilBegun(cluster, List.of(rider), CLAIM_TO_START_MS);
     assertEquals(
-        stopsBefore, countStoppedBatchTasks(cluster), "stops, though the reserve was free");
+        stopsBefore,
+        countStoppedBatchTasks(cluster),
+        "stops for a rider although the reserve was free");
   }
 
-  /** A lane that is gone from the settings leaves no claim, and riders are jobs as any other. */
+  /**
+   * A lane that is removed from the settings leaves no claims, and its riders become ordinary jobs.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6351, 6352})
   void aRemovedLaneLeavesNoClaims(long seed) {
@@ -276,6 +301,6 @@
     cluster.operatorSettings = OperatorSettings.defaults();
     cluster.nodes.forEach(n -> n.crash(500));
     cluster.run(30_000);
-    assertEquals(null, laneRecord(cluster), "a claim without a lane");
+    assertEquals(null, laneRecord(cluster), "a claim is left without its lane");
   }
 }
--- a/src/test/java/dapplestair/world/LargeClusterDaysTest.java
+++ b/src/test/java/dapplestair/world/LargeClusterDaysTest.java
@@ -6,12 +6,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Days with hundreds of machines and thousands of tasks: the rules, and what a start costs. */
+/**
+ * Tests clusters of hundreds of machines and thousands of tasks: the invariants, and the number of
+ * puts per start.
+ */
 class LargeClusterDaysTest {
   // An array of some 75 tasks takes about a dozen puts from its acceptance to its end.
   private static final double MAX_PUTS_PER_START = 0.5;
 
-  /** A leader ends, a zone is cut off, spot machines are taken without notice, all overlapping. */
+  /**
+   * A leader ends, a zone is cut off, and spot machines are reclaimed without notice, all
+   * overlapping.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3})
   void invariantsHoldInALargeCluster(long seed) {
@@ -51,7 +57,10 @@
         endedJobs + " of " + cluster.users.told.size() + " jobs ended");
   }
 
-  /** Counts, not times: what a start costs the state service must not grow with the fleet. */
+  /**
+   * Counts puts instead of measuring times: the number of puts per start must not grow with the
+   * fleet.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {11, 12})
   void putsPerStartAreFew(long seed) {
--- a/src/test/java/dapplestair/world/LargestJobsTest.java
+++ b/src/test/java/dapplestair/world/LargestJobsTest.java
@@ -12,15 +12,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * More work than the cluster takes, for minutes, with leaders that end: the largest jobs, the
- * lowest rank and those without a guarantee begin all the same (docs/known.md).
+ * The cluster is overloaded for minutes while leaders end: the largest jobs, jobs of the lowest
+ * rank and jobs of teams without a guarantee still begin (docs/known.md).
  */
 class LargestJobsTest {
   private static final double CLUSTER_CPUS = 192;
   private static final int SMALL_JOB_TASKS = 8;
   private static final double SMALL_TASK_S = 8;
 
-  /** A quarter of the machines that the cloud could have, and one service in each zone. */
+  /**
+   * Starts a cluster with a quarter of the machines that the cloud could have, and services with
+   * replicas in each zone.
+   */
   private static SimulatedCluster startCluster(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     cluster.net.loss = 0;
@@ -33,7 +36,10 @@
     return cluster;
   }
 
-  /** Small arrays of rank high, so often that they alone need this much of the cluster. */
+  /**
+   * Submits small arrays of rank high at a rate at which they alone need {@code factor} times the
+   * CPUs of the cluster.
+   */
   private static void overload(
       SimulatedCluster cluster, double factor, double cpus, long durationMs) {
     double cpuSPerJob = SMALL_JOB_TASKS * cpus * SMALL_TASK_S;
@@ -51,7 +57,7 @@
     }
   }
 
-  /** Runs for so long; leaders end again and again. */
+  /** Runs the cluster for {@code durationMs} while leaders end repeatedly. */
   private static void runWithLeaderCrashes(SimulatedCluster cluster, long durationMs) {
     long endMs = cluster.sim.now() + durationMs;
     while (cluster.sim.now() < endMs) {
@@ -69,11 +75,11 @@
           cluster.users.changed(
               team, 120, 10, b -> b.put("rank", "low").put("jobclass", "large-" + team)));
     }
-    // A task as large as a machine, which small ones never leave empty.
+    // Each task is as large as a machine, and small tasks never leave a machine empty.
     largeJobs.add(
         cluster.users.changed(
             "one", 6, 10, b -> b.put("rank", "low").put("vcpus", 8.0).put("jobclass", "wide")));
-    // A service of no high rank, whose replicas fit nowhere without stops.
+    // A service of no high rank, whose replicas fit nowhere without evictions.
     largeJobs.add(
         cluster.users.changed(
             "two",
@@ -97,7 +103,7 @@
     for (SimulatedUsers.KnownJob job : jobs) {
       assertTrue(
           job.begunAt() >= 0 && waitMs(cluster, job) <= InvariantChecker.BEGIN_MS,
-          () -> job.ref + " of " + job.jobClass + " waits for " + waitMs(cluster, job) + " ms");
+          () -> job.ref + " of " + job.jobClass + " waited for " + waitMs(cluster, job) + " ms");
     }
   }
 
@@ -110,13 +116,16 @@
     List<SimulatedUsers.KnownJob> largeJobs = submitLargeJobs(cluster);
     runWithLeaderCrashes(cluster, 255_000);
     assertBegunInTime(cluster, largeJobs);
-    // No replica was lost for it.
+    // No service replica was lost to make room for the large jobs.
     cluster.users.told.values().stream()
         .filter(j -> j.jobClass.equals("serve"))
         .forEach(j -> assertTrue(j.begunAt() >= 0, j.ref + " does not run"));
   }
 
-  /** Its wait begins with the first attempt to submit, though it is accepted after an outage. */
+  /**
+   * The wait of a job counts from the first attempt to submit it, though it is accepted only after
+   * an outage.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6021, 6022, 6023})
   void theWaitCountsFromTheFirstSubmissionAttempt(long seed) {
@@ -130,16 +139,17 @@
     cluster.state.recover();
     cluster.run(InvariantChecker.BEGIN_MS - outageMs);
     assertBegunInTime(cluster, List.of(largeJob));
-    // Three fifths of the bound and what it takes to begin, but no outage on top.
+    // The wait is bounded by three fifths of the bound plus the time to begin, without the outage
+    // on top.
     long maxWaitMs = InvariantChecker.BEGIN_MS * 3 / 5 + outageMs * 2 / 3;
     assertTrue(
         waitMs(cluster, largeJob) <= maxWaitMs,
-        "it waited for " + waitMs(cluster, largeJob) + " ms");
+        "the job waited for " + waitMs(cluster, largeJob) + " ms");
   }
 
   /**
-   * Long arrays of one class and team, of many sizes, several times more than there is room: what
-   * the windows of those that have begun hold keeps nobody from beginning.
+   * Long arrays of one class and team, of many sizes, need several times the free capacity: the
+   * launch windows of arrays that have begun keep no other array from beginning.
    */
   @ParameterizedTest(name = "seed {0}, arrays of {1} tasks and more")
   @CsvSource({"6021,40", "6022,80", "6023,20"})
@@ -156,7 +166,10 @@
     assertBegunInTime(cluster, arrays);
   }
 
-  /** The guard taken out: with no bound that is near, the same work does not begin. */
+  /**
+   * Without a bound in the near future the same jobs do not begin, which shows that the other tests
+   * depend on it.
+   */
   @Test
   void largeJobsDoNotBeginWithoutTheBound() {
     SimulatedCluster cluster = new SimulatedCluster(6003, SimulatedCluster.Size.MIDDLE);
@@ -174,10 +187,13 @@
     assertFalse(
         largeJobs.stream()
             .allMatch(j -> j.begunAt() >= 0 && waitMs(cluster, j) <= InvariantChecker.BEGIN_MS),
-        "this test says nothing");
+        "all large jobs begin without the bound, so this class would not notice its absence");
   }
 
-  /** A gang as wide as a zone, of the lowest rank; what is kept for it outlives leaders. */
+  /**
+   * A gang as wide as a zone, of the lowest rank, begins; the capacity reserved for it stays
+   * reserved across leader changes.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6011, 6012})
   void aGangAsWideAsAZoneBegins(long seed) {
