--- a/src/test/java/dapplestair/world/FaultCombinationTest.java
+++ b/src/test/java/dapplestair/world/FaultCombinationTest.java
@@ -27,8 +27,8 @@
   }
 
   /**
-   * Faults of machines are added: machines whose reports are lost, late commands, machines that
-   * boot fast with late writes, and stale reports.
+   * The faults include machines whose reports are lost, late commands, machines that boot fast with
+   * late writes, and stale reports.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9101, 9102, 9103, 9104})
--- a/src/test/java/dapplestair/world/LargestJobsTest.java
+++ b/src/test/java/dapplestair/world/LargestJobsTest.java
@@ -139,8 +139,7 @@
     cluster.state.recover();
     cluster.run(InvariantChecker.BEGIN_MS - outageMs);
     assertBegunInTime(cluster, List.of(largeJob));
-    // The wait is bounded by three fifths of the bound plus the time to begin, without the outage
-    // on top.
+    // The limit is three fifths of the bound plus the time to begin; the outage is not added.
     long maxWaitMs = InvariantChecker.BEGIN_MS * 3 / 5 + outageMs * 2 / 3;
     assertTrue(
         waitMs(cluster, largeJob) <= maxWaitMs,
