--- a/src/test/java/dapplestair/world/AllControllersUnavailableTest.java
+++ b/src/test/java/dapplestair/world/AllControllersUnavailableTest.java
@@ -10,70 +10,73 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * All controllers are away for longer than a lease: their processes ended, stand still, or reach no
- * worker. All tasks are killed; what was accepted runs again, what was cancelled does not.
+ * All controllers are unavailable for longer than a lease: their processes end, are frozen, or
+ * reach no worker. All tasks are killed; accepted jobs run again afterwards, cancelled jobs do not.
  */
 class AllControllersUnavailableTest {
-  private static final long AWAY_MS = SimulatedCluster.LEASE_MS * 5 / 4;
+  private static final long UNAVAILABLE_MS = SimulatedCluster.LEASE_MS * 5 / 4;
 
-  private static List<SimulatedUsers.KnownJob> begun(SimulatedCluster w) {
-    w.network.lossProbability = 0;
-    w.users.submissionsStopped = true;
-    w.run(5000);
+  private static List<SimulatedUsers.KnownJob> startJobs(SimulatedCluster cluster) {
+    cluster.network.lossProbability = 0;
+    cluster.users.submissionsStopped = true;
+    cluster.run(5000);
     List<SimulatedUsers.KnownJob> jobs = new ArrayList<>();
     for (String team : List.of("one", "two")) {
-      jobs.add(w.users.submitArray(team, "high", 6, 40));
+      jobs.add(cluster.users.submitArray(team, "high", 6, 40));
       jobs.add(
-          w.users.submitModifiedArray(
+          cluster.users.submitModifiedArray(
               team, 4, 40, b -> b.put("snapshotEveryS", 5.0).put("snapshotS", 2.0)));
-      jobs.add(w.users.submitModifiedArray(team, 3, 40, b -> b.put("shape", "gang")));
-      jobs.add(w.users.submitArray(team, "standard", 1, 40));
-      jobs.add(w.users.submitService(team, 3));
+      jobs.add(cluster.users.submitModifiedArray(team, 3, 40, b -> b.put("shape", "gang")));
+      jobs.add(cluster.users.submitArray(team, "standard", 1, 40));
+      jobs.add(cluster.users.submitService(team, 3));
     }
-    w.users.submitArray("one", "standard", 40, 4);
+    cluster.users.submitArray("one", "standard", 40, 4);
     for (int i = 0; i < 30 && !jobs.stream().allMatch(job -> job.started); i++) {
-      w.run(1000);
+      cluster.run(1000);
     }
-    w.run(2000);
+    cluster.run(2000);
     jobs.forEach(job -> assertTrue(job.started, () -> job.ref + " does not run"));
     return jobs;
   }
 
-  /** Their return is spread over {@code spreadMs}; the leader's place is free for all of them. */
-  private static void away(SimulatedCluster w, String how, long spreadMs) {
-    for (SimulatedCluster.ControllerNode node : w.nodes) {
-      long ms = AWAY_MS + w.sim.between(0, spreadMs);
-      if (how.equals("ended")) {
-        node.crash(ms);
-      } else if (how.equals("still")) {
-        node.freeze(ms);
+  /**
+   * Makes all controllers unavailable. Their return is spread over {@code spreadMs}, and any of
+   * them may become the leader.
+   */
+  private static void makeUnavailable(SimulatedCluster cluster, String fault, long spreadMs) {
+    for (SimulatedCluster.ControllerNode node : cluster.nodes) {
+      long durationMs = UNAVAILABLE_MS + cluster.sim.between(0, spreadMs);
+      if (fault.equals("ended")) {
+        node.crash(durationMs);
+      } else if (fault.equals("still")) {
+        node.freeze(durationMs);
       } else {
-        cutFromWorkers(w, node, how.equals("held"), w.sim.now() + ms);
+        cutFromWorkers(cluster, node, fault.equals("held"), cluster.sim.now() + durationMs);
       }
     }
   }
 
   private static void cutFromWorkers(
-      SimulatedCluster w, SimulatedCluster.ControllerNode node, boolean hold, long until) {
+      SimulatedCluster cluster, SimulatedCluster.ControllerNode node, boolean hold, long untilMs) {
     List<String> names = List.of("node-" + node.index, SimulatedCluster.clientAddress(node.index));
-    for (EmulatedWorker m : w.cloud.machines()) {
+    for (EmulatedWorker m : cluster.cloud.machines()) {
       for (String name : names) {
-        if (w.sim.now() < until) {
-          w.network.cut(name, m.endpoint(), hold);
+        if (cluster.sim.now() < untilMs) {
+          cluster.network.cut(name, m.endpoint(), hold);
         } else {
-          w.network.heal(name, m.endpoint());
+          cluster.network.heal(name, m.endpoint());
         }
       }
     }
-    if (w.sim.now() < until) {
-      // Machines that come up meanwhile are out of reach as well.
-      w.sim.after(400, () -> cutFromWorkers(w, node, hold, until));
+    if (cluster.sim.now() < untilMs) {
+      // Cuts off the machines that boot in the meantime as well.
+      cluster.sim.after(400, () -> cutFromWorkers(cluster, node, hold, untilMs));
     }
   }
 
   /**
-   * Half of the jobs are cancelled so many milliseconds before all are away, or after the first may
-   * be back (negative: while nobody is there to be asked).
+   * Half of the jobs are cancelled {@code cancelledBeforeMs} before the controllers become
+   * unavailable; a negative value cancels them that long after, while no controller answers.
    */
   @ParameterizedTest(name = "seed {0}, {1}, back within {2} ms, cancelled {3} ms before")
   @CsvSource({
@@ -90,29 +93,35 @@
     "9311,lost,500,400",
     "9312,lost,17000,-1000"
   })
-  void allAreAwayForLongerThanALease(long seed, String how, long spreadMs, long cancelledMs) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
-    List<SimulatedUsers.KnownJob> jobs = begun(w);
+  void allControllersUnavailableForLongerThanALease(
+      long seed, String fault, long spreadMs, long cancelledBeforeMs) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
+    List<SimulatedUsers.KnownJob> jobs = startJobs(cluster);
     List<SimulatedUsers.KnownJob> cancelled = jobs.subList(0, jobs.size() / 2);
-    if (cancelledMs >= 0) {
-      cancelled.forEach(w.users::cancel);
-      w.run(cancelledMs);
+    if (cancelledBeforeMs >= 0) {
+      cancelled.forEach(cluster.users::cancel);
+      cluster.run(cancelledBeforeMs);
     }
-    int byLease = w.cloud.tasksKilledByLease();
-    away(w, how, spreadMs);
-    if (cancelledMs < 0) {
-      w.run(-cancelledMs);
-      cancelled.forEach(w.users::cancel);
+    int killedByLeaseBefore = cluster.cloud.tasksKilledByLease();
+    makeUnavailable(cluster, fault, spreadMs);
+    if (cancelledBeforeMs < 0) {
+      cluster.run(-cancelledBeforeMs);
+      cancelled.forEach(cluster.users::cancel);
     }
-    w.run(AWAY_MS + spreadMs);
-    assertTrue(w.cloud.tasksKilledByLease() > byLease, "no lease ran out");
-    w.run(SimulatedCluster.LEASE_MS);
-    SeededDaysTest.settle(w);
-    assertEquals(3, running(w, jobs.get(jobs.size() - 1)), "replicas of a service not cancelled");
+    cluster.run(UNAVAILABLE_MS + spreadMs);
+    assertTrue(
+        cluster.cloud.tasksKilledByLease() > killedByLeaseBefore,
+        "no task was killed by the end of its lease");
+    cluster.run(SimulatedCluster.LEASE_MS);
+    SeededDaysTest.settle(cluster);
+    assertEquals(
+        3,
+        countRunningTasks(cluster, jobs.get(jobs.size() - 1)),
+        "running replicas of a service that was not cancelled");
   }
 
-  private static long running(SimulatedCluster w, SimulatedUsers.KnownJob job) {
-    return w.cloud.machines().stream()
+  private static long countRunningTasks(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
+    return cluster.cloud.machines().stream()
         .filter(m -> !m.isGone())
         .flatMap(m -> m.tasks().stream())
         .filter(t -> t.isOnMachine() && t.key().startsWith(job.ref + "/"))
--- a/src/test/java/dapplestair/world/BurstTest.java
+++ b/src/test/java/dapplestair/world/BurstTest.java
@@ -6,78 +6,90 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Much work at once: how soon machines are rented for it. */
+/** Tests how soon machines are rented for a burst of submissions. */
 class BurstTest {
-  private static SimulatedCluster world(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.LARGE);
-    w.network.lossProbability = 0;
-    w.users.submissionsStopped = true;
-    w.run(4000);
-    return w;
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.LARGE);
+    cluster.network.lossProbability = 0;
+    cluster.users.submissionsStopped = true;
+    cluster.run(4000);
+    return cluster;
   }
 
-  private static void burst(SimulatedCluster w) {
+  private static void submitBurst(SimulatedCluster cluster) {
     for (int i = 0; i < 5; i++) {
-      w.users.submitModifiedArray("guest", 600, 30, b -> b.put("rank", "high"));
+      cluster.users.submitModifiedArray("guest", 600, 30, b -> b.put("rank", "high"));
     }
   }
 
-  private static long rented(SimulatedCluster w) {
-    return w.cloud.machines().stream().filter(m -> !m.isGone()).count();
+  private static long countRentedMachines(SimulatedCluster cluster) {
+    return cluster.cloud.machines().stream().filter(m -> !m.isGone()).count();
   }
 
-  /** What the cloud has refused is looked for elsewhere at once. */
+  /** Capacity that the cloud refuses is requested elsewhere at once. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5011, 5013, 5016})
-  void aRefusalIsKnownAtOnce(long seed) {
-    SimulatedCluster w = world(seed);
-    burst(w);
-    // The plans of two intervals; a refusal is believed for five reports, fifteen seconds.
-    w.run(8000);
-    assertTrue(rented(w) >= 290, rented(w) + " of the 360 machines that the cloud has");
+  void refusedCapacityIsRentedElsewhereAtOnce(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    submitBurst(cluster);
+    // Two planning intervals. A refusal is taken as valid for five report intervals, fifteen
+    // seconds.
+    cluster.run(8000);
+    assertTrue(
+        countRentedMachines(cluster) >= 290,
+        countRentedMachines(cluster) + " machines rented of the 360 that the cloud has");
   }
 
   /**
-   * The first plan that knows of a burst already asks for most of what it needs
+   * The first plan after a burst already rents most of the machines that the burst needs
    * (docs/incidents/cold-burst.md).
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5004, 5014, 5016, 5019, 5031, 5119, 5193})
-  void theFirstPlanIsForTheWholeBurst(long seed) {
-    SimulatedCluster w = world(seed);
-    burst(w);
-    // One interval of plans, and the rental's record and answer.
-    w.run(4000);
-    assertTrue(rented(w) >= 120, rented(w) + " of the 180 spot machines that the cloud has");
+  void theFirstPlanCoversMostOfTheBurst(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    submitBurst(cluster);
+    // One planning interval, plus the time to record the rental and receive the answer.
+    cluster.run(4000);
+    assertTrue(
+        countRentedMachines(cluster) >= 120,
+        countRentedMachines(cluster) + " machines rented; the cloud has 180 spot machines");
   }
 
-  /** A new leader has no plan that stands, and knows of no refusal. */
+  /**
+   * A new leader has neither a plan in force nor a record of refused capacity, and still rents in
+   * time.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5201, 5202, 5203, 5204})
-  void aNewLeaderRentsAsSoon(long seed) {
-    SimulatedCluster w = world(seed);
-    burst(w);
-    w.run(1500);
-    w.leader().crash(3000);
-    w.run(12_000);
-    assertTrue(rented(w) >= 290, rented(w) + " of the 360 machines that the cloud has");
+  void aNewLeaderRentsWithoutDelay(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    submitBurst(cluster);
+    cluster.run(1500);
+    cluster.leader().crash(3000);
+    cluster.run(12_000);
+    assertTrue(
+        countRentedMachines(cluster) >= 290,
+        countRentedMachines(cluster) + " machines rented of the 360 that the cloud has");
   }
 
-  /** What is refused of one type is had of the other, in whichever zone. */
+  /** Capacity that is refused for one machine type is rented as the other type, in any zone. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5301, 5313, 5325, 5331})
   void severalTypesRefusedAtOnce(long seed) {
-    SimulatedCluster w =
+    SimulatedCluster cluster =
         new SimulatedCluster(
             seed,
             new SimulatedCluster.Size(30, 1200, 500, 150),
             false,
             List.of(SimulatedCluster.machineType("t8"), SimulatedCluster.machineType("t9")));
-    w.network.lossProbability = 0;
-    w.users.submissionsStopped = true;
-    w.run(4000);
-    burst(w);
-    w.run(10_000);
-    assertTrue(rented(w) >= 290, rented(w) + " of the 360 machines that the cloud has");
+    cluster.network.lossProbability = 0;
+    cluster.users.submissionsStopped = true;
+    cluster.run(4000);
+    submitBurst(cluster);
+    cluster.run(10_000);
+    assertTrue(
+        countRentedMachines(cluster) >= 290,
+        countRentedMachines(cluster) + " machines rented of the 360 that the cloud has");
   }
 }
--- a/src/test/java/dapplestair/world/CancellationLatency.java
+++ b/src/test/java/dapplestair/world/CancellationLatency.java
@@ -18,37 +18,37 @@
   public static void main(String[] args) {
     int seeds = Integer.parseInt(args[0]);
     measure("none", seeds, d -> {}, d -> {});
-    measure("the leader ends as it is told", seeds, d -> {}, d -> d.old.crash(800));
+    measure("the leader ends as it is told", seeds, d -> {}, d -> d.oldLeader.crash(800));
     measure(
         "the leader is refused, then all",
         seeds,
-        CancellationOutageTest::refuse,
-        d -> d.w.state.beginOutage());
+        CancellationOutageTest::refuseOldLeader,
+        d -> d.cluster.state.beginOutage());
     measure(
         "the same, links between controllers refused",
         seeds,
         d -> {
-          CancellationOutageTest.refuse(d);
-          d.links("refused", true);
+          CancellationOutageTest.refuseOldLeader(d);
+          d.cutLinks("refused", true);
         },
-        d -> d.w.state.beginOutage());
+        d -> d.cluster.state.beginOutage());
     measure(
         "the same, who confirmed ends at once",
         seeds,
         d -> {
-          CancellationOutageTest.refuse(d);
-          d.links("refused", true);
+          CancellationOutageTest.refuseOldLeader(d);
+          d.cutLinks("refused", true);
         },
         d -> {
-          d.w.state.beginOutage();
+          d.cluster.state.beginOutage();
           d.second.crash(800);
         });
     measure(
         "a tenth of the machines deaf",
         seeds,
         d ->
-            d.w.cloud.machines().stream()
-                .filter(m -> d.w.sim.chance(0.1))
+            d.cluster.cloud.machines().stream()
+                .filter(m -> d.cluster.sim.chance(0.1))
                 .forEach(m -> m.cutInbound(SimulatedCluster.LEASE_MS)),
         d -> {});
   }
@@ -56,23 +56,23 @@
   private static void measure(
       String faultName,
       int seeds,
-      Consumer<CancellationOutageTest.Day> beforeCancellation,
-      Consumer<CancellationOutageTest.Day> afterCancellation) {
+      Consumer<CancellationOutageTest.Scenario> beforeCancellation,
+      Consumer<CancellationOutageTest.Scenario> afterCancellation) {
     Histogram latenciesMs = new Histogram(SimulatedCluster.CANCEL_DEADLINE_MS * 4, 3);
     for (int i = 0; i < seeds; i++) {
-      CancellationOutageTest.Day day = new CancellationOutageTest.Day(8700 + i);
+      CancellationOutageTest.Scenario day = new CancellationOutageTest.Scenario(8700 + i);
       beforeCancellation.accept(day);
-      day.cancel(day.second);
+      day.cancelJobs(day.second);
       afterCancellation.accept(day);
       Map<SimulatedUsers.KnownJob, Long> stoppedAtMs = new HashMap<>();
-      long endMs = day.w.sim.now() + SimulatedCluster.CANCEL_DEADLINE_MS;
-      while (day.w.sim.now() < endMs && stoppedAtMs.size() < day.cancelled.size()) {
+      long endMs = day.cluster.sim.now() + SimulatedCluster.CANCEL_DEADLINE_MS;
+      while (day.cluster.sim.now() < endMs && stoppedAtMs.size() < day.cancelled.size()) {
         for (SimulatedUsers.KnownJob job : day.cancelled) {
           if (day.running(job) == 0) {
-            stoppedAtMs.putIfAbsent(job, day.w.sim.now());
+            stoppedAtMs.putIfAbsent(job, day.cluster.sim.now());
           }
         }
-        day.w.run(SAMPLE_INTERVAL_MS);
+        day.cluster.run(SAMPLE_INTERVAL_MS);
       }
       for (SimulatedUsers.KnownJob job : day.cancelled) {
         latenciesMs.recordValue(
--- a/src/test/java/dapplestair/world/CancellationOutageTest.java
+++ b/src/test/java/dapplestair/world/CancellationOutageTest.java
@@ -13,58 +13,58 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The state service refuses the leader alone, another controller confirms cancellations, then it is
- * out for all for longer than {@code cancel_s} while the workers report to the old leader. That the
- * tasks are gone in time is checked by the checker's {@code ran_cancelled}, from the user's answer
- * on (docs/cancellations.md).
+ * The state service refuses only the leader, another controller confirms cancellations, and then
+ * the state service is unavailable to all for longer than {@code cancel_s} while the workers report
+ * to the old leader. The invariant {@code ran_cancelled} checks that the tasks end in time, counted
+ * from the answer to the user (docs/cancellations.md).
  */
 class CancellationOutageTest {
-  private static final int MOST_WAITS = 30;
+  private static final int MAX_WAITS = 30;
 
-  /** Jobs of every kind that run for longer than the outage. */
-  static final class Day {
-    final SimulatedCluster w;
-    final SimulatedCluster.ControllerNode old;
+  /** Runs jobs of every kind that last longer than the outage. */
+  static final class Scenario {
+    final SimulatedCluster cluster;
+    final SimulatedCluster.ControllerNode oldLeader;
     final SimulatedCluster.ControllerNode second;
     final SimulatedCluster.ControllerNode third;
     final List<SimulatedUsers.KnownJob> cancelled = new ArrayList<>();
-    final List<SimulatedUsers.KnownJob> kept = new ArrayList<>();
+    final List<SimulatedUsers.KnownJob> otherJobs = new ArrayList<>();
 
-    Day(long seed) {
-      this(DisruptionTest.begun(seed, 5, 5));
+    Scenario(long seed) {
+      this(DisruptionTest.startServices(seed, 5, 5));
     }
 
-    Day(SimulatedCluster begun) {
-      w = begun;
-      w.checker.teamDisruptionBudget = null;
-      w.run(20_000);
-      old = w.leader();
-      second = w.nodes.get((old.index + 1) % 3);
-      third = w.nodes.get((old.index + 2) % 3);
+    Scenario(SimulatedCluster startedCluster) {
+      cluster = startedCluster;
+      cluster.checker.teamDisruptionBudget = null;
+      cluster.run(20_000);
+      oldLeader = cluster.leader();
+      second = cluster.nodes.get((oldLeader.index + 1) % 3);
+      third = cluster.nodes.get((oldLeader.index + 2) % 3);
       for (int i = 0; i < 2; i++) {
-        List<SimulatedUsers.KnownJob> to = i == 0 ? cancelled : kept;
-        // First, so that it makes its room before the others have theirs.
-        to.add(w.users.submitService("one", 3));
-        w.run(4000);
-        to.add(w.users.submitArray("one", "high", 8, 150));
+        List<SimulatedUsers.KnownJob> jobs = i == 0 ? cancelled : otherJobs;
+        // The service comes first so that it makes its room before the other jobs are placed.
+        jobs.add(cluster.users.submitService("one", 3));
+        cluster.run(4000);
+        jobs.add(cluster.users.submitArray("one", "high", 8, 150));
         if (i == 0) {
-          to.add(w.users.submitModifiedArray("two", 6, 150, b -> b.put("shape", "gang")));
+          jobs.add(cluster.users.submitModifiedArray("two", 6, 150, b -> b.put("shape", "gang")));
         }
-        to.add(
-            w.users.submitModifiedArray(
+        jobs.add(
+            cluster.users.submitModifiedArray(
                 "two", 6, 150, b -> b.put("snapshotEveryS", 20.0).put("snapshotS", 3.0)));
-        to.add(w.users.submitArray("one", "high", 1, 150));
+        jobs.add(cluster.users.submitArray("one", "high", 1, 150));
       }
-      w.run(12_000);
-      for (int i = 0; i < MOST_WAITS && cancelled.stream().anyMatch(t -> running(t) == 0); i++) {
-        // A gang whose member had to go begins anew as a whole.
-        w.run(1000);
+      cluster.run(12_000);
+      for (int i = 0; i < MAX_WAITS && cancelled.stream().anyMatch(t -> running(t) == 0); i++) {
+        // A gang that lost a member to an eviction starts again as a whole.
+        cluster.run(1000);
       }
       cancelled.forEach(t -> assertTrue(running(t) > 0, t.ref + " does not run"));
     }
 
     long running(SimulatedUsers.KnownJob job) {
-      return w.cloud.machines().stream()
+      return cluster.cloud.machines().stream()
           .filter(m -> !m.isGone())
           .flatMap(m -> m.tasks().stream())
           .filter(t -> t.isOnMachine() && t.key().startsWith(job.ref + "/"))
@@ -75,64 +75,64 @@
       return jobs.stream().mapToLong(this::running).sum();
     }
 
-    /** Every second machine that runs a task of a job that is to be cancelled. */
-    void troubleEverySecond(MachineFault fault, long ms) {
+    /** Injects a fault on every second machine that runs tasks of the jobs to be cancelled. */
+    void injectFaultOnEverySecondMachine(MachineFault fault, long durationMs) {
       List<EmulatedWorker> machines =
-          w.cloud.machines().stream()
-              .filter(m -> !m.isGone() && m.tasks().stream().anyMatch(this::toBeCancelled))
+          cluster.cloud.machines().stream()
+              .filter(m -> !m.isGone() && m.tasks().stream().anyMatch(this::belongsToCancelledJob))
               .toList();
-      assertTrue(machines.size() > 1, "hardly a machine runs what is to be cancelled");
+      assertTrue(machines.size() > 1, "too few machines run tasks to cancel");
       for (int i = 0; i < machines.size(); i += 2) {
-        fault.inject(w, machines.get(i), ms);
+        fault.inject(cluster, machines.get(i), durationMs);
       }
     }
 
-    private boolean toBeCancelled(EmulatedTask t) {
+    private boolean belongsToCancelledJob(EmulatedTask t) {
       return t.isOnMachine() && cancelled.stream().anyMatch(j -> t.key().startsWith(j.ref + "/"));
     }
 
-    /** A part of all machines hang past their lease, with what runs on them. */
-    void stallEveryThird() {
+    /** Stalls every third machine, with its tasks, past the end of its lease. */
+    void stallEveryThirdMachine() {
       int i = 0;
-      for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
+      for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
         if (!m.isGone() && i++ % 3 == 0) {
           m.stall(SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
         }
       }
     }
 
-    private void links(
-        SimulatedCluster.ControllerNode a, SimulatedCluster.ControllerNode b, String how) {
-      if (how.equals("refused") || how.equals("held")) {
-        w.network.cut("node-" + a.index, "node-" + b.index, how.equals("held"));
+    private void cutLinks(
+        SimulatedCluster.ControllerNode a, SimulatedCluster.ControllerNode b, String fault) {
+      if (fault.equals("refused") || fault.equals("held")) {
+        cluster.network.cut("node-" + a.index, "node-" + b.index, fault.equals("held"));
       }
     }
 
-    /** Those of the old leader to both others, and theirs to each other if {@code all}. */
-    void links(String how, boolean all) {
-      links(old, second, how);
-      links(old, third, how);
-      if (all) {
-        links(second, third, how);
+    /** Cuts the old leader off from both others, and these from each other if {@code allLinks}. */
+    void cutLinks(String fault, boolean allLinks) {
+      cutLinks(oldLeader, second, fault);
+      cutLinks(oldLeader, third, fault);
+      if (allLinks) {
+        cutLinks(second, third, fault);
       }
     }
 
     void healLinks() {
-      for (SimulatedCluster.ControllerNode a : w.nodes) {
-        for (SimulatedCluster.ControllerNode b : w.nodes) {
+      for (SimulatedCluster.ControllerNode a : cluster.nodes) {
+        for (SimulatedCluster.ControllerNode b : cluster.nodes) {
           if (a != b) {
-            w.network.heal("node-" + a.index, "node-" + b.index);
+            cluster.network.heal("node-" + a.index, "node-" + b.index);
           }
         }
       }
     }
 
-    void cancel(SimulatedCluster.ControllerNode at) {
+    void cancelJobs(SimulatedCluster.ControllerNode node) {
       for (int i = 0; i < 55 && cancelled.stream().anyMatch(t -> !t.aborted); i++) {
         if (i % 20 == 0) {
-          cancelled.stream().filter(t -> !t.aborted).forEach(t -> w.users.cancelAt(t, at));
+          cancelled.stream().filter(t -> !t.aborted).forEach(t -> cluster.users.cancelAt(t, node));
         }
-        w.run(20);
+        cluster.run(20);
       }
       cancelled.forEach(
           t ->
@@ -141,31 +141,31 @@
                   t.ref + " accepted " + t.accepted + " is not confirmed before the outage"));
     }
 
-    /** The outage, for twice as long as cancelled work may live; then all calms down. */
-    void outage(Consumer<Day> meanwhile) {
-      w.state.beginOutage();
-      meanwhile.accept(this);
-      w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
-      assertEquals(0, running(cancelled), "cancelled tasks");
-      w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
-      w.state.setRefused("node-" + old.index, false);
-      w.state.endOutage();
+    /** Runs an outage of twice the time that cancelled tasks may live, and recovers. */
+    void runOutage(Consumer<Scenario> duringOutage) {
+      cluster.state.beginOutage();
+      duringOutage.accept(this);
+      cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS);
+      assertEquals(0, running(cancelled), "cancelled tasks still run");
+      cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS);
+      cluster.state.setRefused("node-" + oldLeader.index, false);
+      cluster.state.endOutage();
       healLinks();
-      // What was lost with a lease begins again, a gang as a whole.
-      w.run(160_000);
-      assertEquals(0, running(cancelled), "cancelled tasks");
-      SeededDaysTest.settle(w);
+      // Tasks lost with a lease start again, a gang as a whole.
+      cluster.run(160_000);
+      assertEquals(0, running(cancelled), "cancelled tasks still run");
+      SeededDaysTest.settle(cluster);
     }
   }
 
-  static void refuse(Day d) {
-    d.w.state.setRefused("node-" + d.old.index, true);
-    d.w.run(200);
+  static void refuseOldLeader(Scenario test) {
+    test.cluster.state.setRefused("node-" + test.oldLeader.index, true);
+    test.cluster.run(200);
   }
 
   /**
-   * The confirming controller is a follower: the outage comes before another one leads. It ends so
-   * many milliseconds after it has confirmed, or not at all (-1), and so may the old leader.
+   * The confirming controller is a follower: the outage begins before another controller leads. The
+   * follower and the old leader may end at the given times after its begin (-1: not at all).
    */
   @ParameterizedTest(name = "seed {0}, links {1}, it ends after {2} ms, the old leader after {3}")
   @CsvSource({
@@ -185,24 +185,24 @@
     "8014,refused,50,3000",
     "8015,held,-1,500"
   })
-  void confirmedByAFollower(long seed, String links, long ends, long oldEnds) {
-    Day d = new Day(seed);
-    refuse(d);
-    d.links(links, true);
-    d.cancel(d.second);
-    assertEquals(d.old, d.w.leader());
-    d.outage(
+  void confirmedByAFollower(long seed, String links, long endsAfterMs, long oldLeaderEndsAfterMs) {
+    Scenario test = new Scenario(seed);
+    refuseOldLeader(test);
+    test.cutLinks(links, true);
+    test.cancelJobs(test.second);
+    assertEquals(test.oldLeader, test.cluster.leader());
+    test.runOutage(
         x -> {
-          if (ends >= 0) {
-            d.w.sim.after(ends, () -> d.second.crash(800));
+          if (endsAfterMs >= 0) {
+            test.cluster.sim.after(endsAfterMs, () -> test.second.crash(800));
           }
-          if (oldEnds >= 0) {
-            d.w.sim.after(oldEnds, () -> d.old.crash(800));
+          if (oldLeaderEndsAfterMs >= 0) {
+            test.cluster.sim.after(oldLeaderEndsAfterMs, () -> test.oldLeader.crash(800));
           }
         });
   }
 
-  /** The confirming controller leads by now, and reaches no worker before the outage. */
+  /** The confirming controller already leads but reaches no worker before the outage. */
   @ParameterizedTest(name = "seed {0}, links {1}, it ends after {2} ms")
   @CsvSource({
     "8021,whole,-1",
@@ -212,64 +212,65 @@
     "8025,held,250",
     "8026,held,-1"
   })
-  void confirmedByTheNextLeader(long seed, String links, long ends) {
-    Day d = new Day(seed);
-    for (EmulatedWorker m : d.w.cloud.machines()) {
-      for (SimulatedCluster.ControllerNode n : List.of(d.second, d.third)) {
-        d.w.network.cut("node-" + n.index, m.endpoint(), true);
-        d.w.network.cut(SimulatedCluster.clientAddress(n.index), m.endpoint(), true);
+  void confirmedByTheNextLeader(long seed, String links, long endsAfterMs) {
+    Scenario test = new Scenario(seed);
+    for (EmulatedWorker m : test.cluster.cloud.machines()) {
+      for (SimulatedCluster.ControllerNode n : List.of(test.second, test.third)) {
+        test.cluster.network.cut("node-" + n.index, m.endpoint(), true);
+        test.cluster.network.cut(SimulatedCluster.clientAddress(n.index), m.endpoint(), true);
       }
     }
-    refuse(d);
-    d.links(links, false);
-    d.w.run(4000);
-    SimulatedCluster.ControllerNode leader = d.w.leader();
-    assertTrue(leader != null && leader != d.old, "nobody else leads");
-    d.cancel(leader);
-    d.outage(
+    refuseOldLeader(test);
+    test.cutLinks(links, false);
+    test.cluster.run(4000);
+    SimulatedCluster.ControllerNode leader = test.cluster.leader();
+    assertTrue(leader != null && leader != test.oldLeader, "no other controller leads");
+    test.cancelJobs(leader);
+    test.runOutage(
         x -> {
-          if (ends >= 0) {
-            d.w.sim.after(ends, () -> leader.crash(800));
+          if (endsAfterMs >= 0) {
+            test.cluster.sim.after(endsAfterMs, () -> leader.crash(800));
           }
-          d.w.sim.after(
+          test.cluster.sim.after(
               SimulatedCluster.LEASE_MS,
               () -> {
-                for (EmulatedWorker m : d.w.cloud.machines()) {
-                  for (SimulatedCluster.ControllerNode n : List.of(d.second, d.third)) {
-                    d.w.network.heal("node-" + n.index, m.endpoint());
-                    d.w.network.heal(SimulatedCluster.clientAddress(n.index), m.endpoint());
+                for (EmulatedWorker m : test.cluster.cloud.machines()) {
+                  for (SimulatedCluster.ControllerNode n : List.of(test.second, test.third)) {
+                    test.cluster.network.heal("node-" + n.index, m.endpoint());
+                    test.cluster.network.heal(
+                        SimulatedCluster.clientAddress(n.index), m.endpoint());
                   }
                 }
               });
         });
   }
 
-  /** The first layer: who confirms tells, and the old leader ends the tasks at once. */
+  /** First layer: the confirming controller tells the old leader, which ends the tasks at once. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8101, 8102})
-  void whoConfirmsTells(long seed) {
-    Day d = new Day(seed);
-    refuse(d);
-    d.cancel(d.second);
-    d.w.state.beginOutage();
-    d.w.run(SimulatedCluster.REPORT_INTERVAL_MS);
-    assertEquals(0, d.running(d.cancelled), "cancelled tasks");
+  void theConfirmingControllerTellsTheOldLeader(long seed) {
+    Scenario test = new Scenario(seed);
+    refuseOldLeader(test);
+    test.cancelJobs(test.second);
+    test.cluster.state.beginOutage();
+    test.cluster.run(SimulatedCluster.REPORT_INTERVAL_MS);
+    assertEquals(0, test.running(test.cancelled), "cancelled tasks still run");
   }
 
-  /** The second layer: nobody can be told, so who confirmed ends the tasks on their machines. */
+  /** Second layer: no peer can be told, so the confirming controller ends the tasks itself. */
   @ParameterizedTest(name = "seed {0}, links {1}")
   @CsvSource({"8103,refused", "8104,held"})
-  void whoConfirmsActs(long seed, String links) {
-    Day d = new Day(seed);
-    refuse(d);
-    d.links(links, true);
-    d.cancel(d.second);
-    d.w.state.beginOutage();
-    d.w.run(SimulatedCluster.CANCEL_DEADLINE_MS / 2);
-    assertEquals(0, d.running(d.cancelled), "cancelled tasks");
+  void theConfirmingControllerEndsTheTasksItself(long seed, String links) {
+    Scenario test = new Scenario(seed);
+    refuseOldLeader(test);
+    test.cutLinks(links, true);
+    test.cancelJobs(test.second);
+    test.cluster.state.beginOutage();
+    test.cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS / 2);
+    assertEquals(0, test.running(test.cancelled), "cancelled tasks still run");
   }
 
-  /** Launches are on the wire while their jobs are cancelled, and arrive any time later. */
+  /** Launches are in flight while their jobs are cancelled, and arrive at any later time. */
   @ParameterizedTest(name = "seed {0}, arriving after {1} ms, links {2}")
   @CsvSource({
     "8031,1000,whole",
@@ -282,111 +283,122 @@
     "8038,60000,refused",
     "8039,40000,held"
   })
-  void launchesInFlight(long seed, long arriveMs, String links) {
-    Day d = new Day(seed);
+  void launchesThatArriveAfterTheCancellation(long seed, long arriveAfterMs, String links) {
+    Scenario test = new Scenario(seed);
     List<String> machines =
-        d.w.cloud.machines().stream().filter(m -> !m.isGone()).map(m -> m.endpoint()).toList();
-    machines.forEach(m -> d.w.network.cut("node-" + d.old.index, m, true));
-    // As many as a follower's puts take in the time; the others are cancelled in the end.
-    List<SimulatedUsers.KnownJob> later = List.copyOf(d.cancelled);
-    d.cancelled.clear();
+        test.cluster.cloud.machines().stream()
+            .filter(m -> !m.isGone())
+            .map(m -> m.endpoint())
+            .toList();
+    machines.forEach(m -> test.cluster.network.cut("node-" + test.oldLeader.index, m, true));
+    // Only as many jobs as a follower's puts can cancel in time; the rest are cancelled later.
+    List<SimulatedUsers.KnownJob> otherCancelled = List.copyOf(test.cancelled);
+    test.cancelled.clear();
     for (int i = 0; i < 4; i++) {
-      d.cancelled.add(d.w.users.submitArray("one", "high", 4, 150));
+      test.cancelled.add(test.cluster.users.submitArray("one", "high", 4, 150));
     }
-    d.w.run(1200);
-    refuse(d);
-    d.links(links, false);
-    d.cancel(d.second);
-    d.w.sim.after(
-        5 * SimulatedCluster.CANCEL_DEADLINE_MS / 2, () -> later.forEach(d.w.users::cancel));
-    d.outage(
+    test.cluster.run(1200);
+    refuseOldLeader(test);
+    test.cutLinks(links, false);
+    test.cancelJobs(test.second);
+    test.cluster.sim.after(
+        5 * SimulatedCluster.CANCEL_DEADLINE_MS / 2,
+        () -> otherCancelled.forEach(test.cluster.users::cancel));
+    test.runOutage(
         x ->
-            d.w.sim.after(
-                arriveMs, () -> machines.forEach(m -> d.w.network.heal("node-" + d.old.index, m))));
+            test.cluster.sim.after(
+                arriveAfterMs,
+                () ->
+                    machines.forEach(
+                        m -> test.cluster.network.heal("node-" + test.oldLeader.index, m))));
   }
 
-  /** Some machines with cancelled work hear nothing, or hang, or both, in turn. */
+  /** Machines with cancelled tasks receive nothing or hang, or the two alternate. */
   @ParameterizedTest(name = "seed {0}, {1}")
   @CsvSource({"8041,deaf", "8042,deaf", "8043,hang", "8044,hang", "8045,both", "8046,both"})
-  void machinesThatDoNotObey(long seed, String how) {
-    Day d = new Day(seed);
-    refuse(d);
-    d.cancel(d.second);
+  void machinesThatCannotBeReachedOrHang(long seed, String fault) {
+    Scenario test = new Scenario(seed);
+    refuseOldLeader(test);
+    test.cancelJobs(test.second);
     int i = 0;
-    for (EmulatedWorker m : d.w.cloud.machines()) {
+    for (EmulatedWorker m : test.cluster.cloud.machines()) {
       if (!m.isGone() && m.tasks().stream().anyMatch(EmulatedTask::isOnMachine) && i++ % 2 == 0) {
-        if (how.equals("hang") || how.equals("both") && i % 4 == 1) {
+        if (fault.equals("hang") || fault.equals("both") && i % 4 == 1) {
           m.hang(SimulatedCluster.LEASE_MS * 9 / 10);
         } else {
           m.cutInbound(SimulatedCluster.LEASE_MS * 9 / 10);
         }
       }
     }
-    d.outage(x -> {});
+    test.runOutage(x -> {});
   }
 
-  /** The state service does not refuse the old leader, it does not answer it. */
+  /** The state service does not refuse the old leader but leaves it without an answer. */
   @ParameterizedTest(name = "seed {0}, held back: {1}")
   @CsvSource({"8051,true", "8052,false", "8053,true"})
-  void noAnswerInsteadOfARefusal(long seed, boolean hold) {
-    Day d = new Day(seed);
-    d.w.network.cut("node-" + d.old.index, "state:1", hold);
-    d.w.run(200);
-    d.cancel(d.second);
-    d.outage(
+  void theStateServiceDoesNotAnswerTheOldLeader(long seed, boolean hold) {
+    Scenario test = new Scenario(seed);
+    test.cluster.network.cut("node-" + test.oldLeader.index, "state:1", hold);
+    test.cluster.run(200);
+    test.cancelJobs(test.second);
+    test.runOutage(
         x ->
-            d.w.sim.after(
+            test.cluster.sim.after(
                 SimulatedCluster.CANCEL_DEADLINE_MS,
-                () -> d.w.network.heal("node-" + d.old.index, "state:1")));
+                () -> test.cluster.network.heal("node-" + test.oldLeader.index, "state:1")));
   }
 
-  /** All controllers end in the outage: nobody remembers, so no lease is kept that must end. */
+  /** All controllers end in the outage: none remembers the cancellations, so none keeps leases. */
   @ParameterizedTest(name = "seed {0}, after {1} ms")
   @CsvSource({"8061,0", "8062,300", "8063,8000"})
-  void allEnd(long seed, long after) {
-    Day d = new Day(seed);
-    refuse(d);
-    d.cancel(d.second);
-    d.outage(x -> d.w.sim.after(after, () -> d.w.nodes.forEach(n -> n.crash(700))));
+  void allControllersEndInTheOutage(long seed, long afterMs) {
+    Scenario test = new Scenario(seed);
+    refuseOldLeader(test);
+    test.cancelJobs(test.second);
+    test.runOutage(
+        x -> test.cluster.sim.after(afterMs, () -> test.cluster.nodes.forEach(n -> n.crash(700))));
   }
 
-  /** In an outage of all, with controllers that reach each other, nothing else is lost. */
+  /** An outage for all, with controllers that reach each other, loses no other tasks. */
   @ParameterizedTest(name = "seed {0}, the leader refused before: {1}")
   @CsvSource({"8071,false", "8072,true", "8073,true"})
-  void aCommonOutageCostsNothing(long seed, boolean refused) {
-    Day d = new Day(seed);
-    int byLease = d.w.cloud.tasksKilledByLease();
-    int byRelease = d.w.cloud.tasksKilledByRelease();
-    if (refused) {
-      refuse(d);
-      d.cancel(d.second);
+  void anOutageForAllLosesNoOtherTasks(long seed, boolean leaderRefused) {
+    Scenario test = new Scenario(seed);
+    int byLeaseBefore = test.cluster.cloud.tasksKilledByLease();
+    int byReleaseBefore = test.cluster.cloud.tasksKilledByRelease();
+    if (leaderRefused) {
+      refuseOldLeader(test);
+      test.cancelJobs(test.second);
     }
-    List<SimulatedUsers.KnownJob> others = refused ? d.kept : d.cancelled;
-    long before = d.running(others);
-    d.w.state.beginOutage();
-    d.w.run(2 * SimulatedCluster.CANCEL_DEADLINE_MS);
-    assertEquals(before, d.running(others), "tasks of other jobs");
-    assertEquals(byLease, d.w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
-    assertEquals(byRelease, d.w.cloud.tasksKilledByRelease(), "tasks killed by returns");
-    d.w.state.setRefused("node-" + d.old.index, false);
-    d.w.state.endOutage();
-    SeededDaysTest.settle(d.w);
+    List<SimulatedUsers.KnownJob> others = leaderRefused ? test.otherJobs : test.cancelled;
+    long runningBefore = test.running(others);
+    test.cluster.state.beginOutage();
+    test.cluster.run(2 * SimulatedCluster.CANCEL_DEADLINE_MS);
+    assertEquals(runningBefore, test.running(others), "running tasks of other jobs");
+    assertEquals(
+        byLeaseBefore, test.cluster.cloud.tasksKilledByLease(), "tasks killed at lease end");
+    assertEquals(
+        byReleaseBefore, test.cluster.cloud.tasksKilledByRelease(), "tasks killed by release");
+    test.cluster.state.setRefused("node-" + test.oldLeader.index, false);
+    test.cluster.state.endOutage();
+    SeededDaysTest.settle(test.cluster);
   }
 
-  /** A controller that is cut off from all others keeps no lease for longer than it may. */
+  /** A controller that is cut off from all others renews leases no longer than it may. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8081, 8082})
-  void whoHearsNobodyLetsGo(long seed) {
-    Day d = new Day(seed);
-    d.w.state.beginOutage();
-    new RandomFaults(d.w)
-        .isolateFromPeersAndState(d.old, false, 2 * SimulatedCluster.CANCEL_DEADLINE_MS);
-    new RandomFaults(d.w)
-        .isolateFromPeersAndState(d.second, false, 2 * SimulatedCluster.CANCEL_DEADLINE_MS);
-    d.w.run(SimulatedCluster.CANCEL_DEADLINE_MS * 11 / 10);
-    assertEquals(0, d.running(d.cancelled) + d.running(d.kept), "tasks on kept leases");
-    d.w.state.endOutage();
-    d.w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
-    SeededDaysTest.settle(d.w);
+  void isolatedControllersReleaseTheirLeases(long seed) {
+    Scenario test = new Scenario(seed);
+    test.cluster.state.beginOutage();
+    new RandomFaults(test.cluster)
+        .isolateFromPeersAndState(test.oldLeader, false, 2 * SimulatedCluster.CANCEL_DEADLINE_MS);
+    new RandomFaults(test.cluster)
+        .isolateFromPeersAndState(test.second, false, 2 * SimulatedCluster.CANCEL_DEADLINE_MS);
+    test.cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS * 11 / 10);
+    assertEquals(
+        0, test.running(test.cancelled) + test.running(test.otherJobs), "tasks still running");
+    test.cluster.state.endOutage();
+    test.cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS);
+    SeededDaysTest.settle(test.cluster);
   }
 }
--- a/src/test/java/dapplestair/world/HandoverTest.java
+++ b/src/test/java/dapplestair/world/HandoverTest.java
@@ -10,11 +10,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Jobs are cancelled in the seconds in which the leader's work changes hands: some run, some are
- * being launched, and of some the last task ends just then.
+ * Jobs are cancelled in the seconds around a leader change: some run, some are being launched, and
+ * the last task of some ends at that time.
  */
 class HandoverTest {
-  /** Cancelled so many milliseconds after the change begins, or before it. */
+  /**
+   * Cancels the jobs {@code cancelAfterMs} after the change begins; a negative value is before it.
+   */
   @ParameterizedTest(name = "seed {0}, {1}, cancelled at {2} ms")
   @CsvSource({
     "11101,PLANNED,-400",
@@ -44,68 +46,76 @@
     "11125,REFUSED,30",
     "11126,REFUSED,2000"
   })
-  void cancelledWhileTheLeadChanges(long seed, LeaderChange change, long cancelledMs) {
-    play(seed, change, cancelledMs);
+  void jobsCancelledDuringALeaderChange(long seed, LeaderChange change, long cancelAfterMs) {
+    run(seed, change, cancelAfterMs);
   }
 
-  static SimulatedCluster play(long seed, LeaderChange change, long cancelledMs) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    SimulatedCluster w = d.w;
-    long at = w.sim.now() + 6000;
-    List<SimulatedUsers.KnownJob> ending = new ArrayList<>();
+  static SimulatedCluster run(long seed, LeaderChange change, long cancelAfterMs) {
+    CancellationOutageTest.Scenario scenario = new CancellationOutageTest.Scenario(seed);
+    SimulatedCluster cluster = scenario.cluster;
+    long changeAtMs = cluster.sim.now() + 6000;
+    List<SimulatedUsers.KnownJob> endingJobs = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      // Tasks last a tenth more or less than their users guess, and begin about a second later.
-      ending.add(w.users.submitArray("one", "high", 1 + i % 3, 5));
+      // Tasks last up to a tenth more or less than their users estimate, and begin about a second
+      // later.
+      endingJobs.add(cluster.users.submitArray("one", "high", 1 + i % 3, 5));
     }
-    w.sim.after(at - 400 - w.sim.now(), () -> launch(w, d.cancelled));
-    w.sim.after(at - w.sim.now(), () -> change.inject(w));
-    w.sim.after(
-        at + cancelledMs - w.sim.now(),
+    cluster.sim.after(
+        changeAtMs - 400 - cluster.sim.now(), () -> launchJobs(cluster, scenario.cancelled));
+    cluster.sim.after(changeAtMs - cluster.sim.now(), () -> change.inject(cluster));
+    cluster.sim.after(
+        changeAtMs + cancelAfterMs - cluster.sim.now(),
         () -> {
-          d.cancelled.forEach(w.users::cancel);
-          ending.forEach(w.users::cancel);
+          scenario.cancelled.forEach(cluster.users::cancel);
+          endingJobs.forEach(cluster.users::cancel);
         });
-    w.run(30_000);
-    d.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
-    ending.forEach(t -> assertTrue(t.aborted || t.done, t.ref + " is neither done nor cancelled"));
-    w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
-    assertEquals(0, d.running(d.cancelled), "cancelled tasks");
-    w.run(60_000);
-    SeededDaysTest.settle(w);
-    return w;
+    cluster.run(30_000);
+    scenario.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
+    endingJobs.forEach(
+        t -> assertTrue(t.aborted || t.done, t.ref + " is neither done nor cancelled"));
+    cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS);
+    assertEquals(0, scenario.running(scenario.cancelled), "cancelled tasks still run");
+    cluster.run(60_000);
+    SeededDaysTest.settle(cluster);
+    return cluster;
   }
 
   /**
-   * Nobody leads when users are told, and the state service is out some milliseconds after the next
-   * leader has won: it may not have read yet what jobs that are over have on machines.
+   * No controller leads when users get their confirmations, and the state service fails some
+   * milliseconds after the next leader is elected: that leader may not have read yet which tasks of
+   * ended jobs are on machines.
    */
   @ParameterizedTest(name = "out {0} ms after the next leader has won")
   @ValueSource(ints = {3, 5, 9, 11})
-  void outAsTheNextOneBegins(int ms) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(12200 + ms);
-    SimulatedCluster w = d.w;
-    d.stallEveryThird();
-    d.old.crash(9000);
-    d.cancelled.forEach(t -> w.users.cancelAt(t, d.second));
-    w.run(150);
-    while (w.leader() == null || w.leader() == d.old) {
-      w.run(1);
+  void stateServiceFailsAsTheNextLeaderBegins(int outageAfterMs) {
+    CancellationOutageTest.Scenario scenario =
+        new CancellationOutageTest.Scenario(12200 + outageAfterMs);
+    SimulatedCluster cluster = scenario.cluster;
+    scenario.stallEveryThirdMachine();
+    scenario.oldLeader.crash(9000);
+    scenario.cancelled.forEach(t -> cluster.users.cancelAt(t, scenario.second));
+    cluster.run(150);
+    while (cluster.leader() == null || cluster.leader() == scenario.oldLeader) {
+      cluster.run(1);
     }
-    w.run(ms);
-    w.state.beginOutage();
-    w.run(SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
-    w.state.endOutage();
-    w.run(90_000);
-    SeededDaysTest.settle(w);
+    cluster.run(outageAfterMs);
+    cluster.state.beginOutage();
+    cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
+    cluster.state.endOutage();
+    cluster.run(90_000);
+    SeededDaysTest.settle(cluster);
   }
 
-  /** Arrays, a gang, a service and jobs of one task, whose launches are on their way. */
-  private static void launch(SimulatedCluster w, List<SimulatedUsers.KnownJob> to) {
-    to.add(w.users.submitArray("one", "high", 4, 150));
-    to.add(w.users.submitModifiedArray("two", 3, 150, b -> b.put("shape", "gang")));
-    to.add(w.users.submitService("two", 3));
+  /**
+   * Submits arrays, a gang, a service and jobs of one task, whose launches are in flight at the
+   * change.
+   */
+  private static void launchJobs(SimulatedCluster cluster, List<SimulatedUsers.KnownJob> jobs) {
+    jobs.add(cluster.users.submitArray("one", "high", 4, 150));
+    jobs.add(cluster.users.submitModifiedArray("two", 3, 150, b -> b.put("shape", "gang")));
+    jobs.add(cluster.users.submitService("two", 3));
     for (int i = 0; i < 4; i++) {
-      to.add(w.users.submitArray("two", "high", 1, 150));
+      jobs.add(cluster.users.submitArray("two", "high", 1, 150));
     }
   }
 }
--- a/src/test/java/dapplestair/world/IsolatedControllerTest.java
+++ b/src/test/java/dapplestair/world/IsolatedControllerTest.java
@@ -9,21 +9,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Controllers that lose the state service and each other, but not their workers, and processes that
- * are back within a fraction of a second (docs/known.md).
+ * Tests controllers that lose the state service and each other but not their workers, and processes
+ * that restart within a fraction of a second (docs/known.md).
  */
 class IsolatedControllerTest {
-  private static final long LONG_MS = 2 * SimulatedCluster.LEASE_MS;
+  private static final long ISOLATION_MS = 2 * SimulatedCluster.LEASE_MS;
 
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
-    w.checker.teamDisruptionBudget = null;
-    return w;
+  private static SimulatedCluster startServices(long seed) {
+    SimulatedCluster cluster = DisruptionTest.startServices(seed, 5, 5);
+    cluster.checker.teamDisruptionBudget = null;
+    return cluster;
   }
 
-  private static int up(SimulatedCluster w, SimulatedCluster.ControllerNode node) {
+  private static int requestUpStatus(
+      SimulatedCluster cluster, SimulatedCluster.ControllerNode node) {
     int[] status = {0};
-    w.network.call(
+    cluster.network.call(
         "balancer",
         SimulatedCluster.clientAddress(node.index),
         "GET",
@@ -31,94 +32,123 @@
         null,
         1000,
         r -> status[0] = r.status());
-    w.run(1000);
+    cluster.run(1000);
     return status[0];
   }
 
-  /** Another one leads, workers go over to it with all that they run, and users are sent away. */
+  /**
+   * Another controller leads, the workers move to it with all of their tasks, and the isolated
+   * controller sends users away.
+   */
   @ParameterizedTest(name = "seed {0}, {1} of them led, held back: {2}")
   @CsvSource({"6201,1,false", "6202,1,true", "6203,0,false", "6204,0,true", "6205,1,false"})
-  void aLoneControllerLetsGo(long seed, int led, boolean hold) {
-    SimulatedCluster w = begun(seed);
-    SimulatedCluster.ControllerNode leader = w.leader();
-    SimulatedCluster.ControllerNode lone = led > 0 ? leader : w.nodes.get((leader.index + 1) % 3);
-    int killed = w.cloud.tasksKilledByLease();
-    new RandomFaults(w).isolateFromPeersAndState(lone, hold, LONG_MS);
-    SimulatedUsers.KnownJob job = w.users.submitArray("one", "high", 20, 5);
-    w.run(SimulatedCluster.LEASE_MS / 2);
-    assertNotEquals(lone, w.leader(), "it cannot lead");
-    assertEquals(503, up(w, lone), "users go on coming to it");
-    int beats = lone.reportsReceived;
-    w.run(SimulatedCluster.LEASE_MS);
+  void anIsolatedControllerReleasesLeadershipAndWorkers(
+      long seed, int ledControllers, boolean hold) {
+    SimulatedCluster cluster = startServices(seed);
+    SimulatedCluster.ControllerNode leader = cluster.leader();
+    SimulatedCluster.ControllerNode isolated =
+        ledControllers > 0 ? leader : cluster.nodes.get((leader.index + 1) % 3);
+    int killedBefore = cluster.cloud.tasksKilledByLease();
+    new RandomFaults(cluster).isolateFromPeersAndState(isolated, hold, ISOLATION_MS);
+    SimulatedUsers.KnownJob job = cluster.users.submitArray("one", "high", 20, 5);
+    cluster.run(SimulatedCluster.LEASE_MS / 2);
+    assertNotEquals(isolated, cluster.leader(), "the isolated controller still leads");
+    assertEquals(
+        503,
+        requestUpStatus(cluster, isolated),
+        "status of /up: users are still sent to the isolated controller");
+    int beatsBefore = isolated.reportsReceived;
+    cluster.run(SimulatedCluster.LEASE_MS);
     assertTrue(
-        lone.reportsReceived - beats <= 5,
-        lone.reportsReceived - beats + " reports went on coming to it");
-    w.run(LONG_MS - SimulatedCluster.LEASE_MS);
-    assertEquals(killed, w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
+        isolated.reportsReceived - beatsBefore <= 5,
+        isolated.reportsReceived
+            - beatsBefore
+            + " reports still arrived at the isolated controller");
+    cluster.run(ISOLATION_MS - SimulatedCluster.LEASE_MS);
+    assertEquals(
+        killedBefore, cluster.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
     assertTrue(job.done, "the array is not done");
-    SimulatedCluster.ControllerNode leads = w.leader();
-    w.run(SimulatedCluster.LEASE_MS);
-    assertEquals(leads, w.leader(), "its return changes who leads");
-    assertEquals(200, up(w, lone), "it is back");
-    SeededDaysTest.settle(w);
+    SimulatedCluster.ControllerNode leaderBeforeReturn = cluster.leader();
+    cluster.run(SimulatedCluster.LEASE_MS);
+    assertEquals(
+        leaderBeforeReturn,
+        cluster.leader(),
+        "the leader changed when the isolated controller returned");
+    assertEquals(
+        200, requestUpStatus(cluster, isolated), "status of /up of the returned controller");
+    SeededDaysTest.settle(cluster);
   }
 
-  /** Two at once, one of which led; the third one leads alone. */
+  /** Two controllers are isolated at once, one of them the leader: the third one leads. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6211, 6212, 6213})
-  void twoAtOnce(long seed) {
-    SimulatedCluster w = begun(seed);
-    SimulatedCluster.ControllerNode leader = w.leader();
-    RandomFaults faults = new RandomFaults(w);
-    faults.isolateFromPeersAndState(leader, false, LONG_MS);
-    faults.isolateFromPeersAndState(w.nodes.get((leader.index + 1) % 3), true, LONG_MS);
-    int killed = w.cloud.tasksKilledByLease();
-    w.run(LONG_MS);
-    assertEquals(w.nodes.get((leader.index + 2) % 3), w.leader());
-    assertEquals(killed, w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
-    SeededDaysTest.settle(w);
+  void twoControllersIsolatedAtOnce(long seed) {
+    SimulatedCluster cluster = startServices(seed);
+    SimulatedCluster.ControllerNode leader = cluster.leader();
+    RandomFaults faults = new RandomFaults(cluster);
+    faults.isolateFromPeersAndState(leader, false, ISOLATION_MS);
+    faults.isolateFromPeersAndState(cluster.nodes.get((leader.index + 1) % 3), true, ISOLATION_MS);
+    int killedBefore = cluster.cloud.tasksKilledByLease();
+    cluster.run(ISOLATION_MS);
+    assertEquals(cluster.nodes.get((leader.index + 2) % 3), cluster.leader());
+    assertEquals(
+        killedBefore, cluster.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
+    SeededDaysTest.settle(cluster);
   }
 
-  /** An outage of all is no reason to send users away: they are told when to come back. */
+  /**
+   * An outage of the state service for all controllers does not make them send users away: users
+   * are told when to retry.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6221, 6222})
-  void anOutageOfAllIsNone(long seed) {
-    SimulatedCluster w = begun(seed);
-    w.state.beginOutage();
-    w.run(SimulatedCluster.LEASE_MS / 2);
-    w.nodes.forEach(n -> assertEquals(200, up(w, n), "nobody is left to tell users"));
-    w.state.endOutage();
-    SeededDaysTest.settle(w);
+  void controllersStayUpInAStateServiceOutage(long seed) {
+    SimulatedCluster cluster = startServices(seed);
+    cluster.state.beginOutage();
+    cluster.run(SimulatedCluster.LEASE_MS / 2);
+    cluster.nodes.forEach(
+        n ->
+            assertEquals(
+                200,
+                requestUpStatus(cluster, n),
+                "status of /up: no controller is left to answer users"));
+    cluster.state.endOutage();
+    SeededDaysTest.settle(cluster);
   }
 
-  /** Back within a fraction of a second, in the middle of an election, twice, two or three. */
+  /**
+   * One to three controllers restart within a fraction of a second, twice, the second time in the
+   * middle of the election.
+   */
   @ParameterizedTest(name = "seed {0}, {1} at once")
   @CsvSource({
     "6231,1", "6232,2", "6233,3", "6234,1", "6235,2", "6236,3", "6237,2", "6238,3", "6239,3"
   })
-  void backAtOnce(long seed, int atOnce) {
-    SimulatedCluster w = begun(seed);
-    int killed = w.cloud.tasksKilledByLease();
+  void controllersThatRestartWithinAFractionOfASecond(long seed, int restartedControllers) {
+    SimulatedCluster cluster = startServices(seed);
+    int killedBefore = cluster.cloud.tasksKilledByLease();
     for (int round = 0; round < 4; round++) {
-      for (int twice = 0; twice < 2; twice++) {
-        int first = w.leader() == null ? 0 : w.leader().index;
-        for (int i = 0; i < atOnce; i++) {
-          w.nodes.get((first + i) % 3).crash(w.sim.between(50, 600));
+      for (int repetition = 0; repetition < 2; repetition++) {
+        int first = cluster.leader() == null ? 0 : cluster.leader().index;
+        for (int i = 0; i < restartedControllers; i++) {
+          cluster.nodes.get((first + i) % 3).crash(cluster.sim.between(50, 600));
         }
-        w.run(w.sim.between(100, 1200));
+        cluster.run(cluster.sim.between(100, 1200));
       }
-      long without = 0;
-      while (w.leader() == null || !w.leader().isUp()) {
-        w.run(100);
-        without += 100;
-        // A hold and two report intervals.
+      long leaderlessMs = 0;
+      while (cluster.leader() == null || !cluster.leader().isUp()) {
+        cluster.run(100);
+        leaderlessMs += 100;
+        // The hold before a new leader acts, and two report intervals.
         assertTrue(
-            without <= SimulatedCluster.LEASE_MS / 10 + 2 * SimulatedCluster.REPORT_INTERVAL_MS,
-            "nobody leads");
+            leaderlessMs
+                <= SimulatedCluster.LEASE_MS / 10 + 2 * SimulatedCluster.REPORT_INTERVAL_MS,
+            "no controller leads");
       }
-      w.run(4000);
+      cluster.run(4000);
     }
-    assertEquals(killed, w.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
-    SeededDaysTest.settle(w);
+    assertEquals(
+        killedBefore, cluster.cloud.tasksKilledByLease(), "tasks killed by the end of a lease");
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/JobBeginTest.java
+++ b/src/test/java/dapplestair/world/JobBeginTest.java
@@ -5,51 +5,54 @@
 import dapplestair.json.Json;
 import org.junit.jupiter.api.Test;
 
-/** When a job has begun, as the checker counts it. */
+/** Tests when the invariant checker counts a job as begun. */
 class JobBeginTest {
   private static final String TASK = "wk-000001/0";
-  private static final long STOPPED_MS = 1500;
-  private static final long LONG_MS = 60_000;
+  private static final long STOP_MS = 1500;
+  private static final long RESTART_MS = 60_000;
 
   private final SimulatedUsers.KnownJob job =
       new SimulatedUsers.KnownJob(Json.object().put("ref", "wk-000001"));
 
-  /** Guards against jobs counted as begun by starts that were taken back. */
+  /** Guards against counting a job as begun by a start that was stopped soon after. */
   @Test
-  void aStartStoppedSoonIsNone() {
+  void aStartThatIsStoppedSoonDoesNotCount() {
     job.taskStarted(TASK, 0);
-    job.taskStopped(TASK, STOPPED_MS);
+    job.taskStopped(TASK, STOP_MS);
     assertEquals(-1, job.begunAtMs());
-    job.taskStarted(TASK, LONG_MS);
-    assertEquals(LONG_MS, job.begunAtMs());
+    job.taskStarted(TASK, RESTART_MS);
+    assertEquals(RESTART_MS, job.begunAtMs());
   }
 
-  /** Guards against jobs counted as waiting for ever though they are done. */
+  /** Guards against counting a job as waiting forever although it is done. */
   @Test
-  void aTaskThatCompletesWhileItSavesHasBegun() {
+  void aTaskThatCompletesWhileItSavesCountsAsBegun() {
     job.taskStarted(TASK, 0);
-    job.taskStopped(TASK, STOPPED_MS);
-    job.taskStarted(TASK, LONG_MS);
-    job.taskStopped(TASK, LONG_MS + STOPPED_MS);
+    job.taskStopped(TASK, STOP_MS);
+    job.taskStarted(TASK, RESTART_MS);
+    job.taskStopped(TASK, RESTART_MS + STOP_MS);
     job.taskCompleted(TASK);
-    assertEquals(LONG_MS, job.begunAtMs());
+    assertEquals(RESTART_MS, job.begunAtMs());
   }
 
-  /** Guards against a start that was taken back and counts since a later one completes. */
+  /**
+   * Guards against counting a start that was stopped because a later start of the same task
+   * completes.
+   */
   @Test
   void aLaterStartDoesNotRestoreAnEarlierOne() {
     job.taskStarted(TASK, 0);
-    job.taskStopped(TASK, STOPPED_MS);
-    job.taskStarted(TASK, LONG_MS);
+    job.taskStopped(TASK, STOP_MS);
+    job.taskStarted(TASK, RESTART_MS);
     job.taskCompleted(TASK);
-    assertEquals(LONG_MS, job.begunAtMs());
+    assertEquals(RESTART_MS, job.begunAtMs());
   }
 
-  /** Guards against a completed task that hides another one whose start was taken back. */
+  /** Guards against counting a stopped start because another task of the job completes. */
   @Test
-  void anotherTasksEndIsNone() {
+  void theCompletionOfAnotherTaskDoesNotCount() {
     job.taskStarted(TASK, 0);
-    job.taskStopped(TASK, STOPPED_MS);
+    job.taskStopped(TASK, STOP_MS);
     job.taskCompleted("wk-000001/1");
     assertEquals(-1, job.begunAtMs());
   }
--- a/src/test/java/dapplestair/world/LargestJobsTest.java
+++ b/src/test/java/dapplestair/world/LargestJobsTest.java
@@ -12,69 +12,76 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * More work than the cluster takes, for minutes, with leaders that end: the largest jobs, the
- * lowest rank and those without a guarantee begin all the same (docs/known.md).
+ * The cluster is overloaded for minutes while leaders end: the largest jobs, jobs of the lowest
+ * rank and jobs of teams without a guarantee still begin (docs/known.md).
  */
 class LargestJobsTest {
   private static final double CLUSTER_CPUS = 192;
-  private static final int SMALL_STEPS = 8;
-  private static final double SMALL_S = 8;
+  private static final int SMALL_JOB_TASKS = 8;
+  private static final double SMALL_TASK_S = 8;
 
-  /** A quarter of the machines that the cloud could have, and one service in each zone. */
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
-    w.network.lossProbability = 0;
-    w.users.submissionsStopped = true;
-    w.cloud.setCapacityShare(0.25);
+  /**
+   * Starts a cluster with a quarter of the machines that the cloud could have, and services with
+   * replicas in each zone.
+   */
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
+    cluster.network.lossProbability = 0;
+    cluster.users.submissionsStopped = true;
+    cluster.cloud.setCapacityShare(0.25);
     for (int i = 0; i < 4; i++) {
-      w.users.submitService("two", 3);
+      cluster.users.submitService("two", 3);
     }
-    w.run(20_000);
-    return w;
+    cluster.run(20_000);
+    return cluster;
   }
 
-  /** Small arrays of rank high, so often that they alone need this much of the cluster. */
-  private static void overload(SimulatedCluster w, double factor, double cpus, long forMs) {
-    double each = SMALL_STEPS * cpus * SMALL_S;
-    long everyMs = Math.round(1000 * each / (CLUSTER_CPUS * factor));
-    for (long at = 0; at < forMs; at += everyMs) {
-      String team = at / everyMs % 2 == 0 ? "one" : "two";
-      w.sim.after(
-          at,
+  /**
+   * Submits small arrays of rank high at a rate at which they alone need {@code factor} times the
+   * CPUs of the cluster.
+   */
+  private static void overload(
+      SimulatedCluster cluster, double factor, double cpus, long durationMs) {
+    double cpuSPerJob = SMALL_JOB_TASKS * cpus * SMALL_TASK_S;
+    long intervalMs = Math.round(1000 * cpuSPerJob / (CLUSTER_CPUS * factor));
+    for (long atMs = 0; atMs < durationMs; atMs += intervalMs) {
+      String team = atMs / intervalMs % 2 == 0 ? "one" : "two";
+      cluster.sim.after(
+          atMs,
           () ->
-              w.users.submitModifiedArray(
+              cluster.users.submitModifiedArray(
                   team,
-                  SMALL_STEPS,
-                  SMALL_S,
+                  SMALL_JOB_TASKS,
+                  SMALL_TASK_S,
                   b -> b.put("rank", "high").put("vcpus", cpus).put("jobclass", "small")));
     }
   }
 
-  /** Runs for so long; leaders end again and again. */
-  private static void runEnding(SimulatedCluster w, long ms) {
-    long end = w.sim.now() + ms;
-    while (w.sim.now() < end) {
-      w.run(Math.min(end - w.sim.now(), 30_000 + w.sim.between(0, 20_000)));
-      if (w.leader() != null) {
-        w.leader().crash(w.sim.between(300, 4000));
+  /** Runs the cluster for {@code durationMs} while leaders end repeatedly. */
+  private static void runWithLeaderCrashes(SimulatedCluster cluster, long durationMs) {
+    long endMs = cluster.sim.now() + durationMs;
+    while (cluster.sim.now() < endMs) {
+      cluster.run(Math.min(endMs - cluster.sim.now(), 30_000 + cluster.sim.between(0, 20_000)));
+      if (cluster.leader() != null) {
+        cluster.leader().crash(cluster.sim.between(300, 4000));
       }
     }
   }
 
-  private static List<SimulatedUsers.KnownJob> large(SimulatedCluster w) {
-    List<SimulatedUsers.KnownJob> out = new ArrayList<>();
+  private static List<SimulatedUsers.KnownJob> submitLargeJobs(SimulatedCluster cluster) {
+    List<SimulatedUsers.KnownJob> largeJobs = new ArrayList<>();
     for (String team : List.of("one", "guest")) {
-      out.add(
-          w.users.submitModifiedArray(
+      largeJobs.add(
+          cluster.users.submitModifiedArray(
               team, 120, 10, b -> b.put("rank", "low").put("jobclass", "large-" + team)));
     }
-    // A task as large as a machine, which small ones never leave empty.
-    out.add(
-        w.users.submitModifiedArray(
+    // Each task is as large as a machine, and small tasks never leave a machine empty.
+    largeJobs.add(
+        cluster.users.submitModifiedArray(
             "one", 6, 10, b -> b.put("rank", "low").put("vcpus", 8.0).put("jobclass", "wide")));
-    // A service of no high rank, whose replicas fit nowhere without stops.
-    out.add(
-        w.users.submitModifiedArray(
+    // A service of no high rank, whose replicas fit nowhere without evictions.
+    largeJobs.add(
+        cluster.users.submitModifiedArray(
             "two",
             4,
             0,
@@ -84,107 +91,121 @@
                     .put("apart", true)
                     .put("loaners", false)
                     .put("jobclass", "plain")));
-    return out;
+    return largeJobs;
   }
 
-  private static long waitMs(SimulatedCluster w, SimulatedUsers.KnownJob job) {
-    return (job.begunAtMs() < 0 ? w.sim.now() : job.begunAtMs()) - job.submittedAtMs;
+  private static long waitMs(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
+    return (job.begunAtMs() < 0 ? cluster.sim.now() : job.begunAtMs()) - job.submittedAtMs;
   }
 
-  private static void begunInTime(SimulatedCluster w, List<SimulatedUsers.KnownJob> jobs) {
+  private static void assertBegunInTime(
+      SimulatedCluster cluster, List<SimulatedUsers.KnownJob> jobs) {
     for (SimulatedUsers.KnownJob job : jobs) {
       assertTrue(
-          job.begunAtMs() >= 0 && waitMs(w, job) <= InvariantChecker.MAX_START_WAIT_MS,
-          () -> job.ref + " of " + job.jobClass + " waits for " + waitMs(w, job) + " ms");
+          job.begunAtMs() >= 0 && waitMs(cluster, job) <= InvariantChecker.MAX_START_WAIT_MS,
+          () -> job.ref + " of " + job.jobClass + " waited for " + waitMs(cluster, job) + " ms");
     }
   }
 
   @ParameterizedTest(name = "seed {0}, {1} times too much, tasks of {2} CPUs")
   @CsvSource({"6001,1.5,2", "6003,3,2", "6004,4,1"})
-  void whoWaitsLongBegins(long seed, double factor, double cpus) {
-    SimulatedCluster w = begun(seed);
-    overload(w, factor, cpus, 280_000);
-    w.run(20_000);
-    List<SimulatedUsers.KnownJob> large = large(w);
-    runEnding(w, 255_000);
-    begunInTime(w, large);
-    // No replica was lost for it.
-    w.users.jobs.values().stream()
+  void longWaitingJobsBegin(long seed, double factor, double cpus) {
+    SimulatedCluster cluster = startCluster(seed);
+    overload(cluster, factor, cpus, 280_000);
+    cluster.run(20_000);
+    List<SimulatedUsers.KnownJob> largeJobs = submitLargeJobs(cluster);
+    runWithLeaderCrashes(cluster, 255_000);
+    assertBegunInTime(cluster, largeJobs);
+    // No service replica was lost to make room for the large jobs.
+    cluster.users.jobs.values().stream()
         .filter(j -> j.jobClass.equals("serve"))
         .forEach(j -> assertTrue(j.begunAtMs() >= 0, j.ref + " does not run"));
   }
 
-  /** Its wait begins with the first attempt to submit, though it is accepted after an outage. */
+  /**
+   * The wait of a job counts from the first attempt to submit it, though it is accepted only after
+   * an outage.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6021, 6022, 6023})
-  void aJobThatWasTurnedAwayIsAsOldAsItsFirstAttempt(long seed) {
-    SimulatedCluster w = begun(seed);
-    overload(w, 3, 2, 300_000);
-    w.run(20_000);
+  void theWaitCountsFromTheFirstSubmissionAttempt(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    overload(cluster, 3, 2, 300_000);
+    cluster.run(20_000);
     long outageMs = 55_000;
-    w.state.beginOutage();
-    SimulatedUsers.KnownJob large = large(w).get(0);
-    w.run(outageMs);
-    w.state.endOutage();
-    w.run(InvariantChecker.MAX_START_WAIT_MS - outageMs);
-    begunInTime(w, List.of(large));
-    // Three fifths of the bound and what it takes to begin, but no outage on top.
-    long most = InvariantChecker.MAX_START_WAIT_MS * 3 / 5 + outageMs * 2 / 3;
-    assertTrue(waitMs(w, large) <= most, "it waited for " + waitMs(w, large) + " ms");
+    cluster.state.beginOutage();
+    SimulatedUsers.KnownJob largeJob = submitLargeJobs(cluster).get(0);
+    cluster.run(outageMs);
+    cluster.state.endOutage();
+    cluster.run(InvariantChecker.MAX_START_WAIT_MS - outageMs);
+    assertBegunInTime(cluster, List.of(largeJob));
+    // The limit is three fifths of the bound plus the time to begin; the outage is not added.
+    long maxWaitMs = InvariantChecker.MAX_START_WAIT_MS * 3 / 5 + outageMs * 2 / 3;
+    assertTrue(
+        waitMs(cluster, largeJob) <= maxWaitMs,
+        "the job waited for " + waitMs(cluster, largeJob) + " ms");
   }
 
   /**
-   * Long arrays of one class and team, of many sizes, several times more than there is room: what
-   * the windows of those that have begun hold keeps nobody from beginning.
+   * Long arrays of one class and team, of many sizes, need several times the free capacity: the
+   * launch windows of arrays that have begun keep no other array from beginning.
    */
   @ParameterizedTest(name = "seed {0}, arrays of {1} tasks and more")
   @CsvSource({"6021,40", "6022,80", "6023,20"})
-  void everyArrayBeginsThoughWindowsAreFull(long seed, int steps) {
-    SimulatedCluster w = begun(seed);
+  void everyArrayBeginsThoughLaunchWindowsAreFull(long seed, int steps) {
+    SimulatedCluster cluster = startCluster(seed);
     List<SimulatedUsers.KnownJob> arrays = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
-      int size = steps + (int) w.sim.between(0, 4 * steps);
-      w.sim.after(
+      int size = steps + (int) cluster.sim.between(0, 4 * steps);
+      cluster.sim.after(
           i * 4_000L,
           () ->
               arrays.add(
-                  w.users.submitModifiedArray("one", size, 60, b -> b.put("jobclass", "long"))));
+                  cluster.users.submitModifiedArray(
+                      "one", size, 60, b -> b.put("jobclass", "long"))));
     }
-    w.run(24 * 4_000 + InvariantChecker.MAX_START_WAIT_MS);
-    begunInTime(w, arrays);
+    cluster.run(24 * 4_000 + InvariantChecker.MAX_START_WAIT_MS);
+    assertBegunInTime(cluster, arrays);
   }
 
-  /** The guard taken out: with no bound that is near, the same work does not begin. */
+  /**
+   * Without a bound in the near future the same jobs do not begin, which shows that the other tests
+   * depend on it.
+   */
   @Test
-  void withoutTheBoundTheyDoNotBegin() {
-    SimulatedCluster w = new SimulatedCluster(6003, SimulatedCluster.Size.MEDIUM);
-    OperatorSettings d = OperatorSettings.defaults();
-    w.operatorSettings = d.withBeginWithinMs(24 * 3600_000);
-    w.nodes.forEach(n -> n.crash(500));
-    w.network.lossProbability = 0;
-    w.users.submissionsStopped = true;
-    w.cloud.setCapacityShare(0.25);
-    w.run(20_000);
-    overload(w, 3, 2, 280_000);
-    w.run(20_000);
-    List<SimulatedUsers.KnownJob> large = large(w);
-    w.run(255_000);
+  void largeJobsDoNotBeginWithoutTheBound() {
+    SimulatedCluster cluster = new SimulatedCluster(6003, SimulatedCluster.Size.MEDIUM);
+    OperatorSettings defaults = OperatorSettings.defaults();
+    cluster.operatorSettings = defaults.withBeginWithinMs(24 * 3600_000);
+    cluster.nodes.forEach(n -> n.crash(500));
+    cluster.network.lossProbability = 0;
+    cluster.users.submissionsStopped = true;
+    cluster.cloud.setCapacityShare(0.25);
+    cluster.run(20_000);
+    overload(cluster, 3, 2, 280_000);
+    cluster.run(20_000);
+    List<SimulatedUsers.KnownJob> largeJobs = submitLargeJobs(cluster);
+    cluster.run(255_000);
     assertFalse(
-        large.stream()
+        largeJobs.stream()
             .allMatch(
-                j -> j.begunAtMs() >= 0 && waitMs(w, j) <= InvariantChecker.MAX_START_WAIT_MS),
-        "this test says nothing");
+                j ->
+                    j.begunAtMs() >= 0 && waitMs(cluster, j) <= InvariantChecker.MAX_START_WAIT_MS),
+        "all large jobs begin without the bound, so this class would not notice its absence");
   }
 
-  /** A gang as wide as a zone, of the lowest rank; what is kept for it outlives leaders. */
+  /**
+   * A gang as wide as a zone, of the lowest rank, begins; the capacity reserved for it stays
+   * reserved across leader changes.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6011, 6012})
   void aGangAsWideAsAZoneBegins(long seed) {
-    SimulatedCluster w = begun(seed);
-    overload(w, 2, 2, 280_000);
-    w.run(20_000);
+    SimulatedCluster cluster = startCluster(seed);
+    overload(cluster, 2, 2, 280_000);
+    cluster.run(20_000);
     SimulatedUsers.KnownJob gang =
-        w.users.submitModifiedArray(
+        cluster.users.submitModifiedArray(
             "one",
             28,
             10,
@@ -193,7 +214,7 @@
                     .put("rank", "low")
                     .put("together", true)
                     .put("jobclass", "gang"));
-    runEnding(w, 250_000);
-    begunInTime(w, List.of(gang));
+    runWithLeaderCrashes(cluster, 250_000);
+    assertBegunInTime(cluster, List.of(gang));
   }
 }
--- a/src/test/java/dapplestair/world/LeaderChangeRunner.java
+++ b/src/test/java/dapplestair/world/LeaderChangeRunner.java
@@ -43,7 +43,7 @@
     long requestOffsetMs = Math.min(offsetMs, 900);
     runScenarios(
         "limits", seed, s -> TeamLimitsTest.play(s, fault, change, Math.max(-1500, offsetMs)));
-    runScenarios("handover", seed, s -> HandoverTest.play(s, change, Math.max(-400, offsetMs)));
+    runScenarios("handover", seed, s -> HandoverTest.run(s, change, Math.max(-400, offsetMs)));
     runScenarios(
         "refused",
         seed,
--- a/src/test/java/dapplestair/world/RequestRaceRunner.java
+++ b/src/test/java/dapplestair/world/RequestRaceRunner.java
@@ -36,7 +36,8 @@
           () -> new LastTaskEndTest().aRequestMeetsTheEnd(testSeed, step, offsetMs));
       runScenario(
           "%d odd".formatted(testSeed),
-          () -> new InvalidRequestsTest().oddRequestsGetTheirAnswers(testSeed));
+          () ->
+              new InvalidRequestsTest().invalidAndRepeatedRequestsGetTheExpectedAnswers(testSeed));
     }
     System.out.printf("%d plays, %d failed%n", runs, failures);
   }
