--- a/src/test/java/dapplestair/world/DisruptionTest.java
+++ b/src/test/java/dapplestair/world/DisruptionTest.java
@@ -79,7 +79,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void budgetsOutliveLeaders(long seed) {
     SimulatedCluster w = begun(seed, 1, 3);
-    OperatorsTest.order(w, "/v1/zones/c/drain", Json.object().put("why", "power"));
+    OperatorsTest.submitOrder(w, "/v1/zones/c/drain", Json.object().put("why", "power"));
     for (int i = 0; i < 8; i++) {
       // Held back, so that stops of the former leader arrive when the next one has begun.
       for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
@@ -132,12 +132,12 @@
             w.net.cutOneWay("node-" + n.index, m.endpoint());
           }
         }
-        OperatorsTest.ask(
+        OperatorsTest.sendRequest(
             w, leader.index, "POST", "/v1/machines/" + m.id() + "/drain", null, r -> {});
       }
       w.run(w.sim.between(900, 2500));
       for (EmulatedWorker m : some) {
-        OperatorsTest.ask(
+        OperatorsTest.sendRequest(
             w, leader.index, "POST", "/v1/machines/" + m.id() + "/undrain", null, r -> {});
       }
       w.run(400);
@@ -147,7 +147,7 @@
       }
       for (EmulatedWorker m : w.cloud.machines()) {
         if (!some.contains(m) && w.leader() != null) {
-          OperatorsTest.ask(
+          OperatorsTest.sendRequest(
               w, w.leader().index, "POST", "/v1/machines/" + m.id() + "/drain", null, r -> {});
         }
       }
@@ -162,7 +162,7 @@
           w.net.healOneWay("node-" + n.index, m.endpoint());
         }
         if (w.leader() != null) {
-          OperatorsTest.ask(
+          OperatorsTest.sendRequest(
               w, w.leader().index, "POST", "/v1/machines/" + m.id() + "/undrain", null, r -> {});
         }
       }
@@ -175,7 +175,7 @@
   @Test
   void zeroMeansNever() {
     SimulatedCluster w = begun(7, 0, 3);
-    OperatorsTest.order(w, "/v1/zones/c/drain", Json.object().put("deadline_s", 5));
+    OperatorsTest.submitOrder(w, "/v1/zones/c/drain", Json.object().put("deadline_s", 5));
     w.run(60_000);
     assertTrue(w.checker.mostStopped.getOrDefault("one", 0) == 0, "a replica of one was stopped");
     long left =
@@ -188,7 +188,7 @@
     boolean said = false;
     for (SimulatedUsers.KnownJob job : w.users.told.values()) {
       if (job.team.equals("one") && job.service && !said) {
-        JsonNode why = OperatorsTest.answer(w, "/v1/jobs/" + job.ref + "/why");
+        JsonNode why = OperatorsTest.awaitResponse(w, "/v1/jobs/" + job.ref + "/why");
         said = why.path("not_moved").asText().contains("zero means never");
       }
     }
@@ -220,7 +220,7 @@
         .forEach(EmulatedWorker::end);
     w.run(4 * SimulatedCluster.REPORT_MS);
     w.checker.mostStopped.clear();
-    OperatorsTest.order(w, "/v1/zones/c/drain", Json.object());
+    OperatorsTest.submitOrder(w, "/v1/zones/c/drain", Json.object());
     w.run(40_000);
     assertEquals(0, w.checker.mostStopped.getOrDefault("one", 0), "drained on top of a loss");
     assertTrue(w.checker.mostStopped.getOrDefault("two", 0) > 0, "the other team does not move");
@@ -253,7 +253,8 @@
     SimulatedUsers.KnownJob array = w.users.array("two", "standard", 60, 300);
     w.run(40_000);
     for (String zone : SimulatedCluster.ZONES) {
-      OperatorsTest.order(w, "/v1/zones/" + zone + "/drain", Json.object().put("deadline_s", 1));
+      OperatorsTest.submitOrder(
+          w, "/v1/zones/" + zone + "/drain", Json.object().put("deadline_s", 1));
     }
     for (int i = 0; i < 5; i++) {
       w.run(w.sim.between(500, 4000));
@@ -275,7 +276,7 @@
   @ValueSource(longs = {31, 32, 33})
   void aBudgetLoweredBelowWhatIsOut(long seed) {
     SimulatedCluster w = begun(seed, 6, 6);
-    OperatorsTest.order(w, "/v1/zones/c/drain", Json.object());
+    OperatorsTest.submitOrder(w, "/v1/zones/c/drain", Json.object());
     for (int i = 0; i < 100 && w.checker.mostStopped.getOrDefault("one", 0) <= 1; i++) {
       w.run(200);
     }
--- a/src/test/java/dapplestair/world/DrainTest.java
+++ b/src/test/java/dapplestair/world/DrainTest.java
@@ -26,7 +26,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {11, 12, 13})
   void drainingAZoneKeepsServicesWhole(long seed) {
-    SimulatedCluster w = OperatorsTest.quiet(seed, OperatorsTest.ROOMY);
+    SimulatedCluster w = OperatorsTest.startQuietCluster(seed, OperatorsTest.ROOMY);
     List<SimulatedUsers.KnownJob> services =
         List.of(w.users.service("one", 4), w.users.service("two", 6), w.users.service("one", 3));
     w.run(60_000);
@@ -38,7 +38,7 @@
             least[0] = Math.min(least[0], running(w, s) - s.steps);
           }
         };
-    OperatorsTest.order(w, "/v1/zones/a/drain", Json.object().put("why", "power"));
+    OperatorsTest.submitOrder(w, "/v1/zones/a/drain", Json.object().put("why", "power"));
     w.run(120_000);
     assertTrue(least[0] >= -1, "a service lacked " + -least[0] + " replicas");
     services.forEach(s -> assertEquals(s.steps, running(w, s), s.ref + " runs after"));
@@ -48,11 +48,11 @@
   /** Two zones of three: the spread leaves no place for all, so those replicas stay. */
   @Test
   void replicasWithoutAPlaceStay() {
-    SimulatedCluster w = OperatorsTest.quiet(21, OperatorsTest.ROOMY);
+    SimulatedCluster w = OperatorsTest.startQuietCluster(21, OperatorsTest.ROOMY);
     SimulatedUsers.KnownJob service = w.users.service("one", 4);
     w.run(60_000);
-    OperatorsTest.order(w, "/v1/zones/a/drain", Json.object().put("deadline_s", 5));
-    OperatorsTest.order(w, "/v1/zones/b/drain", Json.object().put("deadline_s", 5));
+    OperatorsTest.submitOrder(w, "/v1/zones/a/drain", Json.object().put("deadline_s", 5));
+    OperatorsTest.submitOrder(w, "/v1/zones/b/drain", Json.object().put("deadline_s", 5));
     w.run(90_000);
     assertEquals(4, running(w, service));
     assertTrue(DisruptionTest.tasksIn(w, "c") <= 2, "the spread is kept");
@@ -62,9 +62,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {31, 32, 33, 34})
   void aDrainOutlivesItsLeader(long seed) {
-    SimulatedCluster w = OperatorsTest.world(seed, SimulatedCluster.Size.SMALL);
+    SimulatedCluster w = OperatorsTest.newCluster(seed, SimulatedCluster.Size.SMALL);
     w.run(30_000);
-    OperatorsTest.order(
+    OperatorsTest.submitOrder(
         w, "/v1/zones/b/drain", Json.object().put("why", "cooling").put("deadline_s", 20));
     for (int i = 0; i < 4; i++) {
       if (w.leader() != null) {
@@ -74,7 +74,7 @@
     }
     w.users.quiet = true;
     w.run(90_000);
-    JsonNode drains = OperatorsTest.answer(w, "/v1/drains");
+    JsonNode drains = OperatorsTest.awaitResponse(w, "/v1/drains");
     assertEquals("cooling", drains.path("rows").path(0).path("why").asText());
     long arrays =
         w.cloud.machines().stream()
@@ -83,7 +83,7 @@
             .filter(t -> t.onMachine() && !w.users.told.get(ref(t)).service)
             .count();
     assertEquals(0, arrays, "arrays are left in the zone");
-    OperatorsTest.order(w, "/v1/zones/b/undrain", null);
+    OperatorsTest.submitOrder(w, "/v1/zones/b/undrain", null);
     SeededDaysTest.settle(w);
   }
 
@@ -94,12 +94,12 @@
   /** A drained machine gets nothing new, is not returned unless asked, and is taken back. */
   @Test
   void aDrainedMachineIsLeftAlone() {
-    SimulatedCluster w = OperatorsTest.quiet(41, OperatorsTest.ROOMY);
+    SimulatedCluster w = OperatorsTest.startQuietCluster(41, OperatorsTest.ROOMY);
     w.users.array("one", "standard", 24, 4);
     w.run(25_000);
     EmulatedWorker m =
         w.cloud.machines().stream().filter(x -> x.booted() && !x.gone()).findFirst().orElseThrow();
-    OperatorsTest.order(w, "/v1/machines/" + m.id() + "/drain", Json.object());
+    OperatorsTest.submitOrder(w, "/v1/machines/" + m.id() + "/drain", Json.object());
     w.run(10_000);
     long[] started = {0};
     w.also = () -> started[0] += m.tasks().stream().filter(EmulatedTask::onMachine).count();
@@ -109,7 +109,8 @@
     }
     assertEquals(0, started[0], "something ran on a drained machine");
     assertTrue(!m.gone(), "a drained machine was returned");
-    OperatorsTest.order(w, "/v1/machines/" + m.id() + "/drain", Json.object().put("return", true));
+    OperatorsTest.submitOrder(
+        w, "/v1/machines/" + m.id() + "/drain", Json.object().put("return", true));
     w.run(90_000);
     assertTrue(m.gone(), "a machine drained with return is still rented");
     assertTrue(w.state.keys("live/drain/").isEmpty(), "the record of a machine that is gone stays");
@@ -119,13 +120,13 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {51, 52, 53})
   void twoWhoDisagreeBothGetAnAnswer(long seed) {
-    SimulatedCluster w = OperatorsTest.world(seed, SimulatedCluster.Size.SMALL);
+    SimulatedCluster w = OperatorsTest.newCluster(seed, SimulatedCluster.Size.SMALL);
     w.run(30_000);
     String id = w.cloud.machines().iterator().next().id();
     int[] answers = new int[2];
     for (int i = 0; i < 40; i++) {
       String verb = i % 2 == 0 ? "drain" : "undrain";
-      OperatorsTest.ask(
+      OperatorsTest.sendRequest(
           w,
           i % 3,
           "POST",
--- a/src/test/java/dapplestair/world/FailingJobsTest.java
+++ b/src/test/java/dapplestair/world/FailingJobsTest.java
@@ -45,7 +45,8 @@
   /** Machines that the leader of now has blamed, by its own account; they may be gone by now. */
   private static Set<String> faulty(SimulatedCluster w) {
     Set<String> out = new HashSet<>();
-    JsonNode events = OperatorsTest.answer(w, "/v1/events?limit=500&where=kind%20%3D%20faulty");
+    JsonNode events =
+        OperatorsTest.awaitResponse(w, "/v1/events?limit=500&where=kind%20%3D%20faulty");
     for (JsonNode e : events.path("rows")) {
       out.add(e.path("machine").asText());
     }
@@ -98,9 +99,9 @@
     assertTrue(rented.size() <= 2, "rented meanwhile: " + rented);
     assertTrue(wrong.starts - starts <= 6, wrong.starts - starts + " probes in 90 s");
     assertTrue(wrong.starts > starts, "it is not tried any more");
-    JsonNode why = OperatorsTest.answer(w, "/v1/jobs/" + wrong.ref + "/why");
+    JsonNode why = OperatorsTest.awaitResponse(w, "/v1/jobs/" + wrong.ref + "/why");
     assertTrue(why.path("failing").path("one_at_a_time").asBoolean(), why.toString());
-    assertEquals(1, OperatorsTest.answer(w, "/v1/status").path("jobs_suspected").asInt());
+    assertEquals(1, OperatorsTest.awaitResponse(w, "/v1/status").path("jobs_suspected").asInt());
   }
 
   private static Set<String> machines(SimulatedCluster w) {
@@ -129,7 +130,7 @@
     SimulatedUsers.KnownJob some = wrong(w, 3);
     w.run(40_000);
     int starts = some.starts;
-    JsonNode job = OperatorsTest.answer(w, "/v1/jobs/" + some.ref);
+    JsonNode job = OperatorsTest.awaitResponse(w, "/v1/jobs/" + some.ref);
     assertEquals(STEPS - 3, job.path("done").asInt(), job.toString());
     w.run(60_000);
     assertTrue(some.starts - starts <= 24, some.starts - starts + " starts of three tasks in 60 s");
@@ -202,7 +203,7 @@
   }
 
   private static void noneInUse(SimulatedCluster w, Set<String> blamed) {
-    for (JsonNode m : OperatorsTest.answer(w, "/v1/machines?limit=500").path("rows")) {
+    for (JsonNode m : OperatorsTest.awaitResponse(w, "/v1/machines?limit=500").path("rows")) {
       if (blamed.contains(m.path("id").asText())) {
         assertTrue(
             Set.of("faulty", "returning", "silent").contains(m.path("state").asText()),
@@ -238,7 +239,9 @@
     w.run(130_000);
     assertTrue(gang.done, "the gang is not done");
     assertEquals(
-        6, OperatorsTest.answer(w, "/v1/jobs/" + service.ref).path("running").asInt(), "replicas");
+        6,
+        OperatorsTest.awaitResponse(w, "/v1/jobs/" + service.ref).path("running").asInt(),
+        "replicas");
   }
 
   /** New machines on which wrong jobs fail are not to blame: workers go on being replaced. */
@@ -246,11 +249,12 @@
   @ValueSource(longs = {2071, 2072})
   void newMachinesAreNotBlamedForJobs(long seed) {
     SimulatedCluster w = begun(seed);
-    OperatorsTest.order(w, "/v1/replacements/night/start", ReplacementTest.all(6, 6));
+    OperatorsTest.submitOrder(
+        w, "/v1/replacements/night/start", ReplacementTest.orderForAllMachines(6, 6));
     for (int i = 0; i < 20; i++) {
       wrong(w, STEPS);
       w.run(4000);
-      String remark = OperatorsTest.answer(w, "/v1/replacements/night").toString();
+      String remark = OperatorsTest.awaitResponse(w, "/v1/replacements/night").toString();
       assertFalse(remark.contains("fail tasks"), remark);
     }
   }
--- a/src/test/java/dapplestair/world/LastTaskEndTest.java
+++ b/src/test/java/dapplestair/world/LastTaskEndTest.java
@@ -36,84 +36,85 @@
   }
 
   /** Who sends what where. */
-  private static final class Day {
-    final SimulatedCluster w;
+  private static final class Scenario {
+    final SimulatedCluster cluster;
     final ConcurrentReaders readers;
     final Step step;
-    final long moveMs;
+    final long delayMs;
     final Map<String, SimulatedUsers.KnownJob> jobs = new LinkedHashMap<>();
-    final Map<String, Integer> completed = new LinkedHashMap<>();
-    final Set<String> heldOnce = new HashSet<>();
-    int met;
+    final Map<String, Integer> completedTaskCounts = new LinkedHashMap<>();
+    final Set<String> jobsWithHeldCommit = new HashSet<>();
+    int requestedEnds;
 
-    Day(long seed, Step step, long moveMs) {
-      w = new SimulatedCluster(seed);
-      w.net.loss = 0;
-      w.users.cancelledArrays = 0;
-      readers = new ConcurrentReaders(w);
+    Scenario(long seed, Step step, long delayMs) {
+      cluster = new SimulatedCluster(seed);
+      cluster.net.loss = 0;
+      cluster.users.cancelledArrays = 0;
+      readers = new ConcurrentReaders(cluster);
       this.step = step;
-      this.moveMs = moveMs;
-      w.checker.alsoCompleted = this::completed;
-      w.net.commits.carriedOut = this::carriedOut;
-      SimulatedNetwork.Tap others = w.net.tap;
-      w.net.tap =
+      this.delayMs = delayMs;
+      cluster.checker.alsoCompleted = this::onTaskCompleted;
+      cluster.net.commits.carriedOut = this::onCommitted;
+      SimulatedNetwork.Tap previousTap = cluster.net.tap;
+      cluster.net.tap =
           (from, method, path, body, done) -> {
             if (path.equals("/commit")) {
-              sent(from, Json.parse(body));
+              onCommitSent(from, Json.parse(body));
             }
-            return others.asked(from, method, path, body, done);
+            return previousTap.asked(from, method, path, body, done);
           };
     }
 
     void submit(int i) {
       SimulatedUsers.KnownJob job =
-          w.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 3, RUN_S);
+          cluster.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 3, RUN_S);
       jobs.put(job.ref, job);
     }
 
-    private void completed(String task) {
+    private void onTaskCompleted(String task) {
       SimulatedUsers.KnownJob job = jobs.get(task.substring(0, task.indexOf('/')));
-      boolean last = job != null && completed.merge(job.ref, 1, Integer::sum) == job.steps;
+      boolean last =
+          job != null && completedTaskCounts.merge(job.ref, 1, Integer::sum) == job.steps;
       if (last && step == Step.TASK_EXITS) {
-        w.sim.after(moveMs, () -> meet(job));
+        cluster.sim.after(delayMs, () -> sendRequests(job));
       } else if (last && step == Step.CANCELLATION_IS_SENT) {
-        w.users.cancelAt(job, w.nodes.get((w.leader().index + 1) % 3));
+        cluster.users.cancelAt(job, cluster.nodes.get((cluster.leader().index + 1) % 3));
       }
     }
 
-    private void sent(String from, JsonNode body) {
+    private void onCommitSent(String from, JsonNode body) {
       SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
-      boolean held =
+      boolean holdsCommit =
           step == Step.DONE_IS_SENT && CommitInterceptor.any(body, CommitInterceptor.ends("done"))
               || step == Step.CANCELLATION_IS_SENT
                   && CommitInterceptor.any(body, CommitInterceptor.ends("aborted"));
-      if (job != null && held && heldOnce.add(job.ref)) {
-        w.net.cut(from, "state:1", true);
-        w.sim.after(moveMs, () -> w.net.heal(from, "state:1"));
-        meet(job);
+      if (job != null && holdsCommit && jobsWithHeldCommit.add(job.ref)) {
+        cluster.net.cut(from, "state:1", true);
+        cluster.sim.after(delayMs, () -> cluster.net.heal(from, "state:1"));
+        sendRequests(job);
       }
     }
 
-    private void carriedOut(String from, JsonNode body) {
+    private void onCommitted(String from, JsonNode body) {
       SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
       if (job != null
           && step == Step.DONE_IS_PUT
           && CommitInterceptor.any(body, CommitInterceptor.ends("done"))) {
-        w.sim.after(moveMs, () -> meet(job));
+        cluster.sim.after(delayMs, () -> sendRequests(job));
       }
     }
 
     /** In turn: cancelled at the leader, at another, at all at once, asked for and repeated. */
-    private void meet(SimulatedUsers.KnownJob job) {
-      int leader = w.leader().index;
-      int kind = met++ % 4;
+    private void sendRequests(SimulatedUsers.KnownJob job) {
+      int leader = cluster.leader().index;
+      int kind = requestedEnds++ % 4;
       if (kind == 3) {
         readers.around(job);
         return;
       }
-      for (SimulatedCluster.ControllerNode n : w.nodes) {
+      for (SimulatedCluster.ControllerNode n : cluster.nodes) {
         if (kind == 2 || (n.index == leader) == (kind == 0)) {
-          w.users.cancelAt(job, n);
+          cluster.users.cancelAt(job, n);
           readers.ask(job, n);
           readers.repeat(job, n);
         }
@@ -121,10 +122,10 @@
       readers.around(job);
     }
 
-    String recorded(SimulatedUsers.KnownJob job) {
-      JsonNode over = w.state.value(CommitInterceptor.OVER + job.ref);
-      assertNotNull(over, job.ref + " is not over");
-      return over.path("status").asText();
+    String recordedStatus(SimulatedUsers.KnownJob job) {
+      JsonNode jobRecord = cluster.state.value(CommitInterceptor.OVER + job.ref);
+      assertNotNull(jobRecord, job.ref + " is not over");
+      return jobRecord.path("status").asText();
     }
   }
 
@@ -146,18 +147,20 @@
     "9318,CANCELLATION_IS_SENT,1200",
     "9319,CANCELLATION_IS_SENT,2500"
   })
-  void aRequestMeetsTheEnd(long seed, Step step, long moveMs) {
-    Day d = new Day(seed, step, moveMs);
-    d.w.run(25_000);
+  void requestsAroundTheEndOfAJob(long seed, Step step, long delayMs) {
+    Scenario scenario = new Scenario(seed, step, delayMs);
+    scenario.cluster.run(25_000);
     for (int i = 0; i < JOBS; i++) {
-      d.submit(i);
-      d.w.run(2500);
+      scenario.submit(i);
+      scenario.cluster.run(2500);
     }
-    d.w.run(20_000);
-    SeededDaysTest.settle(d.w);
-    assertTrue(2 * d.met >= JOBS, d.met + " of " + JOBS + " ends were met");
-    for (SimulatedUsers.KnownJob job : d.jobs.values()) {
-      assertEquals(d.recorded(job), job.finalState(), job.ref);
+    scenario.cluster.run(20_000);
+    SeededDaysTest.settle(scenario.cluster);
+    assertTrue(
+        2 * scenario.requestedEnds >= JOBS,
+        scenario.requestedEnds + " of " + JOBS + " ends were met");
+    for (SimulatedUsers.KnownJob job : scenario.jobs.values()) {
+      assertEquals(scenario.recordedStatus(job), job.finalState(), job.ref);
       if (step == Step.DONE_IS_PUT) {
         assertEquals("done", job.finalState(), job.ref);
       }
--- a/src/test/java/dapplestair/world/LateCommandsTest.java
+++ b/src/test/java/dapplestair/world/LateCommandsTest.java
@@ -17,58 +17,60 @@
  */
 class LateCommandsTest {
   /** How many commands of each kind are held up. */
-  private static final int HELD = 12;
+  private static final int MAX_HELD_COMMANDS = 12;
 
   /** Teams at their limits: what starts once too often is seen. */
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 24, 700, 6));
-    w.net.loss = 0;
-    w.users.cancelledArrays = 0.4;
-    w.run(20_000);
-    return w;
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 24, 700, 6));
+    cluster.net.loss = 0;
+    cluster.users.cancelledArrays = 0.4;
+    cluster.run(20_000);
+    return cluster;
   }
 
-  private static void end(SimulatedCluster w, SimulatedCluster.ControllerNode old, String how) {
-    switch (how) {
-      case "ends" -> old.crash(6000);
-      case "hangs" -> old.freeze(12_000);
-      case "alone" -> new RandomFaults(w).alone(old, false, SimulatedCluster.LEASE_MS);
-      default -> throw new IllegalArgumentException(how);
+  private static void disableLeader(
+      SimulatedCluster cluster, SimulatedCluster.ControllerNode oldLeader, String leaderFault) {
+    switch (leaderFault) {
+      case "ends" -> oldLeader.crash(6000);
+      case "hangs" -> oldLeader.freeze(12_000);
+      case "alone" -> new RandomFaults(cluster).alone(oldLeader, false, SimulatedCluster.LEASE_MS);
+      default -> throw new IllegalArgumentException(leaderFault);
     }
   }
 
   /** Nobody but the old leader gets to this zone's machines, and they get to nobody. */
-  private static void isolate(
-      SimulatedCluster w, SimulatedCluster.ControllerNode old, String zone, long ms) {
-    for (EmulatedWorker m : w.cloud.machines()) {
-      for (SimulatedCluster.ControllerNode n : w.nodes) {
-        if (n != old && m.zone().equals(zone)) {
-          w.net.cut("node-" + n.index, m.endpoint(), true);
-          w.net.cut(SimulatedCluster.client(n.index), m.endpoint(), true);
-          w.sim.after(ms, () -> w.net.heal("node-" + n.index, m.endpoint()));
-          w.sim.after(ms, () -> w.net.heal(SimulatedCluster.client(n.index), m.endpoint()));
+  private static void isolateZoneFromOthers(
+      SimulatedCluster cluster, SimulatedCluster.ControllerNode oldLeader, String zone, long ms) {
+    for (EmulatedWorker m : cluster.cloud.machines()) {
+      for (SimulatedCluster.ControllerNode n : cluster.nodes) {
+        if (n != oldLeader && m.zone().equals(zone)) {
+          cluster.net.cut("node-" + n.index, m.endpoint(), true);
+          cluster.net.cut(SimulatedCluster.client(n.index), m.endpoint(), true);
+          cluster.sim.after(ms, () -> cluster.net.heal("node-" + n.index, m.endpoint()));
+          cluster.sim.after(
+              ms, () -> cluster.net.heal(SimulatedCluster.client(n.index), m.endpoint()));
         }
       }
     }
   }
 
-  private static String zoneOf(SimulatedCluster w, String endpoint) {
-    return w.cloud.machines().stream()
+  private static String zoneOf(SimulatedCluster cluster, String endpoint) {
+    return cluster.cloud.machines().stream()
         .filter(m -> m.endpoint().equals(endpoint))
         .map(EmulatedWorker::zone)
         .findFirst()
         .orElse("");
   }
 
-  private static boolean sameZone(SimulatedCluster w, String endpoint, String other) {
-    return zoneOf(w, endpoint).equals(zoneOf(w, other));
+  private static boolean sameZone(SimulatedCluster cluster, String endpoint, String other) {
+    return zoneOf(cluster, endpoint).equals(zoneOf(cluster, other));
   }
 
   /** A third of what runs, or is about to, is cancelled through the new leader. */
-  private static void cancelSome(SimulatedCluster w) {
-    for (SimulatedUsers.KnownJob t : new ArrayList<>(w.users.told.values())) {
-      if (t.accepted && !t.done && !t.cancelAsked && w.sim.chance(0.33)) {
-        w.users.cancel(t);
+  private static void cancelThirdOfJobs(SimulatedCluster cluster) {
+    for (SimulatedUsers.KnownJob job : new ArrayList<>(cluster.users.told.values())) {
+      if (job.accepted && !job.done && !job.cancelAsked && cluster.sim.chance(0.33)) {
+        cluster.users.cancel(job);
       }
     }
   }
@@ -93,66 +95,72 @@
     "5112,clear,6000,hangs,true",
     "5113,clear,16000,ends,false"
   })
-  void afterTheNextLeaders(long seed, String verb, long heldMs, String how, boolean reached) {
-    SimulatedCluster w = begun(seed);
+  void commandsArriveAfterThoseOfTheNextLeader(
+      long seed, String verb, long heldMs, String leaderFault, boolean reachedByOthers) {
+    SimulatedCluster cluster = startCluster(seed);
     for (int i = 0; i < 3; i++) {
-      SimulatedCluster.ControllerNode old = w.leader();
-      if (old == null) {
-        w.run(4000);
+      SimulatedCluster.ControllerNode oldLeader = cluster.leader();
+      if (oldLeader == null) {
+        cluster.run(4000);
         continue;
       }
-      List<String> held = new ArrayList<>();
-      w.net.commandHeldMs =
+      List<String> heldEndpoints = new ArrayList<>();
+      cluster.net.commandHeldMs =
           r -> {
-            boolean holds =
-                r.from().equals("node-" + old.index)
+            boolean holdsCommand =
+                r.from().equals("node-" + oldLeader.index)
                     && r.orders(verb)
-                    && held.size() < HELD
-                    && (reached || held.stream().allMatch(to -> sameZone(w, r.to(), to)));
-            if (holds) {
-              held.add(r.to());
+                    && heldEndpoints.size() < MAX_HELD_COMMANDS
+                    && (reachedByOthers
+                        || heldEndpoints.stream().allMatch(to -> sameZone(cluster, r.to(), to)));
+            if (holdsCommand) {
+              heldEndpoints.add(r.to());
             }
-            return holds ? heldMs : 0;
+            return holdsCommand ? heldMs : 0;
           };
-      for (int k = 0; k < 500 && (held.isEmpty() || k < 50); k++) {
-        w.run(20);
+      for (int k = 0; k < 500 && (heldEndpoints.isEmpty() || k < 50); k++) {
+        cluster.run(20);
       }
-      assertTrue(!held.isEmpty(), "nothing was held up");
-      if (!reached) {
-        isolate(w, old, zoneOf(w, held.get(0)), heldMs + 1000);
+      assertTrue(!heldEndpoints.isEmpty(), "nothing was held up");
+      if (!reachedByOthers) {
+        isolateZoneFromOthers(
+            cluster, oldLeader, zoneOf(cluster, heldEndpoints.get(0)), heldMs + 1000);
       }
-      end(w, old, how);
-      w.run(2500);
-      cancelSome(w);
-      w.run(heldMs + 12_000);
-      w.net.commandHeldMs = r -> 0;
+      disableLeader(cluster, oldLeader, leaderFault);
+      cluster.run(2500);
+      cancelThirdOfJobs(cluster);
+      cluster.run(heldMs + 12_000);
+      cluster.net.commandHeldMs = r -> 0;
     }
-    int late = reached ? w.net.lateRefused.get() : w.net.lateTaken.get();
-    assertTrue(late > 0, "none came late: " + w.net.lateTaken + ", " + w.net.lateRefused);
-    SeededDaysTest.settle(w);
+    int lateCommandCount =
+        reachedByOthers ? cluster.net.lateRefused.get() : cluster.net.lateTaken.get();
+    assertTrue(
+        lateCommandCount > 0,
+        "none came late: " + cluster.net.lateTaken + ", " + cluster.net.lateRefused);
+    SeededDaysTest.settle(cluster);
   }
 
   /** Two leaders' commands for the same tasks are both on their way when a third one begins. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5121, 5122, 5123, 5124})
-  void ofTwoLeadersAtOnce(long seed) {
-    SimulatedCluster w = begun(seed);
+  void commandsOfTwoLeadersInFlight(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
     for (int i = 0; i < 3; i++) {
-      w.net.lateCommands = 0.7;
+      cluster.net.lateCommands = 0.7;
       for (int k = 0; k < 2; k++) {
-        w.run(2500);
-        SimulatedCluster.ControllerNode old = w.leader();
-        if (old != null) {
-          end(w, old, w.sim.chance(0.5) ? "ends" : "alone");
+        cluster.run(2500);
+        SimulatedCluster.ControllerNode oldLeader = cluster.leader();
+        if (oldLeader != null) {
+          disableLeader(cluster, oldLeader, cluster.sim.chance(0.5) ? "ends" : "alone");
         }
-        w.run(w.sim.between(2500, 5000));
-        assertNotEquals(old, w.leader(), "it still leads");
+        cluster.run(cluster.sim.between(2500, 5000));
+        assertNotEquals(oldLeader, cluster.leader(), "it still leads");
       }
-      cancelSome(w);
-      w.net.lateCommands = 0;
-      w.run(SimulatedCluster.LEASE_MS);
+      cancelThirdOfJobs(cluster);
+      cluster.net.lateCommands = 0;
+      cluster.run(SimulatedCluster.LEASE_MS);
     }
-    SeededDaysTest.settle(w);
+    SeededDaysTest.settle(cluster);
   }
 
   /**
@@ -161,41 +169,45 @@
    */
   @ParameterizedTest(name = "seed {0}, held for {1} ms")
   @CsvSource({"5141,3500", "5142,4000", "5143,4500", "5144,5000"})
-  void whileAnswersAreLost(long seed, long heldMs) {
-    SimulatedCluster w = begun(seed);
+  void aLaunchArrivesAfterLostResponses(long seed, long heldMs) {
+    SimulatedCluster cluster = startCluster(seed);
     for (int i = 0; i < 8; i++) {
-      SimulatedCluster.ControllerNode leader = w.leader();
-      List<String> stuck = new ArrayList<>();
-      w.net.commandHeldMs =
+      SimulatedCluster.ControllerNode leader = cluster.leader();
+      List<String> delayedEndpoints = new ArrayList<>();
+      cluster.net.commandHeldMs =
           r -> {
-            boolean first = stuck.size() < 3 && r.orders("launch") && !stuck.contains(r.to());
-            if (first) {
-              stuck.add(r.to());
-              w.net.cutOneWay(SimulatedCluster.client(leader.index), r.to());
+            boolean holdsLaunch =
+                delayedEndpoints.size() < 3
+                    && r.orders("launch")
+                    && !delayedEndpoints.contains(r.to());
+            if (holdsLaunch) {
+              delayedEndpoints.add(r.to());
+              cluster.net.cutOneWay(SimulatedCluster.client(leader.index), r.to());
             }
-            return first || stuck.contains(r.to()) ? heldMs : 0;
+            return holdsLaunch || delayedEndpoints.contains(r.to()) ? heldMs : 0;
           };
-      w.run(heldMs + 2000);
-      w.net.commandHeldMs = r -> 0;
-      stuck.forEach(to -> w.net.healOneWay(SimulatedCluster.client(leader.index), to));
-      w.run(6000);
+      cluster.run(heldMs + 2000);
+      cluster.net.commandHeldMs = r -> 0;
+      delayedEndpoints.forEach(
+          to -> cluster.net.healOneWay(SimulatedCluster.client(leader.index), to));
+      cluster.run(6000);
     }
-    assertTrue(w.net.lateTaken.get() > 0, "none came late");
-    SeededDaysTest.settle(w);
+    assertTrue(cluster.net.lateTaken.get() > 0, "none came late");
+    SeededDaysTest.settle(cluster);
   }
 
   /** A share of all direct commands, for long, under leaders that live. */
   @ParameterizedTest(name = "seed {0}, share {1}")
   @CsvSource({"5131,0.15", "5132,0.4", "5133,0.4", "5134,0.6"})
-  void underOneLeader(long seed, double share) {
-    SimulatedCluster w = begun(seed);
-    w.net.lateCommands = share;
+  void lateCommandsUnderOneLeader(long seed, double share) {
+    SimulatedCluster cluster = startCluster(seed);
+    cluster.net.lateCommands = share;
     for (int i = 0; i < 6; i++) {
-      w.run(10_000);
-      cancelSome(w);
+      cluster.run(10_000);
+      cancelThirdOfJobs(cluster);
     }
-    w.net.lateCommands = 0;
-    assertTrue(w.net.lateRefused.get() > 0, "none came late");
-    SeededDaysTest.settle(w);
+    cluster.net.lateCommands = 0;
+    assertTrue(cluster.net.lateRefused.get() > 0, "none came late");
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/LeaderChangeRunner.java
+++ b/src/test/java/dapplestair/world/LeaderChangeRunner.java
@@ -37,7 +37,8 @@
     MachineFault fault = pick(MachineFault.values(), seed);
     LeaderChange change = pick(LeaderChange.values(), seed / 7);
     long offset = OFFSETS_MS[(int) (seed / 3 % OFFSETS_MS.length)];
-    RefusedThenOutageTest.Asked asked = pick(RefusedThenOutageTest.Asked.values(), seed / 10);
+    RefusedThenOutageTest.CancelTarget asked =
+        pick(RefusedThenOutageTest.CancelTarget.values(), seed / 10);
     long askedMs = Math.min(offset, 900);
     play("limits", seed, s -> TeamLimitsTest.play(s, fault, change, Math.max(-1500, offset)));
     play("handover", seed, s -> HandoverTest.play(s, change, Math.max(-400, offset)));
--- a/src/test/java/dapplestair/world/LeadsAgainTest.java
+++ b/src/test/java/dapplestair/world/LeadsAgainTest.java
@@ -11,42 +11,45 @@
 class LeadsAgainTest {
   private static final SimulatedCluster.Size CROWDED = new SimulatedCluster.Size(16, 50, 350, 12);
   private static final int ROUNDS = 24;
-  private static final long REFUSED_MS = 900;
+  private static final long OTHERS_REFUSED_MS = 900;
 
   /** The leader's key is lost; for a while nobody but the same controller can win it. */
-  private static void loseLead(
-      SimulatedCluster w, SimulatedCluster.ControllerNode leader, boolean othersRefused) {
-    for (SimulatedCluster.ControllerNode node : w.nodes) {
+  private static void loseLeaderKey(
+      SimulatedCluster cluster, SimulatedCluster.ControllerNode leader, boolean othersRefused) {
+    for (SimulatedCluster.ControllerNode node : cluster.nodes) {
       if (node != leader && othersRefused) {
-        w.state.refuse("node-" + node.index, true);
-        w.sim.after(REFUSED_MS, () -> w.state.refuse("node-" + node.index, false));
+        cluster.state.refuse("node-" + node.index, true);
+        cluster.sim.after(
+            OTHERS_REFUSED_MS, () -> cluster.state.refuse("node-" + node.index, false));
       }
     }
-    LeaderChange.loseKey(w);
+    LeaderChange.loseKey(cluster);
   }
 
   @ParameterizedTest(name = "seed {0}, state service out for {1} ms before")
   @CsvSource({"5,0", "34,0", "37,0", "5,3000", "9,3000", "14,3000", "5,6000", "8,6000", "393,6000"})
   void nothingOfTheFormerTermIsWrittenOrFreed(long seed, long outageMs) {
-    SimulatedCluster w = new SimulatedCluster(seed, CROWDED);
-    w.users.cancelledArrays = 0.4;
-    w.run(20_000);
-    int again = 0;
+    SimulatedCluster cluster = new SimulatedCluster(seed, CROWDED);
+    cluster.users.cancelledArrays = 0.4;
+    cluster.run(20_000);
+    int timesLedAgain = 0;
     for (int i = 0; i < ROUNDS; i++) {
-      SimulatedCluster.ControllerNode before = w.leader();
-      if (before != null) {
+      SimulatedCluster.ControllerNode formerLeader = cluster.leader();
+      if (formerLeader != null) {
         if (outageMs > 0) {
-          w.state.fail();
-          w.run(outageMs);
-          w.state.recover();
-          w.run(w.sim.between(0, 40));
+          cluster.state.fail();
+          cluster.run(outageMs);
+          cluster.state.recover();
+          cluster.run(cluster.sim.between(0, 40));
         }
-        loseLead(w, before, w.sim.chance(0.8));
+        loseLeaderKey(cluster, formerLeader, cluster.sim.chance(0.8));
       }
-      w.run(w.sim.between(1200, 3500));
-      again += before != null && w.leader() == before ? 1 : 0;
+      cluster.run(cluster.sim.between(1200, 3500));
+      timesLedAgain += formerLeader != null && cluster.leader() == formerLeader ? 1 : 0;
     }
-    assertTrue(again > ROUNDS / 3, "the same controller led again only " + again + " times");
-    SeededDaysTest.settle(w);
+    assertTrue(
+        timesLedAgain > ROUNDS / 3,
+        "the same controller led again only " + timesLedAgain + " times");
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/LeaseResponsesTest.java
+++ b/src/test/java/dapplestair/world/LeaseResponsesTest.java
@@ -27,7 +27,7 @@
  */
 class LeaseResponsesTest {
   /** For how long after a cancellation a leader that does not know of it may send launches. */
-  private static final long LAUNCH_MS =
+  private static final long MAX_LAUNCH_DELAY_MS =
       (SimulatedCluster.CANCEL_MS - SimulatedCluster.LEASE_MS - SimulatedCluster.LEASE_MS / 16) / 4;
 
   /** Sends a machine's report as it is now, or changed by the test. */
@@ -44,7 +44,7 @@
       tick = report.path("tick").asLong();
     }
 
-    HttpReply to(SimulatedCluster.ControllerNode node, JsonNode tasks, long token) {
+    HttpReply sendReport(SimulatedCluster.ControllerNode node, JsonNode tasks, long token) {
       report.put("tick", tick++).put("baton", token).set("steps", tasks);
       HttpReply[] reply = new HttpReply[1];
       node.request(
@@ -66,7 +66,7 @@
     return Json.parse(reply.body()).path("baton").asLong();
   }
 
-  private static Set<String> halts(HttpReply reply) {
+  private static Set<String> haltedAttempts(HttpReply reply) {
     Set<String> keys = new HashSet<>();
     Json.parse(reply.body())
         .path("orders")
@@ -77,18 +77,19 @@
   /**
    * Halts of jobs that are not done: of those that are, what is on record may be halted as well.
    */
-  private static Set<String> halts(CancellationOutageTest.Day d, HttpReply reply) {
-    Set<String> keys = halts(reply);
+  private static Set<String> haltedAttemptsOfOpenJobs(
+      CancellationOutageTest.Day day, HttpReply reply) {
+    Set<String> keys = haltedAttempts(reply);
     keys.removeIf(
         key -> {
-          JsonNode over = d.w.state.value("over/" + key.substring(0, key.indexOf('/')));
-          return over != null && over.path("status").asText().equals("done");
+          JsonNode jobRecord = day.w.state.value("over/" + key.substring(0, key.indexOf('/')));
+          return jobRecord != null && jobRecord.path("status").asText().equals("done");
         });
     return keys;
   }
 
   /** The tasks of these jobs among {@code tasks}. */
-  private static Set<String> of(List<SimulatedUsers.KnownJob> jobs, JsonNode tasks) {
+  private static Set<String> attemptsOf(List<SimulatedUsers.KnownJob> jobs, JsonNode tasks) {
     Set<String> keys = new HashSet<>();
     for (JsonNode t : tasks) {
       String key = t.path("step").asText();
@@ -100,119 +101,134 @@
   }
 
   /** A machine that runs tasks to be cancelled as well as others. */
-  private static Reporter mixed(CancellationOutageTest.Day d) {
-    return d.w.cloud.machines().stream()
+  private static Reporter reporterWithCancelledAndKeptTasks(CancellationOutageTest.Day day) {
+    return day.w.cloud.machines().stream()
         .filter(m -> !m.gone() && m.booted())
         .map(Reporter::new)
-        .filter(r -> !of(d.cancelled, r.tasks()).isEmpty() && !of(d.kept, r.tasks()).isEmpty())
+        .filter(
+            r ->
+                !attemptsOf(day.cancelled, r.tasks()).isEmpty()
+                    && !attemptsOf(day.kept, r.tasks()).isEmpty())
         .findFirst()
         .orElseThrow();
   }
 
   /** A follower that was told of cancellations answers in an outage of all. */
-  private static Reporter toldFollower(CancellationOutageTest.Day d) {
-    Reporter r = mixed(d);
-    CancellationOutageTest.refuse(d);
-    d.cancel(d.second);
-    d.w.state.fail();
+  private static Reporter reporterToInformedFollower(CancellationOutageTest.Day day) {
+    Reporter reporter = reporterWithCancelledAndKeptTasks(day);
+    CancellationOutageTest.refuse(day);
+    day.cancel(day.second);
+    day.w.state.fail();
     // Its own reports must not meet those of the test, and who asks here is told here once more.
-    d.w.net.cut(SimulatedCluster.client(d.third.index), r.machine.endpoint(), false);
-    d.w.net.cut(SimulatedCluster.client(d.third.index), "users", false);
-    d.w.run(SimulatedCluster.REPORT_MS);
+    day.w.net.cut(SimulatedCluster.client(day.third.index), reporter.machine.endpoint(), false);
+    day.w.net.cut(SimulatedCluster.client(day.third.index), "users", false);
+    day.w.run(SimulatedCluster.REPORT_MS);
     // The first is sent on to the leader; one that comes again was not taken there.
-    assertEquals(421, r.to(d.third, r.tasks(), r.token()).status());
-    return r;
+    assertEquals(421, reporter.sendReport(day.third, reporter.tasks(), reporter.token()).status());
+    return reporter;
   }
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8201, 8202, 8203})
-  void aFollowersAnswerHaltsCancelledTasks(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    Reporter r = toldFollower(d);
-    Set<String> cancelled = of(d.cancelled, r.tasks());
-    HttpReply answer = r.to(d.third, r.tasks(), r.token());
-    token(answer);
-    assertEquals(cancelled, halts(d, answer));
+  void aFollowersResponseHaltsCancelledTasks(long seed) {
+    CancellationOutageTest.Day day = new CancellationOutageTest.Day(seed);
+    Reporter reporter = reporterToInformedFollower(day);
+    Set<String> cancelled = attemptsOf(day.cancelled, reporter.tasks());
+    HttpReply reply = reporter.sendReport(day.third, reporter.tasks(), reporter.token());
+    token(reply);
+    assertEquals(cancelled, haltedAttemptsOfOpenJobs(day, reply));
     // Whatever was launched between the report and the answer is on record only.
-    answer = r.to(d.third, Json.object().putArray("steps"), r.token());
-    token(answer);
-    assertEquals(cancelled, halts(d, answer), "tasks that the report lacks");
-    String key = d.cancelled.get(0).ref + "/0";
+    reply = reporter.sendReport(day.third, Json.object().putArray("steps"), reporter.token());
+    token(reply);
+    assertEquals(cancelled, haltedAttemptsOfOpenJobs(day, reply), "tasks that the report lacks");
+    String key = day.cancelled.get(0).ref + "/0";
     ArrayNode unrecorded = Json.object().putArray("steps");
     unrecorded.addObject().put("step", key).put("try", 99).put("status", "fetching");
-    answer = r.to(d.third, unrecorded, r.token());
-    assertTrue(halts(answer).contains(key + "#99"), "a task that is on no record");
+    reply = reporter.sendReport(day.third, unrecorded, reporter.token());
+    assertTrue(haltedAttempts(reply).contains(key + "#99"), "a task that is on no record");
   }
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8201, 8202, 8203})
   void aFollowerRaisesTheTokenUntilNoLaunchCanBeSent(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    Reporter r = toldFollower(d);
-    long first = token(r.to(d.third, r.tasks(), r.token()));
-    assertTrue(first >= r.token() + 2 * FencingToken.MAX_FENCE_LEAD, "raised above any launch");
-    d.w.run(LAUNCH_MS + SimulatedCluster.REPORT_MS);
-    long second = token(r.to(d.third, r.tasks(), first));
-    assertTrue(second > first, "a raise while launches could still be sent does not count");
-    d.w.run(SimulatedCluster.REPORT_MS);
-    assertEquals(second, token(r.to(d.third, r.tasks(), second)), "once is enough");
+    CancellationOutageTest.Day day = new CancellationOutageTest.Day(seed);
+    Reporter reporter = reporterToInformedFollower(day);
+    long firstToken = token(reporter.sendReport(day.third, reporter.tasks(), reporter.token()));
+    assertTrue(
+        firstToken >= reporter.token() + 2 * FencingToken.MAX_FENCE_LEAD,
+        "raised above any launch");
+    day.w.run(MAX_LAUNCH_DELAY_MS + SimulatedCluster.REPORT_MS);
+    long secondToken = token(reporter.sendReport(day.third, reporter.tasks(), firstToken));
+    assertTrue(
+        secondToken > firstToken, "a raise while launches could still be sent does not count");
+    day.w.run(SimulatedCluster.REPORT_MS);
+    assertEquals(
+        secondToken,
+        token(reporter.sendReport(day.third, reporter.tasks(), secondToken)),
+        "once is enough");
   }
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8201, 8202, 8203})
   void aFollowerKeepsNoLeaseForJobsItDoesNotKnow(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    Reporter r = toldFollower(d);
-    token(r.to(d.third, r.tasks(), r.token()));
-    ArrayNode tasks = r.tasks().deepCopy();
+    CancellationOutageTest.Day day = new CancellationOutageTest.Day(seed);
+    Reporter reporter = reporterToInformedFollower(day);
+    token(reporter.sendReport(day.third, reporter.tasks(), reporter.token()));
+    ArrayNode tasks = reporter.tasks().deepCopy();
     tasks.addObject().put("step", "wk-999999/0").put("try", 1).put("status", "running");
-    assertEquals(503, r.to(d.third, tasks, r.token()).status(), "a job nobody here knows");
+    assertEquals(
+        503,
+        reporter.sendReport(day.third, tasks, reporter.token()).status(),
+        "a job nobody here knows");
     ((ObjectNode) tasks.get(tasks.size() - 1)).put("status", "exited").put("cause", "done");
-    token(r.to(d.third, tasks, r.token()));
+    token(reporter.sendReport(day.third, tasks, reporter.token()));
   }
 
   /** A leader raises the token while a launch of a cancelled job has no answer. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8211, 8212, 8213})
-  void aLeaderKeepsOutALaunchOnItsWay(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    refuseMachines(d, true);
-    SimulatedUsers.KnownJob job = d.w.users.array("one", "high", 4, 150);
-    waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
-    List<Reporter> reporters = hostsOnRecord(d, job).stream().map(Reporter::new).toList();
-    d.w.users.cancelAt(job, d.second);
-    waitUntil(d, () -> job.aborted);
+  void aLeaderRaisesTheTokenAboveAnUnansweredLaunch(long seed) {
+    CancellationOutageTest.Day day = new CancellationOutageTest.Day(seed);
+    setCutFromMachines(day, true);
+    SimulatedUsers.KnownJob job = day.w.users.array("one", "high", 4, 150);
+    waitUntil(day, () -> !hostsOnRecord(day, job).isEmpty());
+    List<Reporter> reporters = hostsOnRecord(day, job).stream().map(Reporter::new).toList();
+    day.w.users.cancelAt(job, day.second);
+    waitUntil(day, () -> job.aborted);
     for (Reporter r : reporters) {
-      HttpReply answer = r.to(d.old, r.tasks(), r.token());
-      assertTrue(token(answer) > r.token(), "above the launch, which carries the token shown");
-      assertTrue(halts(answer).stream().anyMatch(k -> k.startsWith(job.ref + "/")), "halted");
+      HttpReply reply = r.sendReport(day.old, r.tasks(), r.token());
+      assertTrue(token(reply) > r.token(), "above the launch, which carries the token shown");
+      assertTrue(
+          haltedAttempts(reply).stream().anyMatch(k -> k.startsWith(job.ref + "/")), "halted");
     }
-    refuseMachines(d, false);
-    d.w.run(SimulatedCluster.CANCEL_MS);
+    setCutFromMachines(day, false);
+    day.w.run(SimulatedCluster.CANCEL_MS);
   }
 
   /** Calls of the old leader get no answer; what was called is lost. Reports go on. */
-  private static void refuseMachines(CancellationOutageTest.Day d, boolean refused) {
-    String node = "node-" + d.old.index;
-    for (EmulatedWorker m : d.w.cloud.machines()) {
-      if (refused) {
-        d.w.net.cut(node, m.endpoint(), false);
+  private static void setCutFromMachines(CancellationOutageTest.Day day, boolean cut) {
+    String node = "node-" + day.old.index;
+    for (EmulatedWorker m : day.w.cloud.machines()) {
+      if (cut) {
+        day.w.net.cut(node, m.endpoint(), false);
       } else {
-        d.w.net.heal(node, m.endpoint());
+        day.w.net.heal(node, m.endpoint());
       }
     }
   }
 
   private static List<EmulatedWorker> hostsOnRecord(
-      CancellationOutageTest.Day d, SimulatedUsers.KnownJob job) {
+      CancellationOutageTest.Day day, SimulatedUsers.KnownJob job) {
     String records = "";
-    for (String key : d.w.state.keys("live/")) {
+    for (String key : day.w.state.keys("live/")) {
       if (key.startsWith("live/run/" + job.ref) || key.startsWith("live/sheet/")) {
-        records += d.w.state.value(key);
+        records += day.w.state.value(key);
       }
     }
-    String text = records;
-    return d.w.cloud.machines().stream().filter(m -> !m.gone() && text.contains(m.id())).toList();
+    String allRecords = records;
+    return day.w.cloud.machines().stream()
+        .filter(m -> !m.gone() && allRecords.contains(m.id()))
+        .toList();
   }
 
   /**
@@ -222,28 +238,29 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8221, 8222, 8223})
-  void noLaunchLeavesLongAfterTheLastKnowledge(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
+  void noLaunchIsSentAfterTheMaximumDelay(long seed) {
+    CancellationOutageTest.Day day = new CancellationOutageTest.Day(seed);
     boolean[] refusing = {true};
-    for (EmulatedWorker m : d.w.cloud.machines()) {
-      d.w.net.place(m.endpoint(), refusing("node-" + d.old.index, refusing, m));
+    for (EmulatedWorker m : day.w.cloud.machines()) {
+      day.w.net.place(m.endpoint(), refusingConnections("node-" + day.old.index, refusing, m));
     }
-    SimulatedUsers.KnownJob job = d.w.users.array("two", "high", 4, 150);
-    waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
-    CancellationOutageTest.refuse(d);
-    d.links("refused", true);
-    d.w.users.cancelAt(job, d.second);
-    waitUntil(d, () -> job.aborted);
-    d.second.crash(3 * SimulatedCluster.CANCEL_MS);
-    d.w.state.fail();
-    d.w.run(LAUNCH_MS);
+    SimulatedUsers.KnownJob job = day.w.users.array("two", "high", 4, 150);
+    waitUntil(day, () -> !hostsOnRecord(day, job).isEmpty());
+    CancellationOutageTest.refuse(day);
+    day.links("refused", true);
+    day.w.users.cancelAt(job, day.second);
+    waitUntil(day, () -> job.aborted);
+    day.second.crash(3 * SimulatedCluster.CANCEL_MS);
+    day.w.state.fail();
+    day.w.run(MAX_LAUNCH_DELAY_MS);
     assertEquals(0, job.starts, "the launches wait");
     refusing[0] = false;
-    d.w.run(SimulatedCluster.REPORT_MS);
+    day.w.run(SimulatedCluster.REPORT_MS);
     assertEquals(0, job.starts, "late launches");
   }
 
-  private static RequestHandler refusing(String node, boolean[] refusing, RequestHandler machine) {
+  private static RequestHandler refusingConnections(
+      String node, boolean[] refusing, RequestHandler machine) {
     return (from, method, path, body, reply) -> {
       if (refusing[0] && from.equals(node)) {
         reply.accept(HttpReply.of(HttpReply.NOT_SENT));
@@ -254,13 +271,13 @@
   }
 
   /** Holds back streams of changes, and the transaction of a cancellation, on its way. */
-  private static final class HeldState implements RequestHandler {
+  private static final class DelayedStateService implements RequestHandler {
     private final RequestHandler state;
-    private final Set<String> blind = new HashSet<>();
-    private final List<Runnable> waiting = new ArrayList<>();
+    private final Set<String> blockedNodes = new HashSet<>();
+    private final List<Runnable> heldResponses = new ArrayList<>();
     private Runnable cancellation;
 
-    HeldState(RequestHandler state) {
+    DelayedStateService(RequestHandler state) {
       this.state = state;
     }
 
@@ -271,7 +288,7 @@
           && cancellation == null
           && Json.parse(body).toString().contains("\"remove\":\"live/job/")) {
         cancellation = () -> state.request(from, method, path, body, reply);
-        blind.add(from);
+        blockedNodes.add(from);
         return;
       }
       state.request(
@@ -280,19 +297,19 @@
           path,
           body,
           r -> {
-            if (path.startsWith("/changes") && blind.contains(from)) {
-              waiting.add(() -> reply.accept(r));
+            if (path.startsWith("/changes") && blockedNodes.contains(from)) {
+              heldResponses.add(() -> reply.accept(r));
             } else {
               reply.accept(r);
             }
           });
     }
 
-    void letSee(String node) {
-      blind.remove(node);
-      List<Runnable> late = List.copyOf(waiting);
-      waiting.clear();
-      late.forEach(Runnable::run);
+    void releaseChanges(String node) {
+      blockedNodes.remove(node);
+      List<Runnable> heldNow = List.copyOf(heldResponses);
+      heldResponses.clear();
+      heldNow.forEach(Runnable::run);
     }
   }
 
@@ -302,32 +319,32 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8231, 8232, 8233})
-  void nobodyIsToldBeforeAllPlacesAreRead(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    HeldState state = new HeldState(d.w.state);
-    d.w.net.place("state:1", state);
-    state.blind.add("node-" + d.old.index);
-    SimulatedUsers.KnownJob job = d.w.users.array("one", "high", 4, 150);
-    waitUntil(d, () -> job.accepted);
-    d.w.users.cancelAt(job, d.second);
-    waitUntil(d, () -> state.cancellation != null);
+  void aCancellationIsConfirmedOnlyOnceAllAttemptsAreRead(long seed) {
+    CancellationOutageTest.Day day = new CancellationOutageTest.Day(seed);
+    DelayedStateService stateService = new DelayedStateService(day.w.state);
+    day.w.net.place("state:1", stateService);
+    stateService.blockedNodes.add("node-" + day.old.index);
+    SimulatedUsers.KnownJob job = day.w.users.array("one", "high", 4, 150);
+    waitUntil(day, () -> job.accepted);
+    day.w.users.cancelAt(job, day.second);
+    waitUntil(day, () -> stateService.cancellation != null);
     // The leader learns of the job only now, and launches it, while the canceller sees nothing.
-    state.letSee("node-" + d.old.index);
-    waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
-    List<Reporter> reporters = hostsOnRecord(d, job).stream().map(Reporter::new).toList();
-    state.cancellation.run();
-    d.w.run(SimulatedCluster.REPORT_MS / 4);
+    stateService.releaseChanges("node-" + day.old.index);
+    waitUntil(day, () -> !hostsOnRecord(day, job).isEmpty());
+    List<Reporter> reporters = hostsOnRecord(day, job).stream().map(Reporter::new).toList();
+    stateService.cancellation.run();
+    day.w.run(SimulatedCluster.REPORT_MS / 4);
     assertFalse(job.aborted, "told before the launches were read");
-    state.letSee("node-" + d.second.index);
-    waitUntil(d, () -> job.aborted);
-    d.w.run(SimulatedCluster.CANCEL_MS);
-    assertEquals(0, d.running(job), "cancelled tasks");
+    stateService.releaseChanges("node-" + day.second.index);
+    waitUntil(day, () -> job.aborted);
+    day.w.run(SimulatedCluster.CANCEL_MS);
+    assertEquals(0, day.running(job), "cancelled tasks");
     assertFalse(reporters.isEmpty());
   }
 
-  private static void waitUntil(CancellationOutageTest.Day d, BooleanSupplier condition) {
+  private static void waitUntil(CancellationOutageTest.Day day, BooleanSupplier condition) {
     for (int i = 0; i < 400 && !condition.getAsBoolean(); i++) {
-      d.w.run(10);
+      day.w.run(10);
     }
     assertTrue(condition.getAsBoolean(), "it does not come about");
   }
--- a/src/test/java/dapplestair/world/LostOperatorResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostOperatorResponsesTest.java
@@ -15,89 +15,92 @@
  * answer is lost, and the sender goes on, hears no news, or ends.
  */
 class LostOperatorResponsesTest {
-  private static final long FOR_MS = 30_000;
-  private static final long LONG_MS = 180_000;
-  private static final long REPLACED_MS = 900_000;
+  private static final long PHASE_MS = 30_000;
+  private static final long DRAIN_MS = 180_000;
+  private static final long MAX_REPLACEMENT_MS = 900_000;
 
-  private static void begin(
-      SimulatedCluster w, Predicate<JsonNode> writes, LostResponsesTest.Sender sender) {
-    LostResponsesTest.loseAnswers(w, writes, sender);
+  private static void loseResponses(
+      SimulatedCluster cluster, Predicate<JsonNode> writes, LostResponsesTest.Sender sender) {
+    LostResponsesTest.loseResponses(cluster, writes, sender);
   }
 
-  private static void end(SimulatedCluster w) {
-    assertTrue(w.net.commits.lost > 0, "no answer was lost");
-    w.net.commits.lostAnswers = 0;
+  private static void stopLosingResponses(SimulatedCluster cluster) {
+    assertTrue(cluster.net.commits.lost > 0, "no answer was lost");
+    cluster.net.commits.lostAnswers = 0;
   }
 
   /** Guards against drains that are forgotten, or never end, for want of an answer. */
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13101,GOES_ON", "13102,HEARS_NO_NEWS", "13105,ENDS_AT_ONCE", "13104,ENDS_LATER"})
   void drainsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
-    int replicas = DisruptionTest.replicas(w);
-    begin(
-        w,
+    SimulatedCluster cluster = DisruptionTest.begun(seed, 2, 3);
+    int replicasBefore = DisruptionTest.replicas(cluster);
+    loseResponses(
+        cluster,
         CommitInterceptor.puts("live/drain").or(CommitInterceptor.removes("live/drain")),
         sender);
-    OperatorsTest.order(w, "/v1/zones/c/drain", Json.object().put("why", "power"));
-    w.run(LONG_MS);
-    assertEquals(0, DisruptionTest.tasksIn(w, "c"), "tasks left in the zone");
-    OperatorsTest.order(w, "/v1/zones/c/undrain", null);
-    w.run(FOR_MS);
-    end(w);
-    w.run(FOR_MS);
-    assertEquals(0, w.state.keys("live/drain").size(), "drains on record");
-    assertEquals(replicas, DisruptionTest.replicas(w), "replicas in the end");
+    OperatorsTest.submitOrder(cluster, "/v1/zones/c/drain", Json.object().put("why", "power"));
+    cluster.run(DRAIN_MS);
+    assertEquals(0, DisruptionTest.tasksIn(cluster, "c"), "tasks left in the zone");
+    OperatorsTest.submitOrder(cluster, "/v1/zones/c/undrain", null);
+    cluster.run(PHASE_MS);
+    stopLosingResponses(cluster);
+    cluster.run(PHASE_MS);
+    assertEquals(0, cluster.state.keys("live/drain").size(), "drains on record");
+    assertEquals(replicasBefore, DisruptionTest.replicas(cluster), "replicas in the end");
   }
 
   /** Guards against replacements that stand still, or begin again, for want of an answer. */
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13111,GOES_ON", "13112,HEARS_NO_NEWS", "13113,ENDS_AT_ONCE", "13114,ENDS_LATER"})
   void replacementsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
-    Set<String> before = ReplacementTest.machines(w);
-    int replicas = DisruptionTest.replicas(w);
-    begin(w, CommitInterceptor.puts("live/replace/"), sender);
-    OperatorsTest.order(w, "/v1/replacements/night/start", ReplacementTest.all(3, 3));
-    w.run(2 * FOR_MS);
-    end(w);
-    ReplacementTest.untilDone(w, REPLACED_MS);
-    ReplacementTest.assertReplaced(w, before, replicas);
+    SimulatedCluster cluster = DisruptionTest.begun(seed, 2, 3);
+    Set<String> before = ReplacementTest.machineIds(cluster);
+    int replicasBefore = DisruptionTest.replicas(cluster);
+    loseResponses(cluster, CommitInterceptor.puts("live/replace/"), sender);
+    OperatorsTest.submitOrder(
+        cluster, "/v1/replacements/night/start", ReplacementTest.orderForAllMachines(3, 3));
+    cluster.run(2 * PHASE_MS);
+    stopLosingResponses(cluster);
+    ReplacementTest.awaitDone(cluster, MAX_REPLACEMENT_MS);
+    ReplacementTest.assertReplaced(cluster, before, replicasBefore);
   }
 
   /** Guards against more work thrown away than a budget allows, and against budgets never used. */
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13112,GOES_ON", "13222,HEARS_NO_NEWS", "13123,ENDS_AT_ONCE", "13124,ENDS_LATER"})
   void budgetsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 1, 1);
-    double most = 2.0 * 60 * 8;
-    DisruptionTest.allowLoss(w, most);
-    w.users.array("two", "standard", 60, 300);
-    w.run(40_000);
-    begin(w, CommitInterceptor.puts("live/disruption/"), sender);
+    SimulatedCluster cluster = DisruptionTest.begun(seed, 1, 1);
+    double maxLostCpuS = 2.0 * 60 * 8;
+    DisruptionTest.allowLoss(cluster, maxLostCpuS);
+    cluster.users.array("two", "standard", 60, 300);
+    cluster.run(40_000);
+    loseResponses(cluster, CommitInterceptor.puts("live/disruption/"), sender);
     for (String zone : SimulatedCluster.ZONES) {
-      OperatorsTest.order(w, "/v1/zones/" + zone + "/drain", Json.object().put("deadline_s", 1));
+      OperatorsTest.submitOrder(
+          cluster, "/v1/zones/" + zone + "/drain", Json.object().put("deadline_s", 1));
     }
-    w.run(FOR_MS);
-    end(w);
-    w.run(FOR_MS);
-    double lost = w.checker.thrownAwayCpuS.getOrDefault("two", 0.0);
-    assertTrue(lost > 0, "nothing was stopped at the deadline");
-    assertTrue(lost <= most + 1e-6, lost + " CPU seconds thrown away of " + most);
+    cluster.run(PHASE_MS);
+    stopLosingResponses(cluster);
+    cluster.run(PHASE_MS);
+    double lostCpuS = cluster.checker.thrownAwayCpuS.getOrDefault("two", 0.0);
+    assertTrue(lostCpuS > 0, "nothing was stopped at the deadline");
+    assertTrue(
+        lostCpuS <= maxLostCpuS + 1e-6, lostCpuS + " CPU seconds thrown away of " + maxLostCpuS);
   }
 
   /** Guards against runs held past their cut-off, and marks that count twice. */
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13122,GOES_ON", "13116,HEARS_NO_NEWS", "13110,ENDS_AT_ONCE", "13134,ENDS_LATER"})
   void calendarMarksWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
-    SimulatedCluster w = CalendarTest.begun(seed);
-    SimulatedUsers.KnownJob model = CalendarTest.model(w);
-    begin(w, CommitInterceptor.puts("live/calendar/"), sender);
-    CalendarTest.deliver(w, CalendarTest.COMPLETE);
-    CalendarTest.untilBegun(w, model, CalendarTest.CUT_OFF_MS + CalendarTest.STEPS_MS);
-    end(w);
-    w.run(FOR_MS);
-    int delivered = CalendarTest.record(w).path("delivered").asInt();
+    SimulatedCluster cluster = CalendarTest.begun(seed);
+    SimulatedUsers.KnownJob model = CalendarTest.model(cluster);
+    loseResponses(cluster, CommitInterceptor.puts("live/calendar/"), sender);
+    CalendarTest.deliver(cluster, CalendarTest.COMPLETE);
+    CalendarTest.untilBegun(cluster, model, CalendarTest.CUT_OFF_MS + CalendarTest.STEPS_MS);
+    stopLosingResponses(cluster);
+    cluster.run(PHASE_MS);
+    int delivered = CalendarTest.record(cluster).path("delivered").asInt();
     assertTrue(delivered <= CalendarTest.COMPLETE, delivered + " deliveries are on record");
     assertTrue(model.done, "it is not done");
   }
--- a/src/test/java/dapplestair/world/LostResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostResponsesTest.java
@@ -17,18 +17,18 @@
  * would have missed the answer.
  */
 class LostResponsesTest {
-  private static final double SHARE = 0.6;
-  private static final long FOR_MS = 45_000;
-  private static final long DEPOSE_EVERY_MS = 6000;
+  private static final double LOST_RESPONSE_SHARE = 0.6;
+  private static final long FAULTS_MS = 45_000;
+  private static final long DEPOSE_INTERVAL_MS = 6000;
 
   // The sender starts again at most this often, or nothing would ever be done.
-  private static final long CRASH_EVERY_MS = 9000;
+  private static final long MIN_CRASH_INTERVAL_MS = 9000;
 
   // Some answers that are waited for in vain, a change of leader, and the lane's own time.
-  private static final long CLAIM_MS = 20_000;
+  private static final long MAX_CLAIM_MS = 20_000;
 
   /** The kinds of transactions of docs/meetings.md. */
-  enum Put {
+  enum TransactionKind {
     ACCEPTANCE(CommitInterceptor.puts(CommitInterceptor.JOB)),
     CANCELLATION(CommitInterceptor.ends("aborted")),
     DONE(CommitInterceptor.ends("done")),
@@ -43,7 +43,7 @@
 
     final Predicate<JsonNode> writes;
 
-    Put(Predicate<JsonNode> writes) {
+    TransactionKind(Predicate<JsonNode> writes) {
       this.writes = writes;
     }
   }
@@ -66,52 +66,53 @@
 
   private static final long NO_NEWS_MS = 5000;
 
-  static void loseAnswers(SimulatedCluster w, Predicate<JsonNode> writes, Sender sender) {
-    ConcurrentReaders readers = new ConcurrentReaders(w);
-    long[] crashAgainAt = {0};
-    w.net.commits.lostAnswersOf = writes;
-    w.net.commits.lostAnswers = SHARE;
-    w.net.commits.answerLost =
+  static void loseResponses(SimulatedCluster cluster, Predicate<JsonNode> writes, Sender sender) {
+    ConcurrentReaders readers = new ConcurrentReaders(cluster);
+    long[] nextCrashAtMs = {0};
+    cluster.net.commits.lostAnswersOf = writes;
+    cluster.net.commits.lostAnswers = LOST_RESPONSE_SHARE;
+    cluster.net.commits.answerLost =
         (from, body) -> {
           SimulatedUsers.KnownJob job =
-              w.users.told.get(String.valueOf(CommitInterceptor.job(body)));
+              cluster.users.told.get(String.valueOf(CommitInterceptor.job(body)));
           if (job != null) {
-            lookAt(w, readers, job);
+            queryAndMaybeCancel(cluster, readers, job);
           }
           if (sender == Sender.HEARS_NO_NEWS) {
-            w.net.commits.withoutNews(from, NO_NEWS_MS);
+            cluster.net.commits.withoutNews(from, NO_NEWS_MS);
           }
-          if (sender.crashAfterMs >= 0 && w.sim.now() >= crashAgainAt[0]) {
-            crashAgainAt[0] = w.sim.now() + CRASH_EVERY_MS;
-            SimulatedCluster.ControllerNode node = w.nodes.get(w.index(from));
-            w.sim.after(sender.crashAfterMs, () -> node.crash(w.sim.between(60, 2000)));
+          if (sender.crashAfterMs >= 0 && cluster.sim.now() >= nextCrashAtMs[0]) {
+            nextCrashAtMs[0] = cluster.sim.now() + MIN_CRASH_INTERVAL_MS;
+            SimulatedCluster.ControllerNode node = cluster.nodes.get(cluster.index(from));
+            cluster.sim.after(sender.crashAfterMs, () -> node.crash(cluster.sim.between(60, 2000)));
           }
         };
   }
 
   /** A job that nobody was told of yet may be asked for by whoever submitted it. */
-  private static void lookAt(
-      SimulatedCluster w, ConcurrentReaders readers, SimulatedUsers.KnownJob job) {
+  private static void queryAndMaybeCancel(
+      SimulatedCluster cluster, ConcurrentReaders readers, SimulatedUsers.KnownJob job) {
     readers.around(job);
-    if (w.sim.chance(0.3)) {
-      w.nodes.forEach(n -> w.sim.after(w.sim.between(0, 30), () -> w.users.cancelAt(job, n)));
+    if (cluster.sim.chance(0.3)) {
+      cluster.nodes.forEach(
+          n -> cluster.sim.after(cluster.sim.between(0, 30), () -> cluster.users.cancelAt(job, n)));
     }
   }
 
-  private static void depose(SimulatedCluster w, long everyMs, long until) {
-    if (w.sim.now() < until) {
-      LeaderChange.loseKey(w);
-      w.sim.after(everyMs, () -> depose(w, everyMs, until));
+  private static void deposeRepeatedly(SimulatedCluster cluster, long intervalMs, long untilMs) {
+    if (cluster.sim.now() < untilMs) {
+      LeaderChange.loseKey(cluster);
+      cluster.sim.after(intervalMs, () -> deposeRepeatedly(cluster, intervalMs, untilMs));
     }
   }
 
   /** Single tasks that share puts, besides the random jobs. */
-  private static void singles(SimulatedCluster w, long until) {
-    if (w.sim.now() < until) {
+  private static void submitSingleTaskJobs(SimulatedCluster cluster, long untilMs) {
+    if (cluster.sim.now() < untilMs) {
       for (int i = 0; i < 3; i++) {
-        w.users.changed("guest", 1, 3, b -> b.put("rank", "low").put("vcpus", 0.25));
+        cluster.users.changed("guest", 1, 3, b -> b.put("rank", "low").put("vcpus", 0.25));
       }
-      w.sim.after(2000, () -> singles(w, until));
+      cluster.sim.after(2000, () -> submitSingleTaskJobs(cluster, untilMs));
     }
   }
 
@@ -144,26 +145,27 @@
     "9230,ALL,ENDS_AT_ONCE",
     "9231,ALL,ENDS_LATER"
   })
-  void onlyTheAnswerIsLost(long seed, Put put, Sender sender) {
-    SimulatedCluster w = new SimulatedCluster(seed);
-    w.users.cancelledArrays = 0.4;
+  void transactionsWithLostResponses(long seed, TransactionKind kind, Sender sender) {
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.users.cancelledArrays = 0.4;
     // Types are recorded and machines rented at the beginning.
-    w.run(put == Put.RENTAL || put == Put.PLAN_OR_TYPES ? 0 : 15_000);
-    long until = w.sim.now() + FOR_MS;
-    loseAnswers(w, put.writes, sender);
-    singles(w, until);
-    if (put == Put.LEADER || put == Put.ALL) {
-      depose(w, DEPOSE_EVERY_MS, until);
+    cluster.run(
+        kind == TransactionKind.RENTAL || kind == TransactionKind.PLAN_OR_TYPES ? 0 : 15_000);
+    long untilMs = cluster.sim.now() + FAULTS_MS;
+    loseResponses(cluster, kind.writes, sender);
+    submitSingleTaskJobs(cluster, untilMs);
+    if (kind == TransactionKind.LEADER || kind == TransactionKind.ALL) {
+      deposeRepeatedly(cluster, DEPOSE_INTERVAL_MS, untilMs);
     }
-    if (put == Put.RENTAL_ENDED) {
+    if (kind == TransactionKind.RENTAL_ENDED) {
       // Their records go with the last of their machines.
-      w.sim.after(FOR_MS / 4, () -> w.cloud.machines().forEach(EmulatedWorker::end));
+      cluster.sim.after(FAULTS_MS / 4, () -> cluster.cloud.machines().forEach(EmulatedWorker::end));
     }
-    w.run(FOR_MS);
-    w.net.commits.lostAnswers = 0;
-    SeededDaysTest.settle(w);
-    assertTrue(w.net.commits.lost > 0, "no answer was lost");
-    assertEquals(List.of(), w.state.keys("live/sheet/"), "launch batches once all is over");
+    cluster.run(FAULTS_MS);
+    cluster.net.commits.lostAnswers = 0;
+    SeededDaysTest.settle(cluster);
+    assertTrue(cluster.net.commits.lost > 0, "no answer was lost");
+    assertEquals(List.of(), cluster.state.keys("live/sheet/"), "launch batches once all is over");
   }
 
   /** Nobody is stopped for a claim that may not be on record, and no rider waits for ever. */
@@ -180,14 +182,14 @@
     "9270,HEARS_NO_NEWS"
   })
   void claimsOfALane(long seed, Sender sender) {
-    SimulatedCluster w = LaneTest.begun(seed, LaneTest.GATE, 0);
-    loseAnswers(w, CommitInterceptor.puts("live/lane/"), sender);
+    SimulatedCluster cluster = LaneTest.begun(seed, LaneTest.GATE, 0);
+    loseResponses(cluster, CommitInterceptor.puts("live/lane/"), sender);
     List<SimulatedUsers.KnownJob> riders = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      riders.add(LaneTest.rider(w, 6));
-      w.run(3000);
+      riders.add(LaneTest.rider(cluster, 6));
+      cluster.run(3000);
     }
-    LaneTest.untilBegun(w, riders, CLAIM_MS);
-    assertTrue(w.net.commits.lost > 0, "no answer was lost");
+    LaneTest.untilBegun(cluster, riders, MAX_CLAIM_MS);
+    assertTrue(cluster.net.commits.lost > 0, "no answer was lost");
   }
 }
--- a/src/test/java/dapplestair/world/ManyLeadersTest.java
+++ b/src/test/java/dapplestair/world/ManyLeadersTest.java
@@ -11,10 +11,10 @@
 /** The leader changes ten times in two minutes, also inside an outage of the state service. */
 class ManyLeadersTest {
   private static final int CHANGES = 10;
-  private static final long EVERY_MS = 10_500;
+  private static final long CHANGE_INTERVAL_MS = 10_500;
 
-  private static long term(SimulatedCluster w) {
-    return w.state.value("live/term").path("term").asLong();
+  private static long currentTerm(SimulatedCluster cluster) {
+    return cluster.state.value("live/term").path("term").asLong();
   }
 
   /**
@@ -35,37 +35,37 @@
     "11210,MUTE,1,60000",
     "11211,UNASKED,0,70000"
   })
-  void tenLeaders(long seed, MachineFault fault, int outRound, long outMs) {
-    play(seed, fault, outRound, outMs);
+  void theLeaderChangesTenTimes(long seed, MachineFault fault, int outageRound, long outageMs) {
+    play(seed, fault, outageRound, outageMs);
   }
 
-  static SimulatedCluster play(long seed, MachineFault fault, int outRound, long outMs) {
-    TeamLimitsTest.FullDay f = new TeamLimitsTest.FullDay(seed);
-    SimulatedCluster w = f.w;
-    LeaderChange[] ways = LeaderChange.values();
-    long first = term(w);
-    f.day.troubleEverySecond(fault, SimulatedCluster.CANCEL_MS * 3 / 2);
-    f.cancel();
+  static SimulatedCluster play(long seed, MachineFault fault, int outageRound, long outageMs) {
+    TeamLimitsTest.FullClusterScenario scenario = new TeamLimitsTest.FullClusterScenario(seed);
+    SimulatedCluster cluster = scenario.cluster;
+    LeaderChange[] leaderChanges = LeaderChange.values();
+    long firstTerm = currentTerm(cluster);
+    scenario.day.troubleEverySecond(fault, SimulatedCluster.CANCEL_MS * 3 / 2);
+    scenario.cancelJobs();
     for (int i = 0; i < CHANGES; i++) {
-      if (i == outRound) {
-        w.state.fail();
-        w.sim.after(outMs, w.state::recover);
+      if (i == outageRound) {
+        cluster.state.fail();
+        cluster.sim.after(outageMs, cluster.state::recover);
       }
-      w.run(w.sim.between(0, 400));
-      LeaderChange way = ways[(int) (seed + i) % ways.length];
-      way.happen(w);
-      long end = w.sim.now() + EVERY_MS;
-      w.run(w.sim.between(0, 4000));
-      cancelOne(f);
-      w.run(end - w.sim.now());
+      cluster.run(cluster.sim.between(0, 400));
+      LeaderChange leaderChange = leaderChanges[(int) (seed + i) % leaderChanges.length];
+      leaderChange.happen(cluster);
+      long endMs = cluster.sim.now() + CHANGE_INTERVAL_MS;
+      cluster.run(cluster.sim.between(0, 4000));
+      submitAndCancelJob(scenario);
+      cluster.run(endMs - cluster.sim.now());
     }
-    w.run(outMs + 10_000);
-    if (outMs == 0) {
-      long terms = term(w) - first;
+    cluster.run(outageMs + 10_000);
+    if (outageMs == 0) {
+      long terms = currentTerm(cluster) - firstTerm;
       assertTrue(terms >= CHANGES - 1, "only " + terms + " changes of the leader");
     }
-    f.settle();
-    return w;
+    scenario.settle();
+    return cluster;
   }
 
   /**
@@ -82,105 +82,108 @@
     "12012,a,9000,true",
     "12013,a,9000,true"
   })
-  void aZoneHangsAndNoLeaderStays(long seed, String zone, long everyMs, boolean ofOneTask) {
-    CancellationOutageTest.Day d =
-        ofOneTask ? new CancellationOutageTest.Day(seed) : new TeamLimitsTest.FullDay(seed).day;
-    SimulatedCluster w = d.w;
-    if (ofOneTask) {
-      d.cancelled.clear();
+  void aZoneHangsAndNoLeaderStays(
+      long seed, String zone, long changeIntervalMs, boolean singleTaskJobs) {
+    CancellationOutageTest.Day day =
+        singleTaskJobs
+            ? new CancellationOutageTest.Day(seed)
+            : new TeamLimitsTest.FullClusterScenario(seed).day;
+    SimulatedCluster cluster = day.w;
+    if (singleTaskJobs) {
+      day.cancelled.clear();
       for (int i = 0; i < 24; i++) {
-        d.cancelled.add(w.users.array("one", "high", 1, 150));
+        day.cancelled.add(cluster.users.array("one", "high", 1, 150));
       }
-      w.run(6000);
-      assertTrue(d.running(d.cancelled) > 12, "hardly a job of one task runs");
+      cluster.run(6000);
+      assertTrue(day.running(day.cancelled) > 12, "hardly a job of one task runs");
     }
-    for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
+    for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
       if (!m.gone() && m.zone().equals(zone)) {
         m.stall(SimulatedCluster.CANCEL_MS * 3 / 2);
       }
     }
-    d.cancelled.forEach(w.users::cancel);
-    long end = w.sim.now() + SimulatedCluster.CANCEL_MS * 3 / 2;
-    for (int i = 0; w.sim.now() < end; i++) {
-      (i % 2 == 0 ? LeaderChange.PLANNED : LeaderChange.CRASH).happen(w);
-      w.run(everyMs);
+    day.cancelled.forEach(cluster.users::cancel);
+    long endMs = cluster.sim.now() + SimulatedCluster.CANCEL_MS * 3 / 2;
+    for (int i = 0; cluster.sim.now() < endMs; i++) {
+      (i % 2 == 0 ? LeaderChange.PLANNED : LeaderChange.CRASH).happen(cluster);
+      cluster.run(changeIntervalMs);
     }
-    w.run(90_000);
-    SeededDaysTest.settle(w);
+    cluster.run(90_000);
+    SeededDaysTest.settle(cluster);
   }
 
   /** Users are told while machines hang, and an outage begins. */
   static CancellationOutageTest.Day cancelledOnHangingMachines(long seed) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    d.cancelled.forEach(t -> d.w.users.cancelAt(t, d.old));
-    d.stallEveryThird();
-    d.w.run(500);
-    d.cancel(d.old);
-    assertTrue(d.running(d.cancelled) > 0, "everything stops at once");
-    d.w.state.fail();
-    return d;
+    CancellationOutageTest.Day day = new CancellationOutageTest.Day(seed);
+    day.cancelled.forEach(t -> day.w.users.cancelAt(t, day.old));
+    day.stallEveryThird();
+    day.w.run(500);
+    day.cancel(day.old);
+    assertTrue(day.running(day.cancelled) > 0, "everything stops at once");
+    day.w.state.fail();
+    return day;
   }
 
   /** Whoever told the users ends in the outage: the others look after what does not stop. */
   @ParameterizedTest(name = "seed {0}, ends after {1} ms")
   @CsvSource({"12101,100", "12102,3000", "12103,15000"})
   void whoToldEndsInAnOutage(long seed, long endsMs) {
-    CancellationOutageTest.Day d = cancelledOnHangingMachines(seed);
-    SimulatedCluster w = d.w;
-    w.sim.after(endsMs, () -> d.old.crash(4000));
-    w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
-    w.state.recover();
-    w.run(90_000);
-    SeededDaysTest.settle(w);
+    CancellationOutageTest.Day day = cancelledOnHangingMachines(seed);
+    SimulatedCluster cluster = day.w;
+    cluster.sim.after(endsMs, () -> day.old.crash(4000));
+    cluster.run(SimulatedCluster.CANCEL_MS * 3 / 2);
+    cluster.state.recover();
+    cluster.run(90_000);
+    SeededDaysTest.settle(cluster);
   }
 
   /** All controllers end in the outage, and are back at once, while machines hang. */
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12201,100", "12202,3000", "12203,15000"})
   void allEndInAnOutageWhileMachinesHang(long seed, long endMs) {
-    CancellationOutageTest.Day d = cancelledOnHangingMachines(seed);
-    SimulatedCluster w = d.w;
-    w.nodes.forEach(n -> w.sim.after(endMs, () -> n.crash(1000)));
-    w.run(SimulatedCluster.CANCEL_MS * 3 / 2);
-    w.state.recover();
-    w.run(90_000);
-    SeededDaysTest.settle(w);
+    CancellationOutageTest.Day day = cancelledOnHangingMachines(seed);
+    SimulatedCluster cluster = day.w;
+    cluster.nodes.forEach(n -> cluster.sim.after(endMs, () -> n.crash(1000)));
+    cluster.run(SimulatedCluster.CANCEL_MS * 3 / 2);
+    cluster.state.recover();
+    cluster.run(90_000);
+    SeededDaysTest.settle(cluster);
   }
 
   /** Something small that is just being launched. */
-  private static void cancelOne(TeamLimitsTest.FullDay f) {
-    SimulatedUsers.KnownJob job = f.w.users.array("two", "high", 2, 20);
-    f.day.cancelled.add(job);
-    cancelOnceAccepted(f.w, job);
+  private static void submitAndCancelJob(TeamLimitsTest.FullClusterScenario scenario) {
+    SimulatedUsers.KnownJob job = scenario.cluster.users.array("two", "high", 2, 20);
+    scenario.day.cancelled.add(job);
+    cancelOnceAccepted(scenario.cluster, job);
   }
 
-  static void cancelOnceAccepted(SimulatedCluster w, SimulatedUsers.KnownJob job) {
+  static void cancelOnceAccepted(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
     if (job.accepted) {
-      w.users.cancel(job);
+      cluster.users.cancel(job);
     } else {
-      w.sim.after(100, () -> cancelOnceAccepted(w, job));
+      cluster.sim.after(100, () -> cancelOnceAccepted(cluster, job));
     }
   }
 
   /** Controllers end one after the other inside an outage, and are back at once or later. */
   @ParameterizedTest(name = "seed {0}, out for {1} ms, back after {2} ms")
   @CsvSource({"11221,20000,300", "11222,60000,300", "11223,75000,4000", "11224,120000,800"})
-  void allEndInTurnInsideAnOutage(long seed, long outMs, long backMs) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    SimulatedCluster w = d.w;
-    d.cancelled.forEach(w.users::cancel);
-    w.run(w.sim.between(50, 400));
-    w.state.fail();
-    w.sim.after(outMs, w.state::recover);
+  void allEndInTurnInsideAnOutage(long seed, long outageMs, long restartMs) {
+    CancellationOutageTest.Day day = new CancellationOutageTest.Day(seed);
+    SimulatedCluster cluster = day.w;
+    day.cancelled.forEach(cluster.users::cancel);
+    cluster.run(cluster.sim.between(50, 400));
+    cluster.state.fail();
+    cluster.sim.after(outageMs, cluster.state::recover);
     for (int i = 0; i < CHANGES; i++) {
-      SimulatedCluster.ControllerNode node = w.nodes.get((d.old.index + i) % 3);
-      w.sim.after(i * outMs / CHANGES, () -> node.crash(backMs));
+      SimulatedCluster.ControllerNode node = cluster.nodes.get((day.old.index + i) % 3);
+      cluster.sim.after(i * outageMs / CHANGES, () -> node.crash(restartMs));
     }
-    w.run(outMs + 30_000);
-    d.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
-    w.run(SimulatedCluster.CANCEL_MS);
-    assertEquals(0, d.running(List.copyOf(d.cancelled)), "cancelled tasks");
-    w.run(90_000);
-    SeededDaysTest.settle(w);
+    cluster.run(outageMs + 30_000);
+    day.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
+    cluster.run(SimulatedCluster.CANCEL_MS);
+    assertEquals(0, day.running(List.copyOf(day.cancelled)), "cancelled tasks");
+    cluster.run(90_000);
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/MonotonicReadsTest.java
+++ b/src/test/java/dapplestair/world/MonotonicReadsTest.java
@@ -18,10 +18,10 @@
  */
 class MonotonicReadsTest {
   private static final int JOBS = 9;
-  private static final int CHANGES_TO_FORGET = 900;
+  private static final int CHANGES_TO_OVERFLOW_HISTORY = 900;
 
   /** What keeps the other controllers from knowing, at the moment of an acceptance or an end. */
-  enum Behind {
+  enum LagCause {
     /** Only the time that messages take. */
     NOTHING,
     /** They have just started again. */
@@ -35,63 +35,64 @@
   }
 
   /** One day with its scripted jobs. */
-  private static final class Day {
-    final SimulatedCluster w;
+  private static final class Scenario {
+    final SimulatedCluster cluster;
     final ConcurrentReaders readers;
-    final Behind behind;
-    final long moveMs;
+    final LagCause lagCause;
+    final long delayMs;
     final Map<String, SimulatedUsers.KnownJob> jobs = new HashMap<>();
-    final Map<String, Integer> moments = new HashMap<>();
+    final Map<String, Integer> heardCounts = new HashMap<>();
 
-    Day(long seed, Behind behind, long moveMs) {
-      w = new SimulatedCluster(seed);
-      readers = new ConcurrentReaders(w);
-      this.behind = behind;
-      this.moveMs = moveMs;
-      w.answers.firstHeard = this::firstHeard;
-      w.net.commits.carriedOut = this::carriedOut;
+    Scenario(long seed, LagCause lagCause, long delayMs) {
+      cluster = new SimulatedCluster(seed);
+      readers = new ConcurrentReaders(cluster);
+      this.lagCause = lagCause;
+      this.delayMs = delayMs;
+      cluster.answers.firstHeard = this::onFirstHeard;
+      cluster.net.commits.carriedOut = this::onCommitted;
     }
 
     /** Others are behind before the transaction, or fall behind right after it. */
     void submit(int i) {
-      SimulatedCluster.ControllerNode other = w.nodes.get(i % w.nodes.size());
-      if (behind == Behind.RESTARTED) {
+      SimulatedCluster.ControllerNode other = cluster.nodes.get(i % cluster.nodes.size());
+      if (lagCause == LagCause.RESTARTED) {
         other.crash(500);
-      } else if (behind == Behind.STREAM_LOST) {
+      } else if (lagCause == LagCause.STREAM_LOST) {
         other.freeze(500);
-        forgetChanges();
+        overflowChangeHistory();
       }
-      long ms = behind == Behind.RESTARTED || behind == Behind.STREAM_LOST ? 500 + moveMs : 0;
-      w.sim.after(
-          ms,
+      long submitDelayMs =
+          lagCause == LagCause.RESTARTED || lagCause == LagCause.STREAM_LOST ? 500 + delayMs : 0;
+      cluster.sim.after(
+          submitDelayMs,
           () -> {
             SimulatedUsers.KnownJob job =
-                w.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 2, 3);
+                cluster.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 2, 3);
             jobs.put(job.ref, job);
           });
     }
 
     /** So many changes of keys that no controller cares for. */
-    private void forgetChanges() {
-      for (int i = 0; i < CHANGES_TO_FORGET; i++) {
+    private void overflowChangeHistory() {
+      for (int i = 0; i < CHANGES_TO_OVERFLOW_HISTORY; i++) {
         ObjectNode body = Json.object();
         body.putArray("writes").addObject().put("put", "noise").put("value", i);
-        w.state.request("noise", "POST", "/commit", Json.bytes(body), r -> {});
+        cluster.state.request("noise", "POST", "/commit", Json.bytes(body), r -> {});
       }
     }
 
-    private void carriedOut(String from, JsonNode body) {
+    private void onCommitted(String from, JsonNode body) {
       SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.job(body)));
       if (job == null) {
         return;
       }
-      if (behind == Behind.HELD_UP) {
-        w.nodes.stream()
+      if (lagCause == LagCause.HELD_UP) {
+        cluster.nodes.stream()
             .map(n -> "node-" + n.index)
             .filter(n -> !n.equals(from))
-            .forEach(this::hold);
-      } else if (behind == Behind.DEPOSED) {
-        w.sim.after(moveMs, this::depose);
+            .forEach(this::holdUpdates);
+      } else if (lagCause == LagCause.DEPOSED) {
+        cluster.sim.after(delayMs, this::deposeLeader);
       }
       if (job.accepted) {
         // Nobody has been told yet that it is over; whoever is told first makes the others late.
@@ -99,30 +100,30 @@
       }
     }
 
-    private void hold(String node) {
-      w.net.cut(node, "state:1", true);
-      w.sim.after(moveMs, () -> w.net.heal(node, "state:1"));
+    private void holdUpdates(String node) {
+      cluster.net.cut(node, "state:1", true);
+      cluster.sim.after(delayMs, () -> cluster.net.heal(node, "state:1"));
     }
 
-    private void depose() {
+    private void deposeLeader() {
       ObjectNode body = Json.object();
       body.putArray("writes").addObject().put("remove", "live/leader");
-      w.state.request("noise", "POST", "/commit", Json.bytes(body), r -> {});
+      cluster.state.request("noise", "POST", "/commit", Json.bytes(body), r -> {});
     }
 
-    private void firstHeard(String ref, String state) {
+    private void onFirstHeard(String ref, String state) {
       SimulatedUsers.KnownJob job = jobs.get(ref);
       // Jobs that are none of the script.
       if (job == null) {
         return;
       }
-      moments.merge(state, 1, Integer::sum);
+      heardCounts.merge(state, 1, Integer::sum);
       readers.around(job);
       boolean cancelled = ref.hashCode() % 2 == 0;
       if (cancelled || !state.equals("accepted")) {
         // At once, at two controllers; one that is done must be answered done.
-        w.users.cancelAt(job, w.nodes.get(0));
-        w.sim.after(moveMs, () -> w.users.cancelAt(job, w.nodes.get(1)));
+        cluster.users.cancelAt(job, cluster.nodes.get(0));
+        cluster.sim.after(delayMs, () -> cluster.users.cancelAt(job, cluster.nodes.get(1)));
       }
     }
   }
@@ -144,19 +145,22 @@
     "9113,DEPOSED,3",
     "9114,DEPOSED,400"
   })
-  void nobodyIsToldAnythingOlder(long seed, Behind behind, long moveMs) {
-    Day d = new Day(seed, behind, moveMs);
-    d.w.run(25_000);
+  void readsNeverGoBackwards(long seed, LagCause lagCause, long delayMs) {
+    Scenario scenario = new Scenario(seed, lagCause, delayMs);
+    scenario.cluster.run(25_000);
     for (int i = 0; i < JOBS; i++) {
-      d.submit(i);
-      d.w.run(5000);
+      scenario.submit(i);
+      scenario.cluster.run(5000);
     }
-    d.w.run(20_000);
-    d.w.users.quiet = true;
-    SeededDaysTest.settle(d.w);
-    assertTrue(d.moments.getOrDefault("accepted", 0) >= JOBS - 1, d.moments.toString());
-    assertTrue(d.moments.getOrDefault("done", 0) > 1, d.moments.toString());
-    assertTrue(d.moments.getOrDefault("aborted", 0) > 1, d.moments.toString());
-    assertTrue(d.readers.told > 20 * JOBS, d.readers.told + " looks were answered");
+    scenario.cluster.run(20_000);
+    scenario.cluster.users.quiet = true;
+    SeededDaysTest.settle(scenario.cluster);
+    assertTrue(
+        scenario.heardCounts.getOrDefault("accepted", 0) >= JOBS - 1,
+        scenario.heardCounts.toString());
+    assertTrue(scenario.heardCounts.getOrDefault("done", 0) > 1, scenario.heardCounts.toString());
+    assertTrue(
+        scenario.heardCounts.getOrDefault("aborted", 0) > 1, scenario.heardCounts.toString());
+    assertTrue(scenario.readers.told > 20 * JOBS, scenario.readers.told + " looks were answered");
   }
 }
--- a/src/test/java/dapplestair/world/OperatorsTest.java
+++ b/src/test/java/dapplestair/world/OperatorsTest.java
@@ -21,45 +21,45 @@
 class OperatorsTest {
   static final SimulatedCluster.Size ROOMY = new SimulatedCluster.Size(6, 60, 1_000_000, 1);
 
-  private final Map<String, Integer> told = new HashMap<>();
+  private final Map<String, Integer> responseCounts = new HashMap<>();
 
-  static SimulatedCluster world(long seed, SimulatedCluster.Size size) {
+  static SimulatedCluster newCluster(long seed, SimulatedCluster.Size size) {
     return new SimulatedCluster(seed, size, true);
   }
 
-  static void ask(
-      SimulatedCluster w,
+  static void sendRequest(
+      SimulatedCluster cluster,
       int node,
       String method,
       String path,
       JsonNode body,
       Consumer<HttpReply> done) {
     byte[] bytes = body == null ? null : Json.bytes(body);
-    w.net.call("users", SimulatedCluster.admin(node), method, path, bytes, 8000, done);
+    cluster.net.call("users", SimulatedCluster.admin(node), method, path, bytes, 8000, done);
   }
 
   /** Asks until somebody answers 200. */
-  static JsonNode answer(SimulatedCluster w, String path) {
-    JsonNode[] out = {null};
-    for (int i = 0; i < 20 && out[0] == null; i++) {
-      ask(
-          w,
+  static JsonNode awaitResponse(SimulatedCluster cluster, String path) {
+    JsonNode[] response = {null};
+    for (int i = 0; i < 20 && response[0] == null; i++) {
+      sendRequest(
+          cluster,
           i % 3,
           "GET",
           path,
           null,
-          r -> out[0] = r.status() == 200 ? Json.parse(r.body()) : null);
-      w.run(1500);
+          r -> response[0] = r.status() == 200 ? Json.parse(r.body()) : null);
+      cluster.run(1500);
     }
-    assertTrue(out[0] != null, "no answer to " + path);
-    return out[0];
+    assertTrue(response[0] != null, "no answer to " + path);
+    return response[0];
   }
 
-  static void order(SimulatedCluster w, String path, JsonNode body) {
+  static void submitOrder(SimulatedCluster cluster, String path, JsonNode body) {
     boolean[] done = {false};
     for (int i = 0; i < 20 && !done[0]; i++) {
-      ask(w, i % 3, "POST", path, body, r -> done[0] |= r.status() == 200);
-      w.run(1000);
+      sendRequest(cluster, i % 3, "POST", path, body, r -> done[0] |= r.status() == 200);
+      cluster.run(1000);
     }
     assertTrue(done[0], "not taken: " + path);
   }
@@ -69,36 +69,36 @@
   /** Whatever fails: an answer is as new as its question, and reasons bind. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void answersAreNeverOlderThanTheirQuestions(long seed) {
-    SimulatedCluster w = world(seed, SimulatedCluster.Size.SMALL);
-    RandomFaults faults = new RandomFaults(w);
-    w.run(10_000);
+  void responsesAreNeverOlderThanTheirRequests(long seed) {
+    SimulatedCluster cluster = newCluster(seed, SimulatedCluster.Size.SMALL);
+    RandomFaults faults = new RandomFaults(cluster);
+    cluster.run(10_000);
     faults.begin(4000);
     try {
       for (int i = 0; i < 700; i++) {
-        question(w);
-        w.run(w.sim.between(200, 800));
+        askRandomQuestion(cluster);
+        cluster.run(cluster.sim.between(200, 800));
       }
       faults.end();
-      w.run(30_000);
-      SeededDaysTest.settle(w);
+      cluster.run(30_000);
+      SeededDaysTest.settle(cluster);
     } catch (AssertionError e) {
       throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
     }
-    assertTrue(told.getOrDefault("200", 0) > 150, "answers: " + told);
-    assertTrue(told.getOrDefault("waits", 0) > 3, "answers: " + told);
+    assertTrue(responseCounts.getOrDefault("200", 0) > 150, "answers: " + responseCounts);
+    assertTrue(responseCounts.getOrDefault("waits", 0) > 3, "answers: " + responseCounts);
   }
 
-  private void question(SimulatedCluster w) {
+  private void askRandomQuestion(SimulatedCluster cluster) {
     List<String> refs =
-        w.users.told.values().stream()
-            .filter(j -> w.sim.chance(0.1) || j.finalState() == null)
+        cluster.users.told.values().stream()
+            .filter(j -> cluster.sim.chance(0.1) || j.finalState() == null)
             .map(j -> j.ref)
             .toList();
     if (refs.isEmpty()) {
       return;
     }
-    String ref = refs.get((int) w.sim.between(0, refs.size() - 1));
+    String ref = refs.get((int) cluster.sim.between(0, refs.size() - 1));
     String[] paths = {
       "/v1/jobs?limit=5",
       "/v1/machines",
@@ -110,126 +110,131 @@
       "/v1/jobs/" + ref + "/why",
       "/v1/jobs/" + ref + "/why"
     };
-    String path = paths[(int) w.sim.between(0, paths.length - 1)];
-    int node = (int) w.sim.between(0, 2);
-    long epoch = w.state.epoch();
-    JsonNode termKey = w.state.value("live/term");
+    String path = paths[(int) cluster.sim.between(0, paths.length - 1)];
+    int node = (int) cluster.sim.between(0, 2);
+    long epoch = cluster.state.epoch();
+    JsonNode termKey = cluster.state.value("live/term");
     long term = termKey == null ? 0 : termKey.path("term").asLong();
-    long asked = w.sim.now();
-    boolean accepted = w.users.told.get(ref).accepted;
-    ask(
-        w,
+    long askedAtMs = cluster.sim.now();
+    boolean accepted = cluster.users.told.get(ref).accepted;
+    sendRequest(
+        cluster,
         node,
         "GET",
         path,
         null,
         r -> {
-          told.merge(Integer.toString(r.status()), 1, Integer::sum);
+          responseCounts.merge(Integer.toString(r.status()), 1, Integer::sum);
           if (r.status() == 200) {
             JsonNode b = Json.parse(r.body());
             JsonNode asOf = b.path("asOf");
             if (asOf.path("epoch").asLong() < epoch || asOf.path("term").asLong() < term) {
-              w.checker.broken(path + " is told as of " + asOf + ", asked at " + epoch);
+              cluster.checker.broken(path + " is told as of " + asOf + ", asked at " + epoch);
             }
             if (path.endsWith("/why")) {
-              why(w, w.users.told.get(ref), b);
+              checkWaitingReasons(cluster, cluster.users.told.get(ref), b);
             }
-          } else if (r.status() == 503 && w.sim.now() - asked > 6000) {
-            w.checker.broken("503 after " + (w.sim.now() - asked) + " ms for " + path);
+          } else if (r.status() == 503 && cluster.sim.now() - askedAtMs > 6000) {
+            cluster.checker.broken(
+                "503 after " + (cluster.sim.now() - askedAtMs) + " ms for " + path);
           } else if (r.status() == 404 && accepted && path.contains(ref)) {
-            w.checker.broken("404 for " + path);
+            cluster.checker.broken("404 for " + path);
           } else if (r.status() == 500) {
-            w.checker.broken("500 for " + path);
+            cluster.checker.broken("500 for " + path);
           }
         });
   }
 
   /** Reasons of what waits are never empty, and name no rule that its job does not have. */
-  private void why(SimulatedCluster w, SimulatedUsers.KnownJob job, JsonNode b) {
-    if (b.path("waiting_tasks").asInt() == 0) {
+  private void checkWaitingReasons(
+      SimulatedCluster cluster, SimulatedUsers.KnownJob job, JsonNode body) {
+    if (body.path("waiting_tasks").asInt() == 0) {
       return;
     }
-    told.merge("waits", 1, Integer::sum);
-    if (b.path("reasons").isEmpty()) {
-      w.checker.broken("no reason for " + job.ref);
+    responseCounts.merge("waits", 1, Integer::sum);
+    if (body.path("reasons").isEmpty()) {
+      cluster.checker.broken("no reason for " + job.ref);
     }
-    for (JsonNode r : b.path("reasons")) {
+    for (JsonNode r : body.path("reasons")) {
       String reason = r.path("reason").asText();
-      boolean binds =
+      boolean jobHasRule =
           switch (reason) {
             case "spot" -> !job.body.path("loaners").asBoolean();
             case "spread" -> job.body.path("apart").asBoolean();
             case "together" -> job.body.path("together").asBoolean();
             case "gang" -> job.body.path("shape").asText().equals("gang");
             case "held-for-services" -> job.body.path("loaners").asBoolean() && !job.service;
-            case "drained" -> !w.state.keys("live/drain").isEmpty();
-            case "team-limit" -> demand(w, job) > w.size.teamLimit() - job.cpus - 1e-6;
+            case "drained" -> !cluster.state.keys("live/drain").isEmpty();
+            case "team-limit" ->
+                maxCpuDemand(cluster, job) > cluster.size.teamLimit() - job.cpus - 1e-6;
             default -> true;
           };
-      if (!binds) {
-        w.checker.broken(reason + " is named for " + job.ref + ", which has no such rule");
+      if (!jobHasRule) {
+        cluster.checker.broken(reason + " is named for " + job.ref + ", which has no such rule");
       }
     }
   }
 
   /** CPUs that the team's jobs could use at most; nothing can bind that lies above. */
-  private static double demand(SimulatedCluster w, SimulatedUsers.KnownJob job) {
-    return w.users.told.values().stream()
+  private static double maxCpuDemand(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
+    return cluster.users.told.values().stream()
         .filter(o -> o.body.path("owner").equals(job.body.path("owner")))
         .mapToDouble(o -> o.cpus * o.steps)
         .sum();
   }
 
-  static Set<String> reasons(SimulatedCluster w, SimulatedUsers.KnownJob job) {
-    Set<String> out = new HashSet<>();
-    answer(w, "/v1/jobs/" + job.ref + "/why")
+  static Set<String> waitingReasons(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
+    Set<String> reasons = new HashSet<>();
+    awaitResponse(cluster, "/v1/jobs/" + job.ref + "/why")
         .path("reasons")
-        .forEach(r -> out.add(r.path("reason").asText()));
-    return out;
+        .forEach(r -> reasons.add(r.path("reason").asText()));
+    return reasons;
   }
 
-  static SimulatedCluster quiet(long seed, SimulatedCluster.Size size) {
-    SimulatedCluster w = world(seed, size);
-    w.net.loss = 0;
-    w.users.quiet = true;
-    w.run(6000);
-    return w;
+  static SimulatedCluster startQuietCluster(long seed, SimulatedCluster.Size size) {
+    SimulatedCluster cluster = newCluster(seed, size);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
+    cluster.run(6000);
+    return cluster;
   }
 
   // ---- half of every class and team ----
 
   /** The leader counts what each team was served exactly as users and machines saw it. */
   @Test
-  void whatTeamsWereServedIsSaidAsItIs() {
-    SimulatedCluster w = world(16, SimulatedCluster.Size.SMALL);
-    w.net.loss = 0;
-    w.run(60_000);
-    w.users.quiet = true;
-    w.run(60_000);
-    for (JsonNode row : answer(w, "/v1/teams").path("rows")) {
-      InvariantChecker.JobTally seen =
-          w.checker
+  void servedCountsMatchWhatUsersSaw() {
+    SimulatedCluster cluster = newCluster(16, SimulatedCluster.Size.SMALL);
+    cluster.net.loss = 0;
+    cluster.run(60_000);
+    cluster.users.quiet = true;
+    cluster.run(60_000);
+    for (JsonNode row : awaitResponse(cluster, "/v1/teams").path("rows")) {
+      InvariantChecker.JobTally observed =
+          cluster
+              .checker
               .served()
               .getOrDefault("team " + row.path("team").asText(), new InvariantChecker.JobTally());
-      JsonNode told = row.path("served");
-      assertEquals(seen.accepted, told.path("accepted").asInt(), row + " " + seen);
-      assertEquals(seen.started, told.path("started").asInt(), row + " " + seen);
-      assertEquals(seen.due, told.path("due").asInt(), row + " " + seen);
-      assertEquals(seen.done, told.path("done").asInt(), row + " " + seen);
+      JsonNode reported = row.path("served");
+      assertEquals(observed.accepted, reported.path("accepted").asInt(), row + " " + observed);
+      assertEquals(observed.started, reported.path("started").asInt(), row + " " + observed);
+      assertEquals(observed.due, reported.path("due").asInt(), row + " " + observed);
+      assertEquals(observed.done, reported.path("done").asInt(), row + " " + observed);
     }
   }
 
   /** A day on which one team gets nothing has failed, whatever the others got. */
   @Test
-  void aTeamThatIsNotServedFailsTheDay() {
-    SimulatedCluster w = quiet(17, new SimulatedCluster.Size(2, 1000, 1_000_000, 1));
-    w.users.array("one", "standard", 4, 5);
-    w.run(30_000);
-    w.checker.checkServed();
-    w.cloud.setCapacity(0);
-    w.users.array("two", "standard", 8, 500);
-    w.run(30_000);
-    AssertionError failed = assertThrows(AssertionError.class, w.checker::checkServed);
+  void anUnservedTeamFailsTheServedCheck() {
+    SimulatedCluster cluster =
+        startQuietCluster(17, new SimulatedCluster.Size(2, 1000, 1_000_000, 1));
+    cluster.users.array("one", "standard", 4, 5);
+    cluster.run(30_000);
+    cluster.checker.checkServed();
+    cluster.cloud.setCapacity(0);
+    cluster.users.array("two", "standard", 8, 500);
+    cluster.run(30_000);
+    AssertionError failed = assertThrows(AssertionError.class, cluster.checker::checkServed);
     assertTrue(failed.getMessage().contains("team two"), failed.getMessage());
   }
 }
--- a/src/test/java/dapplestair/world/OutboundCutTest.java
+++ b/src/test/java/dapplestair/world/OutboundCutTest.java
@@ -19,27 +19,29 @@
 class OutboundCutTest {
   private static final int REPLICAS = 72;
 
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = DisruptionTest.begun(seed, 5, 5);
     // What is lost with a machine is no choice.
-    w.checker.budget = null;
-    return w;
+    cluster.checker.budget = null;
+    return cluster;
   }
 
-  private static EmulatedWorker busiest(SimulatedCluster w) {
-    return w.cloud.machines().stream()
+  private static EmulatedWorker machineWithMostReplicas(SimulatedCluster cluster) {
+    return cluster.cloud.machines().stream()
         .filter(m -> !m.gone())
         .max(
             Comparator.comparingLong(m -> m.tasks().stream().filter(EmulatedTask::service).count()))
         .orElseThrow();
   }
 
-  private static List<EmulatedWorker> inZone(SimulatedCluster w, String zone) {
-    return w.cloud.machines().stream().filter(m -> !m.gone() && m.zone().equals(zone)).toList();
+  private static List<EmulatedWorker> machinesInZone(SimulatedCluster cluster, String zone) {
+    return cluster.cloud.machines().stream()
+        .filter(m -> !m.gone() && m.zone().equals(zone))
+        .toList();
   }
 
-  private static int starts(SimulatedCluster w, EmulatedWorker m) {
-    return w.checker.startsOn.getOrDefault(m.id(), 0);
+  private static int startsOn(SimulatedCluster cluster, EmulatedWorker m) {
+    return cluster.checker.startsOn.getOrDefault(m.id(), 0);
   }
 
   /**
@@ -48,102 +50,106 @@
    */
   @ParameterizedTest(name = "seed {0}, the leader ends at second {1}")
   @CsvSource({"5201,-1", "5202,1", "5203,7", "5204,10", "5205,16"})
-  void oneMachine(long seed, int second) {
-    SimulatedCluster w = begun(seed);
-    EmulatedWorker mute = busiest(w);
-    mute.mute(4 * SimulatedCluster.LEASE_MS);
+  void oneMachineCannotReport(long seed, int leaderCrashS) {
+    SimulatedCluster cluster = startCluster(seed);
+    EmulatedWorker mutedMachine = machineWithMostReplicas(cluster);
+    mutedMachine.mute(4 * SimulatedCluster.LEASE_MS);
     // A cancelled job's tasks end there like anywhere: commands reach it.
-    w.users.told.values().stream()
-        .filter(t -> mute.tasks().stream().anyMatch(k -> k.key().startsWith(t.ref + "/")))
+    cluster.users.told.values().stream()
+        .filter(t -> mutedMachine.tasks().stream().anyMatch(k -> k.key().startsWith(t.ref + "/")))
         .limit(1)
-        .forEach(w.users::cancel);
-    w.users.array("two", "standard", 60, 15);
-    if (second >= 0) {
-      w.sim.after(1000L * second, () -> w.leader().crash(2000));
+        .forEach(cluster.users::cancel);
+    cluster.users.array("two", "standard", 60, 15);
+    if (leaderCrashS >= 0) {
+      cluster.sim.after(1000L * leaderCrashS, () -> cluster.leader().crash(2000));
     }
-    w.run(SimulatedCluster.LEASE_MS * 3 / 4);
-    int before = starts(w, mute);
-    w.run(SimulatedCluster.LEASE_MS);
-    assertEquals(before, starts(w, mute), "starts on a machine that does not report");
-    assertTrue(mute.gone(), "it is still paid for, though nothing can last there");
-    w.run(SimulatedCluster.REPORT_MS);
-    assertEquals(REPLICAS - 3, DisruptionTest.replicas(w), "replicas but the cancelled ones");
+    cluster.run(SimulatedCluster.LEASE_MS * 3 / 4);
+    int startsBefore = startsOn(cluster, mutedMachine);
+    cluster.run(SimulatedCluster.LEASE_MS);
+    assertEquals(
+        startsBefore, startsOn(cluster, mutedMachine), "starts on a machine that does not report");
+    assertTrue(mutedMachine.gone(), "it is still paid for, though nothing can last there");
+    cluster.run(SimulatedCluster.REPORT_MS);
+    assertEquals(REPLICAS - 3, DisruptionTest.replicas(cluster), "replicas but the cancelled ones");
   }
 
   /** Half of all machines: what is rented in their place is up when their leases end. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5251, 5252, 5253})
-  void roomIsThereInTime(long seed) {
-    SimulatedCluster w = begun(seed);
+  void replacementCapacityIsReadyInTime(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
     int i = 0;
-    for (EmulatedWorker m : w.cloud.machines()) {
+    for (EmulatedWorker m : cluster.cloud.machines()) {
       if (i++ % 2 == 0) {
         m.mute(4 * SimulatedCluster.LEASE_MS);
       }
     }
-    w.run(SimulatedCluster.LEASE_MS + 2 * SimulatedCluster.REPORT_MS);
-    assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas after a lease");
-    SeededDaysTest.settle(w);
+    cluster.run(SimulatedCluster.LEASE_MS + 2 * SimulatedCluster.REPORT_MS);
+    assertEquals(REPLICAS, DisruptionTest.replicas(cluster), "replicas after a lease");
+    SeededDaysTest.settle(cluster);
   }
 
   /** For a third of a lease: nothing is lost, and it is used again. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5211, 5212, 5213})
-  void aMomentCostsNothing(long seed) {
-    SimulatedCluster w = begun(seed);
-    EmulatedWorker mute = busiest(w);
-    int killed = w.cloud.killedByLease();
-    mute.mute(SimulatedCluster.LEASE_MS / 3);
-    w.run(2 * SimulatedCluster.LEASE_MS);
-    assertTrue(!mute.gone(), "it was given up");
-    assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
+  void aShortCutLosesNothing(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    EmulatedWorker mutedMachine = machineWithMostReplicas(cluster);
+    int killedBefore = cluster.cloud.killedByLease();
+    mutedMachine.mute(SimulatedCluster.LEASE_MS / 3);
+    cluster.run(2 * SimulatedCluster.LEASE_MS);
+    assertTrue(!mutedMachine.gone(), "it was given up");
+    assertEquals(killedBefore, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
   }
 
   /** A zone: decided once, as one that is silent; nothing is rented there again and again. */
   @ParameterizedTest(name = "seed {0}, the leader ends at second {1}")
   @CsvSource({"5221,-1", "5222,3", "5223,12"})
-  void aZone(long seed, int second) {
-    SimulatedCluster w = begun(seed);
-    int killed = w.cloud.killedByRelease();
+  void aZoneCannotReport(long seed, int leaderCrashS) {
+    SimulatedCluster cluster = startCluster(seed);
+    int killedBefore = cluster.cloud.killedByRelease();
     for (long at = 0; at < 4 * SimulatedCluster.LEASE_MS; at += 200) {
       // Machines that come up there meanwhile are mute as well, before they can report: none boots
       // within this time.
-      w.sim.after(at, () -> inZone(w, "c").forEach(m -> m.mute(3000)));
+      cluster.sim.after(at, () -> machinesInZone(cluster, "c").forEach(m -> m.mute(3000)));
     }
-    if (second >= 0) {
-      w.sim.after(1000L * second, () -> w.leader().crash(2000));
+    if (leaderCrashS >= 0) {
+      cluster.sim.after(1000L * leaderCrashS, () -> cluster.leader().crash(2000));
     }
-    w.run(SimulatedCluster.LEASE_MS * 9 / 10);
-    assertEquals(killed, w.cloud.killedByRelease(), "tasks lost with machines one by one");
-    if (second < 0) {
-      assertEquals("CUT", w.state.value("live/zone/c").path("state").asText());
+    cluster.run(SimulatedCluster.LEASE_MS * 9 / 10);
+    assertEquals(
+        killedBefore, cluster.cloud.killedByRelease(), "tasks lost with machines one by one");
+    if (leaderCrashS < 0) {
+      assertEquals("CUT", cluster.state.value("live/zone/c").path("state").asText());
     }
-    w.run(SimulatedCluster.LEASE_MS * 6 / 5);
-    assertEquals(REPLICAS, DisruptionTest.replicas(w), "replicas without the zone");
-    int starts = inZone(w, "c").stream().mapToInt(m -> starts(w, m)).sum();
-    w.run(SimulatedCluster.LEASE_MS);
+    cluster.run(SimulatedCluster.LEASE_MS * 6 / 5);
+    assertEquals(REPLICAS, DisruptionTest.replicas(cluster), "replicas without the zone");
+    int starts = machinesInZone(cluster, "c").stream().mapToInt(m -> startsOn(cluster, m)).sum();
+    cluster.run(SimulatedCluster.LEASE_MS);
     assertEquals(
-        starts, inZone(w, "c").stream().mapToInt(m -> starts(w, m)).sum(), "starts in the zone");
-    w.run(2 * SimulatedCluster.LEASE_MS);
-    SeededDaysTest.settle(w);
+        starts,
+        machinesInZone(cluster, "c").stream().mapToInt(m -> startsOn(cluster, m)).sum(),
+        "starts in the zone");
+    cluster.run(2 * SimulatedCluster.LEASE_MS);
+    SeededDaysTest.settle(cluster);
   }
 
   /** Only the leader can't be connected to, though it reaches all: another one had better lead. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5231, 5232, 5233})
-  void onlyTheLeaderHearsNothing(long seed) {
-    SimulatedCluster w = begun(seed);
-    SimulatedCluster.ControllerNode leader = w.leader();
+  void aLeaderThatWorkersCannotReachIsReplaced(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    SimulatedCluster.ControllerNode leader = cluster.leader();
     String client = SimulatedCluster.client(leader.index);
-    int killed = w.cloud.killedByLease();
+    int killedBefore = cluster.cloud.killedByLease();
     for (int i = 0; i < 200; i++) {
-      w.cloud.machines().forEach(m -> w.net.cutOneWay(m.endpoint(), client));
-      w.run(100);
+      cluster.cloud.machines().forEach(m -> cluster.net.cutOneWay(m.endpoint(), client));
+      cluster.run(100);
     }
-    w.cloud.machines().forEach(m -> w.net.healOneWay(m.endpoint(), client));
-    assertNotEquals(leader, w.leader(), "it still leads");
-    assertEquals(killed, w.cloud.killedByLease(), "tasks killed by the end of a lease");
-    SeededDaysTest.settle(w);
+    cluster.cloud.machines().forEach(m -> cluster.net.healOneWay(m.endpoint(), client));
+    assertNotEquals(leader, cluster.leader(), "it still leads");
+    assertEquals(killedBefore, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
+    SeededDaysTest.settle(cluster);
   }
 
   /**
@@ -152,25 +158,26 @@
    */
   @ParameterizedTest(name = "seed {0}, share {1}, late commands {2}")
   @CsvSource({"5241,0.3,0", "5242,0.5,0.3", "5243,0.7,0.2", "5244,1,0", "5245,1,0.3"})
-  void shares(long seed, double share, double late) {
-    SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 24, 1000, 6));
-    w.users.cancelledArrays = 0.4;
-    w.run(20_000);
+  void randomMachinesCannotReport(long seed, double share, double lateCommandShare) {
+    SimulatedCluster cluster =
+        new SimulatedCluster(seed, new SimulatedCluster.Size(6, 24, 1000, 6));
+    cluster.users.cancelledArrays = 0.4;
+    cluster.run(20_000);
     for (int i = 0; i < 3; i++) {
-      w.net.lateCommands = late;
-      for (EmulatedWorker m : w.cloud.machines()) {
-        if (w.sim.chance(share)) {
-          m.mute(w.sim.between(SimulatedCluster.LEASE_MS / 2, 3 * SimulatedCluster.LEASE_MS));
+      cluster.net.lateCommands = lateCommandShare;
+      for (EmulatedWorker m : cluster.cloud.machines()) {
+        if (cluster.sim.chance(share)) {
+          m.mute(cluster.sim.between(SimulatedCluster.LEASE_MS / 2, 3 * SimulatedCluster.LEASE_MS));
         }
       }
-      w.run(w.sim.between(2000, 2 * SimulatedCluster.LEASE_MS));
-      if (w.leader() != null) {
-        w.leader().crash(w.sim.between(500, 4000));
+      cluster.run(cluster.sim.between(2000, 2 * SimulatedCluster.LEASE_MS));
+      if (cluster.leader() != null) {
+        cluster.leader().crash(cluster.sim.between(500, 4000));
       }
-      w.run(SimulatedCluster.LEASE_MS);
-      w.net.lateCommands = 0;
+      cluster.run(SimulatedCluster.LEASE_MS);
+      cluster.net.lateCommands = 0;
     }
-    w.run(3 * SimulatedCluster.LEASE_MS);
-    SeededDaysTest.settle(w);
+    cluster.run(3 * SimulatedCluster.LEASE_MS);
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/OverloadTest.java
+++ b/src/test/java/dapplestair/world/OverloadTest.java
@@ -18,27 +18,30 @@
   private static final SimulatedCluster.Size LIMITED = new SimulatedCluster.Size(16, 45, 2150, 12);
 
   /** Within what urgent work begins: a boot, a stop with its saving, and slow messages. */
-  private static final long URGENT_MS = 40_000;
+  private static final long MAX_URGENT_WAIT_MS = 40_000;
 
-  private final List<SimulatedUsers.KnownJob> urgent = new ArrayList<>();
+  private final List<SimulatedUsers.KnownJob> urgentJobs = new ArrayList<>();
 
-  private void submit(SimulatedCluster w, int number) {
+  private void submit(SimulatedCluster cluster, int number) {
     String team = number % 2 == 0 ? "one" : "two";
     switch (number % 4) {
-      case 0 -> w.users.array(team, "low", 16, 6);
+      case 0 -> cluster.users.array(team, "low", 16, 6);
       case 1 ->
-          w.users.changed(
+          cluster.users.changed(
               team,
               8,
               9,
               b -> b.put("rank", "standard").put("snapshotEveryS", 3.0).put("snapshotS", 1.0));
-      case 2 -> urgent.add(w.users.array(team, "critical", 2, 5));
+      case 2 -> urgentJobs.add(cluster.users.array(team, "critical", 2, 5));
       default ->
-          w.users.changed("guest", 12, 6, b -> b.put("rank", "low").put("jobclass", "guest"));
+          cluster.users.changed("guest", 12, 6, b -> b.put("rank", "low").put("jobclass", "guest"));
     }
   }
 
-  /** Twice as much as there is room for; links are slow, the leader ends {@code endsMs} later. */
+  /**
+   * Twice as much as there is room for; links are slow, the leader ends {@code leaderCrashMs}
+   * later.
+   */
   @ParameterizedTest(name = "seed {0}, links up to {1} ms slower, leader ends after {2} ms")
   @CsvSource({
     "9501,0,-1",
@@ -48,30 +51,30 @@
     "9507,700,17000",
     "9508,1200,9000"
   })
-  void urgentAndNotBeyondTheRoom(long seed, long slowMs, long endsMs) {
-    SimulatedCluster w = new SimulatedCluster(seed, LIMITED);
-    w.net.loss = 0;
-    w.users.quiet = true;
-    w.cloud.setCapacity(0.25);
-    w.users.service("one", 3);
-    w.users.service("two", 3);
-    w.run(20_000);
-    w.net.slowMs = slowMs;
-    w.net.slow = (a, b) -> !a.startsWith("state") && !b.startsWith("state");
+  void urgentJobsStartInTimeUnderOverload(long seed, long slowMs, long leaderCrashMs) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, LIMITED);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
+    cluster.cloud.setCapacity(0.25);
+    cluster.users.service("one", 3);
+    cluster.users.service("two", 3);
+    cluster.run(20_000);
+    cluster.net.slowMs = slowMs;
+    cluster.net.slow = (a, b) -> !a.startsWith("state") && !b.startsWith("state");
     int number = 0;
     for (long at = 0; at < OVERLOAD_MS; at += 600) {
-      submit(w, number++);
-      w.run(600);
-      if (endsMs >= 0 && number % 50 == 25) {
-        w.sim.after(endsMs, () -> endLeader(w));
-        cancelSome(w);
+      submit(cluster, number++);
+      cluster.run(600);
+      if (leaderCrashMs >= 0 && number % 50 == 25) {
+        cluster.sim.after(leaderCrashMs, () -> crashLeader(cluster));
+        cancelSomeJobs(cluster);
       }
     }
-    w.net.slowMs = 0;
-    SeededDaysTest.settle(w);
-    for (SimulatedUsers.KnownJob job : urgent) {
+    cluster.net.slowMs = 0;
+    SeededDaysTest.settle(cluster);
+    for (SimulatedUsers.KnownJob job : urgentJobs) {
       assertTrue(
-          !job.accepted || job.cancelAsked || waitedMs(job) <= URGENT_MS,
+          !job.accepted || job.cancelAsked || waitedMs(job) <= MAX_URGENT_WAIT_MS,
           () -> job.ref + " waited for " + waitedMs(job) + " ms");
     }
   }
@@ -80,16 +83,16 @@
     return job.begunAt() - job.submittedAt;
   }
 
-  private static void endLeader(SimulatedCluster w) {
-    if (w.leader() != null) {
-      w.leader().crash(w.sim.between(300, 4000));
+  private static void crashLeader(SimulatedCluster cluster) {
+    if (cluster.leader() != null) {
+      cluster.leader().crash(cluster.sim.between(300, 4000));
     }
   }
 
-  private static void cancelSome(SimulatedCluster w) {
-    for (SimulatedUsers.KnownJob job : List.copyOf(w.users.told.values())) {
-      if (job.accepted && !job.done && !job.cancelAsked && w.sim.chance(0.2)) {
-        w.users.cancel(job);
+  private static void cancelSomeJobs(SimulatedCluster cluster) {
+    for (SimulatedUsers.KnownJob job : List.copyOf(cluster.users.told.values())) {
+      if (job.accepted && !job.done && !job.cancelAsked && cluster.sim.chance(0.2)) {
+        cluster.users.cancel(job);
       }
     }
   }
--- a/src/test/java/dapplestair/world/QuickBootTest.java
+++ b/src/test/java/dapplestair/world/QuickBootTest.java
@@ -34,45 +34,48 @@
     LAUNCH_SENT
   }
 
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(12, 60, 2150, 6));
-    w.net.loss = 0;
-    w.cloud.setQuickBoots(1);
-    w.run(20_000);
-    return w;
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster =
+        new SimulatedCluster(seed, new SimulatedCluster.Size(12, 60, 2150, 6));
+    cluster.net.loss = 0;
+    cluster.cloud.setQuickBoots(1);
+    cluster.run(20_000);
+    return cluster;
   }
 
   /** The request that marks the moment, for a machine that was not there before. */
-  private static Predicate<SimulatedNetwork.Request> mark(
-      SimulatedCluster w, CrashPoint crashPoint) {
-    Set<String> before = new HashSet<>();
-    w.cloud.machines().forEach(m -> before.add(m.id()));
-    Predicate<String> ofNew =
+  private static Predicate<SimulatedNetwork.Request> requestAt(
+      SimulatedCluster cluster, CrashPoint crashPoint) {
+    Set<String> oldMachineIds = new HashSet<>();
+    cluster.cloud.machines().forEach(m -> oldMachineIds.add(m.id()));
+    Predicate<String> namesNewMachine =
         text ->
-            w.cloud.machines().stream()
+            cluster.cloud.machines().stream()
                 .map(EmulatedWorker::id)
-                .anyMatch(id -> !before.contains(id) && text.contains(id));
+                .anyMatch(id -> !oldMachineIds.contains(id) && text.contains(id));
     return r -> {
       String body = r.body() == null ? "" : new String(r.body(), StandardCharsets.UTF_8);
       boolean toLeader =
-          w.leader() != null && r.to().equals(SimulatedCluster.client(w.leader().index));
+          cluster.leader() != null
+              && r.to().equals(SimulatedCluster.client(cluster.leader().index));
       return switch (crashPoint) {
         case RENTAL_PUT -> r.puts("live/rental/") && !body.contains("\"hosts\"");
         case RENTAL_ASKED -> r.path().equals("/rentals") && r.method().equals("POST");
-        case HOSTS_PUT -> r.puts("live/rental/") && ofNew.test(body);
+        case HOSTS_PUT -> r.puts("live/rental/") && namesNewMachine.test(body);
         case REPORTED_ELSEWHERE ->
-            r.path().equals("/agent/beat") && !toLeader && ofNew.test(r.from());
-        case LAUNCH_PUT -> (r.puts("live/run/") || r.puts("live/sheet/")) && ofNew.test(body);
-        case LAUNCH_SENT -> r.orders("launch") && ofNew.test(r.to());
+            r.path().equals("/agent/beat") && !toLeader && namesNewMachine.test(r.from());
+        case LAUNCH_PUT ->
+            (r.puts("live/run/") || r.puts("live/sheet/")) && namesNewMachine.test(body);
+        case LAUNCH_SENT -> r.orders("launch") && namesNewMachine.test(r.to());
       };
     };
   }
 
   /** Arrays of both teams, for which there is no room yet. */
-  private static void burst(SimulatedCluster w) {
+  private static void submitBurst(SimulatedCluster cluster) {
     for (String team : List.of("one", "two")) {
       for (int i = 0; i < 3; i++) {
-        w.users.array(team, "high", 12, 6);
+        cluster.users.array(team, "high", 12, 6);
       }
     }
   }
@@ -93,28 +96,29 @@
     "5315,LAUNCH_SENT,3,0.5",
     "5317,LAUNCH_SENT,1700,0.5"
   })
-  void theLeaderEnds(long seed, CrashPoint crashPoint, long afterMs, double late) {
-    SimulatedCluster w = begun(seed);
-    int[] met = {0};
+  void theLeaderCrashesDuringABoot(
+      long seed, CrashPoint crashPoint, long afterMs, double lateWriteShare) {
+    SimulatedCluster cluster = startCluster(seed);
+    int[] crashCount = {0};
     for (int i = 0; i < 2; i++) {
-      w.net.lateWrites = late;
-      w.net.when(
-          mark(w, crashPoint),
+      cluster.net.lateWrites = lateWriteShare;
+      cluster.net.when(
+          requestAt(cluster, crashPoint),
           afterMs,
           () -> {
-            if (w.leader() != null) {
-              met[0]++;
-              w.leader().crash(w.sim.between(300, 6000));
+            if (cluster.leader() != null) {
+              crashCount[0]++;
+              cluster.leader().crash(cluster.sim.between(300, 6000));
             }
           });
-      burst(w);
-      w.run(SimulatedCluster.LEASE_MS + w.sim.between(0, 8000));
-      w.net.lateWrites = 0;
+      submitBurst(cluster);
+      cluster.run(SimulatedCluster.LEASE_MS + cluster.sim.between(0, 8000));
+      cluster.net.lateWrites = 0;
       // Machines are returned again, so that the next burst needs new ones.
-      w.run(60_000);
+      cluster.run(60_000);
     }
-    assertTrue(met[0] > 0, "the moment never came");
-    SeededDaysTest.settle(w);
+    assertTrue(crashCount[0] > 0, "the moment never came");
+    SeededDaysTest.settle(cluster);
   }
 
   /**
@@ -123,18 +127,20 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5331, 5332, 5333})
-  void aRentalOnRecordTooLateIsNoMachine(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed);
-    w.net.loss = 0;
-    w.cloud.setQuickBoots(1);
-    w.net.lateWrite = r -> r.puts("live/rental/") && w.sim.now() < 20_000;
-    w.run(20_000);
-    assertTrue(w.state.putsTo("live/rental/") > 0, "no record came late");
-    w.run(40_000);
-    List<String> open =
-        w.state.keys("live/rental/").stream().filter(k -> !w.state.value(k).has("hosts")).toList();
-    assertEquals(List.of(), open, "rentals that nobody asks for");
-    assertTrue(w.checker.started > 0, "nothing was rented");
-    SeededDaysTest.settle(w);
+  void aRentalRecordedTooLateAddsNoMachine(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.net.loss = 0;
+    cluster.cloud.setQuickBoots(1);
+    cluster.net.lateWrite = r -> r.puts("live/rental/") && cluster.sim.now() < 20_000;
+    cluster.run(20_000);
+    assertTrue(cluster.state.putsTo("live/rental/") > 0, "no record came late");
+    cluster.run(40_000);
+    List<String> openRentals =
+        cluster.state.keys("live/rental/").stream()
+            .filter(k -> !cluster.state.value(k).has("hosts"))
+            .toList();
+    assertEquals(List.of(), openRentals, "rentals that nobody asks for");
+    assertTrue(cluster.checker.started > 0, "nothing was rented");
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/RefusedThenOutageTest.java
+++ b/src/test/java/dapplestair/world/RefusedThenOutageTest.java
@@ -12,20 +12,20 @@
  */
 class RefusedThenOutageTest {
   /** Who is asked to cancel. */
-  enum Asked {
+  enum CancelTarget {
     LEADER,
     OTHER,
     ANY,
     ALL
   }
 
-  private static void cancel(CancellationOutageTest.Day d, Asked asked) {
-    for (SimulatedUsers.KnownJob job : d.cancelled) {
-      switch (asked) {
-        case LEADER -> d.w.users.cancelAt(job, d.old);
-        case OTHER -> d.w.users.cancelAt(job, d.second);
-        case ANY -> d.w.users.cancel(job);
-        default -> d.w.nodes.forEach(n -> d.w.users.cancelAt(job, n));
+  private static void cancel(CancellationOutageTest.Day day, CancelTarget target) {
+    for (SimulatedUsers.KnownJob job : day.cancelled) {
+      switch (target) {
+        case LEADER -> day.w.users.cancelAt(job, day.old);
+        case OTHER -> day.w.users.cancelAt(job, day.second);
+        case ANY -> day.w.users.cancel(job);
+        default -> day.w.nodes.forEach(n -> day.w.users.cancelAt(job, n));
       }
     }
   }
@@ -55,31 +55,33 @@
     "11320,ALL,5,refused,2500",
     "11321,ALL,300,whole,2500"
   })
-  void cancelledAtTheMoment(long seed, Asked asked, long askedMs, String links, long outMs) {
-    play(seed, asked, askedMs, links, outMs);
+  void cancelledAroundTheRefusal(
+      long seed, CancelTarget target, long cancelOffsetMs, String links, long outageAfterMs) {
+    play(seed, target, cancelOffsetMs, links, outageAfterMs);
   }
 
-  static SimulatedCluster play(long seed, Asked asked, long askedMs, String links, long outMs) {
-    CancellationOutageTest.Day d = new CancellationOutageTest.Day(seed);
-    SimulatedCluster w = d.w;
-    long at = w.sim.now() + 100;
-    w.sim.after(100, () -> w.state.refuse("node-" + d.old.index, true));
-    w.sim.after(100 + Math.max(0, askedMs), () -> d.links(links, true));
-    w.sim.after(100 + askedMs, () -> cancel(d, asked));
-    w.run(at + outMs - w.sim.now());
-    if (asked != Asked.LEADER && askedMs <= 700) {
-      assertTrue(d.cancelled.stream().anyMatch(t -> t.aborted), "nothing is confirmed in time");
+  static SimulatedCluster play(
+      long seed, CancelTarget target, long cancelOffsetMs, String links, long outageAfterMs) {
+    CancellationOutageTest.Day day = new CancellationOutageTest.Day(seed);
+    SimulatedCluster cluster = day.w;
+    long refusedAtMs = cluster.sim.now() + 100;
+    cluster.sim.after(100, () -> cluster.state.refuse("node-" + day.old.index, true));
+    cluster.sim.after(100 + Math.max(0, cancelOffsetMs), () -> day.links(links, true));
+    cluster.sim.after(100 + cancelOffsetMs, () -> cancel(day, target));
+    cluster.run(refusedAtMs + outageAfterMs - cluster.sim.now());
+    if (target != CancelTarget.LEADER && cancelOffsetMs <= 700) {
+      assertTrue(day.cancelled.stream().anyMatch(t -> t.aborted), "nothing is confirmed in time");
     }
-    w.state.fail();
-    w.run(2 * SimulatedCluster.CANCEL_MS);
-    w.state.refuse("node-" + d.old.index, false);
-    w.state.recover();
-    d.healLinks();
-    d.cancelled.forEach(w.users::cancel);
-    w.run(160_000);
-    d.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
-    assertEquals(0, d.running(d.cancelled), "cancelled tasks");
-    SeededDaysTest.settle(w);
-    return w;
+    cluster.state.fail();
+    cluster.run(2 * SimulatedCluster.CANCEL_MS);
+    cluster.state.refuse("node-" + day.old.index, false);
+    cluster.state.recover();
+    day.healLinks();
+    day.cancelled.forEach(cluster.users::cancel);
+    cluster.run(160_000);
+    day.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
+    assertEquals(0, day.running(day.cancelled), "cancelled tasks");
+    SeededDaysTest.settle(cluster);
+    return cluster;
   }
 }
--- a/src/test/java/dapplestair/world/RelayTest.java
+++ b/src/test/java/dapplestair/world/RelayTest.java
@@ -26,45 +26,47 @@
       SimulatedCluster.LEASE_MS / 4 + 3 * SimulatedCluster.REPORT_MS;
 
   /** To which controller each worker sent its last report. */
-  private static final class Day {
-    final SimulatedCluster w;
+  private static final class Scenario {
+    final SimulatedCluster cluster;
     final Map<String, String> reportsTo = new HashMap<>();
 
-    Day(long seed) {
-      w = DisruptionTest.begun(seed, 5, 5);
-      w.checker.budget = null;
-      w.operatorSettings = w.operatorSettings.withRelayAbove(0);
-      w.nodes.forEach(n -> n.crash(1000));
-      w.net.observe(
+    Scenario(long seed) {
+      cluster = DisruptionTest.begun(seed, 5, 5);
+      cluster.checker.budget = null;
+      cluster.operatorSettings = cluster.operatorSettings.withRelayAbove(0);
+      cluster.nodes.forEach(n -> n.crash(1000));
+      cluster.net.observe(
           r -> {
             if (r.path().equals("/agent/beat")) {
               reportsTo.put(r.from(), r.to());
             }
           });
-      w.run(8000 + SETTLED_MS);
+      cluster.run(8000 + SETTLED_MS);
     }
 
-    Map<String, String> living() {
-      Map<String, String> out = new HashMap<>();
-      for (EmulatedWorker m : w.cloud.machines()) {
+    Map<String, String> reportTargets() {
+      Map<String, String> targets = new HashMap<>();
+      for (EmulatedWorker m : cluster.cloud.machines()) {
         if (!m.gone() && reportsTo.containsKey(m.endpoint())) {
-          out.put(m.endpoint(), reportsTo.get(m.endpoint()));
+          targets.put(m.endpoint(), reportsTo.get(m.endpoint()));
         }
       }
-      return out;
+      return targets;
     }
 
     /** Machines whose worker reports to a node. */
-    long at(SimulatedCluster.ControllerNode node) {
-      return living().values().stream().filter(SimulatedCluster.client(node.index)::equals).count();
+    long workersReportingTo(SimulatedCluster.ControllerNode node) {
+      return reportTargets().values().stream()
+          .filter(SimulatedCluster.client(node.index)::equals)
+          .count();
     }
 
     SimulatedCluster.ControllerNode follower() {
-      return w.nodes.get((w.leader().index + 1) % 3);
+      return cluster.nodes.get((cluster.leader().index + 1) % 3);
     }
   }
 
-  private static String assigned(EmulatedWorker machine) {
+  private static String assignedEndpoint(EmulatedWorker machine) {
     List<RelayAssignment.Candidate> candidates = new ArrayList<>();
     for (int i = 0; i < SimulatedCluster.NODE_ZONES.size(); i++) {
       candidates.add(
@@ -76,43 +78,50 @@
   /** Each controller takes its part, and the leader none of the others'. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9701, 9702, 9703})
-  void connectionsAreSpread(long seed) {
-    Day d = new Day(seed);
-    Map<String, String> reports = d.living();
+  void connectionsAreSpreadOverControllers(long seed) {
+    Scenario scenario = new Scenario(seed);
+    Map<String, String> reports = scenario.reportTargets();
     assertTrue(reports.size() > 5, "only " + reports);
-    for (EmulatedWorker m : d.w.cloud.machines()) {
+    for (EmulatedWorker m : scenario.cluster.cloud.machines()) {
       if (reports.containsKey(m.endpoint())) {
-        assertEquals(assigned(m), reports.get(m.endpoint()), m.id());
+        assertEquals(assignedEndpoint(m), reports.get(m.endpoint()), m.id());
       }
     }
-    assertTrue(3 * d.at(d.w.leader()) < 2 * d.living().size(), "the leader takes most");
-    SimulatedUsers.KnownJob array = d.w.users.array("one", "high", 30, 5);
-    d.w.run(30_000);
+    assertTrue(
+        3 * scenario.workersReportingTo(scenario.cluster.leader())
+            < 2 * scenario.reportTargets().size(),
+        "the leader takes most");
+    SimulatedUsers.KnownJob array = scenario.cluster.users.array("one", "high", 30, 5);
+    scenario.cluster.run(30_000);
     assertTrue(array.done, "an array is not done");
-    assertEquals(0, d.w.cloud.killedByLease(), "tasks killed by the end of a lease");
-    SeededDaysTest.settle(d.w);
+    assertEquals(0, scenario.cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
+    SeededDaysTest.settle(scenario.cluster);
   }
 
   /** Its end sends no worker away whose own controller lives, and costs no task. */
   @ParameterizedTest(name = "seed {0}, back after {1} ms")
   @CsvSource({"9711,60", "9712,600", "9713,3000", "9714,20000"})
-  void theLeadersEndMovesOnlyItsOwn(long seed, long backAfterMs) {
-    Day d = new Day(seed);
-    SimulatedCluster.ControllerNode leader = d.w.leader();
-    Map<String, String> before = d.living();
-    int lost = d.w.cloud.killedByLease() + d.w.cloud.killedByRelease();
+  void aLeaderCrashMovesOnlyItsOwnWorkers(long seed, long backAfterMs) {
+    Scenario scenario = new Scenario(seed);
+    SimulatedCluster.ControllerNode leader = scenario.cluster.leader();
+    Map<String, String> before = scenario.reportTargets();
+    int killedBefore =
+        scenario.cluster.cloud.killedByLease() + scenario.cluster.cloud.killedByRelease();
     leader.crash(backAfterMs);
-    d.w.run(2 * SimulatedCluster.REPORT_MS);
-    Map<String, String> after = d.living();
+    scenario.cluster.run(2 * SimulatedCluster.REPORT_MS);
+    Map<String, String> after = scenario.reportTargets();
     before.forEach(
         (machine, node) -> {
           if (!node.equals(SimulatedCluster.client(leader.index))) {
             assertEquals(node, after.get(machine), machine + " was sent away");
           }
         });
-    d.w.run(SimulatedCluster.LEASE_MS);
-    assertEquals(lost, d.w.cloud.killedByLease() + d.w.cloud.killedByRelease(), "tasks killed");
-    SeededDaysTest.settle(d.w);
+    scenario.cluster.run(SimulatedCluster.LEASE_MS);
+    assertEquals(
+        killedBefore,
+        scenario.cluster.cloud.killedByLease() + scenario.cluster.cloud.killedByRelease(),
+        "tasks killed");
+    SeededDaysTest.settle(scenario.cluster);
   }
 
   /** Whatever a relay suffers, its workers find another way before their leases end. */
@@ -126,43 +135,52 @@
     "9726,loses the leader alone",
     "9727,ends with the leader"
   })
-  void aRelayInTroubleCostsNoTask(long seed, String trouble) {
-    Day d = new Day(seed);
-    SimulatedCluster.ControllerNode relay = d.follower();
-    int lost = d.w.cloud.killedByLease() + d.w.cloud.killedByRelease();
-    long ms = 2 * SimulatedCluster.LEASE_MS;
-    switch (trouble) {
-      case "ends" -> relay.crash(ms);
+  void aRelayFaultCostsNoTask(long seed, String fault) {
+    Scenario scenario = new Scenario(seed);
+    SimulatedCluster.ControllerNode relay = scenario.follower();
+    int killedBefore =
+        scenario.cluster.cloud.killedByLease() + scenario.cluster.cloud.killedByRelease();
+    long faultMs = 2 * SimulatedCluster.LEASE_MS;
+    switch (fault) {
+      case "ends" -> relay.crash(faultMs);
       case "ends and returns at once" -> relay.crash(80);
-      case "stands still" -> relay.freeze(ms);
-      case "loses its peers and the state service" -> new RandomFaults(d.w).alone(relay, true, ms);
+      case "stands still" -> relay.freeze(faultMs);
+      case "loses its peers and the state service" ->
+          new RandomFaults(scenario.cluster).alone(relay, true, faultMs);
       case "loses its workers" -> {
         List<String> machines =
-            d.w.cloud.machines().stream().map(EmulatedWorker::endpoint).toList();
+            scenario.cluster.cloud.machines().stream().map(EmulatedWorker::endpoint).toList();
         for (String m : machines) {
-          for (String own : List.of("node-" + relay.index, SimulatedCluster.client(relay.index))) {
-            d.w.net.cut(own, m, true);
-            d.w.sim.after(ms, () -> d.w.net.heal(own, m));
+          for (String endpoint :
+              List.of("node-" + relay.index, SimulatedCluster.client(relay.index))) {
+            scenario.cluster.net.cut(endpoint, m, true);
+            scenario.cluster.sim.after(faultMs, () -> scenario.cluster.net.heal(endpoint, m));
           }
         }
       }
       case "loses the leader alone" -> {
-        String leader = "node-" + d.w.leader().index;
-        d.w.net.cut("node-" + relay.index, leader, true);
-        d.w.sim.after(ms, () -> d.w.net.heal("node-" + relay.index, leader));
+        String leader = "node-" + scenario.cluster.leader().index;
+        scenario.cluster.net.cut("node-" + relay.index, leader, true);
+        scenario.cluster.sim.after(
+            faultMs, () -> scenario.cluster.net.heal("node-" + relay.index, leader));
       }
       default -> {
-        d.w.leader().crash(2000);
+        scenario.cluster.leader().crash(2000);
         relay.crash(2000);
       }
     }
-    SimulatedUsers.KnownJob array = d.w.users.array("one", "high", 20, 5);
-    d.w.run(ms);
-    assertEquals(lost, d.w.cloud.killedByLease() + d.w.cloud.killedByRelease(), "tasks killed");
+    SimulatedUsers.KnownJob array = scenario.cluster.users.array("one", "high", 20, 5);
+    scenario.cluster.run(faultMs);
+    assertEquals(
+        killedBefore,
+        scenario.cluster.cloud.killedByLease() + scenario.cluster.cloud.killedByRelease(),
+        "tasks killed");
     assertTrue(array.done, "an array is not done meanwhile");
-    d.w.run(SETTLED_MS);
-    assertTrue(trouble.contains("leader") || d.at(relay) > 0, "nobody reports to it again");
-    SeededDaysTest.settle(d.w);
+    scenario.cluster.run(SETTLED_MS);
+    assertTrue(
+        fault.contains("leader") || scenario.workersReportingTo(relay) > 0,
+        "nobody reports to it again");
+    SeededDaysTest.settle(scenario.cluster);
   }
 
   /**
@@ -171,24 +189,24 @@
    */
   @ParameterizedTest(name = "seed {0}, the relay stands still for {1} ms")
   @CsvSource({"9731,1500", "9732,4000", "9733,9000", "9734,16000", "9735,40000"})
-  void commandsAreDeliveredLate(long seed, long ms) {
-    Day d = new Day(seed);
-    SimulatedCluster.ControllerNode leader = d.w.leader();
-    SimulatedCluster.ControllerNode relay = d.follower();
+  void commandsAreDeliveredLate(long seed, long frozenMs) {
+    Scenario scenario = new Scenario(seed);
+    SimulatedCluster.ControllerNode leader = scenario.cluster.leader();
+    SimulatedCluster.ControllerNode relay = scenario.follower();
     List<SimulatedUsers.KnownJob> jobs =
         List.of(
-            d.w.users.array("one", "high", 30, 60),
-            d.w.users.array("two", "high", 30, 60),
-            d.w.users.service("one", 3));
-    d.w.run(SimulatedCluster.REPORT_MS / 2);
-    relay.freeze(ms);
-    d.w.run(SimulatedCluster.REPORT_MS / 2);
-    jobs.forEach(d.w.users::cancel);
-    d.w.run(200);
+            scenario.cluster.users.array("one", "high", 30, 60),
+            scenario.cluster.users.array("two", "high", 30, 60),
+            scenario.cluster.users.service("one", 3));
+    scenario.cluster.run(SimulatedCluster.REPORT_MS / 2);
+    relay.freeze(frozenMs);
+    scenario.cluster.run(SimulatedCluster.REPORT_MS / 2);
+    jobs.forEach(scenario.cluster.users::cancel);
+    scenario.cluster.run(200);
     leader.crash(3000);
-    d.w.run(ms + SimulatedCluster.CANCEL_MS);
-    assertNotEquals(null, d.w.leader(), "nobody leads");
-    SeededDaysTest.settle(d.w);
+    scenario.cluster.run(frozenMs + SimulatedCluster.CANCEL_MS);
+    assertNotEquals(null, scenario.cluster.leader(), "nobody leads");
+    SeededDaysTest.settle(scenario.cluster);
   }
 
   /** As {@link FaultCombinationTest}, with connections spread. */
--- a/src/test/java/dapplestair/world/ReplacementCosts.java
+++ b/src/test/java/dapplestair/world/ReplacementCosts.java
@@ -120,14 +120,14 @@
 
   private static String play(Way way, int perPlace, int services) {
     SimulatedCluster w = begun(way, perPlace, services);
-    Set<String> old = ReplacementTest.machines(w);
+    Set<String> old = ReplacementTest.machineIds(w);
     long puts = w.state.puts();
     double thrown = thrown(w);
     if (way.step == 0) {
       for (String zone : SimulatedCluster.ZONES) {
         for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
           if (m.zone().equals(zone) && old.contains(m.id())) {
-            OperatorsTest.ask(
+            OperatorsTest.sendRequest(
                 w,
                 0,
                 "POST",
@@ -140,7 +140,7 @@
       }
     } else {
       int step = (int) Math.ceil(way.step * old.size());
-      OperatorsTest.order(
+      OperatorsTest.submitOrder(
           w,
           "/v1/replacements/night/start",
           Json.object()
--- a/src/test/java/dapplestair/world/ReplacementTest.java
+++ b/src/test/java/dapplestair/world/ReplacementTest.java
@@ -18,68 +18,69 @@
 
 /** Workers replaced in steps while machines, zones, leaders, cloud and state service fail. */
 class ReplacementTest {
-  private static final String NIGHT = "/v1/replacements/night";
+  private static final String ORDER_PATH = "/v1/replacements/night";
 
-  static Set<String> machines(SimulatedCluster w) {
-    return w.cloud.machines().stream()
+  static Set<String> machineIds(SimulatedCluster cluster) {
+    return cluster.cloud.machines().stream()
         .filter(m -> !m.gone())
         .map(EmulatedWorker::id)
         .collect(Collectors.toSet());
   }
 
-  static ObjectNode all(int step, int beyond) {
-    return Json.object().put("older_s", 0.001).put("step", step).put("beyond", beyond);
+  static ObjectNode orderForAllMachines(int step, int surgeMachines) {
+    return Json.object().put("older_s", 0.001).put("step", step).put("beyond", surgeMachines);
   }
 
   /** Waits until the order is done; its last view. */
-  static JsonNode untilDone(SimulatedCluster w, long mostMs) {
-    return untilDone(w, mostMs, seen -> {});
+  static JsonNode awaitDone(SimulatedCluster cluster, long maxMs) {
+    return awaitDone(cluster, maxMs, seen -> {});
   }
 
-  private static JsonNode untilDone(SimulatedCluster w, long mostMs, Consumer<JsonNode> each) {
-    JsonNode seen = null;
-    for (long t = 0; t < mostMs; t += 3000) {
-      seen = OperatorsTest.answer(w, NIGHT);
-      if (seen.path("state").asText().equals("done")) {
-        return seen;
+  private static JsonNode awaitDone(
+      SimulatedCluster cluster, long maxMs, Consumer<JsonNode> onEachView) {
+    JsonNode view = null;
+    for (long t = 0; t < maxMs; t += 3000) {
+      view = OperatorsTest.awaitResponse(cluster, ORDER_PATH);
+      if (view.path("state").asText().equals("done")) {
+        return view;
       }
-      each.accept(seen);
-      w.run(1500);
+      onEachView.accept(view);
+      cluster.run(1500);
     }
-    throw new AssertionError("not done: " + seen);
+    throw new AssertionError("not done: " + view);
   }
 
   /**
    * Operators let an order go on each time it stands still until it is told to: how often new
    * machines look slower than the old ones is luck.
    */
-  private static void goOn(SimulatedCluster w, JsonNode seen) {
-    if (seen.path("goes_on").asText().equals("when told to")) {
-      OperatorsTest.order(w, NIGHT + "/resume", Json.object());
+  private static void resumeIfWaiting(SimulatedCluster cluster, JsonNode view) {
+    if (view.path("goes_on").asText().equals("when told to")) {
+      OperatorsTest.submitOrder(cluster, ORDER_PATH + "/resume", Json.object());
     }
   }
 
-  static void assertReplaced(SimulatedCluster w, Set<String> before, int replicas) {
-    Set<String> left = machines(w);
-    left.retainAll(before);
-    assertEquals(Set.of(), left, "old machines are left");
-    w.run(30_000);
-    assertEquals(replicas, DisruptionTest.replicas(w), "replicas in the end");
+  static void assertReplaced(SimulatedCluster cluster, Set<String> before, int replicas) {
+    Set<String> remaining = machineIds(cluster);
+    remaining.retainAll(before);
+    assertEquals(Set.of(), remaining, "old machines are left");
+    cluster.run(30_000);
+    assertEquals(replicas, DisruptionTest.replicas(cluster), "replicas in the end");
   }
 
   /** All machines go, new ones first, within the budgets; then nothing old is left. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
-  void aFleetIsNewInTheMorning(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
-    Set<String> before = machines(w);
-    int replicas = DisruptionTest.replicas(w);
-    OperatorsTest.order(w, NIGHT + "/start", all(3, 3));
-    int killed = w.cloud.killedByRelease();
-    JsonNode end = untilDone(w, 900_000);
-    assertReplaced(w, before, replicas);
-    assertEquals(killed, w.cloud.killedByRelease(), "tasks killed by returning machines");
-    assertTrue(end.path("steps").asInt() >= before.size() / 3, end.toString());
+  void allMachinesAreReplaced(long seed) {
+    SimulatedCluster cluster = DisruptionTest.begun(seed, 2, 3);
+    Set<String> before = machineIds(cluster);
+    int replicas = DisruptionTest.replicas(cluster);
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(3, 3));
+    int killed = cluster.cloud.killedByRelease();
+    JsonNode finalView = awaitDone(cluster, 900_000);
+    assertReplaced(cluster, before, replicas);
+    assertEquals(killed, cluster.cloud.killedByRelease(), "tasks killed by returning machines");
+    assertTrue(finalView.path("steps").asInt() >= before.size() / 3, finalView.toString());
   }
 
   /** Whatever fails, budgets hold and the order goes on until the fleet is new. */
@@ -87,24 +88,24 @@
   @EnumSource
   void theOrderGoesOnThrough(ReplacementFault fault) {
     for (long seed = 1; seed <= 2; seed++) {
-      SimulatedCluster w = DisruptionTest.begun(100 * fault.ordinal() + seed, 2, 3);
+      SimulatedCluster cluster = DisruptionTest.begun(100 * fault.ordinal() + seed, 2, 3);
       try {
-        Set<String> before = machines(w);
-        OperatorsTest.order(w, NIGHT + "/start", all(3, 3));
+        Set<String> before = machineIds(cluster);
+        OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(3, 3));
         for (int i = 0; i < 7; i++) {
-          w.run(w.sim.between(1500, 9000));
-          fault.strike(w);
+          cluster.run(cluster.sim.between(1500, 9000));
+          fault.strike(cluster);
         }
-        w.run(10_000);
-        w.cloud.setNeverBoots(0);
-        untilDone(w, 900_000);
+        cluster.run(10_000);
+        cluster.cloud.setNeverBoots(0);
+        awaitDone(cluster, 900_000);
         int wanted =
-            w.users.told.values().stream()
+            cluster.users.told.values().stream()
                 .filter(j -> j.service && j.accepted)
                 .mapToInt(j -> j.steps)
                 .sum();
-        assertReplaced(w, before, wanted);
-        w.checker.checkServed();
+        assertReplaced(cluster, before, wanted);
+        cluster.checker.checkServed();
       } catch (AssertionError e) {
         throw new AssertionError(fault + ", seed " + seed + ": " + e.getMessage(), e);
       }
@@ -114,40 +115,41 @@
   /** Troubles of every kind, alone and overlapping, over some hundred machines in three zones. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {504, 511})
-  void aLargeFleetIsNewThroughAMixOfTroubles(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN, true);
-    w.checker.budget = team -> Math.max(1, (int) Math.ceil(0.1 * wanted(w, team)));
+  void aLargeFleetIsReplacedDuringRandomFaults(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.GROWN, true);
+    cluster.checker.budget =
+        team -> Math.max(1, (int) Math.ceil(0.1 * wantedReplicas(cluster, team)));
     try {
-      w.users.quiet = true;
-      w.run(8000);
+      cluster.users.quiet = true;
+      cluster.run(8000);
       for (int i = 0; i < 210; i++) {
-        w.users.service(i % 2 == 0 ? "one" : "two", 6);
+        cluster.users.service(i % 2 == 0 ? "one" : "two", 6);
       }
       boolean[] busy = {true};
-      ReplacementCosts.load(w, busy);
-      w.run(100_000);
-      Set<String> before = machines(w);
+      ReplacementCosts.load(cluster, busy);
+      cluster.run(100_000);
+      Set<String> before = machineIds(cluster);
       assertTrue(before.size() > 200, before.size() + " machines");
-      RandomFaults faults = new RandomFaults(w);
-      OperatorsTest.order(w, NIGHT + "/start", all(20, 20));
+      RandomFaults faults = new RandomFaults(cluster);
+      OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(20, 20));
       faults.begin(9000);
-      w.run(120_000);
+      cluster.run(120_000);
       faults.end();
       busy[0] = false;
-      w.run(30_000);
-      untilDone(w, 1_500_000, seen -> goOn(w, seen));
-      Set<String> left = machines(w);
-      left.retainAll(before);
-      assertEquals(Set.of(), left, "old machines are left");
-      w.checker.checkServed();
+      cluster.run(30_000);
+      awaitDone(cluster, 1_500_000, seen -> resumeIfWaiting(cluster, seen));
+      Set<String> remaining = machineIds(cluster);
+      remaining.retainAll(before);
+      assertEquals(Set.of(), remaining, "old machines are left");
+      cluster.checker.checkServed();
     } catch (AssertionError e) {
       throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
     }
   }
 
   /** As users see it; services that just came or went are the product's to know a moment later. */
-  private static int wanted(SimulatedCluster w, String team) {
-    return w.users.told.values().stream()
+  private static int wantedReplicas(SimulatedCluster cluster, String team) {
+    return cluster.users.told.values().stream()
         .filter(j -> j.service && j.team.equals(team) && j.accepted && !j.aborted)
         .mapToInt(j -> j.steps)
         .sum();
@@ -157,47 +159,48 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {61, 62, 63})
   void badNewMachinesPauseTheOrder(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
-    Set<String> before = machines(w);
-    int replicas = DisruptionTest.replicas(w);
-    w.cloud.setSick(true);
-    OperatorsTest.order(w, NIGHT + "/start", all(4, 4));
-    w.users.array("one", "high", 60, 5);
-    JsonNode seen = null;
-    for (int i = 0; i < 60 && (seen == null || !seen.has("paused")); i++) {
-      w.users.array("two", "high", 20, 5);
-      w.run(2000);
-      seen = OperatorsTest.answer(w, NIGHT);
+    SimulatedCluster cluster = DisruptionTest.begun(seed, 2, 3);
+    Set<String> before = machineIds(cluster);
+    int replicas = DisruptionTest.replicas(cluster);
+    cluster.cloud.setSick(true);
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(4, 4));
+    cluster.users.array("one", "high", 60, 5);
+    JsonNode view = null;
+    for (int i = 0; i < 60 && (view == null || !view.has("paused")); i++) {
+      cluster.users.array("two", "high", 20, 5);
+      cluster.run(2000);
+      view = OperatorsTest.awaitResponse(cluster, ORDER_PATH);
     }
-    assertEquals("when told to", seen.path("goes_on").asText(), seen.toString());
-    assertTrue(seen.path("paused").asText().contains("fail tasks"), seen.toString());
-    w.leader().crash(3000);
-    w.run(60_000);
-    seen = OperatorsTest.answer(w, NIGHT);
-    assertEquals("paused", seen.path("state").asText(), "another leader has not forgotten it");
-    w.cloud.setSick(false);
-    w.run(30_000);
-    OperatorsTest.order(w, NIGHT + "/resume", Json.object());
-    untilDone(w, 900_000);
-    assertReplaced(w, before, replicas);
+    assertEquals("when told to", view.path("goes_on").asText(), view.toString());
+    assertTrue(view.path("paused").asText().contains("fail tasks"), view.toString());
+    cluster.leader().crash(3000);
+    cluster.run(60_000);
+    view = OperatorsTest.awaitResponse(cluster, ORDER_PATH);
+    assertEquals("paused", view.path("state").asText(), "another leader has not forgotten it");
+    cluster.cloud.setSick(false);
+    cluster.run(30_000);
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/resume", Json.object());
+    awaitDone(cluster, 900_000);
+    assertReplaced(cluster, before, replicas);
   }
 
   /** What an order writes: one put a step, and one more while new machines are waited for. */
   @ParameterizedTest(name = "{0} beyond")
   @ValueSource(ints = {0, 1})
-  void twoPutsForAMachineAtMost(int beyond) {
-    SimulatedCluster w = DisruptionTest.begun(93 + beyond, 3, 3);
-    int before = machines(w).size();
-    String[] last = {""};
+  void anOrderWritesAtMostTwicePerStep(int surgeMachines) {
+    SimulatedCluster cluster = DisruptionTest.begun(93 + surgeMachines, 3, 3);
+    int before = machineIds(cluster).size();
+    String[] lastRecord = {""};
     int[] writes = {0};
-    w.also =
+    cluster.also =
         () -> {
-          String now = String.valueOf(w.state.value("live/replace/night"));
-          writes[0] += now.equals(last[0]) ? 0 : 1;
-          last[0] = now;
+          String currentRecord = String.valueOf(cluster.state.value("live/replace/night"));
+          writes[0] += currentRecord.equals(lastRecord[0]) ? 0 : 1;
+          lastRecord[0] = currentRecord;
         };
-    OperatorsTest.order(w, NIGHT + "/start", all(1, beyond));
-    int steps = untilDone(w, 1_500_000).path("steps").asInt();
+    OperatorsTest.submitOrder(
+        cluster, ORDER_PATH + "/start", orderForAllMachines(1, surgeMachines));
+    int steps = awaitDone(cluster, 1_500_000).path("steps").asInt();
     // The order itself and its end; what stands still for longer than a lease says so once.
     assertTrue(
         writes[0] <= 2 * steps + 4 && steps <= before,
@@ -210,92 +213,95 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {90, 91, 92, 95, 96, 97, 99})
-  void anOrderForAFullFleetDoesNotStandStill(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 3, 3);
-    Set<String> before = machines(w);
-    int replicas = DisruptionTest.replicas(w);
-    OperatorsTest.order(w, NIGHT + "/start", all(1, 0));
-    untilDone(w, 1_500_000);
-    assertReplaced(w, before, replicas);
+  void anOrderForAFullFleetMakesProgress(long seed) {
+    SimulatedCluster cluster = DisruptionTest.begun(seed, 3, 3);
+    Set<String> before = machineIds(cluster);
+    int replicas = DisruptionTest.replicas(cluster);
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(1, 0));
+    awaitDone(cluster, 1_500_000);
+    assertReplaced(cluster, before, replicas);
   }
 
   /** Machines beyond are had only as far as the plan's own budget leaves money for them. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {96, 97, 98})
-  void theBudgetBoundsWhatIsBeyond(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 3, 3);
+  void theBudgetLimitsSurgeMachines(long seed) {
+    SimulatedCluster cluster = DisruptionTest.begun(seed, 3, 3);
     // What arrays needed is given back first.
-    w.run(60_000);
-    long held = steady(w);
-    OperatorSettings o = w.operatorSettings;
-    w.operatorSettings =
+    cluster.run(60_000);
+    long steadyBefore = steadyMachineCount(cluster);
+    OperatorSettings settings = cluster.operatorSettings;
+    cluster.operatorSettings =
         new OperatorSettings(
-            o.planIntervalMs(),
-            o.population(),
-            o.evaluations(),
-            held + 2,
-            o.budgetRatio(),
-            o.returnAfterRounds(),
-            o.makespanWeight(),
-            o.spendWeight(),
-            o.riskWeight(),
-            o.beginWithinMs(),
-            o.relayAbove(),
-            o.lanes(),
-            o.calendars(),
-            o.budgets(),
+            settings.planIntervalMs(),
+            settings.population(),
+            settings.evaluations(),
+            steadyBefore + 2,
+            settings.budgetRatio(),
+            settings.returnAfterRounds(),
+            settings.makespanWeight(),
+            settings.spendWeight(),
+            settings.riskWeight(),
+            settings.beginWithinMs(),
+            settings.relayAbove(),
+            settings.lanes(),
+            settings.calendars(),
+            settings.budgets(),
             null);
-    w.nodes.forEach(n -> n.crash(1000));
-    w.run(15_000);
-    OperatorsTest.order(w, NIGHT + "/start", all(6, 6));
-    long[] most = {0};
-    w.also = () -> most[0] = Math.max(most[0], steady(w));
-    w.run(90_000);
-    assertTrue(most[0] <= held + 2, most[0] + " machines, " + held + " before, two more paid for");
-    assertTrue(most[0] > held, "none beyond, though two are paid for");
+    cluster.nodes.forEach(n -> n.crash(1000));
+    cluster.run(15_000);
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(6, 6));
+    long[] maxSteady = {0};
+    cluster.also = () -> maxSteady[0] = Math.max(maxSteady[0], steadyMachineCount(cluster));
+    cluster.run(90_000);
+    assertTrue(
+        maxSteady[0] <= steadyBefore + 2,
+        maxSteady[0] + " machines, " + steadyBefore + " before, two more paid for");
+    assertTrue(maxSteady[0] > steadyBefore, "none beyond, though two are paid for");
   }
 
-  private static long steady(SimulatedCluster w) {
-    return w.cloud.machines().stream().filter(m -> !m.gone() && !m.spot()).count();
+  private static long steadyMachineCount(SimulatedCluster cluster) {
+    return cluster.cloud.machines().stream().filter(m -> !m.gone() && !m.spot()).count();
   }
 
   /** Aborted half way: what is still old is in use again, and stays. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {71, 72})
-  void abortTakesTheOldBackIntoUse(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
-    Set<String> before = machines(w);
-    OperatorsTest.order(w, NIGHT + "/start", all(2, 2));
-    for (int i = 0; i < 200 && before.equals(intersection(machines(w), before)); i++) {
-      w.run(1000);
+  void abortPutsOldMachinesBackIntoUse(long seed) {
+    SimulatedCluster cluster = DisruptionTest.begun(seed, 2, 3);
+    Set<String> before = machineIds(cluster);
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(2, 2));
+    for (int i = 0; i < 200 && before.equals(intersection(machineIds(cluster), before)); i++) {
+      cluster.run(1000);
     }
-    OperatorsTest.order(w, NIGHT + "/abort", Json.object());
-    w.run(3000);
-    assertEquals(null, w.state.value("live/replace/night"));
-    for (JsonNode row : OperatorsTest.answer(w, "/v1/machines").path("rows")) {
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/abort", Json.object());
+    cluster.run(3000);
+    assertEquals(null, cluster.state.value("live/replace/night"));
+    for (JsonNode row : OperatorsTest.awaitResponse(cluster, "/v1/machines").path("rows")) {
       assertTrue(!row.path("drained").asBoolean(), "still drained: " + row);
     }
-    w.run(20_000);
-    assertEquals(72, DisruptionTest.replicas(w), "replicas in the end");
+    cluster.run(20_000);
+    assertEquals(72, DisruptionTest.replicas(cluster), "replicas in the end");
   }
 
   /** What a former leader wrote arrives when the order has been aborted: it stays aborted. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {75, 76, 77, 78})
-  void aLateWriteDoesNotRevive(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 2, 3);
+  void aLateWriteDoesNotRestoreAnAbortedOrder(long seed) {
+    SimulatedCluster cluster = DisruptionTest.begun(seed, 2, 3);
     for (int i = 0; i < 5; i++) {
-      OperatorsTest.order(w, NIGHT + "/start", all(1, i % 2).put("watch_s", 0));
-      w.run(w.sim.between(1000, 9000));
-      SimulatedCluster.ControllerNode leader = w.leader();
-      w.net.cut("node-" + leader.index, "state:1", true);
-      for (int k = 0; k < 60 && (w.leader() == null || w.leader() == leader); k++) {
-        w.run(500);
+      OperatorsTest.submitOrder(
+          cluster, ORDER_PATH + "/start", orderForAllMachines(1, i % 2).put("watch_s", 0));
+      cluster.run(cluster.sim.between(1000, 9000));
+      SimulatedCluster.ControllerNode leader = cluster.leader();
+      cluster.net.cut("node-" + leader.index, "state:1", true);
+      for (int k = 0; k < 60 && (cluster.leader() == null || cluster.leader() == leader); k++) {
+        cluster.run(500);
       }
-      OperatorsTest.order(w, NIGHT + "/abort", Json.object());
-      w.net.heal("node-" + leader.index, "state:1");
-      w.run(8000);
-      assertEquals(null, w.state.value("live/replace/night"), "the order is back");
+      OperatorsTest.submitOrder(cluster, ORDER_PATH + "/abort", Json.object());
+      cluster.net.heal("node-" + leader.index, "state:1");
+      cluster.run(8000);
+      assertEquals(null, cluster.state.value("live/replace/night"), "the order is back");
     }
   }
 
@@ -307,31 +313,32 @@
   /** A drain of machines, one of a zone and two replacements of the same ones; all end. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {81, 82, 83})
-  void ordersThatOverlapAllEnd(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 1, 2);
-    Set<String> before = machines(w);
-    String some = before.stream().sorted().findFirst().orElseThrow();
-    OperatorsTest.order(w, NIGHT + "/start", all(2, 2));
-    OperatorsTest.order(w, "/v1/replacements/second/start", all(1, 1).put("spot", false));
-    OperatorsTest.order(w, "/v1/machines/" + some + "/drain", Json.object());
-    OperatorsTest.order(w, "/v1/zones/b/drain", Json.object());
-    w.run(40_000);
-    w.leader().crash(2000);
-    w.run(20_000);
-    OperatorsTest.order(w, "/v1/zones/b/undrain", Json.object());
-    untilDone(w, 900_000);
-    assertReplaced(w, before, 72);
-    JsonNode second = OperatorsTest.answer(w, "/v1/replacements/second");
-    w.run(60_000);
-    second = OperatorsTest.answer(w, "/v1/replacements/second");
+  void overlappingOrdersAllComplete(long seed) {
+    SimulatedCluster cluster = DisruptionTest.begun(seed, 1, 2);
+    Set<String> before = machineIds(cluster);
+    String machineId = before.stream().sorted().findFirst().orElseThrow();
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(2, 2));
+    OperatorsTest.submitOrder(
+        cluster, "/v1/replacements/second/start", orderForAllMachines(1, 1).put("spot", false));
+    OperatorsTest.submitOrder(cluster, "/v1/machines/" + machineId + "/drain", Json.object());
+    OperatorsTest.submitOrder(cluster, "/v1/zones/b/drain", Json.object());
+    cluster.run(40_000);
+    cluster.leader().crash(2000);
+    cluster.run(20_000);
+    OperatorsTest.submitOrder(cluster, "/v1/zones/b/undrain", Json.object());
+    awaitDone(cluster, 900_000);
+    assertReplaced(cluster, before, 72);
+    JsonNode second = OperatorsTest.awaitResponse(cluster, "/v1/replacements/second");
+    cluster.run(60_000);
+    second = OperatorsTest.awaitResponse(cluster, "/v1/replacements/second");
     assertEquals("done", second.path("state").asText(), second.toString());
   }
 
   /** What cannot be meant is refused with field and value, and nothing is recorded. */
   @Test
-  void badInputIsRefused() {
-    SimulatedCluster w = DisruptionTest.begun(91, 1, 1);
-    String[][] bad = {
+  void invalidOrdersAreRefused() {
+    SimulatedCluster cluster = DisruptionTest.begun(91, 1, 1);
+    String[][] invalidOrders = {
       {"{\"zone\":\"x\"}", "zone = \"x\": no such zone"},
       {"{\"type\":\"huge\"}", "type = \"huge\": no such type"},
       {"{\"zone\":\"a\",\"older_s\":1e8}", "matches no machine"},
@@ -342,38 +349,38 @@
       {"{\"zone\":\"a\",\"step_ratio\":7}", "step_ratio = 7"},
       {"{\"zone\":\"a\",\"watch_s\":\"long\"}", "watch_s = \"long\""}
     };
-    for (String[] b : bad) {
+    for (String[] invalidOrder : invalidOrders) {
       int[] status = {0};
-      String[] words = {""};
-      OperatorsTest.ask(
-          w,
+      String[] responseText = {""};
+      OperatorsTest.sendRequest(
+          cluster,
           0,
           "POST",
-          NIGHT + "/start",
-          Json.parse(b[0].getBytes(java.nio.charset.StandardCharsets.UTF_8)),
+          ORDER_PATH + "/start",
+          Json.parse(invalidOrder[0].getBytes(java.nio.charset.StandardCharsets.UTF_8)),
           r -> {
             status[0] = r.status();
-            words[0] = new String(r.body(), java.nio.charset.StandardCharsets.UTF_8);
+            responseText[0] = new String(r.body(), java.nio.charset.StandardCharsets.UTF_8);
           });
-      w.run(3000);
-      assertEquals(400, status[0], b[0] + " " + words[0]);
-      assertTrue(words[0].replace("\\", "").contains(b[1]), words[0]);
+      cluster.run(3000);
+      assertEquals(400, status[0], invalidOrder[0] + " " + responseText[0]);
+      assertTrue(responseText[0].replace("\\", "").contains(invalidOrder[1]), responseText[0]);
     }
-    assertEquals(null, w.state.value("live/replace/night"));
+    assertEquals(null, cluster.state.value("live/replace/night"));
   }
 
   /** The same order is the same order, also when no old machine is left. */
   @Test
-  void anOrderRepeatedIsTheSame() {
-    SimulatedCluster w = DisruptionTest.begun(92, 3, 3);
+  void aRepeatedOrderIsIdempotent() {
+    SimulatedCluster cluster = DisruptionTest.begun(92, 3, 3);
     ObjectNode order = Json.object().put("zone", "a").put("step", 4).put("beyond", 4);
-    OperatorsTest.order(w, NIGHT + "/start", order);
-    long at = w.state.value("live/replace/night").path("at").asLong();
-    w.run(5000);
-    OperatorsTest.order(w, NIGHT + "/start", order);
-    assertEquals(at, w.state.value("live/replace/night").path("at").asLong());
-    untilDone(w, 600_000);
-    OperatorsTest.order(w, NIGHT + "/start", order);
-    assertEquals(at, w.state.value("live/replace/night").path("at").asLong());
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", order);
+    long recordedAt = cluster.state.value("live/replace/night").path("at").asLong();
+    cluster.run(5000);
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", order);
+    assertEquals(recordedAt, cluster.state.value("live/replace/night").path("at").asLong());
+    awaitDone(cluster, 600_000);
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", order);
+    assertEquals(recordedAt, cluster.state.value("live/replace/night").path("at").asLong());
   }
 }
--- a/src/test/java/dapplestair/world/RequestRaceRunner.java
+++ b/src/test/java/dapplestair/world/RequestRaceRunner.java
@@ -1,8 +1,8 @@
 package dapplestair.world;
 
-import dapplestair.world.LostResponsesTest.Put;
 import dapplestair.world.LostResponsesTest.Sender;
-import dapplestair.world.MonotonicReadsTest.Behind;
+import dapplestair.world.LostResponsesTest.TransactionKind;
+import dapplestair.world.MonotonicReadsTest.LagCause;
 
 /**
  * Plays more meetings of users' answers than a build has time for: {@code RequestRaceRunner FROM
@@ -21,19 +21,19 @@
     for (long seed = Long.parseLong(args[0]); seed <= to; seed++) {
       long s = seed;
       long move = MOVES_MS[(int) (s % MOVES_MS.length)];
-      Behind behind = Behind.values()[(int) (s % Behind.values().length)];
-      Put put = Put.values()[(int) (s % Put.values().length)];
+      LagCause behind = LagCause.values()[(int) (s % LagCause.values().length)];
+      TransactionKind put = TransactionKind.values()[(int) (s % TransactionKind.values().length)];
       Sender sender = Sender.values()[(int) (s / 2 % Sender.values().length)];
       LastTaskEndTest.Step step = LastTaskEndTest.Step.values()[(int) (s % 4)];
       play(
           "%d %s %d".formatted(s, behind, move),
-          () -> new MonotonicReadsTest().nobodyIsToldAnythingOlder(s, behind, move));
+          () -> new MonotonicReadsTest().readsNeverGoBackwards(s, behind, move));
       play(
           "%d %s %s".formatted(s, put, sender),
-          () -> new LostResponsesTest().onlyTheAnswerIsLost(s, put, sender));
+          () -> new LostResponsesTest().transactionsWithLostResponses(s, put, sender));
       play(
           "%d %s %d".formatted(s, step, move),
-          () -> new LastTaskEndTest().aRequestMeetsTheEnd(s, step, move));
+          () -> new LastTaskEndTest().requestsAroundTheEndOfAJob(s, step, move));
       play("%d odd".formatted(s), () -> new InvalidRequestsTest().oddRequestsGetTheirAnswers(s));
     }
     System.out.printf("%d plays, %d failed%n", plays, failed);
--- a/src/test/java/dapplestair/world/SeededDaysTest.java
+++ b/src/test/java/dapplestair/world/SeededDaysTest.java
@@ -12,19 +12,19 @@
 
 /** Whole days with random troubles: the rules hold after every step, and all work ends. */
 class SeededDaysTest {
-  private static final long ROUGH_MS = 240_000;
-  private static final long CALM_MS = 150_000;
+  private static final long FAULTS_MS = 240_000;
+  private static final long SETTLE_MS = 150_000;
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
   void rulesHoldWhateverFails(long seed) {
-    play(seed, 6000);
+    runWithRandomFaults(seed, 6000);
   }
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {101, 102, 103, 104, 105, 106})
   void rulesHoldWhenTroublesOverlap(long seed) {
-    play(seed, 2500);
+    runWithRandomFaults(seed, 2500);
   }
 
   /**
@@ -33,57 +33,57 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {201, 202, 203, 204})
   void aNewLeaderKeepsTheMachinesThatRun(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
-    world.run(60_000);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.net.loss = 0;
+    cluster.run(60_000);
     for (int i = 0; i < 3; i++) {
-      world.nodes.forEach(n -> n.crash(world.sim.between(1000, 6000)));
-      world.run(40_000);
+      cluster.nodes.forEach(n -> n.crash(cluster.sim.between(1000, 6000)));
+      cluster.run(40_000);
     }
-    assertEquals(0, world.cloud.killedByRelease(), "tasks killed by returning their machines");
-    assertTrue(world.checker.started > 100, "only " + world.checker.started + " tasks started");
+    assertEquals(0, cluster.cloud.killedByRelease(), "tasks killed by returning their machines");
+    assertTrue(cluster.checker.started > 100, "only " + cluster.checker.started + " tasks started");
   }
 
   /** A zone with a controller is cut off for longer than a lease: its tasks go on. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {401, 402, 403, 404})
   void aZoneCutOffKeepsItsWork(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
-    world.run(60_000);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.net.loss = 0;
+    cluster.run(60_000);
     // Of a job accepted just before the cut the zone's controller may not know, and then it keeps
     // no
     // lease of a machine that runs it (docs/cancellations.md).
-    world.users.pausedUntil = world.sim.now() + 2000;
-    world.run(2000);
-    SimulatedCluster.ControllerNode follower = world.nodes.get((world.leader().index + 1) % 3);
+    cluster.users.pausedUntil = cluster.sim.now() + 2000;
+    cluster.run(2000);
+    SimulatedCluster.ControllerNode follower = cluster.nodes.get((cluster.leader().index + 1) % 3);
     String zone = follower.settings.zone();
     long tasks =
-        world.cloud.machines().stream()
+        cluster.cloud.machines().stream()
             .filter(m -> m.zone().equals(zone))
             .mapToLong(m -> m.tasks().stream().filter(EmulatedTask::onMachine).count())
             .sum();
     assertTrue(tasks > 0, "nothing runs in the zone");
-    cutOffForLongerThanALease(world);
+    cutOffForLongerThanALease(cluster);
   }
 
   /** The same without a pause of arrivals, as the check stood before (seed 402: KNOWN-RED.txt). */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {401, 402, 403, 404})
   void aZoneCutOffAtAnyMomentKeepsItsWork(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
-    world.run(60_000);
-    cutOffForLongerThanALease(world);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.net.loss = 0;
+    cluster.run(60_000);
+    cutOffForLongerThanALease(cluster);
   }
 
-  private static void cutOffForLongerThanALease(SimulatedCluster world) {
-    SimulatedCluster.ControllerNode follower = world.nodes.get((world.leader().index + 1) % 3);
+  private static void cutOffForLongerThanALease(SimulatedCluster cluster) {
+    SimulatedCluster.ControllerNode follower = cluster.nodes.get((cluster.leader().index + 1) % 3);
     String zone = follower.settings.zone();
-    world.cutOff(follower, m -> m.zone().equals(zone), false, SimulatedCluster.LEASE_MS * 4 / 3);
-    world.run(2 * SimulatedCluster.LEASE_MS);
-    assertEquals(0, world.cloud.killedByLease(), "tasks killed by the end of a lease");
-    settle(world);
+    cluster.cutOff(follower, m -> m.zone().equals(zone), false, SimulatedCluster.LEASE_MS * 4 / 3);
+    cluster.run(2 * SimulatedCluster.LEASE_MS);
+    assertEquals(0, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
+    settle(cluster);
   }
 
   /**
@@ -92,15 +92,16 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {451, 452, 453, 454})
   void aSilentZoneIsNotReturned(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
-    world.run(60_000);
-    SimulatedCluster.ControllerNode follower = world.nodes.get((world.leader().index + 1) % 3);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.net.loss = 0;
+    cluster.run(60_000);
+    SimulatedCluster.ControllerNode follower = cluster.nodes.get((cluster.leader().index + 1) % 3);
     String zone = follower.settings.zone();
-    int before = world.cloud.killedByRelease();
-    world.cutOff(follower, m -> m.zone().equals(zone), false, SimulatedCluster.LEASE_MS * 2 / 3);
-    world.run(SimulatedCluster.LEASE_MS);
-    assertEquals(before, world.cloud.killedByRelease(), "tasks killed by returning their machines");
+    int killedBefore = cluster.cloud.killedByRelease();
+    cluster.cutOff(follower, m -> m.zone().equals(zone), false, SimulatedCluster.LEASE_MS * 2 / 3);
+    cluster.run(SimulatedCluster.LEASE_MS);
+    assertEquals(
+        killedBefore, cluster.cloud.killedByRelease(), "tasks killed by returning their machines");
   }
 
   /**
@@ -110,71 +111,72 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {471, 472, 473, 474, 475, 476})
   void aLeaderCutOffReturnsNothing(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
-    world.run(60_000);
-    SimulatedCluster.ControllerNode leader = world.leader();
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.net.loss = 0;
+    cluster.run(60_000);
+    SimulatedCluster.ControllerNode leader = cluster.leader();
     String zone = leader.settings.zone();
-    int before = world.cloud.killedByRelease();
-    world.cutOff(leader, m -> m.zone().equals(zone), true, SimulatedCluster.CANCEL_MS * 15 / 32);
-    world.run(SimulatedCluster.CANCEL_MS * 5 / 8);
-    assertEquals(before, world.cloud.killedByRelease(), "tasks killed by returning their machines");
-    settle(world);
+    int killedBefore = cluster.cloud.killedByRelease();
+    cluster.cutOff(leader, m -> m.zone().equals(zone), true, SimulatedCluster.CANCEL_MS * 15 / 32);
+    cluster.run(SimulatedCluster.CANCEL_MS * 5 / 8);
+    assertEquals(
+        killedBefore, cluster.cloud.killedByRelease(), "tasks killed by returning their machines");
+    settle(cluster);
   }
 
   /** Found on a standard day: 23 terms in 45 s, since each took the others' refusals for an end. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {701, 702, 703, 704})
   void refusedLinksDoNotDeposeForEver(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.run(40_000);
-    long term = world.state.value("live/term").path("term").asLong();
-    world.peersRefuse = true;
-    world.run(45_000);
-    world.peersRefuse = false;
-    long terms = world.state.value("live/term").path("term").asLong() - term;
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.run(40_000);
+    long term = cluster.state.value("live/term").path("term").asLong();
+    cluster.peersRefuse = true;
+    cluster.run(45_000);
+    cluster.peersRefuse = false;
+    long terms = cluster.state.value("live/term").path("term").asLong() - term;
     assertTrue(terms <= 8, terms + " terms in 45 s");
-    settle(world);
+    settle(cluster);
   }
 
   /** The leader alone loses the workers: another one takes over before their leases run out. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {501, 502, 503, 504})
   void aLeaderThatHearsNoWorkerGivesWay(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
-    world.run(60_000);
-    SimulatedCluster.ControllerNode leader = world.leader();
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.net.loss = 0;
+    cluster.run(60_000);
+    SimulatedCluster.ControllerNode leader = cluster.leader();
     for (int i = 0; i < 400; i++) {
       // Machines that come up meanwhile are out of its reach as well.
-      for (EmulatedWorker m : world.cloud.machines()) {
-        world.net.cut("node-" + leader.index, m.endpoint(), false);
-        world.net.cut(SimulatedCluster.client(leader.index), m.endpoint(), false);
+      for (EmulatedWorker m : cluster.cloud.machines()) {
+        cluster.net.cut("node-" + leader.index, m.endpoint(), false);
+        cluster.net.cut(SimulatedCluster.client(leader.index), m.endpoint(), false);
       }
-      world.run(100);
+      cluster.run(100);
     }
-    for (EmulatedWorker m : world.cloud.machines()) {
-      world.net.heal("node-" + leader.index, m.endpoint());
-      world.net.heal(SimulatedCluster.client(leader.index), m.endpoint());
+    for (EmulatedWorker m : cluster.cloud.machines()) {
+      cluster.net.heal("node-" + leader.index, m.endpoint());
+      cluster.net.heal(SimulatedCluster.client(leader.index), m.endpoint());
     }
-    assertEquals(0, world.cloud.killedByLease(), "tasks killed by the end of a lease");
-    assertNotEquals(leader, world.leader());
-    settle(world);
+    assertEquals(0, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
+    assertNotEquals(leader, cluster.leader());
+    settle(cluster);
   }
 
   /** No troubles and no new jobs from now on: everything accepted ends. */
-  static void settle(SimulatedCluster world) {
-    world.users.quiet = true;
+  static void settle(SimulatedCluster cluster) {
+    cluster.users.quiet = true;
     // The last troubles end by themselves.
-    world.users.calmFrom = world.sim.now() + RandomFaults.LONGEST_MS;
-    world.run(CALM_MS);
-    for (SimulatedUsers.KnownJob job : world.users.told.values()) {
+    cluster.users.calmFrom = cluster.sim.now() + RandomFaults.LONGEST_MS;
+    cluster.run(SETTLE_MS);
+    for (SimulatedUsers.KnownJob job : cluster.users.told.values()) {
       assertTrue(
           !job.accepted || job.service || job.done || job.aborted,
           () -> job.ref + " was accepted but never ended: " + job.body);
     }
-    assertTrue(world.checker.started > 50, "only " + world.checker.started + " tasks started");
-    world.checker.checkServed();
+    assertTrue(cluster.checker.started > 50, "only " + cluster.checker.started + " tasks started");
+    cluster.checker.checkServed();
   }
 
   /**
@@ -184,74 +186,74 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {601, 602, 603, 604, 605, 606})
   void aNewLeaderTrustsNoReportOfAnOlderTerm(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.net.loss = 0;
-    world.run(15_000);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.net.loss = 0;
+    cluster.run(15_000);
     for (int i = 0; i < 6; i++) {
-      SimulatedCluster.ControllerNode leader = world.leader();
+      SimulatedCluster.ControllerNode leader = cluster.leader();
       if (leader == null) {
-        world.run(5000);
+        cluster.run(5000);
         continue;
       }
-      List<String> machines = world.cloud.machines().stream().map(m -> m.endpoint()).toList();
+      List<String> machines = cluster.cloud.machines().stream().map(m -> m.endpoint()).toList();
       for (String m : machines) {
-        world.nodes.forEach(n -> world.net.cut("node-" + n.index, m, true));
-        world.nodes.forEach(n -> world.net.cut(SimulatedCluster.client(n.index), m, true));
+        cluster.nodes.forEach(n -> cluster.net.cut("node-" + n.index, m, true));
+        cluster.nodes.forEach(n -> cluster.net.cut(SimulatedCluster.client(n.index), m, true));
       }
       // Launches leave the leader and are held back; so are the reports to the next one.
-      world.run(900);
+      cluster.run(900);
       leader.crash(20_000);
       // Long enough for machines to have given it up and to have sent a report to the next one.
-      world.run(8000);
-      machines.forEach(m -> world.net.heal("node-" + leader.index, m));
-      world.run(60);
+      cluster.run(8000);
+      machines.forEach(m -> cluster.net.heal("node-" + leader.index, m));
+      cluster.run(60);
       for (String m : machines) {
-        world.nodes.forEach(n -> world.net.heal(SimulatedCluster.client(n.index), m));
-        if (world.sim.chance(0.5)) {
+        cluster.nodes.forEach(n -> cluster.net.heal(SimulatedCluster.client(n.index), m));
+        if (cluster.sim.chance(0.5)) {
           // Orders reach this one again, so work taken for lost on others would start here.
-          world.nodes.forEach(n -> world.net.heal("node-" + n.index, m));
+          cluster.nodes.forEach(n -> cluster.net.heal("node-" + n.index, m));
         }
       }
-      world.run(4000);
+      cluster.run(4000);
       for (String m : machines) {
-        world.nodes.forEach(n -> world.net.heal("node-" + n.index, m));
+        cluster.nodes.forEach(n -> cluster.net.heal("node-" + n.index, m));
       }
-      world.run(22_000);
+      cluster.run(22_000);
     }
-    settle(world);
+    settle(cluster);
   }
 
   /** Launches on their way while newer reports, which lack them, come through. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {301, 302, 303, 304, 305, 306})
   void aReportDoesNotOvertakeALaunch(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.run(20_000);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.run(20_000);
     for (int i = 0; i < 80; i++) {
-      for (EmulatedWorker machine : world.cloud.machines()) {
-        if (world.sim.chance(0.5)) {
-          for (SimulatedCluster.ControllerNode node : world.nodes) {
+      for (EmulatedWorker machine : cluster.cloud.machines()) {
+        if (cluster.sim.chance(0.5)) {
+          for (SimulatedCluster.ControllerNode node : cluster.nodes) {
             String name = "node-" + node.index;
-            world.net.cut(name, machine.endpoint(), true);
+            cluster.net.cut(name, machine.endpoint(), true);
             // Shorter than the time after which a call counts as unanswered.
-            world.sim.after(1300, () -> world.net.heal(name, machine.endpoint()));
+            cluster.sim.after(1300, () -> cluster.net.heal(name, machine.endpoint()));
           }
         }
       }
-      world.run(1500);
+      cluster.run(1500);
     }
-    assertTrue(world.checker.started > 100, "only " + world.checker.started + " tasks started");
+    assertTrue(cluster.checker.started > 100, "only " + cluster.checker.started + " tasks started");
   }
 
-  static void play(long seed, long troubleEveryMs) {
-    SimulatedCluster world = new SimulatedCluster(seed);
+  static void runWithRandomFaults(long seed, long faultIntervalMs) {
+    SimulatedCluster cluster = new SimulatedCluster(seed);
     try {
-      RandomFaults faults = new RandomFaults(world);
-      world.run(10_000);
-      faults.begin(troubleEveryMs);
-      world.run(ROUGH_MS);
+      RandomFaults faults = new RandomFaults(cluster);
+      cluster.run(10_000);
+      faults.begin(faultIntervalMs);
+      cluster.run(FAULTS_MS);
       faults.end();
-      settle(world);
+      settle(cluster);
     } catch (AssertionError e) {
       throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
     }
