--- a/src/test/java/dapplestair/world/SilenceTest.java
+++ b/src/test/java/dapplestair/world/SilenceTest.java
@@ -19,47 +19,47 @@
  */
 class SilenceTest {
   /** The one zone without a controller. */
-  private static final String ZONE = "c";
+  private static final String CUT_ZONE = "c";
 
   private static final long CUT_MS = SimulatedCluster.LEASE_MS * 8 / 5;
 
   private static final int REPLICAS = 120;
 
   /** Services of three replicas, one in each zone, and an array that goes on beside them. */
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    world.net.loss = 0;
-    world.users.quiet = true;
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
     for (int i = 0; i < REPLICAS / 6; i++) {
-      world.users.service("one", 3);
-      world.users.service("two", 3);
+      cluster.users.service("one", 3);
+      cluster.users.service("two", 3);
     }
-    world.users.array("one", "high", 60, 15);
-    world.run(40_000);
-    assertEquals(REPLICAS, replicas(world, m -> true), "replicas at the beginning");
-    return world;
+    cluster.users.array("one", "high", 60, 15);
+    cluster.run(40_000);
+    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas at the beginning");
+    return cluster;
   }
 
-  private static int replicas(SimulatedCluster world, Predicate<EmulatedWorker> where) {
-    int n = 0;
-    for (EmulatedWorker m : world.cloud.machines()) {
-      if (!m.gone() && where.test(m)) {
-        n += (int) m.tasks().stream().filter(SilenceTest::replica).count();
+  private static int replicaCount(SimulatedCluster cluster, Predicate<EmulatedWorker> filter) {
+    int count = 0;
+    for (EmulatedWorker m : cluster.cloud.machines()) {
+      if (!m.gone() && filter.test(m)) {
+        count += (int) m.tasks().stream().filter(SilenceTest::isRunningReplica).count();
       }
     }
-    return n;
+    return count;
   }
 
-  private static boolean replica(EmulatedTask t) {
-    return t.onMachine() && t.status().equals("running") && t.service();
+  private static boolean isRunningReplica(EmulatedTask task) {
+    return task.onMachine() && task.status().equals("running") && task.service();
   }
 
   /** Seconds times replicas that were missing while this time passed. */
-  private static double missing(SimulatedCluster world, long ms) {
+  private static double missingReplicaSeconds(SimulatedCluster cluster, long ms) {
     double sum = 0;
     for (long t = 0; t < ms; t += 500) {
-      world.run(500);
-      sum += 0.5 * Math.max(0, REPLICAS - replicas(world, m -> true));
+      cluster.run(500);
+      sum += 0.5 * Math.max(0, REPLICAS - replicaCount(cluster, m -> true));
     }
     return sum;
   }
@@ -71,131 +71,133 @@
   @ParameterizedTest(name = "leader ends at second {0} of the cut")
   @ValueSource(
       longs = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22})
-  void aLeadersEndDoesNotMakeItForgetASilence(long second) {
-    SimulatedCluster world = begun(800 + second);
-    int inside = replicas(world, m -> m.zone().equals(ZONE));
-    world.cutZone(ZONE, second % 2 == 0, CUT_MS);
-    world.run(1000 * second);
-    world.leader().crash(4000);
-    double missed = missing(world, CUT_MS - 1000 * second);
+  void aNewLeaderKnowsHowLongAZoneHasBeenSilent(long leaderCrashS) {
+    SimulatedCluster cluster = startCluster(800 + leaderCrashS);
+    int replicasInZone = replicaCount(cluster, m -> m.zone().equals(CUT_ZONE));
+    cluster.cutZone(CUT_ZONE, leaderCrashS % 2 == 0, CUT_MS);
+    cluster.run(1000 * leaderCrashS);
+    cluster.leader().crash(4000);
+    double missingSeconds = missingReplicaSeconds(cluster, CUT_MS - 1000 * leaderCrashS);
     // They are lost at the end of the lease, and the cut goes on for three fifths of one.
-    double all = inside * (CUT_MS - SimulatedCluster.LEASE_MS) / 1000.0;
+    double maxMissingSeconds = replicasInZone * (CUT_MS - SimulatedCluster.LEASE_MS) / 1000.0;
     assertTrue(
-        missed < 0.75 * all || inside == 0, "missing " + missed + " replica seconds of " + all);
-    world.run(30_000);
-    assertEquals(REPLICAS, replicas(world, m -> true), "replicas once all is over");
+        missingSeconds < 0.75 * maxMissingSeconds || replicasInZone == 0,
+        "missing " + missingSeconds + " replica seconds of " + maxMissingSeconds);
+    cluster.run(30_000);
+    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas once all is over");
   }
 
   /** Nothing is rented where nothing can be reached; what is back is used. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {831, 832, 833, 834})
   void nothingIsRentedInASilentZone(long seed) {
-    SimulatedCluster world = begun(seed);
-    world.cutZone(ZONE, false, CUT_MS);
-    world.run(SimulatedCluster.REPORT_MS * 2);
-    Set<String> before = names(world);
+    SimulatedCluster cluster = startCluster(seed);
+    cluster.cutZone(CUT_ZONE, false, CUT_MS);
+    cluster.run(SimulatedCluster.REPORT_MS * 2);
+    Set<String> before = machineIds(cluster);
     for (int i = 0; i < 4; i++) {
-      world.users.array("one", "high", 8, 6);
-      world.run(3000);
+      cluster.users.array("one", "high", 8, 6);
+      cluster.run(3000);
     }
-    for (EmulatedWorker m : world.cloud.machines()) {
+    for (EmulatedWorker m : cluster.cloud.machines()) {
       assertTrue(
-          before.contains(m.id()) || !m.zone().equals(ZONE), m.id() + " was rented in " + ZONE);
+          before.contains(m.id()) || !m.zone().equals(CUT_ZONE),
+          m.id() + " was rented in " + CUT_ZONE);
     }
-    world.run(40_000);
+    cluster.run(40_000);
   }
 
-  private static Set<String> names(SimulatedCluster world) {
-    return world.cloud.machines().stream().map(EmulatedWorker::id).collect(Collectors.toSet());
+  private static Set<String> machineIds(SimulatedCluster cluster) {
+    return cluster.cloud.machines().stream().map(EmulatedWorker::id).collect(Collectors.toSet());
   }
 
   /** A cut in which reports still come, and one in which only orders still go. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {841, 842, 843, 844, 845, 846})
   void aCutInOneDirection(long seed) {
-    SimulatedCluster world = begun(seed);
-    boolean deafWorkers = seed % 2 == 0;
-    Set<EmulatedWorker> cut =
-        world.cloud.machines().stream()
-            .filter(m -> m.zone().equals(ZONE))
+    SimulatedCluster cluster = startCluster(seed);
+    boolean cutTowardsWorkers = seed % 2 == 0;
+    Set<EmulatedWorker> cutMachines =
+        cluster.cloud.machines().stream()
+            .filter(m -> m.zone().equals(CUT_ZONE))
             .collect(Collectors.toSet());
-    for (EmulatedWorker m : cut) {
-      for (SimulatedCluster.ControllerNode n : world.nodes) {
+    for (EmulatedWorker m : cutMachines) {
+      for (SimulatedCluster.ControllerNode n : cluster.nodes) {
         for (String node : List.of("node-" + n.index, SimulatedCluster.client(n.index))) {
-          if (deafWorkers) {
-            world.net.cutOneWay(node, m.endpoint());
+          if (cutTowardsWorkers) {
+            cluster.net.cutOneWay(node, m.endpoint());
           } else {
-            world.net.cutOneWay(m.endpoint(), node);
+            cluster.net.cutOneWay(m.endpoint(), node);
           }
         }
       }
     }
-    world.run(SimulatedCluster.LEASE_MS / 2);
-    world.leader().crash(3000);
-    world.run(SimulatedCluster.LEASE_MS);
-    for (EmulatedWorker m : cut) {
-      for (SimulatedCluster.ControllerNode n : world.nodes) {
+    cluster.run(SimulatedCluster.LEASE_MS / 2);
+    cluster.leader().crash(3000);
+    cluster.run(SimulatedCluster.LEASE_MS);
+    for (EmulatedWorker m : cutMachines) {
+      for (SimulatedCluster.ControllerNode n : cluster.nodes) {
         for (String node : List.of("node-" + n.index, SimulatedCluster.client(n.index))) {
-          world.net.healOneWay(node, m.endpoint());
-          world.net.healOneWay(m.endpoint(), node);
+          cluster.net.healOneWay(node, m.endpoint());
+          cluster.net.healOneWay(m.endpoint(), node);
         }
       }
     }
-    world.run(40_000);
-    assertEquals(REPLICAS, replicas(world, m -> true), "replicas once all is over");
+    cluster.run(40_000);
+    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas once all is over");
   }
 
   /** Machines hang until just before, and until just after, their lease has run out. */
   @ParameterizedTest(name = "hang of a lease and {0} ms")
   @ValueSource(longs = {-2500, -700, -100, 100, 700, 2500})
-  void aHangAroundALease(long more) {
-    SimulatedCluster world = begun(860 + more);
-    long hanging = 0;
-    for (EmulatedWorker m : world.cloud.machines()) {
-      if (m.zone().equals(ZONE) || world.sim.chance(0.3)) {
-        m.hang(SimulatedCluster.LEASE_MS + more);
-        hanging++;
+  void aHangAroundALease(long offsetMs) {
+    SimulatedCluster cluster = startCluster(860 + offsetMs);
+    long hangingMachines = 0;
+    for (EmulatedWorker m : cluster.cloud.machines()) {
+      if (m.zone().equals(CUT_ZONE) || cluster.sim.chance(0.3)) {
+        m.hang(SimulatedCluster.LEASE_MS + offsetMs);
+        hangingMachines++;
       }
     }
-    assertTrue(hanging > 0);
-    world.run(SimulatedCluster.LEASE_MS + 40_000);
-    assertEquals(REPLICAS, replicas(world, m -> true), "replicas once all is over");
+    assertTrue(hangingMachines > 0);
+    cluster.run(SimulatedCluster.LEASE_MS + 40_000);
+    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas once all is over");
   }
 
   /** Leases have their full time again after an outage, and a second cut begins at once. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {881, 882, 883, 884})
-  void cutOutageAndCutAgain(long seed) {
-    SimulatedCluster world = begun(seed);
-    world.cutZone(ZONE, true, SimulatedCluster.LEASE_MS * 2 / 3);
-    world.run(SimulatedCluster.LEASE_MS / 2);
-    world.state.fail();
-    world.run(SimulatedCluster.LEASE_MS / 2);
-    world.state.recover();
-    world.run(1000);
-    world.cutZone(ZONE, seed % 2 == 0, SimulatedCluster.LEASE_MS * 4 / 3);
-    world.run(SimulatedCluster.LEASE_MS / 2);
-    if (world.leader() != null) {
-      world.leader().crash(2000);
+  void aSecondCutFollowsAnOutage(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    cluster.cutZone(CUT_ZONE, true, SimulatedCluster.LEASE_MS * 2 / 3);
+    cluster.run(SimulatedCluster.LEASE_MS / 2);
+    cluster.state.fail();
+    cluster.run(SimulatedCluster.LEASE_MS / 2);
+    cluster.state.recover();
+    cluster.run(1000);
+    cluster.cutZone(CUT_ZONE, seed % 2 == 0, SimulatedCluster.LEASE_MS * 4 / 3);
+    cluster.run(SimulatedCluster.LEASE_MS / 2);
+    if (cluster.leader() != null) {
+      cluster.leader().crash(2000);
     }
-    world.run(SimulatedCluster.LEASE_MS + 40_000);
-    assertEquals(REPLICAS, replicas(world, m -> true), "replicas once all is over");
+    cluster.run(SimulatedCluster.LEASE_MS + 40_000);
+    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas once all is over");
   }
 
   /** All controllers end while the rentals for the lost room are unanswered. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {891, 892, 893, 894})
-  void allEndWhileRoomIsRented(long seed) {
-    SimulatedCluster world = begun(seed);
-    world.cutZone(ZONE, false, 2 * CUT_MS);
-    world.run(SimulatedCluster.REPORT_MS);
-    world.nodes.forEach(n -> world.net.cut("node-" + n.index, "cloud:1", true));
-    world.run(4000 + 500 * (seed % 4));
-    world.nodes.forEach(n -> n.crash(1500));
-    world.run(3000);
-    world.nodes.forEach(n -> world.net.heal("node-" + n.index, "cloud:1"));
-    world.run(2 * CUT_MS + 30_000);
-    assertEquals(REPLICAS, replicas(world, m -> true), "replicas once all is over");
+  void allControllersCrashDuringRentals(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    cluster.cutZone(CUT_ZONE, false, 2 * CUT_MS);
+    cluster.run(SimulatedCluster.REPORT_MS);
+    cluster.nodes.forEach(n -> cluster.net.cut("node-" + n.index, "cloud:1", true));
+    cluster.run(4000 + 500 * (seed % 4));
+    cluster.nodes.forEach(n -> n.crash(1500));
+    cluster.run(3000);
+    cluster.nodes.forEach(n -> cluster.net.heal("node-" + n.index, "cloud:1"));
+    cluster.run(2 * CUT_MS + 30_000);
+    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas once all is over");
   }
 
   /**
@@ -205,44 +207,44 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {901, 902, 904, 905, 907, 908})
   void aLeaderEndsWhileOnlyLaunchBatchesKnow(long seed) {
-    SimulatedCluster world = begun(seed);
-    int stood = 0;
+    SimulatedCluster cluster = startCluster(seed);
+    int batchesSeen = 0;
     for (int round = 0; round < 3; round++) {
-      for (EmulatedWorker m : List.copyOf(world.cloud.machines())) {
-        if (m.booted() && !m.gone() && world.sim.chance(0.3)) {
+      for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
+        if (m.booted() && !m.gone() && cluster.sim.chance(0.3)) {
           m.end();
         }
       }
-      for (int i = 0; i < 3000 && world.state.keys("live/sheet/").isEmpty(); i++) {
-        world.run(5);
+      for (int i = 0; i < 3000 && cluster.state.keys("live/sheet/").isEmpty(); i++) {
+        cluster.run(5);
       }
-      stood += world.state.keys("live/sheet/").size();
+      batchesSeen += cluster.state.keys("live/sheet/").size();
       // Its launches are on their way, the services' own records are not yet written.
-      world.run(world.sim.between(30, 90));
+      cluster.run(cluster.sim.between(30, 90));
       // Half of the machines cannot be asked for a while: only the launch batches tell what runs
       // there.
-      List<EmulatedWorker> cut =
-          world.cloud.machines().stream().filter(m -> world.sim.chance(0.5)).toList();
-      cut.forEach(m -> link(world, m, true));
-      if (world.leader() != null) {
-        world.leader().crash(3000);
+      List<EmulatedWorker> cutMachines =
+          cluster.cloud.machines().stream().filter(m -> cluster.sim.chance(0.5)).toList();
+      cutMachines.forEach(m -> setCut(cluster, m, true));
+      if (cluster.leader() != null) {
+        cluster.leader().crash(3000);
       }
-      world.run(SimulatedCluster.REPORT_MS * 2);
-      cut.forEach(m -> link(world, m, false));
-      world.run(45_000);
+      cluster.run(SimulatedCluster.REPORT_MS * 2);
+      cutMachines.forEach(m -> setCut(cluster, m, false));
+      cluster.run(45_000);
     }
-    assertTrue(stood > 0, "no launch batch was ever written");
-    assertEquals(REPLICAS, replicas(world, m -> true), "replicas once all is over");
-    assertEquals(List.of(), world.state.keys("live/sheet/"), "launch batches once all is over");
+    assertTrue(batchesSeen > 0, "no launch batch was ever written");
+    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas once all is over");
+    assertEquals(List.of(), cluster.state.keys("live/sheet/"), "launch batches once all is over");
   }
 
-  private static void link(SimulatedCluster world, EmulatedWorker m, boolean cut) {
-    for (SimulatedCluster.ControllerNode n : world.nodes) {
+  private static void setCut(SimulatedCluster cluster, EmulatedWorker m, boolean cut) {
+    for (SimulatedCluster.ControllerNode n : cluster.nodes) {
       for (String node : List.of("node-" + n.index, SimulatedCluster.client(n.index))) {
         if (cut) {
-          world.net.cut(node, m.endpoint(), false);
+          cluster.net.cut(node, m.endpoint(), false);
         } else {
-          world.net.heal(node, m.endpoint());
+          cluster.net.heal(node, m.endpoint());
         }
       }
     }
@@ -251,11 +253,12 @@
   /** Idle machines of a zone that is back before the wait is over are still there. */
   @Test
   void aZoneThatComesBackInTimeKeepsItsMachines() {
-    SimulatedCluster world = begun(899);
-    int released = world.cloud.killedByRelease();
-    world.cutZone(ZONE, false, SimulatedCluster.LEASE_MS / 2);
-    world.run(SimulatedCluster.LEASE_MS);
-    assertEquals(0, world.cloud.killedByLease(), "tasks killed by the end of a lease");
-    assertEquals(released, world.cloud.killedByRelease(), "tasks killed by returning machines");
+    SimulatedCluster cluster = startCluster(899);
+    int killedBefore = cluster.cloud.killedByRelease();
+    cluster.cutZone(CUT_ZONE, false, SimulatedCluster.LEASE_MS / 2);
+    cluster.run(SimulatedCluster.LEASE_MS);
+    assertEquals(0, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
+    assertEquals(
+        killedBefore, cluster.cloud.killedByRelease(), "tasks killed by returning machines");
   }
 }
--- a/src/test/java/dapplestair/world/SilentControllersTest.java
+++ b/src/test/java/dapplestair/world/SilentControllersTest.java
@@ -19,189 +19,197 @@
  */
 class SilentControllersTest {
   private static final int REPLICAS = 60;
-  private static final long LONG_MS = SimulatedCluster.LEASE_MS * 3 / 2;
+  private static final long SILENCE_MS = SimulatedCluster.LEASE_MS * 3 / 2;
 
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
     for (int i = 0; i < REPLICAS / 6; i++) {
-      w.users.service("one", 3);
-      w.users.service("two", 3);
+      cluster.users.service("one", 3);
+      cluster.users.service("two", 3);
     }
-    w.users.array("one", "high", 40, 12);
-    w.run(40_000);
-    assertEquals(REPLICAS, replicas(w), "replicas at the beginning");
-    return w;
+    cluster.users.array("one", "high", 40, 12);
+    cluster.run(40_000);
+    assertEquals(REPLICAS, replicaCount(cluster), "replicas at the beginning");
+    return cluster;
   }
 
-  private static int replicas(SimulatedCluster w) {
-    int n = 0;
-    for (EmulatedWorker m : w.cloud.machines()) {
+  private static int replicaCount(SimulatedCluster cluster) {
+    int count = 0;
+    for (EmulatedWorker m : cluster.cloud.machines()) {
       if (!m.gone()) {
-        n +=
+        count +=
             (int)
                 m.tasks().stream()
                     .filter(t -> t.onMachine() && t.service() && t.status().equals("running"))
                     .count();
       }
     }
-    return n;
+    return count;
   }
 
-  /** Single tasks of a guest, one each {@code everyMs} for a while. */
-  private static List<SimulatedUsers.KnownJob> swarm(SimulatedCluster w, int jobs, long everyMs) {
-    List<SimulatedUsers.KnownJob> out = new ArrayList<>();
+  /** Single tasks of a guest, one each {@code intervalMs} for a while. */
+  private static List<SimulatedUsers.KnownJob> submitSwarm(
+      SimulatedCluster cluster, int jobs, long intervalMs) {
+    List<SimulatedUsers.KnownJob> submitted = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
-      w.sim.after(i * everyMs, () -> out.add(single(w)));
+      cluster.sim.after(i * intervalMs, () -> submitted.add(submitSingleTaskJob(cluster)));
     }
-    return out;
+    return submitted;
   }
 
-  private static SimulatedUsers.KnownJob single(SimulatedCluster w) {
-    return w.users.changed(
+  private static SimulatedUsers.KnownJob submitSingleTaskJob(SimulatedCluster cluster) {
+    return cluster.users.changed(
         "guest", 1, 6, b -> b.put("rank", "low").put("vcpus", 0.25).put("jobclass", "swarm"));
   }
 
-  private static void untilReplicas(SimulatedCluster w, long ms, String when) {
-    for (long t = 0; t < ms && replicas(w) < REPLICAS; t += 250) {
-      w.run(250);
+  private static void awaitReplicas(SimulatedCluster cluster, long ms, String when) {
+    for (long t = 0; t < ms && replicaCount(cluster) < REPLICAS; t += 250) {
+      cluster.run(250);
     }
-    assertEquals(REPLICAS, replicas(w), "replicas " + ms + " ms after " + when);
+    assertEquals(REPLICAS, replicaCount(cluster), "replicas " + ms + " ms after " + when);
   }
 
-  private static void settled(SimulatedCluster w, List<SimulatedUsers.KnownJob> jobs) {
-    w.run(60_000);
+  private static void assertAllJobsEnd(
+      SimulatedCluster cluster, List<SimulatedUsers.KnownJob> jobs) {
+    cluster.run(60_000);
     jobs.forEach(j -> assertTrue(j.done || j.aborted, j.ref + " is not over"));
-    w.checker.checkServed();
+    cluster.checker.checkServed();
   }
 
   /** The leader stands still; it wakes up with old orders and beliefs while another one leads. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {3001, 3002, 3003, 3004, 3005, 3006})
-  void aLeaderStandsStill(long seed) {
-    SimulatedCluster w = begun(seed);
-    List<SimulatedUsers.KnownJob> swarm = swarm(w, 60, 250);
-    w.run(2000);
-    SimulatedCluster.ControllerNode still = w.leader();
-    still.freeze(LONG_MS);
-    w.run(SimulatedCluster.LEASE_MS * 2 / 3);
-    assertTrue(w.leader() != null && w.leader() != still, "nobody else leads");
-    int killed = w.cloud.killedByLease();
-    w.run(LONG_MS);
-    assertEquals(killed, w.cloud.killedByLease(), "tasks killed though another one leads");
-    untilReplicas(w, 2000, "it woke up");
-    settled(w, swarm);
+  void theLeaderIsFrozen(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    List<SimulatedUsers.KnownJob> swarm = submitSwarm(cluster, 60, 250);
+    cluster.run(2000);
+    SimulatedCluster.ControllerNode frozenLeader = cluster.leader();
+    frozenLeader.freeze(SILENCE_MS);
+    cluster.run(SimulatedCluster.LEASE_MS * 2 / 3);
+    assertTrue(cluster.leader() != null && cluster.leader() != frozenLeader, "nobody else leads");
+    int killedBefore = cluster.cloud.killedByLease();
+    cluster.run(SILENCE_MS);
+    assertEquals(
+        killedBefore, cluster.cloud.killedByLease(), "tasks killed though another one leads");
+    awaitReplicas(cluster, 2000, "it woke up");
+    assertAllJobsEnd(cluster, swarm);
   }
 
   /** All stand still past the lease: every task is gone, and comes back on the machines there. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {3011, 3012, 3013, 3014, 3015, 3016})
-  void allStandStillPastTheLease(long seed) {
-    SimulatedCluster w = begun(seed);
-    List<SimulatedUsers.KnownJob> swarm = swarm(w, 40, 250);
-    w.run(3000);
-    Set<String> before = withReplicas(w);
-    Set<String> all = up(w);
-    int killed = w.cloud.killedByLease();
-    w.nodes.forEach(n -> n.freeze(LONG_MS + w.sim.between(0, 2000)));
-    w.run(LONG_MS + 2000);
-    assertTrue(w.cloud.killedByLease() >= killed + REPLICAS, "leases have not run out");
+  void allControllersAreFrozenPastTheLease(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    List<SimulatedUsers.KnownJob> swarm = submitSwarm(cluster, 40, 250);
+    cluster.run(3000);
+    Set<String> replicaHostsBefore = machinesWithReplicas(cluster);
+    Set<String> presentBefore = presentMachines(cluster);
+    int killedBefore = cluster.cloud.killedByLease();
+    cluster.nodes.forEach(n -> n.freeze(SILENCE_MS + cluster.sim.between(0, 2000)));
+    cluster.run(SILENCE_MS + 2000);
+    assertTrue(cluster.cloud.killedByLease() >= killedBefore + REPLICAS, "leases have not run out");
     // With room left in one zone alone, which is none for half of a service, it took a lease and
     // more.
-    untilReplicas(w, 5000, "the return of all");
-    Set<String> now = up(w);
-    Set<String> rented = new HashSet<>(now);
-    rented.removeAll(all);
-    now.retainAll(before);
-    assertTrue(4 * now.size() >= 3 * before.size(), now.size() + " of " + before.size());
-    assertTrue(4 * rented.size() <= all.size(), rented.size() + " rented anew");
-    settled(w, swarm);
+    awaitReplicas(cluster, 5000, "the return of all");
+    Set<String> presentNow = presentMachines(cluster);
+    Set<String> rented = new HashSet<>(presentNow);
+    rented.removeAll(presentBefore);
+    presentNow.retainAll(replicaHostsBefore);
+    assertTrue(
+        4 * presentNow.size() >= 3 * replicaHostsBefore.size(),
+        presentNow.size() + " of " + replicaHostsBefore.size());
+    assertTrue(4 * rented.size() <= presentBefore.size(), rented.size() + " rented anew");
+    assertAllJobsEnd(cluster, swarm);
   }
 
-  private static Set<String> withReplicas(SimulatedCluster w) {
-    Set<String> out = new HashSet<>();
-    w.cloud.machines().stream()
+  private static Set<String> machinesWithReplicas(SimulatedCluster cluster) {
+    Set<String> machineIds = new HashSet<>();
+    cluster.cloud.machines().stream()
         .filter(m -> !m.gone() && m.tasks().stream().anyMatch(t -> t.service()))
-        .forEach(m -> out.add(m.id()));
-    return out;
+        .forEach(m -> machineIds.add(m.id()));
+    return machineIds;
   }
 
-  private static Set<String> up(SimulatedCluster w) {
-    Set<String> out = new HashSet<>();
-    w.cloud.machines().stream().filter(m -> !m.gone()).forEach(m -> out.add(m.id()));
-    return out;
+  private static Set<String> presentMachines(SimulatedCluster cluster) {
+    Set<String> machineIds = new HashSet<>();
+    cluster.cloud.machines().stream().filter(m -> !m.gone()).forEach(m -> machineIds.add(m.id()));
+    return machineIds;
   }
 
   /** One after the other, overlapping, and by other means each time. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {3021, 3022, 3023, 3024, 3025, 3026, 3027, 3028, 3029, 3030})
-  void oneAfterTheOther(long seed) {
-    SimulatedCluster w = begun(seed);
-    List<SimulatedUsers.KnownJob> jobs = swarm(w, 80, 500);
-    SimulatedUsers.KnownJob wrong = w.users.changed("two", 20, 5, b -> b.put("mistakenSteps", 20));
+  void controllersFailInTurn(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    List<SimulatedUsers.KnownJob> jobs = submitSwarm(cluster, 80, 500);
+    SimulatedUsers.KnownJob failingJob =
+        cluster.users.changed("two", 20, 5, b -> b.put("mistakenSteps", 20));
     jobs.add(
-        w.users.changed(
+        cluster.users.changed(
             "guest",
             400,
             2,
             b -> b.put("rank", "low").put("vcpus", 0.25).put("jobclass", "giant")));
     for (int i = 0; i < 5; i++) {
-      silence(w, w.nodes.get(i % 3), (int) w.sim.between(0, 6), LONG_MS);
-      w.run(SimulatedCluster.LEASE_MS * 2 / 3);
+      disableController(
+          cluster, cluster.nodes.get(i % 3), (int) cluster.sim.between(0, 6), SILENCE_MS);
+      cluster.run(SimulatedCluster.LEASE_MS * 2 / 3);
     }
-    w.run(LONG_MS);
-    untilReplicas(w, 30_000, "the last one returned");
-    assertTrue(wrong.finalState() == null, "the wrong job is called " + wrong.finalState());
-    w.users.cancel(wrong);
-    settled(w, jobs);
+    cluster.run(SILENCE_MS);
+    awaitReplicas(cluster, 30_000, "the last one returned");
+    assertTrue(
+        failingJob.finalState() == null, "the wrong job is called " + failingJob.finalState());
+    cluster.users.cancel(failingJob);
+    assertAllJobsEnd(cluster, jobs);
   }
 
-  private static void silence(
-      SimulatedCluster w, SimulatedCluster.ControllerNode node, int how, long ms) {
-    boolean hold = w.sim.chance(0.5);
+  private static void disableController(
+      SimulatedCluster cluster, SimulatedCluster.ControllerNode node, int faultKind, long ms) {
+    boolean hold = cluster.sim.chance(0.5);
     String name = "node-" + node.index;
-    switch (how) {
+    switch (faultKind) {
       case 0 -> node.freeze(ms);
       case 1 -> node.crash(ms);
-      case 2 -> w.cutOff(node, m -> false, hold, ms);
-      case 3 -> cut(w, name, "state:1", hold, ms);
+      case 2 -> cluster.cutOff(node, m -> false, hold, ms);
+      case 3 -> cutFor(cluster, name, "state:1", hold, ms);
       case 4 -> {
-        w.state.refuse(name, true);
-        w.sim.after(ms, () -> w.state.refuse(name, false));
+        cluster.state.refuse(name, true);
+        cluster.sim.after(ms, () -> cluster.state.refuse(name, false));
       }
       case 5 -> {
-        for (EmulatedWorker m : w.cloud.machines()) {
-          cut(w, name, m.endpoint(), hold, ms);
-          cut(w, SimulatedCluster.client(node.index), m.endpoint(), hold, ms);
+        for (EmulatedWorker m : cluster.cloud.machines()) {
+          cutFor(cluster, name, m.endpoint(), hold, ms);
+          cutFor(cluster, SimulatedCluster.client(node.index), m.endpoint(), hold, ms);
         }
       }
       default -> {
-        cut(w, name, "state:1", hold, ms);
+        cutFor(cluster, name, "state:1", hold, ms);
         node.freeze(ms / 2);
       }
     }
   }
 
-  private static void cut(SimulatedCluster w, String a, String b, boolean hold, long ms) {
-    w.net.cut(a, b, hold);
-    w.sim.after(ms, () -> w.net.heal(a, b));
+  private static void cutFor(SimulatedCluster cluster, String a, String b, boolean hold, long ms) {
+    cluster.net.cut(a, b, hold);
+    cluster.sim.after(ms, () -> cluster.net.heal(a, b));
   }
 
   /** Two stand still, the third is cut from the workers: no worker stays where nobody can act. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {3041, 3042, 3043, 3044})
-  void theLastOneIsCutFromTheWorkers(long seed) {
-    SimulatedCluster w = begun(seed);
-    SimulatedCluster.ControllerNode last = w.nodes.get((int) (seed % 3));
-    for (SimulatedCluster.ControllerNode n : w.nodes) {
-      if (n != last) {
-        n.freeze(LONG_MS);
+  void theOnlyRunningControllerIsCutFromTheWorkers(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    SimulatedCluster.ControllerNode runningNode = cluster.nodes.get((int) (seed % 3));
+    for (SimulatedCluster.ControllerNode n : cluster.nodes) {
+      if (n != runningNode) {
+        n.freeze(SILENCE_MS);
       }
     }
-    w.run(1000);
-    silence(w, last, 5, LONG_MS / 2);
-    w.run(LONG_MS + 3000);
-    untilReplicas(w, SimulatedCluster.LEASE_MS, "the return of all");
+    cluster.run(1000);
+    disableController(cluster, runningNode, 5, SILENCE_MS / 2);
+    cluster.run(SILENCE_MS + 3000);
+    awaitReplicas(cluster, SimulatedCluster.LEASE_MS, "the return of all");
   }
 }
--- a/src/test/java/dapplestair/world/SingleTaskJobsTest.java
+++ b/src/test/java/dapplestair/world/SingleTaskJobsTest.java
@@ -19,92 +19,95 @@
  */
 class SingleTaskJobsTest {
   private static final double WRITE_RPS = 30;
-  private static final long EVERY_MS = 250;
+  private static final long SUBMIT_INTERVAL_MS = 250;
   private static final int JOBS = 480;
-  private static final long OTHERS_EVERY_MS = 1000;
-  private static final long LATE_MS = 5000;
+  private static final long NOISE_INTERVAL_MS = 1000;
+  private static final long MAX_ACCEPT_MS = 5000;
 
   /** One play. */
   private static final class Swarm {
-    final SimulatedCluster w;
+    final SimulatedCluster cluster;
     final List<SimulatedUsers.KnownJob> jobs = new ArrayList<>();
     final Set<String> cancelledAtOnce = new HashSet<>();
     final Set<String> cancelledAtEnd = new HashSet<>();
 
     Swarm(long seed) {
-      w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE.withWriteRps(WRITE_RPS));
-      w.users.quiet = true;
-      w.answers.firstHeard =
+      cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE.withWriteRps(WRITE_RPS));
+      cluster.users.quiet = true;
+      cluster.answers.firstHeard =
           (ref, state) -> {
             if (state.equals("accepted") && cancelledAtOnce.contains(ref)) {
-              w.users.cancel(w.users.told.get(ref));
+              cluster.users.cancel(cluster.users.told.get(ref));
             }
           };
-      w.checker.alsoCompleted =
+      cluster.checker.alsoCompleted =
           task -> {
             String ref = task.substring(0, task.indexOf('/'));
             if (cancelledAtEnd.contains(ref)) {
-              w.users.cancel(w.users.told.get(ref));
+              cluster.users.cancel(cluster.users.told.get(ref));
             }
           };
     }
 
     void submit() {
-      double runS = w.sim.between(2, 20);
+      double runS = cluster.sim.between(2, 20);
       SimulatedUsers.KnownJob job =
-          w.users.changed(
+          cluster.users.changed(
               "guest",
               1,
               runS,
               b -> b.put("rank", "standard").put("vcpus", 0.25).put("jobclass", "single"));
       jobs.add(job);
-      switch ((int) w.sim.between(0, 11)) {
+      switch ((int) cluster.sim.between(0, 11)) {
         case 0 -> cancelledAtOnce.add(job.ref);
-        case 1 -> w.sim.after(w.sim.between(1000, 20_000), () -> w.users.cancel(job));
+        case 1 ->
+            cluster.sim.after(cluster.sim.between(1000, 20_000), () -> cluster.users.cancel(job));
         case 2 -> cancelledAtEnd.add(job.ref);
         default -> {}
       }
     }
 
     /** Puts of somebody else, all of a second at once. */
-    void others(int puts, long until) {
-      if (w.sim.now() < until) {
-        for (int i = 0; i < puts; i++) {
+    void writeNoise(int putCount, long untilMs) {
+      if (cluster.sim.now() < untilMs) {
+        for (int i = 0; i < putCount; i++) {
           ObjectNode body = Json.object();
           body.putArray("writes").addObject().put("put", "noise").put("value", i);
-          w.state.request("noise", "POST", "/commit", Json.bytes(body), r -> {});
+          cluster.state.request("noise", "POST", "/commit", Json.bytes(body), r -> {});
         }
-        w.sim.after(OTHERS_EVERY_MS, () -> others(puts, until));
+        cluster.sim.after(NOISE_INTERVAL_MS, () -> writeNoise(putCount, untilMs));
       }
     }
   }
 
   @ParameterizedTest(name = "seed {0}, {1} puts a second by others, the leader ends: {2}")
   @CsvSource({"9401,0,false", "9403,0,true", "9406,14,true", "9407,25,false"})
-  void allEndWithinThePuts(long seed, int others, boolean leaderEnds) {
-    Swarm s = new Swarm(seed);
-    SimulatedCluster w = s.w;
-    w.run(15_000);
-    long until = w.sim.now() + JOBS * EVERY_MS;
-    s.others(others, until);
+  void allJobsEndWithinTheWriteRate(long seed, int noisePuts, boolean leaderCrashes) {
+    Swarm swarm = new Swarm(seed);
+    SimulatedCluster cluster = swarm.cluster;
+    cluster.run(15_000);
+    long untilMs = cluster.sim.now() + JOBS * SUBMIT_INTERVAL_MS;
+    swarm.writeNoise(noisePuts, untilMs);
     for (int i = 0; i < JOBS; i++) {
-      s.submit();
-      w.run(EVERY_MS);
-      if (leaderEnds && i % 160 == 80 && w.leader() != null) {
-        w.leader().crash(w.sim.between(100, 3000));
+      swarm.submit();
+      cluster.run(SUBMIT_INTERVAL_MS);
+      if (leaderCrashes && i % 160 == 80 && cluster.leader() != null) {
+        cluster.leader().crash(cluster.sim.between(100, 3000));
       }
     }
-    w.run(100_000);
-    s.jobs.forEach(j -> assertTrue(!j.accepted || j.done || j.aborted, j.ref + " is not over"));
-    long cancelled = s.jobs.stream().filter(j -> j.cancelAsked).count();
+    cluster.run(100_000);
+    swarm.jobs.forEach(j -> assertTrue(!j.accepted || j.done || j.aborted, j.ref + " is not over"));
+    long cancelled = swarm.jobs.stream().filter(j -> j.cancelAsked).count();
     assertTrue(cancelled > JOBS / 6, cancelled + " of " + JOBS + " were cancelled");
-    assertEquals(List.of(), w.state.keys("live/sheet/"), "launch batches once all is over");
-    assertEquals(List.of(), w.state.keys("live/run/"), "attempts once all is over");
-    if (others > 0) {
-      assertTrue(w.state.tooMany() > 20, w.state.tooMany() + " transactions got 429");
+    assertEquals(List.of(), cluster.state.keys("live/sheet/"), "launch batches once all is over");
+    assertEquals(List.of(), cluster.state.keys("live/run/"), "attempts once all is over");
+    if (noisePuts > 0) {
+      assertTrue(cluster.state.tooMany() > 20, cluster.state.tooMany() + " transactions got 429");
     }
-    long late =
-        s.jobs.stream().filter(j -> !j.accepted || j.acceptedAt - j.submittedAt > LATE_MS).count();
-    assertTrue(late <= JOBS / 50, late + " of " + JOBS + " were accepted late");
+    long acceptedLate =
+        swarm.jobs.stream()
+            .filter(j -> !j.accepted || j.acceptedAt - j.submittedAt > MAX_ACCEPT_MS)
+            .count();
+    assertTrue(acceptedLate <= JOBS / 50, acceptedLate + " of " + JOBS + " were accepted late");
   }
 }
--- a/src/test/java/dapplestair/world/StaleReportsTest.java
+++ b/src/test/java/dapplestair/world/StaleReportsTest.java
@@ -10,14 +10,14 @@
  * (docs/meetings.md). They lack tasks that were launched since, and show others that have ended.
  */
 class StaleReportsTest {
-  private static final int CHANGES = 5;
+  private static final int LEADER_CHANGES = 5;
 
   /** Tasks end and begin all the time, so that each report is soon out of date. */
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 30, 900, 8));
-    w.net.loss = 0;
-    w.run(20_000);
-    return w;
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 30, 900, 8));
+    cluster.net.loss = 0;
+    cluster.run(20_000);
+    return cluster;
   }
 
   /**
@@ -37,46 +37,48 @@
     "5009,1700,ACTED,false",
     "5010,8000,ACTED,true"
   })
-  void theyMeetTheNextLeader(
+  void staleReportsReachTheNextLeader(
       long seed, long afterMs, DelayedReports.Arrival arrival, boolean everywhere) {
-    SimulatedCluster w = begun(seed);
-    DelayedReports reports = new DelayedReports(w, 1, 2 * SimulatedCluster.LEASE_MS);
-    for (int i = 0; i < CHANGES; i++) {
-      w.net.when(
+    SimulatedCluster cluster = startCluster(seed);
+    DelayedReports reports = new DelayedReports(cluster, 1, 2 * SimulatedCluster.LEASE_MS);
+    for (int i = 0; i < LEADER_CHANGES; i++) {
+      cluster.net.when(
           r -> r.orders("launch"),
           afterMs,
           () -> {
             reports.arrive(arrival, everywhere, SimulatedCluster.REPORT_MS);
-            if (w.leader() != null) {
-              w.leader().crash(w.sim.between(500, 5000));
+            if (cluster.leader() != null) {
+              cluster.leader().crash(cluster.sim.between(500, 5000));
             }
           });
-      w.run(SimulatedCluster.LEASE_MS + w.sim.between(0, 3000));
+      cluster.run(SimulatedCluster.LEASE_MS + cluster.sim.between(0, 3000));
     }
-    assertTrue(w.net.lateTaken.get() > 100, "hardly any copy was taken: " + w.net.lateTaken);
-    SeededDaysTest.settle(w);
+    assertTrue(
+        cluster.net.lateTaken.get() > 100, "hardly any copy was taken: " + cluster.net.lateTaken);
+    SeededDaysTest.settle(cluster);
   }
 
   /** Nobody answers for longer than a lease, so the copies are of an earlier session. */
   @ParameterizedTest(name = "seed {0}, {1} ms after a launch, the next has {2}")
   @CsvSource({"5021,1,BEGUN", "5022,400,BEGUN", "5023,1700,BEGUN", "5024,1,ACTED"})
-  void theyAreOfAnEarlierSession(long seed, long afterMs, DelayedReports.Arrival arrival) {
-    SimulatedCluster w = begun(seed);
-    DelayedReports reports = new DelayedReports(w, 1, 4 * SimulatedCluster.LEASE_MS);
-    w.run(SimulatedCluster.REPORT_MS);
+  void staleReportsOfAnEarlierSession(long seed, long afterMs, DelayedReports.Arrival arrival) {
+    SimulatedCluster cluster = startCluster(seed);
+    DelayedReports reports = new DelayedReports(cluster, 1, 4 * SimulatedCluster.LEASE_MS);
+    cluster.run(SimulatedCluster.REPORT_MS);
     reports.arrive(arrival, true, SimulatedCluster.REPORT_MS);
-    w.nodes.forEach(n -> n.crash(SimulatedCluster.LEASE_MS * 5 / 4));
-    w.run(SimulatedCluster.LEASE_MS * 5 / 4 + 4000);
-    assertTrue(w.cloud.killedByLease() > 0, "no session has ended");
-    w.net.when(
+    cluster.nodes.forEach(n -> n.crash(SimulatedCluster.LEASE_MS * 5 / 4));
+    cluster.run(SimulatedCluster.LEASE_MS * 5 / 4 + 4000);
+    assertTrue(cluster.cloud.killedByLease() > 0, "no session has ended");
+    cluster.net.when(
         r -> r.orders("launch"),
         afterMs,
         () -> {
           reports.arrive(arrival, true, SimulatedCluster.REPORT_MS);
-          w.leader().crash(2000);
+          cluster.leader().crash(2000);
         });
-    w.run(SimulatedCluster.LEASE_MS);
-    assertTrue(w.net.lateTaken.get() > 50, "hardly any copy was taken: " + w.net.lateTaken);
-    SeededDaysTest.settle(w);
+    cluster.run(SimulatedCluster.LEASE_MS);
+    assertTrue(
+        cluster.net.lateTaken.get() > 50, "hardly any copy was taken: " + cluster.net.lateTaken);
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/TeamLimitsTest.java
+++ b/src/test/java/dapplestair/world/TeamLimitsTest.java
@@ -14,54 +14,57 @@
  */
 class TeamLimitsTest {
   private static final List<String> TEAMS = List.of("one", "two");
-  private static final SimulatedCluster.Size TIGHT = new SimulatedCluster.Size(16, 50, 2150, 12);
+  private static final SimulatedCluster.Size SMALL_LIMITS =
+      new SimulatedCluster.Size(16, 50, 2150, 12);
 
   /** Jobs to be cancelled and jobs to be kept, and more work than the teams' limits allow. */
-  static final class FullDay {
+  static final class FullClusterScenario {
     final CancellationOutageTest.Day day;
-    final SimulatedCluster w;
+    final SimulatedCluster cluster;
 
-    FullDay(long seed) {
-      day = new CancellationOutageTest.Day(begun(seed));
-      w = day.w;
-      TEAMS.forEach(team -> w.users.array(team, "low", 60, 20));
-      w.run(8000);
+    FullClusterScenario(long seed) {
+      day = new CancellationOutageTest.Day(startCluster(seed));
+      cluster = day.w;
+      TEAMS.forEach(team -> cluster.users.array(team, "low", 60, 20));
+      cluster.run(8000);
       for (String team : TEAMS) {
-        assertTrue(cpus(team) > TIGHT.teamLimit() - 8, team + " uses " + cpus(team) + " CPUs only");
+        assertTrue(
+            usedCpus(team) > SMALL_LIMITS.teamLimit() - 8,
+            team + " uses " + usedCpus(team) + " CPUs only");
       }
     }
 
-    private static SimulatedCluster begun(long seed) {
-      SimulatedCluster w = new SimulatedCluster(seed, TIGHT, true);
-      w.net.loss = 0;
-      w.users.quiet = true;
+    private static SimulatedCluster startCluster(long seed) {
+      SimulatedCluster cluster = new SimulatedCluster(seed, SMALL_LIMITS, true);
+      cluster.net.loss = 0;
+      cluster.users.quiet = true;
       for (int i = 0; i < 8; i++) {
-        TEAMS.forEach(team -> w.users.service(team, 3));
+        TEAMS.forEach(team -> cluster.users.service(team, 3));
       }
-      w.run(30_000);
-      return w;
+      cluster.run(30_000);
+      return cluster;
     }
 
-    double cpus(String team) {
+    double usedCpus(String team) {
       double sum = 0;
-      for (SimulatedUsers.KnownJob job : w.users.told.values()) {
+      for (SimulatedUsers.KnownJob job : cluster.users.told.values()) {
         sum += job.team.equals(team) ? job.cpus * day.running(job) : 0;
       }
       return sum;
     }
 
     /** Users go on until they are told. */
-    void cancel() {
-      day.cancelled.forEach(w.users::cancel);
+    void cancelJobs() {
+      day.cancelled.forEach(cluster.users::cancel);
     }
 
     /** The spell is over: what was cancelled is gone, and all else ends. */
     void settle() {
       day.cancelled.forEach(t -> assertTrue(t.aborted || !t.accepted, t.ref + " is not cancelled"));
-      w.run(SimulatedCluster.CANCEL_MS);
+      cluster.run(SimulatedCluster.CANCEL_MS);
       assertEquals(0, day.running(day.cancelled), "cancelled tasks");
-      w.run(30_000);
-      SeededDaysTest.settle(w);
+      cluster.run(30_000);
+      SeededDaysTest.settle(cluster);
     }
   }
 
@@ -86,21 +89,22 @@
     "11016,STALL,PLANNED,24000",
     "11017,STALL,FROZEN,400"
   })
-  void cancelledAtTheLimit(long seed, MachineFault fault, LeaderChange change, long afterMs) {
+  void jobsAreCancelledAtTheTeamLimit(
+      long seed, MachineFault fault, LeaderChange change, long afterMs) {
     play(seed, fault, change, afterMs);
   }
 
   static SimulatedCluster play(long seed, MachineFault fault, LeaderChange change, long afterMs) {
-    FullDay f = new FullDay(seed);
-    int before = f.w.checker.started;
-    f.w.sim.after(1500 + afterMs, () -> change.happen(f.w));
-    f.day.troubleEverySecond(fault, SimulatedCluster.CANCEL_MS * 3 / 2);
-    f.w.run(1500);
-    f.cancel();
-    f.w.run(SimulatedCluster.CANCEL_MS);
-    assertTrue(f.w.checker.started > before + 5, "what waits does not go on");
-    f.w.run(SimulatedCluster.CANCEL_MS);
-    f.settle();
-    return f.w;
+    FullClusterScenario scenario = new FullClusterScenario(seed);
+    int startedBefore = scenario.cluster.checker.started;
+    scenario.cluster.sim.after(1500 + afterMs, () -> change.happen(scenario.cluster));
+    scenario.day.troubleEverySecond(fault, SimulatedCluster.CANCEL_MS * 3 / 2);
+    scenario.cluster.run(1500);
+    scenario.cancelJobs();
+    scenario.cluster.run(SimulatedCluster.CANCEL_MS);
+    assertTrue(scenario.cluster.checker.started > startedBefore + 5, "what waits does not go on");
+    scenario.cluster.run(SimulatedCluster.CANCEL_MS);
+    scenario.settle();
+    return scenario.cluster;
   }
 }
--- a/src/test/java/dapplestair/world/UnevenTaskDurationsTest.java
+++ b/src/test/java/dapplestair/world/UnevenTaskDurationsTest.java
@@ -15,52 +15,54 @@
 class UnevenTaskDurationsTest {
   private static final double SHORT_S = 4;
 
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
-    w.run(5000);
-    w.users.array("two", "standard", 52, 4);
-    w.run(10_000);
-    return w;
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
+    cluster.run(5000);
+    cluster.users.array("two", "standard", 52, 4);
+    cluster.run(10_000);
+    return cluster;
   }
 
   /** A job whose tasks last so many times the shortest. */
-  private static SimulatedUsers.KnownJob job(SimulatedCluster w, double... factors) {
-    return w.users.changed(
+  private static SimulatedUsers.KnownJob submitJob(SimulatedCluster cluster, double... factors) {
+    return cluster.users.changed(
         "one",
         factors.length,
         SHORT_S,
         b -> {
-          ArrayNode each = b.putArray("runFactors");
+          ArrayNode runFactors = b.putArray("runFactors");
           for (double factor : factors) {
-            each.add(factor);
+            runFactors.add(factor);
           }
         });
   }
 
-  private static List<SimulatedUsers.KnownJob> jobs(SimulatedCluster w) {
-    List<SimulatedUsers.KnownJob> out = new ArrayList<>();
+  private static List<SimulatedUsers.KnownJob> submitJobs(SimulatedCluster cluster) {
+    List<SimulatedUsers.KnownJob> submitted = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      out.add(job(w, 1, 6 + i));
-      out.add(job(w, 5 + i, 1, 2));
+      submitted.add(submitJob(cluster, 1, 6 + i));
+      submitted.add(submitJob(cluster, 5 + i, 1, 2));
     }
-    return out;
+    return submitted;
   }
 
-  private static boolean completed(SimulatedCluster w, SimulatedUsers.KnownJob job, int step) {
-    return w.checker.hasCompleted(job.ref + "/" + step);
+  private static boolean isCompleted(
+      SimulatedCluster cluster, SimulatedUsers.KnownJob job, int taskIndex) {
+    return cluster.checker.hasCompleted(job.ref + "/" + taskIndex);
   }
 
-  private static void runUntilCompleted(SimulatedCluster w, SimulatedUsers.KnownJob job, int step) {
-    for (int i = 0; i < 400 && !completed(w, job, step); i++) {
-      w.run(50);
+  private static void awaitCompletion(
+      SimulatedCluster cluster, SimulatedUsers.KnownJob job, int taskIndex) {
+    for (int i = 0; i < 400 && !isCompleted(cluster, job, taskIndex); i++) {
+      cluster.run(50);
     }
-    assertTrue(completed(w, job, step), job.ref + "/" + step + " has not ended");
+    assertTrue(isCompleted(cluster, job, taskIndex), job.ref + "/" + taskIndex + " has not ended");
   }
 
   /** Each of its tasks ran once, and it is done. */
-  private static void doneOnce(SimulatedUsers.KnownJob job) {
+  private static void assertDoneOnce(SimulatedUsers.KnownJob job) {
     assertTrue(job.done, () -> job.ref + " is not done");
     assertEquals(job.steps, job.starts, () -> "starts of " + job.ref);
   }
@@ -79,22 +81,22 @@
     "9409,1700,1700",
     "9410,3000,9000"
   })
-  void doneIsSaidOnceAndOnlyWhenAllAre(long seed, long endsMs, long nextEndsMs) {
-    SimulatedCluster w = begun(seed);
-    List<SimulatedUsers.KnownJob> jobs = jobs(w);
-    runUntilCompleted(w, jobs.get(0), 0);
-    w.run(endsMs);
-    w.leader().crash(w.sim.between(100, 3000));
-    if (nextEndsMs >= 0) {
-      w.run(nextEndsMs);
-      if (w.leader() != null) {
-        w.leader().crash(w.sim.between(100, 3000));
+  void aJobIsDoneOnceAllItsTasksHaveEnded(long seed, long leaderCrashMs, long nextLeaderCrashMs) {
+    SimulatedCluster cluster = startCluster(seed);
+    List<SimulatedUsers.KnownJob> jobs = submitJobs(cluster);
+    awaitCompletion(cluster, jobs.get(0), 0);
+    cluster.run(leaderCrashMs);
+    cluster.leader().crash(cluster.sim.between(100, 3000));
+    if (nextLeaderCrashMs >= 0) {
+      cluster.run(nextLeaderCrashMs);
+      if (cluster.leader() != null) {
+        cluster.leader().crash(cluster.sim.between(100, 3000));
       }
     }
     jobs.forEach(job -> assertFalse(job.done, () -> job.ref + " is done before its last end"));
-    w.run(45_000);
-    jobs.forEach(UnevenTaskDurationsTest::doneOnce);
-    SeededDaysTest.settle(w);
+    cluster.run(45_000);
+    jobs.forEach(UnevenTaskDurationsTest::assertDoneOnce);
+    SeededDaysTest.settle(cluster);
   }
 
   /**
@@ -103,20 +105,20 @@
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9421, 9422, 9423, 9424})
-  void anEndKnownOnlyToTheFormerLeader(long seed) {
-    SimulatedCluster w = begun(seed);
-    List<SimulatedUsers.KnownJob> jobs = jobs(w);
-    SimulatedCluster.ControllerNode leader = w.leader();
-    runUntilCompleted(w, jobs.get(0), 0);
-    w.net.cut("node-" + leader.index, "state:1", seed % 2 == 0);
+  void aTaskEndKnownOnlyToTheFormerLeader(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    List<SimulatedUsers.KnownJob> jobs = submitJobs(cluster);
+    SimulatedCluster.ControllerNode leader = cluster.leader();
+    awaitCompletion(cluster, jobs.get(0), 0);
+    cluster.net.cut("node-" + leader.index, "state:1", seed % 2 == 0);
     // Its worker reports the end after half a second, and hears an answer.
-    w.run(700);
-    assertEquals(leader, w.leader(), "it leads no more, so it was not told");
+    cluster.run(700);
+    assertEquals(leader, cluster.leader(), "it leads no more, so it was not told");
     leader.crash(4000);
-    w.run(2500);
-    w.net.heal("node-" + leader.index, "state:1");
-    w.run(45_000);
-    jobs.forEach(UnevenTaskDurationsTest::doneOnce);
-    SeededDaysTest.settle(w);
+    cluster.run(2500);
+    cluster.net.heal("node-" + leader.index, "state:1");
+    cluster.run(45_000);
+    jobs.forEach(UnevenTaskDurationsTest::assertDoneOnce);
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/WaitingReasonsTest.java
+++ b/src/test/java/dapplestair/world/WaitingReasonsTest.java
@@ -1,10 +1,10 @@
 package dapplestair.world;
 
-import static dapplestair.world.OperatorsTest.answer;
-import static dapplestair.world.OperatorsTest.ask;
-import static dapplestair.world.OperatorsTest.order;
-import static dapplestair.world.OperatorsTest.quiet;
-import static dapplestair.world.OperatorsTest.reasons;
+import static dapplestair.world.OperatorsTest.awaitResponse;
+import static dapplestair.world.OperatorsTest.sendRequest;
+import static dapplestair.world.OperatorsTest.startQuietCluster;
+import static dapplestair.world.OperatorsTest.submitOrder;
+import static dapplestair.world.OperatorsTest.waitingReasons;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -25,99 +25,111 @@
 class WaitingReasonsTest {
   @Test
   void theTeamsLimitIsNamed() {
-    SimulatedCluster w = quiet(1, new SimulatedCluster.Size(40, 20, 1_000_000, 1));
-    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 60, 300);
-    w.run(40_000);
-    assertTrue(reasons(w, job).contains("team-limit"), reasons(w, job).toString());
+    SimulatedCluster cluster =
+        startQuietCluster(1, new SimulatedCluster.Size(40, 20, 1_000_000, 1));
+    SimulatedUsers.KnownJob job = cluster.users.array("one", "standard", 60, 300);
+    cluster.run(40_000);
+    assertTrue(
+        waitingReasons(cluster, job).contains("team-limit"),
+        waitingReasons(cluster, job).toString());
   }
 
   @Test
   void aCloudWithNothingToGiveIsNamed() {
-    SimulatedCluster w = quiet(2, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
-    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 100, 300);
-    w.run(40_000);
-    Set<String> all = reasons(w, job);
-    assertTrue(all.contains("cloud-refused") && all.contains("full"), all.toString());
+    SimulatedCluster cluster =
+        startQuietCluster(2, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
+    SimulatedUsers.KnownJob job = cluster.users.array("one", "standard", 100, 300);
+    cluster.run(40_000);
+    Set<String> found = waitingReasons(cluster, job);
+    assertTrue(found.contains("cloud-refused") && found.contains("full"), found.toString());
   }
 
   @Test
   void machinesOnTheirWayAreNamed() {
-    SimulatedCluster w = quiet(3, OperatorsTest.ROOMY);
-    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 60, 300);
-    w.run(4500);
-    JsonNode why = answer(w, "/v1/jobs/" + job.ref + "/why");
-    boolean booting = false;
-    for (JsonNode r : why.path("reasons")) {
-      booting |= r.path("reason").asText().equals("booting") && r.path("in_s").asDouble() <= 4;
+    SimulatedCluster cluster = startQuietCluster(3, OperatorsTest.ROOMY);
+    SimulatedUsers.KnownJob job = cluster.users.array("one", "standard", 60, 300);
+    cluster.run(4500);
+    JsonNode explanation = awaitResponse(cluster, "/v1/jobs/" + job.ref + "/why");
+    boolean isBootingNamed = false;
+    for (JsonNode r : explanation.path("reasons")) {
+      isBootingNamed |=
+          r.path("reason").asText().equals("booting") && r.path("in_s").asDouble() <= 4;
     }
-    assertTrue(booting, why.toString());
-    assertTrue(why.path("expected_start_s").asDouble(99) <= 4, why.toString());
+    assertTrue(isBootingNamed, explanation.toString());
+    assertTrue(explanation.path("expected_start_s").asDouble(99) <= 4, explanation.toString());
   }
 
   @Test
   void drainedMachinesAreNamed() {
-    SimulatedCluster w = quiet(4, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
-    w.users.array("one", "standard", 10, 5);
-    w.run(30_000);
+    SimulatedCluster cluster =
+        startQuietCluster(4, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
+    cluster.users.array("one", "standard", 10, 5);
+    cluster.run(30_000);
     for (String zone : SimulatedCluster.ZONES) {
-      order(w, "/v1/zones/" + zone + "/drain", Json.object());
+      submitOrder(cluster, "/v1/zones/" + zone + "/drain", Json.object());
     }
-    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 4, 300);
-    w.run(10_000);
-    Set<String> all = reasons(w, job);
-    assertTrue(all.contains("drained"), all.toString());
+    SimulatedUsers.KnownJob job = cluster.users.array("one", "standard", 4, 300);
+    cluster.run(10_000);
+    Set<String> found = waitingReasons(cluster, job);
+    assertTrue(found.contains("drained"), found.toString());
     for (String zone : SimulatedCluster.ZONES) {
-      order(w, "/v1/zones/" + zone + "/undrain", null);
+      submitOrder(cluster, "/v1/zones/" + zone + "/undrain", null);
     }
-    w.run(20_000);
-    assertEquals(Set.of(), reasons(w, job));
+    cluster.run(20_000);
+    assertEquals(Set.of(), waitingReasons(cluster, job));
   }
 
   @Test
   void aJobThatFailsEverywhereIsBackedOff() {
-    SimulatedCluster w = quiet(5, OperatorsTest.ROOMY);
-    w.also = () -> w.cloud.machines().forEach(EmulatedWorker::sicken);
-    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 6, 5);
-    w.run(25_000);
-    boolean named = false;
-    for (int i = 0; i < 10 && !named; i++) {
-      named = reasons(w, job).contains("backed-off");
-      w.run(700);
+    SimulatedCluster cluster = startQuietCluster(5, OperatorsTest.ROOMY);
+    cluster.also = () -> cluster.cloud.machines().forEach(EmulatedWorker::sicken);
+    SimulatedUsers.KnownJob job = cluster.users.array("one", "standard", 6, 5);
+    cluster.run(25_000);
+    boolean isNamed = false;
+    for (int i = 0; i < 10 && !isNamed; i++) {
+      isNamed = waitingReasons(cluster, job).contains("backed-off");
+      cluster.run(700);
     }
-    assertTrue(named);
+    assertTrue(isNamed);
   }
 
   /** Machines of both kinds are up in all zones, and the cloud has no more to give. */
-  private static SimulatedCluster full(long seed, int perPlace) {
-    return full(seed, perPlace, 15);
+  private static SimulatedCluster startFullCluster(long seed, int perPlace) {
+    return startFullCluster(seed, perPlace, 15);
   }
 
-  private static SimulatedCluster full(long seed, int perPlace, double runS) {
-    SimulatedCluster w = quiet(seed, new SimulatedCluster.Size(perPlace, 1000, 1_000_000, 1));
-    w.users.array("one", "standard", 60, runS);
-    w.users.changed("one", 60, 15, b -> b.put("loaners", false));
-    w.run(60_000);
-    w.cloud.setCapacity(0);
-    return w;
+  private static SimulatedCluster startFullCluster(long seed, int perPlace, double runS) {
+    SimulatedCluster cluster =
+        startQuietCluster(seed, new SimulatedCluster.Size(perPlace, 1000, 1_000_000, 1));
+    cluster.users.array("one", "standard", 60, runS);
+    cluster.users.changed("one", 60, 15, b -> b.put("loaners", false));
+    cluster.run(60_000);
+    cluster.cloud.setCapacity(0);
+    return cluster;
   }
 
   @Test
   void spotMachinesThatAJobDoesNotWantAreNamed() {
     // Long enough that no spot machine has been returned as idle when the question comes.
-    SimulatedCluster w = full(6, 1, 60);
-    SimulatedUsers.KnownJob job = w.users.changed("one", 40, 300, b -> b.put("loaners", false));
-    w.run(12_000);
-    JsonNode why = answer(w, "/v1/jobs/" + job.ref + "/why");
-    assertEquals(Set.of(), difference(Set.of("spot", "full"), reasons(w, job)), why.toString());
+    SimulatedCluster cluster = startFullCluster(6, 1, 60);
+    SimulatedUsers.KnownJob job =
+        cluster.users.changed("one", 40, 300, b -> b.put("loaners", false));
+    cluster.run(12_000);
+    JsonNode explanation = awaitResponse(cluster, "/v1/jobs/" + job.ref + "/why");
+    assertEquals(
+        Set.of(),
+        missingReasons(Set.of("spot", "full"), waitingReasons(cluster, job)),
+        explanation.toString());
   }
 
   /** Room on ordinary machines that work which may run on spot ones leaves to the next replicas. */
   @Test
   void roomHeldForServicesIsNamed() {
-    SimulatedCluster w = quiet(8, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
+    SimulatedCluster cluster =
+        startQuietCluster(8, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
     // Services that lately arrived are what is expected to arrive again.
     for (int i = 0; i < 40; i++) {
-      w.users.changed(
+      cluster.users.changed(
           "one",
           1,
           0,
@@ -128,22 +140,23 @@
                   .put("vcpus", 0.25)
                   .put("loaners", false));
     }
-    w.run(30_000);
-    w.cloud.setCapacity(0);
-    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 40, 300);
-    boolean named = false;
-    for (int i = 0; i < 20 && !named; i++) {
-      w.run(1000);
-      named = reasons(w, job).contains("held-for-services");
+    cluster.run(30_000);
+    cluster.cloud.setCapacity(0);
+    SimulatedUsers.KnownJob job = cluster.users.array("one", "standard", 40, 300);
+    boolean isNamed = false;
+    for (int i = 0; i < 20 && !isNamed; i++) {
+      cluster.run(1000);
+      isNamed = waitingReasons(cluster, job).contains("held-for-services");
     }
-    assertTrue(named, answer(w, "/v1/jobs/" + job.ref + "/why").toString());
+    assertTrue(isNamed, awaitResponse(cluster, "/v1/jobs/" + job.ref + "/why").toString());
   }
 
   /** A replica whose image lies where other work can be stopped sooner than a fetch would end. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6, 8, 9, 10, 13, 18})
   void aReplicaThatAwaitsItsImageSaysSo(long seed) {
-    SimulatedCluster w = quiet(seed, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
+    SimulatedCluster cluster =
+        startQuietCluster(seed, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
     Consumer<ObjectNode> service =
         b ->
             b.put("shape", "daemon")
@@ -153,126 +166,136 @@
                 .put("bundle", "img-large")
                 .put("vcpus", 2.0)
                 .put("imageGb", 8.0);
-    SimulatedUsers.KnownJob first = w.users.changed("one", 1, 0, service);
-    w.run(25_000);
+    SimulatedUsers.KnownJob first = cluster.users.changed("one", 1, 0, service);
+    cluster.run(25_000);
     EmulatedWorker holder = null;
-    for (EmulatedWorker m : w.cloud.machines()) {
+    for (EmulatedWorker m : cluster.cloud.machines()) {
       holder = m.tasks().stream().anyMatch(t -> t.key().equals(first.ref + "/0")) ? m : holder;
     }
     String zone = holder.zone();
     // All of its zone is full of what may be stopped; others keep some room.
-    w.cloud.setCapacity(0);
-    w.users.changed(
+    cluster.cloud.setCapacity(0);
+    cluster.users.changed(
         "one", 40, 300, b -> b.put("loaners", false).put("rank", "low").put("basin", zone));
-    w.run(15_000);
-    double others = 0;
-    for (JsonNode r : answer(w, "/v1/machines").path("rows")) {
+    cluster.run(15_000);
+    double maxFreeElsewhere = 0;
+    for (JsonNode r : awaitResponse(cluster, "/v1/machines").path("rows")) {
       double free = r.path("cpus").asDouble() - r.path("used").asDouble();
       if (r.path("id").asText().equals(holder.id())) {
         assertTrue(free < 2, "room where the image is: " + r);
       } else {
-        others = Math.max(others, free);
+        maxFreeElsewhere = Math.max(maxFreeElsewhere, free);
       }
     }
-    assertTrue(others >= 2, "no room elsewhere");
+    assertTrue(maxFreeElsewhere >= 2, "no room elsewhere");
     // It waits for as long as a stop takes, less than one answer is waited for: this one takes a
     // second, and the question is asked all the time.
-    for (SimulatedCluster.ControllerNode n : w.nodes) {
+    for (SimulatedCluster.ControllerNode n : cluster.nodes) {
       String from = "node-" + n.index;
       String to = holder.endpoint();
-      w.net.cut(from, to, true);
-      w.sim.after(1000, () -> w.net.heal(from, to));
+      cluster.net.cut(from, to, true);
+      cluster.sim.after(1000, () -> cluster.net.heal(from, to));
     }
-    SimulatedUsers.KnownJob second = w.users.changed("one", 1, 0, service);
-    Set<String> all = new LinkedHashSet<>();
-    String why = "/v1/jobs/" + second.ref + "/why";
-    for (int i = 0; i < 100 && all.stream().noneMatch(x -> x.contains("awaits-image")); i++) {
-      ask(w, i % 3, "GET", why, null, r -> all.add(new String(r.body(), StandardCharsets.UTF_8)));
-      w.run(20);
+    SimulatedUsers.KnownJob second = cluster.users.changed("one", 1, 0, service);
+    Set<String> found = new LinkedHashSet<>();
+    String explanationPath = "/v1/jobs/" + second.ref + "/why";
+    for (int i = 0; i < 100 && found.stream().noneMatch(x -> x.contains("awaits-image")); i++) {
+      sendRequest(
+          cluster,
+          i % 3,
+          "GET",
+          explanationPath,
+          null,
+          r -> found.add(new String(r.body(), StandardCharsets.UTF_8)));
+      cluster.run(20);
     }
-    assertTrue(all.stream().anyMatch(x -> x.contains("awaits-image")), all.toString());
+    assertTrue(found.stream().anyMatch(x -> x.contains("awaits-image")), found.toString());
   }
 
-  private static Set<String> difference(Set<String> wanted, Set<String> found) {
-    Set<String> out = new HashSet<>(wanted);
-    out.removeAll(found);
-    return out;
+  private static Set<String> missingReasons(Set<String> wanted, Set<String> found) {
+    Set<String> missing = new HashSet<>(wanted);
+    missing.removeAll(found);
+    return missing;
   }
 
   @Test
   void theOnlyZoneAllowedIsNamed() {
-    SimulatedCluster w = full(7, 1);
-    SimulatedUsers.KnownJob job = w.users.changed("one", 40, 300, b -> b.put("basin", "b"));
-    w.run(12_000);
-    Set<String> all = reasons(w, job);
-    assertEquals(Set.of(), difference(Set.of("not-allowed", "full"), all), all.toString());
+    SimulatedCluster cluster = startFullCluster(7, 1);
+    SimulatedUsers.KnownJob job = cluster.users.changed("one", 40, 300, b -> b.put("basin", "b"));
+    cluster.run(12_000);
+    Set<String> found = waitingReasons(cluster, job);
+    assertEquals(Set.of(), missingReasons(Set.of("not-allowed", "full"), found), found.toString());
   }
 
   @Test
   void theZoneOfTheOtherTasksIsNamed() {
-    SimulatedCluster w = quiet(8, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
-    w.users.array("one", "standard", 12, 8);
-    w.run(24_000);
-    w.cloud.setCapacity(0);
-    SimulatedUsers.KnownJob job = w.users.changed("one", 14, 300, b -> b.put("together", true));
-    w.run(3000);
-    Set<String> all = reasons(w, job);
-    assertTrue(all.contains("together"), all + " " + answer(w, "/v1/machines"));
+    SimulatedCluster cluster =
+        startQuietCluster(8, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
+    cluster.users.array("one", "standard", 12, 8);
+    cluster.run(24_000);
+    cluster.cloud.setCapacity(0);
+    SimulatedUsers.KnownJob job =
+        cluster.users.changed("one", 14, 300, b -> b.put("together", true));
+    cluster.run(3000);
+    Set<String> found = waitingReasons(cluster, job);
+    assertTrue(found.contains("together"), found + " " + awaitResponse(cluster, "/v1/machines"));
   }
 
   @Test
   void aCrowdedZoneIsNamed() {
-    SimulatedCluster w = quiet(9, new SimulatedCluster.Size(2, 1000, 1_000_000, 1));
-    order(w, "/v1/zones/b/drain", Json.object());
-    order(w, "/v1/zones/c/drain", Json.object());
-    SimulatedUsers.KnownJob job = w.users.service("one", 6);
-    w.run(40_000);
-    Set<String> all = reasons(w, job);
-    assertTrue(all.contains("spread"), all.toString());
-    assertEquals(3, DrainTest.running(w, job));
+    SimulatedCluster cluster =
+        startQuietCluster(9, new SimulatedCluster.Size(2, 1000, 1_000_000, 1));
+    submitOrder(cluster, "/v1/zones/b/drain", Json.object());
+    submitOrder(cluster, "/v1/zones/c/drain", Json.object());
+    SimulatedUsers.KnownJob job = cluster.users.service("one", 6);
+    cluster.run(40_000);
+    Set<String> found = waitingReasons(cluster, job);
+    assertTrue(found.contains("spread"), found.toString());
+    assertEquals(3, DrainTest.running(cluster, job));
   }
 
   @Test
   void aGangThatNeedsMoreRoomIsNamed() {
-    SimulatedCluster w = full(10, 1);
-    SimulatedUsers.KnownJob job = w.users.changed("one", 60, 300, b -> b.put("shape", "gang"));
+    SimulatedCluster cluster = startFullCluster(10, 1);
+    SimulatedUsers.KnownJob job =
+        cluster.users.changed("one", 60, 300, b -> b.put("shape", "gang"));
     // What ran there before has ended by then.
-    w.run(20_000);
-    JsonNode why = answer(w, "/v1/jobs/" + job.ref + "/why");
-    boolean named = false;
-    for (JsonNode r : why.path("reasons")) {
-      int room = r.path("room_for").asInt(-1);
-      named |= r.path("reason").asText().equals("gang") && room > 0 && room < 60;
+    cluster.run(20_000);
+    JsonNode explanation = awaitResponse(cluster, "/v1/jobs/" + job.ref + "/why");
+    boolean isNamed = false;
+    for (JsonNode r : explanation.path("reasons")) {
+      int roomFor = r.path("room_for").asInt(-1);
+      isNamed |= r.path("reason").asText().equals("gang") && roomFor > 0 && roomFor < 60;
     }
-    assertTrue(named, why.toString());
+    assertTrue(isNamed, explanation.toString());
   }
 
   @Test
   void aGangThatHasWaitedLongIsNamedToThoseBehindIt() {
-    SimulatedCluster w = full(15, 1);
-    w.users.changed("one", 60, 10, b -> b.put("shape", "gang"));
-    w.run(45_000);
-    SimulatedUsers.KnownJob behind = w.users.array("one", "standard", 6, 300);
-    w.run(4000);
-    Set<String> all = reasons(w, behind);
-    assertTrue(all.contains("behind-gang"), all.toString());
+    SimulatedCluster cluster = startFullCluster(15, 1);
+    cluster.users.changed("one", 60, 10, b -> b.put("shape", "gang"));
+    cluster.run(45_000);
+    SimulatedUsers.KnownJob laterJob = cluster.users.array("one", "standard", 6, 300);
+    cluster.run(4000);
+    Set<String> found = waitingReasons(cluster, laterJob);
+    assertTrue(found.contains("behind-gang"), found.toString());
   }
 
   @Test
   void machinesThatFailEverythingAreNamed() {
-    SimulatedCluster w = full(14, 1);
+    SimulatedCluster cluster = startFullCluster(14, 1);
     // What was empty has gone back meanwhile; some are up again for this.
-    w.cloud.setCapacity(1);
-    w.users.array("one", "standard", 20, 10);
-    w.run(12_000);
-    w.cloud.machines().forEach(EmulatedWorker::sicken);
-    w.users.array("one", "standard", 6, 10);
-    w.users.array("two", "standard", 6, 10);
-    w.run(10_000);
-    w.cloud.setDown(true);
-    SimulatedUsers.KnownJob job = w.users.array("one", "standard", 6, 10);
-    w.run(20_000);
-    Set<String> all = reasons(w, job);
-    assertTrue(all.contains("faulty") || all.contains("returning"), all.toString());
+    cluster.cloud.setCapacity(1);
+    cluster.users.array("one", "standard", 20, 10);
+    cluster.run(12_000);
+    cluster.cloud.machines().forEach(EmulatedWorker::sicken);
+    cluster.users.array("one", "standard", 6, 10);
+    cluster.users.array("two", "standard", 6, 10);
+    cluster.run(10_000);
+    cluster.cloud.setDown(true);
+    SimulatedUsers.KnownJob job = cluster.users.array("one", "standard", 6, 10);
+    cluster.run(20_000);
+    Set<String> found = waitingReasons(cluster, job);
+    assertTrue(found.contains("faulty") || found.contains("returning"), found.toString());
   }
 }
--- a/src/test/java/dapplestair/world/ZoneBoundTest.java
+++ b/src/test/java/dapplestair/world/ZoneBoundTest.java
@@ -14,21 +14,23 @@
  * off, or has none to begin with.
  */
 class ZoneBoundTest {
-  private static SimulatedCluster quiet(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
-    w.net.loss = 0;
-    w.users.quiet = true;
-    return w;
+  private static SimulatedCluster startQuietCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
+    cluster.net.loss = 0;
+    cluster.users.quiet = true;
+    return cluster;
   }
 
   /** Jobs of each shape that run in this zone alone; they last for half a minute. */
-  private static List<SimulatedUsers.KnownJob> bound(SimulatedCluster w, String zone) {
-    List<SimulatedUsers.KnownJob> out = new ArrayList<>();
+  private static List<SimulatedUsers.KnownJob> submitZoneBoundJobs(
+      SimulatedCluster cluster, String zone) {
+    List<SimulatedUsers.KnownJob> submitted = new ArrayList<>();
     double runS = 30;
-    out.add(w.users.changed("one", 12, runS, b -> b.put("basin", zone)));
-    out.add(w.users.changed("two", 1, runS, b -> b.put("basin", zone).put("loaners", false)));
-    out.add(
-        w.users.changed(
+    submitted.add(cluster.users.changed("one", 12, runS, b -> b.put("basin", zone)));
+    submitted.add(
+        cluster.users.changed("two", 1, runS, b -> b.put("basin", zone).put("loaners", false)));
+    submitted.add(
+        cluster.users.changed(
             "two",
             6,
             runS,
@@ -37,9 +39,10 @@
                     .put("together", true)
                     .put("snapshotEveryS", 5.0)
                     .put("snapshotS", 2.0)));
-    out.add(w.users.changed("one", 4, runS, b -> b.put("basin", zone).put("shape", "gang")));
-    out.add(
-        w.users.changed(
+    submitted.add(
+        cluster.users.changed("one", 4, runS, b -> b.put("basin", zone).put("shape", "gang")));
+    submitted.add(
+        cluster.users.changed(
             "one",
             2,
             0,
@@ -49,13 +52,14 @@
                     .put("jobclass", "serve")
                     .put("rank", "critical")
                     .put("loaners", false)));
-    return out;
+    return submitted;
   }
 
-  private static void eachMachine(SimulatedCluster w, String zone, Consumer<EmulatedWorker> act) {
-    for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
+  private static void forEachMachine(
+      SimulatedCluster cluster, String zone, Consumer<EmulatedWorker> action) {
+    for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
       if (m.zone().equals(zone) && m.booted() && !m.gone()) {
-        act.accept(m);
+        action.accept(m);
       }
     }
   }
@@ -63,15 +67,15 @@
   /** Each zone alone, while there is no machine, or machines of the others stand idle. */
   @ParameterizedTest(name = "zone {0}, seed {1}, others at work: {2}")
   @CsvSource({"a,9201,false", "b,9202,false", "c,9203,false", "b,9204,true", "c,9205,true"})
-  void machinesComeWhereTheJobIsBound(String zone, long seed, boolean others) {
-    SimulatedCluster w = quiet(seed);
-    w.run(5000);
-    if (others) {
-      w.users.array("one", "high", 12, 200);
-      w.run(20_000);
+  void machinesAreRentedInTheZoneOfTheJob(String zone, long seed, boolean othersAtWork) {
+    SimulatedCluster cluster = startQuietCluster(seed);
+    cluster.run(5000);
+    if (othersAtWork) {
+      cluster.users.array("one", "high", 12, 200);
+      cluster.run(20_000);
     }
-    List<SimulatedUsers.KnownJob> jobs = bound(w, zone);
-    w.run(90_000);
+    List<SimulatedUsers.KnownJob> jobs = submitZoneBoundJobs(cluster, zone);
+    cluster.run(90_000);
     jobs.forEach(
         job -> assertTrue(job.service ? job.started : job.done, () -> job.body + " waits"));
   }
@@ -93,38 +97,38 @@
     "9219,a,recall,30",
     "9220,c,recall,3000"
   })
-  void theZoneLosesMachines(long seed, String zone, String how, long leaderEndsMs) {
-    SimulatedCluster w = quiet(seed);
-    w.run(5000);
-    w.users.array("two", "standard", 40, 15);
-    List<SimulatedUsers.KnownJob> jobs = bound(w, zone);
-    w.run(30_000);
+  void theZoneLosesMachines(long seed, String zone, String machineFault, long leaderCrashMs) {
+    SimulatedCluster cluster = startQuietCluster(seed);
+    cluster.run(5000);
+    cluster.users.array("two", "standard", 40, 15);
+    List<SimulatedUsers.KnownJob> jobs = submitZoneBoundJobs(cluster, zone);
+    cluster.run(30_000);
     for (int round = 0; round < 2; round++) {
-      eachMachine(
-          w,
+      forEachMachine(
+          cluster,
           zone,
           m -> {
-            if (w.sim.chance(0.6)) {
-              lose(w, m, how);
+            if (cluster.sim.chance(0.6)) {
+              failMachine(cluster, m, machineFault);
             }
           });
-      if (leaderEndsMs >= 0) {
-        w.run(leaderEndsMs);
-        w.users.cancel(jobs.get(round));
-        if (w.leader() != null) {
-          w.leader().crash(w.sim.between(100, 4000));
+      if (leaderCrashMs >= 0) {
+        cluster.run(leaderCrashMs);
+        cluster.users.cancel(jobs.get(round));
+        if (cluster.leader() != null) {
+          cluster.leader().crash(cluster.sim.between(100, 4000));
         }
       }
-      w.run(SimulatedCluster.LEASE_MS);
+      cluster.run(SimulatedCluster.LEASE_MS);
     }
-    SeededDaysTest.settle(w);
+    SeededDaysTest.settle(cluster);
   }
 
-  private static void lose(SimulatedCluster w, EmulatedWorker m, String how) {
-    switch (how) {
+  private static void failMachine(SimulatedCluster cluster, EmulatedWorker m, String machineFault) {
+    switch (machineFault) {
       case "end" -> m.end();
-      case "hang" -> m.hang(SimulatedCluster.LEASE_MS * w.sim.between(8, 12) / 10);
-      default -> m.recall(w.sim.between(0, 15_000));
+      case "hang" -> m.hang(SimulatedCluster.LEASE_MS * cluster.sim.between(8, 12) / 10);
+      default -> m.recall(cluster.sim.between(0, 15_000));
     }
   }
 
@@ -144,17 +148,17 @@
     "9238,b,35,1700"
   })
   void theZoneIsCutOff(long seed, String zone, int tenths, long cancelMs) {
-    SimulatedCluster w = quiet(seed);
-    w.run(5000);
-    w.users.array("two", "standard", 40, 15);
-    List<SimulatedUsers.KnownJob> jobs = bound(w, zone);
-    w.run(30_000);
+    SimulatedCluster cluster = startQuietCluster(seed);
+    cluster.run(5000);
+    cluster.users.array("two", "standard", 40, 15);
+    List<SimulatedUsers.KnownJob> jobs = submitZoneBoundJobs(cluster, zone);
+    cluster.run(30_000);
     long cutMs = SimulatedCluster.LEASE_MS * tenths / 10;
-    w.cutZone(zone, seed % 2 == 0, cutMs);
-    w.run(cancelMs);
-    jobs.subList(0, 3).forEach(w.users::cancel);
-    w.run(cutMs);
-    bound(w, zone);
-    SeededDaysTest.settle(w);
+    cluster.cutZone(zone, seed % 2 == 0, cutMs);
+    cluster.run(cancelMs);
+    jobs.subList(0, 3).forEach(cluster.users::cancel);
+    cluster.run(cutMs);
+    submitZoneBoundJobs(cluster, zone);
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/ZonesTest.java
+++ b/src/test/java/dapplestair/world/ZonesTest.java
@@ -17,7 +17,7 @@
 /** The life of zones on record while they are cut, lost and back, and leaders end meanwhile. */
 class ZonesTest {
   /** What may follow what. */
-  private static final Map<String, Set<String>> NEXT =
+  private static final Map<String, Set<String>> ALLOWED_TRANSITIONS =
       Map.of(
           "STEADY", Set.of("CUT"),
           "CUT", Set.of("LOST", "RETURNING"),
@@ -25,26 +25,28 @@
           "RETURNING", Set.of("STEADY", "CUT"));
 
   /** Every state that the record of a zone takes, in order; fails on one that may not follow. */
-  private static List<String> watch(SimulatedCluster w, String zone) {
+  private static List<String> recordStates(SimulatedCluster cluster, String zone) {
     List<String> seen = new ArrayList<>(List.of("STEADY"));
-    w.also =
+    cluster.also =
         () -> {
-          JsonNode life = w.state.value("live/zone/" + zone);
-          String now = life == null ? "STEADY" : life.path("state").asText();
+          JsonNode zoneRecord = cluster.state.value("live/zone/" + zone);
+          String now = zoneRecord == null ? "STEADY" : zoneRecord.path("state").asText();
           String last = seen.get(seen.size() - 1);
           if (!now.equals(last)) {
-            assertTrue(NEXT.get(last).contains(now), zone + " goes from " + last + " to " + now);
+            assertTrue(
+                ALLOWED_TRANSITIONS.get(last).contains(now),
+                zone + " goes from " + last + " to " + now);
             seen.add(now);
           }
         };
     return seen;
   }
 
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = DisruptionTest.begun(seed, 5, 5);
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = DisruptionTest.begun(seed, 5, 5);
     // What is lost with a zone is no choice; other tests look at that.
-    w.checker.budget = null;
-    return w;
+    cluster.checker.budget = null;
+    return cluster;
   }
 
   /** A cut of some tenths of a lease, with the leader's end at some second of it. */
@@ -53,8 +55,8 @@
     "3,-1", "3,2", "9,-1", "9,4", "9,12", "11,-1", "11,5", "11,17", "20,-1", "20,3", "20,16",
     "20,25", "40,-1", "40,10", "40,30", "40,60"
   })
-  void aCutIsOnRecordOnce(int tenths, int leaderEndsAt) {
-    cutOnce(tenths, leaderEndsAt, 1000 + 10L * tenths + leaderEndsAt);
+  void aCutIsOnRecordOnce(int tenths, int leaderCrashS) {
+    cutOnce(tenths, leaderCrashS, 1000 + 10L * tenths + leaderCrashS);
   }
 
   /**
@@ -74,136 +76,137 @@
     "20,3,22203",
     "20,16,17216"
   })
-  void aZoneWithoutMachinesIsHeardAgain(int tenths, int leaderEndsAt, long seed) {
-    cutOnce(tenths, leaderEndsAt, seed);
+  void aZoneWithoutMachinesIsHeardAgain(int tenths, int leaderCrashS, long seed) {
+    cutOnce(tenths, leaderCrashS, seed);
   }
 
-  private static void cutOnce(int tenths, int leaderEndsAt, long seed) {
-    SimulatedCluster w = begun(seed);
-    List<String> seen = watch(w, "c");
+  private static void cutOnce(int tenths, int leaderCrashS, long seed) {
+    SimulatedCluster cluster = startCluster(seed);
+    List<String> seen = recordStates(cluster, "c");
     long cutMs = SimulatedCluster.LEASE_MS * tenths / 10;
-    long began = w.sim.now();
-    w.cutZone("c", tenths % 2 == 0, cutMs);
-    if (leaderEndsAt >= 0) {
-      w.run(1000L * leaderEndsAt);
-      if (w.leader() != null) {
-        w.leader().crash(4000);
+    long cutAtMs = cluster.sim.now();
+    cluster.cutZone("c", tenths % 2 == 0, cutMs);
+    if (leaderCrashS >= 0) {
+      cluster.run(1000L * leaderCrashS);
+      if (cluster.leader() != null) {
+        cluster.leader().crash(4000);
       }
     }
-    w.run(Math.max(0, cutMs - (w.sim.now() - began)));
-    w.run(3 * SimulatedCluster.LEASE_MS);
+    cluster.run(Math.max(0, cutMs - (cluster.sim.now() - cutAtMs)));
+    cluster.run(3 * SimulatedCluster.LEASE_MS);
     // Zone c has no controller, so what runs there is lost with its leases.
-    boolean lost = tenths >= 20;
-    boolean maybe = tenths == 9 || tenths == 11;
+    boolean mustBeLost = tenths >= 20;
+    boolean mayBeLost = tenths == 9 || tenths == 11;
     String all = String.join(" ", seen);
-    if (tenths == 3 && leaderEndsAt >= 0 && all.equals("STEADY")) {
+    if (tenths == 3 && leaderCrashS >= 0 && all.equals("STEADY")) {
       // Over before anybody led who could have noticed it.
       return;
     }
     assertTrue(
-        all.equals("STEADY CUT RETURNING STEADY") && !lost
-            || all.equals("STEADY CUT LOST RETURNING STEADY") && (lost || maybe),
+        all.equals("STEADY CUT RETURNING STEADY") && !mustBeLost
+            || all.equals("STEADY CUT LOST RETURNING STEADY") && (mustBeLost || mayBeLost),
         all);
-    JsonNode life = w.state.value("live/zone/c");
-    assertEquals(1, life.path("cuts").asInt(), "one cut, whoever led");
-    long late = life.path("cutAt").asLong() - (1_700_000_000_000L + began);
+    JsonNode zoneRecord = cluster.state.value("live/zone/c");
+    assertEquals(1, zoneRecord.path("cuts").asInt(), "one cut, whoever led");
+    long recordedLateMs = zoneRecord.path("cutAt").asLong() - (1_700_000_000_000L + cutAtMs);
     assertTrue(
-        Math.abs(late) < 2 * SimulatedCluster.REPORT_MS, "cut " + late + " ms late by the record");
-    assertEquals(72, DisruptionTest.replicas(w), "replicas once all is over");
+        Math.abs(recordedLateMs) < 2 * SimulatedCluster.REPORT_MS,
+        "cut " + recordedLateMs + " ms late by the record");
+    assertEquals(72, DisruptionTest.replicas(cluster), "replicas once all is over");
   }
 
   /** A zone that flaps is held down for twice as long each time, and nothing is rented there. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {21, 22, 23})
   void aZoneThatFlapsIsHeldDown(long seed) {
-    SimulatedCluster w = begun(seed);
+    SimulatedCluster cluster = startCluster(seed);
     // So that the fleet stays as it is.
-    w.users.array("one", "high", 60, 600);
-    w.run(15_000);
-    List<String> seen = watch(w, "c");
+    cluster.users.array("one", "high", 60, 600);
+    cluster.run(15_000);
+    List<String> seen = recordStates(cluster, "c");
     for (int i = 1; i <= 5; i++) {
-      w.cutZone("c", i % 2 == 0, SimulatedCluster.LEASE_MS * 2 / 3);
-      w.run(SimulatedCluster.LEASE_MS * 2 / 3 + 1500);
-      if (i == 3 && w.leader() != null) {
-        w.leader().crash(3000);
+      cluster.cutZone("c", i % 2 == 0, SimulatedCluster.LEASE_MS * 2 / 3);
+      cluster.run(SimulatedCluster.LEASE_MS * 2 / 3 + 1500);
+      if (i == 3 && cluster.leader() != null) {
+        cluster.leader().crash(3000);
       }
-      w.run(SimulatedCluster.LEASE_MS / 2);
-      assertEquals(i, w.state.value("live/zone/c").path("cuts").asInt(), seen.toString());
+      cluster.run(SimulatedCluster.LEASE_MS / 2);
+      assertEquals(i, cluster.state.value("live/zone/c").path("cuts").asInt(), seen.toString());
     }
-    Set<String> before = ReplacementTest.machines(w);
+    Set<String> before = ReplacementTest.machineIds(cluster);
     for (int i = 0; i < 4; i++) {
-      w.users.array("one", "high", 60, 10);
-      w.run(SimulatedCluster.LEASE_MS);
+      cluster.users.array("one", "high", 60, 10);
+      cluster.run(SimulatedCluster.LEASE_MS);
     }
     assertEquals("RETURNING", seen.get(seen.size() - 1), "held for eight leases by now");
-    for (EmulatedWorker m : w.cloud.machines()) {
+    for (EmulatedWorker m : cluster.cloud.machines()) {
       assertTrue(
           before.contains(m.id()) || !m.zone().equals("c"), m.id() + " was rented in a held zone");
     }
-    w.run(8 * SimulatedCluster.LEASE_MS);
+    cluster.run(8 * SimulatedCluster.LEASE_MS);
     assertEquals("STEADY", seen.get(seen.size() - 1));
-    assertEquals(72, DisruptionTest.replicas(w), "replicas once all is over");
+    assertEquals(72, DisruptionTest.replicas(cluster), "replicas once all is over");
   }
 
   /** When all zones are silent it is we who are cut off: nothing is concluded of any zone. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {31, 32})
   void whoHearsNobodyConcludesNothing(long seed) {
-    SimulatedCluster w = begun(seed);
+    SimulatedCluster cluster = startCluster(seed);
     for (int i = 0; i < 85; i++) {
       // Machines that come up meanwhile are out of reach as well.
-      for (SimulatedCluster.ControllerNode n : w.nodes) {
-        for (EmulatedWorker m : w.cloud.machines()) {
-          w.net.cut("node-" + n.index, m.endpoint(), false);
-          w.net.cut(SimulatedCluster.client(n.index), m.endpoint(), false);
+      for (SimulatedCluster.ControllerNode n : cluster.nodes) {
+        for (EmulatedWorker m : cluster.cloud.machines()) {
+          cluster.net.cut("node-" + n.index, m.endpoint(), false);
+          cluster.net.cut(SimulatedCluster.client(n.index), m.endpoint(), false);
         }
       }
-      w.run(100);
+      cluster.run(100);
     }
-    assertEquals(List.of(), List.copyOf(w.state.keys("live/zone/")));
+    assertEquals(List.of(), List.copyOf(cluster.state.keys("live/zone/")));
   }
 
   /** A zone whose machines have all been given up is tried again after a while. */
   @Test
   void anEmptiedZoneIsTriedAgain() {
-    SimulatedCluster w = begun(41);
-    List<String> seen = watch(w, "c");
-    for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
+    SimulatedCluster cluster = startCluster(41);
+    List<String> seen = recordStates(cluster, "c");
+    for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
       if (m.zone().equals("c")) {
         m.end();
       }
     }
-    w.run(12 * SimulatedCluster.LEASE_MS);
+    cluster.run(12 * SimulatedCluster.LEASE_MS);
     assertEquals("STEADY", seen.get(seen.size() - 1), seen.toString());
     assertTrue(seen.contains("CUT"), seen.toString());
   }
 
   /** A second zone is lost while the first one returns; both are said as they are. */
   @Test
-  void aSecondZoneWhileTheFirstReturns() {
-    SimulatedCluster w = begun(51);
-    w.cutZone("c", false, SimulatedCluster.LEASE_MS * 3 / 2);
-    w.run(SimulatedCluster.LEASE_MS * 3 / 2 + 3000);
+  void aSecondZoneIsCutWhileTheFirstReturns() {
+    SimulatedCluster cluster = startCluster(51);
+    cluster.cutZone("c", false, SimulatedCluster.LEASE_MS * 3 / 2);
+    cluster.run(SimulatedCluster.LEASE_MS * 3 / 2 + 3000);
     // Its machines were given up, so that nobody can be heard there yet.
-    assertEquals("LOST", state(w, "c"));
-    w.cutZone("b", false, SimulatedCluster.LEASE_MS);
-    w.run(SimulatedCluster.REPORT_MS * 5 / 2);
-    assertEquals("CUT", state(w, "b"));
-    JsonNode rows = OperatorsTest.answer(w, "/v1/zones").path("rows");
+    assertEquals("LOST", recordedState(cluster, "c"));
+    cluster.cutZone("b", false, SimulatedCluster.LEASE_MS);
+    cluster.run(SimulatedCluster.REPORT_MS * 5 / 2);
+    assertEquals("CUT", recordedState(cluster, "b"));
+    JsonNode rows = OperatorsTest.awaitResponse(cluster, "/v1/zones").path("rows");
     assertEquals("steady", rows.path(0).path("state").asText(), rows.toString());
     assertEquals("cut", rows.path(1).path("state").asText(), rows.toString());
     assertTrue(rows.path(1).path("not_proved").asInt() > 0, rows.toString());
     // Late reports of machines that were returned may be all that is heard of it.
     String third = rows.path(2).path("state").asText();
     assertTrue(Set.of("lost", "returning").contains(third), rows.toString());
-    w.run(6 * SimulatedCluster.LEASE_MS);
-    assertEquals("STEADY", state(w, "b"));
-    assertEquals("STEADY", state(w, "c"));
-    assertEquals(72, DisruptionTest.replicas(w), "replicas once all is over");
+    cluster.run(6 * SimulatedCluster.LEASE_MS);
+    assertEquals("STEADY", recordedState(cluster, "b"));
+    assertEquals("STEADY", recordedState(cluster, "c"));
+    assertEquals(72, DisruptionTest.replicas(cluster), "replicas once all is over");
   }
 
-  private static String state(SimulatedCluster w, String zone) {
-    JsonNode life = w.state.value("live/zone/" + zone);
-    return life == null ? "STEADY" : life.path("state").asText();
+  private static String recordedState(SimulatedCluster cluster, String zone) {
+    JsonNode zoneRecord = cluster.state.value("live/zone/" + zone);
+    return zoneRecord == null ? "STEADY" : zoneRecord.path("state").asText();
   }
 }
