--- a/src/test/java/dapplestair/world/FailingJobsTest.java
+++ b/src/test/java/dapplestair/world/FailingJobsTest.java
@@ -249,8 +249,7 @@
   @ValueSource(longs = {2071, 2072})
   void newMachinesAreNotBlamedForJobs(long seed) {
     SimulatedCluster w = begun(seed);
-    OperatorsTest.submitOrder(
-        w, "/v1/replacements/night/start", ReplacementTest.orderForAllMachines(6, 6));
+    OperatorsTest.submitOrder(w, "/v1/replacements/night/start", ReplacementTest.orderForAll(6, 6));
     for (int i = 0; i < 20; i++) {
       wrong(w, STEPS);
       w.run(4000);
--- a/src/test/java/dapplestair/world/LastTaskEndTest.java
+++ b/src/test/java/dapplestair/world/LastTaskEndTest.java
@@ -14,28 +14,32 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A cancellation, a question or a repeated submission meets the end of a job's last task, with no
- * other trouble: at the moment at which the task ends on its machine, or at which its end reaches
- * the state service, or while its end or its cancellation is on its way there, moved by a message,
- * a put or a report, at the leader or at others.
+ * Requests that arrive while the last task of a job ends, without other faults. A cancellation, a
+ * read or a repeated submission is sent to the leader or to other controllers when the task ends on
+ * its machine, when the end of the job reaches the state service, or while the commit of the end or
+ * of the cancellation is on its way there. Offsets of a message, a put or a report move the
+ * requests.
  */
 class LastTaskEndTest {
   private static final int JOBS = 12;
   private static final long RUN_S = 4;
 
-  /** The step of an end at which the request is sent. */
+  /** The step in the end of a job at which the requests are sent. */
   enum Step {
     /** The last task exits on its machine. */
     TASK_EXITS,
-    /** The job's end is on its way to the state service, and takes a while. */
+    /** The commit of the end of the job is delayed on its way to the state service. */
     DONE_IS_SENT,
-    /** A cancellation asked for when the task exited is on its way, and takes a while. */
+    /**
+     * The commit of a cancellation that was requested when the task exited is delayed on its way to
+     * the state service.
+     */
     CANCELLATION_IS_SENT,
-    /** The job's end is carried out; nobody has heard of it. */
+    /** The end of the job is committed, and no controller or user has learned of it. */
     DONE_IS_PUT
   }
 
-  /** Who sends what where. */
+  /** A simulated cluster that sends requests at the chosen step of the end of each job. */
   private static final class Scenario {
     final SimulatedCluster cluster;
     final ConcurrentReaders readers;
@@ -65,9 +69,9 @@
           };
     }
 
-    void submit(int i) {
+    void submit(int index) {
       SimulatedUsers.KnownJob job =
-          cluster.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 3, RUN_S);
+          cluster.users.array(index % 2 == 0 ? "one" : "two", "high", 1 + index % 3, RUN_S);
       jobs.put(job.ref, job);
     }
 
@@ -104,7 +108,10 @@
       }
     }
 
-    /** In turn: cancelled at the leader, at another, at all at once, asked for and repeated. */
+    /**
+     * Sends requests around the end of a job. The kind rotates: cancellation at the leader, at the
+     * other controllers, at all of them, and only reads with repeated submissions.
+     */
     private void sendRequests(SimulatedUsers.KnownJob job) {
       int leader = cluster.leader().index;
       int kind = requestedEnds++ % 4;
@@ -124,7 +131,7 @@
 
     String recordedStatus(SimulatedUsers.KnownJob job) {
       JsonNode jobRecord = cluster.state.value(CommitInterceptor.OVER + job.ref);
-      assertNotNull(jobRecord, job.ref + " is not over");
+      assertNotNull(jobRecord, job.ref + " has no record of its end");
       return jobRecord.path("status").asText();
     }
   }
@@ -158,7 +165,7 @@
     SeededDaysTest.settle(scenario.cluster);
     assertTrue(
         2 * scenario.requestedEnds >= JOBS,
-        scenario.requestedEnds + " of " + JOBS + " ends were met");
+        scenario.requestedEnds + " of " + JOBS + " jobs got requests at their end");
     for (SimulatedUsers.KnownJob job : scenario.jobs.values()) {
       assertEquals(scenario.recordedStatus(job), job.finalState(), job.ref);
       if (step == Step.DONE_IS_PUT) {
--- a/src/test/java/dapplestair/world/LateCommandsTest.java
+++ b/src/test/java/dapplestair/world/LateCommandsTest.java
@@ -11,15 +11,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Commands of a leader that has ended or was deposed arrive after the new leader's, and those of a
- * living one after its own later ones. Each is carried out once if token and session still match,
- * and its sender hears nothing of it (docs/meetings.md).
+ * Guards against late commands that do harm: commands of a crashed or deposed leader arrive after
+ * those of the new leader, or commands of a running leader arrive after its own later ones. Each is
+ * carried out once if its token and session still match, and the sender gets no response
+ * (docs/meetings.md).
  */
 class LateCommandsTest {
-  /** How many commands of each kind are held up. */
+  /** Maximum number of commands of one kind that are delayed in a round. */
   private static final int MAX_HELD_COMMANDS = 12;
 
-  /** Teams at their limits: what starts once too often is seen. */
+  /**
+   * Starts a cluster whose teams are at their limits, so that a task that starts once too often is
+   * detected.
+   */
   private static SimulatedCluster startCluster(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 24, 700, 6));
     cluster.net.loss = 0;
@@ -38,7 +42,10 @@
     }
   }
 
-  /** Nobody but the old leader gets to this zone's machines, and they get to nobody. */
+  /**
+   * Cuts the links between the machines of a zone and all controllers but the old leader, in both
+   * directions.
+   */
   private static void isolateZoneFromOthers(
       SimulatedCluster cluster, SimulatedCluster.ControllerNode oldLeader, String zone, long ms) {
     for (EmulatedWorker m : cluster.cloud.machines()) {
@@ -66,7 +73,7 @@
     return zoneOf(cluster, endpoint).equals(zoneOf(cluster, other));
   }
 
-  /** A third of what runs, or is about to, is cancelled through the new leader. */
+  /** Cancels about a third of the accepted jobs that have not ended, through the new leader. */
   private static void cancelThirdOfJobs(SimulatedCluster cluster) {
     for (SimulatedUsers.KnownJob job : new ArrayList<>(cluster.users.told.values())) {
       if (job.accepted && !job.done && !job.cancelAsked && cluster.sim.chance(0.33)) {
@@ -76,8 +83,9 @@
   }
 
   /**
-   * Commands of one kind are held up; with the last of them the leader ends or is deposed. They
-   * arrive so much later, at machines that the next leader has reached by then or has not.
+   * Delays commands of one kind, and crashes or deposes the leader once some are delayed. The
+   * commands arrive {@code heldMs} later, at machines that the next leader has or has not reached
+   * by then.
    */
   @ParameterizedTest(name = "seed {0}, {1} held for {2} ms, their leader {3}, others reach: {4}")
   @CsvSource({
@@ -121,7 +129,7 @@
       for (int k = 0; k < 500 && (heldEndpoints.isEmpty() || k < 50); k++) {
         cluster.run(20);
       }
-      assertTrue(!heldEndpoints.isEmpty(), "nothing was held up");
+      assertTrue(!heldEndpoints.isEmpty(), "no command was delayed");
       if (!reachedByOthers) {
         isolateZoneFromOthers(
             cluster, oldLeader, zoneOf(cluster, heldEndpoints.get(0)), heldMs + 1000);
@@ -136,11 +144,11 @@
         reachedByOthers ? cluster.net.lateRefused.get() : cluster.net.lateTaken.get();
     assertTrue(
         lateCommandCount > 0,
-        "none came late: " + cluster.net.lateTaken + ", " + cluster.net.lateRefused);
+        "no command arrived late: " + cluster.net.lateTaken + ", " + cluster.net.lateRefused);
     SeededDaysTest.settle(cluster);
   }
 
-  /** Two leaders' commands for the same tasks are both on their way when a third one begins. */
+  /** Commands of two leaders for the same tasks are in flight when a third leader begins. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5121, 5122, 5123, 5124})
   void commandsOfTwoLeadersInFlight(long seed) {
@@ -154,7 +162,7 @@
           disableLeader(cluster, oldLeader, cluster.sim.chance(0.5) ? "ends" : "alone");
         }
         cluster.run(cluster.sim.between(2500, 5000));
-        assertNotEquals(oldLeader, cluster.leader(), "it still leads");
+        assertNotEquals(oldLeader, cluster.leader(), "the old leader still leads");
       }
       cancelThirdOfJobs(cluster);
       cluster.net.lateCommands = 0;
@@ -164,8 +172,9 @@
   }
 
   /**
-   * A machine's reports arrive and lack a launch that is held up; what it is answered is lost, and
-   * later commands come later. So it knows of no raised token when the launch arrives after all.
+   * Reports of a machine arrive without a launch that is delayed; the responses to them are lost,
+   * and later commands are delayed, too. So the machine knows no raised token when the launch
+   * arrives after all.
    */
   @ParameterizedTest(name = "seed {0}, held for {1} ms")
   @CsvSource({"5141,3500", "5142,4000", "5143,4500", "5144,5000"})
@@ -192,11 +201,11 @@
           to -> cluster.net.healOneWay(SimulatedCluster.client(leader.index), to));
       cluster.run(6000);
     }
-    assertTrue(cluster.net.lateTaken.get() > 0, "none came late");
+    assertTrue(cluster.net.lateTaken.get() > 0, "no command arrived late");
     SeededDaysTest.settle(cluster);
   }
 
-  /** A share of all direct commands, for long, under leaders that live. */
+  /** Delays a share of all direct commands for a long time, without leader changes. */
   @ParameterizedTest(name = "seed {0}, share {1}")
   @CsvSource({"5131,0.15", "5132,0.4", "5133,0.4", "5134,0.6"})
   void lateCommandsUnderOneLeader(long seed, double share) {
@@ -207,7 +216,7 @@
       cancelThirdOfJobs(cluster);
     }
     cluster.net.lateCommands = 0;
-    assertTrue(cluster.net.lateRefused.get() > 0, "none came late");
+    assertTrue(cluster.net.lateRefused.get() > 0, "no command arrived late");
     SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/LeaderChangeRunner.java
+++ b/src/test/java/dapplestair/world/LeaderChangeRunner.java
@@ -40,11 +40,15 @@
     RefusedThenOutageTest.CancelTarget asked =
         pick(RefusedThenOutageTest.CancelTarget.values(), seed / 10);
     long askedMs = Math.min(offset, 900);
-    play("limits", seed, s -> TeamLimitsTest.play(s, fault, change, Math.max(-1500, offset)));
+    play(
+        "limits", seed, s -> TeamLimitsTest.runScenario(s, fault, change, Math.max(-1500, offset)));
     play("handover", seed, s -> HandoverTest.play(s, change, Math.max(-400, offset)));
-    play("refused", seed, s -> RefusedThenOutageTest.play(s, asked, askedMs, pick(LINKS, s), 1700));
+    play(
+        "refused",
+        seed,
+        s -> RefusedThenOutageTest.runScenario(s, asked, askedMs, pick(LINKS, s), 1700));
     long outMs = seed % 2 * 8000;
-    play("leaders", seed, s -> ManyLeadersTest.play(s, fault, (int) (s % 5), outMs));
+    play("leaders", seed, s -> ManyLeadersTest.runScenario(s, fault, (int) (s % 5), outMs));
   }
 
   public static void main(String[] args) {
--- a/src/test/java/dapplestair/world/LeadsAgainTest.java
+++ b/src/test/java/dapplestair/world/LeadsAgainTest.java
@@ -6,14 +6,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A controller leads again soon after it has lost the lead, with launches and ends not on record.
+ * Guards against stale state in a controller that leads again soon after it lost leadership, with
+ * launches and ends that it had not recorded.
  */
 class LeadsAgainTest {
   private static final SimulatedCluster.Size CROWDED = new SimulatedCluster.Size(16, 50, 350, 12);
   private static final int ROUNDS = 24;
   private static final long OTHERS_REFUSED_MS = 900;
 
-  /** The leader's key is lost; for a while nobody but the same controller can win it. */
+  /**
+   * Deletes the key of the leader; if {@code othersRefused}, the state service refuses the other
+   * controllers for a while, so that only the same controller can win the election.
+   */
   private static void loseLeaderKey(
       SimulatedCluster cluster, SimulatedCluster.ControllerNode leader, boolean othersRefused) {
     for (SimulatedCluster.ControllerNode node : cluster.nodes) {
--- a/src/test/java/dapplestair/world/LeaseResponsesTest.java
+++ b/src/test/java/dapplestair/world/LeaseResponsesTest.java
@@ -22,15 +22,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Guards of the proof in docs/cancellations.md that other layers hide on a whole day: each is shown
- * by the answer that one controller gives to one report, or by the moment of one message.
+ * Checks the steps of the proof in docs/cancellations.md that other layers hide in whole simulated
+ * days. Each step shows in the response of one controller to one report, or in the timing of one
+ * message.
  */
 class LeaseResponsesTest {
-  /** For how long after a cancellation a leader that does not know of it may send launches. */
+  /** How long after a cancellation a leader that does not know of it may still send launches. */
   private static final long MAX_LAUNCH_DELAY_MS =
       (SimulatedCluster.CANCEL_MS - SimulatedCluster.LEASE_MS - SimulatedCluster.LEASE_MS / 16) / 4;
 
-  /** Sends a machine's report as it is now, or changed by the test. */
+  /** Sends the report of a machine, unchanged or changed by the test. */
   private static final class Reporter {
     private final EmulatedWorker machine;
     private final ObjectNode report;
@@ -62,7 +63,7 @@
   }
 
   private static long token(HttpReply reply) {
-    assertEquals(200, reply.status(), "the lease is kept");
+    assertEquals(200, reply.status(), "the response does not keep the lease");
     return Json.parse(reply.body()).path("baton").asLong();
   }
 
@@ -75,7 +76,8 @@
   }
 
   /**
-   * Halts of jobs that are not done: of those that are, what is on record may be halted as well.
+   * Returns the halts of jobs that are not done. Jobs that are done are left out, since their
+   * recorded attempts may be halted as well.
    */
   private static Set<String> haltedAttemptsOfOpenJobs(
       CancellationOutageTest.Day day, HttpReply reply) {
@@ -88,7 +90,7 @@
     return keys;
   }
 
-  /** The tasks of these jobs among {@code tasks}. */
+  /** Returns the attempts of these jobs among {@code tasks}. */
   private static Set<String> attemptsOf(List<SimulatedUsers.KnownJob> jobs, JsonNode tasks) {
     Set<String> keys = new HashSet<>();
     for (JsonNode t : tasks) {
@@ -100,7 +102,7 @@
     return keys;
   }
 
-  /** A machine that runs tasks to be cancelled as well as others. */
+  /** Returns a reporter for a machine that runs tasks to be cancelled as well as others. */
   private static Reporter reporterWithCancelledAndKeptTasks(CancellationOutageTest.Day day) {
     return day.w.cloud.machines().stream()
         .filter(m -> !m.gone() && m.booted())
@@ -113,17 +115,21 @@
         .orElseThrow();
   }
 
-  /** A follower that was told of cancellations answers in an outage of all. */
+  /**
+   * Returns a reporter to a follower that knows of cancellations and has to respond during a full
+   * outage of the state service.
+   */
   private static Reporter reporterToInformedFollower(CancellationOutageTest.Day day) {
     Reporter reporter = reporterWithCancelledAndKeptTasks(day);
     CancellationOutageTest.refuse(day);
     day.cancel(day.second);
     day.w.state.fail();
-    // Its own reports must not meet those of the test, and who asks here is told here once more.
+    // Reports of the machine itself must not interfere with those of the test, and users who ask
+    // this follower would inform it again.
     day.w.net.cut(SimulatedCluster.client(day.third.index), reporter.machine.endpoint(), false);
     day.w.net.cut(SimulatedCluster.client(day.third.index), "users", false);
     day.w.run(SimulatedCluster.REPORT_MS);
-    // The first is sent on to the leader; one that comes again was not taken there.
+    // The first report is relayed to the leader; 421 shows that the leader did not take it.
     assertEquals(421, reporter.sendReport(day.third, reporter.tasks(), reporter.token()).status());
     return reporter;
   }
@@ -137,15 +143,19 @@
     HttpReply reply = reporter.sendReport(day.third, reporter.tasks(), reporter.token());
     token(reply);
     assertEquals(cancelled, haltedAttemptsOfOpenJobs(day, reply));
-    // Whatever was launched between the report and the answer is on record only.
+    // Attempts launched between the report and the response are known from the records only.
     reply = reporter.sendReport(day.third, Json.object().putArray("steps"), reporter.token());
     token(reply);
-    assertEquals(cancelled, haltedAttemptsOfOpenJobs(day, reply), "tasks that the report lacks");
+    assertEquals(
+        cancelled,
+        haltedAttemptsOfOpenJobs(day, reply),
+        "cancelled tasks that the report lacks were not halted");
     String key = day.cancelled.get(0).ref + "/0";
     ArrayNode unrecorded = Json.object().putArray("steps");
     unrecorded.addObject().put("step", key).put("try", 99).put("status", "fetching");
     reply = reporter.sendReport(day.third, unrecorded, reporter.token());
-    assertTrue(haltedAttempts(reply).contains(key + "#99"), "a task that is on no record");
+    assertTrue(
+        haltedAttempts(reply).contains(key + "#99"), "a task without a record was not halted");
   }
 
   @ParameterizedTest(name = "seed {0}")
@@ -156,16 +166,16 @@
     long firstToken = token(reporter.sendReport(day.third, reporter.tasks(), reporter.token()));
     assertTrue(
         firstToken >= reporter.token() + 2 * FencingToken.MAX_FENCE_LEAD,
-        "raised above any launch");
+        "the token was not raised above any launch");
     day.w.run(MAX_LAUNCH_DELAY_MS + SimulatedCluster.REPORT_MS);
     long secondToken = token(reporter.sendReport(day.third, reporter.tasks(), firstToken));
     assertTrue(
-        secondToken > firstToken, "a raise while launches could still be sent does not count");
+        secondToken > firstToken, "the token was not raised again once no launch could be sent");
     day.w.run(SimulatedCluster.REPORT_MS);
     assertEquals(
         secondToken,
         token(reporter.sendReport(day.third, reporter.tasks(), secondToken)),
-        "once is enough");
+        "the token was raised a second time");
   }
 
   @ParameterizedTest(name = "seed {0}")
@@ -179,12 +189,12 @@
     assertEquals(
         503,
         reporter.sendReport(day.third, tasks, reporter.token()).status(),
-        "a job nobody here knows");
+        "the lease was kept for an unknown job");
     ((ObjectNode) tasks.get(tasks.size() - 1)).put("status", "exited").put("cause", "done");
     token(reporter.sendReport(day.third, tasks, reporter.token()));
   }
 
-  /** A leader raises the token while a launch of a cancelled job has no answer. */
+  /** A leader raises the token while a launch of a cancelled job is unanswered. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8211, 8212, 8213})
   void aLeaderRaisesTheTokenAboveAnUnansweredLaunch(long seed) {
@@ -197,15 +207,19 @@
     waitUntil(day, () -> job.aborted);
     for (Reporter r : reporters) {
       HttpReply reply = r.sendReport(day.old, r.tasks(), r.token());
-      assertTrue(token(reply) > r.token(), "above the launch, which carries the token shown");
+      assertTrue(token(reply) > r.token(), "the token is not above that of the launch");
       assertTrue(
-          haltedAttempts(reply).stream().anyMatch(k -> k.startsWith(job.ref + "/")), "halted");
+          haltedAttempts(reply).stream().anyMatch(k -> k.startsWith(job.ref + "/")),
+          "the attempts are not halted");
     }
     setCutFromMachines(day, false);
     day.w.run(SimulatedCluster.CANCEL_MS);
   }
 
-  /** Calls of the old leader get no answer; what was called is lost. Reports go on. */
+  /**
+   * Cuts or heals the links from the old leader to the machines: its calls are lost and get no
+   * response, while reports still arrive.
+   */
   private static void setCutFromMachines(CancellationOutageTest.Day day, boolean cut) {
     String node = "node-" + day.old.index;
     for (EmulatedWorker m : day.w.cloud.machines()) {
@@ -232,9 +246,9 @@
   }
 
   /**
-   * Machines refuse the leader's connections, so that launches wait; meanwhile their job is
-   * cancelled, and nobody is left to tell the leader. When the machines take connections again, it
-   * is too late to launch.
+   * Machines refuse connections from the leader, so that launches wait. Meanwhile the job is
+   * cancelled, and no controller is left that could inform the leader. When the machines accept
+   * connections again, it is too late to launch.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8221, 8222, 8223})
@@ -253,10 +267,10 @@
     day.second.crash(3 * SimulatedCluster.CANCEL_MS);
     day.w.state.fail();
     day.w.run(MAX_LAUNCH_DELAY_MS);
-    assertEquals(0, job.starts, "the launches wait");
+    assertEquals(0, job.starts, "a launch was not held back");
     refusing[0] = false;
     day.w.run(SimulatedCluster.REPORT_MS);
-    assertEquals(0, job.starts, "late launches");
+    assertEquals(0, job.starts, "tasks launched too late");
   }
 
   private static RequestHandler refusingConnections(
@@ -270,7 +284,9 @@
     };
   }
 
-  /** Holds back streams of changes, and the transaction of a cancellation, on its way. */
+  /**
+   * Delays the change streams of chosen controllers, and the transaction of the first cancellation.
+   */
   private static final class DelayedStateService implements RequestHandler {
     private final RequestHandler state;
     private final Set<String> blockedNodes = new HashSet<>();
@@ -314,8 +330,9 @@
   }
 
   /**
-   * An attempt goes on record after the canceller's last read and before its transaction: the user
-   * is told only once that attempt has been read, so that whoever is told can halt it.
+   * An attempt is recorded after the last read of the controller that cancels and before its
+   * transaction. The cancellation may be confirmed to the user only once that attempt has been
+   * read, so that every controller that is informed can halt it.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8231, 8232, 8233})
@@ -328,17 +345,18 @@
     waitUntil(day, () -> job.accepted);
     day.w.users.cancelAt(job, day.second);
     waitUntil(day, () -> stateService.cancellation != null);
-    // The leader learns of the job only now, and launches it, while the canceller sees nothing.
+    // The leader learns of the job only now and launches it, while the canceller receives no
+    // changes.
     stateService.releaseChanges("node-" + day.old.index);
     waitUntil(day, () -> !hostsOnRecord(day, job).isEmpty());
     List<Reporter> reporters = hostsOnRecord(day, job).stream().map(Reporter::new).toList();
     stateService.cancellation.run();
     day.w.run(SimulatedCluster.REPORT_MS / 4);
-    assertFalse(job.aborted, "told before the launches were read");
+    assertFalse(job.aborted, "confirmed before the launches were read");
     stateService.releaseChanges("node-" + day.second.index);
     waitUntil(day, () -> job.aborted);
     day.w.run(SimulatedCluster.CANCEL_MS);
-    assertEquals(0, day.running(job), "cancelled tasks");
+    assertEquals(0, day.running(job), "cancelled tasks still run");
     assertFalse(reporters.isEmpty());
   }
 
@@ -346,6 +364,6 @@
     for (int i = 0; i < 400 && !condition.getAsBoolean(); i++) {
       day.w.run(10);
     }
-    assertTrue(condition.getAsBoolean(), "it does not come about");
+    assertTrue(condition.getAsBoolean(), "the condition was not met within 4 s");
   }
 }
--- a/src/test/java/dapplestair/world/LostOperatorResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostOperatorResponsesTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * As {@link LostResponsesTest}, for what operators, budgets and calendars put on record: only the
- * answer is lost, and the sender goes on, hears no news, or ends.
+ * Loses responses as {@link LostResponsesTest} does, for records of operators, disruption budgets
+ * and calendars. The transaction is carried out and only its response is lost; the sender goes on,
+ * misses its change stream, or crashes.
  */
 class LostOperatorResponsesTest {
   private static final long PHASE_MS = 30_000;
@@ -25,11 +26,11 @@
   }
 
   private static void stopLosingResponses(SimulatedCluster cluster) {
-    assertTrue(cluster.net.commits.lost > 0, "no answer was lost");
+    assertTrue(cluster.net.commits.lost > 0, "no response was lost");
     cluster.net.commits.lostAnswers = 0;
   }
 
-  /** Guards against drains that are forgotten, or never end, for want of an answer. */
+  /** Guards against drains that are forgotten or never end because a response is lost. */
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13101,GOES_ON", "13102,HEARS_NO_NEWS", "13105,ENDS_AT_ONCE", "13104,ENDS_LATER"})
   void drainsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
@@ -50,7 +51,7 @@
     assertEquals(replicasBefore, DisruptionTest.replicas(cluster), "replicas in the end");
   }
 
-  /** Guards against replacements that stand still, or begin again, for want of an answer. */
+  /** Guards against replacements that stop or start over because a response is lost. */
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13111,GOES_ON", "13112,HEARS_NO_NEWS", "13113,ENDS_AT_ONCE", "13114,ENDS_LATER"})
   void replacementsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
@@ -59,14 +60,16 @@
     int replicasBefore = DisruptionTest.replicas(cluster);
     loseResponses(cluster, CommitInterceptor.puts("live/replace/"), sender);
     OperatorsTest.submitOrder(
-        cluster, "/v1/replacements/night/start", ReplacementTest.orderForAllMachines(3, 3));
+        cluster, "/v1/replacements/night/start", ReplacementTest.orderForAll(3, 3));
     cluster.run(2 * PHASE_MS);
     stopLosingResponses(cluster);
     ReplacementTest.awaitDone(cluster, MAX_REPLACEMENT_MS);
     ReplacementTest.assertReplaced(cluster, before, replicasBefore);
   }
 
-  /** Guards against more work thrown away than a budget allows, and against budgets never used. */
+  /**
+   * Guards against losing more work than a budget allows, and against budgets that are never used.
+   */
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13112,GOES_ON", "13222,HEARS_NO_NEWS", "13123,ENDS_AT_ONCE", "13124,ENDS_LATER"})
   void budgetsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
@@ -89,7 +92,10 @@
         lostCpuS <= maxLostCpuS + 1e-6, lostCpuS + " CPU seconds thrown away of " + maxLostCpuS);
   }
 
-  /** Guards against runs held past their cut-off, and marks that count twice. */
+  /**
+   * Guards against runs that are held past their cut-off, and against deliveries that are counted
+   * twice.
+   */
   @ParameterizedTest(name = "seed {0}, its sender: {1}")
   @CsvSource({"13122,GOES_ON", "13116,HEARS_NO_NEWS", "13110,ENDS_AT_ONCE", "13134,ENDS_LATER"})
   void calendarMarksWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
@@ -101,7 +107,7 @@
     stopLosingResponses(cluster);
     cluster.run(PHASE_MS);
     int delivered = CalendarTest.record(cluster).path("delivered").asInt();
-    assertTrue(delivered <= CalendarTest.COMPLETE, delivered + " deliveries are on record");
-    assertTrue(model.done, "it is not done");
+    assertTrue(delivered <= CalendarTest.COMPLETE, delivered + " deliveries are recorded");
+    assertTrue(model.done, "the model job is not done");
   }
 }
--- a/src/test/java/dapplestair/world/LostResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostResponsesTest.java
@@ -12,22 +12,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A transaction is carried out at once and only its answer is lost, while users ask at all
- * controllers about what it wrote; the one that sent it goes on, or ends before or just after it
- * would have missed the answer.
+ * Guards against wrong conclusions from a lost response: a transaction is carried out at once and
+ * only its response is lost, while users ask all controllers about what it wrote. The sender goes
+ * on, or crashes before or just after its timeout for the response.
  */
 class LostResponsesTest {
   private static final double LOST_RESPONSE_SHARE = 0.6;
   private static final long FAULTS_MS = 45_000;
   private static final long DEPOSE_INTERVAL_MS = 6000;
 
-  // The sender starts again at most this often, or nothing would ever be done.
+  // The sender crashes at most this often; with more crashes no work would ever be done.
   private static final long MIN_CRASH_INTERVAL_MS = 9000;
 
-  // Some answers that are waited for in vain, a change of leader, and the lane's own time.
+  // Allows for some response timeouts, a change of leader, and the time that the lane itself takes.
   private static final long MAX_CLAIM_MS = 20_000;
 
-  /** The kinds of transactions of docs/meetings.md. */
+  /** The kinds of transactions listed in docs/meetings.md. */
   enum TransactionKind {
     ACCEPTANCE(CommitInterceptor.puts(CommitInterceptor.JOB)),
     CANCELLATION(CommitInterceptor.ends("aborted")),
@@ -48,13 +48,13 @@
     }
   }
 
-  /** What becomes of the sender. */
+  /** What happens to the sender of the transaction. */
   enum Sender {
     GOES_ON(-1),
-    /** It does not hear from its stream of changes either what it has written. */
+    /** The change stream of the sender does not deliver what it wrote, either. */
     HEARS_NO_NEWS(-1),
     ENDS_AT_ONCE(0),
-    /** Just after it has given the answer up. */
+    /** It crashes just after its timeout for the response. */
     ENDS_LATER(1510);
 
     final long crashAfterMs;
@@ -89,7 +89,10 @@
         };
   }
 
-  /** A job that nobody was told of yet may be asked for by whoever submitted it. */
+  /**
+   * Reads the job at all controllers and sometimes cancels it. Whoever submitted the job may do so
+   * before its acceptance has been confirmed to anybody.
+   */
   private static void queryAndMaybeCancel(
       SimulatedCluster cluster, ConcurrentReaders readers, SimulatedUsers.KnownJob job) {
     readers.around(job);
@@ -106,7 +109,7 @@
     }
   }
 
-  /** Single tasks that share puts, besides the random jobs. */
+  /** Submits jobs of a single task, which share puts, in addition to the random jobs. */
   private static void submitSingleTaskJobs(SimulatedCluster cluster, long untilMs) {
     if (cluster.sim.now() < untilMs) {
       for (int i = 0; i < 3; i++) {
@@ -148,7 +151,7 @@
   void transactionsWithLostResponses(long seed, TransactionKind kind, Sender sender) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.users.cancelledArrays = 0.4;
-    // Types are recorded and machines rented at the beginning.
+    // Machine types are recorded and machines rented at the start of the cluster.
     cluster.run(
         kind == TransactionKind.RENTAL || kind == TransactionKind.PLAN_OR_TYPES ? 0 : 15_000);
     long untilMs = cluster.sim.now() + FAULTS_MS;
@@ -158,17 +161,18 @@
       deposeRepeatedly(cluster, DEPOSE_INTERVAL_MS, untilMs);
     }
     if (kind == TransactionKind.RENTAL_ENDED) {
-      // Their records go with the last of their machines.
+      // A rental record is removed with the last of its machines.
       cluster.sim.after(FAULTS_MS / 4, () -> cluster.cloud.machines().forEach(EmulatedWorker::end));
     }
     cluster.run(FAULTS_MS);
     cluster.net.commits.lostAnswers = 0;
     SeededDaysTest.settle(cluster);
-    assertTrue(cluster.net.commits.lost > 0, "no answer was lost");
-    assertEquals(List.of(), cluster.state.keys("live/sheet/"), "launch batches once all is over");
+    assertTrue(cluster.net.commits.lost > 0, "no response was lost");
+    assertEquals(
+        List.of(), cluster.state.keys("live/sheet/"), "launch batches left after all jobs ended");
   }
 
-  /** Nobody is stopped for a claim that may not be on record, and no rider waits for ever. */
+  /** No task is stopped for a claim that may not be recorded, and no rider waits forever. */
   @ParameterizedTest(name = "seed {0}, the leader: {1}")
   @CsvSource({
     "9241,HEARS_NO_NEWS",
@@ -190,6 +194,6 @@
       cluster.run(3000);
     }
     LaneTest.untilBegun(cluster, riders, MAX_CLAIM_MS);
-    assertTrue(cluster.net.commits.lost > 0, "no answer was lost");
+    assertTrue(cluster.net.commits.lost > 0, "no response was lost");
   }
 }
--- a/src/test/java/dapplestair/world/ManyLeadersTest.java
+++ b/src/test/java/dapplestair/world/ManyLeadersTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The leader changes ten times in two minutes, also inside an outage of the state service. */
+/** The leader changes ten times within two minutes, also during an outage of the state service. */
 class ManyLeadersTest {
   private static final int CHANGES = 10;
   private static final long CHANGE_INTERVAL_MS = 10_500;
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Each leader leads for some ten seconds, too short to count the time allowed for cancelled work
-   * from its own beginning.
+   * Each leader leads for some ten seconds, which is shorter than the time allowed for cancelled
+   * work, so no leader can count that time from the beginning of its own term.
    */
   @ParameterizedTest(name = "seed {0}, machines {1}, out in round {2} for {3} ms")
   @CsvSource({
@@ -36,10 +36,11 @@
     "11211,UNASKED,0,70000"
   })
   void theLeaderChangesTenTimes(long seed, MachineFault fault, int outageRound, long outageMs) {
-    play(seed, fault, outageRound, outageMs);
+    runScenario(seed, fault, outageRound, outageMs);
   }
 
-  static SimulatedCluster play(long seed, MachineFault fault, int outageRound, long outageMs) {
+  static SimulatedCluster runScenario(
+      long seed, MachineFault fault, int outageRound, long outageMs) {
     TeamLimitsTest.FullClusterScenario scenario = new TeamLimitsTest.FullClusterScenario(seed);
     SimulatedCluster cluster = scenario.cluster;
     LeaderChange[] leaderChanges = LeaderChange.values();
@@ -69,9 +70,10 @@
   }
 
   /**
-   * All machines of a zone hang past their lease. Behind a cut it would look the same, so leaders
-   * wait, each for less than the time allowed for cancelled work: together they may not. Jobs of
-   * one task are on a launch batch, which does not say since when they are over.
+   * All machines of a zone hang past their lease, which leaders cannot tell from a cut. So each
+   * leader waits for less than the time allowed for cancelled work; the waits of successive leaders
+   * together must not exceed it. Jobs of one task are recorded in a launch batch, which does not
+   * hold the time of their end.
    */
   @ParameterizedTest(name = "seed {0}, zone {1}, the leader changes every {2} ms, of one task {3}")
   @CsvSource({
@@ -95,7 +97,7 @@
         day.cancelled.add(cluster.users.array("one", "high", 1, 150));
       }
       cluster.run(6000);
-      assertTrue(day.running(day.cancelled) > 12, "hardly a job of one task runs");
+      assertTrue(day.running(day.cancelled) > 12, "too few jobs of one task run");
     }
     for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
       if (!m.gone() && m.zone().equals(zone)) {
@@ -112,45 +114,51 @@
     SeededDaysTest.settle(cluster);
   }
 
-  /** Users are told while machines hang, and an outage begins. */
+  /**
+   * Returns a cluster in which cancellations were confirmed while machines hang, and an outage of
+   * the state service has begun.
+   */
   static CancellationOutageTest.Day cancelledOnHangingMachines(long seed) {
     CancellationOutageTest.Day day = new CancellationOutageTest.Day(seed);
     day.cancelled.forEach(t -> day.w.users.cancelAt(t, day.old));
     day.stallEveryThird();
     day.w.run(500);
     day.cancel(day.old);
-    assertTrue(day.running(day.cancelled) > 0, "everything stops at once");
+    assertTrue(day.running(day.cancelled) > 0, "no cancelled task runs on a hanging machine");
     day.w.state.fail();
     return day;
   }
 
-  /** Whoever told the users ends in the outage: the others look after what does not stop. */
+  /**
+   * The controller that confirmed the cancellations crashes during the outage; the others have to
+   * stop the remaining tasks.
+   */
   @ParameterizedTest(name = "seed {0}, ends after {1} ms")
   @CsvSource({"12101,100", "12102,3000", "12103,15000"})
-  void whoToldEndsInAnOutage(long seed, long endsMs) {
+  void theConfirmingControllerCrashesInAnOutage(long seed, long crashAfterMs) {
     CancellationOutageTest.Day day = cancelledOnHangingMachines(seed);
     SimulatedCluster cluster = day.w;
-    cluster.sim.after(endsMs, () -> day.old.crash(4000));
+    cluster.sim.after(crashAfterMs, () -> day.old.crash(4000));
     cluster.run(SimulatedCluster.CANCEL_MS * 3 / 2);
     cluster.state.recover();
     cluster.run(90_000);
     SeededDaysTest.settle(cluster);
   }
 
-  /** All controllers end in the outage, and are back at once, while machines hang. */
+  /** All controllers crash during the outage and restart at once, while machines hang. */
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12201,100", "12202,3000", "12203,15000"})
-  void allEndInAnOutageWhileMachinesHang(long seed, long endMs) {
+  void allEndInAnOutageWhileMachinesHang(long seed, long crashAfterMs) {
     CancellationOutageTest.Day day = cancelledOnHangingMachines(seed);
     SimulatedCluster cluster = day.w;
-    cluster.nodes.forEach(n -> cluster.sim.after(endMs, () -> n.crash(1000)));
+    cluster.nodes.forEach(n -> cluster.sim.after(crashAfterMs, () -> n.crash(1000)));
     cluster.run(SimulatedCluster.CANCEL_MS * 3 / 2);
     cluster.state.recover();
     cluster.run(90_000);
     SeededDaysTest.settle(cluster);
   }
 
-  /** Something small that is just being launched. */
+  /** Submits a small job and cancels it as soon as it is accepted, while it is being launched. */
   private static void submitAndCancelJob(TeamLimitsTest.FullClusterScenario scenario) {
     SimulatedUsers.KnownJob job = scenario.cluster.users.array("two", "high", 2, 20);
     scenario.day.cancelled.add(job);
@@ -165,7 +173,7 @@
     }
   }
 
-  /** Controllers end one after the other inside an outage, and are back at once or later. */
+  /** Controllers crash one after the other during an outage, and restart at once or later. */
   @ParameterizedTest(name = "seed {0}, out for {1} ms, back after {2} ms")
   @CsvSource({"11221,20000,300", "11222,60000,300", "11223,75000,4000", "11224,120000,800"})
   void allEndInTurnInsideAnOutage(long seed, long outageMs, long restartMs) {
@@ -182,7 +190,7 @@
     cluster.run(outageMs + 30_000);
     day.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
     cluster.run(SimulatedCluster.CANCEL_MS);
-    assertEquals(0, day.running(List.copyOf(day.cancelled)), "cancelled tasks");
+    assertEquals(0, day.running(List.copyOf(day.cancelled)), "cancelled tasks still run");
     cluster.run(90_000);
     SeededDaysTest.settle(cluster);
   }
--- a/src/test/java/dapplestair/world/MonotonicReadsTest.java
+++ b/src/test/java/dapplestair/world/MonotonicReadsTest.java
@@ -11,30 +11,32 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Users ask at all controllers within milliseconds, submit again and cancel at once, right after a
- * job was accepted, has ended or was confirmed as cancelled, while the controllers that are asked
- * are not up to date. That nobody is told anything older is checked by {@link
- * MonotonicReadsChecker}.
+ * Guards against responses that are older than what a user was told before. Right after a job was
+ * accepted, has ended or was confirmed as cancelled, users read it at all controllers within
+ * milliseconds, submit it again and cancel it, while the controllers that are asked are not up to
+ * date. {@link MonotonicReadsChecker} checks the responses.
  */
 class MonotonicReadsTest {
   private static final int JOBS = 9;
   private static final int CHANGES_TO_OVERFLOW_HISTORY = 900;
 
-  /** What keeps the other controllers from knowing, at the moment of an acceptance or an end. */
+  /** Why the other controllers lag behind at the moment of an acceptance or an end. */
   enum LagCause {
-    /** Only the time that messages take. */
+    /** Only message delays. */
     NOTHING,
-    /** They have just started again. */
+    /** The controllers have just restarted. */
     RESTARTED,
-    /** They stood still until their stream of changes was lost, and list all keys again. */
+    /**
+     * The controllers were frozen until their change streams were lost, and list all keys again.
+     */
     STREAM_LOST,
-    /** What the state service sends them is held up. */
+    /** Responses of the state service to the controllers are delayed. */
     HELD_UP,
-    /** The leader is deposed and forgets all that it knew. */
+    /** The leader is deposed and drops the state of its term. */
     DEPOSED
   }
 
-  /** One day with its scripted jobs. */
+  /** A simulated cluster with scripted jobs. */
   private static final class Scenario {
     final SimulatedCluster cluster;
     final ConcurrentReaders readers;
@@ -52,9 +54,12 @@
       cluster.net.commits.carriedOut = this::onCommitted;
     }
 
-    /** Others are behind before the transaction, or fall behind right after it. */
-    void submit(int i) {
-      SimulatedCluster.ControllerNode other = cluster.nodes.get(i % cluster.nodes.size());
+    /**
+     * Submits a job. Depending on the cause, other controllers lag before the transaction or begin
+     * to lag right after it.
+     */
+    void submit(int index) {
+      SimulatedCluster.ControllerNode other = cluster.nodes.get(index % cluster.nodes.size());
       if (lagCause == LagCause.RESTARTED) {
         other.crash(500);
       } else if (lagCause == LagCause.STREAM_LOST) {
@@ -67,12 +72,12 @@
           submitDelayMs,
           () -> {
             SimulatedUsers.KnownJob job =
-                cluster.users.array(i % 2 == 0 ? "one" : "two", "high", 1 + i % 2, 3);
+                cluster.users.array(index % 2 == 0 ? "one" : "two", "high", 1 + index % 2, 3);
             jobs.put(job.ref, job);
           });
     }
 
-    /** So many changes of keys that no controller cares for. */
+    /** Commits more changes than the state service retains, to a key that no controller uses. */
     private void overflowChangeHistory() {
       for (int i = 0; i < CHANGES_TO_OVERFLOW_HISTORY; i++) {
         ObjectNode body = Json.object();
@@ -95,7 +100,8 @@
         cluster.sim.after(delayMs, this::deposeLeader);
       }
       if (job.accepted) {
-        // Nobody has been told yet that it is over; whoever is told first makes the others late.
+        // No user knows yet that the job has ended; the first response that says so makes older
+        // responses of the other controllers wrong.
         readers.around(job);
       }
     }
@@ -113,7 +119,7 @@
 
     private void onFirstHeard(String ref, String state) {
       SimulatedUsers.KnownJob job = jobs.get(ref);
-      // Jobs that are none of the script.
+      // The job is not one of the scripted jobs.
       if (job == null) {
         return;
       }
@@ -121,7 +127,7 @@
       readers.around(job);
       boolean cancelled = ref.hashCode() % 2 == 0;
       if (cancelled || !state.equals("accepted")) {
-        // At once, at two controllers; one that is done must be answered done.
+        // Cancels at once at two controllers; for a job that is done the response must say so.
         cluster.users.cancelAt(job, cluster.nodes.get(0));
         cluster.sim.after(delayMs, () -> cluster.users.cancelAt(job, cluster.nodes.get(1)));
       }
@@ -161,6 +167,6 @@
     assertTrue(scenario.heardCounts.getOrDefault("done", 0) > 1, scenario.heardCounts.toString());
     assertTrue(
         scenario.heardCounts.getOrDefault("aborted", 0) > 1, scenario.heardCounts.toString());
-    assertTrue(scenario.readers.told > 20 * JOBS, scenario.readers.told + " looks were answered");
+    assertTrue(scenario.readers.told > 20 * JOBS, scenario.readers.told + " reads got a response");
   }
 }
--- a/src/test/java/dapplestair/world/NoGuaranteeTest.java
+++ b/src/test/java/dapplestair/world/NoGuaranteeTest.java
@@ -8,11 +8,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Guests without a guarantee: swarms of single tasks and arrays of very many small ones. */
+/**
+ * Teams without a guarantee: swarms of single-task jobs, and arrays of thousands of small tasks.
+ */
 class NoGuaranteeTest {
   /**
-   * Its acceptance, its end, the job's key, and shares of two more: of its launch, of a launch
-   * batch.
+   * Maximum puts for each job of one task: its acceptance, its end, the job's key, and shares of
+   * two more, for its launch and for a launch batch.
    */
   private static final double MAX_PUTS_PER_JOB = 3.6;
 
@@ -40,7 +42,7 @@
     return submitted;
   }
 
-  /** Launches share puts, and a single task leaves no record of its own. */
+  /** Launches share puts, and a job of one task leaves no record of its own. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {4001, 4003, 4004})
   void aSwarmSharesPuts(long seed) {
@@ -51,11 +53,15 @@
     swarm.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
     double putsPerJob = (cluster.state.puts() - before) / 300.0;
     assertTrue(putsPerJob <= MAX_PUTS_PER_JOB, putsPerJob + " puts for each job");
-    assertEquals(List.of(), cluster.state.keys("live/sheet/"), "launch batches once all is over");
+    assertEquals(
+        List.of(), cluster.state.keys("live/sheet/"), "launch batches left after all jobs ended");
     cluster.checker.checkServed();
   }
 
-  /** Far more than the state service takes: the swarm is put off, others are accepted in time. */
+  /**
+   * Submits far more jobs than the state service can take: the swarm is deferred, and jobs of other
+   * teams are accepted in time.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {4041, 4042, 4043})
   void othersAreAcceptedInTime(long seed) {
@@ -68,11 +74,11 @@
     }
     cluster.run(20_000);
     long late = others.stream().filter(j -> j.acceptedAt - j.submittedAt > 1000).count();
-    assertTrue(late <= 1, late + " of 20 waited for longer than a second");
+    assertTrue(late <= 1, late + " of 20 jobs were accepted after more than a second");
     others.forEach(j -> assertTrue(j.accepted, j.ref + " is not accepted"));
   }
 
-  /** Leaders end while only launch batches know of hundreds of tasks, of which some are over. */
+  /** Leaders crash while only launch batches record hundreds of tasks, some of which have ended. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {4011, 4012, 4013, 4014, 4015, 4016, 4017, 4018})
   void aSwarmSurvivesLeaderCrashes(long seed) {
@@ -90,12 +96,15 @@
       }
     }
     cluster.run(70_000);
-    swarm.forEach(j -> assertTrue(j.done || j.aborted, j.ref + " is not over"));
-    assertEquals(List.of(), cluster.state.keys("live/sheet/"), "launch batches once all is over");
+    swarm.forEach(j -> assertTrue(j.done || j.aborted, j.ref + " has not ended"));
+    assertEquals(
+        List.of(), cluster.state.keys("live/sheet/"), "launch batches left after all jobs ended");
     cluster.checker.checkServed();
   }
 
-  /** Machines end and a worker's lease runs out while only launch batches know what runs there. */
+  /**
+   * Machines terminate and workers' leases expire while only launch batches record what runs there.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {4021, 4022, 4024, 4025})
   void aSwarmSurvivesMachineFailures(long seed) {
@@ -113,10 +122,14 @@
         .forEach(m -> m.hang(SimulatedCluster.LEASE_MS + 2000));
     cluster.run(120_000);
     swarm.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
-    assertEquals(List.of(), cluster.state.keys("live/sheet/"), "launch batches once all is over");
+    assertEquals(
+        List.of(), cluster.state.keys("live/sheet/"), "launch batches left after all jobs ended");
   }
 
-  /** Thousands of tasks of seconds: cancelled in the middle, and with all controllers ending. */
+  /**
+   * Arrays of thousands of tasks that take seconds: one is cancelled midway, and all controllers
+   * crash.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {4031, 4032})
   void veryLargeArraysEnd(long seed) {
--- a/src/test/java/dapplestair/world/OperatorsTest.java
+++ b/src/test/java/dapplestair/world/OperatorsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What operators are told and what they order, while everything else fails. */
+/** Requests and orders of operators under faults. */
 class OperatorsTest {
   static final SimulatedCluster.Size ROOMY = new SimulatedCluster.Size(6, 60, 1_000_000, 1);
 
@@ -38,7 +38,7 @@
     cluster.net.call("users", SimulatedCluster.admin(node), method, path, bytes, 8000, done);
   }
 
-  /** Asks until somebody answers 200. */
+  /** Sends the request to the controllers in turn until one responds with 200. */
   static JsonNode awaitResponse(SimulatedCluster cluster, String path) {
     JsonNode[] response = {null};
     for (int i = 0; i < 20 && response[0] == null; i++) {
@@ -51,7 +51,7 @@
           r -> response[0] = r.status() == 200 ? Json.parse(r.body()) : null);
       cluster.run(1500);
     }
-    assertTrue(response[0] != null, "no answer to " + path);
+    assertTrue(response[0] != null, "no controller answered " + path);
     return response[0];
   }
 
@@ -61,12 +61,15 @@
       sendRequest(cluster, i % 3, "POST", path, body, r -> done[0] |= r.status() == 200);
       cluster.run(1000);
     }
-    assertTrue(done[0], "not taken: " + path);
+    assertTrue(done[0], "order was not accepted: " + path);
   }
 
-  // ---- never an older view ----
+  // ---- responses are never stale ----
 
-  /** Whatever fails: an answer is as new as its question, and reasons bind. */
+  /**
+   * Under random faults, a response is at least as recent as its request, and each reason for
+   * waiting names a rule that the job has.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void responsesAreNeverOlderThanTheirRequests(long seed) {
@@ -145,7 +148,10 @@
         });
   }
 
-  /** Reasons of what waits are never empty, and name no rule that its job does not have. */
+  /**
+   * Checks that the reasons of a waiting job are not empty and name no rule that the job does not
+   * have.
+   */
   private void checkWaitingReasons(
       SimulatedCluster cluster, SimulatedUsers.KnownJob job, JsonNode body) {
     if (body.path("waiting_tasks").asInt() == 0) {
@@ -175,7 +181,10 @@
     }
   }
 
-  /** CPUs that the team's jobs could use at most; nothing can bind that lies above. */
+  /**
+   * Returns the CPUs that the jobs of the team could use at most; a limit above that cannot be the
+   * reason for waiting.
+   */
   private static double maxCpuDemand(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
     return cluster.users.told.values().stream()
         .filter(o -> o.body.path("owner").equals(job.body.path("owner")))
@@ -199,9 +208,11 @@
     return cluster;
   }
 
-  // ---- half of every class and team ----
+  // ---- jobs served by class and team ----
 
-  /** The leader counts what each team was served exactly as users and machines saw it. */
+  /**
+   * The leader counts the jobs served for each team exactly as users and machines observed them.
+   */
   @Test
   void servedCountsMatchWhatUsersSaw() {
     SimulatedCluster cluster = newCluster(16, SimulatedCluster.Size.SMALL);
@@ -223,7 +234,7 @@
     }
   }
 
-  /** A day on which one team gets nothing has failed, whatever the others got. */
+  /** The check of served jobs fails if one team gets nothing, whatever the other teams got. */
   @Test
   void anUnservedTeamFailsTheServedCheck() {
     SimulatedCluster cluster =
--- a/src/test/java/dapplestair/world/OutboundCutTest.java
+++ b/src/test/java/dapplestair/world/OutboundCutTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Workers that can't open connections to any controller, while direct commands reach them: these
- * don't renew leases, so what runs there is lost when the lease ends (docs/meetings.md).
+ * Workers that cannot open connections to any controller, while direct commands reach them.
+ * Commands do not renew leases, so what runs there is lost when the lease ends (docs/meetings.md).
  */
 class OutboundCutTest {
   private static final int REPLICAS = 72;
 
   private static SimulatedCluster startCluster(long seed) {
     SimulatedCluster cluster = DisruptionTest.begun(seed, 5, 5);
-    // What is lost with a machine is no choice.
+    // Tasks lost with a machine are not voluntary disruptions, so no budget applies.
     cluster.checker.budget = null;
     return cluster;
   }
@@ -45,8 +45,9 @@
   }
 
   /**
-   * From half a lease on nothing more is started there; its replicas serve elsewhere soon after its
-   * lease, and it is returned, once. The leader ends meanwhile or does not.
+   * One machine cannot report: from half a lease on no task is started there, its replicas run
+   * elsewhere soon after its lease ended, and the machine is returned, once. In some cases the
+   * leader crashes meanwhile.
    */
   @ParameterizedTest(name = "seed {0}, the leader ends at second {1}")
   @CsvSource({"5201,-1", "5202,1", "5203,7", "5204,10", "5205,16"})
@@ -54,7 +55,7 @@
     SimulatedCluster cluster = startCluster(seed);
     EmulatedWorker mutedMachine = machineWithMostReplicas(cluster);
     mutedMachine.mute(4 * SimulatedCluster.LEASE_MS);
-    // A cancelled job's tasks end there like anywhere: commands reach it.
+    // Tasks of a cancelled job end there as on any machine, since commands reach it.
     cluster.users.told.values().stream()
         .filter(t -> mutedMachine.tasks().stream().anyMatch(k -> k.key().startsWith(t.ref + "/")))
         .limit(1)
@@ -67,13 +68,18 @@
     int startsBefore = startsOn(cluster, mutedMachine);
     cluster.run(SimulatedCluster.LEASE_MS);
     assertEquals(
-        startsBefore, startsOn(cluster, mutedMachine), "starts on a machine that does not report");
-    assertTrue(mutedMachine.gone(), "it is still paid for, though nothing can last there");
+        startsBefore, startsOn(cluster, mutedMachine), "starts on a machine that cannot report");
+    assertTrue(
+        mutedMachine.gone(), "the machine was not returned, though no lease there can be renewed");
     cluster.run(SimulatedCluster.REPORT_MS);
-    assertEquals(REPLICAS - 3, DisruptionTest.replicas(cluster), "replicas but the cancelled ones");
+    assertEquals(
+        REPLICAS - 3, DisruptionTest.replicas(cluster), "replicas without the cancelled ones");
   }
 
-  /** Half of all machines: what is rented in their place is up when their leases end. */
+  /**
+   * Half of all machines cannot report: the machines rented as replacements are up when the leases
+   * end.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5251, 5252, 5253})
   void replacementCapacityIsReadyInTime(long seed) {
@@ -89,7 +95,7 @@
     SeededDaysTest.settle(cluster);
   }
 
-  /** For a third of a lease: nothing is lost, and it is used again. */
+  /** A cut for a third of a lease: no task is lost, and the machine is used again. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5211, 5212, 5213})
   void aShortCutLosesNothing(long seed) {
@@ -98,18 +104,21 @@
     int killedBefore = cluster.cloud.killedByLease();
     mutedMachine.mute(SimulatedCluster.LEASE_MS / 3);
     cluster.run(2 * SimulatedCluster.LEASE_MS);
-    assertTrue(!mutedMachine.gone(), "it was given up");
+    assertTrue(!mutedMachine.gone(), "the machine was returned");
     assertEquals(killedBefore, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
   }
 
-  /** A zone: decided once, as one that is silent; nothing is rented there again and again. */
+  /**
+   * All machines of a zone cannot report: the zone is handled as one silent zone, by one decision,
+   * and no machine is rented there repeatedly.
+   */
   @ParameterizedTest(name = "seed {0}, the leader ends at second {1}")
   @CsvSource({"5221,-1", "5222,3", "5223,12"})
   void aZoneCannotReport(long seed, int leaderCrashS) {
     SimulatedCluster cluster = startCluster(seed);
     int killedBefore = cluster.cloud.killedByRelease();
     for (long at = 0; at < 4 * SimulatedCluster.LEASE_MS; at += 200) {
-      // Machines that come up there meanwhile are mute as well, before they can report: none boots
+      // Machines that boot there meanwhile are muted as well, before they can report: none boots
       // within this time.
       cluster.sim.after(at, () -> machinesInZone(cluster, "c").forEach(m -> m.mute(3000)));
     }
@@ -118,7 +127,7 @@
     }
     cluster.run(SimulatedCluster.LEASE_MS * 9 / 10);
     assertEquals(
-        killedBefore, cluster.cloud.killedByRelease(), "tasks lost with machines one by one");
+        killedBefore, cluster.cloud.killedByRelease(), "tasks killed by returning single machines");
     if (leaderCrashS < 0) {
       assertEquals("CUT", cluster.state.value("live/zone/c").path("state").asText());
     }
@@ -134,7 +143,10 @@
     SeededDaysTest.settle(cluster);
   }
 
-  /** Only the leader can't be connected to, though it reaches all: another one had better lead. */
+  /**
+   * No worker can connect to the leader, though the leader reaches all workers: another controller
+   * has to take over.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5231, 5232, 5233})
   void aLeaderThatWorkersCannotReachIsReplaced(long seed) {
@@ -147,14 +159,14 @@
       cluster.run(100);
     }
     cluster.cloud.machines().forEach(m -> cluster.net.healOneWay(m.endpoint(), client));
-    assertNotEquals(leader, cluster.leader(), "it still leads");
+    assertNotEquals(leader, cluster.leader(), "the unreachable controller still leads");
     assertEquals(killedBefore, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
     SeededDaysTest.settle(cluster);
   }
 
   /**
-   * Any share of all machines, again and again, while jobs come and are cancelled, commands are
-   * late and leaders end.
+   * A random share of the machines cannot report, repeatedly, while jobs are submitted and
+   * cancelled, commands arrive late and leaders crash.
    */
   @ParameterizedTest(name = "seed {0}, share {1}, late commands {2}")
   @CsvSource({"5241,0.3,0", "5242,0.5,0.3", "5243,0.7,0.2", "5244,1,0", "5245,1,0.3"})
--- a/src/test/java/dapplestair/world/OverloadTest.java
+++ b/src/test/java/dapplestair/world/OverloadTest.java
@@ -8,16 +8,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * More work than room, urgent and not, over slow links, while leaders end: the urgent begins soon,
- * the rest within its bound, nothing runs twice or beyond a limit.
+ * Guards against starvation under overload: more jobs than the cluster has capacity for, urgent and
+ * not, over slow links, while leaders crash. Urgent jobs start soon, the others within their bound,
+ * and no task runs twice or beyond a limit.
  */
 class OverloadTest {
   private static final long OVERLOAD_MS = 90_000;
 
-  /** Two teams at their limits leave a little of the cluster's 192 CPUs to guests. */
+  /**
+   * Two teams at their limits leave a small part of the 192 CPUs of the cluster to teams without a
+   * guarantee.
+   */
   private static final SimulatedCluster.Size LIMITED = new SimulatedCluster.Size(16, 45, 2150, 12);
 
-  /** Within what urgent work begins: a boot, a stop with its saving, and slow messages. */
+  /** Maximum wait of an urgent job: a boot, a stop with its snapshot, and slow messages. */
   private static final long MAX_URGENT_WAIT_MS = 40_000;
 
   private final List<SimulatedUsers.KnownJob> urgentJobs = new ArrayList<>();
@@ -39,8 +43,8 @@
   }
 
   /**
-   * Twice as much as there is room for; links are slow, the leader ends {@code leaderCrashMs}
-   * later.
+   * Submits twice the work that the cluster has capacity for; links are slow, and the leader
+   * crashes after {@code leaderCrashMs}.
    */
   @ParameterizedTest(name = "seed {0}, links up to {1} ms slower, leader ends after {2} ms")
   @CsvSource({
--- a/src/test/java/dapplestair/world/QuickBootTest.java
+++ b/src/test/java/dapplestair/world/QuickBootTest.java
@@ -14,23 +14,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * New machines are up within two seconds and get work at once while writes lag, and the leader ends
- * (docs/meetings.md).
+ * New machines boot within two seconds and get work at once while writes are delayed, and the
+ * leader crashes (docs/meetings.md).
  */
 class QuickBootTest {
-  /** Where in the life of a new machine the leader ends. */
+  /** The point in the life of a new machine at which the leader crashes. */
   enum CrashPoint {
-    /** The rental is put on record; the cloud is not asked yet. */
+    /** The put of the rental record is sent; the cloud has not been asked yet. */
     RENTAL_PUT,
-    /** The cloud is asked. */
+    /** The rental request is sent to the cloud. */
     RENTAL_ASKED,
-    /** The cloud's answer is put on record. */
+    /** The put of the rented hosts is sent. */
     HOSTS_PUT,
-    /** The machine's first report goes to a controller that does not lead. */
+    /** The first report of the machine is sent to a controller that does not lead. */
     REPORTED_ELSEWHERE,
-    /** A launch there is put on record. */
+    /** The put of a launch on the machine is sent. */
     LAUNCH_PUT,
-    /** A launch is sent there. */
+    /** The launch command is sent to the machine. */
     LAUNCH_SENT
   }
 
@@ -43,7 +43,10 @@
     return cluster;
   }
 
-  /** The request that marks the moment, for a machine that was not there before. */
+  /**
+   * Returns a condition for the request that marks the crash point, for a machine that is not there
+   * yet.
+   */
   private static Predicate<SimulatedNetwork.Request> requestAt(
       SimulatedCluster cluster, CrashPoint crashPoint) {
     Set<String> oldMachineIds = new HashSet<>();
@@ -71,7 +74,7 @@
     };
   }
 
-  /** Arrays of both teams, for which there is no room yet. */
+  /** Submits arrays of both teams for which there is no capacity yet. */
   private static void submitBurst(SimulatedCluster cluster) {
     for (String team : List.of("one", "two")) {
       for (int i = 0; i < 3; i++) {
@@ -80,7 +83,10 @@
     }
   }
 
-  /** The leader ends within a message, a put or a hold of the moment; a share of writes lags. */
+  /**
+   * The leader crashes at the crash point, or a message, a put or a hold after it, while a share of
+   * the writes is delayed.
+   */
   @ParameterizedTest(name = "seed {0}, {2} ms after {1}, share {3} of writes late")
   @CsvSource({
     "5301,RENTAL_PUT,0,0.3",
@@ -114,16 +120,17 @@
       submitBurst(cluster);
       cluster.run(SimulatedCluster.LEASE_MS + cluster.sim.between(0, 8000));
       cluster.net.lateWrites = 0;
-      // Machines are returned again, so that the next burst needs new ones.
+      // Idle machines are returned meanwhile, so that the next burst needs new ones.
       cluster.run(60_000);
     }
-    assertTrue(crashCount[0] > 0, "the moment never came");
+    assertTrue(crashCount[0] > 0, "the crash point was never reached");
     SeededDaysTest.settle(cluster);
   }
 
   /**
-   * The records of rentals get no answer and are made seconds later, when the leader has long given
-   * them up: the cloud was never asked for them, so no machine is on its way.
+   * Puts of rental records get no response and are carried out seconds later, when the leader has
+   * long given them up. The cloud was never asked for these rentals, so no machine may be expected
+   * from them.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5331, 5332, 5333})
@@ -133,14 +140,14 @@
     cluster.cloud.setQuickBoots(1);
     cluster.net.lateWrite = r -> r.puts("live/rental/") && cluster.sim.now() < 20_000;
     cluster.run(20_000);
-    assertTrue(cluster.state.putsTo("live/rental/") > 0, "no record came late");
+    assertTrue(cluster.state.putsTo("live/rental/") > 0, "no rental record was written late");
     cluster.run(40_000);
     List<String> openRentals =
         cluster.state.keys("live/rental/").stream()
             .filter(k -> !cluster.state.value(k).has("hosts"))
             .toList();
-    assertEquals(List.of(), openRentals, "rentals that nobody asks for");
-    assertTrue(cluster.checker.started > 0, "nothing was rented");
+    assertEquals(List.of(), openRentals, "recorded rentals that the cloud was never asked for");
+    assertTrue(cluster.checker.started > 0, "no task was started");
     SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/RefusedThenOutageTest.java
+++ b/src/test/java/dapplestair/world/RefusedThenOutageTest.java
@@ -7,11 +7,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Jobs are cancelled at the very moment at which the state service refuses the leader alone; a
- * second later it is out for all, for longer than {@code cancel_s}.
+ * Jobs are cancelled around the moment at which the state service begins to refuse the leader
+ * alone; a second or more later the state service is out for all controllers, for longer than
+ * {@code cancel_s}.
  */
 class RefusedThenOutageTest {
-  /** Who is asked to cancel. */
+  /** The controllers that get the cancellations. */
   enum CancelTarget {
     LEADER,
     OTHER,
@@ -30,7 +31,7 @@
     }
   }
 
-  /** Cancelled so many milliseconds after the refusal, or before it. */
+  /** Cancels {@code cancelOffsetMs} after the refusal, or before it if negative. */
   @ParameterizedTest(name = "seed {0}, {1} asked at {2} ms, links {3}, {4} ms later")
   @CsvSource({
     "11301,LEADER,-60,whole,1000",
@@ -57,10 +58,10 @@
   })
   void cancelledAroundTheRefusal(
       long seed, CancelTarget target, long cancelOffsetMs, String links, long outageAfterMs) {
-    play(seed, target, cancelOffsetMs, links, outageAfterMs);
+    runScenario(seed, target, cancelOffsetMs, links, outageAfterMs);
   }
 
-  static SimulatedCluster play(
+  static SimulatedCluster runScenario(
       long seed, CancelTarget target, long cancelOffsetMs, String links, long outageAfterMs) {
     CancellationOutageTest.Day day = new CancellationOutageTest.Day(seed);
     SimulatedCluster cluster = day.w;
@@ -70,7 +71,9 @@
     cluster.sim.after(100 + cancelOffsetMs, () -> cancel(day, target));
     cluster.run(refusedAtMs + outageAfterMs - cluster.sim.now());
     if (target != CancelTarget.LEADER && cancelOffsetMs <= 700) {
-      assertTrue(day.cancelled.stream().anyMatch(t -> t.aborted), "nothing is confirmed in time");
+      assertTrue(
+          day.cancelled.stream().anyMatch(t -> t.aborted),
+          "no cancellation was confirmed before the outage");
     }
     cluster.state.fail();
     cluster.run(2 * SimulatedCluster.CANCEL_MS);
@@ -80,7 +83,7 @@
     day.cancelled.forEach(cluster.users::cancel);
     cluster.run(160_000);
     day.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
-    assertEquals(0, day.running(day.cancelled), "cancelled tasks");
+    assertEquals(0, day.running(day.cancelled), "cancelled tasks still run");
     SeededDaysTest.settle(cluster);
     return cluster;
   }
--- a/src/test/java/dapplestair/world/RelayTest.java
+++ b/src/test/java/dapplestair/world/RelayTest.java
@@ -16,16 +16,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Connections of workers spread over all controllers, which relay reports and commands
- * (docs/sharing.md). That the rules hold is checked by the world's checker after each step. All
- * other tests are played so with {@code -Dworld.relayAbove=0}.
+ * Worker connections are spread over all controllers, which relay reports and commands
+ * (docs/sharing.md). The invariant checker of the simulated cluster runs after each step. With
+ * {@code -Dworld.relayAbove=0}, all other tests run in this mode, too.
  */
 class RelayTest {
-  /** Controllers are candidates after a quarter of a lease; then each worker reports once. */
+  /**
+   * Time until relay assignments are stable: controllers become candidates after a quarter of a
+   * lease, and then each worker reports once.
+   */
   private static final long SETTLED_MS =
       SimulatedCluster.LEASE_MS / 4 + 3 * SimulatedCluster.REPORT_MS;
 
-  /** To which controller each worker sent its last report. */
+  /** A simulated cluster that records to which controller each worker sent its last report. */
   private static final class Scenario {
     final SimulatedCluster cluster;
     final Map<String, String> reportsTo = new HashMap<>();
@@ -54,7 +57,7 @@
       return targets;
     }
 
-    /** Machines whose worker reports to a node. */
+    /** Returns the number of machines whose worker reports to the node. */
     long workersReportingTo(SimulatedCluster.ControllerNode node) {
       return reportTargets().values().stream()
           .filter(SimulatedCluster.client(node.index)::equals)
@@ -75,7 +78,7 @@
     return RelayAssignment.of(machine.id(), machine.zone(), candidates) + ":8080";
   }
 
-  /** Each controller takes its part, and the leader none of the others'. */
+  /** Each controller takes the workers assigned to it, and the leader takes none of the others. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9701, 9702, 9703})
   void connectionsAreSpreadOverControllers(long seed) {
@@ -90,15 +93,15 @@
     assertTrue(
         3 * scenario.workersReportingTo(scenario.cluster.leader())
             < 2 * scenario.reportTargets().size(),
-        "the leader takes most");
+        "the leader has two thirds of the connections or more");
     SimulatedUsers.KnownJob array = scenario.cluster.users.array("one", "high", 30, 5);
     scenario.cluster.run(30_000);
-    assertTrue(array.done, "an array is not done");
+    assertTrue(array.done, "the array is not done");
     assertEquals(0, scenario.cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
     SeededDaysTest.settle(scenario.cluster);
   }
 
-  /** Its end sends no worker away whose own controller lives, and costs no task. */
+  /** A leader crash does not move a worker whose own controller is up, and no task is lost. */
   @ParameterizedTest(name = "seed {0}, back after {1} ms")
   @CsvSource({"9711,60", "9712,600", "9713,3000", "9714,20000"})
   void aLeaderCrashMovesOnlyItsOwnWorkers(long seed, long backAfterMs) {
@@ -113,7 +116,7 @@
     before.forEach(
         (machine, node) -> {
           if (!node.equals(SimulatedCluster.client(leader.index))) {
-            assertEquals(node, after.get(machine), machine + " was sent away");
+            assertEquals(node, after.get(machine), machine + " was moved to another controller");
           }
         });
     scenario.cluster.run(SimulatedCluster.LEASE_MS);
@@ -124,7 +127,7 @@
     SeededDaysTest.settle(scenario.cluster);
   }
 
-  /** Whatever a relay suffers, its workers find another way before their leases end. */
+  /** Whatever fault a relay has, its workers find another path before their leases end. */
   @ParameterizedTest(name = "seed {0}, a relay {1}")
   @CsvSource({
     "9721,ends",
@@ -175,17 +178,17 @@
         killedBefore,
         scenario.cluster.cloud.killedByLease() + scenario.cluster.cloud.killedByRelease(),
         "tasks killed");
-    assertTrue(array.done, "an array is not done meanwhile");
+    assertTrue(array.done, "the array is not done during the fault");
     scenario.cluster.run(SETTLED_MS);
     assertTrue(
         fault.contains("leader") || scenario.workersReportingTo(relay) > 0,
-        "nobody reports to it again");
+        "no worker reports to the relay again");
     SeededDaysTest.settle(scenario.cluster);
   }
 
   /**
-   * Commands lie in the buffers of a relay that stands still, the leader changes meanwhile and jobs
-   * are cancelled; then all of them are delivered late.
+   * Commands wait in the buffers of a frozen relay while the leader changes and jobs are cancelled;
+   * then all of them are delivered late.
    */
   @ParameterizedTest(name = "seed {0}, the relay stands still for {1} ms")
   @CsvSource({"9731,1500", "9732,4000", "9733,9000", "9734,16000", "9735,40000"})
@@ -205,11 +208,14 @@
     scenario.cluster.run(200);
     leader.crash(3000);
     scenario.cluster.run(frozenMs + SimulatedCluster.CANCEL_MS);
-    assertNotEquals(null, scenario.cluster.leader(), "nobody leads");
+    assertNotEquals(null, scenario.cluster.leader(), "no controller leads");
     SeededDaysTest.settle(scenario.cluster);
   }
 
-  /** As {@link FaultCombinationTest}, with connections spread. */
+  /**
+   * Runs fault combinations as {@link FaultCombinationTest} does, with connections spread over the
+   * controllers.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9741, 9742, 9743, 9744, 9745, 9746})
   void troublesMeet(long seed) {
--- a/src/test/java/dapplestair/world/ReplacementTest.java
+++ b/src/test/java/dapplestair/world/ReplacementTest.java
@@ -16,7 +16,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Workers replaced in steps while machines, zones, leaders, cloud and state service fail. */
+/**
+ * Replaces machines in steps during faults of machines, zones, leaders, cloud and state service.
+ */
 class ReplacementTest {
   private static final String ORDER_PATH = "/v1/replacements/night";
 
@@ -27,11 +29,11 @@
         .collect(Collectors.toSet());
   }
 
-  static ObjectNode orderForAllMachines(int step, int surgeMachines) {
+  static ObjectNode orderForAll(int step, int surgeMachines) {
     return Json.object().put("older_s", 0.001).put("step", step).put("beyond", surgeMachines);
   }
 
-  /** Waits until the order is done; its last view. */
+  /** Waits until the order is done and returns its last view. */
   static JsonNode awaitDone(SimulatedCluster cluster, long maxMs) {
     return awaitDone(cluster, maxMs, seen -> {});
   }
@@ -47,12 +49,12 @@
       onEachView.accept(view);
       cluster.run(1500);
     }
-    throw new AssertionError("not done: " + view);
+    throw new AssertionError("the order is not done: " + view);
   }
 
   /**
-   * Operators let an order go on each time it stands still until it is told to: how often new
-   * machines look slower than the old ones is luck.
+   * Resumes an order that is paused until an operator resumes it, as operators would. How often new
+   * machines look slower than old ones depends on chance.
    */
   private static void resumeIfWaiting(SimulatedCluster cluster, JsonNode view) {
     if (view.path("goes_on").asText().equals("when told to")) {
@@ -63,19 +65,19 @@
   static void assertReplaced(SimulatedCluster cluster, Set<String> before, int replicas) {
     Set<String> remaining = machineIds(cluster);
     remaining.retainAll(before);
-    assertEquals(Set.of(), remaining, "old machines are left");
+    assertEquals(Set.of(), remaining, "old machines remain");
     cluster.run(30_000);
     assertEquals(replicas, DisruptionTest.replicas(cluster), "replicas in the end");
   }
 
-  /** All machines go, new ones first, within the budgets; then nothing old is left. */
+  /** Replaces all machines within the budgets, new ones first; no old machine is left. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4})
   void allMachinesAreReplaced(long seed) {
     SimulatedCluster cluster = DisruptionTest.begun(seed, 2, 3);
     Set<String> before = machineIds(cluster);
     int replicas = DisruptionTest.replicas(cluster);
-    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(3, 3));
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(3, 3));
     int killed = cluster.cloud.killedByRelease();
     JsonNode finalView = awaitDone(cluster, 900_000);
     assertReplaced(cluster, before, replicas);
@@ -83,7 +85,7 @@
     assertTrue(finalView.path("steps").asInt() >= before.size() / 3, finalView.toString());
   }
 
-  /** Whatever fails, budgets hold and the order goes on until the fleet is new. */
+  /** Under each fault, budgets hold and the order goes on until all machines are new. */
   @ParameterizedTest(name = "{0}")
   @EnumSource
   void theOrderGoesOnThrough(ReplacementFault fault) {
@@ -91,7 +93,7 @@
       SimulatedCluster cluster = DisruptionTest.begun(100 * fault.ordinal() + seed, 2, 3);
       try {
         Set<String> before = machineIds(cluster);
-        OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(3, 3));
+        OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(3, 3));
         for (int i = 0; i < 7; i++) {
           cluster.run(cluster.sim.between(1500, 9000));
           fault.strike(cluster);
@@ -112,7 +114,7 @@
     }
   }
 
-  /** Troubles of every kind, alone and overlapping, over some hundred machines in three zones. */
+  /** Faults of every kind, alone and overlapping, with some hundred machines in three zones. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {504, 511})
   void aLargeFleetIsReplacedDuringRandomFaults(long seed) {
@@ -131,7 +133,7 @@
       Set<String> before = machineIds(cluster);
       assertTrue(before.size() > 200, before.size() + " machines");
       RandomFaults faults = new RandomFaults(cluster);
-      OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(20, 20));
+      OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(20, 20));
       faults.begin(9000);
       cluster.run(120_000);
       faults.end();
@@ -140,14 +142,17 @@
       awaitDone(cluster, 1_500_000, seen -> resumeIfWaiting(cluster, seen));
       Set<String> remaining = machineIds(cluster);
       remaining.retainAll(before);
-      assertEquals(Set.of(), remaining, "old machines are left");
+      assertEquals(Set.of(), remaining, "old machines remain");
       cluster.checker.checkServed();
     } catch (AssertionError e) {
       throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
     }
   }
 
-  /** As users see it; services that just came or went are the product's to know a moment later. */
+  /**
+   * Returns the replicas that users have asked for; the controllers may learn of services that were
+   * just submitted or cancelled a moment later.
+   */
   private static int wantedReplicas(SimulatedCluster cluster, String team) {
     return cluster.users.told.values().stream()
         .filter(j -> j.service && j.team.equals(team) && j.accepted && !j.aborted)
@@ -155,7 +160,7 @@
         .sum();
   }
 
-  /** New machines that fail every task stop the order until somebody says go on. */
+  /** New machines on which every task fails pause the order until an operator resumes it. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {61, 62, 63})
   void badNewMachinesPauseTheOrder(long seed) {
@@ -163,7 +168,7 @@
     Set<String> before = machineIds(cluster);
     int replicas = DisruptionTest.replicas(cluster);
     cluster.cloud.setSick(true);
-    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(4, 4));
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(4, 4));
     cluster.users.array("one", "high", 60, 5);
     JsonNode view = null;
     for (int i = 0; i < 60 && (view == null || !view.has("paused")); i++) {
@@ -176,7 +181,7 @@
     cluster.leader().crash(3000);
     cluster.run(60_000);
     view = OperatorsTest.awaitResponse(cluster, ORDER_PATH);
-    assertEquals("paused", view.path("state").asText(), "another leader has not forgotten it");
+    assertEquals("paused", view.path("state").asText(), "the new leader lost the pause");
     cluster.cloud.setSick(false);
     cluster.run(30_000);
     OperatorsTest.submitOrder(cluster, ORDER_PATH + "/resume", Json.object());
@@ -184,7 +189,7 @@
     assertReplaced(cluster, before, replicas);
   }
 
-  /** What an order writes: one put a step, and one more while new machines are waited for. */
+  /** An order writes one put for each step, and one more while the order waits for new machines. */
   @ParameterizedTest(name = "{0} beyond")
   @ValueSource(ints = {0, 1})
   void anOrderWritesAtMostTwicePerStep(int surgeMachines) {
@@ -198,18 +203,19 @@
           writes[0] += currentRecord.equals(lastRecord[0]) ? 0 : 1;
           lastRecord[0] = currentRecord;
         };
-    OperatorsTest.submitOrder(
-        cluster, ORDER_PATH + "/start", orderForAllMachines(1, surgeMachines));
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(1, surgeMachines));
     int steps = awaitDone(cluster, 1_500_000).path("steps").asInt();
-    // The order itself and its end; what stands still for longer than a lease says so once.
+    // Allows for the order itself and its end; an order that makes no progress for longer than a
+    // lease records that once.
     assertTrue(
         writes[0] <= 2 * steps + 4 && steps <= before,
         writes[0] + " writes for " + before + " machines in " + steps + " steps");
   }
 
   /**
-   * Replicas fill all machines that the plan holds, and none may be beyond: the last room is soon
-   * where the rules of those that are left do not allow it. Another machine goes first then.
+   * Replicas fill all machines that the plan holds, and no surge machine is allowed. Soon the
+   * remaining capacity is where the rules of the remaining replicas do not allow them to run; then
+   * another machine has to be replaced first.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {90, 91, 92, 95, 96, 97, 99})
@@ -217,17 +223,17 @@
     SimulatedCluster cluster = DisruptionTest.begun(seed, 3, 3);
     Set<String> before = machineIds(cluster);
     int replicas = DisruptionTest.replicas(cluster);
-    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(1, 0));
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(1, 0));
     awaitDone(cluster, 1_500_000);
     assertReplaced(cluster, before, replicas);
   }
 
-  /** Machines beyond are had only as far as the plan's own budget leaves money for them. */
+  /** Surge machines are rented only as far as the budget of the plan allows. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {96, 97, 98})
   void theBudgetLimitsSurgeMachines(long seed) {
     SimulatedCluster cluster = DisruptionTest.begun(seed, 3, 3);
-    // What arrays needed is given back first.
+    // Machines rented for the arrays are returned first.
     cluster.run(60_000);
     long steadyBefore = steadyMachineCount(cluster);
     OperatorSettings settings = cluster.operatorSettings;
@@ -250,27 +256,27 @@
             null);
     cluster.nodes.forEach(n -> n.crash(1000));
     cluster.run(15_000);
-    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(6, 6));
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(6, 6));
     long[] maxSteady = {0};
     cluster.also = () -> maxSteady[0] = Math.max(maxSteady[0], steadyMachineCount(cluster));
     cluster.run(90_000);
     assertTrue(
         maxSteady[0] <= steadyBefore + 2,
-        maxSteady[0] + " machines, " + steadyBefore + " before, two more paid for");
-    assertTrue(maxSteady[0] > steadyBefore, "none beyond, though two are paid for");
+        maxSteady[0] + " machines, " + steadyBefore + " before, two more within the budget");
+    assertTrue(maxSteady[0] > steadyBefore, "no surge machine, though the budget allows two");
   }
 
   private static long steadyMachineCount(SimulatedCluster cluster) {
     return cluster.cloud.machines().stream().filter(m -> !m.gone() && !m.spot()).count();
   }
 
-  /** Aborted half way: what is still old is in use again, and stays. */
+  /** An order is aborted midway: old machines that remain are back in use, and stay. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {71, 72})
   void abortPutsOldMachinesBackIntoUse(long seed) {
     SimulatedCluster cluster = DisruptionTest.begun(seed, 2, 3);
     Set<String> before = machineIds(cluster);
-    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(2, 2));
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(2, 2));
     for (int i = 0; i < 200 && before.equals(intersection(machineIds(cluster), before)); i++) {
       cluster.run(1000);
     }
@@ -284,14 +290,14 @@
     assertEquals(72, DisruptionTest.replicas(cluster), "replicas in the end");
   }
 
-  /** What a former leader wrote arrives when the order has been aborted: it stays aborted. */
+  /** A write of a former leader arrives after an abort: the order stays aborted. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {75, 76, 77, 78})
   void aLateWriteDoesNotRestoreAnAbortedOrder(long seed) {
     SimulatedCluster cluster = DisruptionTest.begun(seed, 2, 3);
     for (int i = 0; i < 5; i++) {
       OperatorsTest.submitOrder(
-          cluster, ORDER_PATH + "/start", orderForAllMachines(1, i % 2).put("watch_s", 0));
+          cluster, ORDER_PATH + "/start", orderForAll(1, i % 2).put("watch_s", 0));
       cluster.run(cluster.sim.between(1000, 9000));
       SimulatedCluster.ControllerNode leader = cluster.leader();
       cluster.net.cut("node-" + leader.index, "state:1", true);
@@ -301,7 +307,8 @@
       OperatorsTest.submitOrder(cluster, ORDER_PATH + "/abort", Json.object());
       cluster.net.heal("node-" + leader.index, "state:1");
       cluster.run(8000);
-      assertEquals(null, cluster.state.value("live/replace/night"), "the order is back");
+      assertEquals(
+          null, cluster.state.value("live/replace/night"), "the aborted order is recorded again");
     }
   }
 
@@ -310,16 +317,19 @@
     return a;
   }
 
-  /** A drain of machines, one of a zone and two replacements of the same ones; all end. */
+  /**
+   * A drain of a machine, a drain of a zone and two replacement orders for the same machines
+   * overlap; all of them end.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {81, 82, 83})
   void overlappingOrdersAllComplete(long seed) {
     SimulatedCluster cluster = DisruptionTest.begun(seed, 1, 2);
     Set<String> before = machineIds(cluster);
     String machineId = before.stream().sorted().findFirst().orElseThrow();
-    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAllMachines(2, 2));
+    OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(2, 2));
     OperatorsTest.submitOrder(
-        cluster, "/v1/replacements/second/start", orderForAllMachines(1, 1).put("spot", false));
+        cluster, "/v1/replacements/second/start", orderForAll(1, 1).put("spot", false));
     OperatorsTest.submitOrder(cluster, "/v1/machines/" + machineId + "/drain", Json.object());
     OperatorsTest.submitOrder(cluster, "/v1/zones/b/drain", Json.object());
     cluster.run(40_000);
@@ -334,7 +344,7 @@
     assertEquals("done", second.path("state").asText(), second.toString());
   }
 
-  /** What cannot be meant is refused with field and value, and nothing is recorded. */
+  /** Invalid orders are refused with the field and its value, and nothing is recorded. */
   @Test
   void invalidOrdersAreRefused() {
     SimulatedCluster cluster = DisruptionTest.begun(91, 1, 1);
@@ -369,7 +379,7 @@
     assertEquals(null, cluster.state.value("live/replace/night"));
   }
 
-  /** The same order is the same order, also when no old machine is left. */
+  /** A repeated order is the same order, also when no old machine is left. */
   @Test
   void aRepeatedOrderIsIdempotent() {
     SimulatedCluster cluster = DisruptionTest.begun(92, 3, 3);
--- a/src/test/java/dapplestair/world/SeededDaysTest.java
+++ b/src/test/java/dapplestair/world/SeededDaysTest.java
@@ -10,7 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole days with random troubles: the rules hold after every step, and all work ends. */
+/**
+ * Whole simulated days with random faults: the invariants hold after every step, and all jobs end.
+ */
 class SeededDaysTest {
   private static final long FAULTS_MS = 240_000;
   private static final long SETTLE_MS = 150_000;
@@ -28,7 +30,8 @@
   }
 
   /**
-   * Found in a recorded day: a new leader took every machine it had not heard yet for a late one.
+   * Regression test, found in a recorded day: a new leader took each machine that it had not heard
+   * from yet for a late one.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {201, 202, 203, 204})
@@ -44,16 +47,15 @@
     assertTrue(cluster.checker.started > 100, "only " + cluster.checker.started + " tasks started");
   }
 
-  /** A zone with a controller is cut off for longer than a lease: its tasks go on. */
+  /** A zone with a controller is cut off for longer than a lease: its tasks continue. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {401, 402, 403, 404})
   void aZoneCutOffKeepsItsWork(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.net.loss = 0;
     cluster.run(60_000);
-    // Of a job accepted just before the cut the zone's controller may not know, and then it keeps
-    // no
-    // lease of a machine that runs it (docs/cancellations.md).
+    // The controller of the zone may not know a job that was accepted just before the cut; then it
+    // keeps no lease of a machine that runs it (docs/cancellations.md).
     cluster.users.pausedUntil = cluster.sim.now() + 2000;
     cluster.run(2000);
     SimulatedCluster.ControllerNode follower = cluster.nodes.get((cluster.leader().index + 1) % 3);
@@ -67,7 +69,7 @@
     cutOffForLongerThanALease(cluster);
   }
 
-  /** The same without a pause of arrivals, as the check stood before (seed 402: KNOWN-RED.txt). */
+  /** The same without a pause of submissions, as the check was before (seed 402: KNOWN-RED.txt). */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {401, 402, 403, 404})
   void aZoneCutOffAtAnyMomentKeepsItsWork(long seed) {
@@ -87,7 +89,8 @@
   }
 
   /**
-   * When a whole zone falls silent, its machines are not returned one by one, nor once it is back.
+   * When a whole zone falls silent, its machines are not returned one by one, nor after the zone is
+   * back.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {451, 452, 453, 454})
@@ -105,8 +108,8 @@
   }
 
   /**
-   * A leader is cut off with its zone, and what it sends meanwhile arrives late. To it all others
-   * are silent; none may be returned when the cut ends.
+   * A leader is cut off with its zone, and what it sends meanwhile arrives late. All other zones
+   * are silent to this leader; no machine may be returned when the cut ends.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {471, 472, 473, 474, 475, 476})
@@ -124,7 +127,10 @@
     settle(cluster);
   }
 
-  /** Found on a standard day: 23 terms in 45 s, since each took the others' refusals for an end. */
+  /**
+   * Regression test, found on a standard day: 23 terms in 45 s, since each controller took refused
+   * connections to its peers for their crash.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {701, 702, 703, 704})
   void refusedLinksDoNotDeposeForEver(long seed) {
@@ -139,7 +145,10 @@
     settle(cluster);
   }
 
-  /** The leader alone loses the workers: another one takes over before their leases run out. */
+  /**
+   * Only the leader loses contact with the workers: another controller takes over before their
+   * leases expire.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {501, 502, 503, 504})
   void aLeaderThatHearsNoWorkerGivesWay(long seed) {
@@ -148,7 +157,7 @@
     cluster.run(60_000);
     SimulatedCluster.ControllerNode leader = cluster.leader();
     for (int i = 0; i < 400; i++) {
-      // Machines that come up meanwhile are out of its reach as well.
+      // Machines that boot meanwhile are cut off from the leader as well.
       for (EmulatedWorker m : cluster.cloud.machines()) {
         cluster.net.cut("node-" + leader.index, m.endpoint(), false);
         cluster.net.cut(SimulatedCluster.client(leader.index), m.endpoint(), false);
@@ -164,10 +173,10 @@
     settle(cluster);
   }
 
-  /** No troubles and no new jobs from now on: everything accepted ends. */
+  /** Runs without new faults and new jobs, and checks that each accepted job ends. */
   static void settle(SimulatedCluster cluster) {
     cluster.users.quiet = true;
-    // The last troubles end by themselves.
+    // The last faults end by themselves within this time.
     cluster.users.calmFrom = cluster.sim.now() + RandomFaults.LONGEST_MS;
     cluster.run(SETTLE_MS);
     for (SimulatedUsers.KnownJob job : cluster.users.told.values()) {
@@ -180,8 +189,9 @@
   }
 
   /**
-   * A new leader hears of a machine by a report sent before a launch of the former leader reached
-   * it. The report lacks the task, which runs all the same: only a token of the new term proves.
+   * A new leader gets a report of a machine that was sent before a launch of the former leader
+   * arrived there. The report lacks the task, which runs all the same: only a report with a token
+   * of the new term proves that a task is absent.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {601, 602, 603, 604, 605, 606})
@@ -200,17 +210,18 @@
         cluster.nodes.forEach(n -> cluster.net.cut("node-" + n.index, m, true));
         cluster.nodes.forEach(n -> cluster.net.cut(SimulatedCluster.client(n.index), m, true));
       }
-      // Launches leave the leader and are held back; so are the reports to the next one.
+      // Launches leave the leader and are delayed; so are the reports to the next leader.
       cluster.run(900);
       leader.crash(20_000);
-      // Long enough for machines to have given it up and to have sent a report to the next one.
+      // Long enough for machines to give up the old leader and to send a report to the next one.
       cluster.run(8000);
       machines.forEach(m -> cluster.net.heal("node-" + leader.index, m));
       cluster.run(60);
       for (String m : machines) {
         cluster.nodes.forEach(n -> cluster.net.heal(SimulatedCluster.client(n.index), m));
         if (cluster.sim.chance(0.5)) {
-          // Orders reach this one again, so work taken for lost on others would start here.
+          // Commands reach this machine again, so a task that was wrongly taken for lost on another
+          // machine would start here.
           cluster.nodes.forEach(n -> cluster.net.heal("node-" + n.index, m));
         }
       }
@@ -223,7 +234,7 @@
     settle(cluster);
   }
 
-  /** Launches on their way while newer reports, which lack them, come through. */
+  /** Launches are delayed while newer reports, which lack the launched tasks, arrive. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {301, 302, 303, 304, 305, 306})
   void aReportDoesNotOvertakeALaunch(long seed) {
@@ -235,7 +246,7 @@
           for (SimulatedCluster.ControllerNode node : cluster.nodes) {
             String name = "node-" + node.index;
             cluster.net.cut(name, machine.endpoint(), true);
-            // Shorter than the time after which a call counts as unanswered.
+            // Shorter than the timeout of a call.
             cluster.sim.after(1300, () -> cluster.net.heal(name, machine.endpoint()));
           }
         }
--- a/src/test/java/dapplestair/world/SilenceTest.java
+++ b/src/test/java/dapplestair/world/SilenceTest.java
@@ -14,18 +14,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Zones that are cut off, leaders that end meanwhile, machines that hang: replicas are back soon
- * after they are lost, nothing is returned that will be back, and the rules hold after every step.
+ * Zones are cut off, leaders crash meanwhile, and machines hang. Replicas are restored soon after
+ * they are lost, no machine is returned that will be reachable again, and the invariants hold after
+ * every step.
  */
 class SilenceTest {
-  /** The one zone without a controller. */
+  /** The only zone without a controller. */
   private static final String CUT_ZONE = "c";
 
   private static final long CUT_MS = SimulatedCluster.LEASE_MS * 8 / 5;
 
   private static final int REPLICAS = 120;
 
-  /** Services of three replicas, one in each zone, and an array that goes on beside them. */
+  /** Starts a cluster with services of three replicas, one in each zone, and an array. */
   private static SimulatedCluster startCluster(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MIDDLE);
     cluster.net.loss = 0;
@@ -54,7 +55,9 @@
     return task.onMachine() && task.status().equals("running") && task.service();
   }
 
-  /** Seconds times replicas that were missing while this time passed. */
+  /**
+   * Runs the cluster for {@code ms} and returns the sum of seconds for which replicas were missing.
+   */
   private static double missingReplicaSeconds(SimulatedCluster cluster, long ms) {
     double sum = 0;
     for (long t = 0; t < ms; t += 500) {
@@ -65,8 +68,9 @@
   }
 
   /**
-   * The leader ends at any second of a cut. The next one knows from the last account since when the
-   * zone is silent: counted from its own beginning, replicas would be missed until the cut ends.
+   * The leader crashes at some second of a cut. The next leader knows from the last liveness report
+   * since when the zone has been silent; if it counted from the beginning of its own term, replicas
+   * would be missing until the cut ends.
    */
   @ParameterizedTest(name = "leader ends at second {0} of the cut")
   @ValueSource(
@@ -78,16 +82,20 @@
     cluster.run(1000 * leaderCrashS);
     cluster.leader().crash(4000);
     double missingSeconds = missingReplicaSeconds(cluster, CUT_MS - 1000 * leaderCrashS);
-    // They are lost at the end of the lease, and the cut goes on for three fifths of one.
+    // The replicas are lost at the end of the lease, and the cut goes on for three fifths of a
+    // lease.
     double maxMissingSeconds = replicasInZone * (CUT_MS - SimulatedCluster.LEASE_MS) / 1000.0;
     assertTrue(
         missingSeconds < 0.75 * maxMissingSeconds || replicasInZone == 0,
         "missing " + missingSeconds + " replica seconds of " + maxMissingSeconds);
     cluster.run(30_000);
-    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas once all is over");
+    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas at the end");
   }
 
-  /** Nothing is rented where nothing can be reached; what is back is used. */
+  /**
+   * No machine is rented in a zone that cannot be reached; after the cut its machines are used
+   * again.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {831, 832, 833, 834})
   void nothingIsRentedInASilentZone(long seed) {
@@ -111,7 +119,7 @@
     return cluster.cloud.machines().stream().map(EmulatedWorker::id).collect(Collectors.toSet());
   }
 
-  /** A cut in which reports still come, and one in which only orders still go. */
+  /** A cut of one direction: either only reports arrive, or only commands do. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {841, 842, 843, 844, 845, 846})
   void aCutInOneDirection(long seed) {
@@ -144,10 +152,10 @@
       }
     }
     cluster.run(40_000);
-    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas once all is over");
+    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas at the end");
   }
 
-  /** Machines hang until just before, and until just after, their lease has run out. */
+  /** Machines hang until just before or just after their lease expires. */
   @ParameterizedTest(name = "hang of a lease and {0} ms")
   @ValueSource(longs = {-2500, -700, -100, 100, 700, 2500})
   void aHangAroundALease(long offsetMs) {
@@ -161,10 +169,10 @@
     }
     assertTrue(hangingMachines > 0);
     cluster.run(SimulatedCluster.LEASE_MS + 40_000);
-    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas once all is over");
+    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas at the end");
   }
 
-  /** Leases have their full time again after an outage, and a second cut begins at once. */
+  /** Leases run for their full time again after an outage, and a second cut begins at once. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {881, 882, 883, 884})
   void aSecondCutFollowsAnOutage(long seed) {
@@ -181,10 +189,10 @@
       cluster.leader().crash(2000);
     }
     cluster.run(SimulatedCluster.LEASE_MS + 40_000);
-    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas once all is over");
+    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas at the end");
   }
 
-  /** All controllers end while the rentals for the lost room are unanswered. */
+  /** All controllers crash while the rentals for the lost capacity are unanswered. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {891, 892, 893, 894})
   void allControllersCrashDuringRentals(long seed) {
@@ -197,12 +205,13 @@
     cluster.run(3000);
     cluster.nodes.forEach(n -> cluster.net.heal("node-" + n.index, "cloud:1"));
     cluster.run(2 * CUT_MS + 30_000);
-    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas once all is over");
+    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas at the end");
   }
 
   /**
-   * Many machines end at once, their replicas start again under launch batches, and the leader ends
-   * before the services' own records know of them: the next one must not start them a second time.
+   * Many machines terminate at once, their replicas are started again and recorded in launch
+   * batches, and the leader crashes before the records of the services are written. The next leader
+   * must not start the replicas a second time.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {901, 902, 904, 905, 907, 908})
@@ -219,9 +228,9 @@
         cluster.run(5);
       }
       batchesSeen += cluster.state.keys("live/sheet/").size();
-      // Its launches are on their way, the services' own records are not yet written.
+      // Launches are in flight, and the records of the services are not written yet.
       cluster.run(cluster.sim.between(30, 90));
-      // Half of the machines cannot be asked for a while: only the launch batches tell what runs
+      // Half of the machines cannot be reached for a while: only the launch batches show what runs
       // there.
       List<EmulatedWorker> cutMachines =
           cluster.cloud.machines().stream().filter(m -> cluster.sim.chance(0.5)).toList();
@@ -234,8 +243,8 @@
       cluster.run(45_000);
     }
     assertTrue(batchesSeen > 0, "no launch batch was ever written");
-    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas once all is over");
-    assertEquals(List.of(), cluster.state.keys("live/sheet/"), "launch batches once all is over");
+    assertEquals(REPLICAS, replicaCount(cluster, m -> true), "replicas at the end");
+    assertEquals(List.of(), cluster.state.keys("live/sheet/"), "launch batches left at the end");
   }
 
   private static void setCut(SimulatedCluster cluster, EmulatedWorker m, boolean cut) {
@@ -250,7 +259,7 @@
     }
   }
 
-  /** Idle machines of a zone that is back before the wait is over are still there. */
+  /** Idle machines of a zone that is reachable again before the timeout are kept. */
   @Test
   void aZoneThatComesBackInTimeKeepsItsMachines() {
     SimulatedCluster cluster = startCluster(899);
--- a/src/test/java/dapplestair/world/SilentControllersTest.java
+++ b/src/test/java/dapplestair/world/SilentControllersTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Controllers that fall silent for longer than a lease and than a hold, one, two or all of them, by
- * standing still, by cuts of every kind and by being refused, while guests swarm, jobs are wrong
- * and a giant array runs: the rules hold after each step, what remains leads, and what was there is
- * there again soon after the return.
+ * One, two or all controllers are silent for longer than a lease and a hold: they are frozen, cut
+ * off in all ways, or refused, while guests submit swarms, some jobs fail and a giant array runs.
+ * The invariants hold after each step, a remaining controller leads, and what was running is
+ * running again soon after the controllers return.
  */
 class SilentControllersTest {
   private static final int REPLICAS = 60;
@@ -49,7 +49,7 @@
     return count;
   }
 
-  /** Single tasks of a guest, one each {@code intervalMs} for a while. */
+  /** Submits jobs of one task for a team without a guarantee, one every {@code intervalMs}. */
   private static List<SimulatedUsers.KnownJob> submitSwarm(
       SimulatedCluster cluster, int jobs, long intervalMs) {
     List<SimulatedUsers.KnownJob> submitted = new ArrayList<>();
@@ -74,11 +74,14 @@
   private static void assertAllJobsEnd(
       SimulatedCluster cluster, List<SimulatedUsers.KnownJob> jobs) {
     cluster.run(60_000);
-    jobs.forEach(j -> assertTrue(j.done || j.aborted, j.ref + " is not over"));
+    jobs.forEach(j -> assertTrue(j.done || j.aborted, j.ref + " has not ended"));
     cluster.checker.checkServed();
   }
 
-  /** The leader stands still; it wakes up with old orders and beliefs while another one leads. */
+  /**
+   * The leader is frozen; when it continues, it has old commands and stale state, and another
+   * controller leads.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {3001, 3002, 3003, 3004, 3005, 3006})
   void theLeaderIsFrozen(long seed) {
@@ -88,16 +91,22 @@
     SimulatedCluster.ControllerNode frozenLeader = cluster.leader();
     frozenLeader.freeze(SILENCE_MS);
     cluster.run(SimulatedCluster.LEASE_MS * 2 / 3);
-    assertTrue(cluster.leader() != null && cluster.leader() != frozenLeader, "nobody else leads");
+    assertTrue(
+        cluster.leader() != null && cluster.leader() != frozenLeader, "no other controller leads");
     int killedBefore = cluster.cloud.killedByLease();
     cluster.run(SILENCE_MS);
     assertEquals(
-        killedBefore, cluster.cloud.killedByLease(), "tasks killed though another one leads");
-    awaitReplicas(cluster, 2000, "it woke up");
+        killedBefore,
+        cluster.cloud.killedByLease(),
+        "tasks killed though another controller leads");
+    awaitReplicas(cluster, 2000, "the former leader continued");
     assertAllJobsEnd(cluster, swarm);
   }
 
-  /** All stand still past the lease: every task is gone, and comes back on the machines there. */
+  /**
+   * All controllers are frozen past the lease: every task is lost, and is started again on the
+   * machines that are there.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {3011, 3012, 3013, 3014, 3015, 3016})
   void allControllersAreFrozenPastTheLease(long seed) {
@@ -109,10 +118,10 @@
     int killedBefore = cluster.cloud.killedByLease();
     cluster.nodes.forEach(n -> n.freeze(SILENCE_MS + cluster.sim.between(0, 2000)));
     cluster.run(SILENCE_MS + 2000);
-    assertTrue(cluster.cloud.killedByLease() >= killedBefore + REPLICAS, "leases have not run out");
-    // With room left in one zone alone, which is none for half of a service, it took a lease and
-    // more.
-    awaitReplicas(cluster, 5000, "the return of all");
+    assertTrue(cluster.cloud.killedByLease() >= killedBefore + REPLICAS, "leases have not expired");
+    // Restoring all replicas took more than a lease when there was free capacity in one zone only,
+    // which cannot hold half of a service.
+    awaitReplicas(cluster, 5000, "all controllers returned");
     Set<String> presentNow = presentMachines(cluster);
     Set<String> rented = new HashSet<>(presentNow);
     rented.removeAll(presentBefore);
@@ -120,7 +129,7 @@
     assertTrue(
         4 * presentNow.size() >= 3 * replicaHostsBefore.size(),
         presentNow.size() + " of " + replicaHostsBefore.size());
-    assertTrue(4 * rented.size() <= presentBefore.size(), rented.size() + " rented anew");
+    assertTrue(4 * rented.size() <= presentBefore.size(), rented.size() + " machines were rented");
     assertAllJobsEnd(cluster, swarm);
   }
 
@@ -138,7 +147,7 @@
     return machineIds;
   }
 
-  /** One after the other, overlapping, and by other means each time. */
+  /** Controllers become silent one after the other, overlapping, each time in a different way. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {3021, 3022, 3023, 3024, 3025, 3026, 3027, 3028, 3029, 3030})
   void controllersFailInTurn(long seed) {
@@ -158,9 +167,10 @@
       cluster.run(SimulatedCluster.LEASE_MS * 2 / 3);
     }
     cluster.run(SILENCE_MS);
-    awaitReplicas(cluster, 30_000, "the last one returned");
+    awaitReplicas(cluster, 30_000, "the last controller returned");
     assertTrue(
-        failingJob.finalState() == null, "the wrong job is called " + failingJob.finalState());
+        failingJob.finalState() == null,
+        "the failing job is reported as " + failingJob.finalState());
     cluster.users.cancel(failingJob);
     assertAllJobsEnd(cluster, jobs);
   }
@@ -196,7 +206,10 @@
     cluster.sim.after(ms, () -> cluster.net.heal(a, b));
   }
 
-  /** Two stand still, the third is cut from the workers: no worker stays where nobody can act. */
+  /**
+   * Two controllers are frozen and the third is cut from the workers: no worker stays with a
+   * controller that cannot act.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {3041, 3042, 3043, 3044})
   void theOnlyRunningControllerIsCutFromTheWorkers(long seed) {
@@ -210,6 +223,6 @@
     cluster.run(1000);
     disableController(cluster, runningNode, 5, SILENCE_MS / 2);
     cluster.run(SILENCE_MS + 3000);
-    awaitReplicas(cluster, SimulatedCluster.LEASE_MS, "the return of all");
+    awaitReplicas(cluster, SimulatedCluster.LEASE_MS, "all controllers returned");
   }
 }
--- a/src/test/java/dapplestair/world/SingleTaskJobsTest.java
+++ b/src/test/java/dapplestair/world/SingleTaskJobsTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Jobs of one task come four a second for two minutes and a quarter of them is cancelled: at once,
- * after some seconds, or when its task ends. Launches, ends and cancellations share 30 puts a
- * second; in some plays others use so many that transactions get 429.
+ * Jobs of one task are submitted four times a second for two minutes, and a quarter of them is
+ * cancelled: at once, after some seconds, or when the task ends. Launches, ends and cancellations
+ * share 30 puts a second; in some runs other clients use so many puts that transactions get 429.
  */
 class SingleTaskJobsTest {
   private static final double WRITE_RPS = 30;
@@ -24,7 +24,7 @@
   private static final long NOISE_INTERVAL_MS = 1000;
   private static final long MAX_ACCEPT_MS = 5000;
 
-  /** One play. */
+  /** A simulated cluster with the jobs of one run. */
   private static final class Swarm {
     final SimulatedCluster cluster;
     final List<SimulatedUsers.KnownJob> jobs = new ArrayList<>();
@@ -67,7 +67,7 @@
       }
     }
 
-    /** Puts of somebody else, all of a second at once. */
+    /** Sends puts of another client, all of a second at once. */
     void writeNoise(int putCount, long untilMs) {
       if (cluster.sim.now() < untilMs) {
         for (int i = 0; i < putCount; i++) {
@@ -96,11 +96,13 @@
       }
     }
     cluster.run(100_000);
-    swarm.jobs.forEach(j -> assertTrue(!j.accepted || j.done || j.aborted, j.ref + " is not over"));
+    swarm.jobs.forEach(
+        j -> assertTrue(!j.accepted || j.done || j.aborted, j.ref + " has not ended"));
     long cancelled = swarm.jobs.stream().filter(j -> j.cancelAsked).count();
     assertTrue(cancelled > JOBS / 6, cancelled + " of " + JOBS + " were cancelled");
-    assertEquals(List.of(), cluster.state.keys("live/sheet/"), "launch batches once all is over");
-    assertEquals(List.of(), cluster.state.keys("live/run/"), "attempts once all is over");
+    assertEquals(
+        List.of(), cluster.state.keys("live/sheet/"), "launch batches left after all jobs ended");
+    assertEquals(List.of(), cluster.state.keys("live/run/"), "attempts left after all jobs ended");
     if (noisePuts > 0) {
       assertTrue(cluster.state.tooMany() > 20, cluster.state.tooMany() + " transactions got 429");
     }
--- a/src/test/java/dapplestair/world/StaleReportsTest.java
+++ b/src/test/java/dapplestair/world/StaleReportsTest.java
@@ -6,13 +6,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Old reports reach every controller just as a new leader begins, or arrive at it once it has acted
- * (docs/meetings.md). They lack tasks that were launched since, and show others that have ended.
+ * Guards against trust in stale reports: old reports reach every controller just as a new leader
+ * begins, or reach the new leader once it has acted (docs/meetings.md). They lack tasks that were
+ * launched since, and show tasks that have ended.
  */
 class StaleReportsTest {
   private static final int LEADER_CHANGES = 5;
 
-  /** Tasks end and begin all the time, so that each report is soon out of date. */
+  /**
+   * Starts a cluster in which tasks end and begin all the time, so that each report is soon out of
+   * date.
+   */
   private static SimulatedCluster startCluster(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 30, 900, 8));
     cluster.net.loss = 0;
@@ -21,8 +25,8 @@
   }
 
   /**
-   * The leader ends so many milliseconds after it has sent a launch: within a message, a put, a
-   * hold, a lease. What it sent is on machines, and the reports kept lack it.
+   * The leader crashes {@code afterMs} after it has sent a launch: within a message, a put, a hold
+   * or a lease. The launched tasks are on machines, and the copied reports lack them.
    */
   @ParameterizedTest(name = "seed {0}, {1} ms after a launch, the next has {2}, everywhere {3}")
   @CsvSource({
@@ -54,11 +58,15 @@
       cluster.run(SimulatedCluster.LEASE_MS + cluster.sim.between(0, 3000));
     }
     assertTrue(
-        cluster.net.lateTaken.get() > 100, "hardly any copy was taken: " + cluster.net.lateTaken);
+        cluster.net.lateTaken.get() > 100,
+        "too few copies of reports were accepted: " + cluster.net.lateTaken);
     SeededDaysTest.settle(cluster);
   }
 
-  /** Nobody answers for longer than a lease, so the copies are of an earlier session. */
+  /**
+   * No controller responds for longer than a lease, so the copied reports are of an earlier
+   * session.
+   */
   @ParameterizedTest(name = "seed {0}, {1} ms after a launch, the next has {2}")
   @CsvSource({"5021,1,BEGUN", "5022,400,BEGUN", "5023,1700,BEGUN", "5024,1,ACTED"})
   void staleReportsOfAnEarlierSession(long seed, long afterMs, DelayedReports.Arrival arrival) {
@@ -78,7 +86,8 @@
         });
     cluster.run(SimulatedCluster.LEASE_MS);
     assertTrue(
-        cluster.net.lateTaken.get() > 50, "hardly any copy was taken: " + cluster.net.lateTaken);
+        cluster.net.lateTaken.get() > 50,
+        "too few copies of reports were accepted: " + cluster.net.lateTaken);
     SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/TeamLimitsTest.java
+++ b/src/test/java/dapplestair/world/TeamLimitsTest.java
@@ -8,16 +8,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Every team is at its limit, with work that waits for each CPU that a cancelled task gives back,
- * while the machines of cancelled tasks are in trouble and the leader changes. What counts too
- * little of a team's use, or too early, starts something and breaks {@code quota}.
+ * Every team is at its limit, and jobs wait for each CPU that a cancelled task frees, while the
+ * machines of cancelled tasks have faults and the leader changes. If the usage of a team is counted
+ * too low, or freed too early, a task starts that breaks {@code quota}.
  */
 class TeamLimitsTest {
   private static final List<String> TEAMS = List.of("one", "two");
   private static final SimulatedCluster.Size SMALL_LIMITS =
       new SimulatedCluster.Size(16, 50, 2150, 12);
 
-  /** Jobs to be cancelled and jobs to be kept, and more work than the teams' limits allow. */
+  /**
+   * A cluster with jobs to be cancelled, jobs to be kept, and more work than the limits of the
+   * teams allow.
+   */
   static final class FullClusterScenario {
     final CancellationOutageTest.Day day;
     final SimulatedCluster cluster;
@@ -53,22 +56,27 @@
       return sum;
     }
 
-    /** Users go on until they are told. */
+    /** Cancels the jobs; users repeat the request until it is confirmed. */
     void cancelJobs() {
       day.cancelled.forEach(cluster.users::cancel);
     }
 
-    /** The spell is over: what was cancelled is gone, and all else ends. */
+    /**
+     * Runs until the faults are over, and checks that cancelled tasks are gone and all other jobs
+     * end.
+     */
     void settle() {
       day.cancelled.forEach(t -> assertTrue(t.aborted || !t.accepted, t.ref + " is not cancelled"));
       cluster.run(SimulatedCluster.CANCEL_MS);
-      assertEquals(0, day.running(day.cancelled), "cancelled tasks");
+      assertEquals(0, day.running(day.cancelled), "cancelled tasks still run");
       cluster.run(30_000);
       SeededDaysTest.settle(cluster);
     }
   }
 
-  /** Cancelled while machines are in trouble already; the leader changes around that moment. */
+  /**
+   * Jobs are cancelled while machines already have faults; the leader changes around that moment.
+   */
   @ParameterizedTest(name = "seed {0}, {1}, {2} at {3} ms")
   @CsvSource({
     "11001,CUT,CRASH,30",
@@ -91,10 +99,11 @@
   })
   void jobsAreCancelledAtTheTeamLimit(
       long seed, MachineFault fault, LeaderChange change, long afterMs) {
-    play(seed, fault, change, afterMs);
+    runScenario(seed, fault, change, afterMs);
   }
 
-  static SimulatedCluster play(long seed, MachineFault fault, LeaderChange change, long afterMs) {
+  static SimulatedCluster runScenario(
+      long seed, MachineFault fault, LeaderChange change, long afterMs) {
     FullClusterScenario scenario = new FullClusterScenario(seed);
     int startedBefore = scenario.cluster.checker.started;
     scenario.cluster.sim.after(1500 + afterMs, () -> change.happen(scenario.cluster));
@@ -102,7 +111,7 @@
     scenario.cluster.run(1500);
     scenario.cancelJobs();
     scenario.cluster.run(SimulatedCluster.CANCEL_MS);
-    assertTrue(scenario.cluster.checker.started > startedBefore + 5, "what waits does not go on");
+    assertTrue(scenario.cluster.checker.started > startedBefore + 5, "waiting jobs do not start");
     scenario.cluster.run(SimulatedCluster.CANCEL_MS);
     scenario.settle();
     return scenario.cluster;
--- a/src/test/java/dapplestair/world/UnevenTaskDurationsTest.java
+++ b/src/test/java/dapplestair/world/UnevenTaskDurationsTest.java
@@ -11,7 +11,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Jobs of two and three tasks whose ends lie far apart, with changes of leader in between. */
+/**
+ * Jobs of two and three tasks that end at very different times, with changes of leader in between.
+ */
 class UnevenTaskDurationsTest {
   private static final double SHORT_S = 4;
 
@@ -25,7 +27,7 @@
     return cluster;
   }
 
-  /** A job whose tasks last so many times the shortest. */
+  /** Submits a job whose tasks run for these multiples of the shortest duration. */
   private static SimulatedUsers.KnownJob submitJob(SimulatedCluster cluster, double... factors) {
     return cluster.users.changed(
         "one",
@@ -61,13 +63,15 @@
     assertTrue(isCompleted(cluster, job, taskIndex), job.ref + "/" + taskIndex + " has not ended");
   }
 
-  /** Each of its tasks ran once, and it is done. */
+  /** Checks that the job is done and that each of its tasks was started once. */
   private static void assertDoneOnce(SimulatedUsers.KnownJob job) {
     assertTrue(job.done, () -> job.ref + " is not done");
     assertEquals(job.steps, job.starts, () -> "starts of " + job.ref);
   }
 
-  /** The leader ends so long after the first end, and the next leader before the last one. */
+  /**
+   * The leader crashes some time after the first task end, and the next leader before the last one.
+   */
   @ParameterizedTest(name = "seed {0}, the leader ends {1} ms after the first end, the next {2} ms")
   @CsvSource({
     "9401,0,-1",
@@ -93,15 +97,16 @@
         cluster.leader().crash(cluster.sim.between(100, 3000));
       }
     }
-    jobs.forEach(job -> assertFalse(job.done, () -> job.ref + " is done before its last end"));
+    jobs.forEach(
+        job -> assertFalse(job.done, () -> job.ref + " is done before its last task ended"));
     cluster.run(45_000);
     jobs.forEach(UnevenTaskDurationsTest::assertDoneOnce);
     SeededDaysTest.settle(cluster);
   }
 
   /**
-   * The leader hears of the first end while it can record nothing, and ends: the end is known to it
-   * alone and to the worker, which has to go on reporting it.
+   * The leader gets the report of the first task end while it cannot record anything, and crashes.
+   * Only the leader and the worker knew of the end, so the worker has to go on reporting it.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {9421, 9422, 9423, 9424})
@@ -111,9 +116,10 @@
     SimulatedCluster.ControllerNode leader = cluster.leader();
     awaitCompletion(cluster, jobs.get(0), 0);
     cluster.net.cut("node-" + leader.index, "state:1", seed % 2 == 0);
-    // Its worker reports the end after half a second, and hears an answer.
+    // The worker reports the end after half a second, and gets a response.
     cluster.run(700);
-    assertEquals(leader, cluster.leader(), "it leads no more, so it was not told");
+    assertEquals(
+        leader, cluster.leader(), "the leader changed, so the first leader did not get the report");
     leader.crash(4000);
     cluster.run(2500);
     cluster.net.heal("node-" + leader.index, "state:1");
--- a/src/test/java/dapplestair/world/UnreadJobsTest.java
+++ b/src/test/java/dapplestair/world/UnreadJobsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A controller behind a cut keeps the leases of its zone's workers, also where they run jobs whose
- * records it could not read before the cut.
+ * A controller behind a cut keeps the leases of the workers in its zone, also of those that run
+ * jobs whose records it could not read before the cut.
  */
 class UnreadJobsTest {
   private static final int JOBS = 6;
@@ -25,7 +25,7 @@
     return cluster;
   }
 
-  /** How many tasks of these jobs are on machines of a zone. */
+  /** Returns how many tasks of these jobs are on machines of the zone. */
   private static long runningTasks(
       SimulatedCluster cluster, String zone, List<SimulatedUsers.KnownJob> jobs) {
     return cluster.cloud.machines().stream()
@@ -36,7 +36,10 @@
         .count();
   }
 
-  /** Jobs of the follower's zone that are accepted while it does not hear the state service. */
+  /**
+   * Submits jobs for the zone of the follower that are accepted while it is cut from the state
+   * service.
+   */
   private static List<SimulatedUsers.KnownJob> submitUnreadJobs(
       SimulatedCluster cluster, SimulatedCluster.ControllerNode follower, long unreadMs) {
     cluster.net.cut("node-" + follower.index, "state:1", false);
@@ -49,7 +52,7 @@
     return jobs;
   }
 
-  /** Guards against leases given up for jobs accepted shortly before a cut. */
+  /** Guards against leases that are not renewed for jobs accepted shortly before a cut. */
   @ParameterizedTest(name = "seed {0}, records unread for {1} ms before the cut")
   @CsvSource({"13001,200", "13002,500", "13003,1000", "13004,2000", "13005,4000", "13006,8000"})
   void jobsNotReadBeforeACutKeepTheirLeases(long seed, long unreadMs) {
@@ -63,10 +66,10 @@
     cluster.net.heal("node-" + follower.index, "state:1");
     assertEquals(0, cluster.cloud.killedByLease(), "tasks killed by the end of a lease");
     SeededDaysTest.settle(cluster);
-    assertTrue(unreadMs < 1000 || unreadTasks > 0, "none of the jobs runs in the zone");
+    assertTrue(unreadMs < 1000 || unreadTasks > 0, "no task of the jobs runs in the zone");
   }
 
-  /** Guards against leases kept for too long for jobs that are cancelled outside the cut. */
+  /** Guards against leases that are renewed for too long for jobs cancelled outside the cut. */
   @ParameterizedTest(name = "seed {0}, cancelled {1} ms after the cut began")
   @CsvSource({"13011,0", "13012,400", "13013,3000", "13014,17000", "13015,30000"})
   void unreadJobsCancelledOutsideACutEndInTime(long seed, long cancelledMs) {
@@ -78,22 +81,24 @@
     long cutMs = 2 * SimulatedCluster.CANCEL_MS;
     cluster.cutOff(follower, m -> m.zone().equals(zone), false, cutMs);
     cluster.run(cancelledMs);
-    assertTrue(runningTasks(cluster, zone, jobs) > 0, "none of the jobs runs in the zone");
-    // The follower could accept none, and its users try again elsewhere.
+    assertTrue(runningTasks(cluster, zone, jobs) > 0, "no task of the jobs runs in the zone");
+    // The follower cannot accept jobs; their users try again elsewhere.
     jobs.removeIf(job -> !job.accepted);
-    assertTrue(
-        runningTasks(cluster, zone, jobs) > 0, "none that runs in the zone can be cancelled");
+    assertTrue(runningTasks(cluster, zone, jobs) > 0, "no accepted job runs in the zone");
     jobs.forEach(job -> cluster.users.cancelAt(job, cluster.leader()));
     cluster.run(SimulatedCluster.REPORT_MS);
     jobs.forEach(job -> assertTrue(job.aborted, job.ref + " is not cancelled"));
     cluster.run(SimulatedCluster.CANCEL_MS);
-    assertEquals(0, runningTasks(cluster, zone, jobs), "cancelled tasks");
+    assertEquals(0, runningTasks(cluster, zone, jobs), "cancelled tasks still run");
     cluster.run(cutMs - cancelledMs);
     cluster.net.heal("node-" + follower.index, "state:1");
     SeededDaysTest.settle(cluster);
   }
 
-  /** Guards against leases given up by a former leader that could not read the records again. */
+  /**
+   * Guards against leases that a former leader does not renew because it could not read the records
+   * again.
+   */
   @ParameterizedTest(name = "seed {0}, deposed {1} ms before the cut")
   @CsvSource({"13021,400", "13022,1000", "13023,2000", "13024,4000"})
   void aFormerLeaderBehindACutKeepsItsLeases(long seed, long deposedMs) {
--- a/src/test/java/dapplestair/world/WaitingReasonsTest.java
+++ b/src/test/java/dapplestair/world/WaitingReasonsTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Why a job waits: each reason that operators are told, with a state made for it. */
+/** Checks each reason for waiting that operators can see, in a state that causes it. */
 class WaitingReasonsTest {
   @Test
   void theTeamsLimitIsNamed() {
@@ -93,14 +93,17 @@
     assertTrue(isNamed);
   }
 
-  /** Machines of both kinds are up in all zones, and the cloud has no more to give. */
-  private static SimulatedCluster startFullCluster(long seed, int perPlace) {
-    return startFullCluster(seed, perPlace, 15);
+  /**
+   * Starts a cluster with steady and spot machines in all zones, and a cloud without further
+   * capacity.
+   */
+  private static SimulatedCluster startFullCluster(long seed, int machinesPerPlace) {
+    return startFullCluster(seed, machinesPerPlace, 15);
   }
 
-  private static SimulatedCluster startFullCluster(long seed, int perPlace, double runS) {
+  private static SimulatedCluster startFullCluster(long seed, int machinesPerPlace, double runS) {
     SimulatedCluster cluster =
-        startQuietCluster(seed, new SimulatedCluster.Size(perPlace, 1000, 1_000_000, 1));
+        startQuietCluster(seed, new SimulatedCluster.Size(machinesPerPlace, 1000, 1_000_000, 1));
     cluster.users.array("one", "standard", 60, runS);
     cluster.users.changed("one", 60, 15, b -> b.put("loaners", false));
     cluster.run(60_000);
@@ -110,7 +113,8 @@
 
   @Test
   void spotMachinesThatAJobDoesNotWantAreNamed() {
-    // Long enough that no spot machine has been returned as idle when the question comes.
+    // The tasks run long enough that no spot machine has been returned as idle when the reasons are
+    // read.
     SimulatedCluster cluster = startFullCluster(6, 1, 60);
     SimulatedUsers.KnownJob job =
         cluster.users.changed("one", 40, 300, b -> b.put("loaners", false));
@@ -122,12 +126,15 @@
         explanation.toString());
   }
 
-  /** Room on ordinary machines that work which may run on spot ones leaves to the next replicas. */
+  /**
+   * Free capacity on steady machines is held for the next replicas; jobs that may run on spot
+   * machines do not get it.
+   */
   @Test
   void roomHeldForServicesIsNamed() {
     SimulatedCluster cluster =
         startQuietCluster(8, new SimulatedCluster.Size(1, 1000, 1_000_000, 1));
-    // Services that lately arrived are what is expected to arrive again.
+    // Services that arrived recently are expected to arrive again.
     for (int i = 0; i < 40; i++) {
       cluster.users.changed(
           "one",
@@ -151,7 +158,10 @@
     assertTrue(isNamed, awaitResponse(cluster, "/v1/jobs/" + job.ref + "/why").toString());
   }
 
-  /** A replica whose image lies where other work can be stopped sooner than a fetch would end. */
+  /**
+   * A replica whose image is on a machine where other tasks can be stopped sooner than a fetch of
+   * the image elsewhere would take.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {6, 8, 9, 10, 13, 18})
   void aReplicaThatAwaitsItsImageSaysSo(long seed) {
@@ -173,7 +183,8 @@
       holder = m.tasks().stream().anyMatch(t -> t.key().equals(first.ref + "/0")) ? m : holder;
     }
     String zone = holder.zone();
-    // All of its zone is full of what may be stopped; others keep some room.
+    // The zone of the image is full of tasks that may be stopped; other zones keep some free
+    // capacity.
     cluster.cloud.setCapacity(0);
     cluster.users.changed(
         "one", 40, 300, b -> b.put("loaners", false).put("rank", "low").put("basin", zone));
@@ -182,14 +193,14 @@
     for (JsonNode r : awaitResponse(cluster, "/v1/machines").path("rows")) {
       double free = r.path("cpus").asDouble() - r.path("used").asDouble();
       if (r.path("id").asText().equals(holder.id())) {
-        assertTrue(free < 2, "room where the image is: " + r);
+        assertTrue(free < 2, "free capacity on the machine with the image: " + r);
       } else {
         maxFreeElsewhere = Math.max(maxFreeElsewhere, free);
       }
     }
-    assertTrue(maxFreeElsewhere >= 2, "no room elsewhere");
-    // It waits for as long as a stop takes, less than one answer is waited for: this one takes a
-    // second, and the question is asked all the time.
+    assertTrue(maxFreeElsewhere >= 2, "no free capacity elsewhere");
+    // The replica waits only as long as a stop takes, which is less than the timeout of one
+    // request. The stop is made to take a second, and the reasons are read all the time.
     for (SimulatedCluster.ControllerNode n : cluster.nodes) {
       String from = "node-" + n.index;
       String to = holder.endpoint();
@@ -259,7 +270,7 @@
     SimulatedCluster cluster = startFullCluster(10, 1);
     SimulatedUsers.KnownJob job =
         cluster.users.changed("one", 60, 300, b -> b.put("shape", "gang"));
-    // What ran there before has ended by then.
+    // The tasks that ran there before have ended by then.
     cluster.run(20_000);
     JsonNode explanation = awaitResponse(cluster, "/v1/jobs/" + job.ref + "/why");
     boolean isNamed = false;
@@ -284,7 +295,7 @@
   @Test
   void machinesThatFailEverythingAreNamed() {
     SimulatedCluster cluster = startFullCluster(14, 1);
-    // What was empty has gone back meanwhile; some are up again for this.
+    // Idle machines were returned meanwhile; some boot again for this job.
     cluster.cloud.setCapacity(1);
     cluster.users.array("one", "standard", 20, 10);
     cluster.run(12_000);
--- a/src/test/java/dapplestair/world/ZoneBoundTest.java
+++ b/src/test/java/dapplestair/world/ZoneBoundTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Jobs that may run in one zone alone, arrays and services, while that zone loses machines, is cut
- * off, or has none to begin with.
+ * Arrays and services that may run in one zone only, while that zone loses machines, is cut off, or
+ * has no machine at first.
  */
 class ZoneBoundTest {
   private static SimulatedCluster startQuietCluster(long seed) {
@@ -21,7 +21,10 @@
     return cluster;
   }
 
-  /** Jobs of each shape that run in this zone alone; they last for half a minute. */
+  /**
+   * Submits jobs of each shape that may run in this zone only; those that end run for half a
+   * minute.
+   */
   private static List<SimulatedUsers.KnownJob> submitZoneBoundJobs(
       SimulatedCluster cluster, String zone) {
     List<SimulatedUsers.KnownJob> submitted = new ArrayList<>();
@@ -64,7 +67,9 @@
     }
   }
 
-  /** Each zone alone, while there is no machine, or machines of the others stand idle. */
+  /**
+   * Jobs bound to each zone, while there is no machine, or while machines of other zones are idle.
+   */
   @ParameterizedTest(name = "zone {0}, seed {1}, others at work: {2}")
   @CsvSource({"a,9201,false", "b,9202,false", "c,9203,false", "b,9204,true", "c,9205,true"})
   void machinesAreRentedInTheZoneOfTheJob(String zone, long seed, boolean othersAtWork) {
@@ -81,8 +86,9 @@
   }
 
   /**
-   * Machines of the zone end, hang or are recalled while the jobs run, and the leader ends within a
-   * message, a put, a hold, a report or a lease of it; a job is cancelled in between.
+   * Machines of the zone terminate, hang or are reclaimed while the jobs run, and the leader
+   * crashes within a message, a put, a hold, a report or a lease of that; a job is cancelled in
+   * between.
    */
   @ParameterizedTest(name = "seed {0}, zone {1}, {2}, leader ends {3} ms later")
   @CsvSource({
@@ -133,8 +139,8 @@
   }
 
   /**
-   * A zone with workers and a controller is cut off for longer than a lease, with the leader or
-   * without it. Jobs bound to it are cancelled at some moment of the cut, through both sides.
+   * A zone with workers and a controller is cut off for longer than a lease, with or without the
+   * leader. Jobs bound to the zone are cancelled at some moment of the cut, through both sides.
    */
   @ParameterizedTest(name = "seed {0}, zone {1}, {2} tenths of a lease, cancelled at {3} ms")
   @CsvSource({
--- a/src/test/java/dapplestair/world/ZonesTest.java
+++ b/src/test/java/dapplestair/world/ZonesTest.java
@@ -14,9 +14,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The life of zones on record while they are cut, lost and back, and leaders end meanwhile. */
+/**
+ * The recorded states of zones while they are cut, lost and reachable again, and leaders crash
+ * meanwhile.
+ */
 class ZonesTest {
-  /** What may follow what. */
+  /** Allowed transitions from each state. */
   private static final Map<String, Set<String>> ALLOWED_TRANSITIONS =
       Map.of(
           "STEADY", Set.of("CUT"),
@@ -24,7 +27,7 @@
           "LOST", Set.of("RETURNING"),
           "RETURNING", Set.of("STEADY", "CUT"));
 
-  /** Every state that the record of a zone takes, in order; fails on one that may not follow. */
+  /** Records every state of a zone, in order, and fails on a transition that is not allowed. */
   private static List<String> recordStates(SimulatedCluster cluster, String zone) {
     List<String> seen = new ArrayList<>(List.of("STEADY"));
     cluster.also =
@@ -44,12 +47,12 @@
 
   private static SimulatedCluster startCluster(long seed) {
     SimulatedCluster cluster = DisruptionTest.begun(seed, 5, 5);
-    // What is lost with a zone is no choice; other tests look at that.
+    // Tasks lost with a zone are not voluntary disruptions; other tests check budgets.
     cluster.checker.budget = null;
     return cluster;
   }
 
-  /** A cut of some tenths of a lease, with the leader's end at some second of it. */
+  /** A cut of some tenths of a lease, during which the leader crashes at some second. */
   @ParameterizedTest(name = "{0} tenths of a lease, leader ends at second {1}")
   @CsvSource({
     "3,-1", "3,2", "9,-1", "9,4", "9,12", "11,-1", "11,5", "11,17", "20,-1", "20,3", "20,16",
@@ -60,7 +63,7 @@
   }
 
   /**
-   * Cuts after which no machine of the zone was left, with or without a new leader
+   * Cuts after which no machine of the zone was left, with or without a change of leader
    * (docs/incidents/zone-unheard.md).
    */
   @ParameterizedTest(name = "{0} tenths of a lease, leader ends at second {1}, seed {2}")
@@ -94,12 +97,12 @@
     }
     cluster.run(Math.max(0, cutMs - (cluster.sim.now() - cutAtMs)));
     cluster.run(3 * SimulatedCluster.LEASE_MS);
-    // Zone c has no controller, so what runs there is lost with its leases.
+    // Zone c has no controller, so tasks there are lost when their leases end.
     boolean mustBeLost = tenths >= 20;
     boolean mayBeLost = tenths == 9 || tenths == 11;
     String all = String.join(" ", seen);
     if (tenths == 3 && leaderCrashS >= 0 && all.equals("STEADY")) {
-      // Over before anybody led who could have noticed it.
+      // The cut ended before a controller led that could have noticed it.
       return;
     }
     assertTrue(
@@ -107,20 +110,20 @@
             || all.equals("STEADY CUT LOST RETURNING STEADY") && (mustBeLost || mayBeLost),
         all);
     JsonNode zoneRecord = cluster.state.value("live/zone/c");
-    assertEquals(1, zoneRecord.path("cuts").asInt(), "one cut, whoever led");
+    assertEquals(1, zoneRecord.path("cuts").asInt(), "number of recorded cuts");
     long recordedLateMs = zoneRecord.path("cutAt").asLong() - (1_700_000_000_000L + cutAtMs);
     assertTrue(
         Math.abs(recordedLateMs) < 2 * SimulatedCluster.REPORT_MS,
-        "cut " + recordedLateMs + " ms late by the record");
-    assertEquals(72, DisruptionTest.replicas(cluster), "replicas once all is over");
+        "cut " + recordedLateMs + " ms late in the record");
+    assertEquals(72, DisruptionTest.replicas(cluster), "replicas at the end");
   }
 
-  /** A zone that flaps is held down for twice as long each time, and nothing is rented there. */
+  /** A flapping zone is held down for twice as long each time, and no machine is rented there. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {21, 22, 23})
   void aZoneThatFlapsIsHeldDown(long seed) {
     SimulatedCluster cluster = startCluster(seed);
-    // So that the fleet stays as it is.
+    // Keeps the set of machines unchanged.
     cluster.users.array("one", "high", 60, 600);
     cluster.run(15_000);
     List<String> seen = recordStates(cluster, "c");
@@ -138,23 +141,26 @@
       cluster.users.array("one", "high", 60, 10);
       cluster.run(SimulatedCluster.LEASE_MS);
     }
-    assertEquals("RETURNING", seen.get(seen.size() - 1), "held for eight leases by now");
+    assertEquals(
+        "RETURNING", seen.get(seen.size() - 1), "the zone is not held down for eight leases");
     for (EmulatedWorker m : cluster.cloud.machines()) {
       assertTrue(
           before.contains(m.id()) || !m.zone().equals("c"), m.id() + " was rented in a held zone");
     }
     cluster.run(8 * SimulatedCluster.LEASE_MS);
     assertEquals("STEADY", seen.get(seen.size() - 1));
-    assertEquals(72, DisruptionTest.replicas(cluster), "replicas once all is over");
+    assertEquals(72, DisruptionTest.replicas(cluster), "replicas at the end");
   }
 
-  /** When all zones are silent it is we who are cut off: nothing is concluded of any zone. */
+  /**
+   * When all zones are silent, the controllers are the ones cut off: the state of no zone changes.
+   */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {31, 32})
   void whoHearsNobodyConcludesNothing(long seed) {
     SimulatedCluster cluster = startCluster(seed);
     for (int i = 0; i < 85; i++) {
-      // Machines that come up meanwhile are out of reach as well.
+      // Machines that boot meanwhile are cut off as well.
       for (SimulatedCluster.ControllerNode n : cluster.nodes) {
         for (EmulatedWorker m : cluster.cloud.machines()) {
           cluster.net.cut("node-" + n.index, m.endpoint(), false);
@@ -166,7 +172,7 @@
     assertEquals(List.of(), List.copyOf(cluster.state.keys("live/zone/")));
   }
 
-  /** A zone whose machines have all been given up is tried again after a while. */
+  /** A zone whose machines were all given up is tried again after a while. */
   @Test
   void anEmptiedZoneIsTriedAgain() {
     SimulatedCluster cluster = startCluster(41);
@@ -181,13 +187,13 @@
     assertTrue(seen.contains("CUT"), seen.toString());
   }
 
-  /** A second zone is lost while the first one returns; both are said as they are. */
+  /** A second zone is cut while the first one returns; both are reported in their own state. */
   @Test
   void aSecondZoneIsCutWhileTheFirstReturns() {
     SimulatedCluster cluster = startCluster(51);
     cluster.cutZone("c", false, SimulatedCluster.LEASE_MS * 3 / 2);
     cluster.run(SimulatedCluster.LEASE_MS * 3 / 2 + 3000);
-    // Its machines were given up, so that nobody can be heard there yet.
+    // The machines of zone c were given up, so none can report yet.
     assertEquals("LOST", recordedState(cluster, "c"));
     cluster.cutZone("b", false, SimulatedCluster.LEASE_MS);
     cluster.run(SimulatedCluster.REPORT_MS * 5 / 2);
@@ -196,13 +202,13 @@
     assertEquals("steady", rows.path(0).path("state").asText(), rows.toString());
     assertEquals("cut", rows.path(1).path("state").asText(), rows.toString());
     assertTrue(rows.path(1).path("not_proved").asInt() > 0, rows.toString());
-    // Late reports of machines that were returned may be all that is heard of it.
+    // Possibly only late reports of returned machines have arrived from zone c.
     String third = rows.path(2).path("state").asText();
     assertTrue(Set.of("lost", "returning").contains(third), rows.toString());
     cluster.run(6 * SimulatedCluster.LEASE_MS);
     assertEquals("STEADY", recordedState(cluster, "b"));
     assertEquals("STEADY", recordedState(cluster, "c"));
-    assertEquals(72, DisruptionTest.replicas(cluster), "replicas once all is over");
+    assertEquals(72, DisruptionTest.replicas(cluster), "replicas at the end");
   }
 
   private static String recordedState(SimulatedCluster cluster, String zone) {
