--- a/src/test/java/dapplestair/world/LastTaskEndTest.java
+++ b/src/test/java/dapplestair/world/LastTaskEndTest.java
@@ -17,8 +17,8 @@
  * Requests that arrive while the last task of a job ends, without other faults. A cancellation, a
  * read or a repeated submission is sent to the leader or to other controllers when the task ends on
  * its machine, when the end of the job reaches the state service, or while the commit of the end or
- * of the cancellation is on its way there. Offsets of a message, a put or a report move the
- * requests.
+ * of the cancellation is on its way there. The requests are delayed by about the time of a message,
+ * a put or a report.
  */
 class LastTaskEndTest {
   private static final int JOBS = 12;
@@ -77,11 +77,11 @@
 
     private void onTaskCompleted(String task) {
       SimulatedUsers.KnownJob job = jobs.get(task.substring(0, task.indexOf('/')));
-      boolean last =
+      boolean isLastTask =
           job != null && completedTaskCounts.merge(job.ref, 1, Integer::sum) == job.steps;
-      if (last && step == Step.TASK_EXITS) {
+      if (isLastTask && step == Step.TASK_EXITS) {
         cluster.sim.after(delayMs, () -> sendRequests(job));
-      } else if (last && step == Step.CANCELLATION_IS_SENT) {
+      } else if (isLastTask && step == Step.CANCELLATION_IS_SENT) {
         cluster.users.cancelAt(job, cluster.nodes.get((cluster.leader().index + 1) % 3));
       }
     }
--- a/src/test/java/dapplestair/world/LeaseResponsesTest.java
+++ b/src/test/java/dapplestair/world/LeaseResponsesTest.java
@@ -124,8 +124,8 @@
     CancellationOutageTest.refuse(day);
     day.cancel(day.second);
     day.w.state.fail();
-    // Reports of the machine itself must not interfere with those of the test, and users who ask
-    // this follower would inform it again.
+    // Reports of the machine itself must not interfere with those of the test, and a user who asks
+    // this follower would get the confirmation from it once more.
     day.w.net.cut(SimulatedCluster.client(day.third.index), reporter.machine.endpoint(), false);
     day.w.net.cut(SimulatedCluster.client(day.third.index), "users", false);
     day.w.run(SimulatedCluster.REPORT_MS);
--- a/src/test/java/dapplestair/world/LostOperatorResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostOperatorResponsesTest.java
@@ -56,7 +56,7 @@
   @CsvSource({"13111,GOES_ON", "13112,HEARS_NO_NEWS", "13113,ENDS_AT_ONCE", "13114,ENDS_LATER"})
   void replacementsWithoutAnswer(long seed, LostResponsesTest.Sender sender) {
     SimulatedCluster cluster = DisruptionTest.begun(seed, 2, 3);
-    Set<String> before = ReplacementTest.machineIds(cluster);
+    Set<String> oldMachineIds = ReplacementTest.machineIds(cluster);
     int replicasBefore = DisruptionTest.replicas(cluster);
     loseResponses(cluster, CommitInterceptor.puts("live/replace/"), sender);
     OperatorsTest.submitOrder(
@@ -64,7 +64,7 @@
     cluster.run(2 * PHASE_MS);
     stopLosingResponses(cluster);
     ReplacementTest.awaitDone(cluster, MAX_REPLACEMENT_MS);
-    ReplacementTest.assertReplaced(cluster, before, replicasBefore);
+    ReplacementTest.assertReplaced(cluster, oldMachineIds, replicasBefore);
   }
 
   /**
--- a/src/test/java/dapplestair/world/MonotonicReadsTest.java
+++ b/src/test/java/dapplestair/world/MonotonicReadsTest.java
@@ -32,7 +32,7 @@
     STREAM_LOST,
     /** Responses of the state service to the controllers are delayed. */
     HELD_UP,
-    /** The leader is deposed and drops the state of its term. */
+    /** The leader is deposed and drops all its state. */
     DEPOSED
   }
 
--- a/src/test/java/dapplestair/world/NoGuaranteeTest.java
+++ b/src/test/java/dapplestair/world/NoGuaranteeTest.java
@@ -47,11 +47,11 @@
   @ValueSource(longs = {4001, 4003, 4004})
   void aSwarmSharesPuts(long seed) {
     SimulatedCluster cluster = startCluster(seed);
-    long before = cluster.state.puts();
+    long putsBefore = cluster.state.puts();
     List<SimulatedUsers.KnownJob> swarm = submitSwarm(cluster, 300, 130, 20);
     cluster.run(300 * 130 + 40_000);
     swarm.forEach(j -> assertTrue(j.done, j.ref + " is not done"));
-    double putsPerJob = (cluster.state.puts() - before) / 300.0;
+    double putsPerJob = (cluster.state.puts() - putsBefore) / 300.0;
     assertTrue(putsPerJob <= MAX_PUTS_PER_JOB, putsPerJob + " puts for each job");
     assertEquals(
         List.of(), cluster.state.keys("live/sheet/"), "launch batches left after all jobs ended");
@@ -67,15 +67,16 @@
   void othersAreAcceptedInTime(long seed) {
     SimulatedCluster cluster = startCluster(seed);
     submitSwarm(cluster, 2400, 8, 5);
-    List<SimulatedUsers.KnownJob> others = new ArrayList<>();
+    List<SimulatedUsers.KnownJob> otherJobs = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       cluster.run(1000);
-      others.add(cluster.users.array("one", "high", 2, 4));
+      otherJobs.add(cluster.users.array("one", "high", 2, 4));
     }
     cluster.run(20_000);
-    long late = others.stream().filter(j -> j.acceptedAt - j.submittedAt > 1000).count();
-    assertTrue(late <= 1, late + " of 20 jobs were accepted after more than a second");
-    others.forEach(j -> assertTrue(j.accepted, j.ref + " is not accepted"));
+    long acceptedLate = otherJobs.stream().filter(j -> j.acceptedAt - j.submittedAt > 1000).count();
+    assertTrue(
+        acceptedLate <= 1, acceptedLate + " of 20 jobs were accepted after more than a second");
+    otherJobs.forEach(j -> assertTrue(j.accepted, j.ref + " is not accepted"));
   }
 
   /** Leaders crash while only launch batches record hundreds of tasks, some of which have ended. */
--- a/src/test/java/dapplestair/world/OutboundCutTest.java
+++ b/src/test/java/dapplestair/world/OutboundCutTest.java
@@ -117,10 +117,10 @@
   void aZoneCannotReport(long seed, int leaderCrashS) {
     SimulatedCluster cluster = startCluster(seed);
     int killedBefore = cluster.cloud.killedByRelease();
-    for (long at = 0; at < 4 * SimulatedCluster.LEASE_MS; at += 200) {
+    for (long offsetMs = 0; offsetMs < 4 * SimulatedCluster.LEASE_MS; offsetMs += 200) {
       // Machines that boot there meanwhile are muted as well, before they can report: none boots
       // within this time.
-      cluster.sim.after(at, () -> machinesInZone(cluster, "c").forEach(m -> m.mute(3000)));
+      cluster.sim.after(offsetMs, () -> machinesInZone(cluster, "c").forEach(m -> m.mute(3000)));
     }
     if (leaderCrashS >= 0) {
       cluster.sim.after(1000L * leaderCrashS, () -> cluster.leader().crash(2000));
--- a/src/test/java/dapplestair/world/OverloadTest.java
+++ b/src/test/java/dapplestair/world/OverloadTest.java
@@ -66,7 +66,7 @@
     cluster.net.slowMs = slowMs;
     cluster.net.slow = (a, b) -> !a.startsWith("state") && !b.startsWith("state");
     int number = 0;
-    for (long at = 0; at < OVERLOAD_MS; at += 600) {
+    for (long elapsedMs = 0; elapsedMs < OVERLOAD_MS; elapsedMs += 600) {
       submit(cluster, number++);
       cluster.run(600);
       if (leaderCrashMs >= 0 && number % 50 == 25) {
--- a/src/test/java/dapplestair/world/RelayTest.java
+++ b/src/test/java/dapplestair/world/RelayTest.java
@@ -107,16 +107,17 @@
   void aLeaderCrashMovesOnlyItsOwnWorkers(long seed, long backAfterMs) {
     Scenario scenario = new Scenario(seed);
     SimulatedCluster.ControllerNode leader = scenario.cluster.leader();
-    Map<String, String> before = scenario.reportTargets();
+    Map<String, String> targetsBefore = scenario.reportTargets();
     int killedBefore =
         scenario.cluster.cloud.killedByLease() + scenario.cluster.cloud.killedByRelease();
     leader.crash(backAfterMs);
     scenario.cluster.run(2 * SimulatedCluster.REPORT_MS);
-    Map<String, String> after = scenario.reportTargets();
-    before.forEach(
+    Map<String, String> targetsAfter = scenario.reportTargets();
+    targetsBefore.forEach(
         (machine, node) -> {
           if (!node.equals(SimulatedCluster.client(leader.index))) {
-            assertEquals(node, after.get(machine), machine + " was moved to another controller");
+            assertEquals(
+                node, targetsAfter.get(machine), machine + " was moved to another controller");
           }
         });
     scenario.cluster.run(SimulatedCluster.LEASE_MS);
--- a/src/test/java/dapplestair/world/ReplacementTest.java
+++ b/src/test/java/dapplestair/world/ReplacementTest.java
@@ -41,7 +41,7 @@
   private static JsonNode awaitDone(
       SimulatedCluster cluster, long maxMs, Consumer<JsonNode> onEachView) {
     JsonNode view = null;
-    for (long t = 0; t < maxMs; t += 3000) {
+    for (long elapsedMs = 0; elapsedMs < maxMs; elapsedMs += 3000) {
       view = OperatorsTest.awaitResponse(cluster, ORDER_PATH);
       if (view.path("state").asText().equals("done")) {
         return view;
@@ -62,9 +62,9 @@
     }
   }
 
-  static void assertReplaced(SimulatedCluster cluster, Set<String> before, int replicas) {
+  static void assertReplaced(SimulatedCluster cluster, Set<String> oldIds, int replicas) {
     Set<String> remaining = machineIds(cluster);
-    remaining.retainAll(before);
+    remaining.retainAll(oldIds);
     assertEquals(Set.of(), remaining, "old machines remain");
     cluster.run(30_000);
     assertEquals(replicas, DisruptionTest.replicas(cluster), "replicas in the end");
@@ -75,14 +75,14 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void allMachinesAreReplaced(long seed) {
     SimulatedCluster cluster = DisruptionTest.begun(seed, 2, 3);
-    Set<String> before = machineIds(cluster);
+    Set<String> oldIds = machineIds(cluster);
     int replicas = DisruptionTest.replicas(cluster);
     OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(3, 3));
     int killed = cluster.cloud.killedByRelease();
     JsonNode finalView = awaitDone(cluster, 900_000);
-    assertReplaced(cluster, before, replicas);
+    assertReplaced(cluster, oldIds, replicas);
     assertEquals(killed, cluster.cloud.killedByRelease(), "tasks killed by returning machines");
-    assertTrue(finalView.path("steps").asInt() >= before.size() / 3, finalView.toString());
+    assertTrue(finalView.path("steps").asInt() >= oldIds.size() / 3, finalView.toString());
   }
 
   /** Under each fault, budgets hold and the order goes on until all machines are new. */
@@ -92,7 +92,7 @@
     for (long seed = 1; seed <= 2; seed++) {
       SimulatedCluster cluster = DisruptionTest.begun(100 * fault.ordinal() + seed, 2, 3);
       try {
-        Set<String> before = machineIds(cluster);
+        Set<String> oldIds = machineIds(cluster);
         OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(3, 3));
         for (int i = 0; i < 7; i++) {
           cluster.run(cluster.sim.between(1500, 9000));
@@ -106,7 +106,7 @@
                 .filter(j -> j.service && j.accepted)
                 .mapToInt(j -> j.steps)
                 .sum();
-        assertReplaced(cluster, before, wanted);
+        assertReplaced(cluster, oldIds, wanted);
         cluster.checker.checkServed();
       } catch (AssertionError e) {
         throw new AssertionError(fault + ", seed " + seed + ": " + e.getMessage(), e);
@@ -130,8 +130,8 @@
       boolean[] busy = {true};
       ReplacementCosts.load(cluster, busy);
       cluster.run(100_000);
-      Set<String> before = machineIds(cluster);
-      assertTrue(before.size() > 200, before.size() + " machines");
+      Set<String> oldIds = machineIds(cluster);
+      assertTrue(oldIds.size() > 200, oldIds.size() + " machines");
       RandomFaults faults = new RandomFaults(cluster);
       OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(20, 20));
       faults.begin(9000);
@@ -141,7 +141,7 @@
       cluster.run(30_000);
       awaitDone(cluster, 1_500_000, seen -> resumeIfWaiting(cluster, seen));
       Set<String> remaining = machineIds(cluster);
-      remaining.retainAll(before);
+      remaining.retainAll(oldIds);
       assertEquals(Set.of(), remaining, "old machines remain");
       cluster.checker.checkServed();
     } catch (AssertionError e) {
@@ -165,7 +165,7 @@
   @ValueSource(longs = {61, 62, 63})
   void badNewMachinesPauseTheOrder(long seed) {
     SimulatedCluster cluster = DisruptionTest.begun(seed, 2, 3);
-    Set<String> before = machineIds(cluster);
+    Set<String> oldIds = machineIds(cluster);
     int replicas = DisruptionTest.replicas(cluster);
     cluster.cloud.setSick(true);
     OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(4, 4));
@@ -186,7 +186,7 @@
     cluster.run(30_000);
     OperatorsTest.submitOrder(cluster, ORDER_PATH + "/resume", Json.object());
     awaitDone(cluster, 900_000);
-    assertReplaced(cluster, before, replicas);
+    assertReplaced(cluster, oldIds, replicas);
   }
 
   /** An order writes one put for each step, and one more while the order waits for new machines. */
@@ -194,7 +194,7 @@
   @ValueSource(ints = {0, 1})
   void anOrderWritesAtMostTwicePerStep(int surgeMachines) {
     SimulatedCluster cluster = DisruptionTest.begun(93 + surgeMachines, 3, 3);
-    int before = machineIds(cluster).size();
+    int oldMachineCount = machineIds(cluster).size();
     String[] lastRecord = {""};
     int[] writes = {0};
     cluster.also =
@@ -208,8 +208,8 @@
     // Allows for the order itself and its end; an order that makes no progress for longer than a
     // lease records that once.
     assertTrue(
-        writes[0] <= 2 * steps + 4 && steps <= before,
-        writes[0] + " writes for " + before + " machines in " + steps + " steps");
+        writes[0] <= 2 * steps + 4 && steps <= oldMachineCount,
+        writes[0] + " writes for " + oldMachineCount + " machines in " + steps + " steps");
   }
 
   /**
@@ -221,11 +221,11 @@
   @ValueSource(longs = {90, 91, 92, 95, 96, 97, 99})
   void anOrderForAFullFleetMakesProgress(long seed) {
     SimulatedCluster cluster = DisruptionTest.begun(seed, 3, 3);
-    Set<String> before = machineIds(cluster);
+    Set<String> oldIds = machineIds(cluster);
     int replicas = DisruptionTest.replicas(cluster);
     OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(1, 0));
     awaitDone(cluster, 1_500_000);
-    assertReplaced(cluster, before, replicas);
+    assertReplaced(cluster, oldIds, replicas);
   }
 
   /** Surge machines are rented only as far as the budget of the plan allows. */
@@ -275,9 +275,9 @@
   @ValueSource(longs = {71, 72})
   void abortPutsOldMachinesBackIntoUse(long seed) {
     SimulatedCluster cluster = DisruptionTest.begun(seed, 2, 3);
-    Set<String> before = machineIds(cluster);
+    Set<String> oldIds = machineIds(cluster);
     OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(2, 2));
-    for (int i = 0; i < 200 && before.equals(intersection(machineIds(cluster), before)); i++) {
+    for (int i = 0; i < 200 && oldIds.equals(intersection(machineIds(cluster), oldIds)); i++) {
       cluster.run(1000);
     }
     OperatorsTest.submitOrder(cluster, ORDER_PATH + "/abort", Json.object());
@@ -325,8 +325,8 @@
   @ValueSource(longs = {81, 82, 83})
   void overlappingOrdersAllComplete(long seed) {
     SimulatedCluster cluster = DisruptionTest.begun(seed, 1, 2);
-    Set<String> before = machineIds(cluster);
-    String machineId = before.stream().sorted().findFirst().orElseThrow();
+    Set<String> oldIds = machineIds(cluster);
+    String machineId = oldIds.stream().sorted().findFirst().orElseThrow();
     OperatorsTest.submitOrder(cluster, ORDER_PATH + "/start", orderForAll(2, 2));
     OperatorsTest.submitOrder(
         cluster, "/v1/replacements/second/start", orderForAll(1, 1).put("spot", false));
@@ -337,7 +337,7 @@
     cluster.run(20_000);
     OperatorsTest.submitOrder(cluster, "/v1/zones/b/undrain", Json.object());
     awaitDone(cluster, 900_000);
-    assertReplaced(cluster, before, 72);
+    assertReplaced(cluster, oldIds, 72);
     JsonNode second = OperatorsTest.awaitResponse(cluster, "/v1/replacements/second");
     cluster.run(60_000);
     second = OperatorsTest.awaitResponse(cluster, "/v1/replacements/second");
--- a/src/test/java/dapplestair/world/SilenceTest.java
+++ b/src/test/java/dapplestair/world/SilenceTest.java
@@ -59,12 +59,12 @@
    * Runs the cluster for {@code ms} and returns the sum of seconds for which replicas were missing.
    */
   private static double missingReplicaSeconds(SimulatedCluster cluster, long ms) {
-    double sum = 0;
+    double missingSeconds = 0;
     for (long t = 0; t < ms; t += 500) {
       cluster.run(500);
-      sum += 0.5 * Math.max(0, REPLICAS - replicaCount(cluster, m -> true));
+      missingSeconds += 0.5 * Math.max(0, REPLICAS - replicaCount(cluster, m -> true));
     }
-    return sum;
+    return missingSeconds;
   }
 
   /**
@@ -102,14 +102,14 @@
     SimulatedCluster cluster = startCluster(seed);
     cluster.cutZone(CUT_ZONE, false, CUT_MS);
     cluster.run(SimulatedCluster.REPORT_MS * 2);
-    Set<String> before = machineIds(cluster);
+    Set<String> idsBefore = machineIds(cluster);
     for (int i = 0; i < 4; i++) {
       cluster.users.array("one", "high", 8, 6);
       cluster.run(3000);
     }
     for (EmulatedWorker m : cluster.cloud.machines()) {
       assertTrue(
-          before.contains(m.id()) || !m.zone().equals(CUT_ZONE),
+          idsBefore.contains(m.id()) || !m.zone().equals(CUT_ZONE),
           m.id() + " was rented in " + CUT_ZONE);
     }
     cluster.run(40_000);
--- a/src/test/java/dapplestair/world/ZonesTest.java
+++ b/src/test/java/dapplestair/world/ZonesTest.java
@@ -33,13 +33,13 @@
     cluster.also =
         () -> {
           JsonNode zoneRecord = cluster.state.value("live/zone/" + zone);
-          String now = zoneRecord == null ? "STEADY" : zoneRecord.path("state").asText();
-          String last = seen.get(seen.size() - 1);
-          if (!now.equals(last)) {
+          String currentState = zoneRecord == null ? "STEADY" : zoneRecord.path("state").asText();
+          String lastState = seen.get(seen.size() - 1);
+          if (!currentState.equals(lastState)) {
             assertTrue(
-                ALLOWED_TRANSITIONS.get(last).contains(now),
-                zone + " goes from " + last + " to " + now);
-            seen.add(now);
+                ALLOWED_TRANSITIONS.get(lastState).contains(currentState),
+                zone + " goes from " + lastState + " to " + currentState);
+            seen.add(currentState);
           }
         };
     return seen;
@@ -100,15 +100,15 @@
     // Zone c has no controller, so tasks there are lost when their leases end.
     boolean mustBeLost = tenths >= 20;
     boolean mayBeLost = tenths == 9 || tenths == 11;
-    String all = String.join(" ", seen);
-    if (tenths == 3 && leaderCrashS >= 0 && all.equals("STEADY")) {
+    String states = String.join(" ", seen);
+    if (tenths == 3 && leaderCrashS >= 0 && states.equals("STEADY")) {
       // The cut ended before a controller led that could have noticed it.
       return;
     }
     assertTrue(
-        all.equals("STEADY CUT RETURNING STEADY") && !mustBeLost
-            || all.equals("STEADY CUT LOST RETURNING STEADY") && (mustBeLost || mayBeLost),
-        all);
+        states.equals("STEADY CUT RETURNING STEADY") && !mustBeLost
+            || states.equals("STEADY CUT LOST RETURNING STEADY") && (mustBeLost || mayBeLost),
+        states);
     JsonNode zoneRecord = cluster.state.value("live/zone/c");
     assertEquals(1, zoneRecord.path("cuts").asInt(), "number of recorded cuts");
     long recordedLateMs = zoneRecord.path("cutAt").asLong() - (1_700_000_000_000L + cutAtMs);
@@ -136,7 +136,7 @@
       cluster.run(SimulatedCluster.LEASE_MS / 2);
       assertEquals(i, cluster.state.value("live/zone/c").path("cuts").asInt(), seen.toString());
     }
-    Set<String> before = ReplacementTest.machineIds(cluster);
+    Set<String> idsBefore = ReplacementTest.machineIds(cluster);
     for (int i = 0; i < 4; i++) {
       cluster.users.array("one", "high", 60, 10);
       cluster.run(SimulatedCluster.LEASE_MS);
@@ -145,7 +145,8 @@
         "RETURNING", seen.get(seen.size() - 1), "the zone is not held down for eight leases");
     for (EmulatedWorker m : cluster.cloud.machines()) {
       assertTrue(
-          before.contains(m.id()) || !m.zone().equals("c"), m.id() + " was rented in a held zone");
+          idsBefore.contains(m.id()) || !m.zone().equals("c"),
+          m.id() + " was rented in a held zone");
     }
     cluster.run(8 * SimulatedCluster.LEASE_MS);
     assertEquals("STEADY", seen.get(seen.size() - 1));
