--- a/src/test/java/dapplestair/world/DisruptionTest.java
+++ b/src/test/java/dapplestair/world/DisruptionTest.java
@@ -99,7 +99,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void budgetsHoldAcrossLeaderChanges(long seed) {
     SimulatedCluster cluster = startServices(seed, 1, 3);
-    OperatorsTest.order(cluster, "/v1/zones/c/drain", Json.object().put("why", "power"));
+    OperatorsTest.submitOrder(cluster, "/v1/zones/c/drain", Json.object().put("why", "power"));
     for (int i = 0; i < 8; i++) {
       // Holds messages back, so that stop commands of the former leader arrive after the next one
       // has begun to lead.
@@ -159,12 +159,12 @@
             cluster.network.cutOneWay("node-" + n.index, m.endpoint());
           }
         }
-        OperatorsTest.ask(
+        OperatorsTest.sendRequest(
             cluster, leader.index, "POST", "/v1/machines/" + m.id() + "/drain", null, r -> {});
       }
       cluster.run(cluster.sim.between(900, 2500));
       for (EmulatedWorker m : cutOffMachines) {
-        OperatorsTest.ask(
+        OperatorsTest.sendRequest(
             cluster, leader.index, "POST", "/v1/machines/" + m.id() + "/undrain", null, r -> {});
       }
       cluster.run(400);
@@ -174,7 +174,7 @@
       }
       for (EmulatedWorker m : cluster.cloud.machines()) {
         if (!cutOffMachines.contains(m) && cluster.leader() != null) {
-          OperatorsTest.ask(
+          OperatorsTest.sendRequest(
               cluster,
               cluster.leader().index,
               "POST",
@@ -194,7 +194,7 @@
           cluster.network.healOneWay("node-" + n.index, m.endpoint());
         }
         if (cluster.leader() != null) {
-          OperatorsTest.ask(
+          OperatorsTest.sendRequest(
               cluster,
               cluster.leader().index,
               "POST",
@@ -215,7 +215,7 @@
   @Test
   void aBudgetOfZeroStopsNothing() {
     SimulatedCluster cluster = startServices(7, 0, 3);
-    OperatorsTest.order(cluster, "/v1/zones/c/drain", Json.object().put("deadline_s", 5));
+    OperatorsTest.submitOrder(cluster, "/v1/zones/c/drain", Json.object().put("deadline_s", 5));
     cluster.run(60_000);
     assertTrue(
         cluster.checker.maxStoppedReplicas.getOrDefault("one", 0) == 0,
@@ -230,7 +230,7 @@
     boolean explained = false;
     for (SimulatedUsers.KnownJob job : cluster.users.jobs.values()) {
       if (job.team.equals("one") && job.service && !explained) {
-        JsonNode why = OperatorsTest.answer(cluster, "/v1/jobs/" + job.ref + "/why");
+        JsonNode why = OperatorsTest.awaitResponse(cluster, "/v1/jobs/" + job.ref + "/why");
         explained = why.path("not_moved").asText().contains("zero means never");
       }
     }
@@ -265,7 +265,7 @@
         .forEach(EmulatedWorker::powerOff);
     cluster.run(4 * SimulatedCluster.REPORT_INTERVAL_MS);
     cluster.checker.maxStoppedReplicas.clear();
-    OperatorsTest.order(cluster, "/v1/zones/c/drain", Json.object());
+    OperatorsTest.submitOrder(cluster, "/v1/zones/c/drain", Json.object());
     cluster.run(40_000);
     assertEquals(
         0,
@@ -304,7 +304,7 @@
     SimulatedUsers.KnownJob array = cluster.users.submitArray("two", "standard", 60, 300);
     cluster.run(40_000);
     for (String zone : SimulatedCluster.ZONES) {
-      OperatorsTest.order(
+      OperatorsTest.submitOrder(
           cluster, "/v1/zones/" + zone + "/drain", Json.object().put("deadline_s", 1));
     }
     for (int i = 0; i < 5; i++) {
@@ -332,7 +332,7 @@
   @ValueSource(longs = {31, 32, 33})
   void aBudgetLoweredBelowTheStoppedReplicas(long seed) {
     SimulatedCluster cluster = startServices(seed, 6, 6);
-    OperatorsTest.order(cluster, "/v1/zones/c/drain", Json.object());
+    OperatorsTest.submitOrder(cluster, "/v1/zones/c/drain", Json.object());
     for (int i = 0;
         i < 100 && cluster.checker.maxStoppedReplicas.getOrDefault("one", 0) <= 1;
         i++) {
--- a/src/test/java/dapplestair/world/DrainTest.java
+++ b/src/test/java/dapplestair/world/DrainTest.java
@@ -26,7 +26,7 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {11, 12, 13})
   void drainingAZoneStopsAtMostOneReplicaPerService(long seed) {
-    SimulatedCluster cluster = OperatorsTest.quiet(seed, OperatorsTest.ROOMY);
+    SimulatedCluster cluster = OperatorsTest.startQuietCluster(seed, OperatorsTest.ROOMY);
     List<SimulatedUsers.KnownJob> services =
         List.of(
             cluster.users.submitService("one", 4),
@@ -46,7 +46,7 @@
             minSurplus[0] = Math.min(minSurplus[0], countRunningTasks(cluster, s) - s.taskCount);
           }
         };
-    OperatorsTest.order(cluster, "/v1/zones/a/drain", Json.object().put("why", "power"));
+    OperatorsTest.submitOrder(cluster, "/v1/zones/a/drain", Json.object().put("why", "power"));
     cluster.run(120_000);
     assertTrue(minSurplus[0] >= -1, "a service lacked up to " + -minSurplus[0] + " replicas");
     services.forEach(
@@ -64,11 +64,11 @@
    */
   @Test
   void replicasThatFitNowhereElseStay() {
-    SimulatedCluster cluster = OperatorsTest.quiet(21, OperatorsTest.ROOMY);
+    SimulatedCluster cluster = OperatorsTest.startQuietCluster(21, OperatorsTest.ROOMY);
     SimulatedUsers.KnownJob service = cluster.users.submitService("one", 4);
     cluster.run(60_000);
-    OperatorsTest.order(cluster, "/v1/zones/a/drain", Json.object().put("deadline_s", 5));
-    OperatorsTest.order(cluster, "/v1/zones/b/drain", Json.object().put("deadline_s", 5));
+    OperatorsTest.submitOrder(cluster, "/v1/zones/a/drain", Json.object().put("deadline_s", 5));
+    OperatorsTest.submitOrder(cluster, "/v1/zones/b/drain", Json.object().put("deadline_s", 5));
     cluster.run(90_000);
     assertEquals(4, countRunningTasks(cluster, service));
     assertTrue(DisruptionTest.countTasksInZone(cluster, "c") <= 2, "the spread rule is violated");
@@ -78,9 +78,9 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {31, 32, 33, 34})
   void aDrainContinuesAcrossLeaderChanges(long seed) {
-    SimulatedCluster cluster = OperatorsTest.world(seed, SimulatedCluster.Size.SMALL);
+    SimulatedCluster cluster = OperatorsTest.newCluster(seed, SimulatedCluster.Size.SMALL);
     cluster.run(30_000);
-    OperatorsTest.order(
+    OperatorsTest.submitOrder(
         cluster, "/v1/zones/b/drain", Json.object().put("why", "cooling").put("deadline_s", 20));
     for (int i = 0; i < 4; i++) {
       if (cluster.leader() != null) {
@@ -90,7 +90,7 @@
     }
     cluster.users.submissionsStopped = true;
     cluster.run(90_000);
-    JsonNode drains = OperatorsTest.answer(cluster, "/v1/drains");
+    JsonNode drains = OperatorsTest.awaitResponse(cluster, "/v1/drains");
     assertEquals("cooling", drains.path("rows").path(0).path("why").asText());
     long arrayTasksInZone =
         cluster.cloud.machines().stream()
@@ -99,7 +99,7 @@
             .filter(t -> t.isOnMachine() && !cluster.users.jobs.get(jobRef(t)).service)
             .count();
     assertEquals(0, arrayTasksInZone, "array tasks left in the zone");
-    OperatorsTest.order(cluster, "/v1/zones/b/undrain", null);
+    OperatorsTest.submitOrder(cluster, "/v1/zones/b/undrain", null);
     SeededDaysTest.settle(cluster);
   }
 
@@ -113,7 +113,7 @@
    */
   @Test
   void aDrainedMachineGetsNoTasksAndIsReturnedOnRequest() {
-    SimulatedCluster cluster = OperatorsTest.quiet(41, OperatorsTest.ROOMY);
+    SimulatedCluster cluster = OperatorsTest.startQuietCluster(41, OperatorsTest.ROOMY);
     cluster.users.submitArray("one", "standard", 24, 4);
     cluster.run(25_000);
     EmulatedWorker drained =
@@ -121,7 +121,7 @@
             .filter(x -> x.hasBooted() && !x.isGone())
             .findFirst()
             .orElseThrow();
-    OperatorsTest.order(cluster, "/v1/machines/" + drained.id() + "/drain", Json.object());
+    OperatorsTest.submitOrder(cluster, "/v1/machines/" + drained.id() + "/drain", Json.object());
     cluster.run(10_000);
     long[] tasksSeen = {0};
     cluster.extraCheck =
@@ -132,7 +132,7 @@
     }
     assertEquals(0, tasksSeen[0], "tasks seen on a drained machine");
     assertTrue(!drained.isGone(), "a drained machine was returned");
-    OperatorsTest.order(
+    OperatorsTest.submitOrder(
         cluster, "/v1/machines/" + drained.id() + "/drain", Json.object().put("return", true));
     cluster.run(90_000);
     assertTrue(drained.isGone(), "a machine drained with return is still rented");
@@ -148,13 +148,13 @@
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {51, 52, 53})
   void concurrentDrainAndUndrainAreAnswered(long seed) {
-    SimulatedCluster cluster = OperatorsTest.world(seed, SimulatedCluster.Size.SMALL);
+    SimulatedCluster cluster = OperatorsTest.newCluster(seed, SimulatedCluster.Size.SMALL);
     cluster.run(30_000);
     String id = cluster.cloud.machines().iterator().next().id();
     int[] replyCounts = new int[2];
     for (int i = 0; i < 40; i++) {
       String verb = i % 2 == 0 ? "drain" : "undrain";
-      OperatorsTest.ask(
+      OperatorsTest.sendRequest(
           cluster,
           i % 3,
           "POST",
--- a/src/test/java/dapplestair/world/FailingJobsTest.java
+++ b/src/test/java/dapplestair/world/FailingJobsTest.java
@@ -54,7 +54,7 @@
   private static Set<String> machinesFoundFaulty(SimulatedCluster cluster) {
     Set<String> machineIds = new HashSet<>();
     JsonNode events =
-        OperatorsTest.answer(cluster, "/v1/events?limit=500&where=kind%20%3D%20faulty");
+        OperatorsTest.awaitResponse(cluster, "/v1/events?limit=500&where=kind%20%3D%20faulty");
     for (JsonNode event : events.path("rows")) {
       machineIds.add(event.path("machine").asText());
     }
@@ -113,9 +113,10 @@
         failingJob.starts - startsBefore <= 6,
         failingJob.starts - startsBefore + " probes in 90 s");
     assertTrue(failingJob.starts > startsBefore, "the failing job is not retried");
-    JsonNode why = OperatorsTest.answer(cluster, "/v1/jobs/" + failingJob.ref + "/why");
+    JsonNode why = OperatorsTest.awaitResponse(cluster, "/v1/jobs/" + failingJob.ref + "/why");
     assertTrue(why.path("failing").path("one_at_a_time").asBoolean(), why.toString());
-    assertEquals(1, OperatorsTest.answer(cluster, "/v1/status").path("jobs_suspected").asInt());
+    assertEquals(
+        1, OperatorsTest.awaitResponse(cluster, "/v1/status").path("jobs_suspected").asInt());
   }
 
   private static Set<String> machineIds(SimulatedCluster cluster) {
@@ -146,7 +147,7 @@
     SimulatedUsers.KnownJob partlyFailingJob = submitFailingJob(cluster, 3);
     cluster.run(40_000);
     int startsBefore = partlyFailingJob.starts;
-    JsonNode job = OperatorsTest.answer(cluster, "/v1/jobs/" + partlyFailingJob.ref);
+    JsonNode job = OperatorsTest.awaitResponse(cluster, "/v1/jobs/" + partlyFailingJob.ref);
     assertEquals(STEPS - 3, job.path("done").asInt(), job.toString());
     cluster.run(60_000);
     assertTrue(
@@ -232,7 +233,7 @@
   }
 
   private static void assertNotInUse(SimulatedCluster cluster, Set<String> faultyMachines) {
-    for (JsonNode m : OperatorsTest.answer(cluster, "/v1/machines?limit=500").path("rows")) {
+    for (JsonNode m : OperatorsTest.awaitResponse(cluster, "/v1/machines?limit=500").path("rows")) {
       if (faultyMachines.contains(m.path("id").asText())) {
         assertTrue(
             Set.of("faulty", "returning", "silent").contains(m.path("state").asText()),
@@ -270,7 +271,7 @@
     assertTrue(gang.done, "the gang is not done");
     assertEquals(
         6,
-        OperatorsTest.answer(cluster, "/v1/jobs/" + service.ref).path("running").asInt(),
+        OperatorsTest.awaitResponse(cluster, "/v1/jobs/" + service.ref).path("running").asInt(),
         "running replicas");
   }
 
@@ -281,11 +282,13 @@
   @ValueSource(longs = {2071, 2072})
   void replacementContinuesThoughJobsFailOnNewMachines(long seed) {
     SimulatedCluster cluster = startCluster(seed);
-    OperatorsTest.order(cluster, "/v1/replacements/night/start", ReplacementTest.all(6, 6));
+    OperatorsTest.submitOrder(
+        cluster, "/v1/replacements/night/start", ReplacementTest.orderForAll(6, 6));
     for (int i = 0; i < 20; i++) {
       submitFailingJob(cluster, STEPS);
       cluster.run(4000);
-      String replacement = OperatorsTest.answer(cluster, "/v1/replacements/night").toString();
+      String replacement =
+          OperatorsTest.awaitResponse(cluster, "/v1/replacements/night").toString();
       assertFalse(replacement.contains("fail tasks"), replacement);
     }
   }
--- a/src/test/java/dapplestair/world/LastTaskEndTest.java
+++ b/src/test/java/dapplestair/world/LastTaskEndTest.java
@@ -14,107 +14,115 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A cancellation, a question or a repeated submission meets the end of a job's last task, with no
- * other trouble: at the moment at which the task ends on its machine, or at which its end reaches
- * the state service, or while its end or its cancellation is on its way there, moved by a message,
- * a put or a report, at the leader or at others.
+ * Requests that arrive while the last task of a job ends, without other faults. A cancellation, a
+ * read or a repeated submission is sent to the leader or to other controllers when the task ends on
+ * its machine, when the end of the job reaches the state service, or while the commit of the end or
+ * of the cancellation is on its way there. The requests are delayed by about the time of a message,
+ * a put or a report.
  */
 class LastTaskEndTest {
   private static final int JOBS = 12;
   private static final long RUN_S = 4;
 
-  /** The step of an end at which the request is sent. */
+  /** The step in the end of a job at which the requests are sent. */
   enum Step {
     /** The last task exits on its machine. */
     TASK_EXITS,
-    /** The job's end is on its way to the state service, and takes a while. */
+    /** The commit of the end of the job is delayed on its way to the state service. */
     DONE_IS_SENT,
-    /** A cancellation asked for when the task exited is on its way, and takes a while. */
+    /**
+     * The commit of a cancellation that was requested when the task exited is delayed on its way to
+     * the state service.
+     */
     CANCELLATION_IS_SENT,
-    /** The job's end is carried out; nobody has heard of it. */
+    /** The end of the job is committed, and no controller or user has learned of it. */
     DONE_IS_PUT
   }
 
-  /** Who sends what where. */
-  private static final class Day {
-    final SimulatedCluster w;
+  /** A simulated cluster that sends requests at the chosen step of the end of each job. */
+  private static final class Scenario {
+    final SimulatedCluster cluster;
     final ConcurrentReaders readers;
     final Step step;
-    final long moveMs;
+    final long delayMs;
     final Map<String, SimulatedUsers.KnownJob> jobs = new LinkedHashMap<>();
-    final Map<String, Integer> completed = new LinkedHashMap<>();
-    final Set<String> heldOnce = new HashSet<>();
-    int met;
+    final Map<String, Integer> completedTaskCounts = new LinkedHashMap<>();
+    final Set<String> jobsWithHeldCommit = new HashSet<>();
+    int requestedEnds;
 
-    Day(long seed, Step step, long moveMs) {
-      w = new SimulatedCluster(seed);
-      w.network.lossProbability = 0;
-      w.users.cancelledArrayShare = 0;
-      readers = new ConcurrentReaders(w);
+    Scenario(long seed, Step step, long delayMs) {
+      cluster = new SimulatedCluster(seed);
+      cluster.network.lossProbability = 0;
+      cluster.users.cancelledArrayShare = 0;
+      readers = new ConcurrentReaders(cluster);
       this.step = step;
-      this.moveMs = moveMs;
-      w.checker.completionListener = this::completed;
-      w.network.commits.commitListener = this::carriedOut;
-      SimulatedNetwork.RequestInterceptor others = w.network.interceptor;
-      w.network.interceptor =
+      this.delayMs = delayMs;
+      cluster.checker.completionListener = this::onTaskCompleted;
+      cluster.network.commits.commitListener = this::onCommitted;
+      SimulatedNetwork.RequestInterceptor previousTap = cluster.network.interceptor;
+      cluster.network.interceptor =
           (from, method, path, body, done) -> {
             if (path.equals("/commit")) {
-              sent(from, Json.parse(body));
+              onCommitSent(from, Json.parse(body));
             }
-            return others.intercept(from, method, path, body, done);
+            return previousTap.intercept(from, method, path, body, done);
           };
     }
 
-    void submit(int i) {
+    void submit(int index) {
       SimulatedUsers.KnownJob job =
-          w.users.submitArray(i % 2 == 0 ? "one" : "two", "high", 1 + i % 3, RUN_S);
+          cluster.users.submitArray(index % 2 == 0 ? "one" : "two", "high", 1 + index % 3, RUN_S);
       jobs.put(job.ref, job);
     }
 
-    private void completed(String task) {
+    private void onTaskCompleted(String task) {
       SimulatedUsers.KnownJob job = jobs.get(task.substring(0, task.indexOf('/')));
-      boolean last = job != null && completed.merge(job.ref, 1, Integer::sum) == job.taskCount;
-      if (last && step == Step.TASK_EXITS) {
-        w.sim.after(moveMs, () -> meet(job));
-      } else if (last && step == Step.CANCELLATION_IS_SENT) {
-        w.users.cancelAt(job, w.nodes.get((w.leader().index + 1) % 3));
+      boolean isLastTask =
+          job != null && completedTaskCounts.merge(job.ref, 1, Integer::sum) == job.taskCount;
+      if (isLastTask && step == Step.TASK_EXITS) {
+        cluster.sim.after(delayMs, () -> sendRequests(job));
+      } else if (isLastTask && step == Step.CANCELLATION_IS_SENT) {
+        cluster.users.cancelAt(job, cluster.nodes.get((cluster.leader().index + 1) % 3));
       }
     }
 
-    private void sent(String from, JsonNode body) {
+    private void onCommitSent(String from, JsonNode body) {
       SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.jobRef(body)));
-      boolean held =
+      boolean holdsCommit =
           step == Step.DONE_IS_SENT
                   && CommitInterceptor.anyWrite(body, CommitInterceptor.endsJobAs("done"))
               || step == Step.CANCELLATION_IS_SENT
                   && CommitInterceptor.anyWrite(body, CommitInterceptor.endsJobAs("aborted"));
-      if (job != null && held && heldOnce.add(job.ref)) {
-        w.network.cut(from, "state:1", true);
-        w.sim.after(moveMs, () -> w.network.heal(from, "state:1"));
-        meet(job);
+      if (job != null && holdsCommit && jobsWithHeldCommit.add(job.ref)) {
+        cluster.network.cut(from, "state:1", true);
+        cluster.sim.after(delayMs, () -> cluster.network.heal(from, "state:1"));
+        sendRequests(job);
       }
     }
 
-    private void carriedOut(String from, JsonNode body) {
+    private void onCommitted(String from, JsonNode body) {
       SimulatedUsers.KnownJob job = jobs.get(String.valueOf(CommitInterceptor.jobRef(body)));
       if (job != null
           && step == Step.DONE_IS_PUT
           && CommitInterceptor.anyWrite(body, CommitInterceptor.endsJobAs("done"))) {
-        w.sim.after(moveMs, () -> meet(job));
+        cluster.sim.after(delayMs, () -> sendRequests(job));
       }
     }
 
-    /** In turn: cancelled at the leader, at another, at all at once, asked for and repeated. */
-    private void meet(SimulatedUsers.KnownJob job) {
-      int leader = w.leader().index;
-      int kind = met++ % 4;
+    /**
+     * Sends requests around the end of a job. The kind rotates: cancellation at the leader, at the
+     * other controllers, at all of them, and only reads with repeated submissions.
+     */
+    private void sendRequests(SimulatedUsers.KnownJob job) {
+      int leader = cluster.leader().index;
+      int kind = requestedEnds++ % 4;
       if (kind == 3) {
         readers.queryAllControllers(job);
         return;
       }
-      for (SimulatedCluster.ControllerNode n : w.nodes) {
+      for (SimulatedCluster.ControllerNode n : cluster.nodes) {
         if (kind == 2 || (n.index == leader) == (kind == 0)) {
-          w.users.cancelAt(job, n);
+          cluster.users.cancelAt(job, n);
           readers.poll(job, n);
           readers.submitAgain(job, n);
         }
@@ -122,10 +130,10 @@
       readers.queryAllControllers(job);
     }
 
-    String recorded(SimulatedUsers.KnownJob job) {
-      JsonNode over = w.state.value(CommitInterceptor.ENDED_JOB_KEY_PREFIX + job.ref);
-      assertNotNull(over, job.ref + " is not over");
-      return over.path("status").asText();
+    String recordedStatus(SimulatedUsers.KnownJob job) {
+      JsonNode jobRecord = cluster.state.value(CommitInterceptor.ENDED_JOB_KEY_PREFIX + job.ref);
+      assertNotNull(jobRecord, job.ref + " has no record of its end");
+      return jobRecord.path("status").asText();
     }
   }
 
@@ -147,18 +155,20 @@
     "9318,CANCELLATION_IS_SENT,1200",
     "9319,CANCELLATION_IS_SENT,2500"
   })
-  void aRequestMeetsTheEnd(long seed, Step step, long moveMs) {
-    Day d = new Day(seed, step, moveMs);
-    d.w.run(25_000);
+  void requestsAroundTheEndOfAJob(long seed, Step step, long delayMs) {
+    Scenario scenario = new Scenario(seed, step, delayMs);
+    scenario.cluster.run(25_000);
     for (int i = 0; i < JOBS; i++) {
-      d.submit(i);
-      d.w.run(2500);
+      scenario.submit(i);
+      scenario.cluster.run(2500);
     }
-    d.w.run(20_000);
-    SeededDaysTest.settle(d.w);
-    assertTrue(2 * d.met >= JOBS, d.met + " of " + JOBS + " ends were met");
-    for (SimulatedUsers.KnownJob job : d.jobs.values()) {
-      assertEquals(d.recorded(job), job.finalStatus(), job.ref);
+    scenario.cluster.run(20_000);
+    SeededDaysTest.settle(scenario.cluster);
+    assertTrue(
+        2 * scenario.requestedEnds >= JOBS,
+        scenario.requestedEnds + " of " + JOBS + " jobs got requests at their end");
+    for (SimulatedUsers.KnownJob job : scenario.jobs.values()) {
+      assertEquals(scenario.recordedStatus(job), job.finalStatus(), job.ref);
       if (step == Step.DONE_IS_PUT) {
         assertEquals("done", job.finalStatus(), job.ref);
       }
--- a/src/test/java/dapplestair/world/LateCommandsTest.java
+++ b/src/test/java/dapplestair/world/LateCommandsTest.java
@@ -11,73 +11,84 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Commands of a leader that has ended or was deposed arrive after the new leader's, and those of a
- * living one after its own later ones. Each is carried out once if token and session still match,
- * and its sender hears nothing of it (docs/meetings.md).
+ * Guards against late commands that do harm: commands of a crashed or deposed leader arrive after
+ * those of the new leader, or commands of a running leader arrive after its own later ones. Each is
+ * carried out once if its token and session still match, and the sender gets no response
+ * (docs/meetings.md).
  */
 class LateCommandsTest {
-  /** How many commands of each kind are held up. */
-  private static final int HELD = 12;
+  /** Maximum number of commands of one kind that are delayed in a round. */
+  private static final int MAX_HELD_COMMANDS = 12;
 
-  /** Teams at their limits: what starts once too often is seen. */
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 24, 700, 6));
-    w.network.lossProbability = 0;
-    w.users.cancelledArrayShare = 0.4;
-    w.run(20_000);
-    return w;
+  /**
+   * Starts a cluster whose teams are at their limits, so that a task that starts once too often is
+   * detected.
+   */
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 24, 700, 6));
+    cluster.network.lossProbability = 0;
+    cluster.users.cancelledArrayShare = 0.4;
+    cluster.run(20_000);
+    return cluster;
   }
 
-  private static void end(SimulatedCluster w, SimulatedCluster.ControllerNode old, String how) {
-    switch (how) {
-      case "ends" -> old.crash(6000);
-      case "hangs" -> old.freeze(12_000);
+  private static void disableLeader(
+      SimulatedCluster cluster, SimulatedCluster.ControllerNode oldLeader, String leaderFault) {
+    switch (leaderFault) {
+      case "ends" -> oldLeader.crash(6000);
+      case "hangs" -> oldLeader.freeze(12_000);
       case "alone" ->
-          new RandomFaults(w).isolateFromPeersAndState(old, false, SimulatedCluster.LEASE_MS);
-      default -> throw new IllegalArgumentException(how);
+          new RandomFaults(cluster)
+              .isolateFromPeersAndState(oldLeader, false, SimulatedCluster.LEASE_MS);
+      default -> throw new IllegalArgumentException(leaderFault);
     }
   }
 
-  /** Nobody but the old leader gets to this zone's machines, and they get to nobody. */
-  private static void isolate(
-      SimulatedCluster w, SimulatedCluster.ControllerNode old, String zone, long ms) {
-    for (EmulatedWorker m : w.cloud.machines()) {
-      for (SimulatedCluster.ControllerNode n : w.nodes) {
-        if (n != old && m.zone().equals(zone)) {
-          w.network.cut("node-" + n.index, m.endpoint(), true);
-          w.network.cut(SimulatedCluster.clientAddress(n.index), m.endpoint(), true);
-          w.sim.after(ms, () -> w.network.heal("node-" + n.index, m.endpoint()));
-          w.sim.after(
-              ms, () -> w.network.heal(SimulatedCluster.clientAddress(n.index), m.endpoint()));
+  /**
+   * Cuts the links between the machines of a zone and all controllers but the old leader, in both
+   * directions.
+   */
+  private static void isolateZoneFromOthers(
+      SimulatedCluster cluster, SimulatedCluster.ControllerNode oldLeader, String zone, long ms) {
+    for (EmulatedWorker m : cluster.cloud.machines()) {
+      for (SimulatedCluster.ControllerNode n : cluster.nodes) {
+        if (n != oldLeader && m.zone().equals(zone)) {
+          cluster.network.cut("node-" + n.index, m.endpoint(), true);
+          cluster.network.cut(SimulatedCluster.clientAddress(n.index), m.endpoint(), true);
+          cluster.sim.after(ms, () -> cluster.network.heal("node-" + n.index, m.endpoint()));
+          cluster.sim.after(
+              ms,
+              () -> cluster.network.heal(SimulatedCluster.clientAddress(n.index), m.endpoint()));
         }
       }
     }
   }
 
-  private static String zoneOf(SimulatedCluster w, String endpoint) {
-    return w.cloud.machines().stream()
+  private static String zoneOf(SimulatedCluster cluster, String endpoint) {
+    return cluster.cloud.machines().stream()
         .filter(m -> m.endpoint().equals(endpoint))
         .map(EmulatedWorker::zone)
         .findFirst()
         .orElse("");
   }
 
-  private static boolean sameZone(SimulatedCluster w, String endpoint, String other) {
-    return zoneOf(w, endpoint).equals(zoneOf(w, other));
+  private static boolean sameZone(SimulatedCluster cluster, String endpoint, String other) {
+    return zoneOf(cluster, endpoint).equals(zoneOf(cluster, other));
   }
 
-  /** A third of what runs, or is about to, is cancelled through the new leader. */
-  private static void cancelSome(SimulatedCluster w) {
-    for (SimulatedUsers.KnownJob t : new ArrayList<>(w.users.jobs.values())) {
-      if (t.accepted && !t.done && !t.cancelRequested && w.sim.chance(0.33)) {
-        w.users.cancel(t);
+  /** Cancels about a third of the accepted jobs that have not ended, through the new leader. */
+  private static void cancelThirdOfJobs(SimulatedCluster cluster) {
+    for (SimulatedUsers.KnownJob job : new ArrayList<>(cluster.users.jobs.values())) {
+      if (job.accepted && !job.done && !job.cancelRequested && cluster.sim.chance(0.33)) {
+        cluster.users.cancel(job);
       }
     }
   }
 
   /**
-   * Commands of one kind are held up; with the last of them the leader ends or is deposed. They
-   * arrive so much later, at machines that the next leader has reached by then or has not.
+   * Delays commands of one kind, and crashes or deposes the leader once some are delayed. The
+   * commands arrive {@code heldMs} later, at machines that the next leader has or has not reached
+   * by then.
    */
   @ParameterizedTest(name = "seed {0}, {1} held for {2} ms, their leader {3}, others reach: {4}")
   @CsvSource({
@@ -95,110 +106,123 @@
     "5112,clear,6000,hangs,true",
     "5113,clear,16000,ends,false"
   })
-  void afterTheNextLeaders(long seed, String verb, long heldMs, String how, boolean reached) {
-    SimulatedCluster w = begun(seed);
+  void commandsArriveAfterThoseOfTheNextLeader(
+      long seed, String verb, long heldMs, String leaderFault, boolean reachedByOthers) {
+    SimulatedCluster cluster = startCluster(seed);
     for (int i = 0; i < 3; i++) {
-      SimulatedCluster.ControllerNode old = w.leader();
-      if (old == null) {
-        w.run(4000);
+      SimulatedCluster.ControllerNode oldLeader = cluster.leader();
+      if (oldLeader == null) {
+        cluster.run(4000);
         continue;
       }
-      List<String> held = new ArrayList<>();
-      w.network.commandDelayMs =
+      List<String> heldEndpoints = new ArrayList<>();
+      cluster.network.commandDelayMs =
           r -> {
-            boolean holds =
-                r.from().equals("node-" + old.index)
+            boolean holdsCommand =
+                r.from().equals("node-" + oldLeader.index)
                     && r.hasOrder(verb)
-                    && held.size() < HELD
-                    && (reached || held.stream().allMatch(to -> sameZone(w, r.to(), to)));
-            if (holds) {
-              held.add(r.to());
+                    && heldEndpoints.size() < MAX_HELD_COMMANDS
+                    && (reachedByOthers
+                        || heldEndpoints.stream().allMatch(to -> sameZone(cluster, r.to(), to)));
+            if (holdsCommand) {
+              heldEndpoints.add(r.to());
             }
-            return holds ? heldMs : 0;
+            return holdsCommand ? heldMs : 0;
           };
-      for (int k = 0; k < 500 && (held.isEmpty() || k < 50); k++) {
-        w.run(20);
+      for (int k = 0; k < 500 && (heldEndpoints.isEmpty() || k < 50); k++) {
+        cluster.run(20);
       }
-      assertTrue(!held.isEmpty(), "nothing was held up");
-      if (!reached) {
-        isolate(w, old, zoneOf(w, held.get(0)), heldMs + 1000);
+      assertTrue(!heldEndpoints.isEmpty(), "no command was delayed");
+      if (!reachedByOthers) {
+        isolateZoneFromOthers(
+            cluster, oldLeader, zoneOf(cluster, heldEndpoints.get(0)), heldMs + 1000);
       }
-      end(w, old, how);
-      w.run(2500);
-      cancelSome(w);
-      w.run(heldMs + 12_000);
-      w.network.commandDelayMs = r -> 0;
+      disableLeader(cluster, oldLeader, leaderFault);
+      cluster.run(2500);
+      cancelThirdOfJobs(cluster);
+      cluster.run(heldMs + 12_000);
+      cluster.network.commandDelayMs = r -> 0;
     }
-    int late = reached ? w.network.lateRejected.get() : w.network.lateAccepted.get();
+    int lateCommandCount =
+        reachedByOthers ? cluster.network.lateRejected.get() : cluster.network.lateAccepted.get();
     assertTrue(
-        late > 0, "none came late: " + w.network.lateAccepted + ", " + w.network.lateRejected);
-    SeededDaysTest.settle(w);
+        lateCommandCount > 0,
+        "no command arrived late: "
+            + cluster.network.lateAccepted
+            + ", "
+            + cluster.network.lateRejected);
+    SeededDaysTest.settle(cluster);
   }
 
-  /** Two leaders' commands for the same tasks are both on their way when a third one begins. */
+  /** Commands of two leaders for the same tasks are in flight when a third leader begins. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5121, 5122, 5123, 5124})
-  void ofTwoLeadersAtOnce(long seed) {
-    SimulatedCluster w = begun(seed);
+  void commandsOfTwoLeadersInFlight(long seed) {
+    SimulatedCluster cluster = startCluster(seed);
     for (int i = 0; i < 3; i++) {
-      w.network.lateCommandProbability = 0.7;
+      cluster.network.lateCommandProbability = 0.7;
       for (int k = 0; k < 2; k++) {
-        w.run(2500);
-        SimulatedCluster.ControllerNode old = w.leader();
-        if (old != null) {
-          end(w, old, w.sim.chance(0.5) ? "ends" : "alone");
+        cluster.run(2500);
+        SimulatedCluster.ControllerNode oldLeader = cluster.leader();
+        if (oldLeader != null) {
+          disableLeader(cluster, oldLeader, cluster.sim.chance(0.5) ? "ends" : "alone");
         }
-        w.run(w.sim.between(2500, 5000));
-        assertNotEquals(old, w.leader(), "it still leads");
+        cluster.run(cluster.sim.between(2500, 5000));
+        assertNotEquals(oldLeader, cluster.leader(), "the old leader still leads");
       }
-      cancelSome(w);
-      w.network.lateCommandProbability = 0;
-      w.run(SimulatedCluster.LEASE_MS);
+      cancelThirdOfJobs(cluster);
+      cluster.network.lateCommandProbability = 0;
+      cluster.run(SimulatedCluster.LEASE_MS);
     }
-    SeededDaysTest.settle(w);
+    SeededDaysTest.settle(cluster);
   }
 
   /**
-   * A machine's reports arrive and lack a launch that is held up; what it is answered is lost, and
-   * later commands come later. So it knows of no raised token when the launch arrives after all.
+   * Reports of a machine arrive without a launch that is delayed; the responses to them are lost,
+   * and later commands are delayed, too. So the machine knows no raised token when the launch
+   * arrives after all.
    */
   @ParameterizedTest(name = "seed {0}, held for {1} ms")
   @CsvSource({"5141,3500", "5142,4000", "5143,4500", "5144,5000"})
-  void whileAnswersAreLost(long seed, long heldMs) {
-    SimulatedCluster w = begun(seed);
+  void aLaunchArrivesAfterLostResponses(long seed, long heldMs) {
+    SimulatedCluster cluster = startCluster(seed);
     for (int i = 0; i < 8; i++) {
-      SimulatedCluster.ControllerNode leader = w.leader();
-      List<String> stuck = new ArrayList<>();
-      w.network.commandDelayMs =
+      SimulatedCluster.ControllerNode leader = cluster.leader();
+      List<String> delayedEndpoints = new ArrayList<>();
+      cluster.network.commandDelayMs =
           r -> {
-            boolean first = stuck.size() < 3 && r.hasOrder("launch") && !stuck.contains(r.to());
-            if (first) {
-              stuck.add(r.to());
-              w.network.cutOneWay(SimulatedCluster.clientAddress(leader.index), r.to());
+            boolean holdsLaunch =
+                delayedEndpoints.size() < 3
+                    && r.hasOrder("launch")
+                    && !delayedEndpoints.contains(r.to());
+            if (holdsLaunch) {
+              delayedEndpoints.add(r.to());
+              cluster.network.cutOneWay(SimulatedCluster.clientAddress(leader.index), r.to());
             }
-            return first || stuck.contains(r.to()) ? heldMs : 0;
+            return holdsLaunch || delayedEndpoints.contains(r.to()) ? heldMs : 0;
           };
-      w.run(heldMs + 2000);
-      w.network.commandDelayMs = r -> 0;
-      stuck.forEach(to -> w.network.healOneWay(SimulatedCluster.clientAddress(leader.index), to));
-      w.run(6000);
+      cluster.run(heldMs + 2000);
+      cluster.network.commandDelayMs = r -> 0;
+      delayedEndpoints.forEach(
+          to -> cluster.network.healOneWay(SimulatedCluster.clientAddress(leader.index), to));
+      cluster.run(6000);
     }
-    assertTrue(w.network.lateAccepted.get() > 0, "none came late");
-    SeededDaysTest.settle(w);
+    assertTrue(cluster.network.lateAccepted.get() > 0, "no command arrived late");
+    SeededDaysTest.settle(cluster);
   }
 
-  /** A share of all direct commands, for long, under leaders that live. */
+  /** Delays a share of all direct commands for a long time, without leader changes. */
   @ParameterizedTest(name = "seed {0}, share {1}")
   @CsvSource({"5131,0.15", "5132,0.4", "5133,0.4", "5134,0.6"})
-  void underOneLeader(long seed, double share) {
-    SimulatedCluster w = begun(seed);
-    w.network.lateCommandProbability = share;
+  void lateCommandsUnderOneLeader(long seed, double share) {
+    SimulatedCluster cluster = startCluster(seed);
+    cluster.network.lateCommandProbability = share;
     for (int i = 0; i < 6; i++) {
-      w.run(10_000);
-      cancelSome(w);
+      cluster.run(10_000);
+      cancelThirdOfJobs(cluster);
     }
-    w.network.lateCommandProbability = 0;
-    assertTrue(w.network.lateRejected.get() > 0, "none came late");
-    SeededDaysTest.settle(w);
+    cluster.network.lateCommandProbability = 0;
+    assertTrue(cluster.network.lateRejected.get() > 0, "no command arrived late");
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/LeaderChangeRunner.java
+++ b/src/test/java/dapplestair/world/LeaderChangeRunner.java
@@ -39,19 +39,23 @@
     MachineFault fault = pick(MachineFault.values(), seed);
     LeaderChange change = pick(LeaderChange.values(), seed / 7);
     long offsetMs = OFFSETS_MS[(int) (seed / 3 % OFFSETS_MS.length)];
-    RefusedThenOutageTest.Asked requestKind = pick(RefusedThenOutageTest.Asked.values(), seed / 10);
+    RefusedThenOutageTest.CancelTarget requestKind =
+        pick(RefusedThenOutageTest.CancelTarget.values(), seed / 10);
     long requestOffsetMs = Math.min(offsetMs, 900);
     runScenarios(
-        "limits", seed, s -> TeamLimitsTest.play(s, fault, change, Math.max(-1500, offsetMs)));
+        "limits",
+        seed,
+        s -> TeamLimitsTest.runScenario(s, fault, change, Math.max(-1500, offsetMs)));
     runScenarios("handover", seed, s -> HandoverTest.run(s, change, Math.max(-400, offsetMs)));
     runScenarios(
         "refused",
         seed,
         s ->
-            RefusedThenOutageTest.play(
+            RefusedThenOutageTest.runScenario(
                 s, requestKind, requestOffsetMs, pick(LINK_STATES, s), 1700));
     long outageMs = seed % 2 * 8000;
-    runScenarios("leaders", seed, s -> ManyLeadersTest.play(s, fault, (int) (s % 5), outageMs));
+    runScenarios(
+        "leaders", seed, s -> ManyLeadersTest.runScenario(s, fault, (int) (s % 5), outageMs));
   }
 
   public static void main(String[] args) {
--- a/src/test/java/dapplestair/world/LeaseResponsesTest.java
+++ b/src/test/java/dapplestair/world/LeaseResponsesTest.java
@@ -22,18 +22,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Guards of the proof in docs/cancellations.md that other layers hide on a whole day: each is shown
- * by the answer that one controller gives to one report, or by the moment of one message.
+ * Checks the steps of the proof in docs/cancellations.md that other layers hide in whole simulated
+ * days. Each step shows in the response of one controller to one report, or in the timing of one
+ * message.
  */
 class LeaseResponsesTest {
-  /** For how long after a cancellation a leader that does not know of it may send launches. */
-  private static final long LAUNCH_MS =
+  /** How long after a cancellation a leader that does not know of it may still send launches. */
+  private static final long MAX_LAUNCH_DELAY_MS =
       (SimulatedCluster.CANCEL_DEADLINE_MS
               - SimulatedCluster.LEASE_MS
               - SimulatedCluster.LEASE_MS / 16)
           / 4;
 
-  /** Sends a machine's report as it is now, or changed by the test. */
+  /** Sends the report of a machine, unchanged or changed by the test. */
   private static final class Reporter {
     private final EmulatedWorker machine;
     private final ObjectNode report;
@@ -47,7 +48,7 @@
       tick = report.path("tick").asLong();
     }
 
-    HttpReply to(SimulatedCluster.ControllerNode node, JsonNode tasks, long token) {
+    HttpReply sendReport(SimulatedCluster.ControllerNode node, JsonNode tasks, long token) {
       report.put("tick", tick++).put("baton", token).set("steps", tasks);
       HttpReply[] reply = new HttpReply[1];
       node.request(
@@ -65,11 +66,11 @@
   }
 
   private static long token(HttpReply reply) {
-    assertEquals(200, reply.status(), "the lease is kept");
+    assertEquals(200, reply.status(), "the response does not keep the lease");
     return Json.parse(reply.body()).path("baton").asLong();
   }
 
-  private static Set<String> halts(HttpReply reply) {
+  private static Set<String> haltedAttempts(HttpReply reply) {
     Set<String> keys = new HashSet<>();
     Json.parse(reply.body())
         .path("orders")
@@ -78,20 +79,23 @@
   }
 
   /**
-   * Halts of jobs that are not done: of those that are, what is on record may be halted as well.
+   * Returns the halts of jobs that are not done. Jobs that are done are left out, since their
+   * recorded attempts may be halted as well.
    */
-  private static Set<String> halts(CancellationOutageTest.Scenario d, HttpReply reply) {
-    Set<String> keys = halts(reply);
+  private static Set<String> haltedAttemptsOfOpenJobs(
+      CancellationOutageTest.Scenario day, HttpReply reply) {
+    Set<String> keys = haltedAttempts(reply);
     keys.removeIf(
         key -> {
-          JsonNode over = d.cluster.state.value("over/" + key.substring(0, key.indexOf('/')));
-          return over != null && over.path("status").asText().equals("done");
+          JsonNode jobRecord =
+              day.cluster.state.value("over/" + key.substring(0, key.indexOf('/')));
+          return jobRecord != null && jobRecord.path("status").asText().equals("done");
         });
     return keys;
   }
 
-  /** The tasks of these jobs among {@code tasks}. */
-  private static Set<String> of(List<SimulatedUsers.KnownJob> jobs, JsonNode tasks) {
+  /** Returns the attempts of these jobs among {@code tasks}. */
+  private static Set<String> attemptsOf(List<SimulatedUsers.KnownJob> jobs, JsonNode tasks) {
     Set<String> keys = new HashSet<>();
     for (JsonNode t : tasks) {
       String key = t.path("step").asText();
@@ -102,154 +106,181 @@
     return keys;
   }
 
-  /** A machine that runs tasks to be cancelled as well as others. */
-  private static Reporter mixed(CancellationOutageTest.Scenario d) {
-    return d.cluster.cloud.machines().stream()
+  /** Returns a reporter for a machine that runs tasks to be cancelled as well as others. */
+  private static Reporter reporterWithCancelledAndKeptTasks(CancellationOutageTest.Scenario day) {
+    return day.cluster.cloud.machines().stream()
         .filter(m -> !m.isGone() && m.hasBooted())
         .map(Reporter::new)
-        .filter(r -> !of(d.cancelled, r.tasks()).isEmpty() && !of(d.otherJobs, r.tasks()).isEmpty())
+        .filter(
+            r ->
+                !attemptsOf(day.cancelled, r.tasks()).isEmpty()
+                    && !attemptsOf(day.otherJobs, r.tasks()).isEmpty())
         .findFirst()
         .orElseThrow();
   }
 
-  /** A follower that was told of cancellations answers in an outage of all. */
-  private static Reporter toldFollower(CancellationOutageTest.Scenario d) {
-    Reporter r = mixed(d);
-    CancellationOutageTest.refuseOldLeader(d);
-    d.cancelJobs(d.second);
-    d.cluster.state.beginOutage();
-    // Its own reports must not meet those of the test, and who asks here is told here once more.
-    d.cluster.network.cut(
-        SimulatedCluster.clientAddress(d.third.index), r.machine.endpoint(), false);
-    d.cluster.network.cut(SimulatedCluster.clientAddress(d.third.index), "users", false);
-    d.cluster.run(SimulatedCluster.REPORT_INTERVAL_MS);
-    // The first is sent on to the leader; one that comes again was not taken there.
-    assertEquals(421, r.to(d.third, r.tasks(), r.token()).status());
-    return r;
+  /**
+   * Returns a reporter to a follower that knows of cancellations and has to respond during a full
+   * outage of the state service.
+   */
+  private static Reporter reporterToInformedFollower(CancellationOutageTest.Scenario day) {
+    Reporter reporter = reporterWithCancelledAndKeptTasks(day);
+    CancellationOutageTest.refuseOldLeader(day);
+    day.cancelJobs(day.second);
+    day.cluster.state.beginOutage();
+    // Reports of the machine itself must not interfere with those of the test, and a user who asks
+    // this follower would get the confirmation from it once more.
+    day.cluster.network.cut(
+        SimulatedCluster.clientAddress(day.third.index), reporter.machine.endpoint(), false);
+    day.cluster.network.cut(SimulatedCluster.clientAddress(day.third.index), "users", false);
+    day.cluster.run(SimulatedCluster.REPORT_INTERVAL_MS);
+    // The first report is relayed to the leader; 421 shows that the leader did not take it.
+    assertEquals(421, reporter.sendReport(day.third, reporter.tasks(), reporter.token()).status());
+    return reporter;
   }
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8201, 8202, 8203})
-  void aFollowersAnswerHaltsCancelledTasks(long seed) {
-    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
-    Reporter r = toldFollower(d);
-    Set<String> cancelled = of(d.cancelled, r.tasks());
-    HttpReply answer = r.to(d.third, r.tasks(), r.token());
-    token(answer);
-    assertEquals(cancelled, halts(d, answer));
-    // Whatever was launched between the report and the answer is on record only.
-    answer = r.to(d.third, Json.object().putArray("steps"), r.token());
-    token(answer);
-    assertEquals(cancelled, halts(d, answer), "tasks that the report lacks");
-    String key = d.cancelled.get(0).ref + "/0";
+  void aFollowersResponseHaltsCancelledTasks(long seed) {
+    CancellationOutageTest.Scenario day = new CancellationOutageTest.Scenario(seed);
+    Reporter reporter = reporterToInformedFollower(day);
+    Set<String> cancelled = attemptsOf(day.cancelled, reporter.tasks());
+    HttpReply reply = reporter.sendReport(day.third, reporter.tasks(), reporter.token());
+    token(reply);
+    assertEquals(cancelled, haltedAttemptsOfOpenJobs(day, reply));
+    // Attempts launched between the report and the response are known from the records only.
+    reply = reporter.sendReport(day.third, Json.object().putArray("steps"), reporter.token());
+    token(reply);
+    assertEquals(
+        cancelled,
+        haltedAttemptsOfOpenJobs(day, reply),
+        "cancelled tasks that the report lacks were not halted");
+    String key = day.cancelled.get(0).ref + "/0";
     ArrayNode unrecorded = Json.object().putArray("steps");
     unrecorded.addObject().put("step", key).put("try", 99).put("status", "fetching");
-    answer = r.to(d.third, unrecorded, r.token());
-    assertTrue(halts(answer).contains(key + "#99"), "a task that is on no record");
+    reply = reporter.sendReport(day.third, unrecorded, reporter.token());
+    assertTrue(
+        haltedAttempts(reply).contains(key + "#99"), "a task without a record was not halted");
   }
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8201, 8202, 8203})
   void aFollowerRaisesTheTokenUntilNoLaunchCanBeSent(long seed) {
-    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
-    Reporter r = toldFollower(d);
-    long first = token(r.to(d.third, r.tasks(), r.token()));
-    assertTrue(first >= r.token() + 2 * FencingToken.MAX_FENCE_LEAD, "raised above any launch");
-    d.cluster.run(LAUNCH_MS + SimulatedCluster.REPORT_INTERVAL_MS);
-    long second = token(r.to(d.third, r.tasks(), first));
-    assertTrue(second > first, "a raise while launches could still be sent does not count");
-    d.cluster.run(SimulatedCluster.REPORT_INTERVAL_MS);
-    assertEquals(second, token(r.to(d.third, r.tasks(), second)), "once is enough");
+    CancellationOutageTest.Scenario day = new CancellationOutageTest.Scenario(seed);
+    Reporter reporter = reporterToInformedFollower(day);
+    long firstToken = token(reporter.sendReport(day.third, reporter.tasks(), reporter.token()));
+    assertTrue(
+        firstToken >= reporter.token() + 2 * FencingToken.MAX_FENCE_LEAD,
+        "the token was not raised above any launch");
+    day.cluster.run(MAX_LAUNCH_DELAY_MS + SimulatedCluster.REPORT_INTERVAL_MS);
+    long secondToken = token(reporter.sendReport(day.third, reporter.tasks(), firstToken));
+    assertTrue(
+        secondToken > firstToken, "the token was not raised again once no launch could be sent");
+    day.cluster.run(SimulatedCluster.REPORT_INTERVAL_MS);
+    assertEquals(
+        secondToken,
+        token(reporter.sendReport(day.third, reporter.tasks(), secondToken)),
+        "the token was raised a second time");
   }
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8201, 8202, 8203})
   void aFollowerKeepsNoLeaseForJobsItDoesNotKnow(long seed) {
-    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
-    Reporter r = toldFollower(d);
-    token(r.to(d.third, r.tasks(), r.token()));
-    ArrayNode tasks = r.tasks().deepCopy();
+    CancellationOutageTest.Scenario day = new CancellationOutageTest.Scenario(seed);
+    Reporter reporter = reporterToInformedFollower(day);
+    token(reporter.sendReport(day.third, reporter.tasks(), reporter.token()));
+    ArrayNode tasks = reporter.tasks().deepCopy();
     tasks.addObject().put("step", "wk-999999/0").put("try", 1).put("status", "running");
-    assertEquals(503, r.to(d.third, tasks, r.token()).status(), "a job nobody here knows");
+    assertEquals(
+        503,
+        reporter.sendReport(day.third, tasks, reporter.token()).status(),
+        "the lease was kept for an unknown job");
     ((ObjectNode) tasks.get(tasks.size() - 1)).put("status", "exited").put("cause", "done");
-    token(r.to(d.third, tasks, r.token()));
+    token(reporter.sendReport(day.third, tasks, reporter.token()));
   }
 
-  /** A leader raises the token while a launch of a cancelled job has no answer. */
+  /** A leader raises the token while a launch of a cancelled job is unanswered. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8211, 8212, 8213})
-  void aLeaderKeepsOutALaunchOnItsWay(long seed) {
-    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
-    refuseMachines(d, true);
-    SimulatedUsers.KnownJob job = d.cluster.users.submitArray("one", "high", 4, 150);
-    waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
-    List<Reporter> reporters = hostsOnRecord(d, job).stream().map(Reporter::new).toList();
-    d.cluster.users.cancelAt(job, d.second);
-    waitUntil(d, () -> job.aborted);
+  void aLeaderRaisesTheTokenAboveAnUnansweredLaunch(long seed) {
+    CancellationOutageTest.Scenario day = new CancellationOutageTest.Scenario(seed);
+    setCutFromMachines(day, true);
+    SimulatedUsers.KnownJob job = day.cluster.users.submitArray("one", "high", 4, 150);
+    waitUntil(day, () -> !hostsOnRecord(day, job).isEmpty());
+    List<Reporter> reporters = hostsOnRecord(day, job).stream().map(Reporter::new).toList();
+    day.cluster.users.cancelAt(job, day.second);
+    waitUntil(day, () -> job.aborted);
     for (Reporter r : reporters) {
-      HttpReply answer = r.to(d.oldLeader, r.tasks(), r.token());
-      assertTrue(token(answer) > r.token(), "above the launch, which carries the token shown");
-      assertTrue(halts(answer).stream().anyMatch(k -> k.startsWith(job.ref + "/")), "halted");
+      HttpReply reply = r.sendReport(day.oldLeader, r.tasks(), r.token());
+      assertTrue(token(reply) > r.token(), "the token is not above that of the launch");
+      assertTrue(
+          haltedAttempts(reply).stream().anyMatch(k -> k.startsWith(job.ref + "/")),
+          "the attempts are not halted");
     }
-    refuseMachines(d, false);
-    d.cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS);
+    setCutFromMachines(day, false);
+    day.cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS);
   }
 
-  /** Calls of the old leader get no answer; what was called is lost. Reports go on. */
-  private static void refuseMachines(CancellationOutageTest.Scenario d, boolean refused) {
-    String node = "node-" + d.oldLeader.index;
-    for (EmulatedWorker m : d.cluster.cloud.machines()) {
-      if (refused) {
-        d.cluster.network.cut(node, m.endpoint(), false);
+  /**
+   * Cuts or heals the links from the old leader to the machines: its calls are lost and get no
+   * response, while reports still arrive.
+   */
+  private static void setCutFromMachines(CancellationOutageTest.Scenario day, boolean cut) {
+    String node = "node-" + day.oldLeader.index;
+    for (EmulatedWorker m : day.cluster.cloud.machines()) {
+      if (cut) {
+        day.cluster.network.cut(node, m.endpoint(), false);
       } else {
-        d.cluster.network.heal(node, m.endpoint());
+        day.cluster.network.heal(node, m.endpoint());
       }
     }
   }
 
   private static List<EmulatedWorker> hostsOnRecord(
-      CancellationOutageTest.Scenario d, SimulatedUsers.KnownJob job) {
+      CancellationOutageTest.Scenario day, SimulatedUsers.KnownJob job) {
     String records = "";
-    for (String key : d.cluster.state.keys("live/")) {
+    for (String key : day.cluster.state.keys("live/")) {
       if (key.startsWith("live/run/" + job.ref) || key.startsWith("live/sheet/")) {
-        records += d.cluster.state.value(key);
+        records += day.cluster.state.value(key);
       }
     }
-    String text = records;
-    return d.cluster.cloud.machines().stream()
-        .filter(m -> !m.isGone() && text.contains(m.id()))
+    String allRecords = records;
+    return day.cluster.cloud.machines().stream()
+        .filter(m -> !m.isGone() && allRecords.contains(m.id()))
         .toList();
   }
 
   /**
-   * Machines refuse the leader's connections, so that launches wait; meanwhile their job is
-   * cancelled, and nobody is left to tell the leader. When the machines take connections again, it
-   * is too late to launch.
+   * Machines refuse connections from the leader, so that launches wait. Meanwhile the job is
+   * cancelled, and no controller is left that could inform the leader. When the machines accept
+   * connections again, it is too late to launch.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8221, 8222, 8223})
-  void noLaunchLeavesLongAfterTheLastKnowledge(long seed) {
-    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
+  void noLaunchIsSentAfterTheMaximumDelay(long seed) {
+    CancellationOutageTest.Scenario day = new CancellationOutageTest.Scenario(seed);
     boolean[] refusing = {true};
-    for (EmulatedWorker m : d.cluster.cloud.machines()) {
-      d.cluster.network.register(m.endpoint(), refusing("node-" + d.oldLeader.index, refusing, m));
+    for (EmulatedWorker m : day.cluster.cloud.machines()) {
+      day.cluster.network.register(
+          m.endpoint(), refusingConnections("node-" + day.oldLeader.index, refusing, m));
     }
-    SimulatedUsers.KnownJob job = d.cluster.users.submitArray("two", "high", 4, 150);
-    waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
-    CancellationOutageTest.refuseOldLeader(d);
-    d.cutLinks("refused", true);
-    d.cluster.users.cancelAt(job, d.second);
-    waitUntil(d, () -> job.aborted);
-    d.second.crash(3 * SimulatedCluster.CANCEL_DEADLINE_MS);
-    d.cluster.state.beginOutage();
-    d.cluster.run(LAUNCH_MS);
-    assertEquals(0, job.starts, "the launches wait");
+    SimulatedUsers.KnownJob job = day.cluster.users.submitArray("two", "high", 4, 150);
+    waitUntil(day, () -> !hostsOnRecord(day, job).isEmpty());
+    CancellationOutageTest.refuseOldLeader(day);
+    day.cutLinks("refused", true);
+    day.cluster.users.cancelAt(job, day.second);
+    waitUntil(day, () -> job.aborted);
+    day.second.crash(3 * SimulatedCluster.CANCEL_DEADLINE_MS);
+    day.cluster.state.beginOutage();
+    day.cluster.run(MAX_LAUNCH_DELAY_MS);
+    assertEquals(0, job.starts, "a launch was not held back");
     refusing[0] = false;
-    d.cluster.run(SimulatedCluster.REPORT_INTERVAL_MS);
-    assertEquals(0, job.starts, "late launches");
+    day.cluster.run(SimulatedCluster.REPORT_INTERVAL_MS);
+    assertEquals(0, job.starts, "tasks launched too late");
   }
 
-  private static RequestHandler refusing(String node, boolean[] refusing, RequestHandler machine) {
+  private static RequestHandler refusingConnections(
+      String node, boolean[] refusing, RequestHandler machine) {
     return (from, method, path, body, reply) -> {
       if (refusing[0] && from.equals(node)) {
         reply.accept(HttpReply.of(HttpReply.NOT_SENT));
@@ -259,14 +290,16 @@
     };
   }
 
-  /** Holds back streams of changes, and the transaction of a cancellation, on its way. */
-  private static final class HeldState implements RequestHandler {
+  /**
+   * Delays the change streams of chosen controllers, and the transaction of the first cancellation.
+   */
+  private static final class DelayedStateService implements RequestHandler {
     private final RequestHandler state;
-    private final Set<String> blind = new HashSet<>();
-    private final List<Runnable> waiting = new ArrayList<>();
+    private final Set<String> blockedNodes = new HashSet<>();
+    private final List<Runnable> heldResponses = new ArrayList<>();
     private Runnable cancellation;
 
-    HeldState(RequestHandler state) {
+    DelayedStateService(RequestHandler state) {
       this.state = state;
     }
 
@@ -277,7 +310,7 @@
           && cancellation == null
           && Json.parse(body).toString().contains("\"remove\":\"live/job/")) {
         cancellation = () -> state.request(from, method, path, body, reply);
-        blind.add(from);
+        blockedNodes.add(from);
         return;
       }
       state.request(
@@ -286,55 +319,57 @@
           path,
           body,
           r -> {
-            if (path.startsWith("/changes") && blind.contains(from)) {
-              waiting.add(() -> reply.accept(r));
+            if (path.startsWith("/changes") && blockedNodes.contains(from)) {
+              heldResponses.add(() -> reply.accept(r));
             } else {
               reply.accept(r);
             }
           });
     }
 
-    void letSee(String node) {
-      blind.remove(node);
-      List<Runnable> late = List.copyOf(waiting);
-      waiting.clear();
-      late.forEach(Runnable::run);
+    void releaseChanges(String node) {
+      blockedNodes.remove(node);
+      List<Runnable> heldNow = List.copyOf(heldResponses);
+      heldResponses.clear();
+      heldNow.forEach(Runnable::run);
     }
   }
 
   /**
-   * An attempt goes on record after the canceller's last read and before its transaction: the user
-   * is told only once that attempt has been read, so that whoever is told can halt it.
+   * An attempt is recorded after the last read of the controller that cancels and before its
+   * transaction. The cancellation may be confirmed to the user only once that attempt has been
+   * read, so that every controller that is informed can halt it.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {8231, 8232, 8233})
-  void nobodyIsToldBeforeAllPlacesAreRead(long seed) {
-    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
-    HeldState state = new HeldState(d.cluster.state);
-    d.cluster.network.register("state:1", state);
-    state.blind.add("node-" + d.oldLeader.index);
-    SimulatedUsers.KnownJob job = d.cluster.users.submitArray("one", "high", 4, 150);
-    waitUntil(d, () -> job.accepted);
-    d.cluster.users.cancelAt(job, d.second);
-    waitUntil(d, () -> state.cancellation != null);
-    // The leader learns of the job only now, and launches it, while the canceller sees nothing.
-    state.letSee("node-" + d.oldLeader.index);
-    waitUntil(d, () -> !hostsOnRecord(d, job).isEmpty());
-    List<Reporter> reporters = hostsOnRecord(d, job).stream().map(Reporter::new).toList();
-    state.cancellation.run();
-    d.cluster.run(SimulatedCluster.REPORT_INTERVAL_MS / 4);
-    assertFalse(job.aborted, "told before the launches were read");
-    state.letSee("node-" + d.second.index);
-    waitUntil(d, () -> job.aborted);
-    d.cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS);
-    assertEquals(0, d.running(job), "cancelled tasks");
+  void aCancellationIsConfirmedOnlyOnceAllAttemptsAreRead(long seed) {
+    CancellationOutageTest.Scenario day = new CancellationOutageTest.Scenario(seed);
+    DelayedStateService stateService = new DelayedStateService(day.cluster.state);
+    day.cluster.network.register("state:1", stateService);
+    stateService.blockedNodes.add("node-" + day.oldLeader.index);
+    SimulatedUsers.KnownJob job = day.cluster.users.submitArray("one", "high", 4, 150);
+    waitUntil(day, () -> job.accepted);
+    day.cluster.users.cancelAt(job, day.second);
+    waitUntil(day, () -> stateService.cancellation != null);
+    // The leader learns of the job only now and launches it, while the canceller receives no
+    // changes.
+    stateService.releaseChanges("node-" + day.oldLeader.index);
+    waitUntil(day, () -> !hostsOnRecord(day, job).isEmpty());
+    List<Reporter> reporters = hostsOnRecord(day, job).stream().map(Reporter::new).toList();
+    stateService.cancellation.run();
+    day.cluster.run(SimulatedCluster.REPORT_INTERVAL_MS / 4);
+    assertFalse(job.aborted, "confirmed before the launches were read");
+    stateService.releaseChanges("node-" + day.second.index);
+    waitUntil(day, () -> job.aborted);
+    day.cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS);
+    assertEquals(0, day.running(job), "cancelled tasks still run");
     assertFalse(reporters.isEmpty());
   }
 
-  private static void waitUntil(CancellationOutageTest.Scenario d, BooleanSupplier condition) {
+  private static void waitUntil(CancellationOutageTest.Scenario day, BooleanSupplier condition) {
     for (int i = 0; i < 400 && !condition.getAsBoolean(); i++) {
-      d.cluster.run(10);
+      day.cluster.run(10);
     }
-    assertTrue(condition.getAsBoolean(), "it does not come about");
+    assertTrue(condition.getAsBoolean(), "the condition was not met within 4 s");
   }
 }
--- a/src/test/java/dapplestair/world/LostResponsesTest.java
+++ b/src/test/java/dapplestair/world/LostResponsesTest.java
@@ -12,23 +12,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A transaction is carried out at once and only its answer is lost, while users ask at all
- * controllers about what it wrote; the one that sent it goes on, or ends before or just after it
- * would have missed the answer.
+ * Guards against wrong conclusions from a lost response: a transaction is carried out at once and
+ * only its response is lost, while users ask all controllers about what it wrote. The sender goes
+ * on, or crashes before or just after its timeout for the response.
  */
 class LostResponsesTest {
-  private static final double SHARE = 0.6;
-  private static final long FOR_MS = 45_000;
-  private static final long DEPOSE_EVERY_MS = 6000;
+  private static final double LOST_RESPONSE_SHARE = 0.6;
+  private static final long FAULTS_MS = 45_000;
+  private static final long DEPOSE_INTERVAL_MS = 6000;
 
-  // The sender starts again at most this often, or nothing would ever be done.
-  private static final long CRASH_EVERY_MS = 9000;
+  // The sender crashes at most this often; with more crashes no work would ever be done.
+  private static final long MIN_CRASH_INTERVAL_MS = 9000;
 
-  // Some answers that are waited for in vain, a change of leader, and the lane's own time.
-  private static final long CLAIM_MS = 20_000;
+  // Allows for some response timeouts, a change of leader, and the time that the lane itself takes.
+  private static final long MAX_CLAIM_MS = 20_000;
 
-  /** The kinds of transactions of docs/meetings.md. */
-  enum Put {
+  /** The kinds of transactions listed in docs/meetings.md. */
+  enum TransactionKind {
     ACCEPTANCE(CommitInterceptor.puts(CommitInterceptor.JOB_KEY_PREFIX)),
     CANCELLATION(CommitInterceptor.endsJobAs("aborted")),
     DONE(CommitInterceptor.endsJobAs("done")),
@@ -43,18 +43,18 @@
 
     final Predicate<JsonNode> writes;
 
-    Put(Predicate<JsonNode> writes) {
+    TransactionKind(Predicate<JsonNode> writes) {
       this.writes = writes;
     }
   }
 
-  /** What becomes of the sender. */
+  /** What happens to the sender of the transaction. */
   enum Sender {
     GOES_ON(-1),
-    /** It does not hear from its stream of changes either what it has written. */
+    /** The change stream of the sender does not deliver what it wrote, either. */
     HEARS_NO_NEWS(-1),
     ENDS_AT_ONCE(0),
-    /** Just after it has given the answer up. */
+    /** It crashes just after its timeout for the response. */
     ENDS_LATER(1510);
 
     final long crashAfterMs;
@@ -66,52 +66,57 @@
 
   private static final long NO_NEWS_MS = 5000;
 
-  static void loseAnswers(SimulatedCluster w, Predicate<JsonNode> writes, Sender sender) {
-    ConcurrentReaders readers = new ConcurrentReaders(w);
-    long[] crashAgainAt = {0};
-    w.network.commits.isLossCandidate = writes;
-    w.network.commits.answerLossProbability = SHARE;
-    w.network.commits.answerLostListener =
+  static void loseResponses(SimulatedCluster cluster, Predicate<JsonNode> writes, Sender sender) {
+    ConcurrentReaders readers = new ConcurrentReaders(cluster);
+    long[] nextCrashAtMs = {0};
+    cluster.network.commits.isLossCandidate = writes;
+    cluster.network.commits.answerLossProbability = LOST_RESPONSE_SHARE;
+    cluster.network.commits.answerLostListener =
         (from, body) -> {
           SimulatedUsers.KnownJob job =
-              w.users.jobs.get(String.valueOf(CommitInterceptor.jobRef(body)));
+              cluster.users.jobs.get(String.valueOf(CommitInterceptor.jobRef(body)));
           if (job != null) {
-            lookAt(w, readers, job);
+            queryAndMaybeCancel(cluster, readers, job);
           }
           if (sender == Sender.HEARS_NO_NEWS) {
-            w.network.commits.blockChanges(from, NO_NEWS_MS);
+            cluster.network.commits.blockChanges(from, NO_NEWS_MS);
           }
-          if (sender.crashAfterMs >= 0 && w.sim.now() >= crashAgainAt[0]) {
-            crashAgainAt[0] = w.sim.now() + CRASH_EVERY_MS;
-            SimulatedCluster.ControllerNode node = w.nodes.get(w.memberIndex(from));
-            w.sim.after(sender.crashAfterMs, () -> node.crash(w.sim.between(60, 2000)));
+          if (sender.crashAfterMs >= 0 && cluster.sim.now() >= nextCrashAtMs[0]) {
+            nextCrashAtMs[0] = cluster.sim.now() + MIN_CRASH_INTERVAL_MS;
+            SimulatedCluster.ControllerNode node = cluster.nodes.get(cluster.memberIndex(from));
+            cluster.sim.after(sender.crashAfterMs, () -> node.crash(cluster.sim.between(60, 2000)));
           }
         };
   }
 
-  /** A job that nobody was told of yet may be asked for by whoever submitted it. */
-  private static void lookAt(
-      SimulatedCluster w, ConcurrentReaders readers, SimulatedUsers.KnownJob job) {
+  /**
+   * Reads the job at all controllers and sometimes cancels it. Whoever submitted the job may do so
+   * before its acceptance has been confirmed to anybody.
+   */
+  private static void queryAndMaybeCancel(
+      SimulatedCluster cluster, ConcurrentReaders readers, SimulatedUsers.KnownJob job) {
     readers.queryAllControllers(job);
-    if (w.sim.chance(0.3)) {
-      w.nodes.forEach(n -> w.sim.after(w.sim.between(0, 30), () -> w.users.cancelAt(job, n)));
+    if (cluster.sim.chance(0.3)) {
+      cluster.nodes.forEach(
+          n -> cluster.sim.after(cluster.sim.between(0, 30), () -> cluster.users.cancelAt(job, n)));
     }
   }
 
-  private static void depose(SimulatedCluster w, long everyMs, long until) {
-    if (w.sim.now() < until) {
-      LeaderChange.removeLeaderKey(w);
-      w.sim.after(everyMs, () -> depose(w, everyMs, until));
+  private static void deposeRepeatedly(SimulatedCluster cluster, long intervalMs, long untilMs) {
+    if (cluster.sim.now() < untilMs) {
+      LeaderChange.removeLeaderKey(cluster);
+      cluster.sim.after(intervalMs, () -> deposeRepeatedly(cluster, intervalMs, untilMs));
     }
   }
 
-  /** Single tasks that share puts, besides the random jobs. */
-  private static void singles(SimulatedCluster w, long until) {
-    if (w.sim.now() < until) {
+  /** Submits jobs of a single task, which share puts, in addition to the random jobs. */
+  private static void submitSingleTaskJobs(SimulatedCluster cluster, long untilMs) {
+    if (cluster.sim.now() < untilMs) {
       for (int i = 0; i < 3; i++) {
-        w.users.submitModifiedArray("guest", 1, 3, b -> b.put("rank", "low").put("vcpus", 0.25));
+        cluster.users.submitModifiedArray(
+            "guest", 1, 3, b -> b.put("rank", "low").put("vcpus", 0.25));
       }
-      w.sim.after(2000, () -> singles(w, until));
+      cluster.sim.after(2000, () -> submitSingleTaskJobs(cluster, untilMs));
     }
   }
 
@@ -144,29 +149,32 @@
     "9230,ALL,ENDS_AT_ONCE",
     "9231,ALL,ENDS_LATER"
   })
-  void onlyTheAnswerIsLost(long seed, Put put, Sender sender) {
-    SimulatedCluster w = new SimulatedCluster(seed);
-    w.users.cancelledArrayShare = 0.4;
-    // Types are recorded and machines rented at the beginning.
-    w.run(put == Put.RENTAL || put == Put.PLAN_OR_TYPES ? 0 : 15_000);
-    long until = w.sim.now() + FOR_MS;
-    loseAnswers(w, put.writes, sender);
-    singles(w, until);
-    if (put == Put.LEADER || put == Put.ALL) {
-      depose(w, DEPOSE_EVERY_MS, until);
+  void transactionsWithLostResponses(long seed, TransactionKind kind, Sender sender) {
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.users.cancelledArrayShare = 0.4;
+    // Machine types are recorded and machines rented at the start of the cluster.
+    cluster.run(
+        kind == TransactionKind.RENTAL || kind == TransactionKind.PLAN_OR_TYPES ? 0 : 15_000);
+    long untilMs = cluster.sim.now() + FAULTS_MS;
+    loseResponses(cluster, kind.writes, sender);
+    submitSingleTaskJobs(cluster, untilMs);
+    if (kind == TransactionKind.LEADER || kind == TransactionKind.ALL) {
+      deposeRepeatedly(cluster, DEPOSE_INTERVAL_MS, untilMs);
     }
-    if (put == Put.RENTAL_ENDED) {
-      // Their records go with the last of their machines.
-      w.sim.after(FOR_MS / 4, () -> w.cloud.machines().forEach(EmulatedWorker::powerOff));
+    if (kind == TransactionKind.RENTAL_ENDED) {
+      // A rental record is removed with the last of its machines.
+      cluster.sim.after(
+          FAULTS_MS / 4, () -> cluster.cloud.machines().forEach(EmulatedWorker::powerOff));
     }
-    w.run(FOR_MS);
-    w.network.commits.answerLossProbability = 0;
-    SeededDaysTest.settle(w);
-    assertTrue(w.network.commits.lostAnswerCount > 0, "no answer was lost");
-    assertEquals(List.of(), w.state.keys("live/sheet/"), "launch batches once all is over");
+    cluster.run(FAULTS_MS);
+    cluster.network.commits.answerLossProbability = 0;
+    SeededDaysTest.settle(cluster);
+    assertTrue(cluster.network.commits.lostAnswerCount > 0, "no response was lost");
+    assertEquals(
+        List.of(), cluster.state.keys("live/sheet/"), "launch batches left after all jobs ended");
   }
 
-  /** Nobody is stopped for a claim that may not be on record, and no rider waits for ever. */
+  /** No task is stopped for a claim that may not be recorded, and no rider waits forever. */
   @ParameterizedTest(name = "seed {0}, the leader: {1}")
   @CsvSource({
     "9241,HEARS_NO_NEWS",
@@ -180,14 +188,14 @@
     "9270,HEARS_NO_NEWS"
   })
   void claimsOfALane(long seed, Sender sender) {
-    SimulatedCluster w = LaneTest.startWithFullMachines(seed, LaneTest.GATE, 0);
-    loseAnswers(w, CommitInterceptor.puts("live/lane/"), sender);
+    SimulatedCluster cluster = LaneTest.startWithFullMachines(seed, LaneTest.GATE, 0);
+    loseResponses(cluster, CommitInterceptor.puts("live/lane/"), sender);
     List<SimulatedUsers.KnownJob> riders = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      riders.add(LaneTest.submitRider(w, 6));
-      w.run(3000);
+      riders.add(LaneTest.submitRider(cluster, 6));
+      cluster.run(3000);
     }
-    LaneTest.runUntilBegun(w, riders, CLAIM_MS);
-    assertTrue(w.network.commits.lostAnswerCount > 0, "no answer was lost");
+    LaneTest.runUntilBegun(cluster, riders, MAX_CLAIM_MS);
+    assertTrue(cluster.network.commits.lostAnswerCount > 0, "no response was lost");
   }
 }
--- a/src/test/java/dapplestair/world/ManyLeadersTest.java
+++ b/src/test/java/dapplestair/world/ManyLeadersTest.java
@@ -8,18 +8,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The leader changes ten times in two minutes, also inside an outage of the state service. */
+/** The leader changes ten times within two minutes, also during an outage of the state service. */
 class ManyLeadersTest {
   private static final int CHANGES = 10;
-  private static final long EVERY_MS = 10_500;
+  private static final long CHANGE_INTERVAL_MS = 10_500;
 
-  private static long term(SimulatedCluster w) {
-    return w.state.value("live/term").path("term").asLong();
+  private static long currentTerm(SimulatedCluster cluster) {
+    return cluster.state.value("live/term").path("term").asLong();
   }
 
   /**
-   * Each leader leads for some ten seconds, too short to count the time allowed for cancelled work
-   * from its own beginning.
+   * Each leader leads for some ten seconds, which is shorter than the time allowed for cancelled
+   * work, so no leader can count that time from the beginning of its own term.
    */
   @ParameterizedTest(name = "seed {0}, machines {1}, out in round {2} for {3} ms")
   @CsvSource({
@@ -35,43 +35,46 @@
     "11210,MUTE,1,60000",
     "11211,UNASKED,0,70000"
   })
-  void tenLeaders(long seed, MachineFault fault, int outRound, long outMs) {
-    play(seed, fault, outRound, outMs);
+  void theLeaderChangesTenTimes(long seed, MachineFault fault, int outageRound, long outageMs) {
+    runScenario(seed, fault, outageRound, outageMs);
   }
 
-  static SimulatedCluster play(long seed, MachineFault fault, int outRound, long outMs) {
-    TeamLimitsTest.FullDay f = new TeamLimitsTest.FullDay(seed);
-    SimulatedCluster w = f.w;
-    LeaderChange[] ways = LeaderChange.values();
-    long first = term(w);
-    f.day.injectFaultOnEverySecondMachine(fault, SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
-    f.cancel();
+  static SimulatedCluster runScenario(
+      long seed, MachineFault fault, int outageRound, long outageMs) {
+    TeamLimitsTest.FullClusterScenario scenario = new TeamLimitsTest.FullClusterScenario(seed);
+    SimulatedCluster cluster = scenario.cluster;
+    LeaderChange[] leaderChanges = LeaderChange.values();
+    long firstTerm = currentTerm(cluster);
+    scenario.day.injectFaultOnEverySecondMachine(
+        fault, SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
+    scenario.cancelJobs();
     for (int i = 0; i < CHANGES; i++) {
-      if (i == outRound) {
-        w.state.beginOutage();
-        w.sim.after(outMs, w.state::endOutage);
+      if (i == outageRound) {
+        cluster.state.beginOutage();
+        cluster.sim.after(outageMs, cluster.state::endOutage);
       }
-      w.run(w.sim.between(0, 400));
-      LeaderChange way = ways[(int) (seed + i) % ways.length];
-      way.inject(w);
-      long end = w.sim.now() + EVERY_MS;
-      w.run(w.sim.between(0, 4000));
-      cancelOne(f);
-      w.run(end - w.sim.now());
+      cluster.run(cluster.sim.between(0, 400));
+      LeaderChange leaderChange = leaderChanges[(int) (seed + i) % leaderChanges.length];
+      leaderChange.inject(cluster);
+      long endMs = cluster.sim.now() + CHANGE_INTERVAL_MS;
+      cluster.run(cluster.sim.between(0, 4000));
+      submitAndCancelJob(scenario);
+      cluster.run(endMs - cluster.sim.now());
     }
-    w.run(outMs + 10_000);
-    if (outMs == 0) {
-      long terms = term(w) - first;
+    cluster.run(outageMs + 10_000);
+    if (outageMs == 0) {
+      long terms = currentTerm(cluster) - firstTerm;
       assertTrue(terms >= CHANGES - 1, "only " + terms + " changes of the leader");
     }
-    f.settle();
-    return w;
+    scenario.settle();
+    return cluster;
   }
 
   /**
-   * All machines of a zone hang past their lease. Behind a cut it would look the same, so leaders
-   * wait, each for less than the time allowed for cancelled work: together they may not. Jobs of
-   * one task are on a launch batch, which does not say since when they are over.
+   * All machines of a zone hang past their lease, which leaders cannot tell from a cut. So each
+   * leader waits for less than the time allowed for cancelled work; the waits of successive leaders
+   * together must not exceed it. Jobs of one task are recorded in a launch batch, which does not
+   * hold the time of their end.
    */
   @ParameterizedTest(name = "seed {0}, zone {1}, the leader changes every {2} ms, of one task {3}")
   @CsvSource({
@@ -82,107 +85,114 @@
     "12012,a,9000,true",
     "12013,a,9000,true"
   })
-  void aZoneHangsAndNoLeaderStays(long seed, String zone, long everyMs, boolean ofOneTask) {
-    CancellationOutageTest.Scenario d =
-        ofOneTask
+  void aZoneHangsAndNoLeaderStays(
+      long seed, String zone, long changeIntervalMs, boolean singleTaskJobs) {
+    CancellationOutageTest.Scenario day =
+        singleTaskJobs
             ? new CancellationOutageTest.Scenario(seed)
-            : new TeamLimitsTest.FullDay(seed).day;
-    SimulatedCluster w = d.cluster;
-    if (ofOneTask) {
-      d.cancelled.clear();
+            : new TeamLimitsTest.FullClusterScenario(seed).day;
+    SimulatedCluster cluster = day.cluster;
+    if (singleTaskJobs) {
+      day.cancelled.clear();
       for (int i = 0; i < 24; i++) {
-        d.cancelled.add(w.users.submitArray("one", "high", 1, 150));
+        day.cancelled.add(cluster.users.submitArray("one", "high", 1, 150));
       }
-      w.run(6000);
-      assertTrue(d.running(d.cancelled) > 12, "hardly a job of one task runs");
+      cluster.run(6000);
+      assertTrue(day.running(day.cancelled) > 12, "too few jobs of one task run");
     }
-    for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
+    for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
       if (!m.isGone() && m.zone().equals(zone)) {
         m.stall(SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
       }
     }
-    d.cancelled.forEach(w.users::cancel);
-    long end = w.sim.now() + SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2;
-    for (int i = 0; w.sim.now() < end; i++) {
-      (i % 2 == 0 ? LeaderChange.PLANNED : LeaderChange.CRASH).inject(w);
-      w.run(everyMs);
+    day.cancelled.forEach(cluster.users::cancel);
+    long endMs = cluster.sim.now() + SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2;
+    for (int i = 0; cluster.sim.now() < endMs; i++) {
+      (i % 2 == 0 ? LeaderChange.PLANNED : LeaderChange.CRASH).inject(cluster);
+      cluster.run(changeIntervalMs);
     }
-    w.run(90_000);
-    SeededDaysTest.settle(w);
+    cluster.run(90_000);
+    SeededDaysTest.settle(cluster);
   }
 
-  /** Users are told while machines hang, and an outage begins. */
+  /**
+   * Returns a cluster in which cancellations were confirmed while machines hang, and an outage of
+   * the state service has begun.
+   */
   static CancellationOutageTest.Scenario cancelledOnHangingMachines(long seed) {
-    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
-    d.cancelled.forEach(t -> d.cluster.users.cancelAt(t, d.oldLeader));
-    d.stallEveryThirdMachine();
-    d.cluster.run(500);
-    d.cancelJobs(d.oldLeader);
-    assertTrue(d.running(d.cancelled) > 0, "everything stops at once");
-    d.cluster.state.beginOutage();
-    return d;
+    CancellationOutageTest.Scenario day = new CancellationOutageTest.Scenario(seed);
+    day.cancelled.forEach(t -> day.cluster.users.cancelAt(t, day.oldLeader));
+    day.stallEveryThirdMachine();
+    day.cluster.run(500);
+    day.cancelJobs(day.oldLeader);
+    assertTrue(day.running(day.cancelled) > 0, "no cancelled task runs on a hanging machine");
+    day.cluster.state.beginOutage();
+    return day;
   }
 
-  /** Whoever told the users ends in the outage: the others look after what does not stop. */
+  /**
+   * The controller that confirmed the cancellations crashes during the outage; the others have to
+   * stop the remaining tasks.
+   */
   @ParameterizedTest(name = "seed {0}, ends after {1} ms")
   @CsvSource({"12101,100", "12102,3000", "12103,15000"})
-  void whoToldEndsInAnOutage(long seed, long endsMs) {
-    CancellationOutageTest.Scenario d = cancelledOnHangingMachines(seed);
-    SimulatedCluster w = d.cluster;
-    w.sim.after(endsMs, () -> d.oldLeader.crash(4000));
-    w.run(SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
-    w.state.endOutage();
-    w.run(90_000);
-    SeededDaysTest.settle(w);
+  void theConfirmingControllerCrashesInAnOutage(long seed, long crashAfterMs) {
+    CancellationOutageTest.Scenario day = cancelledOnHangingMachines(seed);
+    SimulatedCluster cluster = day.cluster;
+    cluster.sim.after(crashAfterMs, () -> day.oldLeader.crash(4000));
+    cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
+    cluster.state.endOutage();
+    cluster.run(90_000);
+    SeededDaysTest.settle(cluster);
   }
 
-  /** All controllers end in the outage, and are back at once, while machines hang. */
+  /** All controllers crash during the outage and restart at once, while machines hang. */
   @ParameterizedTest(name = "seed {0}, end after {1} ms")
   @CsvSource({"12201,100", "12202,3000", "12203,15000"})
-  void allEndInAnOutageWhileMachinesHang(long seed, long endMs) {
-    CancellationOutageTest.Scenario d = cancelledOnHangingMachines(seed);
-    SimulatedCluster w = d.cluster;
-    w.nodes.forEach(n -> w.sim.after(endMs, () -> n.crash(1000)));
-    w.run(SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
-    w.state.endOutage();
-    w.run(90_000);
-    SeededDaysTest.settle(w);
+  void allEndInAnOutageWhileMachinesHang(long seed, long crashAfterMs) {
+    CancellationOutageTest.Scenario day = cancelledOnHangingMachines(seed);
+    SimulatedCluster cluster = day.cluster;
+    cluster.nodes.forEach(n -> cluster.sim.after(crashAfterMs, () -> n.crash(1000)));
+    cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
+    cluster.state.endOutage();
+    cluster.run(90_000);
+    SeededDaysTest.settle(cluster);
   }
 
-  /** Something small that is just being launched. */
-  private static void cancelOne(TeamLimitsTest.FullDay f) {
-    SimulatedUsers.KnownJob job = f.w.users.submitArray("two", "high", 2, 20);
-    f.day.cancelled.add(job);
-    cancelOnceAccepted(f.w, job);
+  /** Submits a small job and cancels it as soon as it is accepted, while it is being launched. */
+  private static void submitAndCancelJob(TeamLimitsTest.FullClusterScenario scenario) {
+    SimulatedUsers.KnownJob job = scenario.cluster.users.submitArray("two", "high", 2, 20);
+    scenario.day.cancelled.add(job);
+    cancelOnceAccepted(scenario.cluster, job);
   }
 
-  static void cancelOnceAccepted(SimulatedCluster w, SimulatedUsers.KnownJob job) {
+  static void cancelOnceAccepted(SimulatedCluster cluster, SimulatedUsers.KnownJob job) {
     if (job.accepted) {
-      w.users.cancel(job);
+      cluster.users.cancel(job);
     } else {
-      w.sim.after(100, () -> cancelOnceAccepted(w, job));
+      cluster.sim.after(100, () -> cancelOnceAccepted(cluster, job));
     }
   }
 
-  /** Controllers end one after the other inside an outage, and are back at once or later. */
+  /** Controllers crash one after the other during an outage, and restart at once or later. */
   @ParameterizedTest(name = "seed {0}, out for {1} ms, back after {2} ms")
   @CsvSource({"11221,20000,300", "11222,60000,300", "11223,75000,4000", "11224,120000,800"})
-  void allEndInTurnInsideAnOutage(long seed, long outMs, long backMs) {
-    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
-    SimulatedCluster w = d.cluster;
-    d.cancelled.forEach(w.users::cancel);
-    w.run(w.sim.between(50, 400));
-    w.state.beginOutage();
-    w.sim.after(outMs, w.state::endOutage);
+  void allEndInTurnInsideAnOutage(long seed, long outageMs, long restartMs) {
+    CancellationOutageTest.Scenario day = new CancellationOutageTest.Scenario(seed);
+    SimulatedCluster cluster = day.cluster;
+    day.cancelled.forEach(cluster.users::cancel);
+    cluster.run(cluster.sim.between(50, 400));
+    cluster.state.beginOutage();
+    cluster.sim.after(outageMs, cluster.state::endOutage);
     for (int i = 0; i < CHANGES; i++) {
-      SimulatedCluster.ControllerNode node = w.nodes.get((d.oldLeader.index + i) % 3);
-      w.sim.after(i * outMs / CHANGES, () -> node.crash(backMs));
+      SimulatedCluster.ControllerNode node = cluster.nodes.get((day.oldLeader.index + i) % 3);
+      cluster.sim.after(i * outageMs / CHANGES, () -> node.crash(restartMs));
     }
-    w.run(outMs + 30_000);
-    d.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
-    w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
-    assertEquals(0, d.running(List.copyOf(d.cancelled)), "cancelled tasks");
-    w.run(90_000);
-    SeededDaysTest.settle(w);
+    cluster.run(outageMs + 30_000);
+    day.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
+    cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS);
+    assertEquals(0, day.running(List.copyOf(day.cancelled)), "cancelled tasks still run");
+    cluster.run(90_000);
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/QuickBootTest.java
+++ b/src/test/java/dapplestair/world/QuickBootTest.java
@@ -14,72 +14,80 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * New machines are up within two seconds and get work at once while writes lag, and the leader ends
- * (docs/meetings.md).
+ * New machines boot within two seconds and get work at once while writes are delayed, and the
+ * leader crashes (docs/meetings.md).
  */
 class QuickBootTest {
-  /** Where in the life of a new machine the leader ends. */
+  /** The point in the life of a new machine at which the leader crashes. */
   enum CrashPoint {
-    /** The rental is put on record; the cloud is not asked yet. */
+    /** The put of the rental record is sent; the cloud has not been asked yet. */
     RENTAL_PUT,
-    /** The cloud is asked. */
+    /** The rental request is sent to the cloud. */
     RENTAL_ASKED,
-    /** The cloud's answer is put on record. */
+    /** The put of the rented hosts is sent. */
     HOSTS_PUT,
-    /** The machine's first report goes to a controller that does not lead. */
+    /** The first report of the machine is sent to a controller that does not lead. */
     REPORTED_ELSEWHERE,
-    /** A launch there is put on record. */
+    /** The put of a launch on the machine is sent. */
     LAUNCH_PUT,
-    /** A launch is sent there. */
+    /** The launch command is sent to the machine. */
     LAUNCH_SENT
   }
 
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(12, 60, 2150, 6));
-    w.network.lossProbability = 0;
-    w.cloud.setQuickBootingShare(1);
-    w.run(20_000);
-    return w;
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster =
+        new SimulatedCluster(seed, new SimulatedCluster.Size(12, 60, 2150, 6));
+    cluster.network.lossProbability = 0;
+    cluster.cloud.setQuickBootingShare(1);
+    cluster.run(20_000);
+    return cluster;
   }
 
-  /** The request that marks the moment, for a machine that was not there before. */
-  private static Predicate<SimulatedNetwork.Request> mark(
-      SimulatedCluster w, CrashPoint crashPoint) {
-    Set<String> before = new HashSet<>();
-    w.cloud.machines().forEach(m -> before.add(m.id()));
-    Predicate<String> ofNew =
+  /**
+   * Returns a condition for the request that marks the crash point, for a machine that is not there
+   * yet.
+   */
+  private static Predicate<SimulatedNetwork.Request> requestAt(
+      SimulatedCluster cluster, CrashPoint crashPoint) {
+    Set<String> oldMachineIds = new HashSet<>();
+    cluster.cloud.machines().forEach(m -> oldMachineIds.add(m.id()));
+    Predicate<String> namesNewMachine =
         text ->
-            w.cloud.machines().stream()
+            cluster.cloud.machines().stream()
                 .map(EmulatedWorker::id)
-                .anyMatch(id -> !before.contains(id) && text.contains(id));
+                .anyMatch(id -> !oldMachineIds.contains(id) && text.contains(id));
     return r -> {
       String body = r.body() == null ? "" : new String(r.body(), StandardCharsets.UTF_8);
       boolean toLeader =
-          w.leader() != null && r.to().equals(SimulatedCluster.clientAddress(w.leader().index));
+          cluster.leader() != null
+              && r.to().equals(SimulatedCluster.clientAddress(cluster.leader().index));
       return switch (crashPoint) {
         case RENTAL_PUT -> r.putsKeyWithPrefix("live/rental/") && !body.contains("\"hosts\"");
         case RENTAL_ASKED -> r.path().equals("/rentals") && r.method().equals("POST");
-        case HOSTS_PUT -> r.putsKeyWithPrefix("live/rental/") && ofNew.test(body);
+        case HOSTS_PUT -> r.putsKeyWithPrefix("live/rental/") && namesNewMachine.test(body);
         case REPORTED_ELSEWHERE ->
-            r.path().equals("/agent/beat") && !toLeader && ofNew.test(r.from());
+            r.path().equals("/agent/beat") && !toLeader && namesNewMachine.test(r.from());
         case LAUNCH_PUT ->
             (r.putsKeyWithPrefix("live/run/") || r.putsKeyWithPrefix("live/sheet/"))
-                && ofNew.test(body);
-        case LAUNCH_SENT -> r.hasOrder("launch") && ofNew.test(r.to());
+                && namesNewMachine.test(body);
+        case LAUNCH_SENT -> r.hasOrder("launch") && namesNewMachine.test(r.to());
       };
     };
   }
 
-  /** Arrays of both teams, for which there is no room yet. */
-  private static void burst(SimulatedCluster w) {
+  /** Submits arrays of both teams for which there is no capacity yet. */
+  private static void submitBurst(SimulatedCluster cluster) {
     for (String team : List.of("one", "two")) {
       for (int i = 0; i < 3; i++) {
-        w.users.submitArray(team, "high", 12, 6);
+        cluster.users.submitArray(team, "high", 12, 6);
       }
     }
   }
 
-  /** The leader ends within a message, a put or a hold of the moment; a share of writes lags. */
+  /**
+   * The leader crashes at the crash point, or a message, a put or a hold after it, while a share of
+   * the writes is delayed.
+   */
   @ParameterizedTest(name = "seed {0}, {2} ms after {1}, share {3} of writes late")
   @CsvSource({
     "5301,RENTAL_PUT,0,0.3",
@@ -95,48 +103,54 @@
     "5315,LAUNCH_SENT,3,0.5",
     "5317,LAUNCH_SENT,1700,0.5"
   })
-  void theLeaderEnds(long seed, CrashPoint crashPoint, long afterMs, double late) {
-    SimulatedCluster w = begun(seed);
-    int[] met = {0};
+  void theLeaderCrashesDuringABoot(
+      long seed, CrashPoint crashPoint, long afterMs, double lateWriteShare) {
+    SimulatedCluster cluster = startCluster(seed);
+    int[] crashCount = {0};
     for (int i = 0; i < 2; i++) {
-      w.network.lateWriteProbability = late;
-      w.network.runAfterFirst(
-          mark(w, crashPoint),
+      cluster.network.lateWriteProbability = lateWriteShare;
+      cluster.network.runAfterFirst(
+          requestAt(cluster, crashPoint),
           afterMs,
           () -> {
-            if (w.leader() != null) {
-              met[0]++;
-              w.leader().crash(w.sim.between(300, 6000));
+            if (cluster.leader() != null) {
+              crashCount[0]++;
+              cluster.leader().crash(cluster.sim.between(300, 6000));
             }
           });
-      burst(w);
-      w.run(SimulatedCluster.LEASE_MS + w.sim.between(0, 8000));
-      w.network.lateWriteProbability = 0;
-      // Machines are returned again, so that the next burst needs new ones.
-      w.run(60_000);
+      submitBurst(cluster);
+      cluster.run(SimulatedCluster.LEASE_MS + cluster.sim.between(0, 8000));
+      cluster.network.lateWriteProbability = 0;
+      // Idle machines are returned meanwhile, so that the next burst needs new ones.
+      cluster.run(60_000);
     }
-    assertTrue(met[0] > 0, "the moment never came");
-    SeededDaysTest.settle(w);
+    assertTrue(crashCount[0] > 0, "the crash point was never reached");
+    SeededDaysTest.settle(cluster);
   }
 
   /**
-   * The records of rentals get no answer and are made seconds later, when the leader has long given
-   * them up: the cloud was never asked for them, so no machine is on its way.
+   * Puts of rental records get no response and are carried out seconds later, when the leader has
+   * long given them up. The cloud was never asked for these rentals, so no machine may be expected
+   * from them.
    */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {5331, 5332, 5333})
-  void aRentalOnRecordTooLateIsNoMachine(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed);
-    w.network.lossProbability = 0;
-    w.cloud.setQuickBootingShare(1);
-    w.network.isLateWrite = r -> r.putsKeyWithPrefix("live/rental/") && w.sim.now() < 20_000;
-    w.run(20_000);
-    assertTrue(w.state.writeCountUnder("live/rental/") > 0, "no record came late");
-    w.run(40_000);
-    List<String> open =
-        w.state.keys("live/rental/").stream().filter(k -> !w.state.value(k).has("hosts")).toList();
-    assertEquals(List.of(), open, "rentals that nobody asks for");
-    assertTrue(w.checker.startCount > 0, "nothing was rented");
-    SeededDaysTest.settle(w);
+  void aRentalRecordedTooLateAddsNoMachine(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.network.lossProbability = 0;
+    cluster.cloud.setQuickBootingShare(1);
+    cluster.network.isLateWrite =
+        r -> r.putsKeyWithPrefix("live/rental/") && cluster.sim.now() < 20_000;
+    cluster.run(20_000);
+    assertTrue(
+        cluster.state.writeCountUnder("live/rental/") > 0, "no rental record was written late");
+    cluster.run(40_000);
+    List<String> openRentals =
+        cluster.state.keys("live/rental/").stream()
+            .filter(k -> !cluster.state.value(k).has("hosts"))
+            .toList();
+    assertEquals(List.of(), openRentals, "recorded rentals that the cloud was never asked for");
+    assertTrue(cluster.checker.startCount > 0, "no task was started");
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/RefusedThenOutageTest.java
+++ b/src/test/java/dapplestair/world/RefusedThenOutageTest.java
@@ -7,30 +7,31 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Jobs are cancelled at the very moment at which the state service refuses the leader alone; a
- * second later it is out for all, for longer than {@code cancel_s}.
+ * Jobs are cancelled around the moment at which the state service begins to refuse the leader
+ * alone; a second or more later the state service is out for all controllers, for longer than
+ * {@code cancel_s}.
  */
 class RefusedThenOutageTest {
-  /** Who is asked to cancel. */
-  enum Asked {
+  /** The controllers that get the cancellations. */
+  enum CancelTarget {
     LEADER,
     OTHER,
     ANY,
     ALL
   }
 
-  private static void cancel(CancellationOutageTest.Scenario d, Asked asked) {
-    for (SimulatedUsers.KnownJob job : d.cancelled) {
-      switch (asked) {
-        case LEADER -> d.cluster.users.cancelAt(job, d.oldLeader);
-        case OTHER -> d.cluster.users.cancelAt(job, d.second);
-        case ANY -> d.cluster.users.cancel(job);
-        default -> d.cluster.nodes.forEach(n -> d.cluster.users.cancelAt(job, n));
+  private static void cancel(CancellationOutageTest.Scenario day, CancelTarget target) {
+    for (SimulatedUsers.KnownJob job : day.cancelled) {
+      switch (target) {
+        case LEADER -> day.cluster.users.cancelAt(job, day.oldLeader);
+        case OTHER -> day.cluster.users.cancelAt(job, day.second);
+        case ANY -> day.cluster.users.cancel(job);
+        default -> day.cluster.nodes.forEach(n -> day.cluster.users.cancelAt(job, n));
       }
     }
   }
 
-  /** Cancelled so many milliseconds after the refusal, or before it. */
+  /** Cancels {@code cancelOffsetMs} after the refusal, or before it if negative. */
   @ParameterizedTest(name = "seed {0}, {1} asked at {2} ms, links {3}, {4} ms later")
   @CsvSource({
     "11301,LEADER,-60,whole,1000",
@@ -55,31 +56,35 @@
     "11320,ALL,5,refused,2500",
     "11321,ALL,300,whole,2500"
   })
-  void cancelledAtTheMoment(long seed, Asked asked, long askedMs, String links, long outMs) {
-    play(seed, asked, askedMs, links, outMs);
+  void cancelledAroundTheRefusal(
+      long seed, CancelTarget target, long cancelOffsetMs, String links, long outageAfterMs) {
+    runScenario(seed, target, cancelOffsetMs, links, outageAfterMs);
   }
 
-  static SimulatedCluster play(long seed, Asked asked, long askedMs, String links, long outMs) {
-    CancellationOutageTest.Scenario d = new CancellationOutageTest.Scenario(seed);
-    SimulatedCluster w = d.cluster;
-    long at = w.sim.now() + 100;
-    w.sim.after(100, () -> w.state.setRefused("node-" + d.oldLeader.index, true));
-    w.sim.after(100 + Math.max(0, askedMs), () -> d.cutLinks(links, true));
-    w.sim.after(100 + askedMs, () -> cancel(d, asked));
-    w.run(at + outMs - w.sim.now());
-    if (asked != Asked.LEADER && askedMs <= 700) {
-      assertTrue(d.cancelled.stream().anyMatch(t -> t.aborted), "nothing is confirmed in time");
+  static SimulatedCluster runScenario(
+      long seed, CancelTarget target, long cancelOffsetMs, String links, long outageAfterMs) {
+    CancellationOutageTest.Scenario day = new CancellationOutageTest.Scenario(seed);
+    SimulatedCluster cluster = day.cluster;
+    long refusedAtMs = cluster.sim.now() + 100;
+    cluster.sim.after(100, () -> cluster.state.setRefused("node-" + day.oldLeader.index, true));
+    cluster.sim.after(100 + Math.max(0, cancelOffsetMs), () -> day.cutLinks(links, true));
+    cluster.sim.after(100 + cancelOffsetMs, () -> cancel(day, target));
+    cluster.run(refusedAtMs + outageAfterMs - cluster.sim.now());
+    if (target != CancelTarget.LEADER && cancelOffsetMs <= 700) {
+      assertTrue(
+          day.cancelled.stream().anyMatch(t -> t.aborted),
+          "no cancellation was confirmed before the outage");
     }
-    w.state.beginOutage();
-    w.run(2 * SimulatedCluster.CANCEL_DEADLINE_MS);
-    w.state.setRefused("node-" + d.oldLeader.index, false);
-    w.state.endOutage();
-    d.healLinks();
-    d.cancelled.forEach(w.users::cancel);
-    w.run(160_000);
-    d.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
-    assertEquals(0, d.running(d.cancelled), "cancelled tasks");
-    SeededDaysTest.settle(w);
-    return w;
+    cluster.state.beginOutage();
+    cluster.run(2 * SimulatedCluster.CANCEL_DEADLINE_MS);
+    cluster.state.setRefused("node-" + day.oldLeader.index, false);
+    cluster.state.endOutage();
+    day.healLinks();
+    day.cancelled.forEach(cluster.users::cancel);
+    cluster.run(160_000);
+    day.cancelled.forEach(t -> assertTrue(t.aborted, t.ref + " is not cancelled"));
+    assertEquals(0, day.running(day.cancelled), "cancelled tasks still run");
+    SeededDaysTest.settle(cluster);
+    return cluster;
   }
 }
--- a/src/test/java/dapplestair/world/ReplacementCosts.java
+++ b/src/test/java/dapplestair/world/ReplacementCosts.java
@@ -143,14 +143,14 @@
 
   private static String replaceAllMachines(Strategy strategy, int machinesPerZone, int services) {
     SimulatedCluster cluster = startLoadedCluster(strategy, machinesPerZone, services);
-    Set<String> oldMachineIds = ReplacementTest.machines(cluster);
+    Set<String> oldMachineIds = ReplacementTest.machineIds(cluster);
     long putsBefore = cluster.state.writeCount();
     double lostCpuSecondsBefore = totalLostCpuSeconds(cluster);
     if (strategy.stepShare == 0) {
       for (String zone : SimulatedCluster.ZONES) {
         for (EmulatedWorker machine : List.copyOf(cluster.cloud.machines())) {
           if (machine.zone().equals(zone) && oldMachineIds.contains(machine.id())) {
-            OperatorsTest.ask(
+            OperatorsTest.sendRequest(
                 cluster,
                 0,
                 "POST",
@@ -163,7 +163,7 @@
       }
     } else {
       int step = (int) Math.ceil(strategy.stepShare * oldMachineIds.size());
-      OperatorsTest.order(
+      OperatorsTest.submitOrder(
           cluster,
           "/v1/replacements/night/start",
           Json.object()
--- a/src/test/java/dapplestair/world/RequestRaceRunner.java
+++ b/src/test/java/dapplestair/world/RequestRaceRunner.java
@@ -1,8 +1,8 @@
 package dapplestair.world;
 
-import dapplestair.world.LostResponsesTest.Put;
 import dapplestair.world.LostResponsesTest.Sender;
-import dapplestair.world.MonotonicReadsTest.Behind;
+import dapplestair.world.LostResponsesTest.TransactionKind;
+import dapplestair.world.MonotonicReadsTest.LagCause;
 
 /**
  * Runs more request races than fit into a build: {@code RequestRaceRunner FROM TO} runs each kind
@@ -21,19 +21,20 @@
     for (long seed = Long.parseLong(args[0]); seed <= lastSeed; seed++) {
       long testSeed = seed;
       long offsetMs = OFFSETS_MS[(int) (testSeed % OFFSETS_MS.length)];
-      Behind behind = Behind.values()[(int) (testSeed % Behind.values().length)];
-      Put put = Put.values()[(int) (testSeed % Put.values().length)];
+      LagCause behind = LagCause.values()[(int) (testSeed % LagCause.values().length)];
+      TransactionKind put =
+          TransactionKind.values()[(int) (testSeed % TransactionKind.values().length)];
       Sender sender = Sender.values()[(int) (testSeed / 2 % Sender.values().length)];
       LastTaskEndTest.Step step = LastTaskEndTest.Step.values()[(int) (testSeed % 4)];
       runScenario(
           "%d %s %d".formatted(testSeed, behind, offsetMs),
-          () -> new MonotonicReadsTest().nobodyIsToldAnythingOlder(testSeed, behind, offsetMs));
+          () -> new MonotonicReadsTest().readsNeverGoBackwards(testSeed, behind, offsetMs));
       runScenario(
           "%d %s %s".formatted(testSeed, put, sender),
-          () -> new LostResponsesTest().onlyTheAnswerIsLost(testSeed, put, sender));
+          () -> new LostResponsesTest().transactionsWithLostResponses(testSeed, put, sender));
       runScenario(
           "%d %s %d".formatted(testSeed, step, offsetMs),
-          () -> new LastTaskEndTest().aRequestMeetsTheEnd(testSeed, step, offsetMs));
+          () -> new LastTaskEndTest().requestsAroundTheEndOfAJob(testSeed, step, offsetMs));
       runScenario(
           "%d odd".formatted(testSeed),
           () ->
--- a/src/test/java/dapplestair/world/StaleReportsTest.java
+++ b/src/test/java/dapplestair/world/StaleReportsTest.java
@@ -6,23 +6,27 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Old reports reach every controller just as a new leader begins, or arrive at it once it has acted
- * (docs/meetings.md). They lack tasks that were launched since, and show others that have ended.
+ * Guards against trust in stale reports: old reports reach every controller just as a new leader
+ * begins, or reach the new leader once it has acted (docs/meetings.md). They lack tasks that were
+ * launched since, and show tasks that have ended.
  */
 class StaleReportsTest {
-  private static final int CHANGES = 5;
+  private static final int LEADER_CHANGES = 5;
 
-  /** Tasks end and begin all the time, so that each report is soon out of date. */
-  private static SimulatedCluster begun(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 30, 900, 8));
-    w.network.lossProbability = 0;
-    w.run(20_000);
-    return w;
+  /**
+   * Starts a cluster in which tasks end and begin all the time, so that each report is soon out of
+   * date.
+   */
+  private static SimulatedCluster startCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, new SimulatedCluster.Size(6, 30, 900, 8));
+    cluster.network.lossProbability = 0;
+    cluster.run(20_000);
+    return cluster;
   }
 
   /**
-   * The leader ends so many milliseconds after it has sent a launch: within a message, a put, a
-   * hold, a lease. What it sent is on machines, and the reports kept lack it.
+   * The leader crashes {@code afterMs} after it has sent a launch: within a message, a put, a hold
+   * or a lease. The launched tasks are on machines, and the copied reports lack them.
    */
   @ParameterizedTest(name = "seed {0}, {1} ms after a launch, the next has {2}, everywhere {3}")
   @CsvSource({
@@ -37,49 +41,54 @@
     "5009,1700,ACTED,false",
     "5010,8000,ACTED,true"
   })
-  void theyMeetTheNextLeader(
+  void staleReportsReachTheNextLeader(
       long seed, long afterMs, DelayedReports.Arrival arrival, boolean everywhere) {
-    SimulatedCluster w = begun(seed);
-    DelayedReports reports = new DelayedReports(w, 1, 2 * SimulatedCluster.LEASE_MS);
-    for (int i = 0; i < CHANGES; i++) {
-      w.network.runAfterFirst(
+    SimulatedCluster cluster = startCluster(seed);
+    DelayedReports reports = new DelayedReports(cluster, 1, 2 * SimulatedCluster.LEASE_MS);
+    for (int i = 0; i < LEADER_CHANGES; i++) {
+      cluster.network.runAfterFirst(
           r -> r.hasOrder("launch"),
           afterMs,
           () -> {
             reports.deliverAfterLeaderChange(
                 arrival, everywhere, SimulatedCluster.REPORT_INTERVAL_MS);
-            if (w.leader() != null) {
-              w.leader().crash(w.sim.between(500, 5000));
+            if (cluster.leader() != null) {
+              cluster.leader().crash(cluster.sim.between(500, 5000));
             }
           });
-      w.run(SimulatedCluster.LEASE_MS + w.sim.between(0, 3000));
+      cluster.run(SimulatedCluster.LEASE_MS + cluster.sim.between(0, 3000));
     }
     assertTrue(
-        w.network.lateAccepted.get() > 100, "hardly any copy was taken: " + w.network.lateAccepted);
-    SeededDaysTest.settle(w);
+        cluster.network.lateAccepted.get() > 100,
+        "too few copies of reports were accepted: " + cluster.network.lateAccepted);
+    SeededDaysTest.settle(cluster);
   }
 
-  /** Nobody answers for longer than a lease, so the copies are of an earlier session. */
+  /**
+   * No controller responds for longer than a lease, so the copied reports are of an earlier
+   * session.
+   */
   @ParameterizedTest(name = "seed {0}, {1} ms after a launch, the next has {2}")
   @CsvSource({"5021,1,BEGUN", "5022,400,BEGUN", "5023,1700,BEGUN", "5024,1,ACTED"})
-  void theyAreOfAnEarlierSession(long seed, long afterMs, DelayedReports.Arrival arrival) {
-    SimulatedCluster w = begun(seed);
-    DelayedReports reports = new DelayedReports(w, 1, 4 * SimulatedCluster.LEASE_MS);
-    w.run(SimulatedCluster.REPORT_INTERVAL_MS);
+  void staleReportsOfAnEarlierSession(long seed, long afterMs, DelayedReports.Arrival arrival) {
+    SimulatedCluster cluster = startCluster(seed);
+    DelayedReports reports = new DelayedReports(cluster, 1, 4 * SimulatedCluster.LEASE_MS);
+    cluster.run(SimulatedCluster.REPORT_INTERVAL_MS);
     reports.deliverAfterLeaderChange(arrival, true, SimulatedCluster.REPORT_INTERVAL_MS);
-    w.nodes.forEach(n -> n.crash(SimulatedCluster.LEASE_MS * 5 / 4));
-    w.run(SimulatedCluster.LEASE_MS * 5 / 4 + 4000);
-    assertTrue(w.cloud.tasksKilledByLease() > 0, "no session has ended");
-    w.network.runAfterFirst(
+    cluster.nodes.forEach(n -> n.crash(SimulatedCluster.LEASE_MS * 5 / 4));
+    cluster.run(SimulatedCluster.LEASE_MS * 5 / 4 + 4000);
+    assertTrue(cluster.cloud.tasksKilledByLease() > 0, "no session has ended");
+    cluster.network.runAfterFirst(
         r -> r.hasOrder("launch"),
         afterMs,
         () -> {
           reports.deliverAfterLeaderChange(arrival, true, SimulatedCluster.REPORT_INTERVAL_MS);
-          w.leader().crash(2000);
+          cluster.leader().crash(2000);
         });
-    w.run(SimulatedCluster.LEASE_MS);
+    cluster.run(SimulatedCluster.LEASE_MS);
     assertTrue(
-        w.network.lateAccepted.get() > 50, "hardly any copy was taken: " + w.network.lateAccepted);
-    SeededDaysTest.settle(w);
+        cluster.network.lateAccepted.get() > 50,
+        "too few copies of reports were accepted: " + cluster.network.lateAccepted);
+    SeededDaysTest.settle(cluster);
   }
 }
--- a/src/test/java/dapplestair/world/TeamLimitsTest.java
+++ b/src/test/java/dapplestair/world/TeamLimitsTest.java
@@ -8,65 +8,75 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Every team is at its limit, with work that waits for each CPU that a cancelled task gives back,
- * while the machines of cancelled tasks are in trouble and the leader changes. What counts too
- * little of a team's use, or too early, starts something and breaks {@code quota}.
+ * Every team is at its limit, and jobs wait for each CPU that a cancelled task frees, while the
+ * machines of cancelled tasks have faults and the leader changes. If the usage of a team is counted
+ * too low, or freed too early, a task starts that breaks {@code quota}.
  */
 class TeamLimitsTest {
   private static final List<String> TEAMS = List.of("one", "two");
-  private static final SimulatedCluster.Size TIGHT = new SimulatedCluster.Size(16, 50, 2150, 12);
+  private static final SimulatedCluster.Size SMALL_LIMITS =
+      new SimulatedCluster.Size(16, 50, 2150, 12);
 
-  /** Jobs to be cancelled and jobs to be kept, and more work than the teams' limits allow. */
-  static final class FullDay {
+  /**
+   * A cluster with jobs to be cancelled, jobs to be kept, and more work than the limits of the
+   * teams allow.
+   */
+  static final class FullClusterScenario {
     final CancellationOutageTest.Scenario day;
-    final SimulatedCluster w;
+    final SimulatedCluster cluster;
 
-    FullDay(long seed) {
-      day = new CancellationOutageTest.Scenario(begun(seed));
-      w = day.cluster;
-      TEAMS.forEach(team -> w.users.submitArray(team, "low", 60, 20));
-      w.run(8000);
+    FullClusterScenario(long seed) {
+      day = new CancellationOutageTest.Scenario(startCluster(seed));
+      cluster = day.cluster;
+      TEAMS.forEach(team -> cluster.users.submitArray(team, "low", 60, 20));
+      cluster.run(8000);
       for (String team : TEAMS) {
         assertTrue(
-            cpus(team) > TIGHT.maxTeamCpus() - 8, team + " uses " + cpus(team) + " CPUs only");
+            usedCpus(team) > SMALL_LIMITS.maxTeamCpus() - 8,
+            team + " uses " + usedCpus(team) + " CPUs only");
       }
     }
 
-    private static SimulatedCluster begun(long seed) {
-      SimulatedCluster w = new SimulatedCluster(seed, TIGHT, true);
-      w.network.lossProbability = 0;
-      w.users.submissionsStopped = true;
+    private static SimulatedCluster startCluster(long seed) {
+      SimulatedCluster cluster = new SimulatedCluster(seed, SMALL_LIMITS, true);
+      cluster.network.lossProbability = 0;
+      cluster.users.submissionsStopped = true;
       for (int i = 0; i < 8; i++) {
-        TEAMS.forEach(team -> w.users.submitService(team, 3));
+        TEAMS.forEach(team -> cluster.users.submitService(team, 3));
       }
-      w.run(30_000);
-      return w;
+      cluster.run(30_000);
+      return cluster;
     }
 
-    double cpus(String team) {
+    double usedCpus(String team) {
       double sum = 0;
-      for (SimulatedUsers.KnownJob job : w.users.jobs.values()) {
+      for (SimulatedUsers.KnownJob job : cluster.users.jobs.values()) {
         sum += job.team.equals(team) ? job.cpus * day.running(job) : 0;
       }
       return sum;
     }
 
-    /** Users go on until they are told. */
-    void cancel() {
-      day.cancelled.forEach(w.users::cancel);
+    /** Cancels the jobs; users repeat the request until it is confirmed. */
+    void cancelJobs() {
+      day.cancelled.forEach(cluster.users::cancel);
     }
 
-    /** The spell is over: what was cancelled is gone, and all else ends. */
+    /**
+     * Runs until the faults are over, and checks that cancelled tasks are gone and all other jobs
+     * end.
+     */
     void settle() {
       day.cancelled.forEach(t -> assertTrue(t.aborted || !t.accepted, t.ref + " is not cancelled"));
-      w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
-      assertEquals(0, day.running(day.cancelled), "cancelled tasks");
-      w.run(30_000);
-      SeededDaysTest.settle(w);
+      cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS);
+      assertEquals(0, day.running(day.cancelled), "cancelled tasks still run");
+      cluster.run(30_000);
+      SeededDaysTest.settle(cluster);
     }
   }
 
-  /** Cancelled while machines are in trouble already; the leader changes around that moment. */
+  /**
+   * Jobs are cancelled while machines already have faults; the leader changes around that moment.
+   */
   @ParameterizedTest(name = "seed {0}, {1}, {2} at {3} ms")
   @CsvSource({
     "11001,CUT,CRASH,30",
@@ -87,21 +97,25 @@
     "11016,STALL,PLANNED,24000",
     "11017,STALL,FROZEN,400"
   })
-  void cancelledAtTheLimit(long seed, MachineFault fault, LeaderChange change, long afterMs) {
-    play(seed, fault, change, afterMs);
+  void jobsAreCancelledAtTheTeamLimit(
+      long seed, MachineFault fault, LeaderChange change, long afterMs) {
+    runScenario(seed, fault, change, afterMs);
   }
 
-  static SimulatedCluster play(long seed, MachineFault fault, LeaderChange change, long afterMs) {
-    FullDay f = new FullDay(seed);
-    int before = f.w.checker.startCount;
-    f.w.sim.after(1500 + afterMs, () -> change.inject(f.w));
-    f.day.injectFaultOnEverySecondMachine(fault, SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
-    f.w.run(1500);
-    f.cancel();
-    f.w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
-    assertTrue(f.w.checker.startCount > before + 5, "what waits does not go on");
-    f.w.run(SimulatedCluster.CANCEL_DEADLINE_MS);
-    f.settle();
-    return f.w;
+  static SimulatedCluster runScenario(
+      long seed, MachineFault fault, LeaderChange change, long afterMs) {
+    FullClusterScenario scenario = new FullClusterScenario(seed);
+    int startedBefore = scenario.cluster.checker.startCount;
+    scenario.cluster.sim.after(1500 + afterMs, () -> change.inject(scenario.cluster));
+    scenario.day.injectFaultOnEverySecondMachine(
+        fault, SimulatedCluster.CANCEL_DEADLINE_MS * 3 / 2);
+    scenario.cluster.run(1500);
+    scenario.cancelJobs();
+    scenario.cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS);
+    assertTrue(
+        scenario.cluster.checker.startCount > startedBefore + 5, "waiting jobs do not start");
+    scenario.cluster.run(SimulatedCluster.CANCEL_DEADLINE_MS);
+    scenario.settle();
+    return scenario.cluster;
   }
 }
--- a/src/test/java/dapplestair/world/ZoneBoundTest.java
+++ b/src/test/java/dapplestair/world/ZoneBoundTest.java
@@ -10,27 +10,31 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Jobs that may run in one zone alone, arrays and services, while that zone loses machines, is cut
- * off, or has none to begin with.
+ * Arrays and services that may run in one zone only, while that zone loses machines, is cut off, or
+ * has no machine at first.
  */
 class ZoneBoundTest {
-  private static SimulatedCluster quiet(long seed) {
-    SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
-    w.network.lossProbability = 0;
-    w.users.submissionsStopped = true;
-    return w;
+  private static SimulatedCluster startQuietCluster(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Size.MEDIUM);
+    cluster.network.lossProbability = 0;
+    cluster.users.submissionsStopped = true;
+    return cluster;
   }
 
-  /** Jobs of each shape that run in this zone alone; they last for half a minute. */
-  private static List<SimulatedUsers.KnownJob> bound(SimulatedCluster w, String zone) {
-    List<SimulatedUsers.KnownJob> out = new ArrayList<>();
+  /**
+   * Submits jobs of each shape that may run in this zone only; those that end run for half a
+   * minute.
+   */
+  private static List<SimulatedUsers.KnownJob> submitZoneBoundJobs(
+      SimulatedCluster cluster, String zone) {
+    List<SimulatedUsers.KnownJob> submitted = new ArrayList<>();
     double runS = 30;
-    out.add(w.users.submitModifiedArray("one", 12, runS, b -> b.put("basin", zone)));
-    out.add(
-        w.users.submitModifiedArray(
+    submitted.add(cluster.users.submitModifiedArray("one", 12, runS, b -> b.put("basin", zone)));
+    submitted.add(
+        cluster.users.submitModifiedArray(
             "two", 1, runS, b -> b.put("basin", zone).put("loaners", false)));
-    out.add(
-        w.users.submitModifiedArray(
+    submitted.add(
+        cluster.users.submitModifiedArray(
             "two",
             6,
             runS,
@@ -39,11 +43,11 @@
                     .put("together", true)
                     .put("snapshotEveryS", 5.0)
                     .put("snapshotS", 2.0)));
-    out.add(
-        w.users.submitModifiedArray(
+    submitted.add(
+        cluster.users.submitModifiedArray(
             "one", 4, runS, b -> b.put("basin", zone).put("shape", "gang")));
-    out.add(
-        w.users.submitModifiedArray(
+    submitted.add(
+        cluster.users.submitModifiedArray(
             "one",
             2,
             0,
@@ -53,36 +57,40 @@
                     .put("jobclass", "serve")
                     .put("rank", "critical")
                     .put("loaners", false)));
-    return out;
+    return submitted;
   }
 
-  private static void eachMachine(SimulatedCluster w, String zone, Consumer<EmulatedWorker> act) {
-    for (EmulatedWorker m : List.copyOf(w.cloud.machines())) {
+  private static void forEachMachine(
+      SimulatedCluster cluster, String zone, Consumer<EmulatedWorker> action) {
+    for (EmulatedWorker m : List.copyOf(cluster.cloud.machines())) {
       if (m.zone().equals(zone) && m.hasBooted() && !m.isGone()) {
-        act.accept(m);
+        action.accept(m);
       }
     }
   }
 
-  /** Each zone alone, while there is no machine, or machines of the others stand idle. */
+  /**
+   * Jobs bound to each zone, while there is no machine, or while machines of other zones are idle.
+   */
   @ParameterizedTest(name = "zone {0}, seed {1}, others at work: {2}")
   @CsvSource({"a,9201,false", "b,9202,false", "c,9203,false", "b,9204,true", "c,9205,true"})
-  void machinesComeWhereTheJobIsBound(String zone, long seed, boolean others) {
-    SimulatedCluster w = quiet(seed);
-    w.run(5000);
-    if (others) {
-      w.users.submitArray("one", "high", 12, 200);
-      w.run(20_000);
+  void machinesAreRentedInTheZoneOfTheJob(String zone, long seed, boolean othersAtWork) {
+    SimulatedCluster cluster = startQuietCluster(seed);
+    cluster.run(5000);
+    if (othersAtWork) {
+      cluster.users.submitArray("one", "high", 12, 200);
+      cluster.run(20_000);
     }
-    List<SimulatedUsers.KnownJob> jobs = bound(w, zone);
-    w.run(90_000);
+    List<SimulatedUsers.KnownJob> jobs = submitZoneBoundJobs(cluster, zone);
+    cluster.run(90_000);
     jobs.forEach(
         job -> assertTrue(job.service ? job.started : job.done, () -> job.body + " waits"));
   }
 
   /**
-   * Machines of the zone end, hang or are recalled while the jobs run, and the leader ends within a
-   * message, a put, a hold, a report or a lease of it; a job is cancelled in between.
+   * Machines of the zone terminate, hang or are reclaimed while the jobs run, and the leader
+   * crashes within a message, a put, a hold, a report or a lease of that; a job is cancelled in
+   * between.
    */
   @ParameterizedTest(name = "seed {0}, zone {1}, {2}, leader ends {3} ms later")
   @CsvSource({
@@ -97,44 +105,44 @@
     "9219,a,recall,30",
     "9220,c,recall,3000"
   })
-  void theZoneLosesMachines(long seed, String zone, String how, long leaderEndsMs) {
-    SimulatedCluster w = quiet(seed);
-    w.run(5000);
-    w.users.submitArray("two", "standard", 40, 15);
-    List<SimulatedUsers.KnownJob> jobs = bound(w, zone);
-    w.run(30_000);
+  void theZoneLosesMachines(long seed, String zone, String machineFault, long leaderCrashMs) {
+    SimulatedCluster cluster = startQuietCluster(seed);
+    cluster.run(5000);
+    cluster.users.submitArray("two", "standard", 40, 15);
+    List<SimulatedUsers.KnownJob> jobs = submitZoneBoundJobs(cluster, zone);
+    cluster.run(30_000);
     for (int round = 0; round < 2; round++) {
-      eachMachine(
-          w,
+      forEachMachine(
+          cluster,
           zone,
           m -> {
-            if (w.sim.chance(0.6)) {
-              lose(w, m, how);
+            if (cluster.sim.chance(0.6)) {
+              failMachine(cluster, m, machineFault);
             }
           });
-      if (leaderEndsMs >= 0) {
-        w.run(leaderEndsMs);
-        w.users.cancel(jobs.get(round));
-        if (w.leader() != null) {
-          w.leader().crash(w.sim.between(100, 4000));
+      if (leaderCrashMs >= 0) {
+        cluster.run(leaderCrashMs);
+        cluster.users.cancel(jobs.get(round));
+        if (cluster.leader() != null) {
+          cluster.leader().crash(cluster.sim.between(100, 4000));
         }
       }
-      w.run(SimulatedCluster.LEASE_MS);
+      cluster.run(SimulatedCluster.LEASE_MS);
     }
-    SeededDaysTest.settle(w);
+    SeededDaysTest.settle(cluster);
   }
 
-  private static void lose(SimulatedCluster w, EmulatedWorker m, String how) {
-    switch (how) {
+  private static void failMachine(SimulatedCluster cluster, EmulatedWorker m, String machineFault) {
+    switch (machineFault) {
       case "end" -> m.powerOff();
-      case "hang" -> m.hang(SimulatedCluster.LEASE_MS * w.sim.between(8, 12) / 10);
-      default -> m.reclaim(w.sim.between(0, 15_000));
+      case "hang" -> m.hang(SimulatedCluster.LEASE_MS * cluster.sim.between(8, 12) / 10);
+      default -> m.reclaim(cluster.sim.between(0, 15_000));
     }
   }
 
   /**
-   * A zone with workers and a controller is cut off for longer than a lease, with the leader or
-   * without it. Jobs bound to it are cancelled at some moment of the cut, through both sides.
+   * A zone with workers and a controller is cut off for longer than a lease, with or without the
+   * leader. Jobs bound to the zone are cancelled at some moment of the cut, through both sides.
    */
   @ParameterizedTest(name = "seed {0}, zone {1}, {2} tenths of a lease, cancelled at {3} ms")
   @CsvSource({
@@ -148,17 +156,17 @@
     "9238,b,35,1700"
   })
   void theZoneIsCutOff(long seed, String zone, int tenths, long cancelMs) {
-    SimulatedCluster w = quiet(seed);
-    w.run(5000);
-    w.users.submitArray("two", "standard", 40, 15);
-    List<SimulatedUsers.KnownJob> jobs = bound(w, zone);
-    w.run(30_000);
+    SimulatedCluster cluster = startQuietCluster(seed);
+    cluster.run(5000);
+    cluster.users.submitArray("two", "standard", 40, 15);
+    List<SimulatedUsers.KnownJob> jobs = submitZoneBoundJobs(cluster, zone);
+    cluster.run(30_000);
     long cutMs = SimulatedCluster.LEASE_MS * tenths / 10;
-    w.cutZone(zone, seed % 2 == 0, cutMs);
-    w.run(cancelMs);
-    jobs.subList(0, 3).forEach(w.users::cancel);
-    w.run(cutMs);
-    bound(w, zone);
-    SeededDaysTest.settle(w);
+    cluster.cutZone(zone, seed % 2 == 0, cutMs);
+    cluster.run(cancelMs);
+    jobs.subList(0, 3).forEach(cluster.users::cancel);
+    cluster.run(cutMs);
+    submitZoneBoundJobs(cluster, zone);
+    SeededDaysTest.settle(cluster);
   }
 }
