--- a/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
+++ b/src/main/java/dapplestair/cancellations/CancellationEnforcer.java
@@ -244,7 +244,7 @@
     }
     returnBlocked = true;
     LOG.warn(
-        "Machines {} may still run cancelled tasks and no leader ends them: returning the machines",
+        "machines {} may still run cancelled tasks and no leader ends them: returning the machines",
         hosts);
     cloud.enforceRelease(
         hosts,
--- a/src/main/java/dapplestair/cancellations/Cancellations.java
+++ b/src/main/java/dapplestair/cancellations/Cancellations.java
@@ -123,8 +123,9 @@
 
   /**
    * Returns how old a controller's knowledge of cancellations may be for it to renew leases. A
-   * lease renewed within this time still ends before a cancelled task must have ended. A sixteenth
-   * of a lease is reserved for clock drift and for messages in flight.
+   * lease renewed within this time still ends before a cancelled task must have ended, unless the
+   * settings leave less than two report intervals for that, of which {@link #start} warns. A
+   * sixteenth of a lease is reserved for clock drift and for messages in flight.
    */
   static long renewalWindowMs(Settings.Workers workers) {
     return Math.max(timeLeftAfterLeaseMs(workers), minRenewalWindowMs(workers));
--- a/src/main/java/dapplestair/cancellations/ForgottenMachines.java
+++ b/src/main/java/dapplestair/cancellations/ForgottenMachines.java
@@ -221,7 +221,7 @@
     int count = Math.min(MAX_RETURNED_PER_CALL, hosts.size());
     List<String> batch = hosts.subList(0, count);
     LOG.warn(
-        "No controller has read records since its start; returning silent machines {} to the cloud",
+        "no controller has read records since its start; returning silent machines {} to the cloud",
         batch);
     cloud.enforceRelease(batch, reply -> returnMachines(hosts.subList(count, hosts.size())));
   }
--- a/src/main/java/dapplestair/cancellations/KnownCancellations.java
+++ b/src/main/java/dapplestair/cancellations/KnownCancellations.java
@@ -122,8 +122,8 @@
   }
 
   /**
-   * Returns the log entries after the given number, oldest first, with at most {@code maxLocations}
-   * locations in total.
+   * Returns the log entries after the given number, oldest first: at most {@code maxEntries}, with
+   * at most {@code maxLocations} locations in total.
    */
   List<CancellationCodec.LogEntry> entriesAfter(long number, int maxEntries, int maxLocations) {
     removeExpired();
--- a/src/main/java/dapplestair/leadership/FencingToken.java
+++ b/src/main/java/dapplestair/leadership/FencingToken.java
@@ -6,8 +6,8 @@
   private static final long FENCE_STEP = 1 << 12;
 
   /**
-   * Maximum difference between the leader's token for a worker and the token that the worker has
-   * shown; beyond it, the leader sends that worker no launches.
+   * Limit on how far the leader's token for a worker may lie above the token that the worker has
+   * shown; once the difference reaches it, the leader sends that worker no launches.
    */
   public static final long MAX_FENCE_LEAD = FENCE_STEP / 2;
 
@@ -34,7 +34,7 @@
    * it.
    */
   public static long raisedByNonLeader(long token) {
-    // Two times MAX_FENCE_LEAD above the shown token: once for the tokens that the leader may
+    // More than twice MAX_FENCE_LEAD above the shown token: once for the tokens that the leader may
     // already use, and once for those that it may see and use while this token is in transit. The
     // next multiple of the step alone may lie just one above the worker's token.
     long raised = (fence(token) / FENCE_STEP + 2) * FENCE_STEP;
--- a/src/main/java/dapplestair/silence/SilenceTimeouts.java
+++ b/src/main/java/dapplestair/silence/SilenceTimeouts.java
@@ -34,9 +34,9 @@
   }
 
   /**
-   * Returns after which silence of a zone to rent capacity elsewhere for the replicas that run in
-   * it: as soon as every machine of the zone has missed a report. It takes only a few machines, and
-   * they must boot before the leases end.
+   * Returns how long a zone must be silent before capacity for its replicas is rented elsewhere:
+   * until every machine of the zone has missed a report. The replicas need only a few machines,
+   * which must boot before the leases end.
    */
   public long prepareAfterMs() {
     return Math.round(1.35 * settings.workers().reportMs());
@@ -61,8 +61,10 @@
    * proof that lets the replicas start elsewhere. A machine with other work is then given up if
    * there is free room for that work, since it completes earlier elsewhere. Without such room, the
    * release would bring only another boot and the minimum charge. The machine is then waited for as
-   * long as its successor would take to boot and to become as useful, which is twice the boot time,
-   * and longer while the cloud has no such machine to replace it.
+   * long as its successor would take to boot and to become as useful, which is twice the boot time
+   * after the work is lost, and longer while the cloud has no such machine to replace it. After a
+   * silence of three leases it is given up in any case; in a zone with a controller that is as soon
+   * as the work is lost.
    *
    * @param silentMs how long the machine has not been heard
    * @param hasReplicas whether replicas run on it
--- a/src/main/java/dapplestair/state/CommitQueue.java
+++ b/src/main/java/dapplestair/state/CommitQueue.java
@@ -139,7 +139,7 @@
         }
         if (clock.now() > queued.deadlineMs) {
           queue.poll();
-          queued.commit.resendExpired();
+          queued.commit.queuedCopyExpired();
           continue;
         }
         if (inFlight >= MAX_IN_FLIGHT) {
--- a/src/main/java/dapplestair/state/PendingCommit.java
+++ b/src/main/java/dapplestair/state/PendingCommit.java
@@ -42,7 +42,7 @@
   }
 
   /** Notes that the deadline of the queued copy passed before it could be sent. */
-  void resendExpired() {
+  void queuedCopyExpired() {
     resendQueued = false;
     recordOutcome(new TxnOutcome.Refused());
   }
--- a/src/main/java/dapplestair/state/StateClient.java
+++ b/src/main/java/dapplestair/state/StateClient.java
@@ -29,7 +29,7 @@
     USER,
     /** Writes for which service replicas wait. */
     REPLICA,
-    /** Launches, for which tasks wait. */
+    /** Writes for which tasks wait, such as launches. */
     LAUNCH,
     /** Ends of jobs, of which users wait to be told. */
     FINISH,
@@ -104,7 +104,7 @@
             * Math.max(controllers == 1 ? 1 : LEADER_SHARE, availableShare));
   }
 
-  /** Returns false from a refused or unanswered request until the next answered one. */
+  /** Returns whether the state service served the last request; a lone lost reply is ignored. */
   public boolean isReachable() {
     return reachable;
   }
@@ -280,9 +280,9 @@
     }
     if (reachable && !served) {
       unreachableSinceMs = clock.now();
-      LOG.info("the state service is not reachable (last status {})", reply.status());
+      LOG.info("the state service does not serve this controller (last status {})", reply.status());
     } else if (!reachable && served) {
-      LOG.info("the state service is reachable again");
+      LOG.info("the state service serves this controller again");
     }
     reachable = served;
     return reply;
--- a/src/main/java/dapplestair/submissions/SubmissionHandler.java
+++ b/src/main/java/dapplestair/submissions/SubmissionHandler.java
@@ -180,7 +180,7 @@
    */
   private void rejectUnlessKnown(Exchange exchange, int status, String reason) {
     LOG.debug(
-        "Submission is rejected with status {} unless its job is already known: {}",
+        "rejecting a submission with status {} unless its job is already known: {}",
         status,
         reason);
     String ref = Json.text(Json.parse(exchange.body()), "ref");
--- a/src/main/java/dapplestair/work/Submission.java
+++ b/src/main/java/dapplestair/work/Submission.java
@@ -55,7 +55,7 @@
     return shape == JobShape.SERVICE;
   }
 
-  /** Returns true when its tasks make progress only while all of them run. */
+  /** Returns true when none of its tasks is of use before all of them run. */
   public boolean isGang() {
     return shape == JobShape.GANG;
   }
--- a/src/main/java/dapplestair/workers/LeaseRenewal.java
+++ b/src/main/java/dapplestair/workers/LeaseRenewal.java
@@ -123,9 +123,9 @@
   }
 
   /**
-   * Returns the worker's own token, or one that is higher than that of any launch in transit. The
-   * token is raised once after each cancellation, when launches of the cancelled job can no longer
-   * be sent, and not before.
+   * Returns the worker's own token, or one that is higher than that of any launch in transit. After
+   * a cancellation the token is raised in each answer, until the worker shows a token that was
+   * raised when launches of the cancelled job could no longer be sent.
    */
   private long tokenFor(Report report) {
     RaisedToken lastRaised = raisedTokensByHost.get(report.host());
--- a/src/main/java/dapplestair/workers/LivenessTracker.java
+++ b/src/main/java/dapplestair/workers/LivenessTracker.java
@@ -232,8 +232,8 @@
 
   /**
    * Returns when this machine was last heard. Until it is reached in this term, that is the time at
-   * which the previous leader last heard it, and never later than the time at which this controller
-   * came to know of it.
+   * which this controller came to know of it, or the time at which the previous leader last heard
+   * it if that is known and earlier.
    */
   private long lastHeardAt(Host host) {
     if (host.wasReached()) {
--- a/src/main/java/dapplestair/workers/WorkerManager.java
+++ b/src/main/java/dapplestair/workers/WorkerManager.java
@@ -187,8 +187,8 @@
   }
 
   /**
-   * Returns how long no machine in this zone has been heard while other zones were, or 0 if any
-   * was.
+   * Returns how long no machine in this zone has been heard while other zones were, or 0 when the
+   * zone is heard or its silence is not conclusive.
    */
   public long zoneSilentMs(String zone) {
     return liveness.zoneSilentMs(zone);
