--- a/src/main/java/dapplestair/admin/AdminHandler.java
+++ b/src/main/java/dapplestair/admin/AdminHandler.java
@@ -22,15 +22,15 @@
 public final class AdminHandler {
   private static final Logger LOG = LoggerFactory.getLogger(AdminHandler.class);
   private static final String TOPIC = "admin";
-  private static final String TEXT = "text/plain; version=0.0.4; charset=utf-8";
+  private static final String METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
   // From the users' wish: without a leader for so long, say so.
-  private static final long LEADER_WITHIN_MS = 1000;
-  private static final long LOOK_AGAIN_MS = 50;
-  private static final int MOST_OPEN = 64;
+  private static final long LEADER_WAIT_MS = 1000;
+  private static final long LEADER_RETRY_MS = 50;
+  private static final int MAX_OPEN_REQUESTS = 64;
 
   // Between controllers only: the one that was asked does not lead.
-  private static final int NOT_LEADING = 421;
+  private static final int STATUS_NOT_LEADING = 421;
 
   private final Clock clock;
   private final Timers timers;
@@ -39,19 +39,19 @@
   private final Ledger ledger;
   private final Peers peers;
   private final Replica replica;
-  private final StateClient state;
+  private final StateClient stateClient;
   private final Routes routes;
   private final JobViews jobs;
-  private final Consumer<Exchange> users;
+  private final Consumer<Exchange> userRequestHandler;
   private final Supplier<byte[]> metrics;
-  private final TokenBucket failures;
-  private int open;
+  private final TokenBucket refusalLogLimiter;
+  private int openRequestCount;
 
-  /** {@code users} answers what users ask; {@code metrics} gives them as text. */
+  /** {@code userRequestHandler} answers what users ask; {@code metrics} gives them as text. */
   public AdminHandler(
       ControllerComponents components,
       Authenticator authenticator,
-      Consumer<Exchange> users,
+      Consumer<Exchange> userRequestHandler,
       Supplier<byte[]> metrics) {
     this.clock = components.clock();
     this.timers = components.timers();
@@ -60,37 +60,37 @@
     this.ledger = components.ledger();
     this.peers = components.peers();
     this.replica = components.replica();
-    this.state = components.state();
-    this.users = users;
+    this.stateClient = components.state();
+    this.userRequestHandler = userRequestHandler;
     this.metrics = metrics;
-    this.failures = new TokenBucket(clock, 0.2, 25);
+    this.refusalLogLimiter = new TokenBucket(clock, 0.2, 25);
     AsOfStamp asOf = new AsOfStamp(components.settings(), leadership, replica);
     PagedListing listing = new PagedListing(timers, asOf);
-    this.jobs = new JobViews(clock, ledger, state, asOf, listing);
+    this.jobs = new JobViews(clock, ledger, stateClient, asOf, listing);
     MachineViews machines =
         new MachineViews(clock, components.workers(), components.drains(), jobs, asOf, listing);
-    double planS = components.operatorSettings().planIntervalMs() / 1000.0;
+    double planIntervalS = components.operatorSettings().planIntervalMs() / 1000.0;
     this.routes =
         new Routes(
             jobs,
             machines,
-            new WhyView(components, jobs, asOf, planS),
+            new WhyView(components, jobs, asOf, planIntervalS),
             new ClusterViews(components, machines, asOf),
             new EventViews(timers, components.events(), listing),
             new DrainHandler(
                 clock, components.settings(), components.workers(), components.drains(), asOf),
             new ReplacementHandler(components, asOf));
-    peers.questions().answer(TOPIC, this::asked);
+    peers.questions().answer(TOPIC, this::handlePeerRequest);
   }
 
   /** A job is there and not over. */
-  public void jobPut(String ref) {
-    jobs.put(ref);
+  public void addUnfinishedJob(String ref) {
+    jobs.addUnfinished(ref);
   }
 
   /** A job is over. */
-  public void jobRemoved(String ref) {
-    jobs.removed(ref);
+  public void removeUnfinishedJob(String ref) {
+    jobs.removeUnfinished(ref);
   }
 
   /** The replica begins anew. */
@@ -100,40 +100,40 @@
 
   /** An operator asks. */
   public void handle(Exchange exchange) {
-    Authenticator.Identity known = authenticator.who(exchange);
-    if (known == null) {
+    Authenticator.Identity identity = authenticator.identify(exchange);
+    if (identity == null) {
       // Bounded, so that guessing does not fill the log.
-      if (failures.take(1)) {
+      if (refusalLogLimiter.take(1)) {
         LOG.warn(
             "{} {} refused: no valid token or certificate", exchange.method(), exchange.path());
       }
       reply(exchange, AdminResponse.error(401, "a valid token or client certificate is needed"));
       return;
     }
-    Role role = known.operates() ? Role.OPERATE : Role.VIEW;
+    Role role = identity.mayOperate() ? Role.OPERATE : Role.VIEW;
     if (exchange.path().equals("/metrics")) {
-      exchange.reply(TEXT, metrics.get());
+      exchange.reply(METRICS_CONTENT_TYPE, metrics.get());
     } else if (exchange.path().equals("/submissions")
         || exchange.path().startsWith("/submissions/")) {
-      asUser(exchange, role);
+      handleUserRequest(exchange, role);
     } else {
-      Caller caller = new Caller(known.name(), role);
-      ask(
+      Caller caller = new Caller(identity.name(), role);
+      dispatch(
           exchange,
           AdminRequest.read(
               exchange.method(), exchange.path(), exchange.query(), exchange.body(), caller));
     }
   }
 
-  private void asUser(Exchange exchange, Role role) {
+  private void handleUserRequest(Exchange exchange, Role role) {
     if (exchange.method().equals("GET") || role.covers(Role.OPERATE)) {
-      users.accept(exchange);
+      userRequestHandler.accept(exchange);
     } else {
       reply(exchange, AdminResponse.error(403, "this needs the role operate"));
     }
   }
 
-  private void ask(Exchange exchange, AdminRequest request) {
+  private void dispatch(Exchange exchange, AdminRequest request) {
     Routes.Route route = routes.find(request);
     if (route == null) {
       reply(exchange, AdminResponse.error(404, "no such path"));
@@ -144,20 +144,20 @@
     } else if (!request.body().isObject()) {
       reply(exchange, AdminResponse.error(400, "the body is not a JSON object"));
     } else if (!request.caller().role().covers(route.role())) {
-      reply(exchange, AdminResponse.error(403, "this needs the role " + route.role().shown()));
-    } else if (open >= MOST_OPEN) {
-      reply(exchange, AdminResponse.later("too many questions at once"));
+      reply(exchange, AdminResponse.error(403, "this needs the role " + route.role().label()));
+    } else if (openRequestCount >= MAX_OPEN_REQUESTS) {
+      reply(exchange, AdminResponse.retryLater("too many questions at once"));
     } else {
-      open++;
+      openRequestCount++;
       Consumer<AdminResponse> done =
-          a -> {
-            open--;
-            reply(exchange, a);
+          response -> {
+            openRequestCount--;
+            reply(exchange, response);
           };
-      if (route.byLeader()) {
-        lead(request, route, clock.now() + LEADER_WITHIN_MS, done);
+      if (route.leaderOnly()) {
+        serveFromLeader(request, route, clock.now() + LEADER_WAIT_MS, done);
       } else {
-        serve(request, route, () -> true, done);
+        serveAfterBarrier(request, route, () -> true, done);
       }
     }
   }
@@ -168,100 +168,105 @@
 
   // ---- the leader's memory ----
 
-  private void lead(
-      AdminRequest request, Routes.Route route, long deadline, Consumer<AdminResponse> done) {
-    if (able()) {
-      serve(request, route, this::able, done);
+  private void serveFromLeader(
+      AdminRequest request, Routes.Route route, long deadlineMs, Consumer<AdminResponse> done) {
+    if (canServeAsLeader()) {
+      serveAfterBarrier(request, route, this::canServeAsLeader, done);
       return;
     }
     String leader = leadership.isLeading() ? null : leadership.currentLeader();
     if (leader == null || !peers.alive(leader)) {
-      again(
-          request, route, deadline, done, leader == null ? "nobody leads" : leader + " is silent");
+      retryLeader(
+          request,
+          route,
+          deadlineMs,
+          done,
+          leader == null ? "nobody leads" : leader + " is silent");
       return;
     }
-    long timeouts = Math.max(LOOK_AGAIN_MS, deadline - clock.now()) + route.waitMs();
+    long timeoutMs = Math.max(LEADER_RETRY_MS, deadlineMs - clock.now()) + route.waitMs();
     peers
         .questions()
         .ask(
             leader,
             TOPIC,
             Json.bytes(request.toJson()),
-            timeouts,
+            timeoutMs,
             frame -> {
               AdminResponse response = frame == null ? null : AdminResponse.parse(frame);
               if (response == null) {
                 done.accept(
-                    AdminResponse.later("the leader, " + leader + ", did not answer in time"));
-              } else if (response.status() == NOT_LEADING) {
-                again(request, route, deadline, done, leader + " does not lead yet");
+                    AdminResponse.retryLater("the leader, " + leader + ", did not answer in time"));
+              } else if (response.status() == STATUS_NOT_LEADING) {
+                retryLeader(request, route, deadlineMs, done, leader + " does not lead yet");
               } else {
                 done.accept(response);
               }
             });
   }
 
-  private boolean able() {
+  private boolean canServeAsLeader() {
     return leadership.isLeading() && ledger.canLaunch();
   }
 
-  private void again(
+  private void retryLeader(
       AdminRequest request,
       Routes.Route route,
-      long deadline,
+      long deadlineMs,
       Consumer<AdminResponse> done,
-      String why) {
-    if (clock.now() >= deadline) {
-      done.accept(AdminResponse.later("no leader can be asked: " + why));
+      String reason) {
+    if (clock.now() >= deadlineMs) {
+      done.accept(AdminResponse.retryLater("no leader can be asked: " + reason));
     } else {
-      timers.after(LOOK_AGAIN_MS, () -> lead(request, route, deadline, done));
+      timers.after(LEADER_RETRY_MS, () -> serveFromLeader(request, route, deadlineMs, done));
     }
   }
 
   /** A peer asks this controller as the leader. */
-  private void asked(byte[] body, Consumer<byte[]> answer) {
+  private void handlePeerRequest(byte[] body, Consumer<byte[]> sendReply) {
     AdminRequest request = AdminRequest.parse(Json.parse(body));
     Routes.Route route = request == null ? null : routes.find(request);
     if (route == null) {
-      answer.accept(AdminResponse.error(404, "no such path").frame());
-    } else if (!able()) {
-      answer.accept(new AdminResponse(NOT_LEADING, new byte[0], 0).frame());
+      sendReply.accept(AdminResponse.error(404, "no such path").toFrame());
+    } else if (!canServeAsLeader()) {
+      sendReply.accept(new AdminResponse(STATUS_NOT_LEADING, new byte[0], 0).toFrame());
     } else {
-      serve(request, route, this::able, a -> answer.accept(a.frame()));
+      serveAfterBarrier(
+          request, route, this::canServeAsLeader, response -> sendReply.accept(response.toFrame()));
     }
   }
 
   // ---- answering ----
 
-  /** Passes a barrier, then answers if {@code still} holds. */
-  private void serve(
+  /** Passes a barrier, then answers if {@code canStillServe} holds. */
+  private void serveAfterBarrier(
       AdminRequest request,
       Routes.Route route,
-      java.util.function.BooleanSupplier still,
+      java.util.function.BooleanSupplier canStillServe,
       Consumer<AdminResponse> done) {
-    if (!replica.isReady() || !state.isReachable()) {
-      done.accept(AdminResponse.later(unready()));
+    if (!replica.isReady() || !stateClient.isReachable()) {
+      done.accept(AdminResponse.retryLater(notReadyReason()));
       return;
     }
     replica.barrier(
         passed -> {
           if (!passed) {
-            done.accept(AdminResponse.later(unready()));
-          } else if (!still.getAsBoolean()) {
-            done.accept(AdminResponse.later("the leader has just changed"));
+            done.accept(AdminResponse.retryLater(notReadyReason()));
+          } else if (!canStillServe.getAsBoolean()) {
+            done.accept(AdminResponse.retryLater("the leader has just changed"));
           } else {
-            answer(request, route, done);
+            invokeHandler(request, route, done);
           }
         });
   }
 
-  private String unready() {
-    return state.isReachable()
+  private String notReadyReason() {
+    return stateClient.isReachable()
         ? "this controller is still reading the records"
         : "the state service does not answer";
   }
 
-  private static void answer(
+  private static void invokeHandler(
       AdminRequest request, Routes.Route route, Consumer<AdminResponse> done) {
     try {
       route.handler().answer(request, done);
--- a/src/main/java/dapplestair/admin/AdminRequest.java
+++ b/src/main/java/dapplestair/admin/AdminRequest.java
@@ -25,13 +25,14 @@
   }
 
   /** A whole number from the query, kept between bounds. */
-  long number(String name, long otherwise, long low, long high) throws BadRequestException {
-    String v = param(name);
-    if (v == null) {
-      return otherwise;
+  long boundedNumber(String name, long defaultValue, long min, long max)
+      throws BadRequestException {
+    String text = param(name);
+    if (text == null) {
+      return defaultValue;
     }
     try {
-      return Math.max(low, Math.min(high, Long.parseLong(v)));
+      return Math.max(min, Math.min(max, Long.parseLong(text)));
     } catch (NumberFormatException e) {
       throw new BadRequestException(name + ": must be a whole number");
     }
@@ -48,10 +49,10 @@
 
   ObjectNode toJson() {
     ObjectNode object = Json.object().put("method", method).put("path", path);
-    ObjectNode p = object.putObject("params");
-    params.forEach(p::put);
+    ObjectNode paramsObject = object.putObject("params");
+    params.forEach(paramsObject::put);
     object.set("body", body);
-    return object.put("who", caller.name()).put("role", caller.role().shown());
+    return object.put("who", caller.name()).put("role", caller.role().label());
   }
 
   static AdminRequest parse(JsonNode node) {
@@ -59,7 +60,7 @@
     node.path("params")
         .fields()
         .forEachRemaining(e -> params.put(e.getKey(), e.getValue().asText()));
-    Role role = Role.of(node.path("role").asText());
+    Role role = Role.fromLabel(node.path("role").asText());
     return role == null
         ? null
         : new AdminRequest(
--- a/src/main/java/dapplestair/admin/AsOfStamp.java
+++ b/src/main/java/dapplestair/admin/AsOfStamp.java
@@ -24,17 +24,17 @@
     return leadership.isLeading() ? leadership.term() : leadership.highestTermSeen();
   }
 
-  void write(JsonGenerator out) throws IOException {
-    out.writeObjectFieldStart("asOf");
-    out.writeNumberField("term", term());
-    out.writeNumberField("epoch", replica.appliedEpoch());
-    out.writeStringField("leader", leadership.currentLeader());
-    out.writeStringField("by", settings.member());
-    out.writeEndObject();
+  void writeTo(JsonGenerator generator) throws IOException {
+    generator.writeObjectFieldStart("asOf");
+    generator.writeNumberField("term", term());
+    generator.writeNumberField("epoch", replica.appliedEpoch());
+    generator.writeStringField("leader", leadership.currentLeader());
+    generator.writeStringField("by", settings.member());
+    generator.writeEndObject();
   }
 
   /** An object that says it. */
-  ObjectNode object() {
+  ObjectNode newObject() {
     ObjectNode object = Json.object();
     object
         .putObject("asOf")
--- a/src/main/java/dapplestair/admin/Authenticator.java
+++ b/src/main/java/dapplestair/admin/Authenticator.java
@@ -6,17 +6,17 @@
 @FunctionalInterface
 public interface Authenticator {
   /** Whoever asks, by what they show; null when that is nobody. */
-  Identity who(Exchange exchange);
+  Identity identify(Exchange exchange);
 
   /**
    * Somebody known.
    *
-   * @param operates true if they may change things, too
+   * @param mayOperate true if they may change things, too
    */
-  record Identity(String name, boolean operates) {}
+  record Identity(String name, boolean mayOperate) {}
 
   /** Everybody on this machine may do everything: only for an address on loopback. */
-  static Authenticator open() {
-    return x -> new Identity("local", true);
+  static Authenticator allowAll() {
+    return exchange -> new Identity("local", true);
   }
 }
--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -43,7 +43,7 @@
   private final FaultAttribution faultAttribution;
   private final Leadership leadership;
   private final Peers peers;
-  private final StateClient state;
+  private final StateClient stateClient;
   private final MachineViews machines;
   private final AsOfStamp asOf;
   private final Cancellations cancellations;
@@ -62,7 +62,7 @@
     this.faultAttribution = components.faultAttribution();
     this.leadership = components.leadership();
     this.peers = components.peers();
-    this.state = components.state();
+    this.stateClient = components.state();
     this.machines = machines;
     this.asOf = asOf;
     this.cancellations = components.cancellations();
@@ -72,61 +72,66 @@
   /** Who leads, who lives, what waits where. */
   ObjectNode status() {
     ObjectNode object =
-        asOf.object()
+        asOf.newObject()
             .put("leader", leadership.currentLeader())
             .put("term", leadership.term())
             .put("jobs", ledger.jobs().size())
             .put("attempts", ledger.attemptCount())
             .put("jobs_suspected", faultAttribution.countSuspectedJobs());
     Map<String, Integer> states = new TreeMap<>();
-    workers.hosts().forEach(h -> states.merge(machines.state(h), 1, Integer::sum));
-    ObjectNode m = object.putObject("machines");
-    states.forEach(m::put);
+    workers.hosts().forEach(host -> states.merge(machines.stateOf(host), 1, Integer::sum));
+    ObjectNode machineCounts = object.putObject("machines");
+    states.forEach(machineCounts::put);
     if (lanes.hasLanes()) {
       ObjectNode claims = object.putObject("lane_claims");
       lanes.openClaimCounts().forEach(claims::put);
     }
     if (!calendars.statuses().isEmpty()) {
-      ArrayNode list = object.putArray("calendars");
-      calendars.statuses().forEach(s -> show(s, list.addObject()));
+      ArrayNode calendarList = object.putArray("calendars");
+      calendars
+          .statuses()
+          .forEach(calendarStatus -> addCalendarFields(calendarStatus, calendarList.addObject()));
     }
-    ArrayNode list = object.putArray("peers");
-    for (Peers.PeerView p : peers.views()) {
-      ObjectNode n = list.addObject().put("member", p.member()).put("alive", p.alive());
-      n.put("linked", p.linked());
-      if (p.status() != null) {
-        n.put("state_reachable", p.status().stateReachable())
-            .put("ready", p.status().ready())
-            .put("term", p.status().term())
-            .put("reports", p.status().beats())
-            .put("puts", p.status().puts());
+    ArrayNode peerList = object.putArray("peers");
+    for (Peers.PeerView peer : peers.views()) {
+      ObjectNode peerObject =
+          peerList.addObject().put("member", peer.member()).put("alive", peer.alive());
+      peerObject.put("linked", peer.linked());
+      if (peer.status() != null) {
+        peerObject
+            .put("state_reachable", peer.status().stateReachable())
+            .put("ready", peer.status().ready())
+            .put("term", peer.status().term())
+            .put("reports", peer.status().beats())
+            .put("puts", peer.status().puts());
       }
     }
-    ObjectNode w = object.putObject("withdrawals").put("open", cancellations.open());
+    ObjectNode withdrawals = object.putObject("withdrawals").put("open", cancellations.open());
     if (cancellations.open() > 0) {
-      w.put("oldest_s", cancellations.openMs() / 1000.0);
+      withdrawals.put("oldest_s", cancellations.openMs() / 1000.0);
     }
     if (cancellations.ageMs() < Integer.MAX_VALUE) {
-      w.put("known_to_age_s", cancellations.ageMs() / 1000.0);
+      withdrawals.put("known_to_age_s", cancellations.ageMs() / 1000.0);
     }
-    w.put("keeps_leases", cancellations.mayRenew());
+    withdrawals.put("keeps_leases", cancellations.mayRenew());
     object.putObject("relay").put("on", relay.on()).put("reports", relay.relayed());
-    ObjectNode s =
+    ObjectNode stateObject =
         object
             .putObject("state")
-            .put("reachable", state.isReachable())
-            .put("unreachable_s", state.unreachableMs() / 1000.0)
-            .put("puts_allowed", state.maxPutsPerSecond())
-            .put("puts_wanted", state.demandPutsPerSecond())
+            .put("reachable", stateClient.isReachable())
+            .put("unreachable_s", stateClient.unreachableMs() / 1000.0)
+            .put("puts_allowed", stateClient.maxPutsPerSecond())
+            .put("puts_wanted", stateClient.demandPutsPerSecond())
             .put("sheets", ledger.launchBatchCount());
-    ObjectNode q = s.putObject("queued");
-    for (StateClient.Priority p : StateClient.Priority.values()) {
-      q.put(p.name().toLowerCase(Locale.ROOT), state.queuedCount(p));
+    ObjectNode queuedCounts = stateObject.putObject("queued");
+    for (StateClient.Priority priority : StateClient.Priority.values()) {
+      queuedCounts.put(priority.name().toLowerCase(Locale.ROOT), stateClient.queuedCount(priority));
     }
     return object;
   }
 
-  private static void show(Calendars.CalendarStatus calendarStatus, ObjectNode object) {
+  private static void addCalendarFields(
+      Calendars.CalendarStatus calendarStatus, ObjectNode object) {
     object
         .put("name", calendarStatus.name())
         .put("state", calendarStatus.state())
@@ -141,46 +146,47 @@
 
   /** What each team is guaranteed, uses, borrows and lends. */
   ObjectNode teams() {
-    double borrowed = 0;
-    double unused = 0;
+    double borrowedCpus = 0;
+    double unusedCpus = 0;
     for (Settings.Team team : settings.teams().values()) {
-      double use = ledger.teamCpus(team.name());
-      borrowed += team.bounded() ? Math.max(0, use - team.cpus()) : 0;
-      unused += Math.max(0, team.cpus() - use);
+      double usedCpus = ledger.teamCpus(team.name());
+      borrowedCpus += team.bounded() ? Math.max(0, usedCpus - team.cpus()) : 0;
+      unusedCpus += Math.max(0, team.cpus() - usedCpus);
     }
-    Map<String, Double> waiting = new TreeMap<>();
+    Map<String, Double> waitingCpusByTeam = new TreeMap<>();
     for (Job job : ledger.jobs()) {
-      waiting.merge(job.spec().team(), job.waitingTasks() * job.spec().cpus(), Double::sum);
+      waitingCpusByTeam.merge(
+          job.spec().team(), job.waitingTasks() * job.spec().cpus(), Double::sum);
     }
     // Who borrows does not say from whom: what is lent is parted by what each leaves unused.
-    double lentShare = unused <= 0 ? 0 : Math.min(1, borrowed / unused);
-    Map<String, JobStatistics.JobCounts> served = ledger.jobStatistics().byTeam();
-    Map<String, BudgetStatus> statuses = disruptionGate.statuses();
-    ObjectNode object = asOf.object();
+    double lentShare = unusedCpus <= 0 ? 0 : Math.min(1, borrowedCpus / unusedCpus);
+    Map<String, JobStatistics.JobCounts> countsByTeam = ledger.jobStatistics().byTeam();
+    Map<String, BudgetStatus> budgetStatuses = disruptionGate.statuses();
+    ObjectNode object = asOf.newObject();
     ArrayNode rows = object.putArray("rows");
     for (Settings.Team team : new TreeMap<>(settings.teams()).values()) {
-      double use = ledger.teamCpus(team.name());
+      double usedCpus = ledger.teamCpus(team.name());
       ObjectNode row = rows.addObject();
       row.put("team", team.name())
           .put("guarantee", team.cpus())
           .put("limit", team.cpusMax())
-          .put("use", use)
-          .put("borrowed", team.bounded() ? Math.max(0, use - team.cpus()) : 0)
-          .put("lent", Math.max(0, team.cpus() - use) * lentShare)
-          .put("waiting", waiting.getOrDefault(team.name(), 0.0))
+          .put("use", usedCpus)
+          .put("borrowed", team.bounded() ? Math.max(0, usedCpus - team.cpus()) : 0)
+          .put("lent", Math.max(0, team.cpus() - usedCpus) * lentShare)
+          .put("waiting", waitingCpusByTeam.getOrDefault(team.name(), 0.0))
           .put("gpus_guarantee", team.gpus())
           .put("gpus_limit", team.gpusMax())
           .put("gpus_use", ledger.teamGpus(team.name()));
-      JobStatistics.JobCounts count =
-          served.getOrDefault(team.name(), JobStatistics.JobCounts.NONE);
+      JobStatistics.JobCounts counts =
+          countsByTeam.getOrDefault(team.name(), JobStatistics.JobCounts.NONE);
       row.putObject("served")
-          .put("accepted", count.accepted())
-          .put("started", count.started())
-          .put("due", count.due())
-          .put("done", count.done());
-      if (statuses.containsKey(team.name())) {
-        BudgetStatus budgetStatus = statuses.get(team.name());
-        row.put("out", budgetStatus.out()).set("disruption", budget(budgetStatus));
+          .put("accepted", counts.accepted())
+          .put("started", counts.started())
+          .put("due", counts.due())
+          .put("done", counts.done());
+      if (budgetStatuses.containsKey(team.name())) {
+        BudgetStatus budgetStatus = budgetStatuses.get(team.name());
+        row.put("out", budgetStatus.out()).set("disruption", budgetJson(budgetStatus));
         if (budgetStatus.allowed() < Integer.MAX_VALUE) {
           row.put("out_allowed", budgetStatus.allowed());
         }
@@ -190,7 +196,7 @@
   }
 
   /** What of a team is out, and what its budget allows; what is not bounded is left out. */
-  private static ObjectNode budget(BudgetStatus budgetStatus) {
+  private static ObjectNode budgetJson(BudgetStatus budgetStatus) {
     ObjectNode object =
         Json.object()
             .put("replicas_wanted", budgetStatus.wanted())
@@ -212,69 +218,69 @@
 
   /** Zones: where each stands, and what is there. */
   ObjectNode zones() {
-    ObjectNode object = asOf.object();
+    ObjectNode object = asOf.newObject();
     ArrayNode rows = object.putArray("rows");
     zones
         .statuses()
         .forEach(
-            (zone, life) -> {
-              int there = 0;
-              int unheard = 0;
-              int replicas = 0;
-              int tasks = 0;
-              int unproved = 0;
+            (zone, status) -> {
+              int machineCount = 0;
+              int unheardCount = 0;
+              int replicaCount = 0;
+              int taskCount = 0;
+              int unprovedCount = 0;
               for (Host host : workers.hosts()) {
                 if (!zone.equals(host.zone())) {
                   continue;
                 }
-                boolean lost = host.outOfReach() || host.zoneSilentMs() > 0;
-                there++;
-                unheard += lost ? 1 : 0;
+                boolean isUnheard = host.outOfReach() || host.zoneSilentMs() > 0;
+                machineCount++;
+                unheardCount += isUnheard ? 1 : 0;
                 for (Attempt attempt : host.attempts()) {
                   if (!attempt.exited()) {
-                    replicas += attempt.spec().service() ? 1 : 0;
-                    tasks += attempt.spec().service() ? 0 : 1;
-                    unproved += lost ? 1 : 0;
+                    replicaCount += attempt.spec().service() ? 1 : 0;
+                    taskCount += attempt.spec().service() ? 0 : 1;
+                    unprovedCount += isUnheard ? 1 : 0;
                   }
                 }
               }
               rows.addObject()
                   .put("zone", zone)
-                  .put("state", life.state().label())
-                  .put("since", life.sinceWallMs())
-                  .put("cuts", life.cuts())
+                  .put("state", status.state().label())
+                  .put("since", status.sinceWallMs())
+                  .put("cuts", status.cuts())
                   .put("steady_in_s", zones.remainingStabilizationS(zone))
                   .put("silent_s", workers.zoneSilentMs(zone) / 1000.0)
-                  .put("machines", there)
-                  .put("unheard", unheard)
-                  .put("replicas", replicas)
-                  .put("tasks", tasks)
-                  .put("not_proved", unproved)
-                  .put("by", life.member());
+                  .put("machines", machineCount)
+                  .put("unheard", unheardCount)
+                  .put("replicas", replicaCount)
+                  .put("tasks", taskCount)
+                  .put("not_proved", unprovedCount)
+                  .put("by", status.member());
             });
     return object;
   }
 
   /** The plan applied last. */
   ObjectNode plan() {
-    ObjectNode object = asOf.object();
-    Autoscaler.AppliedPlan applied = autoscaler.applied();
+    ObjectNode object = asOf.newObject();
+    Autoscaler.AppliedPlan plan = autoscaler.applied();
     ArrayNode rows = object.putArray("rows");
-    if (applied == null) {
+    if (plan == null) {
       return object;
     }
-    if (!Double.isNaN(applied.makespanS())) {
+    if (!Double.isNaN(plan.makespanS())) {
       ObjectNode costs = object.putObject("costs");
       costs
-          .put("makespan_s", applied.makespanS())
-          .put("per_hour", applied.perHour())
-          .put("risk", applied.risk());
+          .put("makespan_s", plan.makespanS())
+          .put("per_hour", plan.perHour())
+          .put("risk", plan.risk());
     }
     object
-        .put("budget_per_hour", applied.budgetPerHour())
-        .put("front", applied.front())
-        .put("age", (clock.now() - applied.at()) / 1000.0);
-    for (Map.Entry<MachineKind, Integer> entry : applied.counts().entrySet()) {
+        .put("budget_per_hour", plan.budgetPerHour())
+        .put("front", plan.front())
+        .put("age", (clock.now() - plan.at()) / 1000.0);
+    for (Map.Entry<MachineKind, Integer> entry : plan.counts().entrySet()) {
       rows.addObject()
           .put("type", entry.getKey().type())
           .put("spot", entry.getKey().spot())
--- a/src/main/java/dapplestair/admin/CredentialStore.java
+++ b/src/main/java/dapplestair/admin/CredentialStore.java
@@ -28,22 +28,22 @@
 public final class CredentialStore implements Authenticator {
   private static final Logger LOG = LoggerFactory.getLogger(CredentialStore.class);
   private static final String BEARER = "Bearer ";
-  private static final long LOOK_EVERY_MS = 1000;
-  private static final long LARGEST_FILE = 1 << 20;
+  private static final long CHECK_INTERVAL_MS = 1000;
+  private static final long MAX_FILE_BYTES = 1 << 20;
 
-  private record Entry(String name, Role role, byte[] hash) {}
+  private record TokenEntry(String name, Role role, byte[] hash) {}
 
-  private record TokenFile(FileTime at, List<Entry> entries) {}
+  private record TokenFile(FileTime modifiedAt, List<TokenEntry> entries) {}
 
   private final Path file;
-  private TokenFile read = new TokenFile(null, List.of());
+  private TokenFile tokenFile = new TokenFile(null, List.of());
 
   private CredentialStore(Path file) {
     this.file = file;
   }
 
   /** Only certificates are known. */
-  public static CredentialStore none() {
+  public static CredentialStore certificatesOnly() {
     return new CredentialStore(null);
   }
 
@@ -51,67 +51,70 @@
   public static CredentialStore watch(Path file, Timers timers, BackgroundExecutor background)
       throws IOException {
     CredentialStore credentials = new CredentialStore(file);
-    credentials.read = credentials.load();
-    credentials.look(timers, background);
+    credentials.tokenFile = credentials.load();
+    credentials.scheduleCheck(timers, background);
     return credentials;
   }
 
-  private void look(Timers timers, BackgroundExecutor background) {
+  private void scheduleCheck(Timers timers, BackgroundExecutor background) {
     timers.after(
-        LOOK_EVERY_MS,
+        CHECK_INTERVAL_MS,
         () -> {
-          FileTime known = read.at();
-          background.compute(() -> changed(known), fresh -> adopt(fresh, timers, background));
+          FileTime knownModifiedAt = tokenFile.modifiedAt();
+          background.compute(
+              () -> loadIfChanged(knownModifiedAt),
+              newTokenFile -> replaceTokenFile(newTokenFile, timers, background));
         });
   }
 
-  private void adopt(TokenFile fresh, Timers timers, BackgroundExecutor background) {
-    if (fresh != null) {
-      read = fresh;
-      LOG.info("{}: {} tokens", file, fresh.entries().size());
+  private void replaceTokenFile(
+      TokenFile newTokenFile, Timers timers, BackgroundExecutor background) {
+    if (newTokenFile != null) {
+      tokenFile = newTokenFile;
+      LOG.info("{}: {} tokens", file, newTokenFile.entries().size());
     }
-    look(timers, background);
+    scheduleCheck(timers, background);
   }
 
   /** The file anew if it has changed; an unreadable one leaves all as it was. */
-  private TokenFile changed(FileTime known) {
+  private TokenFile loadIfChanged(FileTime knownModifiedAt) {
     try {
-      return Files.getLastModifiedTime(file).equals(known) ? null : load();
+      return Files.getLastModifiedTime(file).equals(knownModifiedAt) ? null : load();
     } catch (IOException e) {
       return null;
     }
   }
 
   private TokenFile load() throws IOException {
-    FileTime at = Files.getLastModifiedTime(file);
-    if (Files.size(file) > LARGEST_FILE) {
-      throw new IOException("over " + LARGEST_FILE + " bytes");
+    FileTime modifiedAt = Files.getLastModifiedTime(file);
+    if (Files.size(file) > MAX_FILE_BYTES) {
+      throw new IOException("over " + MAX_FILE_BYTES + " bytes");
     }
-    List<Entry> entries = new ArrayList<>();
-    int number = 0;
+    List<TokenEntry> entries = new ArrayList<>();
+    int lineNumber = 0;
     for (String line : Files.readAllLines(file)) {
-      number++;
-      String text = line.strip();
-      if (!text.isEmpty() && !text.startsWith("#")) {
-        Entry entry = entry(text);
+      lineNumber++;
+      String entryText = line.strip();
+      if (!entryText.isEmpty() && !entryText.startsWith("#")) {
+        TokenEntry entry = parseEntry(entryText);
         if (entry == null) {
-          LOG.error("{} line {}: must be a name, view or operate, and a hash", file, number);
+          LOG.error("{} line {}: must be a name, view or operate, and a hash", file, lineNumber);
         } else {
           entries.add(entry);
         }
       }
     }
-    return new TokenFile(at, List.copyOf(entries));
+    return new TokenFile(modifiedAt, List.copyOf(entries));
   }
 
-  private static Entry entry(String line) {
+  private static TokenEntry parseEntry(String line) {
     String[] parts = line.split("\\s+");
-    Role role = parts.length == 3 ? Role.of(parts[1]) : null;
+    Role role = parts.length == 3 ? Role.fromLabel(parts[1]) : null;
     if (role == null || parts[2].length() != 64) {
       return null;
     }
     try {
-      return new Entry(parts[0], role, HexFormat.of().parseHex(parts[2]));
+      return new TokenEntry(parts[0], role, HexFormat.of().parseHex(parts[2]));
     } catch (IllegalArgumentException e) {
       return null;
     }
@@ -123,19 +126,19 @@
   }
 
   @Override
-  public Identity who(Exchange exchange) {
+  public Identity identify(Exchange exchange) {
     String header = exchange.header("authorization");
     if (header != null && header.startsWith(BEARER)) {
-      return byToken(header.substring(BEARER.length()).strip());
+      return identifyByToken(header.substring(BEARER.length()).strip());
     }
-    return bySubject(exchange.subject());
+    return identifyBySubject(exchange.subject());
   }
 
   /** Looks at all entries, each in the same time, so that no answer tells how close a guess was. */
-  private Identity byToken(String token) {
+  private Identity identifyByToken(String token) {
     byte[] hash = HexFormat.of().parseHex(hash(token));
     Identity found = null;
-    for (Entry entry : read.entries()) {
+    for (TokenEntry entry : tokenFile.entries()) {
       if (MessageDigest.isEqual(entry.hash(), hash)) {
         found = new Identity(entry.name(), entry.role() == Role.OPERATE);
       }
@@ -143,7 +146,7 @@
     return found;
   }
 
-  private static Identity bySubject(String subject) {
+  private static Identity identifyBySubject(String subject) {
     if (subject == null) {
       return null;
     }
@@ -154,7 +157,7 @@
         if (rdn.getType().equalsIgnoreCase("CN")) {
           name = rdn.getValue().toString();
         } else if (rdn.getType().equalsIgnoreCase("OU")) {
-          role = Role.of(rdn.getValue().toString());
+          role = Role.fromLabel(rdn.getValue().toString());
         }
       }
     } catch (InvalidNameException e) {
--- a/src/main/java/dapplestair/admin/DrainHandler.java
+++ b/src/main/java/dapplestair/admin/DrainHandler.java
@@ -13,8 +13,8 @@
 
 /** Orders to empty machines and zones, and to take them back. */
 final class DrainHandler {
-  private static final int LONGEST_WHY = 200;
-  private static final long PATIENCE_MS = 2000;
+  private static final int MAX_REASON_CHARACTERS = 200;
+  private static final long WRITE_TIMEOUT_MS = 2000;
 
   private final Clock clock;
   private final Settings settings;
@@ -31,83 +31,90 @@
     this.asOf = asOf;
   }
 
-  void machine(AdminRequest request, String id, boolean on, Consumer<AdminResponse> done)
+  void changeMachineDrain(
+      AdminRequest request, String id, boolean isDrain, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
     // A drain may outlive its machine for a moment; it can be ended all the same.
     if (workers.known(id) == null && !drains.machines().containsKey(id)) {
       done.accept(AdminResponse.error(404, "no machine " + id));
       return;
     }
-    order(
+    writeDrain(
         "machine",
         id,
         StateKeys.DRAIN + id,
         drains.machines().get(id),
-        on ? drain(request) : null,
+        isDrain ? parseDrain(request) : null,
         done);
   }
 
-  void zone(AdminRequest request, String zone, boolean on, Consumer<AdminResponse> done)
+  void changeZoneDrain(
+      AdminRequest request, String zone, boolean isDrain, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
     if (!settings.zones().contains(zone)) {
       done.accept(AdminResponse.error(404, "no zone " + zone));
       return;
     }
-    order(
+    writeDrain(
         "zone",
         zone,
         StateKeys.DRAIN_ZONE + zone,
         drains.zones().get(zone),
-        on ? drain(request) : null,
+        isDrain ? parseDrain(request) : null,
         done);
   }
 
-  private Drain drain(AdminRequest request) throws AdminRequest.BadRequestException {
-    String why = Json.text(request.body(), "why");
-    if (why != null && why.length() > LONGEST_WHY) {
+  private Drain parseDrain(AdminRequest request) throws AdminRequest.BadRequestException {
+    String reason = Json.text(request.body(), "why");
+    if (reason != null && reason.length() > MAX_REASON_CHARACTERS) {
       throw new AdminRequest.BadRequestException(
-          "why: must have at most " + LONGEST_WHY + " characters");
+          "why: must have at most " + MAX_REASON_CHARACTERS + " characters");
     }
-    double deadline = Json.decimal(request.body(), "deadline_s", 0);
-    if (deadline < 0 || deadline > 1e7) {
+    double deadlineS = Json.decimal(request.body(), "deadline_s", 0);
+    if (deadlineS < 0 || deadlineS > 1e7) {
       throw new AdminRequest.BadRequestException("deadline_s: must be a number from 0 to 1e7");
     }
     return new Drain(
         request.caller().name(),
         clock.wall(),
-        why == null ? "" : why,
+        reason == null ? "" : reason,
         Json.flag(request.body(), "return"),
-        deadline);
+        deadlineS);
   }
 
-  private void order(
-      String what,
+  private void writeDrain(
+      String targetKind,
       String name,
       String key,
-      Drain before,
+      Drain previous,
       Drain drain,
       Consumer<AdminResponse> done) {
     drains.order(
         key,
         drain,
-        clock.now() + PATIENCE_MS,
-        result -> done.accept(answer(what, name, before, drain, result)));
+        clock.now() + WRITE_TIMEOUT_MS,
+        result -> done.accept(responseFor(targetKind, name, previous, drain, result)));
   }
 
-  private AdminResponse answer(
-      String what, String name, Drain before, Drain drain, ConditionalWriter.Result result) {
+  private AdminResponse responseFor(
+      String targetKind,
+      String name,
+      Drain previous,
+      Drain drain,
+      ConditionalWriter.Result result) {
     return switch (result) {
       case DONE -> {
-        ObjectNode object = asOf.object().put(what, name).put("drained", drain != null);
-        object.put("changed", (before == null) != (drain == null));
+        ObjectNode object = asOf.newObject().put(targetKind, name).put("drained", drain != null);
+        object.put("changed", (previous == null) != (drain == null));
         yield AdminResponse.of(object);
       }
       case CHANGED ->
-          AdminResponse.error(409, what + " " + name + " was changed by somebody else just now");
+          AdminResponse.error(
+              409, targetKind + " " + name + " was changed by somebody else just now");
       case REFUSED ->
-          AdminResponse.later("the state service takes no changes now: nothing was changed");
+          AdminResponse.retryLater("the state service takes no changes now: nothing was changed");
       case UNKNOWN ->
-          AdminResponse.later(
+          AdminResponse.retryLater(
               "the state service did not answer: whether it is recorded is not known");
     };
   }
--- a/src/main/java/dapplestair/admin/EventViews.java
+++ b/src/main/java/dapplestair/admin/EventViews.java
@@ -14,24 +14,24 @@
 /** The leader's events, followed by long poll. */
 final class EventViews {
   private final Timers timers;
-  private final EventLog log;
+  private final EventLog eventLog;
   private final PagedListing listing;
 
   EventViews(Timers timers, EventLog log, PagedListing listing) {
     this.timers = timers;
-    this.log = log;
+    this.eventLog = log;
     this.listing = listing;
   }
 
   /**
-   * Answers with events behind number {@code after}. When there are none, waits for up to {@code
-   * waitMs} for the next one that the filter lets through.
+   * Answers with events behind number {@code lastNumber}. When there are none, waits for up to
+   * {@code waitMs} for the next one that the filter lets through.
    */
   void list(Filter filter, long after, int limit, long waitMs, Consumer<AdminResponse> done) {
     Poll poll = new Poll(filter, limit, done, after);
-    poll.look();
-    if (!poll.over) {
-      poll.await(waitMs);
+    poll.answerIfAny();
+    if (!poll.isAnswered) {
+      poll.waitForEvents(waitMs);
     }
   }
 
@@ -39,26 +39,26 @@
     private final Filter filter;
     private final int limit;
     private final Consumer<AdminResponse> done;
-    private long after;
-    private boolean over;
+    private long lastNumber;
+    private boolean isAnswered;
     private Cancellable timer = () -> {};
-    private final Runnable wake = this::woken;
+    private final Runnable wakeUp = this::onNewEvents;
 
     Poll(Filter filter, int limit, Consumer<AdminResponse> done, long after) {
       this.filter = filter;
       this.limit = limit;
       this.done = done;
-      this.after = after;
+      this.lastNumber = after;
     }
 
-    private void look() {
+    private void answerIfAny() {
       List<byte[]> rows = new ArrayList<>();
-      for (EventLog.Event event : log.after(after)) {
+      for (EventLog.Event event : eventLog.after(lastNumber)) {
         if (rows.size() == limit) {
           break;
         }
-        after = event.number();
-        if (filter.test(row(event.fields()))) {
+        lastNumber = event.number();
+        if (filter.test(toRow(event.fields()))) {
           rows.add(Json.bytes(event.fields()));
         }
       }
@@ -67,36 +67,36 @@
       }
     }
 
-    private void await(long waitMs) {
-      if (waitMs <= 0 || !log.next(wake)) {
+    private void waitForEvents(long waitMs) {
+      if (waitMs <= 0 || !eventLog.next(wakeUp)) {
         answer(List.of());
         return;
       }
       timer = timers.after(waitMs, () -> answer(List.of()));
     }
 
-    private void woken() {
-      if (over) {
+    private void onNewEvents() {
+      if (isAnswered) {
         return;
       }
-      look();
-      if (!over && !log.next(wake)) {
+      answerIfAny();
+      if (!isAnswered && !eventLog.next(wakeUp)) {
         answer(List.of());
       }
     }
 
     private void answer(List<byte[]> rows) {
-      if (over) {
+      if (isAnswered) {
         return;
       }
-      over = true;
+      isAnswered = true;
       timer.cancel();
-      log.unwait(wake);
-      done.accept(listing.page(rows, Long.toString(after)));
+      eventLog.unwait(wakeUp);
+      done.accept(listing.page(rows, Long.toString(lastNumber)));
     }
   }
 
-  private static Row row(JsonNode fields) {
+  private static Row toRow(JsonNode fields) {
     return field -> {
       JsonNode node = fields.get(field);
       if (node == null || node.isNull()) {
--- a/src/main/java/dapplestair/admin/JobViews.java
+++ b/src/main/java/dapplestair/admin/JobViews.java
@@ -22,41 +22,41 @@
 
 /** Jobs as operators see them. */
 final class JobViews {
-  private static final int MOST_TASKS = 200;
+  private static final int MAX_ATTEMPTS = 200;
 
   private final Clock clock;
   private final Ledger ledger;
-  private final StateClient state;
+  private final StateClient stateClient;
   private final AsOfStamp asOf;
   private final PagedListing listing;
 
   // Jobs that are not over, in the order in which they are listed.
-  private final TreeSet<String> live = new TreeSet<>();
+  private final TreeSet<String> unfinishedRefs = new TreeSet<>();
 
   JobViews(Clock clock, Ledger ledger, StateClient state, AsOfStamp asOf, PagedListing listing) {
     this.clock = clock;
     this.ledger = ledger;
-    this.state = state;
+    this.stateClient = state;
     this.asOf = asOf;
     this.listing = listing;
   }
 
-  void put(String ref) {
-    live.add(ref);
+  void addUnfinished(String ref) {
+    unfinishedRefs.add(ref);
   }
 
-  void removed(String ref) {
-    live.remove(ref);
+  void removeUnfinished(String ref) {
+    unfinishedRefs.remove(ref);
   }
 
   void clear() {
-    live.clear();
+    unfinishedRefs.clear();
   }
 
   // ---- listing ----
 
   void list(Filter filter, String after, int limit, Consumer<AdminResponse> done) {
-    listing.read(live, this::row, filter, after, limit, done);
+    listing.read(unfinishedRefs, this::row, filter, after, limit, done);
   }
 
   private PagedListing.WritableRow row(String ref) {
@@ -67,57 +67,57 @@
     int[] counts = ledger.taskCounts(job);
     return new JobRow(
         job.spec(),
-        status(counts),
+        statusOf(counts),
         counts[0],
         counts[1],
         Math.max(0, job.spec().steps() - counts[0] - counts[1]),
-        age(job.acceptedWallMs()));
+        ageS(job.acceptedWallMs()));
   }
 
   /** The word for a job that is not over, by {@link Ledger#taskCounts}. */
-  static String status(int[] counts) {
+  static String statusOf(int[] counts) {
     return counts[1] > 0 ? "running" : "queued";
   }
 
-  private double age(long acceptedWall) {
-    return Math.max(0, clock.wall() - acceptedWall) / 1000.0;
+  private double ageS(long acceptedWallMs) {
+    return Math.max(0, clock.wall() - acceptedWallMs) / 1000.0;
   }
 
   /** Jobs that are over are not replicated: the state service is asked for a page of them. */
-  void listOver(Filter filter, String after, int limit, Consumer<AdminResponse> done) {
-    state.list(
+  void listFinished(Filter filter, String after, int limit, Consumer<AdminResponse> done) {
+    stateClient.list(
         StateKeys.FINISHED_JOB,
         after == null ? null : StateKeys.finishedJob(after),
         limit,
         page -> {
           if (!page.path("rows").isArray()) {
-            done.accept(AdminResponse.later("the state service did not answer"));
+            done.accept(AdminResponse.retryLater("the state service did not answer"));
             return;
           }
           List<byte[]> rows = new ArrayList<>();
-          String last = null;
+          String lastRef = null;
           for (JsonNode node : page.get("rows")) {
-            last = node.path("k").asText().substring(StateKeys.FINISHED_JOB.length());
-            PagedListing.WritableRow written = overRow(node.path("value"));
-            if (written != null && filter.test(written)) {
-              rows.add(Json.written(written::write));
+            lastRef = node.path("k").asText().substring(StateKeys.FINISHED_JOB.length());
+            PagedListing.WritableRow row = finishedRow(node.path("value"));
+            if (row != null && filter.test(row)) {
+              rows.add(Json.written(row::write));
             }
           }
-          done.accept(listing.page(rows, Json.flag(page, "more") ? last : null));
+          done.accept(listing.page(rows, Json.flag(page, "more") ? lastRef : null));
         });
   }
 
-  private PagedListing.WritableRow overRow(JsonNode record) {
-    Submission submission = submission(record);
+  private PagedListing.WritableRow finishedRow(JsonNode record) {
+    Submission submission = parseSubmission(record);
     if (submission == null) {
       return null;
     }
     String status = Json.text(record, "status");
     int done = "done".equals(status) ? submission.steps() : 0;
-    return new JobRow(submission, status, done, 0, 0, age(Json.number(record, "at", 0)));
+    return new JobRow(submission, status, done, 0, 0, ageS(Json.number(record, "at", 0)));
   }
 
-  private static Submission submission(JsonNode record) {
+  private static Submission parseSubmission(JsonNode record) {
     try {
       return Submission.parse(record.path("job"));
     } catch (Submission.InvalidSubmissionException e) {
@@ -152,41 +152,41 @@
     }
 
     @Override
-    public void write(JsonGenerator out) throws IOException {
-      out.writeStartObject();
-      out.writeStringField("ref", job.ref());
-      out.writeStringField("status", status);
-      out.writeStringField("class", job.jobClass());
-      out.writeStringField("team", job.team());
-      out.writeStringField("shape", job.shape().wire());
-      out.writeStringField("rank", job.rank().wire());
-      out.writeNumberField("tasks", job.steps());
-      out.writeNumberField("done", done);
-      out.writeNumberField("running", running);
-      out.writeNumberField("waiting_tasks", waiting);
-      out.writeNumberField("waiting", waiting > 0 ? ageS : 0);
-      out.writeNumberField("age", ageS);
-      out.writeNumberField("cpus", job.cpus());
-      out.writeBooleanField("spot", job.spot());
-      out.writeStringField("zone", job.zone());
-      out.writeEndObject();
+    public void write(JsonGenerator generator) throws IOException {
+      generator.writeStartObject();
+      generator.writeStringField("ref", job.ref());
+      generator.writeStringField("status", status);
+      generator.writeStringField("class", job.jobClass());
+      generator.writeStringField("team", job.team());
+      generator.writeStringField("shape", job.shape().wire());
+      generator.writeStringField("rank", job.rank().wire());
+      generator.writeNumberField("tasks", job.steps());
+      generator.writeNumberField("done", done);
+      generator.writeNumberField("running", running);
+      generator.writeNumberField("waiting_tasks", waiting);
+      generator.writeNumberField("waiting", waiting > 0 ? ageS : 0);
+      generator.writeNumberField("age", ageS);
+      generator.writeNumberField("cpus", job.cpus());
+      generator.writeBooleanField("spot", job.spot());
+      generator.writeStringField("zone", job.zone());
+      generator.writeEndObject();
     }
   }
 
   // ---- one job ----
 
-  /** One job with its attempts from step {@code from} on; only a leader knows them. */
-  void show(String ref, int from, Consumer<AdminResponse> done) {
+  /** One job with its attempts from step {@code fromStep} on; only a leader knows them. */
+  void show(String ref, int fromStep, Consumer<AdminResponse> done) {
     Job job = ledger.job(ref);
     if (job != null && !job.isOver()) {
-      done.accept(AdminResponse.of(shown(job, from)));
+      done.accept(AdminResponse.of(unfinishedJson(job, fromStep)));
       return;
     }
-    over(
+    readFinished(
         ref,
         done,
         record -> {
-          ObjectNode object = asOf.object().put("status", Json.text(record, "status"));
+          ObjectNode object = asOf.newObject().put("status", Json.text(record, "status"));
           object.put("accepted", Json.number(record, "at", 0));
           object.set("job", record.path("job"));
           return AdminResponse.of(object);
@@ -194,53 +194,53 @@
   }
 
   /** Reads how a job ended; 404 when it was never accepted. */
-  void over(
+  void readFinished(
       String ref,
       Consumer<AdminResponse> done,
-      java.util.function.Function<JsonNode, AdminResponse> found) {
+      java.util.function.Function<JsonNode, AdminResponse> toResponse) {
     // All of it may be done though that is not on record yet, or only a moment after it was read.
-    boolean ending = ledger.job(ref) != null;
-    state.get(
+    boolean isEnding = ledger.job(ref) != null;
+    stateClient.get(
         StateKeys.finishedJob(ref),
         read -> {
           if (!read.known()) {
-            done.accept(AdminResponse.later("the state service did not answer"));
-          } else if (!read.exists() && ending) {
-            done.accept(AdminResponse.later("the job is just ending"));
+            done.accept(AdminResponse.retryLater("the state service did not answer"));
+          } else if (!read.exists() && isEnding) {
+            done.accept(AdminResponse.retryLater("the job is just ending"));
           } else if (!read.exists()) {
             done.accept(AdminResponse.error(404, "no job " + ref));
           } else {
-            done.accept(found.apply(read.value()));
+            done.accept(toResponse.apply(read.value()));
           }
         });
   }
 
-  private ObjectNode shown(Job job, int from) {
+  private ObjectNode unfinishedJson(Job job, int fromStep) {
     Submission submission = job.spec();
     int[] counts = ledger.taskCounts(job);
     ObjectNode object =
-        asOf.object()
-            .put("status", status(counts))
+        asOf.newObject()
+            .put("status", statusOf(counts))
             .put("accepted", job.acceptedWallMs())
-            .put("age", age(job.acceptedWallMs()))
+            .put("age", ageS(job.acceptedWallMs()))
             .put("tasks", submission.steps())
             .put("done", counts[0])
             .put("running", counts[1])
             .put("waiting_tasks", job.waitingTasks());
     object.set("job", submission.toJson());
-    ArrayNode list = object.putArray("attempts");
-    List<Attempt> attempts = ledger.attempts(job, from, MOST_TASKS + 1);
-    for (Attempt attempt : attempts.subList(0, Math.min(MOST_TASKS, attempts.size()))) {
-      list.add(attempt(attempt));
+    ArrayNode attemptArray = object.putArray("attempts");
+    List<Attempt> attempts = ledger.attempts(job, fromStep, MAX_ATTEMPTS + 1);
+    for (Attempt attempt : attempts.subList(0, Math.min(MAX_ATTEMPTS, attempts.size()))) {
+      attemptArray.add(attemptJson(attempt));
     }
-    if (attempts.size() > MOST_TASKS) {
-      object.put("next", attempts.get(MOST_TASKS).step());
+    if (attempts.size() > MAX_ATTEMPTS) {
+      object.put("next", attempts.get(MAX_ATTEMPTS).step());
     }
     return object;
   }
 
   /** One attempt: where it is and how far. */
-  ObjectNode attempt(Attempt attempt) {
+  ObjectNode attemptJson(Attempt attempt) {
     String status =
         attempt.status() == null ? "launching" : attempt.status().name().toLowerCase(Locale.ROOT);
     return Json.object()
--- a/src/main/java/dapplestair/admin/MachineViews.java
+++ b/src/main/java/dapplestair/admin/MachineViews.java
@@ -43,17 +43,17 @@
 
   void list(Filter filter, String after, int limit, Consumer<AdminResponse> done) {
     TreeSet<String> names = new TreeSet<>();
-    workers.hosts().forEach(h -> names.add(h.id()));
+    workers.hosts().forEach(host -> names.add(host.id()));
     listing.read(names, this::row, filter, after, limit, done);
   }
 
   private PagedListing.WritableRow row(String id) {
     Host host = workers.known(id);
-    return host == null ? null : new MachineRow(host, state(host), clock.now());
+    return host == null ? null : new MachineRow(host, stateOf(host), clock.now());
   }
 
   /** One word for what matters most about a machine. */
-  String state(Host host) {
+  String stateOf(Host host) {
     if (host.releasing()) {
       return "returning";
     }
@@ -79,7 +79,8 @@
   }
 
   /** One row of a listing. */
-  private record MachineRow(Host host, String state, long now) implements PagedListing.WritableRow {
+  private record MachineRow(Host host, String state, long nowMs)
+      implements PagedListing.WritableRow {
     @Override
     public Object value(String field) {
       return switch (field) {
@@ -90,47 +91,47 @@
         case "state" -> state;
         case "cpus" -> host.type() == null ? 0.0 : host.type().cpus();
         case "used" -> host.cpusUsed();
-        case "tasks" -> (double) tasks();
-        case "age" -> age();
-        case "idle" -> idle();
+        case "tasks" -> (double) taskCount();
+        case "age" -> ageS();
+        case "idle" -> idleS();
         case "drained" -> host.drained();
-        case "silent" -> silent();
+        case "silent" -> silentS();
         default -> null;
       };
     }
 
-    private int tasks() {
+    private int taskCount() {
       return (int) host.attempts().stream().filter(a -> !a.exited()).count();
     }
 
-    private double age() {
-      return host.rentedAt() == Long.MAX_VALUE ? 0 : (now - host.rentedAt()) / 1000.0;
+    private double ageS() {
+      return host.rentedAt() == Long.MAX_VALUE ? 0 : (nowMs - host.rentedAt()) / 1000.0;
     }
 
-    private double idle() {
-      return host.isIdle() ? (now - host.idleSinceMs()) / 1000.0 : 0;
+    private double idleS() {
+      return host.isIdle() ? (nowMs - host.idleSinceMs()) / 1000.0 : 0;
     }
 
-    private double silent() {
-      return host.up() ? (now - host.heardAt()) / 1000.0 : 0;
+    private double silentS() {
+      return host.up() ? (nowMs - host.heardAt()) / 1000.0 : 0;
     }
 
     @Override
-    public void write(JsonGenerator out) throws IOException {
-      out.writeStartObject();
-      out.writeStringField("id", host.id());
-      out.writeStringField("type", host.type() == null ? null : host.type().name());
-      out.writeStringField("zone", host.zone());
-      out.writeBooleanField("spot", host.spot());
-      out.writeStringField("state", state);
-      out.writeNumberField("cpus", host.type() == null ? 0.0 : host.type().cpus());
-      out.writeNumberField("used", host.cpusUsed());
-      out.writeNumberField("tasks", tasks());
-      out.writeNumberField("age", age());
-      out.writeNumberField("idle", idle());
-      out.writeBooleanField("drained", host.drained());
-      out.writeNumberField("silent", silent());
-      out.writeEndObject();
+    public void write(JsonGenerator generator) throws IOException {
+      generator.writeStartObject();
+      generator.writeStringField("id", host.id());
+      generator.writeStringField("type", host.type() == null ? null : host.type().name());
+      generator.writeStringField("zone", host.zone());
+      generator.writeBooleanField("spot", host.spot());
+      generator.writeStringField("state", state);
+      generator.writeNumberField("cpus", host.type() == null ? 0.0 : host.type().cpus());
+      generator.writeNumberField("used", host.cpusUsed());
+      generator.writeNumberField("tasks", taskCount());
+      generator.writeNumberField("age", ageS());
+      generator.writeNumberField("idle", idleS());
+      generator.writeBooleanField("drained", host.drained());
+      generator.writeNumberField("silent", silentS());
+      generator.writeEndObject();
     }
   }
 
@@ -141,9 +142,9 @@
       return;
     }
     ObjectNode object =
-        asOf.object()
+        asOf.newObject()
             .put("id", id)
-            .put("state", state(host))
+            .put("state", stateOf(host))
             .put("type", host.type() == null ? null : host.type().name())
             .put("zone", host.zone())
             .put("spot", host.spot())
@@ -160,17 +161,17 @@
     }
     Drain drain = drains.of(host);
     if (drain != null) {
-      object.set("drain", drain(drain, drains.progress(host)));
+      object.set("drain", drainJson(drain, drains.progress(host)));
     }
     ArrayNode tasks = object.putArray("tasks");
     host.attempts().stream()
         .sorted(Comparator.comparing(Attempt::key))
-        .forEach(a -> tasks.add(jobs.attempt(a)));
+        .forEach(a -> tasks.add(jobs.attemptJson(a)));
     done.accept(AdminResponse.of(object));
   }
 
-  /** An order to empty something; {@code left} may be null. */
-  static ObjectNode drain(Drain drain, DrainExecutor.DrainProgress left) {
+  /** An order to empty something; {@code progress} may be null. */
+  static ObjectNode drainJson(Drain drain, DrainExecutor.DrainProgress progress) {
     ObjectNode object =
         Json.object()
             .put("by", drain.by())
@@ -180,13 +181,13 @@
     if (drain.deadlineS() > 0) {
       object.put("deadline_s", drain.deadlineS());
     }
-    if (left != null) {
+    if (progress != null) {
       object
-          .put("tasks_left", left.tasks())
-          .put("replicas_left", left.services())
-          .put("replicas_held", left.held());
-      if (left.because() != null) {
-        object.put("because", left.because());
+          .put("tasks_left", progress.tasks())
+          .put("replicas_left", progress.services())
+          .put("replicas_held", progress.held());
+      if (progress.because() != null) {
+        object.put("because", progress.because());
       }
     }
     return object;
@@ -194,15 +195,16 @@
 
   /** All drains, also those whose machines are not known yet. */
   ObjectNode drains() {
-    ObjectNode object = asOf.object();
-    ArrayNode list = object.putArray("rows");
-    drains.zones().forEach((zone, d) -> list.add(drain(d, null).put("zone", zone)));
+    ObjectNode object = asOf.newObject();
+    ArrayNode rows = object.putArray("rows");
+    drains.zones().forEach((zone, drain) -> rows.add(drainJson(drain, null).put("zone", zone)));
     drains
         .machines()
         .forEach(
-            (id, d) -> {
+            (id, drain) -> {
               Host host = workers.known(id);
-              list.add(drain(d, host == null ? null : drains.progress(host)).put("machine", id));
+              rows.add(
+                  drainJson(drain, host == null ? null : drains.progress(host)).put("machine", id));
             });
     return object;
   }
--- a/src/main/java/dapplestair/admin/PagedListing.java
+++ b/src/main/java/dapplestair/admin/PagedListing.java
@@ -18,14 +18,14 @@
  */
 final class PagedListing {
   /** Rows looked at in one turn. */
-  static final int ROWS_A_TURN = 250;
+  static final int MAX_ROWS_PER_TURN = 250;
 
   /** Rows of one answer at most. */
-  static final int MOST_ROWS = 500;
+  static final int MAX_ROWS_PER_PAGE = 500;
 
   /** A row that can also be written. */
   interface WritableRow extends Row {
-    void write(JsonGenerator out) throws IOException;
+    void write(JsonGenerator generator) throws IOException;
   }
 
   private final Timers timers;
@@ -37,43 +37,43 @@
   }
 
   /**
-   * Answers with the rows behind {@code after}. {@code row} may give null for a name that is gone.
-   * Names may come and go between turns: the page goes on behind the last one it saw.
+   * Answers with the rows behind {@code after}. {@code rowByName} may give null for a name that is
+   * gone. Names may come and go between turns: the page goes on behind the last one it saw.
    */
   void read(
       NavigableSet<String> names,
-      Function<String, WritableRow> row,
+      Function<String, WritableRow> rowByName,
       Filter filter,
       String after,
       int limit,
       Consumer<AdminResponse> done) {
-    turn(names, row, filter, after, limit, new ArrayList<>(), done);
+    readTurn(names, rowByName, filter, after, limit, new ArrayList<>(), done);
   }
 
-  private void turn(
+  private void readTurn(
       NavigableSet<String> names,
-      Function<String, WritableRow> row,
+      Function<String, WritableRow> rowByName,
       Filter filter,
       String after,
       int limit,
       List<byte[]> rows,
       Consumer<AdminResponse> done) {
-    String last = after;
-    int looked = 0;
+    String lastName = after;
+    int examinedCount = 0;
     for (String name : after == null ? names : names.tailSet(after, false)) {
       if (rows.size() == limit) {
-        done.accept(page(rows, last));
+        done.accept(page(rows, lastName));
         return;
       }
-      if (looked++ == ROWS_A_TURN) {
-        String from = last;
-        timers.after(0, () -> turn(names, row, filter, from, limit, rows, done));
+      if (examinedCount++ == MAX_ROWS_PER_TURN) {
+        String resumeAfter = lastName;
+        timers.after(0, () -> readTurn(names, rowByName, filter, resumeAfter, limit, rows, done));
         return;
       }
-      last = name;
-      WritableRow written = row.apply(name);
-      if (written != null && filter.test(written)) {
-        rows.add(Json.written(written::write));
+      lastName = name;
+      WritableRow row = rowByName.apply(name);
+      if (row != null && filter.test(row)) {
+        rows.add(Json.written(row::write));
       }
     }
     done.accept(page(rows, null));
@@ -83,16 +83,16 @@
   AdminResponse page(List<byte[]> rows, String next) {
     byte[] body =
         Json.written(
-            out -> {
-              out.writeStartObject();
-              asOf.write(out);
-              out.writeArrayFieldStart("rows");
-              for (byte[] r : rows) {
-                out.writeRawValue(new String(r, java.nio.charset.StandardCharsets.UTF_8));
+            generator -> {
+              generator.writeStartObject();
+              asOf.writeTo(generator);
+              generator.writeArrayFieldStart("rows");
+              for (byte[] row : rows) {
+                generator.writeRawValue(new String(row, java.nio.charset.StandardCharsets.UTF_8));
               }
-              out.writeEndArray();
-              out.writeStringField("next", next);
-              out.writeEndObject();
+              generator.writeEndArray();
+              generator.writeStringField("next", next);
+              generator.writeEndObject();
             });
     return new AdminResponse(200, body, 0);
   }
--- a/src/main/java/dapplestair/admin/ReplacementHandler.java
+++ b/src/main/java/dapplestair/admin/ReplacementHandler.java
@@ -23,11 +23,11 @@
 /** Orders to replace machines: given, paused, taken up again, aborted, looked at. */
 final class ReplacementHandler {
   private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,39}");
-  private static final int LONGEST_WHY = 200;
-  private static final int MOST_ORDERS = 32;
-  private static final int MOST_NAMES = 200;
-  private static final long PATIENCE_MS = 2000;
-  private static final long AGAIN_MS = 150;
+  private static final int MAX_REASON_CHARACTERS = 200;
+  private static final int MAX_ORDERS = 32;
+  private static final int MAX_MACHINES = 200;
+  private static final long WRITE_TIMEOUT_MS = 2000;
+  private static final long WRITE_RETRY_MS = 150;
 
   private final Clock clock;
   private final Timers timers;
@@ -50,22 +50,23 @@
   // ---- looking ----
 
   ObjectNode list() {
-    ObjectNode object = asOf.object();
+    ObjectNode object = asOf.newObject();
     ArrayNode rows = object.putArray("rows");
-    replacements.views().forEach(v -> rows.add(row(v)));
+    replacements.views().forEach(view -> rows.add(toRow(view)));
     return object;
   }
 
   void show(String name, Consumer<AdminResponse> done) {
     ReplacementView view = replacements.view(name);
-    done.accept(view == null ? missing(name) : AdminResponse.of(asOf.object().setAll(row(view))));
+    done.accept(
+        view == null ? notFound(name) : AdminResponse.of(asOf.newObject().setAll(toRow(view))));
   }
 
-  private static AdminResponse missing(String name) {
+  private static AdminResponse notFound(String name) {
     return AdminResponse.error(404, "no replacement " + name);
   }
 
-  private static ObjectNode row(ReplacementView view) {
+  private static ObjectNode toRow(ReplacementView view) {
     ReplacementOrder order = view.order();
     String state = view.paused() != null ? "paused" : view.phase();
     ObjectNode object =
@@ -86,15 +87,15 @@
     if (order.deadlineS() > 0) {
       object.put("deadline_s", order.deadlineS());
     }
-    MachineSelector selection = order.selection();
-    if (selection.zone() != null) {
-      object.put("zone", selection.zone());
+    MachineSelector selector = order.selection();
+    if (selector.zone() != null) {
+      object.put("zone", selector.zone());
     }
-    if (selection.type() != null) {
-      object.put("type", selection.type());
+    if (selector.type() != null) {
+      object.put("type", selector.type());
     }
-    if (selection.spot() != null) {
-      object.put("spot", selection.spot());
+    if (selector.spot() != null) {
+      object.put("spot", selector.spot());
     }
     if (view.paused() != null) {
       object
@@ -119,182 +120,193 @@
       throw new AdminRequest.BadRequestException(
           "name = \"" + name + "\": must be up to 40 small letters, digits and hyphens");
     }
-    ReplacementOrder order = order(request);
-    ReplacementView before = replacements.view(name);
-    if (before != null && order.sameAs(before.order())) {
-      done.accept(told(name, before.phase(), false));
-    } else if (before != null && !before.phase().equals("done")) {
+    ReplacementOrder order = parseOrder(request);
+    ReplacementView existing = replacements.view(name);
+    if (existing != null && order.sameAs(existing.order())) {
+      done.accept(stateResponse(name, existing.phase(), false));
+    } else if (existing != null && !existing.phase().equals("done")) {
       done.accept(
           AdminResponse.error(409, "replacement " + name + " is another order, and not done"));
     } else if (order.total() == 0) {
       throw new AdminRequest.BadRequestException(
-          "select = " + select(request.body()) + ": matches no machine");
-    } else if (before == null && replacements.views().size() >= MOST_ORDERS) {
+          "select = " + selectionFields(request.body()) + ": matches no machine");
+    } else if (existing == null && replacements.views().size() >= MAX_ORDERS) {
       done.accept(
-          AdminResponse.error(409, "there are " + MOST_ORDERS + " replacements: abort some"));
+          AdminResponse.error(409, "there are " + MAX_ORDERS + " replacements: abort some"));
     } else {
-      record(name, () -> Replacements.begun(order), "choose", done);
+      writeRecord(name, () -> Replacements.begun(order), "choose", done);
     }
   }
 
   void pause(AdminRequest request, String name, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
-    String why = why(request.body());
-    String words = "by " + request.caller().name() + (why.isEmpty() ? "" : ": " + why);
-    change(name, () -> replacements.told(name, words), "paused", done);
+    String reason = parseReason(request.body());
+    String pauseReason = "by " + request.caller().name() + (reason.isEmpty() ? "" : ": " + reason);
+    changeExisting(name, () -> replacements.told(name, pauseReason), "paused", done);
   }
 
   void resume(String name, Consumer<AdminResponse> done) {
-    change(name, () -> replacements.told(name, null), "resumed", done);
+    changeExisting(name, () -> replacements.told(name, null), "resumed", done);
   }
 
   /** What is still old goes back into use. */
   void abort(String name, Consumer<AdminResponse> done) {
-    change(name, () -> null, "aborted", done);
+    changeExisting(name, () -> null, "aborted", done);
   }
 
-  private void change(
+  private void changeExisting(
       String name, Supplier<ObjectNode> value, String state, Consumer<AdminResponse> done) {
     if (replacements.view(name) == null) {
-      done.accept(missing(name));
+      done.accept(notFound(name));
     } else {
-      record(name, value, state, done);
+      writeRecord(name, value, state, done);
     }
   }
 
-  private void record(
+  private void writeRecord(
       String name, Supplier<ObjectNode> value, String state, Consumer<AdminResponse> done) {
-    record(name, value, state, clock.now() + PATIENCE_MS, done);
+    writeRecord(name, value, state, clock.now() + WRITE_TIMEOUT_MS, done);
   }
 
   /** The leader writes to the same record as it goes on: then the wish is put to it once more. */
-  private void record(
+  private void writeRecord(
       String name,
       Supplier<ObjectNode> value,
       String state,
-      long deadline,
+      long deadlineMs,
       Consumer<AdminResponse> done) {
     conditionalWriter.write(
         StateKeys.REPLACEMENT + name,
         value.get(),
-        deadline,
+        deadlineMs,
         result -> {
-          if (result == ConditionalWriter.Result.CHANGED && clock.now() < deadline) {
-            timers.after(AGAIN_MS, () -> record(name, value, state, deadline, done));
+          if (result == ConditionalWriter.Result.CHANGED && clock.now() < deadlineMs) {
+            timers.after(WRITE_RETRY_MS, () -> writeRecord(name, value, state, deadlineMs, done));
           } else {
-            done.accept(answer(name, state, result));
+            done.accept(responseFor(name, state, result));
           }
         });
   }
 
-  private AdminResponse answer(String name, String state, ConditionalWriter.Result result) {
+  private AdminResponse responseFor(String name, String state, ConditionalWriter.Result result) {
     return switch (result) {
-      case DONE -> told(name, state, true);
+      case DONE -> stateResponse(name, state, true);
       case CHANGED -> AdminResponse.error(409, "replacement " + name + " was changed just now");
       case REFUSED ->
-          AdminResponse.later("the state service takes no changes now: nothing was changed");
+          AdminResponse.retryLater("the state service takes no changes now: nothing was changed");
       case UNKNOWN ->
-          AdminResponse.later(
+          AdminResponse.retryLater(
               "the state service did not answer: whether it is recorded is not known");
     };
   }
 
-  private AdminResponse told(String name, String state, boolean changed) {
+  private AdminResponse stateResponse(String name, String state, boolean changed) {
     return AdminResponse.of(
-        asOf.object().put("name", name).put("state", state).put("changed", changed));
+        asOf.newObject().put("name", name).put("state", state).put("changed", changed));
   }
 
   // ---- what is asked for ----
 
-  private ReplacementOrder order(AdminRequest request) throws AdminRequest.BadRequestException {
-    JsonNode node = request.body();
+  private ReplacementOrder parseOrder(AdminRequest request)
+      throws AdminRequest.BadRequestException {
+    JsonNode body = request.body();
     long now = clock.wall();
-    MachineSelector selection = selection(node, now);
-    int total = replacements.covered(selection);
-    double ratio = number(node, "step_ratio", 0, 0, 1);
-    double usual = ratio > 0 ? Math.max(1, Math.min(MOST_NAMES, Math.ceil(ratio * total))) : 1;
-    int step = (int) number(node, "step", usual, 1, MOST_NAMES);
-    if (node.has("step_ratio") && (ratio == 0 || node.has("step"))) {
+    MachineSelector selector = parseSelector(body, now);
+    int total = replacements.covered(selector);
+    double stepRatio = parseNumber(body, "step_ratio", 0, 0, 1);
+    double defaultStep =
+        stepRatio > 0 ? Math.max(1, Math.min(MAX_MACHINES, Math.ceil(stepRatio * total))) : 1;
+    int step = (int) parseNumber(body, "step", defaultStep, 1, MAX_MACHINES);
+    if (body.has("step_ratio") && (stepRatio == 0 || body.has("step"))) {
       throw new AdminRequest.BadRequestException(
-          "step_ratio = " + node.get("step_ratio") + ": must be above 0, and stand without step");
+          "step_ratio = " + body.get("step_ratio") + ": must be above 0, and stand without step");
     }
     return new ReplacementOrder(
         request.caller().name(),
         now,
-        why(node),
-        selection,
+        parseReason(body),
+        selector,
         total,
         step,
-        ratio,
-        (int) number(node, "beyond", 0, 0, MOST_NAMES),
-        number(node, "watch_s", 2 * settings.workers().reportMs() / 1000.0, 0, 1e6),
-        number(node, "deadline_s", 0, 0, 1e7),
-        number(node, "slower", 1.5, 1, 100));
+        stepRatio,
+        (int) parseNumber(body, "beyond", 0, 0, MAX_MACHINES),
+        parseNumber(body, "watch_s", 2 * settings.workers().reportMs() / 1000.0, 0, 1e6),
+        parseNumber(body, "deadline_s", 0, 0, 1e7),
+        parseNumber(body, "slower", 1.5, 1, 100));
   }
 
-  private static ObjectNode select(JsonNode node) {
+  private static ObjectNode selectionFields(JsonNode body) {
     ObjectNode object = Json.object();
     for (String field : new String[] {"zone", "type", "spot", "older_s", "machines"}) {
-      if (node.has(field)) {
-        object.set(field, node.get(field));
+      if (body.has(field)) {
+        object.set(field, body.get(field));
       }
     }
     return object;
   }
 
-  private MachineSelector selection(JsonNode node, long now)
+  private MachineSelector parseSelector(JsonNode body, long now)
       throws AdminRequest.BadRequestException {
-    String zone = Json.text(node, "zone");
+    String zone = Json.text(body, "zone");
     if (zone != null && !settings.zones().contains(zone)) {
       throw new AdminRequest.BadRequestException("zone = \"" + zone + "\": no such zone");
     }
-    String type = Json.text(node, "type");
+    String type = Json.text(body, "type");
     if (type != null && types.get(type) == null) {
       throw new AdminRequest.BadRequestException("type = \"" + type + "\": no such type");
     }
-    if (node.has("spot") && !node.get("spot").isBoolean()) {
+    if (body.has("spot") && !body.get("spot").isBoolean()) {
       throw new AdminRequest.BadRequestException(
-          "spot = " + node.get("spot") + ": must be true or false");
+          "spot = " + body.get("spot") + ": must be true or false");
     }
-    Set<String> names = new TreeSet<>();
-    node.path("machines").forEach(n -> names.add(n.asText()));
-    if (names.size() > MOST_NAMES) {
-      throw new AdminRequest.BadRequestException("machines: must be at most " + MOST_NAMES);
+    Set<String> machineNames = new TreeSet<>();
+    body.path("machines").forEach(nameNode -> machineNames.add(nameNode.asText()));
+    if (machineNames.size() > MAX_MACHINES) {
+      throw new AdminRequest.BadRequestException("machines: must be at most " + MAX_MACHINES);
     }
-    double olderS = number(node, "older_s", 0, 0, 1e9);
-    if (zone == null && type == null && !node.has("spot") && names.isEmpty() && olderS == 0) {
+    double olderS = parseNumber(body, "older_s", 0, 0, 1e9);
+    if (zone == null
+        && type == null
+        && !body.has("spot")
+        && machineNames.isEmpty()
+        && olderS == 0) {
       throw new AdminRequest.BadRequestException(
           "select = {}: name a zone, a type, a kind, an age or machines");
     }
-    long before = olderS > 0 ? now - Math.round(1000 * olderS) : 0;
+    long rentedBeforeMs = olderS > 0 ? now - Math.round(1000 * olderS) : 0;
     return new MachineSelector(
-        zone, type, node.has("spot") ? node.get("spot").asBoolean() : null, before, names);
+        zone,
+        type,
+        body.has("spot") ? body.get("spot").asBoolean() : null,
+        rentedBeforeMs,
+        machineNames);
   }
 
-  private static String why(JsonNode node) throws AdminRequest.BadRequestException {
-    String why = Json.text(node, "why");
-    if (why != null && why.length() > LONGEST_WHY) {
+  private static String parseReason(JsonNode body) throws AdminRequest.BadRequestException {
+    String reason = Json.text(body, "why");
+    if (reason != null && reason.length() > MAX_REASON_CHARACTERS) {
       throw new AdminRequest.BadRequestException(
-          "why: must have at most " + LONGEST_WHY + " characters");
+          "why: must have at most " + MAX_REASON_CHARACTERS + " characters");
     }
-    return why == null ? "" : why;
+    return reason == null ? "" : reason;
   }
 
-  private static double number(
-      JsonNode node, String field, double otherwise, double low, double high)
+  private static double parseNumber(
+      JsonNode body, String field, double defaultValue, double min, double max)
       throws AdminRequest.BadRequestException {
-    if (!node.has(field)) {
-      return otherwise;
+    if (!body.has(field)) {
+      return defaultValue;
     }
-    JsonNode v = node.get(field);
-    if (!v.isNumber() || !(v.asDouble() >= low && v.asDouble() <= high)) {
+    JsonNode value = body.get(field);
+    if (!value.isNumber() || !(value.asDouble() >= min && value.asDouble() <= max)) {
       throw new AdminRequest.BadRequestException(
-          "%s = %s: must be a number from %s to %s".formatted(field, v, show(low), show(high)));
+          "%s = %s: must be a number from %s to %s"
+              .formatted(field, value, formatNumber(min), formatNumber(max)));
     }
-    return v.asDouble();
+    return value.asDouble();
   }
 
-  private static String show(double v) {
-    return v == Math.rint(v) ? Long.toString((long) v) : Double.toString(v);
+  private static String formatNumber(double number) {
+    return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
   }
 }
--- a/src/main/java/dapplestair/admin/Role.java
+++ b/src/main/java/dapplestair/admin/Role.java
@@ -12,16 +12,16 @@
   }
 
   /** The role of this name, or null. */
-  public static Role of(String word) {
+  public static Role fromLabel(String label) {
     for (Role role : values()) {
-      if (role.shown().equals(word)) {
+      if (role.label().equals(label)) {
         return role;
       }
     }
     return null;
   }
 
-  String shown() {
+  String label() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 }
--- a/src/main/java/dapplestair/admin/Routes.java
+++ b/src/main/java/dapplestair/admin/Routes.java
@@ -9,10 +9,10 @@
 /** What may be asked, who may ask it, and who can answer it. */
 final class Routes {
   /** The longest that a follower of events waits in one request. */
-  static final long LONGEST_POLL_MS = 30_000;
+  static final long MAX_POLL_MS = 30_000;
 
-  private static final String V1 = "/v1/";
-  private static final int USUAL_ROWS = 100;
+  private static final String PATH_PREFIX = "/v1/";
+  private static final int DEFAULT_ROWS = 100;
 
   private final JobViews jobs;
   private final MachineViews machines;
@@ -50,145 +50,163 @@
    * A way to an answer.
    *
    * @param role who may take it
-   * @param byLeader true when only a leader's memory knows
+   * @param leaderOnly true when only a leader's memory knows
    * @param waitMs how long the answer may keep silent before it comes
    */
-  record Route(Role role, boolean byLeader, long waitMs, Handler handler) {}
+  record Route(Role role, boolean leaderOnly, long waitMs, Handler handler) {}
 
   /** Where a question goes, or null when there is no such path. */
   Route find(AdminRequest request) {
-    if (!request.path().startsWith(V1)) {
+    if (!request.path().startsWith(PATH_PREFIX)) {
       return null;
     }
-    String[] parts = request.path().substring(V1.length()).split("/", -1);
+    String[] parts = request.path().substring(PATH_PREFIX.length()).split("/", -1);
     return switch (parts.length) {
-      case 1 -> all(request, parts[0]);
-      case 2 -> one(parts[0], parts[1]);
-      case 3 -> part(parts[0], parts[1], parts[2]);
+      case 1 -> collectionRoute(request, parts[0]);
+      case 2 -> itemRoute(parts[0], parts[1]);
+      case 3 -> subpathRoute(parts[0], parts[1], parts[2]);
       default -> null;
     };
   }
 
-  private static Route view(boolean byLeader, Handler handler) {
-    return new Route(Role.VIEW, byLeader, 0, handler);
+  private static Route viewRoute(boolean leaderOnly, Handler handler) {
+    return new Route(Role.VIEW, leaderOnly, 0, handler);
   }
 
-  private Route all(AdminRequest request, String what) {
-    return switch (what) {
-      case "jobs" -> view(false, this::listJobs);
-      case "machines" -> view(true, this::listMachines);
-      case "teams" -> view(true, (x, done) -> done.accept(AdminResponse.of(cluster.teams())));
-      case "plan" -> view(true, (x, done) -> done.accept(AdminResponse.of(cluster.plan())));
-      case "zones" -> view(true, (x, done) -> done.accept(AdminResponse.of(cluster.zones())));
-      case "status" -> view(true, (x, done) -> done.accept(AdminResponse.of(cluster.status())));
+  private Route collectionRoute(AdminRequest request, String collection) {
+    return switch (collection) {
+      case "jobs" -> viewRoute(false, this::listJobs);
+      case "machines" -> viewRoute(true, this::listMachines);
+      case "teams" -> viewRoute(true, (x, done) -> done.accept(AdminResponse.of(cluster.teams())));
+      case "plan" -> viewRoute(true, (x, done) -> done.accept(AdminResponse.of(cluster.plan())));
+      case "zones" -> viewRoute(true, (x, done) -> done.accept(AdminResponse.of(cluster.zones())));
+      case "status" ->
+          viewRoute(true, (x, done) -> done.accept(AdminResponse.of(cluster.status())));
       case "replacements" ->
-          view(true, (x, done) -> done.accept(AdminResponse.of(replacements.list())));
-      case "drains" -> view(true, (x, done) -> done.accept(AdminResponse.of(machines.drains())));
-      case "events" -> new Route(Role.VIEW, true, waitMs(request), this::listEvents);
+          viewRoute(true, (x, done) -> done.accept(AdminResponse.of(replacements.list())));
+      case "drains" ->
+          viewRoute(true, (x, done) -> done.accept(AdminResponse.of(machines.drains())));
+      case "events" -> new Route(Role.VIEW, true, parseWaitMs(request), this::listEvents);
       default -> null;
     };
   }
 
-  private Route one(String what, String name) {
-    return switch (what) {
+  private Route itemRoute(String collection, String name) {
+    return switch (collection) {
       case "jobs" ->
-          view(
+          viewRoute(
               true,
-              (x, done) -> {
+              (request, done) -> {
                 if (Submission.validRef(name)) {
-                  jobs.show(name, (int) x.number("from", 0, 0, Integer.MAX_VALUE), done);
+                  jobs.show(
+                      name, (int) request.boundedNumber("from", 0, 0, Integer.MAX_VALUE), done);
                 } else {
                   done.accept(AdminResponse.error(404, "no job " + name));
                 }
               });
-      case "machines" -> view(true, (x, done) -> machines.show(name, done));
-      case "replacements" -> view(true, (x, done) -> replacements.show(name, done));
+      case "machines" -> viewRoute(true, (request, done) -> machines.show(name, done));
+      case "replacements" -> viewRoute(true, (request, done) -> replacements.show(name, done));
       default -> null;
     };
   }
 
-  private Route part(String what, String name, String part) {
-    if (what.equals("jobs") && part.equals("why")) {
-      return view(
+  private Route subpathRoute(String collection, String name, String action) {
+    if (collection.equals("jobs") && action.equals("why")) {
+      return viewRoute(
           true,
-          (x, done) -> {
+          (request, done) -> {
             if (Submission.validRef(name)) {
-              why.why(name, done);
+              why.explain(name, done);
             } else {
               done.accept(AdminResponse.error(404, "no job " + name));
             }
           });
     }
-    if (what.equals("replacements")) {
-      return replacement(name, part);
+    if (collection.equals("replacements")) {
+      return replacementRoute(name, action);
     }
-    boolean on = part.equals("drain");
-    if (!on && !part.equals("undrain")) {
+    boolean isDrain = action.equals("drain");
+    if (!isDrain && !action.equals("undrain")) {
       return null;
     }
-    return switch (what) {
+    return switch (collection) {
       case "machines" ->
-          new Route(Role.OPERATE, true, 0, (x, done) -> drains.machine(x, name, on, done));
-      case "zones" -> new Route(Role.OPERATE, true, 0, (x, done) -> drains.zone(x, name, on, done));
+          new Route(
+              Role.OPERATE,
+              true,
+              0,
+              (request, done) -> drains.changeMachineDrain(request, name, isDrain, done));
+      case "zones" ->
+          new Route(
+              Role.OPERATE,
+              true,
+              0,
+              (request, done) -> drains.changeZoneDrain(request, name, isDrain, done));
       default -> null;
     };
   }
 
-  private Route replacement(String name, String part) {
-    return switch (part) {
-      case "start" -> order((x, done) -> replacements.start(x, name, done));
-      case "pause" -> order((x, done) -> replacements.pause(x, name, done));
-      case "resume" -> order((x, done) -> replacements.resume(name, done));
-      case "abort" -> order((x, done) -> replacements.abort(name, done));
+  private Route replacementRoute(String name, String action) {
+    return switch (action) {
+      case "start" -> operateRoute((request, done) -> replacements.start(request, name, done));
+      case "pause" -> operateRoute((request, done) -> replacements.pause(request, name, done));
+      case "resume" -> operateRoute((request, done) -> replacements.resume(name, done));
+      case "abort" -> operateRoute((request, done) -> replacements.abort(name, done));
       default -> null;
     };
   }
 
-  private static Route order(Handler handler) {
+  private static Route operateRoute(Handler handler) {
     return new Route(Role.OPERATE, true, 0, handler);
   }
 
-  private static long waitMs(AdminRequest request) {
+  private static long parseWaitMs(AdminRequest request) {
     try {
-      return request.number("waitMs", 0, 0, LONGEST_POLL_MS);
+      return request.boundedNumber("waitMs", 0, 0, MAX_POLL_MS);
     } catch (AdminRequest.BadRequestException e) {
       return 0;
     }
   }
 
-  private static Filter filter(AdminRequest request, Schema schema)
+  private static Filter parseFilter(AdminRequest request, Schema schema)
       throws AdminRequest.BadRequestException {
     String where = request.param("where");
     try {
       return Filter.read(where, schema);
     } catch (FilterException e) {
       throw new AdminRequest.BadRequestException(
-          "where: " + e.getMessage() + " (character " + e.at() + ")");
+          "where: " + e.getMessage() + " (character " + e.position() + ")");
     }
   }
 
-  private static int limit(AdminRequest request) throws AdminRequest.BadRequestException {
-    return (int) request.number("limit", USUAL_ROWS, 1, PagedListing.MOST_ROWS);
+  private static int parseLimit(AdminRequest request) throws AdminRequest.BadRequestException {
+    return (int) request.boundedNumber("limit", DEFAULT_ROWS, 1, PagedListing.MAX_ROWS_PER_PAGE);
   }
 
   private void listJobs(AdminRequest request, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
-    Filter filter = filter(request, Schema.JOBS);
+    Filter filter = parseFilter(request, Schema.JOBS);
     if ("over".equals(request.param("scope"))) {
-      jobs.listOver(filter, request.param("after"), limit(request), done);
+      jobs.listFinished(filter, request.param("after"), parseLimit(request), done);
     } else {
-      jobs.list(filter, request.param("after"), limit(request), done);
+      jobs.list(filter, request.param("after"), parseLimit(request), done);
     }
   }
 
   private void listMachines(AdminRequest request, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
-    machines.list(filter(request, Schema.MACHINES), request.param("after"), limit(request), done);
+    machines.list(
+        parseFilter(request, Schema.MACHINES), request.param("after"), parseLimit(request), done);
   }
 
   private void listEvents(AdminRequest request, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
-    long after = request.number("after", 0, 0, Long.MAX_VALUE);
-    events.list(filter(request, Schema.EVENTS), after, limit(request), waitMs(request), done);
+    long after = request.boundedNumber("after", 0, 0, Long.MAX_VALUE);
+    events.list(
+        parseFilter(request, Schema.EVENTS),
+        after,
+        parseLimit(request),
+        parseWaitMs(request),
+        done);
   }
 }
--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -39,59 +39,65 @@
     this.planIntervalS = planIntervalS;
   }
 
-  void why(String ref, Consumer<AdminResponse> done) {
+  void explain(String ref, Consumer<AdminResponse> done) {
     Job job = ledger.job(ref);
     if (job == null || job.isOver()) {
-      jobs.over(ref, done, r -> AdminResponse.of(nothing(ref, r.path("status").asText())));
+      jobs.readFinished(
+          ref,
+          done,
+          finishedJob -> AdminResponse.of(emptyJson(ref, finishedJob.path("status").asText())));
       return;
     }
     placer.explain(
         ref,
-        e -> {
-          Job now = ledger.job(ref);
-          if (e == null) {
-            done.accept(AdminResponse.later("this controller leads no more"));
-          } else if (now == null || now.isOver()) {
-            done.accept(AdminResponse.later("the job has just ended"));
+        explanation -> {
+          Job current = ledger.job(ref);
+          if (explanation == null) {
+            done.accept(AdminResponse.retryLater("this controller leads no more"));
+          } else if (current == null || current.isOver()) {
+            done.accept(AdminResponse.retryLater("the job has just ended"));
           } else {
-            done.accept(AdminResponse.of(explained(now, e)));
+            done.accept(AdminResponse.of(explanationJson(current, explanation)));
           }
         });
   }
 
-  private ObjectNode nothing(String ref, String status) {
-    ObjectNode object = asOf.object().put("ref", ref).put("status", status).put("waiting_tasks", 0);
+  private ObjectNode emptyJson(String ref, String status) {
+    ObjectNode object =
+        asOf.newObject().put("ref", ref).put("status", status).put("waiting_tasks", 0);
     object.putArray("reasons");
     return object;
   }
 
-  private ObjectNode explained(Job job, PlacementExplanation explanation) {
+  private ObjectNode explanationJson(Job job, PlacementExplanation explanation) {
     String ref = job.spec().ref();
     int[] counts = ledger.taskCounts(job);
-    ObjectNode object = nothing(ref, JobViews.status(counts));
+    ObjectNode object = emptyJson(ref, JobViews.statusOf(counts));
     object.put("waiting_tasks", explanation.waitingTasks());
     DisruptionRefusal refusal = disruptionGate.refused(job);
     if (refusal != null) {
       object.put("not_moved", refusal.words());
     }
-    FaultAttribution.JobFailureStatus standing = faultAttribution.failureStatus(job);
-    if (standing != null) {
+    FaultAttribution.JobFailureStatus failureStatus = faultAttribution.failureStatus(job);
+    if (failureStatus != null) {
       object
           .putObject("failing")
-          .put("failures", standing.failures())
-          .put("machines", standing.machines())
-          .put("one_at_a_time", standing.suspected())
-          .put("next_s", standing.nextAttemptS());
+          .put("failures", failureStatus.failures())
+          .put("machines", failureStatus.machines())
+          .put("one_at_a_time", failureStatus.suspected())
+          .put("next_s", failureStatus.nextAttemptS());
     }
     if (explanation.waitingTasks() == 0) {
       return object;
     }
     PendingCapacity pendingCapacity = fleet.pendingCapacity(job.spec());
     ArrayNode reasons = object.putArray("reasons");
-    explanation.jobVerdicts().forEach((v, n) -> add(reasons, v, "tasks", n, job, explanation));
+    explanation
+        .jobVerdicts()
+        .forEach((v, n) -> addReason(reasons, v, "tasks", n, job, explanation));
     explanation
         .machineVerdicts()
-        .forEach((v, n) -> add(reasons, v, "machines", n, job, explanation));
+        .forEach((v, n) -> addReason(reasons, v, "machines", n, job, explanation));
     if (pendingCapacity.booting() > 0) {
       reasons
           .addObject()
@@ -100,15 +106,15 @@
           .put("words", "machines are on their way")
           .put("in_s", pendingCapacity.nextS());
     }
-    for (PendingCapacity.CapacityRefusal r : pendingCapacity.refusals()) {
+    for (PendingCapacity.CapacityRefusal capacityRefusal : pendingCapacity.refusals()) {
       reasons
           .addObject()
           .put("reason", "cloud-refused")
-          .put("type", r.type())
-          .put("zone", r.zone())
-          .put("spot", r.spot())
+          .put("type", capacityRefusal.type())
+          .put("zone", capacityRefusal.zone())
+          .put("spot", capacityRefusal.spot())
           .put("words", "the cloud had none to give")
-          .put("in_s", r.retryInS());
+          .put("in_s", capacityRefusal.retryInS());
     }
     if (reasons.isEmpty()) {
       reasons
@@ -117,24 +123,25 @@
           .put("words", "there is no machine at all: the next plan rents some")
           .put("in_s", planIntervalS);
     }
-    double start = expected(explanation, pendingCapacity);
-    if (start >= 0) {
-      object.put("expected_start_s", start);
+    double startS = expectedStartS(explanation, pendingCapacity);
+    if (startS >= 0) {
+      object.put("expected_start_s", startS);
     }
     return object;
   }
 
-  private void add(
-      ArrayNode to,
+  private void addReason(
+      ArrayNode reasons,
       PlacementVerdict verdict,
-      String of,
+      String countField,
       int count,
       Job job,
       PlacementExplanation explanation) {
     ObjectNode object =
-        to.addObject()
+        reasons
+            .addObject()
             .put("reason", verdict.code())
-            .put(of, count)
+            .put(countField, count)
             .put("words", verdict.description());
     Settings.Team team = settings.teams().get(job.spec().team());
     if (verdict == PlacementVerdict.TEAM_LIMIT && team != null) {
@@ -149,25 +156,25 @@
   }
 
   /** The earliest of what is on its way, but not before the job may start at all; -1: unknown. */
-  private double expected(PlacementExplanation explanation, PendingCapacity pendingCapacity) {
-    double first = Double.POSITIVE_INFINITY;
+  private double expectedStartS(PlacementExplanation explanation, PendingCapacity pendingCapacity) {
+    double earliestS = Double.POSITIVE_INFINITY;
     if (explanation.machineVerdicts().containsKey(PlacementVerdict.FITS)
         || explanation.jobVerdicts().containsKey(PlacementVerdict.ROOM_ON_ITS_WAY)) {
-      first = 0;
+      earliestS = 0;
     }
     if (explanation.freeInS() >= 0) {
-      first = Math.min(first, explanation.freeInS());
+      earliestS = Math.min(earliestS, explanation.freeInS());
     }
     if (pendingCapacity.booting() > 0) {
-      first = Math.min(first, pendingCapacity.nextS());
+      earliestS = Math.min(earliestS, pendingCapacity.nextS());
     }
     for (PendingCapacity.CapacityRefusal refusal : pendingCapacity.refusals()) {
-      first = Math.min(first, refusal.retryInS());
+      earliestS = Math.min(earliestS, refusal.retryInS());
     }
-    boolean limited = explanation.jobVerdicts().containsKey(PlacementVerdict.TEAM_LIMIT);
-    if (limited && explanation.freeInS() < 0 || Double.isInfinite(first)) {
+    boolean isTeamLimited = explanation.jobVerdicts().containsKey(PlacementVerdict.TEAM_LIMIT);
+    if (isTeamLimited && explanation.freeInS() < 0 || Double.isInfinite(earliestS)) {
       return -1;
     }
-    return Math.max(first, explanation.heldBackS());
+    return Math.max(earliestS, explanation.heldBackS());
   }
 }
--- a/src/main/java/dapplestair/cli/ControllerServer.java
+++ b/src/main/java/dapplestair/cli/ControllerServer.java
@@ -87,7 +87,7 @@
       if (on.tokens() != null) {
         return CredentialStore.watch(on.tokens(), loop, loop);
       }
-      return on.tls() == null ? Authenticator.open() : CredentialStore.none();
+      return on.tls() == null ? Authenticator.allowAll() : CredentialStore.certificatesOnly();
     } catch (IOException e) {
       throw new SettingsException(on.tokens() + ": cannot be read: " + e.getMessage());
     }
--- a/src/main/java/dapplestair/client/FilterOption.java
+++ b/src/main/java/dapplestair/client/FilterOption.java
@@ -16,7 +16,7 @@
       Filter.read(where, schema);
       return where == null || where.isBlank() ? "" : "&where=" + ClientCommand.encoded(where);
     } catch (FilterException e) {
-      throw new CommandException(CommandException.WRONG_USAGE, "--where:\n" + e.shown(where));
+      throw new CommandException(CommandException.WRONG_USAGE, "--where:\n" + e.annotate(where));
     }
   }
 }
--- a/src/main/java/dapplestair/filter/Filter.java
+++ b/src/main/java/dapplestair/filter/Filter.java
@@ -13,32 +13,32 @@
 @FunctionalInterface
 public interface Filter {
   /** Longer filters are refused. */
-  int MOST_CHARACTERS = 2000;
+  int MAX_CHARACTERS = 2000;
 
   /** Deeper ones as well: reading them takes stack. */
-  int MOST_NESTED = 40;
+  int MAX_NESTING = 40;
 
   /** True when the row meets the condition. */
   boolean test(Row row);
 
   /** Everything. */
-  static Filter all() {
+  static Filter matchAll() {
     return row -> true;
   }
 
   /** Reads a filter; an empty one lets all through. */
   static Filter read(String text, Schema schema) throws FilterException {
     if (text == null || text.isBlank()) {
-      return all();
+      return matchAll();
     }
-    bound(text);
+    checkBounds(text);
     FilterLexer lexer = new FilterLexer(CharStreams.fromString(text));
     FilterParser parser = new FilterParser(new CommonTokenStream(lexer));
-    SyntaxErrorListener mistakes = new SyntaxErrorListener(text);
+    SyntaxErrorListener errorListener = new SyntaxErrorListener(text);
     lexer.removeErrorListeners();
-    lexer.addErrorListener(mistakes);
+    lexer.addErrorListener(errorListener);
     parser.removeErrorListeners();
-    parser.addErrorListener(mistakes);
+    parser.addErrorListener(errorListener);
     try {
       return new FilterCompiler(schema).visit(parser.filter());
     } catch (ParseCancellationException e) {
@@ -49,17 +49,17 @@
     }
   }
 
-  private static void bound(String text) throws FilterException {
-    if (text.length() > MOST_CHARACTERS) {
+  private static void checkBounds(String text) throws FilterException {
+    if (text.length() > MAX_CHARACTERS) {
       throw new FilterException(
-          MOST_CHARACTERS,
-          "a filter may have " + MOST_CHARACTERS + " characters; this one has " + text.length());
+          MAX_CHARACTERS,
+          "a filter may have " + MAX_CHARACTERS + " characters; this one has " + text.length());
     }
     int depth = 0;
     for (int i = 0; i < text.length(); i++) {
       depth += text.charAt(i) == '(' ? 1 : text.charAt(i) == ')' ? -1 : 0;
-      if (depth > MOST_NESTED) {
-        throw new FilterException(i, "more than " + MOST_NESTED + " levels of parentheses");
+      if (depth > MAX_NESTING) {
+        throw new FilterException(i, "more than " + MAX_NESTING + " levels of parentheses");
       }
     }
   }
@@ -80,16 +80,16 @@
         int column,
         String message,
         RecognitionException e) {
-      int at = column;
+      int position = column;
       // Columns are counted in their line, the mistake in the whole text.
-      for (int i = 1, from = 0; i < line; i++) {
-        from = text.indexOf('\n', from) + 1;
-        at = from + column;
+      for (int i = 1, lineStart = 0; i < line; i++) {
+        lineStart = text.indexOf('\n', lineStart) + 1;
+        position = lineStart + column;
       }
-      throw new ParseCancellationException(new FilterException(at, words(message)));
+      throw new ParseCancellationException(new FilterException(position, toPlainWords(message)));
     }
 
-    private static String words(String message) {
+    private static String toPlainWords(String message) {
       return message
           .replace("<EOF>", "the end")
           .replace("token recognition error at:", "not understood:")
--- a/src/main/java/dapplestair/filter/FilterCompiler.java
+++ b/src/main/java/dapplestair/filter/FilterCompiler.java
@@ -34,8 +34,8 @@
 
   @Override
   public Filter visitNegation(FilterParser.NegationContext ctx) {
-    Filter of = visit(ctx.test());
-    return ctx.NOT().size() % 2 == 0 ? of : row -> !of.test(row);
+    Filter operand = visit(ctx.test());
+    return ctx.NOT().size() % 2 == 0 ? operand : row -> !operand.test(row);
   }
 
   @Override
@@ -46,8 +46,8 @@
   @Override
   public Filter visitFlag(FilterParser.FlagContext ctx) {
     Token name = ctx.NAME().getSymbol();
-    if (type(name) != Schema.Type.FLAG) {
-      throw mistake(name, name.getText() + " is not a flag: compare it with something");
+    if (fieldType(name) != Schema.Type.FLAG) {
+      throw errorAt(name, name.getText() + " is not a flag: compare it with something");
     }
     String field = name.getText();
     return row -> Boolean.TRUE.equals(row.value(field));
@@ -56,33 +56,33 @@
   @Override
   public Filter visitCompared(FilterParser.ComparedContext ctx) {
     Token name = ctx.NAME().getSymbol();
-    Object value = value(type(name), ctx.value());
+    Object value = parseValue(fieldType(name), ctx.value());
     return compare(name.getText(), ctx.comparison(), value);
   }
 
   @Override
   public Filter visitListed(FilterParser.ListedContext ctx) {
     Token name = ctx.NAME().getSymbol();
-    Schema.Type type = type(name);
+    Schema.Type type = fieldType(name);
     List<Object> values = new ArrayList<>();
-    ctx.value().forEach(v -> values.add(value(type, v)));
+    ctx.value().forEach(v -> values.add(parseValue(type, v)));
     String field = name.getText();
-    boolean wanted = ctx.NOT() == null;
+    boolean isIncluded = ctx.NOT() == null;
     return row -> {
-      Object is = row.value(field);
-      return values.stream().anyMatch(v -> v.equals(is)) == wanted;
+      Object actual = row.value(field);
+      return values.stream().anyMatch(v -> v.equals(actual)) == isIncluded;
     };
   }
 
-  private Schema.Type type(Token name) {
+  private Schema.Type fieldType(Token name) {
     Schema.Type type = schema.type(name.getText());
     if (type == null) {
-      throw mistake(name, "no field " + name.getText() + "; there are " + schema.names());
+      throw errorAt(name, "no field " + name.getText() + "; there are " + schema.names());
     }
     return type;
   }
 
-  private static Object value(Schema.Type type, FilterParser.ValueContext valueContext) {
+  private static Object parseValue(Schema.Type type, FilterParser.ValueContext valueContext) {
     Token token = valueContext.getStart();
     String text = token.getText();
     return switch (type) {
@@ -97,67 +97,67 @@
           yield Double.parseDouble(text);
         }
         if (valueContext.DURATION() != null) {
-          yield seconds(text);
+          yield parseSeconds(text);
         }
-        throw mistake(token, "a number is wanted here, such as 3 or 30s");
+        throw errorAt(token, "a number is wanted here, such as 3 or 30s");
       }
       case FLAG -> {
         if (text.equals("true") || text.equals("false")) {
           yield Boolean.valueOf(text);
         }
-        throw mistake(token, "true or false is wanted here");
+        throw errorAt(token, "true or false is wanted here");
       }
     };
   }
 
-  private static double seconds(String text) {
-    int unit = text.endsWith("ms") ? text.length() - 2 : text.length() - 1;
-    double n = Double.parseDouble(text.substring(0, unit));
-    return switch (text.substring(unit)) {
-      case "ms" -> n / 1000;
-      case "m" -> n * 60;
-      case "h" -> n * 3600;
-      case "d" -> n * 86_400;
-      default -> n;
+  private static double parseSeconds(String text) {
+    int unitStart = text.endsWith("ms") ? text.length() - 2 : text.length() - 1;
+    double amount = Double.parseDouble(text.substring(0, unitStart));
+    return switch (text.substring(unitStart)) {
+      case "ms" -> amount / 1000;
+      case "m" -> amount * 60;
+      case "h" -> amount * 3600;
+      case "d" -> amount * 86_400;
+      default -> amount;
     };
   }
 
-  private Filter compare(String field, FilterParser.ComparisonContext by, Object value) {
-    String sign = by.getText();
+  private Filter compare(String field, FilterParser.ComparisonContext operator, Object value) {
+    String symbol = operator.getText();
     Schema.Type type = schema.type(field);
-    switch (sign) {
+    switch (symbol) {
       case "=":
         return row -> value.equals(row.value(field));
       case "!=":
         return row -> !value.equals(row.value(field));
       case "~":
         if (type != Schema.Type.TEXT) {
-          throw mistake(by.getStart(), "~ looks for a part of a text; " + field + " is none");
+          throw errorAt(operator.getStart(), "~ looks for a part of a text; " + field + " is none");
         }
         return row -> row.value(field) instanceof String s && s.contains((String) value);
       default:
         if (type != Schema.Type.NUMBER) {
-          throw mistake(by.getStart(), sign + " compares numbers; " + field + " is none");
+          throw errorAt(operator.getStart(), symbol + " compares numbers; " + field + " is none");
         }
-        return ordered(field, sign, (Double) value);
+        return compareNumbers(field, symbol, (Double) value);
     }
   }
 
-  private static Filter ordered(String field, String sign, double value) {
+  private static Filter compareNumbers(String field, String symbol, double value) {
     return row -> {
-      if (!(row.value(field) instanceof Double d)) {
+      if (!(row.value(field) instanceof Double actual)) {
         return false;
       }
-      return switch (sign) {
-        case "<" -> d < value;
-        case "<=" -> d <= value;
-        case ">" -> d > value;
-        default -> d >= value;
+      return switch (symbol) {
+        case "<" -> actual < value;
+        case "<=" -> actual <= value;
+        case ">" -> actual > value;
+        default -> actual >= value;
       };
     };
   }
 
-  private static ParseCancellationException mistake(Token at, String message) {
-    return new ParseCancellationException(new FilterException(at.getStartIndex(), message));
+  private static ParseCancellationException errorAt(Token token, String message) {
+    return new ParseCancellationException(new FilterException(token.getStartIndex(), message));
   }
 }
--- a/src/main/java/dapplestair/filter/Schema.java
+++ b/src/main/java/dapplestair/filter/Schema.java
@@ -28,12 +28,12 @@
 
   private final Map<String, Type> fields = new TreeMap<>();
 
-  Schema(String all) {
-    for (String one : all.split(", ")) {
-      int space = one.indexOf(' ');
+  Schema(String declarations) {
+    for (String declaration : declarations.split(", ")) {
+      int space = declaration.indexOf(' ');
       fields.put(
-          one.substring(0, space),
-          Type.valueOf(one.substring(space + 1).toUpperCase(java.util.Locale.ROOT)));
+          declaration.substring(0, space),
+          Type.valueOf(declaration.substring(space + 1).toUpperCase(java.util.Locale.ROOT)));
     }
   }
 
--- a/src/main/java/dapplestair/keys/KeysCommand.java
+++ b/src/main/java/dapplestair/keys/KeysCommand.java
@@ -89,7 +89,7 @@
     private String role;
 
     String role() throws IOException {
-      if (Role.of(role) == null) {
+      if (Role.fromLabel(role) == null) {
         throw new IOException("--role: " + role + ": must be view or operate");
       }
       return role;
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -77,7 +77,7 @@
       ledger.onJobPut(key.substring(StateKeys.JOB.length()), value, stamp);
       accepted.read(key.substring(StateKeys.JOB.length()), stamp);
       if (admin != null) {
-        admin.jobPut(key.substring(StateKeys.JOB.length()));
+        admin.addUnfinishedJob(key.substring(StateKeys.JOB.length()));
       }
     } else if (key.startsWith(StateKeys.RENTAL)) {
       fleet.applyRentalRecord(key.substring(StateKeys.RENTAL.length()), value, stamp);
@@ -118,7 +118,7 @@
       cancellations.removed(key.substring(StateKeys.JOB.length()));
       ledger.onJobRemoved(key.substring(StateKeys.JOB.length()));
       if (admin != null) {
-        admin.jobRemoved(key.substring(StateKeys.JOB.length()));
+        admin.removeUnfinishedJob(key.substring(StateKeys.JOB.length()));
       }
     } else if (key.startsWith(StateKeys.RENTAL)) {
       fleet.applyRentalRemoval(key.substring(StateKeys.RENTAL.length()));
--- a/src/test/java/dapplestair/filter/FilterTest.java
+++ b/src/test/java/dapplestair/filter/FilterTest.java
@@ -42,7 +42,7 @@
         "zone != a | true",
         "spot = false | false",
       })
-  void holds(String filter, boolean expected) throws FilterException {
+  void filterMatchesAsExpected(String filter, boolean expected) throws FilterException {
     assertEquals(expected, Filter.read(filter, Schema.JOBS).test(JOB));
   }
 
@@ -60,26 +60,26 @@
         "team = 'x' | 7",
         "status in (done | 15",
       })
-  void mistakesAreShownWhereTheyAre(String filter, int at) {
+  void errorsPointAtTheirPosition(String filter, int position) {
     FilterException e = assertThrows(FilterException.class, () -> Filter.read(filter, Schema.JOBS));
-    assertEquals(at, e.at(), e.getMessage());
-    String[] lines = e.shown(filter).split("\n");
-    assertEquals(at, lines[1].indexOf('^'));
+    assertEquals(position, e.position(), e.getMessage());
+    String[] lines = e.annotate(filter).split("\n");
+    assertEquals(position, lines[1].indexOf('^'));
   }
 
   @Test
-  void tooLongOrTooDeepIsRefusedBeforeItIsRead() {
-    String longOne = "tasks = 1 or ".repeat(770) + "tasks = 1";
+  void overlongAndDeeplyNestedFiltersAreRejected() {
+    String longFilter = "tasks = 1 or ".repeat(770) + "tasks = 1";
     FilterException e =
-        assertThrows(FilterException.class, () -> Filter.read(longOne, Schema.JOBS));
-    assertTrue(longOne.length() > 10_000 && e.getMessage().contains("2000"), e.getMessage());
-    assertTrue(e.shown(longOne).lines().allMatch(l -> l.length() < 200));
-    String deep = "(".repeat(900) + "spot" + ")".repeat(900);
-    assertThrows(FilterException.class, () -> Filter.read(deep, Schema.JOBS));
+        assertThrows(FilterException.class, () -> Filter.read(longFilter, Schema.JOBS));
+    assertTrue(longFilter.length() > 10_000 && e.getMessage().contains("2000"), e.getMessage());
+    assertTrue(e.annotate(longFilter).lines().allMatch(l -> l.length() < 200));
+    String deepFilter = "(".repeat(900) + "spot" + ")".repeat(900);
+    assertThrows(FilterException.class, () -> Filter.read(deepFilter, Schema.JOBS));
   }
 
   @Test
-  void manyTermsAreReadWithoutDepth() throws FilterException {
+  void repeatedNegationsNeedNoNesting() throws FilterException {
     assertTrue(Filter.read("not ".repeat(450) + "spot", Schema.JOBS).test(JOB));
   }
 }
--- a/src/test/java/dapplestair/keys/TlsTrustTest.java
+++ b/src/test/java/dapplestair/keys/TlsTrustTest.java
@@ -73,13 +73,13 @@
   }
 
   private void answer(Exchange x) {
-    var who = credentials.who(x);
+    var who = credentials.identify(x);
     if (who == null) {
       x.reply(401, Json.bytes(Json.object().put("error", "who are you?")), 0);
     } else {
       x.reply(
           200,
-          Json.bytes(Json.object().put("name", who.name()).put("operates", who.operates())),
+          Json.bytes(Json.object().put("name", who.name()).put("operates", who.mayOperate())),
           0);
     }
   }
@@ -158,7 +158,7 @@
     loop.executor()
         .execute(
             () -> {
-              var k = credentials.who(new Shown("Bearer " + token));
+              var k = credentials.identify(new Shown("Bearer " + token));
               out.complete(k == null ? null : k.name());
             });
     return out.get();
--- a/src/test/java/dapplestair/world/SimulatedCluster.java
+++ b/src/test/java/dapplestair/world/SimulatedCluster.java
@@ -506,7 +506,7 @@
               seed % 3 != 0);
       controller =
           new Controller(
-              node.settings, told(), environment, operators ? Authenticator.open() : null);
+              node.settings, told(), environment, operators ? Authenticator.allowAll() : null);
     }
 
     private OperatorSettings told() {
