--- a/src/main/java/dapplestair/admin/AdminHandler.java
+++ b/src/main/java/dapplestair/admin/AdminHandler.java
@@ -16,20 +16,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers operators. Whatever is told holds as of a read barrier passed for this question; what
- * only a leader knows is asked of the leader, and never told from an older memory.
+ * Handles the requests of operators. Each answer holds as of a read barrier that was passed for its
+ * request. Requests for state that only the leader has in memory are forwarded to the leader; they
+ * are never answered from the memory of a controller that does not lead.
  */
 public final class AdminHandler {
   private static final Logger LOG = LoggerFactory.getLogger(AdminHandler.class);
   private static final String TOPIC = "admin";
   private static final String METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
-  // From the users' wish: without a leader for so long, say so.
+  // Users asked for an error rather than a longer wait when there is no leader for this long.
   private static final long LEADER_WAIT_MS = 1000;
   private static final long LEADER_RETRY_MS = 50;
   private static final int MAX_OPEN_REQUESTS = 64;
 
-  // Between controllers only: the one that was asked does not lead.
+  // Sent only between controllers: the controller that received the request does not lead.
   private static final int STATUS_NOT_LEADING = 421;
 
   private final Clock clock;
@@ -47,7 +48,12 @@
   private final TokenBucket refusalLogLimiter;
   private int openRequestCount;
 
-  /** {@code userRequestHandler} answers what users ask; {@code metrics} gives them as text. */
+  /**
+   * Creates the handler and registers it for the requests that peers forward.
+   *
+   * @param userRequestHandler handles submissions, as for users
+   * @param metrics returns the metrics in text format
+   */
   public AdminHandler(
       ControllerComponents components,
       Authenticator authenticator,
@@ -83,29 +89,31 @@
     peers.questions().answer(TOPIC, this::handlePeerRequest);
   }
 
-  /** A job is there and not over. */
+  /** Adds a job that is recorded and has not finished to the listing. */
   public void addUnfinishedJob(String ref) {
     jobs.addUnfinished(ref);
   }
 
-  /** A job is over. */
+  /** Removes a job that has finished from the listing. */
   public void removeUnfinishedJob(String ref) {
     jobs.removeUnfinished(ref);
   }
 
-  /** The replica begins anew. */
-  public void clear() {
-    jobs.clear();
+  /** Removes all jobs from the listing, because the replica is read again from the start. */
+  public void clearUnfinishedJobs() {
+    jobs.clearUnfinished();
   }
 
-  /** An operator asks. */
+  /** Authenticates the caller of a request and answers it. */
   public void handle(Exchange exchange) {
     Authenticator.Identity identity = authenticator.identify(exchange);
     if (identity == null) {
-      // Bounded, so that guessing does not fill the log.
+      // The rate is limited, so that a client that guesses tokens does not fill the log.
       if (refusalLogLimiter.take(1)) {
         LOG.warn(
-            "{} {} refused: no valid token or certificate", exchange.method(), exchange.path());
+            "admin request {} {} refused: no valid token or client certificate",
+            exchange.method(),
+            exchange.path());
       }
       reply(exchange, AdminResponse.error(401, "a valid token or client certificate is needed"));
       return;
@@ -166,7 +174,7 @@
     exchange.reply(response.status(), response.body(), response.retryAfterS());
   }
 
-  // ---- the leader's memory ----
+  // ---- requests that only the leader can answer ----
 
   private void serveFromLeader(
       AdminRequest request, Routes.Route route, long deadlineMs, Consumer<AdminResponse> done) {
@@ -222,7 +230,7 @@
     }
   }
 
-  /** A peer asks this controller as the leader. */
+  /** Answers a request that a peer forwarded because it takes this controller for the leader. */
   private void handlePeerRequest(byte[] body, Consumer<byte[]> sendReply) {
     AdminRequest request = AdminRequest.parse(Json.parse(body));
     Routes.Route route = request == null ? null : routes.find(request);
@@ -238,7 +246,9 @@
 
   // ---- answering ----
 
-  /** Passes a barrier, then answers if {@code canStillServe} holds. */
+  /**
+   * Answers after a read barrier, provided that {@code canStillServe} returns true at that time.
+   */
   private void serveAfterBarrier(
       AdminRequest request,
       Routes.Route route,
@@ -273,7 +283,12 @@
     } catch (AdminRequest.BadRequestException e) {
       done.accept(AdminResponse.error(400, e.getMessage()));
     } catch (RuntimeException e) {
-      LOG.error("{} {} failed", request.method(), request.path(), e);
+      LOG.error(
+          "admin request {} {} from {} failed; answering with status 500",
+          request.method(),
+          request.path(),
+          request.caller().name(),
+          e);
       done.accept(AdminResponse.error(500, "this went wrong; the log says more"));
     }
   }
--- a/src/main/java/dapplestair/admin/AdminRequest.java
+++ b/src/main/java/dapplestair/admin/AdminRequest.java
@@ -7,24 +7,27 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One request, as it also travels to the leader. */
+/** A request of an operator. Controllers also forward it to the leader in this form. */
 record AdminRequest(
     String method, String path, Map<String, String> params, JsonNode body, Caller caller) {
 
   static AdminRequest read(String method, String path, String query, byte[] body, Caller caller) {
     Map<String, String> params = new HashMap<>();
-    // Given more than once, the first one counts.
+    // Of a parameter that is given more than once, the first value is used.
     new QueryStringDecoder(query, false).parameters().forEach((k, v) -> params.put(k, v.get(0)));
     return new AdminRequest(
         method, path, params, body.length == 0 ? Json.object() : Json.parse(body), caller);
   }
 
-  /** A parameter, or null. */
+  /** Returns a query parameter, or null if it is missing. */
   String param(String name) {
     return params.get(name);
   }
 
-  /** A whole number from the query, kept between bounds. */
+  /**
+   * Returns an integer query parameter, clamped to {@code min} and {@code max}, or the default
+   * value if it is missing.
+   */
   long boundedNumber(String name, long defaultValue, long min, long max)
       throws BadRequestException {
     String text = param(name);
@@ -38,7 +41,7 @@
     }
   }
 
-  /** What is wrong with a question; the message names the field. */
+  /** Thrown for an invalid request; the message names the field. */
   static final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/dapplestair/admin/AdminResponse.java
+++ b/src/main/java/dapplestair/admin/AdminResponse.java
@@ -3,7 +3,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import dapplestair.json.Json;
 
-/** What is told; {@code retryAfterS} 0 for no advice. */
+/**
+ * A response to an operator.
+ *
+ * @param status the HTTP status
+ * @param body the body in JSON
+ * @param retryAfterS seconds after which to retry, or 0 to give no such advice
+ */
 record AdminResponse(int status, byte[] body, int retryAfterS) {
   static AdminResponse of(JsonNode body) {
     return new AdminResponse(200, Json.bytes(body), 0);
@@ -13,12 +19,15 @@
     return new AdminResponse(status, Json.bytes(Json.object().put("error", message)), 0);
   }
 
-  /** Not now: ask again soon. */
+  /** Returns a response of status 503 that asks the caller to retry after a second. */
   static AdminResponse retryLater(String message) {
     return new AdminResponse(503, Json.bytes(Json.object().put("error", message)), 1);
   }
 
-  /** The form between controllers: a line of numbers, then the body as it is. */
+  /**
+   * Returns the form in which controllers exchange responses: a line with the status and the
+   * seconds until a retry, then the unchanged body.
+   */
   byte[] toFrame() {
     byte[] head =
         (status + " " + retryAfterS + "\n").getBytes(java.nio.charset.StandardCharsets.US_ASCII);
--- a/src/main/java/dapplestair/admin/AsOfStamp.java
+++ b/src/main/java/dapplestair/admin/AsOfStamp.java
@@ -8,7 +8,9 @@
 import dapplestair.state.Replica;
 import java.io.IOException;
 
-/** As of when an answer holds: nobody may take one for newer than it is. */
+/**
+ * Stamps answers with the term and epoch as of which they hold, so that a reader sees their age.
+ */
 final class AsOfStamp {
   private final Settings settings;
   private final Leadership leadership;
@@ -33,7 +35,7 @@
     generator.writeEndObject();
   }
 
-  /** An object that says it. */
+  /** Returns a new object that contains the stamp. */
   ObjectNode newObject() {
     ObjectNode object = Json.object();
     object
--- a/src/main/java/dapplestair/admin/Authenticator.java
+++ b/src/main/java/dapplestair/admin/Authenticator.java
@@ -2,20 +2,23 @@
 
 import dapplestair.ports.Exchange;
 
-/** Who somebody is, and what they may do. */
+/** Determines who sent a request and what the sender may do. */
 @FunctionalInterface
 public interface Authenticator {
-  /** Whoever asks, by what they show; null when that is nobody. */
+  /** Returns the identity of the sender by its credentials, or null if they are not valid. */
   Identity identify(Exchange exchange);
 
   /**
-   * Somebody known.
+   * An authenticated caller.
    *
-   * @param mayOperate true if they may change things, too
+   * @param mayOperate true if the caller may change things as well as view them
    */
   record Identity(String name, boolean mayOperate) {}
 
-  /** Everybody on this machine may do everything: only for an address on loopback. */
+  /**
+   * Returns an authenticator that lets every caller operate. It is for loopback addresses only,
+   * where all callers are on this machine.
+   */
   static Authenticator allowAll() {
     return exchange -> new Identity("local", true);
   }
--- a/src/main/java/dapplestair/admin/Caller.java
+++ b/src/main/java/dapplestair/admin/Caller.java
@@ -1,4 +1,4 @@
 package dapplestair.admin;
 
-/** Who asks. */
+/** The authenticated sender of a request, with its role. */
 record Caller(String name, Role role) {}
--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -29,7 +29,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Teams, plan and the controllers themselves. */
+/** Builds the views of teams, zones, the plan and the controllers themselves. */
 final class ClusterViews {
   private final Clock clock;
   private final Settings settings;
@@ -69,7 +69,10 @@
     this.relay = components.relay();
   }
 
-  /** Who leads, who lives, what waits where. */
+  /**
+   * Returns the state of the cluster: the leader, the counts of machines by state, the peers, open
+   * cancellations and lane claims, calendars, and the queues to the state service.
+   */
   ObjectNode status() {
     ObjectNode object =
         asOf.newObject()
@@ -144,7 +147,7 @@
         .put("last_lag_s", calendarStatus.lastLagS());
   }
 
-  /** What each team is guaranteed, uses, borrows and lends. */
+  /** Returns what each team is guaranteed, uses, borrows, lends and waits for. */
   ObjectNode teams() {
     double borrowedCpus = 0;
     double unusedCpus = 0;
@@ -158,7 +161,8 @@
       waitingCpusByTeam.merge(
           job.spec().team(), job.waitingTasks() * job.spec().cpus(), Double::sum);
     }
-    // Who borrows does not say from whom: what is lent is parted by what each leaves unused.
+    // Borrowed CPUs are not tied to a lender: what is lent in all is attributed to teams in
+    // proportion to the part of its guarantee that each leaves unused.
     double lentShare = unusedCpus <= 0 ? 0 : Math.min(1, borrowedCpus / unusedCpus);
     Map<String, JobStatistics.JobCounts> countsByTeam = ledger.jobStatistics().byTeam();
     Map<String, BudgetStatus> budgetStatuses = disruptionGate.statuses();
@@ -195,7 +199,10 @@
     return object;
   }
 
-  /** What of a team is out, and what its budget allows; what is not bounded is left out. */
+  /**
+   * Returns a team's unavailable replicas and tasks and what its disruption budget allows. Limits
+   * that are not set are omitted.
+   */
   private static ObjectNode budgetJson(BudgetStatus budgetStatus) {
     ObjectNode object =
         Json.object()
@@ -216,7 +223,7 @@
     return object;
   }
 
-  /** Zones: where each stands, and what is there. */
+  /** Returns the status of each zone with its machines and the tasks on them. */
   ObjectNode zones() {
     ObjectNode object = asOf.newObject();
     ArrayNode rows = object.putArray("rows");
@@ -261,7 +268,7 @@
     return object;
   }
 
-  /** The plan applied last. */
+  /** Returns the plan that was applied last; it has no rows before the first plan. */
   ObjectNode plan() {
     ObjectNode object = asOf.newObject();
     Autoscaler.AppliedPlan plan = autoscaler.applied();
--- a/src/main/java/dapplestair/admin/ControllerComponents.java
+++ b/src/main/java/dapplestair/admin/ControllerComponents.java
@@ -26,7 +26,7 @@
 import dapplestair.workers.WorkerManager;
 import dapplestair.zones.Zones;
 
-/** The duties of a controller that its operators may look into. */
+/** The components of a controller that the operators' interface reads or gives orders to. */
 public record ControllerComponents(
     Settings settings,
     OperatorSettings operatorSettings,
--- a/src/main/java/dapplestair/admin/CredentialStore.java
+++ b/src/main/java/dapplestair/admin/CredentialStore.java
@@ -20,10 +20,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Bearer tokens, of which a file holds only hashes, and client certificates, whose organisational
- * unit is the role. The file is read again when it changes.
+ * Authenticates callers by bearer tokens, of which a file holds only hashes, or by client
+ * certificates, whose organisational unit is the role. The file is read again when it changes.
  *
- * <p>A line of the file: a name, {@code view} or {@code operate}, and the token's SHA-256 in hex.
+ * <p>Each line of the file consists of a name, {@code view} or {@code operate}, and the SHA-256
+ * hash of the token in hexadecimal.
  */
 public final class CredentialStore implements Authenticator {
   private static final Logger LOG = LoggerFactory.getLogger(CredentialStore.class);
@@ -42,12 +43,12 @@
     this.file = file;
   }
 
-  /** Only certificates are known. */
+  /** Returns a store without tokens, which accepts client certificates only. */
   public static CredentialStore certificatesOnly() {
     return new CredentialStore(null);
   }
 
-  /** Reads a file, and again whenever it has changed. */
+  /** Returns a store that reads a token file now and again whenever the file has changed. */
   public static CredentialStore watch(Path file, Timers timers, BackgroundExecutor background)
       throws IOException {
     CredentialStore credentials = new CredentialStore(file);
@@ -71,12 +72,16 @@
       TokenFile newTokenFile, Timers timers, BackgroundExecutor background) {
     if (newTokenFile != null) {
       tokenFile = newTokenFile;
-      LOG.info("{}: {} tokens", file, newTokenFile.entries().size());
+      LOG.info(
+          "reloaded token file {}; it has {} valid entries", file, newTokenFile.entries().size());
     }
     scheduleCheck(timers, background);
   }
 
-  /** The file anew if it has changed; an unreadable one leaves all as it was. */
+  /**
+   * Returns the content of the file if it has changed, else null. Returns null for an unreadable
+   * file, too, so that the tokens read before stay valid.
+   */
   private TokenFile loadIfChanged(FileTime knownModifiedAt) {
     try {
       return Files.getLastModifiedTime(file).equals(knownModifiedAt) ? null : load();
@@ -88,7 +93,7 @@
   private TokenFile load() throws IOException {
     FileTime modifiedAt = Files.getLastModifiedTime(file);
     if (Files.size(file) > MAX_FILE_BYTES) {
-      throw new IOException("over " + MAX_FILE_BYTES + " bytes");
+      throw new IOException("the token file is larger than " + MAX_FILE_BYTES + " bytes");
     }
     List<TokenEntry> entries = new ArrayList<>();
     int lineNumber = 0;
@@ -98,7 +103,10 @@
       if (!entryText.isEmpty() && !entryText.startsWith("#")) {
         TokenEntry entry = parseEntry(entryText);
         if (entry == null) {
-          LOG.error("{} line {}: must be a name, view or operate, and a hash", file, lineNumber);
+          LOG.error(
+              "token file {}, line {} ignored: must be a name, view or operate, and a SHA-256 hash in hex",
+              file,
+              lineNumber);
         } else {
           entries.add(entry);
         }
@@ -120,7 +128,7 @@
     }
   }
 
-  /** The form in which a token is stored. */
+  /** Returns the SHA-256 hash of a token in hexadecimal, as the token file has it. */
   public static String hash(String token) {
     return Hashing.sha256().hashString(token, StandardCharsets.UTF_8).toString();
   }
@@ -134,7 +142,10 @@
     return identifyBySubject(exchange.subject());
   }
 
-  /** Looks at all entries, each in the same time, so that no answer tells how close a guess was. */
+  /**
+   * Finds the identity of a token. Compares all entries, each in constant time, so that the
+   * response time does not reveal how close a guess was.
+   */
   private Identity identifyByToken(String token) {
     byte[] hash = HexFormat.of().parseHex(hash(token));
     Identity found = null;
--- a/src/main/java/dapplestair/admin/DrainHandler.java
+++ b/src/main/java/dapplestair/admin/DrainHandler.java
@@ -11,7 +11,7 @@
 import dapplestair.workers.WorkerManager;
 import java.util.function.Consumer;
 
-/** Orders to empty machines and zones, and to take them back. */
+/** Handles requests to drain machines and zones and to end such drains. */
 final class DrainHandler {
   private static final int MAX_REASON_CHARACTERS = 200;
   private static final long WRITE_TIMEOUT_MS = 2000;
@@ -34,7 +34,7 @@
   void changeMachineDrain(
       AdminRequest request, String id, boolean isDrain, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
-    // A drain may outlive its machine for a moment; it can be ended all the same.
+    // The record of a drain may outlive its machine for a moment; such a drain can still be ended.
     if (workers.known(id) == null && !drains.machines().containsKey(id)) {
       done.accept(AdminResponse.error(404, "no machine " + id));
       return;
--- a/src/main/java/dapplestair/admin/EventViews.java
+++ b/src/main/java/dapplestair/admin/EventViews.java
@@ -11,21 +11,21 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The leader's events, followed by long poll. */
+/** Answers requests for the events of the leader, with long polling. */
 final class EventViews {
   private final Timers timers;
   private final EventLog eventLog;
   private final PagedListing listing;
 
-  EventViews(Timers timers, EventLog log, PagedListing listing) {
+  EventViews(Timers timers, EventLog eventLog, PagedListing listing) {
     this.timers = timers;
-    this.eventLog = log;
+    this.eventLog = eventLog;
     this.listing = listing;
   }
 
   /**
-   * Answers with events behind number {@code lastNumber}. When there are none, waits for up to
-   * {@code waitMs} for the next one that the filter lets through.
+   * Answers with the events after number {@code after} that match the filter. If there are none,
+   * waits up to {@code waitMs} for the next one that matches.
    */
   void list(Filter filter, long after, int limit, long waitMs, Consumer<AdminResponse> done) {
     Poll poll = new Poll(filter, limit, done, after);
--- a/src/main/java/dapplestair/admin/JobViews.java
+++ b/src/main/java/dapplestair/admin/JobViews.java
@@ -20,7 +20,7 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 
-/** Jobs as operators see them. */
+/** Builds the views of jobs for operators. */
 final class JobViews {
   private static final int MAX_ATTEMPTS = 200;
 
@@ -30,13 +30,14 @@
   private final AsOfStamp asOf;
   private final PagedListing listing;
 
-  // Jobs that are not over, in the order in which they are listed.
+  // References of the jobs that have not finished, in the order in which they are listed.
   private final TreeSet<String> unfinishedRefs = new TreeSet<>();
 
-  JobViews(Clock clock, Ledger ledger, StateClient state, AsOfStamp asOf, PagedListing listing) {
+  JobViews(
+      Clock clock, Ledger ledger, StateClient stateClient, AsOfStamp asOf, PagedListing listing) {
     this.clock = clock;
     this.ledger = ledger;
-    this.stateClient = state;
+    this.stateClient = stateClient;
     this.asOf = asOf;
     this.listing = listing;
   }
@@ -49,17 +50,17 @@
     unfinishedRefs.remove(ref);
   }
 
-  void clear() {
+  void clearUnfinished() {
     unfinishedRefs.clear();
   }
 
   // ---- listing ----
 
   void list(Filter filter, String after, int limit, Consumer<AdminResponse> done) {
-    listing.read(unfinishedRefs, this::row, filter, after, limit, done);
+    listing.read(unfinishedRefs, this::unfinishedRow, filter, after, limit, done);
   }
 
-  private PagedListing.WritableRow row(String ref) {
+  private PagedListing.WritableRow unfinishedRow(String ref) {
     Job job = ledger.job(ref);
     if (job == null || job.isOver()) {
       return null;
@@ -74,7 +75,7 @@
         ageS(job.acceptedWallMs()));
   }
 
-  /** The word for a job that is not over, by {@link Ledger#taskCounts}. */
+  /** Returns the status of an unfinished job from the counts of {@link Ledger#taskCounts}. */
   static String statusOf(int[] counts) {
     return counts[1] > 0 ? "running" : "queued";
   }
@@ -83,7 +84,7 @@
     return Math.max(0, clock.wall() - acceptedWallMs) / 1000.0;
   }
 
-  /** Jobs that are over are not replicated: the state service is asked for a page of them. */
+  /** Lists finished jobs. They are not replicated, so a page is read from the state service. */
   void listFinished(Filter filter, String after, int limit, Consumer<AdminResponse> done) {
     stateClient.list(
         StateKeys.FINISHED_JOB,
@@ -113,8 +114,8 @@
       return null;
     }
     String status = Json.text(record, "status");
-    int done = "done".equals(status) ? submission.steps() : 0;
-    return new JobRow(submission, status, done, 0, 0, ageS(Json.number(record, "at", 0)));
+    int doneTasks = "done".equals(status) ? submission.steps() : 0;
+    return new JobRow(submission, status, doneTasks, 0, 0, ageS(Json.number(record, "at", 0)));
   }
 
   private static Submission parseSubmission(JsonNode record) {
@@ -125,9 +126,9 @@
     }
   }
 
-  /** One row of a listing. */
+  /** A job as a row of a listing. */
   private record JobRow(
-      Submission job, String status, int done, int running, int waiting, double ageS)
+      Submission job, String status, int doneTasks, int runningTasks, int waitingTasks, double ageS)
       implements PagedListing.WritableRow {
     @Override
     public Object value(String field) {
@@ -139,10 +140,10 @@
         case "rank" -> job.rank().wire();
         case "status" -> status;
         case "tasks" -> (double) job.steps();
-        case "done" -> (double) done;
-        case "running" -> (double) running;
-        case "waiting_tasks" -> (double) waiting;
-        case "waiting" -> waiting > 0 ? ageS : 0.0;
+        case "done" -> (double) doneTasks;
+        case "running" -> (double) runningTasks;
+        case "waiting_tasks" -> (double) waitingTasks;
+        case "waiting" -> waitingTasks > 0 ? ageS : 0.0;
         case "age" -> ageS;
         case "cpus" -> job.cpus();
         case "spot" -> job.spot();
@@ -161,10 +162,10 @@
       generator.writeStringField("shape", job.shape().wire());
       generator.writeStringField("rank", job.rank().wire());
       generator.writeNumberField("tasks", job.steps());
-      generator.writeNumberField("done", done);
-      generator.writeNumberField("running", running);
-      generator.writeNumberField("waiting_tasks", waiting);
-      generator.writeNumberField("waiting", waiting > 0 ? ageS : 0);
+      generator.writeNumberField("done", doneTasks);
+      generator.writeNumberField("running", runningTasks);
+      generator.writeNumberField("waiting_tasks", waitingTasks);
+      generator.writeNumberField("waiting", waitingTasks > 0 ? ageS : 0);
       generator.writeNumberField("age", ageS);
       generator.writeNumberField("cpus", job.cpus());
       generator.writeBooleanField("spot", job.spot());
@@ -175,7 +176,10 @@
 
   // ---- one job ----
 
-  /** One job with its attempts from step {@code fromStep} on; only a leader knows them. */
+  /**
+   * Shows one job with its attempts from step {@code fromStep} on. Only the leader knows the
+   * attempts.
+   */
   void show(String ref, int fromStep, Consumer<AdminResponse> done) {
     Job job = ledger.job(ref);
     if (job != null && !job.isOver()) {
@@ -193,12 +197,16 @@
         });
   }
 
-  /** Reads how a job ended; 404 when it was never accepted. */
+  /**
+   * Reads the record of a finished job and answers with it; answers with status 404 if the job was
+   * never accepted.
+   */
   void readFinished(
       String ref,
       Consumer<AdminResponse> done,
       java.util.function.Function<JsonNode, AdminResponse> toResponse) {
-    // All of it may be done though that is not on record yet, or only a moment after it was read.
+    // All tasks of a job in the ledger may be done before its end is recorded, or the end may be
+    // recorded just after this read: a missing record then does not mean an unknown job.
     boolean isEnding = ledger.job(ref) != null;
     stateClient.get(
         StateKeys.finishedJob(ref),
@@ -239,7 +247,7 @@
     return object;
   }
 
-  /** One attempt: where it is and how far. */
+  /** Returns an attempt with its machine, its status and its progress. */
   ObjectNode attemptJson(Attempt attempt) {
     String status =
         attempt.status() == null ? "launching" : attempt.status().name().toLowerCase(Locale.ROOT);
--- a/src/main/java/dapplestair/admin/MachineViews.java
+++ b/src/main/java/dapplestair/admin/MachineViews.java
@@ -17,7 +17,7 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 
-/** Machines as operators see them; only a leader knows them. */
+/** Builds the views of machines for operators. Only the leader knows the machines. */
 final class MachineViews {
   private final Clock clock;
   private final WorkerManager workers;
@@ -52,7 +52,10 @@
     return host == null ? null : new MachineRow(host, stateOf(host), clock.now());
   }
 
-  /** One word for what matters most about a machine. */
+  /**
+   * Returns the state of a machine. If several apply, returns the most important one: they are
+   * checked in order of importance.
+   */
   String stateOf(Host host) {
     if (host.releasing()) {
       return "returning";
@@ -78,7 +81,7 @@
     return host.cordoned() ? "cordoned" : "up";
   }
 
-  /** One row of a listing. */
+  /** A machine as a row of a listing. */
   private record MachineRow(Host host, String state, long nowMs)
       implements PagedListing.WritableRow {
     @Override
@@ -170,7 +173,11 @@
     done.accept(AdminResponse.of(object));
   }
 
-  /** An order to empty something; {@code progress} may be null. */
+  /**
+   * Returns a drain as JSON.
+   *
+   * @param progress what is left on the drained machine, or null for a zone or an unknown machine
+   */
   static ObjectNode drainJson(Drain drain, DrainExecutor.DrainProgress progress) {
     ObjectNode object =
         Json.object()
@@ -193,7 +200,7 @@
     return object;
   }
 
-  /** All drains, also those whose machines are not known yet. */
+  /** Returns all drains, including those of machines that are not known yet. */
   ObjectNode drains() {
     ObjectNode object = asOf.newObject();
     ArrayNode rows = object.putArray("rows");
--- a/src/main/java/dapplestair/admin/PagedListing.java
+++ b/src/main/java/dapplestair/admin/PagedListing.java
@@ -13,17 +13,17 @@
 import java.util.function.Function;
 
 /**
- * Reads rows in the order of their names, a bounded number in one turn of the loop, so that whoever
- * lists everything delays nobody.
+ * Reads rows in the order of their names, with a limited number in one turn of the event loop, so
+ * that a request that lists everything does not delay others.
  */
 final class PagedListing {
-  /** Rows looked at in one turn. */
+  /** Maximum number of rows examined in one turn of the event loop. */
   static final int MAX_ROWS_PER_TURN = 250;
 
-  /** Rows of one answer at most. */
+  /** Maximum number of rows in one answer. */
   static final int MAX_ROWS_PER_PAGE = 500;
 
-  /** A row that can also be written. */
+  /** A row that can be written as JSON. */
   interface WritableRow extends Row {
     void write(JsonGenerator generator) throws IOException;
   }
@@ -37,8 +37,9 @@
   }
 
   /**
-   * Answers with the rows behind {@code after}. {@code rowByName} may give null for a name that is
-   * gone. Names may come and go between turns: the page goes on behind the last one it saw.
+   * Answers with the rows after {@code after} that match the filter. {@code rowByName} may return
+   * null for a name that has been removed. Names may be added and removed between turns: each turn
+   * continues after the last name examined.
    */
   void read(
       NavigableSet<String> names,
@@ -79,7 +80,7 @@
     done.accept(page(rows, null));
   }
 
-  /** One answer; {@code next} is the cursor of the page behind, or null at the end. */
+  /** Returns a page; {@code next} is the cursor of the following page, or null at the end. */
   AdminResponse page(List<byte[]> rows, String next) {
     byte[] body =
         Json.written(
--- a/src/main/java/dapplestair/admin/ReplacementHandler.java
+++ b/src/main/java/dapplestair/admin/ReplacementHandler.java
@@ -20,7 +20,7 @@
 import java.util.function.Supplier;
 import java.util.regex.Pattern;
 
-/** Orders to replace machines: given, paused, taken up again, aborted, looked at. */
+/** Handles requests to start, pause, resume, abort, list and show orders to replace machines. */
 final class ReplacementHandler {
   private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,39}");
   private static final int MAX_REASON_CHARACTERS = 200;
@@ -47,7 +47,7 @@
     this.asOf = asOf;
   }
 
-  // ---- looking ----
+  // ---- views ----
 
   ObjectNode list() {
     ObjectNode object = asOf.newObject();
@@ -149,7 +149,7 @@
     changeExisting(name, () -> replacements.told(name, null), "resumed", done);
   }
 
-  /** What is still old goes back into use. */
+  /** Deletes an order. Machines that have not been replaced yet go back into use. */
   void abort(String name, Consumer<AdminResponse> done) {
     changeExisting(name, () -> null, "aborted", done);
   }
@@ -168,7 +168,10 @@
     writeRecord(name, value, state, clock.now() + WRITE_TIMEOUT_MS, done);
   }
 
-  /** The leader writes to the same record as it goes on: then the wish is put to it once more. */
+  /**
+   * Writes the record of a replacement. The leader updates the same record as the replacement
+   * proceeds; a write that conflicts with such an update is retried until the deadline.
+   */
   private void writeRecord(
       String name,
       Supplier<ObjectNode> value,
@@ -205,7 +208,7 @@
         asOf.newObject().put("name", name).put("state", state).put("changed", changed));
   }
 
-  // ---- what is asked for ----
+  // ---- parsing requests ----
 
   private ReplacementOrder parseOrder(AdminRequest request)
       throws AdminRequest.BadRequestException {
--- a/src/main/java/dapplestair/admin/Role.java
+++ b/src/main/java/dapplestair/admin/Role.java
@@ -2,16 +2,16 @@
 
 /** What a caller may do. */
 public enum Role {
-  /** Look. */
+  /** May view. */
   VIEW,
-  /** Change things, too. */
+  /** May view and change things. */
   OPERATE;
 
   boolean covers(Role needed) {
     return ordinal() >= needed.ordinal();
   }
 
-  /** The role of this name, or null. */
+  /** Returns the role with this label, or null if there is none. */
   public static Role fromLabel(String label) {
     for (Role role : values()) {
       if (role.label().equals(label)) {
--- a/src/main/java/dapplestair/admin/Routes.java
+++ b/src/main/java/dapplestair/admin/Routes.java
@@ -6,9 +6,11 @@
 import dapplestair.work.Submission;
 import java.util.function.Consumer;
 
-/** What may be asked, who may ask it, and who can answer it. */
+/**
+ * Maps request paths to handlers, with the role that each needs and whether only a leader answers.
+ */
 final class Routes {
-  /** The longest that a follower of events waits in one request. */
+  /** Maximum time that one request for events waits for the next event. */
   static final long MAX_POLL_MS = 30_000;
 
   private static final String PATH_PREFIX = "/v1/";
@@ -39,7 +41,7 @@
     this.replacements = replacements;
   }
 
-  /** Something that answers a question. */
+  /** Answers a request. */
   @FunctionalInterface
   interface Handler {
     void answer(AdminRequest request, Consumer<AdminResponse> done)
@@ -47,15 +49,15 @@
   }
 
   /**
-   * A way to an answer.
+   * A handler with the conditions for using it.
    *
-   * @param role who may take it
-   * @param leaderOnly true when only a leader's memory knows
-   * @param waitMs how long the answer may keep silent before it comes
+   * @param role the role that a caller needs
+   * @param leaderOnly true if only the leader has the state in memory
+   * @param waitMs how long the handler may wait before it answers
    */
   record Route(Role role, boolean leaderOnly, long waitMs, Handler handler) {}
 
-  /** Where a question goes, or null when there is no such path. */
+  /** Returns the route for the path of a request, or null if there is no such path. */
   Route find(AdminRequest request) {
     if (!request.path().startsWith(PATH_PREFIX)) {
       return null;
--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -15,7 +15,10 @@
 import dapplestair.settings.Settings;
 import java.util.function.Consumer;
 
-/** Why a job waits: what placement wrote down of a turn, and what the fleet has in store. */
+/**
+ * Explains why a job waits, from the findings of a placement turn and from the capacity that the
+ * fleet has pending.
+ */
 final class WhyView {
   private final Settings settings;
   private final Ledger ledger;
@@ -155,7 +158,10 @@
     }
   }
 
-  /** The earliest of what is on its way, but not before the job may start at all; -1: unknown. */
+  /**
+   * Returns the seconds until the earliest capacity for the job is expected, but at least until its
+   * backoff ends; -1 if that is not known.
+   */
   private double expectedStartS(PlacementExplanation explanation, PendingCapacity pendingCapacity) {
     double earliestS = Double.POSITIVE_INFINITY;
     if (explanation.machineVerdicts().containsKey(PlacementVerdict.FITS)
--- a/src/main/java/dapplestair/admin/package-info.java
+++ b/src/main/java/dapplestair/admin/package-info.java
@@ -1,2 +1,5 @@
-/** The operators' interface: who may ask, and what is told as of which moment. */
+/**
+ * The operators' interface: authentication and roles, the views of jobs, machines and the cluster,
+ * and the orders that operators give. Each answer states the term and epoch as of which it holds.
+ */
 package dapplestair.admin;
--- a/src/main/java/dapplestair/filter/Filter.java
+++ b/src/main/java/dapplestair/filter/Filter.java
@@ -9,24 +9,24 @@
 import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.misc.ParseCancellationException;
 
-/** A condition on rows, checked against their fields when it is read. */
+/** A condition on rows. Its fields and types are checked against a schema when it is parsed. */
 @FunctionalInterface
 public interface Filter {
-  /** Longer filters are refused. */
+  /** Maximum length of a filter. */
   int MAX_CHARACTERS = 2000;
 
-  /** Deeper ones as well: reading them takes stack. */
+  /** Maximum depth of parentheses, limited because the parser recurses for each level. */
   int MAX_NESTING = 40;
 
-  /** True when the row meets the condition. */
+  /** Returns true if the row meets the condition. */
   boolean test(Row row);
 
-  /** Everything. */
+  /** Returns a filter that matches every row. */
   static Filter matchAll() {
     return row -> true;
   }
 
-  /** Reads a filter; an empty one lets all through. */
+  /** Parses a filter; an empty one matches every row. */
   static Filter read(String text, Schema schema) throws FilterException {
     if (text == null || text.isBlank()) {
       return matchAll();
@@ -64,7 +64,7 @@
     }
   }
 
-  /** Ends the reading at the first mistake. */
+  /** Ends parsing at the first syntax error. */
   final class SyntaxErrorListener extends BaseErrorListener {
     private final String text;
 
@@ -81,7 +81,7 @@
         String message,
         RecognitionException e) {
       int position = column;
-      // Columns are counted in their line, the mistake in the whole text.
+      // The parser counts columns within a line, but the position is an index into the whole text.
       for (int i = 1, lineStart = 0; i < line; i++) {
         lineStart = text.indexOf('\n', lineStart) + 1;
         position = lineStart + column;
--- a/src/main/java/dapplestair/filter/FilterCompiler.java
+++ b/src/main/java/dapplestair/filter/FilterCompiler.java
@@ -7,7 +7,7 @@
 import org.antlr.v4.runtime.Token;
 import org.antlr.v4.runtime.misc.ParseCancellationException;
 
-/** Turns a parsed filter into a condition, checking fields and types. */
+/** Compiles a parsed filter into a condition, checking fields and types against a schema. */
 final class FilterCompiler extends FilterBaseVisitor<Filter> {
   private final Schema schema;
 
--- a/src/main/java/dapplestair/filter/FilterException.java
+++ b/src/main/java/dapplestair/filter/FilterException.java
@@ -1,6 +1,6 @@
 package dapplestair.filter;
 
-/** A filter that cannot be understood, with the place of the mistake. */
+/** Thrown for a filter that cannot be parsed or compiled, with the position of the error. */
 public final class FilterException extends Exception {
   private static final long serialVersionUID = 1L;
   private static final int EXCERPT_CHARACTERS = 60;
@@ -12,12 +12,14 @@
     this.position = position;
   }
 
-  /** Index of the character at fault. */
+  /** Returns the index of the character at which the error is. */
   public int position() {
     return position;
   }
 
-  /** The filter around the mistake with a caret under it, and what is wrong. */
+  /**
+   * Returns the part of the filter around the error, with a caret under the error and the message.
+   */
   public String annotate(String filter) {
     String line = filter.replaceAll("\\s", " ");
     int start = Math.max(0, position - EXCERPT_CHARACTERS / 2);
--- a/src/main/java/dapplestair/filter/Row.java
+++ b/src/main/java/dapplestair/filter/Row.java
@@ -1,8 +1,10 @@
 package dapplestair.filter;
 
-/** Something that a filter can look at. */
+/** A row whose fields a filter can examine. */
 @FunctionalInterface
 public interface Row {
-  /** A field's value: a String, a Double, a Boolean, or null when it has none. */
+  /**
+   * Returns the value of a field: a String, a Double, a Boolean, or null if the field is not set.
+   */
   Object value(String field);
 }
--- a/src/main/java/dapplestair/filter/Schema.java
+++ b/src/main/java/dapplestair/filter/Schema.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The fields that rows of one kind have, with their types. */
+/** The names and types of the fields that rows of one kind have. */
 public enum Schema {
   /** Rows of {@code job list}. */
   JOBS(
@@ -19,7 +19,7 @@
       "id number, at number, kind text, job text, task text, machine text, zone text, team text,"
           + " reason text, type text, status text, spot flag, count number, term number");
 
-  /** What a field holds. */
+  /** The type of the values of a field. */
   public enum Type {
     TEXT,
     NUMBER,
@@ -37,12 +37,12 @@
     }
   }
 
-  /** A field's type, or null when there is no such field. */
+  /** Returns the type of a field, or null if there is no such field. */
   public Type type(String field) {
     return fields.get(field);
   }
 
-  /** All fields, for messages. */
+  /** Returns the names of all fields, separated by commas, for messages. */
   public String names() {
     return String.join(", ", fields.keySet());
   }
--- a/src/main/java/dapplestair/filter/package-info.java
+++ b/src/main/java/dapplestair/filter/package-info.java
@@ -1,2 +1,2 @@
-/** The small language of {@code --where}, the same for jobs, machines and events. */
+/** The filter language of {@code --where}, which is the same for jobs, machines and events. */
 package dapplestair.filter;
--- a/src/main/java/dapplestair/node/RoleChangeNotifier.java
+++ b/src/main/java/dapplestair/node/RoleChangeNotifier.java
@@ -62,7 +62,7 @@
     scheduling.imageLocations.clear();
     scheduling.faultAttribution.clear();
     if (admin != null) {
-      admin.clear();
+      admin.clearUnfinishedJobs();
     }
     scheduling.fleet.clear();
     core.ledger.clear();
