--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -71,7 +71,7 @@
 
   /**
    * Returns the state of the cluster: the leader, the counts of machines by state, the peers, open
-   * cancellations and lane claims, calendars, and the queues to the state service.
+   * cancellations and lane claims, calendars, the relay, and the queues to the state service.
    */
   ObjectNode status() {
     ObjectNode object =
@@ -161,8 +161,8 @@
       waitingCpusByTeam.merge(
           job.spec().team(), job.waitingTasks() * job.spec().cpus(), Double::sum);
     }
-    // Borrowed CPUs are not tied to a lender: what is lent in all is attributed to teams in
-    // proportion to the part of its guarantee that each leaves unused.
+    // Borrowed CPUs are not tied to a lender: their total is attributed to the teams as lent CPUs
+    // in proportion to the part of its guarantee that each team leaves unused.
     double lentShare = unusedCpus <= 0 ? 0 : Math.min(1, borrowedCpus / unusedCpus);
     Map<String, JobStatistics.JobCounts> countsByTeam = ledger.jobStatistics().byTeam();
     Map<String, BudgetStatus> budgetStatuses = disruptionGate.statuses();
--- a/src/main/java/dapplestair/admin/CredentialStore.java
+++ b/src/main/java/dapplestair/admin/CredentialStore.java
@@ -48,7 +48,7 @@
     return new CredentialStore(null);
   }
 
-  /** Returns a store that reads a token file now and again whenever the file has changed. */
+  /** Returns a store that reads a token file at once, and again whenever the file has changed. */
   public static CredentialStore watch(Path file, Timers timers, BackgroundExecutor background)
       throws IOException {
     CredentialStore credentials = new CredentialStore(file);
--- a/src/main/java/dapplestair/admin/DrainHandler.java
+++ b/src/main/java/dapplestair/admin/DrainHandler.java
@@ -31,6 +31,7 @@
     this.asOf = asOf;
   }
 
+  /** Starts a drain of a machine, or ends it if {@code isDrain} is false. */
   void changeMachineDrain(
       AdminRequest request, String id, boolean isDrain, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
@@ -48,6 +49,7 @@
         done);
   }
 
+  /** Starts a drain of a zone, or ends it if {@code isDrain} is false. */
   void changeZoneDrain(
       AdminRequest request, String zone, boolean isDrain, Consumer<AdminResponse> done)
       throws AdminRequest.BadRequestException {
--- a/src/main/java/dapplestair/admin/EventViews.java
+++ b/src/main/java/dapplestair/admin/EventViews.java
@@ -29,17 +29,18 @@
    */
   void list(Filter filter, long after, int limit, long waitMs, Consumer<AdminResponse> done) {
     Poll poll = new Poll(filter, limit, done, after);
-    poll.answerIfAny();
+    poll.answerIfAnyMatch();
     if (!poll.isAnswered) {
       poll.waitForEvents(waitMs);
     }
   }
 
+  /** A request for events that may wait for the next event before it is answered. */
   private final class Poll {
     private final Filter filter;
     private final int limit;
     private final Consumer<AdminResponse> done;
-    private long lastNumber;
+    private long lastEventNumber;
     private boolean isAnswered;
     private Cancellable timer = () -> {};
     private final Runnable wakeUp = this::onNewEvents;
@@ -48,16 +49,16 @@
       this.filter = filter;
       this.limit = limit;
       this.done = done;
-      this.lastNumber = after;
+      this.lastEventNumber = after;
     }
 
-    private void answerIfAny() {
+    private void answerIfAnyMatch() {
       List<byte[]> rows = new ArrayList<>();
-      for (EventLog.Event event : eventLog.after(lastNumber)) {
+      for (EventLog.Event event : eventLog.after(lastEventNumber)) {
         if (rows.size() == limit) {
           break;
         }
-        lastNumber = event.number();
+        lastEventNumber = event.number();
         if (filter.test(toRow(event.fields()))) {
           rows.add(Json.bytes(event.fields()));
         }
@@ -79,7 +80,7 @@
       if (isAnswered) {
         return;
       }
-      answerIfAny();
+      answerIfAnyMatch();
       if (!isAnswered && !eventLog.next(wakeUp)) {
         answer(List.of());
       }
@@ -92,7 +93,7 @@
       isAnswered = true;
       timer.cancel();
       eventLog.unwait(wakeUp);
-      done.accept(listing.page(rows, Long.toString(lastNumber)));
+      done.accept(listing.page(rows, Long.toString(lastEventNumber)));
     }
   }
 
--- a/src/main/java/dapplestair/admin/JobViews.java
+++ b/src/main/java/dapplestair/admin/JobViews.java
@@ -22,7 +22,7 @@
 
 /** Builds the views of jobs for operators. */
 final class JobViews {
-  private static final int MAX_ATTEMPTS = 200;
+  private static final int MAX_ATTEMPTS_PER_ANSWER = 200;
 
   private final Clock clock;
   private final Ledger ledger;
@@ -237,12 +237,13 @@
             .put("waiting_tasks", job.waitingTasks());
     object.set("job", submission.toJson());
     ArrayNode attemptArray = object.putArray("attempts");
-    List<Attempt> attempts = ledger.attempts(job, fromStep, MAX_ATTEMPTS + 1);
-    for (Attempt attempt : attempts.subList(0, Math.min(MAX_ATTEMPTS, attempts.size()))) {
+    List<Attempt> attempts = ledger.attempts(job, fromStep, MAX_ATTEMPTS_PER_ANSWER + 1);
+    for (Attempt attempt :
+        attempts.subList(0, Math.min(MAX_ATTEMPTS_PER_ANSWER, attempts.size()))) {
       attemptArray.add(attemptJson(attempt));
     }
-    if (attempts.size() > MAX_ATTEMPTS) {
-      object.put("next", attempts.get(MAX_ATTEMPTS).step());
+    if (attempts.size() > MAX_ATTEMPTS_PER_ANSWER) {
+      object.put("next", attempts.get(MAX_ATTEMPTS_PER_ANSWER).step());
     }
     return object;
   }
--- a/src/main/java/dapplestair/admin/ReplacementHandler.java
+++ b/src/main/java/dapplestair/admin/ReplacementHandler.java
@@ -213,8 +213,8 @@
   private ReplacementOrder parseOrder(AdminRequest request)
       throws AdminRequest.BadRequestException {
     JsonNode body = request.body();
-    long now = clock.wall();
-    MachineSelector selector = parseSelector(body, now);
+    long nowWallMs = clock.wall();
+    MachineSelector selector = parseSelector(body, nowWallMs);
     int total = replacements.covered(selector);
     double stepRatio = parseNumber(body, "step_ratio", 0, 0, 1);
     double defaultStep =
@@ -226,7 +226,7 @@
     }
     return new ReplacementOrder(
         request.caller().name(),
-        now,
+        nowWallMs,
         parseReason(body),
         selector,
         total,
@@ -248,7 +248,7 @@
     return object;
   }
 
-  private MachineSelector parseSelector(JsonNode body, long now)
+  private MachineSelector parseSelector(JsonNode body, long nowWallMs)
       throws AdminRequest.BadRequestException {
     String zone = Json.text(body, "zone");
     if (zone != null && !settings.zones().contains(zone)) {
@@ -276,7 +276,7 @@
       throw new AdminRequest.BadRequestException(
           "select = {}: name a zone, a type, a kind, an age or machines");
     }
-    long rentedBeforeMs = olderS > 0 ? now - Math.round(1000 * olderS) : 0;
+    long rentedBeforeMs = olderS > 0 ? nowWallMs - Math.round(1000 * olderS) : 0;
     return new MachineSelector(
         zone,
         type,
--- a/src/main/java/dapplestair/admin/Routes.java
+++ b/src/main/java/dapplestair/admin/Routes.java
@@ -7,14 +7,15 @@
 import java.util.function.Consumer;
 
 /**
- * Maps request paths to handlers, with the role that each needs and whether only a leader answers.
+ * Maps request paths to handlers, with the role that each needs and whether only the leader can
+ * answer.
  */
 final class Routes {
   /** Maximum time that one request for events waits for the next event. */
   static final long MAX_POLL_MS = 30_000;
 
   private static final String PATH_PREFIX = "/v1/";
-  private static final int DEFAULT_ROWS = 100;
+  private static final int DEFAULT_ROWS_PER_PAGE = 100;
 
   private final JobViews jobs;
   private final MachineViews machines;
@@ -182,7 +183,8 @@
   }
 
   private static int parseLimit(AdminRequest request) throws AdminRequest.BadRequestException {
-    return (int) request.boundedNumber("limit", DEFAULT_ROWS, 1, PagedListing.MAX_ROWS_PER_PAGE);
+    return (int)
+        request.boundedNumber("limit", DEFAULT_ROWS_PER_PAGE, 1, PagedListing.MAX_ROWS_PER_PAGE);
   }
 
   private void listJobs(AdminRequest request, Consumer<AdminResponse> done)
--- a/src/main/java/dapplestair/admin/WhyView.java
+++ b/src/main/java/dapplestair/admin/WhyView.java
@@ -159,8 +159,8 @@
   }
 
   /**
-   * Returns the seconds until the earliest capacity for the job is expected, but at least until its
-   * backoff ends; -1 if that is not known.
+   * Returns the seconds until the earliest capacity for the job is expected, or until the job's
+   * backoff ends if that is later; -1 if that time is not known.
    */
   private double expectedStartS(PlacementExplanation explanation, PendingCapacity pendingCapacity) {
     double earliestS = Double.POSITIVE_INFINITY;
--- a/src/main/java/dapplestair/filter/Filter.java
+++ b/src/main/java/dapplestair/filter/Filter.java
@@ -15,7 +15,7 @@
   /** Maximum length of a filter. */
   int MAX_CHARACTERS = 2000;
 
-  /** Maximum depth of parentheses, limited because the parser recurses for each level. */
+  /** Maximum depth of parentheses, limited because the parser recurses and uses stack per level. */
   int MAX_NESTING = 40;
 
   /** Returns true if the row meets the condition. */
