--- a/src/main/java/dapplestair/admin/CredentialStore.java
+++ b/src/main/java/dapplestair/admin/CredentialStore.java
@@ -93,7 +93,7 @@
   private TokenFile load() throws IOException {
     FileTime modifiedAt = Files.getLastModifiedTime(file);
     if (Files.size(file) > MAX_FILE_BYTES) {
-      throw new IOException("the token file is larger than " + MAX_FILE_BYTES + " bytes");
+      throw new IOException("over " + MAX_FILE_BYTES + " bytes");
     }
     List<TokenEntry> entries = new ArrayList<>();
     int lineNumber = 0;
