--- a/src/main/java/dapplestair/admin/AdminRequest.java
+++ b/src/main/java/dapplestair/admin/AdminRequest.java
@@ -7,37 +7,41 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One request, as it also travels to the leader. */
+/** A request of an operator. Controllers also forward it to the leader in this form. */
 record AdminRequest(
     String method, String path, Map<String, String> params, JsonNode body, Caller caller) {
 
   static AdminRequest read(String method, String path, String query, byte[] body, Caller caller) {
     Map<String, String> params = new HashMap<>();
-    // Given more than once, the first one counts.
+    // Of a parameter that is given more than once, the first value is used.
     new QueryStringDecoder(query, false).parameters().forEach((k, v) -> params.put(k, v.get(0)));
     return new AdminRequest(
         method, path, params, body.length == 0 ? Json.object() : Json.parse(body), caller);
   }
 
-  /** A parameter, or null. */
+  /** Returns a query parameter, or null if it is missing. */
   String param(String name) {
     return params.get(name);
   }
 
-  /** A whole number from the query, kept between bounds. */
-  long number(String name, long otherwise, long low, long high) throws BadRequestException {
-    String v = param(name);
-    if (v == null) {
-      return otherwise;
+  /**
+   * Returns an integer query parameter, clamped to {@code min} and {@code max}, or the default
+   * value if it is missing.
+   */
+  long boundedNumber(String name, long defaultValue, long min, long max)
+      throws BadRequestException {
+    String text = param(name);
+    if (text == null) {
+      return defaultValue;
     }
     try {
-      return Math.max(low, Math.min(high, Long.parseLong(v)));
+      return Math.max(min, Math.min(max, Long.parseLong(text)));
     } catch (NumberFormatException e) {
       throw new BadRequestException(name + ": must be a whole number");
     }
   }
 
-  /** What is wrong with a question; the message names the field. */
+  /** Thrown for an invalid request; the message names the field. */
   static final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -48,10 +52,10 @@
 
   ObjectNode toJson() {
     ObjectNode object = Json.object().put("method", method).put("path", path);
-    ObjectNode p = object.putObject("params");
-    params.forEach(p::put);
+    ObjectNode paramsObject = object.putObject("params");
+    params.forEach(paramsObject::put);
     object.set("body", body);
-    return object.put("who", caller.name()).put("role", caller.role().shown());
+    return object.put("who", caller.name()).put("role", caller.role().label());
   }
 
   static AdminRequest parse(JsonNode node) {
@@ -59,7 +63,7 @@
     node.path("params")
         .fields()
         .forEachRemaining(e -> params.put(e.getKey(), e.getValue().asText()));
-    Role role = Role.of(node.path("role").asText());
+    Role role = Role.fromLabel(node.path("role").asText());
     return role == null
         ? null
         : new AdminRequest(
--- a/src/main/java/dapplestair/admin/AsOfStamp.java
+++ b/src/main/java/dapplestair/admin/AsOfStamp.java
@@ -8,7 +8,9 @@
 import dapplestair.state.Replica;
 import java.io.IOException;
 
-/** As of when an answer holds: nobody may take one for newer than it is. */
+/**
+ * Stamps answers with the term and epoch as of which they hold, so that a reader sees their age.
+ */
 final class AsOfStamp {
   private final Settings settings;
   private final Leadership leadership;
@@ -24,17 +26,17 @@
     return leadership.isLeading() ? leadership.term() : leadership.highestTermSeen();
   }
 
-  void write(JsonGenerator out) throws IOException {
-    out.writeObjectFieldStart("asOf");
-    out.writeNumberField("term", term());
-    out.writeNumberField("epoch", replica.appliedEpoch());
-    out.writeStringField("leader", leadership.currentLeader());
-    out.writeStringField("by", settings.member());
-    out.writeEndObject();
+  void writeTo(JsonGenerator generator) throws IOException {
+    generator.writeObjectFieldStart("asOf");
+    generator.writeNumberField("term", term());
+    generator.writeNumberField("epoch", replica.appliedEpoch());
+    generator.writeStringField("leader", leadership.currentLeader());
+    generator.writeStringField("by", settings.member());
+    generator.writeEndObject();
   }
 
-  /** An object that says it. */
-  ObjectNode object() {
+  /** Returns a new object that contains the stamp. */
+  ObjectNode newObject() {
     ObjectNode object = Json.object();
     object
         .putObject("asOf")
--- a/src/main/java/dapplestair/admin/EventViews.java
+++ b/src/main/java/dapplestair/admin/EventViews.java
@@ -11,54 +11,55 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The leader's events, followed by long poll. */
+/** Answers requests for the events of the leader, with long polling. */
 final class EventViews {
   private final Timers timers;
-  private final EventLog log;
+  private final EventLog eventLog;
   private final PagedListing listing;
 
-  EventViews(Timers timers, EventLog log, PagedListing listing) {
+  EventViews(Timers timers, EventLog eventLog, PagedListing listing) {
     this.timers = timers;
-    this.log = log;
+    this.eventLog = eventLog;
     this.listing = listing;
   }
 
   /**
-   * Answers with events behind number {@code after}. When there are none, waits for up to {@code
-   * waitMs} for the next one that the filter lets through.
+   * Answers with the events after number {@code after} that match the filter. If there are none,
+   * waits up to {@code waitMs} for the next one that matches.
    */
   void list(Filter filter, long after, int limit, long waitMs, Consumer<AdminResponse> done) {
     Poll poll = new Poll(filter, limit, done, after);
-    poll.look();
-    if (!poll.over) {
-      poll.await(waitMs);
+    poll.answerIfAnyMatch();
+    if (!poll.isAnswered) {
+      poll.waitForEvents(waitMs);
     }
   }
 
+  /** A request for events that may wait for the next event before it is answered. */
   private final class Poll {
     private final Filter filter;
     private final int limit;
     private final Consumer<AdminResponse> done;
-    private long after;
-    private boolean over;
+    private long lastEventNumber;
+    private boolean isAnswered;
     private Cancellable timer = () -> {};
-    private final Runnable wake = this::woken;
+    private final Runnable wakeUp = this::onNewEvents;
 
     Poll(Filter filter, int limit, Consumer<AdminResponse> done, long after) {
       this.filter = filter;
       this.limit = limit;
       this.done = done;
-      this.after = after;
+      this.lastEventNumber = after;
     }
 
-    private void look() {
+    private void answerIfAnyMatch() {
       List<byte[]> rows = new ArrayList<>();
-      for (EventLog.Event event : log.after(after)) {
+      for (EventLog.Event event : eventLog.after(lastEventNumber)) {
         if (rows.size() == limit) {
           break;
         }
-        after = event.number();
-        if (filter.test(row(event.fields()))) {
+        lastEventNumber = event.number();
+        if (filter.test(toRow(event.fields()))) {
           rows.add(Json.bytes(event.fields()));
         }
       }
@@ -67,36 +68,36 @@
       }
     }
 
-    private void await(long waitMs) {
-      if (waitMs <= 0 || !log.addWaiter(wake)) {
+    private void waitForEvents(long waitMs) {
+      if (waitMs <= 0 || !eventLog.addWaiter(wakeUp)) {
         answer(List.of());
         return;
       }
       timer = timers.after(waitMs, () -> answer(List.of()));
     }
 
-    private void woken() {
-      if (over) {
+    private void onNewEvents() {
+      if (isAnswered) {
         return;
       }
-      look();
-      if (!over && !log.addWaiter(wake)) {
+      answerIfAnyMatch();
+      if (!isAnswered && !eventLog.addWaiter(wakeUp)) {
         answer(List.of());
       }
     }
 
     private void answer(List<byte[]> rows) {
-      if (over) {
+      if (isAnswered) {
         return;
       }
-      over = true;
+      isAnswered = true;
       timer.cancel();
-      log.removeWaiter(wake);
-      done.accept(listing.page(rows, Long.toString(after)));
+      eventLog.removeWaiter(wakeUp);
+      done.accept(listing.page(rows, Long.toString(lastEventNumber)));
     }
   }
 
-  private static Row row(JsonNode fields) {
+  private static Row toRow(JsonNode fields) {
     return field -> {
       JsonNode node = fields.get(field);
       if (node == null || node.isNull()) {
--- a/src/main/java/dapplestair/admin/PagedListing.java
+++ b/src/main/java/dapplestair/admin/PagedListing.java
@@ -13,19 +13,19 @@
 import java.util.function.Function;
 
 /**
- * Reads rows in the order of their names, a bounded number in one turn of the loop, so that whoever
- * lists everything delays nobody.
+ * Reads rows in the order of their names, with a limited number in one turn of the event loop, so
+ * that a request that lists everything does not delay others.
  */
 final class PagedListing {
-  /** Rows looked at in one turn. */
-  static final int ROWS_A_TURN = 250;
+  /** Maximum number of rows examined in one turn of the event loop. */
+  static final int MAX_ROWS_PER_TURN = 250;
 
-  /** Rows of one answer at most. */
-  static final int MOST_ROWS = 500;
+  /** Maximum number of rows in one answer. */
+  static final int MAX_ROWS_PER_PAGE = 500;
 
-  /** A row that can also be written. */
+  /** A row that can be written as JSON. */
   interface WritableRow extends Row {
-    void write(JsonGenerator out) throws IOException;
+    void write(JsonGenerator generator) throws IOException;
   }
 
   private final Timers timers;
@@ -37,62 +37,63 @@
   }
 
   /**
-   * Answers with the rows behind {@code after}. {@code row} may give null for a name that is gone.
-   * Names may come and go between turns: the page goes on behind the last one it saw.
+   * Answers with the rows after {@code after} that match the filter. {@code rowByName} may return
+   * null for a name that has been removed. Names may be added and removed between turns: each turn
+   * continues after the last name examined.
    */
   void read(
       NavigableSet<String> names,
-      Function<String, WritableRow> row,
+      Function<String, WritableRow> rowByName,
       Filter filter,
       String after,
       int limit,
       Consumer<AdminResponse> done) {
-    turn(names, row, filter, after, limit, new ArrayList<>(), done);
+    readTurn(names, rowByName, filter, after, limit, new ArrayList<>(), done);
   }
 
-  private void turn(
+  private void readTurn(
       NavigableSet<String> names,
-      Function<String, WritableRow> row,
+      Function<String, WritableRow> rowByName,
       Filter filter,
       String after,
       int limit,
       List<byte[]> rows,
       Consumer<AdminResponse> done) {
-    String last = after;
-    int looked = 0;
+    String lastName = after;
+    int examinedCount = 0;
     for (String name : after == null ? names : names.tailSet(after, false)) {
       if (rows.size() == limit) {
-        done.accept(page(rows, last));
+        done.accept(page(rows, lastName));
         return;
       }
-      if (looked++ == ROWS_A_TURN) {
-        String from = last;
-        timers.after(0, () -> turn(names, row, filter, from, limit, rows, done));
+      if (examinedCount++ == MAX_ROWS_PER_TURN) {
+        String resumeAfter = lastName;
+        timers.after(0, () -> readTurn(names, rowByName, filter, resumeAfter, limit, rows, done));
         return;
       }
-      last = name;
-      WritableRow written = row.apply(name);
-      if (written != null && filter.test(written)) {
-        rows.add(Json.writeBytes(written::write));
+      lastName = name;
+      WritableRow row = rowByName.apply(name);
+      if (row != null && filter.test(row)) {
+        rows.add(Json.writeBytes(row::write));
       }
     }
     done.accept(page(rows, null));
   }
 
-  /** One answer; {@code next} is the cursor of the page behind, or null at the end. */
+  /** Returns a page; {@code next} is the cursor of the following page, or null at the end. */
   AdminResponse page(List<byte[]> rows, String next) {
     byte[] body =
         Json.writeBytes(
-            out -> {
-              out.writeStartObject();
-              asOf.write(out);
-              out.writeArrayFieldStart("rows");
-              for (byte[] r : rows) {
-                out.writeRawValue(new String(r, java.nio.charset.StandardCharsets.UTF_8));
+            generator -> {
+              generator.writeStartObject();
+              asOf.writeTo(generator);
+              generator.writeArrayFieldStart("rows");
+              for (byte[] row : rows) {
+                generator.writeRawValue(new String(row, java.nio.charset.StandardCharsets.UTF_8));
               }
-              out.writeEndArray();
-              out.writeStringField("next", next);
-              out.writeEndObject();
+              generator.writeEndArray();
+              generator.writeStringField("next", next);
+              generator.writeEndObject();
             });
     return new AdminResponse(200, body, 0);
   }
--- a/src/main/java/dapplestair/admin/Role.java
+++ b/src/main/java/dapplestair/admin/Role.java
@@ -2,26 +2,26 @@
 
 /** What a caller may do. */
 public enum Role {
-  /** Look. */
+  /** May view. */
   VIEW,
-  /** Change things, too. */
+  /** May view and change things. */
   OPERATE;
 
   boolean covers(Role needed) {
     return ordinal() >= needed.ordinal();
   }
 
-  /** The role of this name, or null. */
-  public static Role of(String word) {
+  /** Returns the role with this label, or null if there is none. */
+  public static Role fromLabel(String label) {
     for (Role role : values()) {
-      if (role.shown().equals(word)) {
+      if (role.label().equals(label)) {
         return role;
       }
     }
     return null;
   }
 
-  String shown() {
+  String label() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 }
--- a/src/main/java/dapplestair/cli/ControllerServer.java
+++ b/src/main/java/dapplestair/cli/ControllerServer.java
@@ -95,7 +95,9 @@
       if (adminSettings.tokens() != null) {
         return CredentialStore.watch(adminSettings.tokens(), loop, loop);
       }
-      return adminSettings.tls() == null ? Authenticator.open() : CredentialStore.none();
+      return adminSettings.tls() == null
+          ? Authenticator.allowAll()
+          : CredentialStore.certificatesOnly();
     } catch (IOException e) {
       throw new SettingsException(adminSettings.tokens() + ": cannot be read: " + e.getMessage());
     }
--- a/src/main/java/dapplestair/filter/Filter.java
+++ b/src/main/java/dapplestair/filter/Filter.java
@@ -9,36 +9,36 @@
 import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.misc.ParseCancellationException;
 
-/** A condition on rows, checked against their fields when it is read. */
+/** A condition on rows. Its fields and types are checked against a schema when it is parsed. */
 @FunctionalInterface
 public interface Filter {
-  /** Longer filters are refused. */
-  int MOST_CHARACTERS = 2000;
+  /** Maximum length of a filter. */
+  int MAX_CHARACTERS = 2000;
 
-  /** Deeper ones as well: reading them takes stack. */
-  int MOST_NESTED = 40;
+  /** Maximum depth of parentheses, limited because the parser recurses and uses stack per level. */
+  int MAX_NESTING = 40;
 
-  /** True when the row meets the condition. */
+  /** Returns true if the row meets the condition. */
   boolean test(Row row);
 
-  /** Everything. */
-  static Filter all() {
+  /** Returns a filter that matches every row. */
+  static Filter matchAll() {
     return row -> true;
   }
 
-  /** Reads a filter; an empty one lets all through. */
+  /** Parses a filter; an empty one matches every row. */
   static Filter read(String text, Schema schema) throws FilterException {
     if (text == null || text.isBlank()) {
-      return all();
+      return matchAll();
     }
-    bound(text);
+    checkBounds(text);
     FilterLexer lexer = new FilterLexer(CharStreams.fromString(text));
     FilterParser parser = new FilterParser(new CommonTokenStream(lexer));
-    SyntaxErrorListener mistakes = new SyntaxErrorListener(text);
+    SyntaxErrorListener errorListener = new SyntaxErrorListener(text);
     lexer.removeErrorListeners();
-    lexer.addErrorListener(mistakes);
+    lexer.addErrorListener(errorListener);
     parser.removeErrorListeners();
-    parser.addErrorListener(mistakes);
+    parser.addErrorListener(errorListener);
     try {
       return new FilterCompiler(schema).visit(parser.filter());
     } catch (ParseCancellationException e) {
@@ -49,22 +49,22 @@
     }
   }
 
-  private static void bound(String text) throws FilterException {
-    if (text.length() > MOST_CHARACTERS) {
+  private static void checkBounds(String text) throws FilterException {
+    if (text.length() > MAX_CHARACTERS) {
       throw new FilterException(
-          MOST_CHARACTERS,
-          "a filter may have " + MOST_CHARACTERS + " characters; this one has " + text.length());
+          MAX_CHARACTERS,
+          "a filter may have " + MAX_CHARACTERS + " characters; this one has " + text.length());
     }
     int depth = 0;
     for (int i = 0; i < text.length(); i++) {
       depth += text.charAt(i) == '(' ? 1 : text.charAt(i) == ')' ? -1 : 0;
-      if (depth > MOST_NESTED) {
-        throw new FilterException(i, "more than " + MOST_NESTED + " levels of parentheses");
+      if (depth > MAX_NESTING) {
+        throw new FilterException(i, "more than " + MAX_NESTING + " levels of parentheses");
       }
     }
   }
 
-  /** Ends the reading at the first mistake. */
+  /** Ends parsing at the first syntax error. */
   final class SyntaxErrorListener extends BaseErrorListener {
     private final String text;
 
@@ -80,16 +80,16 @@
         int column,
         String message,
         RecognitionException e) {
-      int at = column;
-      // Columns are counted in their line, the mistake in the whole text.
-      for (int i = 1, from = 0; i < line; i++) {
-        from = text.indexOf('\n', from) + 1;
-        at = from + column;
+      int position = column;
+      // The parser counts columns within a line, but the position is an index into the whole text.
+      for (int i = 1, lineStart = 0; i < line; i++) {
+        lineStart = text.indexOf('\n', lineStart) + 1;
+        position = lineStart + column;
       }
-      throw new ParseCancellationException(new FilterException(at, words(message)));
+      throw new ParseCancellationException(new FilterException(position, toPlainWords(message)));
     }
 
-    private static String words(String message) {
+    private static String toPlainWords(String message) {
       return message
           .replace("<EOF>", "the end")
           .replace("token recognition error at:", "not understood:")
--- a/src/test/java/dapplestair/keys/TlsTrustTest.java
+++ b/src/test/java/dapplestair/keys/TlsTrustTest.java
@@ -78,14 +78,14 @@
   }
 
   private void replyWithIdentity(Exchange exchange) {
-    var identity = credentials.who(exchange);
+    var identity = credentials.identify(exchange);
     if (identity == null) {
       exchange.reply(401, Json.bytes(Json.object().put("error", "who are you?")), 0);
     } else {
       exchange.reply(
           200,
           Json.bytes(
-              Json.object().put("name", identity.name()).put("operates", identity.operates())),
+              Json.object().put("name", identity.name()).put("operates", identity.mayOperate())),
           0);
     }
   }
@@ -175,7 +175,7 @@
     loop.executor()
         .execute(
             () -> {
-              var identity = credentials.who(new AuthorizationExchange("Bearer " + token));
+              var identity = credentials.identify(new AuthorizationExchange("Bearer " + token));
               nameFuture.complete(identity == null ? null : identity.name());
             });
     return nameFuture.get();
--- a/src/test/java/dapplestair/world/SimulatedCluster.java
+++ b/src/test/java/dapplestair/world/SimulatedCluster.java
@@ -558,7 +558,7 @@
               node.settings,
               effectiveOperatorSettings(),
               environment,
-              operatorsServed ? Authenticator.open() : null);
+              operatorsServed ? Authenticator.allowAll() : null);
     }
 
     private OperatorSettings effectiveOperatorSettings() {
