--- a/src/main/java/dapplestair/blame/FailureLogOdds.java
+++ b/src/main/java/dapplestair/blame/FailureLogOdds.java
@@ -49,7 +49,8 @@
   }
 
   /**
-   * Returns the evidence of tasks that outlive the failed ones, given the ratio of their numbers.
+   * Returns the evidence of tasks that outlive the failed ones, given their number divided by the
+   * number of failures.
    */
   static double outlivedEvidence(double ratio) {
     return Math.min(MAX_OUTLIVED, ratio) * Math.log(OUTLIVED_LIKELIHOOD_RATIO);
--- a/src/main/java/dapplestair/blame/FailureRecords.java
+++ b/src/main/java/dapplestair/blame/FailureRecords.java
@@ -186,8 +186,8 @@
   }
 
   /**
-   * Returns the number of the job's tasks that keep running on machines other than the excluded
-   * one.
+   * Returns the number of the job's tasks that have run for long enough to count as working, on
+   * machines other than the excluded one; null excludes none.
    */
   long countWorking(Job job, JobFailures jobFailures, String excludedHostId) {
     long nowMs = clock.now();
--- a/src/main/java/dapplestair/blame/FaultAttribution.java
+++ b/src/main/java/dapplestair/blame/FaultAttribution.java
@@ -133,7 +133,8 @@
         job.doneCount() + job.interruptedReplicas() + records.countWorking(job, jobFailures, null);
     if (newlyDue && workingTasks == 0) {
       // Tasks tend to fail in groups, so lost tasks restart only after the verdict. Until one of
-      // the job's tasks is known to work, the verdict comes when no more of them fail.
+      // the job's tasks is known to work, later failures extend the delay, so that the job starts
+      // no tasks until no more of them fail.
       ledger.delayStarts(job, reportMs / 2);
     }
   }
--- a/src/main/java/dapplestair/blame/JobFailures.java
+++ b/src/main/java/dapplestair/blame/JobFailures.java
@@ -10,12 +10,10 @@
   /** Failures that are not yet explained, by machine. */
   final Object2IntOpenHashMap<String> failuresByHost = new Object2IntOpenHashMap<>();
 
-  /**
-   * All failures since this controller began to lead, and the largest number of machines on which
-   * unexplained failures were recorded at once.
-   */
+  /** The number of all failures since this controller began to lead. */
   int failureCount;
 
+  /** The largest number of machines on which unexplained failures were recorded at once. */
   int machineCount;
 
   /** The longest run time of a failed task, in seconds. */
--- a/src/main/java/dapplestair/lane/ClaimWriter.java
+++ b/src/main/java/dapplestair/lane/ClaimWriter.java
@@ -127,10 +127,10 @@
   }
 
   /**
-   * Reads the record back when a write got no answer: the claims may be on record or not, and no
-   * victim may be stopped before they surely are. The replica may lag for just as long, and until
-   * it catches up each write based on its stamp would be refused, so the state service itself is
-   * asked.
+   * Reads the record back after a write that was not confirmed: the claims may be on record or not,
+   * and no victim may be stopped before they surely are. The replica may lag for just as long, and
+   * until it catches up each write based on its stamp would be refused, so the state service itself
+   * is asked.
    */
   private void readBack(String lane, List<OpenClaim> claims) {
     int readGeneration = generation;
--- a/src/main/java/dapplestair/lane/Lanes.java
+++ b/src/main/java/dapplestair/lane/Lanes.java
@@ -189,8 +189,9 @@
   }
 
   /**
-   * Returns whether all victims of a claim are gone and a rider that was accepted later uses their
-   * capacity. While such a claim stood, no other capacity would be claimed for its rider.
+   * Returns whether all victims of a claim are gone but its rider does not fit: a rider that was
+   * accepted later uses the capacity. While such a claim stood, no other capacity would be claimed
+   * for the claim's rider.
    */
   private static boolean isRoomTaken(Claim claim, Job job, Host host) {
     return !host.fits(job.spec())
@@ -272,8 +273,9 @@
   }
 
   /**
-   * Returns whether the riders' reserve remains after a task of the job starts on the machine: each
-   * zone holds its share of the reserve, not counting work that can be gone in time.
+   * Returns whether the riders' reserve remains after a task of the job starts on the machine, so
+   * that each zone holds its share of the reserve. Also true for work that riders can stop in time,
+   * since that work does not use up the reserve.
    */
   public boolean leavesReserve(Submission submission, Host host) {
     for (Lane lane : lanes.values()) {
--- a/src/main/java/dapplestair/lane/OpenClaim.java
+++ b/src/main/java/dapplestair/lane/OpenClaim.java
@@ -16,7 +16,7 @@
     return claim;
   }
 
-  /** Returns the time at which the claim was made or taken over by this leader, in milliseconds. */
+  /** Returns the time at which the claim was made or taken over by this leader, in steady time. */
   long sinceMs() {
     return sinceMs;
   }
--- a/src/main/java/dapplestair/lane/VictimSelector.java
+++ b/src/main/java/dapplestair/lane/VictimSelector.java
@@ -80,7 +80,7 @@
       int tasks = Math.min(Math.min(remainingTasks, candidate.tasks()), allowedInZone);
       if (tasks > 0
           && (!submission.together() || tasksByZone.isEmpty() || tasksByZone.containsKey(zone))) {
-        // The rider needs less than this machine could make room for, so fewer victims are evicted.
+        // For fewer tasks than this machine could make room for, fewer victims are evicted.
         VictimCandidate trimmed =
             tasks < candidate.tasks()
                 ? findCandidate(lane, submission, candidate.host(), tasks)
--- a/src/main/java/dapplestair/ledger/AttemptReconciler.java
+++ b/src/main/java/dapplestair/ledger/AttemptReconciler.java
@@ -181,8 +181,8 @@
       // A gang starts as a whole, so it is delayed as a whole.
       return;
     }
-    // A replica's delay is kept short, since the service lacks it each second; a service that fails
-    // everywhere is delayed as a whole.
+    // A replica's delay is kept short, since its service runs with a replica too few meanwhile; a
+    // service that fails everywhere is delayed as a whole.
     long cappedDelayMs =
         job.spec().isService() ? Math.min(maxDelayMs, 4 * firstDelayMs) : maxDelayMs;
     long delayMs = Math.min(cappedDelayMs, firstDelayMs << Math.min(10, earlierFailures - 1));
--- a/src/main/java/dapplestair/ledger/Attempts.java
+++ b/src/main/java/dapplestair/ledger/Attempts.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps attempts from their registration on a machine until nothing of them is left there. */
+/** Tracks attempts from their registration on a machine until nothing of them is left there. */
 final class Attempts {
   private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
   private static final double MIN_RUN_FOR_START_S = 30;
@@ -22,7 +22,7 @@
   }
 
   /**
-   * Sets a listener that is called with a job that is over when one of its attempts was removed.
+   * Sets a listener that is called with a job that is over whenever one of its attempts is removed.
    */
   void setAttemptRemovedListener(Consumer<Job> listener) {
     attemptRemovedListener = listener;
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Asks for an attempt's stop; the component for workers repeats the request until the attempt's
-   * absence is proved.
+   * Asks for an attempt's stop; the worker manager repeats the request until the attempt's absence
+   * is proved.
    */
   void halt(Attempt attempt, double windDownS, StopReason reason) {
     if (!attempt.isSent()) {
@@ -79,7 +79,8 @@
   }
 
   /**
-   * Withdraws a job's start if it is stopped by command within {@link #MIN_RUN_FOR_START_S}: such a
+   * Retracts the start of a job without completed tasks if its last running attempt is stopped by
+   * command, other than for a reclaim notice, within {@link #MIN_RUN_FOR_START_S} seconds: such a
    * start does not count (PROTOCOL, "How aims are counted").
    */
   private void retractStart(Attempt attempt, StopReason reason) {
--- a/src/main/java/dapplestair/ledger/Chunk.java
+++ b/src/main/java/dapplestair/ledger/Chunk.java
@@ -81,7 +81,8 @@
 
   /**
    * Returns the number of steps that wait or start again after an interruption, never too few.
-   * {@code startingOrDone} of the attempts in memory only start or are done.
+   *
+   * @param startingOrDone number of attempts in memory that are only starting, or are done
    */
   int maxInterruptedWaiting(int startingOrDone) {
     int knownInterrupted = interruptedSteps == null ? 0 : interruptedSteps.size();
@@ -144,7 +145,7 @@
       if (!zones.contains(attempt.zone)) {
         zones.add(attempt.zone);
       }
-      // Attempts treat a later session of a machine as another machine.
+      // For attempts, a later session of a machine counts as another machine.
       String hostAndSession = attempt.host + " " + attempt.session;
       ArrayNode hostAttempts = (ArrayNode) byHost.get(hostAndSession);
       if (hostAttempts == null) {
@@ -157,7 +158,7 @@
     object.set("h", byHost);
   }
 
-  /** Reads a record and passes each attempt in it to {@code attempts}. */
+  /** Reads a record and passes each attempt in it to {@code consumer}. */
   void read(JsonNode value, long newStamp, RecordedAttempts consumer) {
     stamp = newStamp;
     lastNumber = Json.number(value, "t", 0);
--- a/src/main/java/dapplestair/ledger/ChunkWriter.java
+++ b/src/main/java/dapplestair/ledger/ChunkWriter.java
@@ -280,10 +280,10 @@
     }
   }
 
-  private void launch(Chunk chunk, Attempt attempt, long revision) {
+  private void launch(Chunk chunk, Attempt attempt, long stamp) {
     if (chunk.attemptsByStep.get(attempt.step) == attempt
         && attempt.phase == Attempt.Phase.PLANNED) {
-      context.launch(attempt, StateKeys.attemptChunk(attempt.spec().ref(), chunk.index), revision);
+      context.launch(attempt, StateKeys.attemptChunk(attempt.spec().ref(), chunk.index), stamp);
     }
   }
 
@@ -301,8 +301,8 @@
 
   /**
    * Reads a record's stamp after an unanswered or conflicting write, which may have been applied,
-   * or may be later. Each write is conditional on the stamp of the one before, so once a newer
-   * write has succeeded, the lost one can't be applied any more.
+   * or may be applied later. Each write is conditional on the stamp of the one before, so once a
+   * newer write has succeeded, the lost one can't be applied any more.
    */
   void readBack(Job job, Chunk chunk) {
     long term = context.term();
--- a/src/main/java/dapplestair/ledger/Job.java
+++ b/src/main/java/dapplestair/ledger/Job.java
@@ -53,12 +53,12 @@
   final Object2LongOpenHashMap<String> lastFailureMsByMachine = new Object2LongOpenHashMap<>();
   long startsDelayedUntilMs;
 
-  // A suspected job has failed wherever it ran: it is tried by one task at a time, of which so many
-  // have failed (package blame).
+  // A suspected job has failed wherever it ran, so it is tried by one task at a time, a probe. The
+  // failures that led to the suspicion count as one failed probe (package blame).
   boolean suspected;
   int probesFailed;
 
-  /** True while the job's time has not come, so that nothing is to be rented for it yet. */
+  /** True while the job's run calendar holds it back, so that nothing is rented for it yet. */
   boolean excludedFromPlanning;
 
   // How often each step failed, and the steps that are delayed after repeated failures.
@@ -113,7 +113,7 @@
   }
 
   /**
-   * Returns until when the job starts no tasks after it failed on good machines, in steady time.
+   * Returns until when the job starts no tasks, after failures or refused starts, in steady time.
    */
   public long startsDelayedUntilMs() {
     return startsDelayedUntilMs;
@@ -143,7 +143,10 @@
     return delayedSteps.size();
   }
 
-  /** Returns how many tasks of the job have failed while it was suspected. */
+  /**
+   * Returns the number of failed probes of a suspected job, plus 1 for the failures that led to the
+   * suspicion; 0 for other jobs.
+   */
   public int probesFailed() {
     return probesFailed;
   }
--- a/src/main/java/dapplestair/ledger/JobStatistics.java
+++ b/src/main/java/dapplestair/ledger/JobStatistics.java
@@ -55,7 +55,7 @@
   /**
    * The largest jobs of a class.
    *
-   * @param jobs how many they are
+   * @param jobs number of these jobs
    * @param begun how many of them began to run
    * @param longestWaitMs the longest wait among them, until their first task ran or until now
    */
--- a/src/main/java/dapplestair/ledger/Ledger.java
+++ b/src/main/java/dapplestair/ledger/Ledger.java
@@ -319,7 +319,7 @@
     return launchGate.launch(job, step, host);
   }
 
-  /** Asks for a stop, which the workers' component repeats until the absence is proved. */
+  /** Asks for a stop, which the worker manager repeats until the attempt's absence is proved. */
   public void halt(Attempt attempt, double windDownS, StopReason reason) {
     attempts.halt(attempt, windDownS, reason);
   }
@@ -347,7 +347,7 @@
         && context.clock.now() - job.lastFailureMsByMachine.getLong(host.id()) <= withinMs;
   }
 
-  /** Records a step's failure; after its first it is delayed, longer each time. */
+  /** Records a step's failure; a step that fails again is delayed, longer each time. */
   public void recordStepFailure(Attempt attempt, long firstDelayMs, long maxDelayMs) {
     reconciler.recordStepFailure(attempt, firstDelayMs, maxDelayMs);
   }
--- a/src/main/java/dapplestair/ledger/LedgerContext.java
+++ b/src/main/java/dapplestair/ledger/LedgerContext.java
@@ -41,7 +41,7 @@
   }
 
   /** Sends the launch of an attempt that is on record. */
-  void launch(Attempt attempt, String key, long revision) {
+  void launch(Attempt attempt, String key, long stamp) {
     attempt.phase = Attempt.Phase.COMMITTED;
     LOG.debug(
         "launching {} attempt {} on {} in session {}: recorded in {} with stamp {}",
@@ -50,7 +50,7 @@
         attempt.host,
         attempt.session,
         key,
-        revision);
+        stamp);
     callbacks.launch(attempt);
   }
 
--- a/src/main/java/dapplestair/ledger/RawAttemptRecords.java
+++ b/src/main/java/dapplestair/ledger/RawAttemptRecords.java
@@ -55,7 +55,9 @@
 
   void removeLaunchBatch(String key) {
     if (stampByLaunchBatch.remove(key) != null) {
-      batchedAttempts.values().forEach(list -> list.removeIf(on -> on.batchKey().equals(key)));
+      batchedAttempts
+          .values()
+          .forEach(list -> list.removeIf(batched -> batched.batchKey().equals(key)));
       batchedAttempts.values().removeIf(List::isEmpty);
       summaryByJob.keySet().retainAll(batchedAttempts.keySet());
     }
@@ -105,9 +107,9 @@
     recordsOf(ref)
         .values()
         .forEach(
-            row ->
+            versionedRecord ->
                 Chunk.forEachAttempt(
-                    row.value(),
+                    versionedRecord.value(),
                     (step, number, host, zone, session) ->
                         locations.add(new Cancellation.TaskLocation(host, session, step, number))));
     for (BatchedAttempt batched : batchedAttempts(ref)) {
--- a/src/main/java/dapplestair/ledger/Takeover.java
+++ b/src/main/java/dapplestair/ledger/Takeover.java
@@ -127,7 +127,7 @@
           if (job == null) {
             if (read.known()) {
               LOG.error(
-                  "attempts of {} are recorded, but the job's record is missing or cannot be read; retrying",
+                  "attempts of job {} are recorded, but the job's record is missing or cannot be read; retrying",
                   ref);
             }
             context.timers.after(context.retryMs, () -> fetchEndedJob(forTerm, ref));
--- a/src/main/java/dapplestair/machines/MachineType.java
+++ b/src/main/java/dapplestair/machines/MachineType.java
@@ -20,7 +20,7 @@
     double bootS,
     List<String> zones) {
 
-  /** Parses one entry; returns null when its name, CPUs or memory are missing or not positive. */
+  /** Parses one entry; returns null when it has no name, or no positive CPUs or memory. */
   static MachineType parse(JsonNode node) {
     String name = Json.text(node, "label");
     double cpus = Json.decimal(node, "vcpus", -1);
--- a/src/main/java/dapplestair/placement/DecisionRecorder.java
+++ b/src/main/java/dapplestair/placement/DecisionRecorder.java
@@ -19,8 +19,8 @@
 import java.util.function.Consumer;
 
 /**
- * Records what a placement turn decides about the jobs that operators asked about. An instance
- * exists only while such a request is open; otherwise placement does no work for it.
+ * Records what a placement turn decides about the jobs for which an explanation was requested. An
+ * instance exists only while such a request is open; otherwise placement does no work for it.
  */
 final class DecisionRecorder {
   private final Clock clock;
--- a/src/main/java/dapplestair/placement/Evictions.java
+++ b/src/main/java/dapplestair/placement/Evictions.java
@@ -235,15 +235,15 @@
     Submission victim = attempt.spec();
     if (!StarvationGuard.isCritical(submission)
         && starvationGuard.isProtectedFromEviction(attempt)) {
-      // This attempt's job has waited for long; if it were evicted right away, it would in effect
-      // never have begun.
+      // This attempt's job has waited for long; if the attempt were evicted right away, the job
+      // would in effect never have begun.
       return false;
     }
     if (submission.rank().outranks(victim.rank())) {
       return true;
     }
-    // Borrowed capacity returns to the team that owns it, whatever the rank; service replicas are
-    // evicted only for other services.
+    // Borrowed capacity returns to the team that owns it, whatever the rank; replicas that borrow
+    // are evicted only for other services.
     return mayEvictBorrowers
         && !victim.team().equals(submission.team())
         && (!victim.isService() || submission.isService())
--- a/src/main/java/dapplestair/placement/PlacementVerdict.java
+++ b/src/main/java/dapplestair/placement/PlacementVerdict.java
@@ -32,9 +32,9 @@
   FAILED_HERE(Scope.MACHINE, "a task of the job failed there a moment ago"),
   /** Tasks of several jobs failed on the machine: it gets one task at a time. */
   PROBATION(Scope.MACHINE, "tasks of several jobs failed there: it is tried by one at a time"),
-  /** The free capacity is reserved for service replicas. */
+  /** The free capacity is reserved for service replicas or lane riders. */
   HELD_FOR_SERVICES(Scope.MACHINE, "its room is held for services"),
-  /** The machine is reserved for a job that has waited for long. */
+  /** The machine is reserved for a job that has waited for long, or claimed by lane riders. */
   KEPT(Scope.MACHINE, "it is kept for a job that has waited for long"),
   /** Too many of the job's tasks would run in one zone. */
   SPREAD(Scope.MACHINE, "half of the job's tasks are in its zone already"),
@@ -43,7 +43,7 @@
 
   /** The team has reached its limit. */
   TEAM_LIMIT(Scope.JOB, "its team's limit"),
-  /** The job fails wherever it runs, and its pause has not ended. */
+  /** The job's starts are delayed, after failures or refused starts. */
   BACKED_OFF(Scope.JOB, "held back for a while after its tasks failed"),
   /** The job fails wherever it runs: its other tasks wait for the probe. */
   PROBING(Scope.JOB, "it fails wherever it runs: one task at a time is tried"),
--- a/src/main/java/dapplestair/placement/Ranking.java
+++ b/src/main/java/dapplestair/placement/Ranking.java
@@ -39,10 +39,11 @@
       Job job, int urgency, boolean exceedsGuarantee, int brokenObjectives, double sortKey) {}
 
   /**
-   * Returns the waiting jobs in the order of placement: by rank; within a rank, jobs within their
-   * team's guarantee before those that borrow; then the jobs with the fewest objectives missed,
-   * those with the least work first. Among jobs whose objectives are all missed, the largest of
-   * their class go first, oldest first; jobs without objectives are ordered by slack.
+   * Returns the waiting jobs in the order of placement: by rank, services first within a rank; then
+   * the runs of the last released cycle of a calendar; then jobs within their team's guarantee
+   * before those that borrow; then the jobs with the fewest objectives missed, those with the least
+   * work first. Among jobs whose objectives are all missed, the largest of their class go first,
+   * oldest first; jobs without objectives are ordered by slack.
    */
   List<Job> orderedJobs() {
     long nowMs = clock.now();
@@ -75,8 +76,8 @@
     int brokenObjectives = objectives.countBroken(submission, ageS, runS);
     double sortKey;
     if (objectives.allBroken(submission, brokenObjectives)) {
-      // These jobs cannot make others miss an objective here, and the largest must begin in time as
-      // well.
+      // The order among these jobs decides about no objective any more, and the largest must begin
+      // in time as well.
       sortKey = ledger.jobStatistics().isLarge(job) ? -LARGE_JOB_LEAD_S - ageS : -ageS;
     } else if (brokenObjectives > 0 || objectives.hasObjectives(submission)) {
       sortKey = job.waitingTasks() * submission.cpus() * Math.max(1, runS);
--- a/src/main/java/dapplestair/placement/StarvationGuard.java
+++ b/src/main/java/dapplestair/placement/StarvationGuard.java
@@ -105,8 +105,8 @@
   }
 
   /**
-   * Returns whether the attempt runs in its job's window, where only a critical service may evict
-   * it.
+   * Returns whether the attempt runs in its job's window. There only a critical service may evict
+   * it to make room; a lane's riders may when they find nothing else to evict.
    */
   boolean isProtectedFromEviction(Attempt attempt) {
     Job job = attempt.job();
