--- a/src/main/java/dapplestair/admin/ClusterViews.java
+++ b/src/main/java/dapplestair/admin/ClusterViews.java
@@ -279,7 +279,7 @@
           .put("type", entry.getKey().type())
           .put("spot", entry.getKey().spot())
           .put("wanted", entry.getValue())
-          .put("held", autoscaler.heldCount(entry.getKey()));
+          .put("held", autoscaler.heldOrPendingCount(entry.getKey()));
     }
     return object;
   }
--- a/src/main/java/dapplestair/calendar/Calendars.java
+++ b/src/main/java/dapplestair/calendar/Calendars.java
@@ -147,7 +147,7 @@
     timer = timers.after(settings.workers().reportMs() / 12, this::tick);
   }
 
-  /** Releases the current cycle if it is due, and records earlier cycles as missed. */
+  /** Releases the current cycle if it is due; else records a missed one or removes old marks. */
   private void releaseIfDue(RunCalendar calendar) {
     long wallMs = clock.wall();
     long currentMs = calendar.cycleStartMs(wallMs);
--- a/src/main/java/dapplestair/disruption/DisruptionGate.java
+++ b/src/main/java/dapplestair/disruption/DisruptionGate.java
@@ -127,9 +127,9 @@
   }
 
   /**
-   * Returns whether an attempt's machine is known to run it. The machine must have reported a token
-   * of the current term: before that, it may still carry out a stop of the former leader, and its
-   * last report may be older than that stop.
+   * Returns whether an attempt's machine is reachable and neither being returned nor gone. The
+   * machine must have reported a token of the current term: before that, it may still carry out a
+   * stop of the former leader, and its last report may be older than that stop.
    */
   private boolean isReachable(Attempt attempt) {
     Host host = workers.findHost(attempt.host());
--- a/src/main/java/dapplestair/disruption/DisruptionRefusal.java
+++ b/src/main/java/dapplestair/disruption/DisruptionRefusal.java
@@ -6,7 +6,7 @@
  * @param team team whose budget is used up
  * @param budgetName the part of the budget that is used up
  * @param allowed limit of that part
- * @param used number of tasks already unavailable, or CPU seconds already lost
+ * @param used number of tasks already unavailable, or CPU seconds already lost or reserved
  * @param detail human-readable description of what uses up the budget
  */
 public record DisruptionRefusal(
--- a/src/main/java/dapplestair/disruption/LostWork.java
+++ b/src/main/java/dapplestair/disruption/LostWork.java
@@ -67,7 +67,7 @@
   }
 
   /** Applies the recorded value of a team, or its removal if {@code value} is null. */
-  public void recorded(String key, JsonNode value) {
+  public void applyRecord(String key, JsonNode value) {
     TeamLostWork teamLostWork = accountOf(key.substring(StateKeys.DISRUPTION.length()));
     teamLostWork.reservedCpuSBySlice.clear();
     if (value != null) {
@@ -236,7 +236,7 @@
           // nothing is granted.
           teamLostWork.writeInFlight = false;
           if (outcome instanceof TxnOutcome.Applied) {
-            recorded(key, value);
+            applyRecord(key, value);
           } else {
             leadership.stepDownIfDeposed(outcome);
           }
--- a/src/main/java/dapplestair/drain/Drains.java
+++ b/src/main/java/dapplestair/drain/Drains.java
@@ -86,7 +86,7 @@
   // ---- records from the replica ----
 
   /** Applies the recorded value of a drain, or its removal if {@code value} is null. */
-  public void recorded(String key, JsonNode value) {
+  public void applyRecord(String key, JsonNode value) {
     boolean isZone = key.startsWith(StateKeys.DRAIN_ZONE);
     String name = key.substring((isZone ? StateKeys.DRAIN_ZONE : StateKeys.DRAIN).length());
     Map<String, Drain> drainsByName = isZone ? zones : machines;
@@ -122,7 +122,7 @@
 
   // ---- views ----
 
-  /** Returns the order that drains a machine, or null. An order for the machine has precedence. */
+  /** Returns the order that drains a machine, or null; its own order precedes that of its zone. */
   public Drain drainOf(Host host) {
     Drain found = machines.get(host.id());
     if (found == null && host.zone() != null) {
--- a/src/main/java/dapplestair/fleet/CapacityEstimator.java
+++ b/src/main/java/dapplestair/fleet/CapacityEstimator.java
@@ -63,7 +63,7 @@
     isZoneClosed = newIsZoneClosed;
   }
 
-  /** Records that the cloud has no more there. Returns true if it had no recent refusal before. */
+  /** Records a refusal of this pool; returns true if the pool had no recent refusal before. */
   boolean recordRefusal(CapacityPool pool) {
     boolean newlyRefused = mayHaveCapacity(pool);
     if (newlyRefused) {
@@ -92,7 +92,7 @@
     return grantedCounts.containsKey(pool);
   }
 
-  /** Returns true when the cloud may have more machines there and the zone is not closed. */
+  /** Returns true when the cloud may have more of this pool and its zone is not closed. */
   boolean mayRent(CapacityPool pool) {
     return mayHaveCapacity(pool) && !isZoneClosed.test(pool.zone());
   }
@@ -171,7 +171,7 @@
     return sharesByPool;
   }
 
-  /** Passes each pool with a recent refusal, and the seconds until the refusal expires. */
+  /** Calls {@code consumer} with each recently refused pool and the seconds its refusal lasts. */
   void forEachRefusal(BiConsumer<CapacityPool, Double> consumer) {
     long now = clock.now();
     List<Map.Entry<CapacityPool, Long>> entries = new ArrayList<>(refusedUntilMs.entrySet());
--- a/src/main/java/dapplestair/fleet/Fleet.java
+++ b/src/main/java/dapplestair/fleet/Fleet.java
@@ -125,7 +125,7 @@
     }
   }
 
-  /** Sets the test for zones in which nothing may be rented, since operators drain them. */
+  /** Sets the test for zones in which nothing may be rented, such as those operators drain. */
   public void setZoneClosedTest(Predicate<String> isZoneClosed) {
     // Nothing is rented in a silent zone either: machines that boot there cannot be reached.
     capacityEstimator.setZoneClosedTest(z -> isZoneClosed.test(z) || workers.zoneSilentMs(z) > 0);
@@ -287,7 +287,8 @@
   }
 
   /**
-   * Rents one machine of the cheapest kind in this zone, even if closed; false if none is there.
+   * Rents one machine of the cheapest kind in this zone, even if closed; returns false if none is
+   * available or the cloud has not yet answered an earlier request for that kind.
    */
   public boolean rentCheapestIn(String zone) {
     CapacityPool cheapest = leading ? capacityEstimator.cheapestIn(zone, spotHistory) : null;
@@ -298,7 +299,7 @@
     return true;
   }
 
-  /** Returns true when the cloud may have more machines there and the zone is not closed. */
+  /** Returns true when the zone is not closed and the cloud may have more of this kind in it. */
   public boolean mayRentIn(MachineKind kind, String zone) {
     return capacityEstimator.mayRent(new CapacityPool(kind, zone));
   }
--- a/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
+++ b/src/main/java/dapplestair/fleet/MachineHealthMonitor.java
@@ -97,7 +97,7 @@
     onCapacityLost.run();
   }
 
-  /** Inspects every machine and returns those that are given up. */
+  /** Inspects every machine and hands those that are given up back to the cloud. */
   void inspectAll() {
     long now = clock.now();
     anyHostFresh = false;
--- a/src/main/java/dapplestair/fleet/Rentals.java
+++ b/src/main/java/dapplestair/fleet/Rentals.java
@@ -270,8 +270,7 @@
             onRefused.accept(rental.pool);
           } else {
             // Without an answer the machines may have been rented. A repeated request under the
-            // same
-            // name shows what was rented, and rents nothing twice.
+            // same name shows what was rented, and rents nothing twice.
             timers.after(settings.workers().reportMs() / 4, () -> requestMachines(rental));
           }
         });
--- a/src/main/java/dapplestair/node/RecordDispatcher.java
+++ b/src/main/java/dapplestair/node/RecordDispatcher.java
@@ -90,7 +90,7 @@
     } else if (key.equals(StateKeys.TYPES)) {
       fleet.applyTypesRecord(value, stamp);
     } else if (key.startsWith(StateKeys.DRAIN) || key.startsWith(StateKeys.DRAIN_ZONE)) {
-      drains.recorded(key, value);
+      drains.applyRecord(key, value);
     } else if (key.startsWith(StateKeys.ZONE)) {
       zones.applyRecord(key, value);
     } else if (key.startsWith(StateKeys.LANE)) {
@@ -100,9 +100,9 @@
     } else if (key.startsWith(StateKeys.IMAGE_LOCATIONS)) {
       imageLocations.applyRecord(key, value);
     } else if (key.startsWith(StateKeys.REPLACEMENT)) {
-      replacements.recorded(key, value, stamp);
+      replacements.applyRecord(key, value, stamp);
     } else if (key.startsWith(StateKeys.DISRUPTION)) {
-      lostWork.recorded(key, value);
+      lostWork.applyRecord(key, value);
     }
   }
 
@@ -130,7 +130,7 @@
     } else if (key.equals(StateKeys.TYPES)) {
       fleet.applyTypesRecord(null, 0);
     } else if (key.startsWith(StateKeys.DRAIN) || key.startsWith(StateKeys.DRAIN_ZONE)) {
-      drains.recorded(key, null);
+      drains.applyRecord(key, null);
       placer.scheduleTurn();
     } else if (key.startsWith(StateKeys.ZONE)) {
       zones.applyRecord(key, null);
@@ -141,9 +141,9 @@
     } else if (key.startsWith(StateKeys.IMAGE_LOCATIONS)) {
       imageLocations.applyRecord(key, null);
     } else if (key.startsWith(StateKeys.REPLACEMENT)) {
-      replacements.recorded(key, null, 0);
+      replacements.applyRecord(key, null, 0);
     } else if (key.startsWith(StateKeys.DISRUPTION)) {
-      lostWork.recorded(key, null);
+      lostWork.applyRecord(key, null);
     }
   }
 
--- a/src/main/java/dapplestair/planning/Autoscaler.java
+++ b/src/main/java/dapplestair/planning/Autoscaler.java
@@ -125,7 +125,7 @@
   }
 
   /** Returns the number of machines of a kind that are usable now or will be soon. */
-  public int heldCount(MachineKind kind) {
+  public int heldOrPendingCount(MachineKind kind) {
     return fleet.heldOrPendingCount(kind);
   }
 
--- a/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
+++ b/src/main/java/dapplestair/replacement/ReplacementStepRunner.java
@@ -222,8 +222,8 @@
   }
 
   /**
-   * Records the reason when a step has been blocked for longer than a lease. Such remarks are rare
-   * enough to cost little.
+   * Makes way for replicas that have nowhere to go. If the step is blocked for longer than a lease,
+   * records the reason as a remark; such remarks are rare enough to cost little.
    */
   private void handleBlockedStep(ReplacementState replacement, List<Host> remaining) {
     long nowMs = clock.now();
@@ -245,7 +245,7 @@
     }
     replacement.lacksCapacity |=
         noDestination && nowMs - replacement.blockedSinceMs > settings.workers().reportMs();
-    swapIfBlocked(replacement, remaining, nowMs);
+    swapOrPassOver(replacement, remaining, nowMs);
     if (replacement.writeInFlight) {
       return;
     }
@@ -272,10 +272,10 @@
   }
 
   /**
-   * Exchanges an empty machine for one in the zone that lacks capacity, at most once per time that
-   * a machine may take to boot.
+   * At most once per time that a machine may take to boot, exchanges an empty machine for one in
+   * the zone of the blocked machine; without an empty one, passes over a single blocked machine.
    */
-  private void swapIfBlocked(ReplacementState replacement, List<Host> remaining, long nowMs) {
+  private void swapOrPassOver(ReplacementState replacement, List<Host> remaining, long nowMs) {
     if (!replacement.lacksCapacity) {
       replacement.lastSwapAtMs = 0;
       return;
@@ -287,7 +287,8 @@
         > BOOT_OVERDUE_RATIO * 1000 * types.bootS(stuck.type())) {
       if (surgeCapacity.swapEmptyMachine(stuck)) {
         LOG.info(
-            "replacement {}: replicas of {} lack capacity; exchanged an empty machine for one in {}",
+            "replacement {}: replicas on machine {} have nowhere to go; exchanging an empty machine"
+                + " for one in zone {}",
             replacement.name,
             stuck.id(),
             stuck.zone());
--- a/src/main/java/dapplestair/replacement/Replacements.java
+++ b/src/main/java/dapplestair/replacement/Replacements.java
@@ -92,7 +92,7 @@
   // ---- records from the replica ----
 
   /** Applies the recorded value of an order, or its removal if {@code value} is null. */
-  public void recorded(String key, JsonNode value, long stamp) {
+  public void applyRecord(String key, JsonNode value, long stamp) {
     String name = key.substring(StateKeys.REPLACEMENT.length());
     ReplacementState known = orders.get(name);
     if (value == null) {
--- a/src/main/java/dapplestair/replacement/StepHealthCheck.java
+++ b/src/main/java/dapplestair/replacement/StepHealthCheck.java
@@ -25,8 +25,8 @@
   }
 
   /**
-   * Returns the problem outside the replaced machines, or null. A pause for such a problem ends by
-   * itself.
+   * Returns a problem that is not a fault of the new machines, such as a silent zone, or null. A
+   * pause for such a problem ends by itself.
    */
   String findOutsideFault(boolean loopLagging) {
     if (loopLagging) {
--- a/src/main/java/dapplestair/zones/ZoneStatus.java
+++ b/src/main/java/dapplestair/zones/ZoneStatus.java
@@ -22,7 +22,7 @@
     STEADY,
     /** Silent for longer than any report takes, while other zones are heard. */
     CUT,
-    /** Silent for longer than the leases of the tasks that run there last. */
+    /** Silent for so long that the leases of all tasks that ran there have ended. */
     LOST,
     /** Heard again, but not yet for long enough to be steady. */
     RETURNING;
