--- a/src/main/java/dapplestair/emulator/EmulatedCloud.java
+++ b/src/main/java/dapplestair/emulator/EmulatedCloud.java
@@ -94,7 +94,7 @@
     capacityShare = share;
   }
 
-  /** Returns the last protocol violation by a client or worker, or null. */
+  /** Returns the last protocol violation by a controller, or null. */
   public String violation() {
     return violation;
   }
--- a/src/main/java/dapplestair/emulator/EmulatedState.java
+++ b/src/main/java/dapplestair/emulator/EmulatedState.java
@@ -360,9 +360,9 @@
   }
 
   private static ObjectNode toRowJson(String key, StoredValue row) {
-    ObjectNode response = Json.object().put("k", key).put("stamp", row.stamp);
-    response.set("value", row.value);
-    return response;
+    ObjectNode rowJson = Json.object().put("k", key).put("stamp", row.stamp);
+    rowJson.set("value", row.value);
+    return rowJson;
   }
 
   static String queryParameter(String path, String name) {
--- a/src/main/java/dapplestair/emulator/EmulatedWorker.java
+++ b/src/main/java/dapplestair/emulator/EmulatedWorker.java
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Returns the worker's address, or null if the address is known only once the machine is up, and
-   * it is not.
+   * Returns the worker's address, or null while it is unknown; in some environments the address is
+   * assigned only when the machine has booted.
    */
   public String endpoint() {
     return endpoint;
--- a/src/main/java/dapplestair/emulator/ReportSender.java
+++ b/src/main/java/dapplestair/emulator/ReportSender.java
@@ -112,9 +112,9 @@
   }
 
   private void retryAfterFailure(HttpReply reply) {
-    String leaderName =
+    String redirectTarget =
         reply.status() == 421 ? Json.text(Json.parse(reply.body()), "steward") : null;
-    if (selector.switchTo(leaderName)) {
+    if (selector.switchTo(redirectTarget)) {
       environment.after(environment.between(0, REPORT_DELAY_MS), this::report);
     } else {
       selector.selectNext();
--- a/src/main/java/dapplestair/emulator/SubmissionLookup.java
+++ b/src/main/java/dapplestair/emulator/SubmissionLookup.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Finds the submission of a task's job, as workers do with what users uploaded. */
+/** Finds the submissions that users uploaded; workers read there what a task is to run. */
 @FunctionalInterface
 public interface SubmissionLookup {
   /** Returns the submission of this job, in the form of the protocol, or null. */
--- a/src/main/java/dapplestair/emulator/TaskRunner.java
+++ b/src/main/java/dapplestair/emulator/TaskRunner.java
@@ -186,7 +186,7 @@
     environment.after(REPORT_DELAY_MS, sendReport);
   }
 
-  /** Returns true if the machine is off, or the session in which a step began has ended. */
+  /** Returns true if the machine is off, or the session in which an action began has ended. */
   private boolean isSessionOver(long startedInSession) {
     return condition.isGone() || startedInSession != session.number();
   }
--- a/src/main/java/dapplestair/metrics/Metrics.java
+++ b/src/main/java/dapplestair/metrics/Metrics.java
@@ -47,7 +47,7 @@
     acceptanceMs.recordValue(Math.min(60_000, Math.max(0, ms)));
   }
 
-  /** Records that a task started {@code ms} after its job was accepted. */
+  /** Records that a task started {@code ms} after the first known attempt to submit its job. */
   public void recordTaskStart(long ms) {
     startedTasks++;
     if (sink != null) {
--- a/src/main/java/dapplestair/netty/HttpExchange.java
+++ b/src/main/java/dapplestair/netty/HttpExchange.java
@@ -95,7 +95,7 @@
     reply(200, contentType, answer, 0);
   }
 
-  /** Ends the exchange because the client has closed its connection. */
+  /** Ends the exchange because its connection has closed, so that no response can be delivered. */
   void abandon() {
     if (!answered && !abandoned) {
       abandoned = true;
--- a/src/main/java/dapplestair/netty/PeerLinks.java
+++ b/src/main/java/dapplestair/netty/PeerLinks.java
@@ -67,7 +67,10 @@
         .addListener(
             f -> {
               if (!f.isSuccess()) {
-                LOG.error("cannot listen for peers on {}", settings.peerBind(), f.cause());
+                LOG.error(
+                    "cannot listen for peers on {}; this controller receives no messages of peers",
+                    settings.peerBind(),
+                    f.cause());
               }
             });
     peers.values().forEach(this::connect);
--- a/src/main/java/dapplestair/netty/TlsFiles.java
+++ b/src/main/java/dapplestair/netty/TlsFiles.java
@@ -74,7 +74,9 @@
     try {
       return modificationTimes().equals(loaded.modificationTimes()) ? null : load();
     } catch (IOException e) {
-      LOG.debug("TLS files not reloaded, keeping the former ones: {}", e.getMessage());
+      LOG.debug(
+          "TLS files not reloaded; new connections keep the loaded certificate: {}",
+          e.getMessage());
       return null;
     }
   }
@@ -101,7 +103,10 @@
       return new Loaded(times, context);
     } catch (IllegalArgumentException | CertificateException e) {
       throw new IOException(
-          files.certificate() + " or " + files.key() + " cannot be used as TLS certificate and key",
+          files.certificate()
+              + ", "
+              + files.key()
+              + " or the authority file cannot be used for TLS",
           e);
     }
   }
--- a/src/main/java/dapplestair/node/Controller.java
+++ b/src/main/java/dapplestair/node/Controller.java
@@ -196,7 +196,8 @@
   }
 
   /**
-   * Tells the ledger and the submission handler which cancellations other controllers confirmed.
+   * Tells the submission handler and the ledger which jobs were cancelled according to other
+   * controllers, and answers what {@link Cancellations} asks about a job's tasks.
    */
   private final class CancellationEvents implements Cancellations.Listener {
     @Override
--- a/src/main/java/dapplestair/node/ControllerMetrics.java
+++ b/src/main/java/dapplestair/node/ControllerMetrics.java
@@ -187,7 +187,7 @@
                     JobStatistics.LargestJobStatistics::longestWaitS));
   }
 
-  /** Adds metrics on voluntary disruptions: tasks that the scheduler stops by its own choice. */
+  /** Adds metrics on unavailable replicas, lanes, and tasks stopped by the scheduler's choice. */
   private static void addDisruptions(Exposition exposition, ControllerComponents components) {
     exposition
         .gauges(
--- a/src/main/java/dapplestair/node/CoreComponents.java
+++ b/src/main/java/dapplestair/node/CoreComponents.java
@@ -164,10 +164,10 @@
 
   /**
    * Returns whether a job that is missing from the ledger was unfinished when the records were last
-   * read. This matters only while this controller is on the wrong side of a network cut: while the
-   * state service serves a peer, workers with such jobs are better served by a controller that can
-   * read the records of these jobs, and the leader would consider these workers silent if they kept
-   * reporting here.
+   * read, but always false while any peer reaches the state service and accepts requests: workers
+   * with such jobs are then better served by that peer, which can read the records of these jobs,
+   * and the leader would consider these workers silent if they kept reporting here. So the result
+   * matters only while this controller is behind a network cut.
    */
   private boolean wasUnfinishedAtLastRead(String job) {
     return !peers.hasReadyPeer() && (acceptedJobs.isUnread(job) || replica.heldBeforeRestart(job));
--- a/src/main/java/dapplestair/node/HttpRouter.java
+++ b/src/main/java/dapplestair/node/HttpRouter.java
@@ -24,8 +24,8 @@
    *
    * @param canTakeRequests whether this controller can take requests now
    * @param stateUnreachableMs for how long the state service has not answered
-   * @param outageThresholdMs after which silence of the state service counts as an outage rather
-   *     than a transient failure
+   * @param outageThresholdMs time without an answer after which the failure of the state service
+   *     counts as an outage rather than as transient
    */
   HttpRouter(
       WorkerManager workers,
--- a/src/main/java/dapplestair/relay/RelayAssignment.java
+++ b/src/main/java/dapplestair/relay/RelayAssignment.java
@@ -41,7 +41,7 @@
     return best;
   }
 
-  /** Returns a uniformly distributed hash of the pair, between 0 and 1 exclusively. */
+  /** Returns a uniformly distributed hash of the pair, between 0 and 1, both excluded. */
   private static double fraction(String machine, String member) {
     long bits =
         HASH.newHasher()
--- a/src/main/java/dapplestair/settings/RunCalendar.java
+++ b/src/main/java/dapplestair/settings/RunCalendar.java
@@ -9,8 +9,9 @@
 
 /**
  * A calendar that says when cycles of runs begin, and for which deliveries they wait. Each day, the
- * first cycle begins at a fixed time of day and the others follow at a fixed period. On days on
- * which clocks are changed, the last cycle is shorter or longer, and no time is left without a
+ * first cycle begins at a fixed time of day and the others follow at a fixed period, until the
+ * first cycle of the next day cuts the last one short. On days on which clocks are changed, there
+ * may be more or fewer cycles and the last one may have another length; no time is left without a
  * cycle.
  *
  * @param runs classes whose jobs are the runs of a cycle
